--- a/tests/world/days/batches.rs
+++ b/tests/world/days/batches.rs
@@ -33,7 +33,7 @@
 }
 
 /// Splitting, reading, a check that carries no batch, and the merge of all.
-fn pipeline(w: &mut World, name: &str, version: u64) -> String {
+pub(super) fn pipeline(w: &mut World, name: &str, version: u64) -> String {
     let splits = w.rng.random_range(1..3);
     let mut read = Vec::new();
     for _ in 0..splits {
@@ -61,7 +61,7 @@
 }
 
 /// New runs of a version, as many as any merge has old ones.
-fn runs_again(w: &mut World, name: &str, version: u64) {
+pub(super) fn runs_again(w: &mut World, name: &str, version: u64) {
     for _ in 0..2 {
         let split = run(w, "split", name, Some(version), &[]);
         run(w, "read", name, Some(version), &[&split]);
--- a/tests/world/days/loans.rs
+++ b/tests/world/days/loans.rs
@@ -25,17 +25,17 @@
     }
 }
 
-struct Ask<'a> {
-    n: u32,
-    team: &'a str,
-    gait: &'a str,
-    rank: &'a str,
-    tasks: u32,
-    gpus: u32,
-    run: u64,
+pub(super) struct Ask<'a> {
+    pub(super) n: u32,
+    pub(super) team: &'a str,
+    pub(super) gait: &'a str,
+    pub(super) rank: &'a str,
+    pub(super) tasks: u32,
+    pub(super) gpus: u32,
+    pub(super) run: u64,
 }
 
-fn add(w: &mut World, a: &Ask) -> String {
+pub(super) fn add(w: &mut World, a: &Ask) -> String {
     let id = format!("wk-{:06}", a.n);
     let class = if a.gait == "service" { "serve" } else { "train" };
     let body = json!({"uid": id, "breed": class, "herd": a.team, "gait": a.gait, "rank": a.rank, "strides": a.tasks,
--- a/tests/world/days/mod.rs
+++ b/tests/world/days/mod.rs
@@ -17,5 +17,6 @@
 mod restarts;
 mod rough;
 mod takeovers;
+mod traces;
 mod upgrade;
 mod zones;
--- a/tests/world/days/releases.rs
+++ b/tests/world/days/releases.rs
@@ -40,7 +40,7 @@
 }
 
 /// Two titles on one night: rebuilds, renders of which some come too late and some are cancelled, and a rotation each.
-fn plan(w: &mut World) {
+pub(super) fn plan(w: &mut World) {
     for (t, title) in TITLES.iter().enumerate() {
         let count = w.rng.random_range(6..14);
         for n in 0..count {
@@ -72,7 +72,7 @@
 }
 
 /// Crashes with restarts within a tenth to half a second, among all other troubles.
-fn rough(w: &mut World, until: u64) {
+pub(super) fn rough(w: &mut World, until: u64) {
     while w.now < until {
         let next = w.now + w.rng.random_range(2 * S..12 * S);
         w.run(0, next);
--- /dev/null
+++ b/tests/world/days/traces.rs
@@ -0,0 +1,475 @@
+//! Short days of every kind, whose effects are recorded: played twice they are the same, and `scripts/compare-traces` holds
+//! those of one commit against those of another.
+
+use super::compound::{cancel_all, guarded, long_jobs};
+use super::{batches, loans, releases, zones};
+use crate::*;
+use hazelsaddle::api::ops::OpRequest;
+use std::path::PathBuf;
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicU64, Ordering};
+
+/// One kind of short day.
+struct Kind {
+    /// As it stands in the first line of a file.
+    name: &'static str,
+    /// The world before its first moment.
+    world: fn(u64) -> World,
+    /// What happens in it. The number counts the days of this kind, so that variants take turns.
+    day: fn(u64, &mut World),
+}
+
+/// All kinds. A seed plays the one at its remainder; new ones go to the end, or seeds change their kind.
+const ALL: [Kind; 19] = [
+    Kind { name: "plain", world: small, day: |_, w| w.run(110 * S, 130 * S) },
+    Kind { name: "stalls", world: small, day: stalls },
+    Kind { name: "grown", world: |seed| World::new(seed, GROWN), day: |_, w| w.run(30 * S, 40 * S) },
+    Kind { name: "chained", world: |seed| World::new(seed, CHAINED), day: |_, w| w.run(100 * S, 130 * S) },
+    Kind { name: "releases", world: with_calendar, day: rotations },
+    Kind { name: "loans", world: |seed| World::new(seed, loans::GPUS), day: lending },
+    Kind { name: "batches", world: |seed| batches::world(seed, batches::REPLACED), day: merges },
+    Kind { name: "upgrade", world: |seed| World::new(seed, CHAINED), day: upgrade },
+    Kind { name: "takeovers", world: medium, day: takeovers },
+    Kind { name: "leaving", world: medium, day: leaving },
+    Kind { name: "restarts", world: small, day: restarts },
+    Kind { name: "pairs", world: medium, day: pairs },
+    Kind { name: "trouble", world: medium, day: each_trouble },
+    Kind { name: "looks", world: medium, day: looks },
+    Kind { name: "lost", world: medium, day: lost },
+    Kind { name: "zones", world: medium, day: cut_zones },
+    Kind { name: "cancels", world: medium, day: cancels },
+    Kind { name: "commands", world: medium, day: late_commands },
+    Kind { name: "gap", world: medium, day: gap },
+];
+
+fn small(seed: u64) -> World {
+    let mut w = World::new(seed, SMALL);
+    w.silence.pollers = true;
+    w
+}
+
+fn medium(seed: u64) -> World {
+    let mut w = World::new(seed, Shape { machines: 10, room: 10, jobs: 30, pause: 4 * S, ..SMALL });
+    w.silence.pollers = true;
+    w
+}
+
+fn with_calendar(seed: u64) -> World {
+    World::new(seed, Shape { jobs: 8, calendar: true, ..SMALL })
+}
+
+/// Time goes on, for so long at least and less than that at most.
+fn pass(w: &mut World, from: u64, to: u64) {
+    let until = w.now + w.rng.random_range(from..to);
+    w.run(0, until);
+}
+
+/// Controllers stand still between deciding and doing, among all troubles.
+fn stalls(_: u64, w: &mut World) {
+    w.stalls = 0.001;
+    w.run(90 * S, 100 * S);
+    w.stalls = 0.0;
+    w.run(0, 120 * S);
+}
+
+/// Two titles' night over the close and the rotation, with restarts and all troubles on every other day.
+fn rotations(round: u64, w: &mut World) {
+    releases::plan(w);
+    match round % 2 {
+        0 => w.run(0, 180 * S),
+        _ => releases::rough(w, 200 * S),
+    }
+    w.run(0, 225 * S);
+}
+
+/// Serving takes GPUs from arrays or gangs and gives them back.
+fn lending(round: u64, w: &mut World) {
+    let troubles = if round.is_multiple_of(2) { 0 } else { 110 * S };
+    let add = |w: &mut World, n, team, gait, tasks, gpus, run| {
+        loans::add(w, &loans::Ask { n, team, gait, rank: "normal", tasks, gpus, run })
+    };
+    add(w, 1, "t2", "batch", 2, 2, 100 * S);
+    w.run(0, 20 * S);
+    for n in 2..16 {
+        match round / 2 % 2 {
+            0 => add(w, n, "t0", "batch", 4, 1, 90 * S),
+            _ => add(w, n, "t0", "group", 2, 4, 60 * S),
+        };
+    }
+    w.run(0, 45 * S);
+    let service = add(w, 50, "t1", "service", 2, 4, NEVER);
+    w.run(troubles, 90 * S);
+    w.jobs.get_mut(&service).expect("added").cancel_asked = true;
+    w.run(troubles, 125 * S);
+}
+
+/// Batches are put and replaced while their merges wait, start, run and ask whether they may write.
+fn merges(round: u64, w: &mut World) {
+    w.batches.writers = true;
+    w.quick = !round.is_multiple_of(2);
+    w.run(0, 15 * S);
+    for i in 0..5 {
+        let name = ["b0", "b1"][w.rng.random_range(0..2usize)];
+        let version = w.version(name).max(1);
+        batches::pipeline(w, name, version);
+        pass(w, S, 12 * S);
+        let (n, up) = (w.rng.random_range(0..3usize), w.rng.random_range(0..3));
+        w.operator_asks(n, OpRequest::PutBatch(name.into(), version + up));
+        batches::runs_again(w, name, version + up);
+        if !round.is_multiple_of(3) && i % 2 == 1 {
+            w.trouble();
+        }
+        pass(w, S, 12 * S);
+    }
+    w.run(0, 120 * S);
+}
+
+/// Controllers limited to the first form are replaced one after the other, one turns up once more, and limits fall.
+fn upgrade(round: u64, w: &mut World) {
+    w.limited = [true; 3];
+    // An old one that turns up later tells nobody what became of a job's forerunners.
+    w.tells_orphans = false;
+    w.run(0, 20 * S);
+    for i in 0..3 {
+        let n = (round as usize + i) % 3;
+        if w.rng.random_bool(0.4) {
+            w.trouble();
+        }
+        w.limited[n] = false;
+        w.crash(n);
+        pass(w, 4 * S, 18 * S);
+    }
+    w.limits_fall = w.now + w.rng.random_range(0..20 * S);
+    pass(w, 15 * S, 30 * S);
+    if round % 2 == 1 {
+        let n = round as usize % 3;
+        w.limited[n] = true;
+        w.crash(n);
+        pass(w, 10 * S, 15 * S);
+        w.limited[n] = false;
+        w.crash(n);
+    }
+    w.run(0, 130 * S);
+}
+
+/// Epochs a few seconds apart, and what is handed over is lost, doubled and late.
+fn takeovers(round: u64, w: &mut World) {
+    w.unruly = 0.3;
+    w.run(0, 20 * S);
+    while w.now < 90 * S {
+        let n = w.rng.random_range(0..3usize);
+        let long = w.rng.random_range(S..25 * S);
+        let hold = round.is_multiple_of(2);
+        match w.rng.random_range(0..8) {
+            0..4 => w.crash(n),
+            4 => w.hung[n] = w.now + long,
+            5 => w.cuts.push((End::Node(n), End::Store, w.now + long, hold)),
+            6 => w.cuts.push((End::Node(n), End::Workers, w.now + long, hold)),
+            _ => w.cuts.push((End::Node(n), End::Node((n + 1) % 3), w.now + long, hold)),
+        }
+        let i = w.rng.random_range(0..w.workers.len());
+        w.workers[i].hung_until = w.now + long;
+        pass(w, 2 * S, 12 * S);
+    }
+    w.run(0, 120 * S);
+}
+
+/// One controller after the other is told to end, hands on what it knows and is back.
+fn leaving(round: u64, w: &mut World) {
+    w.unruly = if round % 2 == 1 { 0.3 } else { 0.0 };
+    w.run(0, 30 * S);
+    for i in 0..3 {
+        let n = (round as usize + i) % 3;
+        w.later(1, What::Node(n, 0, Event::Leave));
+        let end = w.now + 4 * S;
+        while w.now < end && !w.nodes[n].as_ref().is_some_and(|node| node.gone(w.clock(n))) {
+            let until = w.now + S / 10;
+            w.run(0, until);
+        }
+        w.crash_for(n, 2 * S..8 * S);
+        pass(w, 12 * S, 20 * S);
+    }
+    w.run(0, 110 * S);
+}
+
+/// Processes end at any moment, also in the middle of a hand-over or a record, and are back at once.
+fn restarts(_: u64, w: &mut World) {
+    (w.quick, w.brittle) = (true, 0.03);
+    w.run(90 * S, 100 * S);
+    w.brittle = 0.0;
+    w.run(0, 120 * S);
+}
+
+/// Pairs of all troubles that overlap.
+fn pairs(_: u64, w: &mut World) {
+    w.unruly = 0.1;
+    w.run(0, 20 * S);
+    while w.now < 100 * S {
+        let (a, b) = (w.rng.random_range(0..TROUBLES.len()), w.rng.random_range(0..TROUBLES.len()));
+        w.pair(TROUBLES[a], TROUBLES[b]);
+        pass(w, S, 25 * S);
+    }
+    w.run(0, 120 * S);
+}
+
+/// Three troubles a day, each in its turn, beside a restart or a takeover.
+fn each_trouble(round: u64, w: &mut World) {
+    w.run(0, 15 * S);
+    let ids = long_jobs(w, 6, 45 * S);
+    w.run(0, 25 * S);
+    for i in 0..3 {
+        let n = w.rng.random_range(0..3);
+        match round % 2 {
+            0 => w.crash_for((n + 1) % 3, S / 20..S / 10),
+            _ => w.crash_for((n + 1) % 3, 9 * S..12 * S),
+        }
+        pass(w, S, 10 * S);
+        let long = w.rng.random_range(4 * S..25 * S);
+        w.begin(TROUBLES[(3 * round as usize + i) % TROUBLES.len()], n, long);
+        w.withdraw(n, &ids[i]);
+        pass(w, 10 * S, 25 * S);
+    }
+    w.run(0, 125 * S);
+}
+
+/// Users look closely, cancel at the end of a job's last task and send what can't run, while records are slow or late.
+fn looks(round: u64, w: &mut World) {
+    w.run(0, 10 * S);
+    w.close_looks(80 * S);
+    w.cancel_at_end(0.3, 80 * S);
+    w.odd_requests(80 * S);
+    match round % 3 {
+        0 => w.slow_store(20 * S),
+        1 => w.slow_store_by(60 * S, S / 20..9 * S / 10),
+        _ => w.late_writes(0.3, 60 * S),
+    }
+    pass(w, 10 * S, 30 * S);
+    w.refuse(round as usize % 3, 8 * S);
+    w.run(0, 115 * S);
+}
+
+/// Answers of the state service and of rentals are lost, reports are kept for the next leader, machines are mute.
+fn lost(round: u64, w: &mut World) {
+    const WAYS: [Carried; 4] = [Carried::Never, Carried::AtOnce, Carried::Late, Carried::AfterSuccessor];
+    w.run(0, 12 * S);
+    w.answers_lost(None, 0.3, 70 * S, WAYS[round as usize % 4]);
+    w.reports_for_next(0.5, 70 * S);
+    w.rentals_lost(0.5, 60 * S);
+    w.late_reports(0.3, 70 * S);
+    for i in 0..3 {
+        pass(w, 8 * S, 16 * S);
+        let machines = w.some_machines();
+        w.machine_mute(&machines, 20 * S);
+        let n = (round + i) as usize % 3;
+        w.ring_line_slow(n, S / 2, 8 * S);
+        match i {
+            0 => w.crash_for(n, S / 20..S / 10),
+            1 => w.crash_for(n, 8 * S..12 * S),
+            _ => w.begin(Trouble::CutFromStoreAndPeers, n, 12 * S),
+        }
+    }
+    w.run(0, 120 * S);
+}
+
+/// A zone with its workers and its controller is cut off, the cloud is away, and jobs are bound to zones.
+fn cut_zones(round: u64, w: &mut World) {
+    w.zones.cloud_out = w.rng.random_range(5 * S..30 * S);
+    w.run(0, 20 * S);
+    let mut ids = zones::bound_jobs(w, 8, 40 * S);
+    ids.extend(long_jobs(w, 3, 60 * S));
+    w.run(0, 45 * S);
+    w.zone_cut(ZONES[round as usize % 2], [12, 30][round as usize / 2 % 2] * S, round.is_multiple_of(3));
+    pass(w, 2 * S, 9 * S);
+    cancel_all(w, &ids[..5], 20 * S);
+    w.run(0, 120 * S);
+}
+
+/// Running jobs are called off at once, some of whose machines hang or hear nobody, while the leader changes.
+fn cancels(round: u64, w: &mut World) {
+    w.run(0, 20 * S);
+    long_jobs(w, 9, 60 * S);
+    for i in 0..3 {
+        pass(w, 10 * S, 16 * S);
+        let hang = if i == 1 { 20 * S } else { 0 };
+        w.cancel_now(3, hang);
+        let machines = w.some_machines();
+        w.machine_deaf(&machines, 15 * S);
+        let n = (round + i) as usize % 3;
+        match round % 2 {
+            0 => w.crash_for(n, S / 20..S / 10),
+            _ => w.crash_for(n, 8 * S..12 * S),
+        }
+    }
+    w.run(0, 110 * S);
+}
+
+/// Direct commands come late, after those of the next leader, while users cancel.
+fn late_commands(round: u64, w: &mut World) {
+    w.run(0, 20 * S);
+    let ids = long_jobs(w, 9, 60 * S);
+    w.run(0, 30 * S);
+    w.late_commands([0.5, 1.0][round as usize % 2], 70 * S);
+    for (i, some) in ids[..6].chunks(2).enumerate() {
+        let n = (round as usize + i) % 3;
+        w.crash_for((n + 1) % 3, S / 20..S / 10);
+        pass(w, S / 2, 4 * S);
+        match round % 3 {
+            0 => w.crash_for(n, 8 * S..14 * S),
+            1 => w.hung[n] = w.now + 12 * S,
+            _ => w.cut_from_store_and_peers(n, 12 * S, i % 2 == 0),
+        }
+        cancel_all(w, some, 8 * S);
+        pass(w, 4 * S, 12 * S);
+    }
+    w.run(0, 115 * S);
+}
+
+/// The state service refuses one controller, others confirm cancellations, and then it is down for everybody.
+fn gap(round: u64, w: &mut World) {
+    w.run(0, 15 * S);
+    let ids = long_jobs(w, 8, 80 * S);
+    w.run(0, 35 * S);
+    let n = round as usize % 3;
+    w.refuse(n, 9 * S);
+    for p in (0..3).filter(|&p| p != n) {
+        match round % 4 {
+            0 => {}
+            1 => w.one_way(n, p, 50 * S, Fate::Lost),
+            2 => w.one_way(p, n, 50 * S, Fate::Late(2 * S)),
+            _ => w.cuts.push((End::Node(n), End::Node(p), w.now + 50 * S, true)),
+        }
+    }
+    cancel_all(w, &ids[..5], 8 * S);
+    w.outage_until = w.now + 45 * S;
+    w.run(0, 125 * S);
+}
+
+/// What was recorded on the day of a seed, and whether the day went to its end.
+fn recorded(seed: u64) -> (Trace, std::thread::Result<()>) {
+    let kinds = ALL.len() as u64;
+    let kind = &ALL[(seed % kinds) as usize];
+    let mut w = (kind.world)(seed);
+    w.trace = Some(Trace::default());
+    let day = |w: &mut World| (kind.day)(seed / kinds, w);
+    let end = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| guarded(seed, &mut w, day)));
+    (w.trace.take().expect("it was switched on"), end)
+}
+
+/// The seeds to play: `TRACE_SEEDS=from..to`, or two.
+fn trace_seeds() -> std::ops::Range<u64> {
+    let Ok(given) = std::env::var("TRACE_SEEDS") else { return 10..12 };
+    let range = given.split_once("..").and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
+    range.filter(|r: &std::ops::Range<u64>| !r.is_empty()).expect("TRACE_SEEDS has the form 0..200")
+}
+
+/// With `TRACE_DIR`, writes what the controllers ask for on the day of each seed to a file there. Without, plays each day
+/// twice: whatever is not the same makes a comparison of two versions of the sources worthless.
+#[test]
+fn traces_are_written_for_each_seed() {
+    let dir = std::env::var_os("TRACE_DIR").map(PathBuf::from);
+    let seeds = trace_seeds();
+    let next = AtomicU64::new(seeds.start);
+    let faults = Mutex::new(BTreeSet::new());
+    let digests = Mutex::new(BTreeMap::new());
+    let play = || {
+        loop {
+            let seed = next.fetch_add(1, Ordering::Relaxed);
+            if seed >= seeds.end {
+                return;
+            }
+            let (trace, end) = recorded(seed);
+            if end.is_err() {
+                faults.lock().expect("no thread fails with it").insert((seed, "a rule broke"));
+            }
+            for kind in ["reply", "frame", "store"] {
+                if trace.count(kind) < 100 {
+                    faults
+                        .lock()
+                        .expect("no thread fails with it")
+                        .insert((seed, "hardly anything was recorded"));
+                }
+            }
+            match &dir {
+                Some(dir) => {
+                    let text = format!("# {}\n{}", ALL[seed as usize % ALL.len()].name, trace.text());
+                    std::fs::write(dir.join(format!("{seed}.trace")), text)
+                        .expect("TRACE_DIR can be written to");
+                }
+                None if recorded(seed).0.digest() != trace.digest() => {
+                    faults.lock().expect("no thread fails with it").insert((seed, "two plays differ"));
+                }
+                None => {}
+            }
+            digests.lock().expect("no thread fails with it").insert(trace.digest(), seed);
+        }
+    };
+    let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
+    std::thread::scope(|s| {
+        (0..threads).for_each(|_| drop(s.spawn(play)));
+    });
+    let faults = faults.into_inner().expect("no thread has failed");
+    assert!(faults.is_empty(), "{faults:?}");
+    let count = digests.into_inner().expect("no thread has failed").len() as u64;
+    assert_eq!(count, seeds.end - seeds.start, "the days of two seeds have the same trace");
+}
+
+/// Whatever of an effect goes over the wire changes its line.
+#[test]
+fn lines_tell_effects_apart() {
+    let store = |r: StoreRequest| Effect::Store(1, r, false);
+    let commit = |c: Commit| store(StoreRequest::Commit(c));
+    let put = |v: Value, lease| commit(Commit { puts: vec![("a".into(), v, lease)], ..Commit::default() });
+    let greet = |token, addr: &str, session| {
+        Effect::Greet(token, vec![Greeting { machine: "i-1".into(), addr: addr.into(), session }])
+    };
+    let rent = |count, spot| {
+        let (name, kind, zone) = ("r".into(), "large".into(), "a".into());
+        Effect::Cloud(CloudRequest::Rent(hazelsaddle::fleet::Rental { name, kind, zone, spot, count }))
+    };
+    let all = [
+        Effect::Reply(1, Reply::error(503, "later")),
+        Effect::Reply(1, Reply::later("later")),
+        Effect::Reply(2, Reply::later("later")),
+        Effect::Reply(1, Reply::error(404, "later")),
+        store(StoreRequest::Get("a".into())),
+        Effect::Store(2, StoreRequest::Get("a".into()), false),
+        Effect::Store(1, StoreRequest::Get("a".into()), true),
+        store(StoreRequest::Get("b".into())),
+        store(StoreRequest::List("a".into(), String::new())),
+        store(StoreRequest::List("a".into(), "b".into())),
+        store(StoreRequest::Grant(5)),
+        store(StoreRequest::Renew(5)),
+        store(StoreRequest::Revision),
+        store(StoreRequest::Watch("a".into(), 1, Micros(1000))),
+        store(StoreRequest::Watch("a".into(), 1, Micros(1001))),
+        store(StoreRequest::Watch("a".into(), 2, Micros(1000))),
+        put(json!(1), None),
+        put(json!(1), Some(1)),
+        put(json!(2), None),
+        commit(Commit { conditions: vec![("a".into(), 1)], ..Commit::default() }),
+        commit(Commit { conditions: vec![("a".into(), 2)], ..Commit::default() }),
+        commit(Commit { drops: vec!["a".into()], ..Commit::default() }),
+        Effect::Cloud(CloudRequest::Types),
+        Effect::Cloud(CloudRequest::List(String::new())),
+        Effect::Cloud(CloudRequest::List("a".into())),
+        rent(1, false),
+        rent(1, true),
+        rent(2, false),
+        Effect::Cloud(CloudRequest::Return(vec!["a".into()])),
+        Effect::Cloud(CloudRequest::Return(vec!["a".into(), "b".into()])),
+        Effect::Probe(vec!["ab".into()]),
+        Effect::Probe(vec!["a".into(), "b".into()]),
+        greet(1, "a", 1),
+        greet(2, "a", 1),
+        greet(1, "b", 1),
+        greet(1, "a", 2),
+    ];
+    let line = |effect: &Effect| {
+        let mut trace = Trace::default();
+        trace.note(1, 0, effect);
+        trace.text().to_owned()
+    };
+    let lines: BTreeSet<String> = all.iter().map(line).collect();
+    assert_eq!(lines.len(), all.len(), "{lines:#?}");
+    assert!(all.iter().map(line).all(|l| lines.contains(&l)), "the same again");
+}
--- a/tests/world/days/zones.rs
+++ b/tests/world/days/zones.rs
@@ -40,7 +40,7 @@
 ];
 
 /// Jobs that are bound to zones, types or kinds of machine, each kind in turn.
-fn bound_jobs(w: &mut World, count: usize, run: u64) -> Vec<String> {
+pub(super) fn bound_jobs(w: &mut World, count: usize, run: u64) -> Vec<String> {
     (0..count)
         .map(|i| {
             let b = &BOUND[(w.jobs.len() + i) % BOUND.len()];
--- a/tests/world/net.rs
+++ b/tests/world/net.rs
@@ -75,6 +75,9 @@
     }
 
     pub(crate) fn effect(&mut self, n: usize, e: Effect) {
+        if let Some(trace) = &mut self.trace {
+            trace.note(self.now, n, &e);
+        }
         let boot = self.boots[n];
         match e {
             Effect::Reply(t, reply) if self.kept_from_users(n, t, &reply) => {}
--- a/tests/world/parts.rs
+++ b/tests/world/parts.rs
@@ -200,6 +200,8 @@
     pub(crate) zones: Zones,
     pub(crate) cancels: Cancels,
     pub(crate) commands: Commands,
+    /// What controllers ask for, if a test wants to compare it.
+    pub(crate) trace: Option<Trace>,
     pub(crate) log: Vec<String>,
 }
 
@@ -257,6 +259,7 @@
             zones: Zones::default(),
             cancels: Cancels::default(),
             commands: Commands::default(),
+            trace: None,
             log: Vec::new(),
         };
         for i in 0..shape.machines {
--- /dev/null
+++ b/tests/world/trace.rs
@@ -0,0 +1,124 @@
+//! A net for refactorings that must keep behaviour bit for bit: one line for each effect that a controller's code asks for
+//! and that is carried out, with a hash of its bytes as they go over the wire.
+//!
+//! A line is `TIME CONTROLLER KIND HASH`: simulated time in microseconds, the controller's number, the kind of effect and
+//! sixteen hexadecimal digits. Nothing in a line depends on names of types, fields or variants in the sources, so that
+//! these may change: requests are hashed as the clients of `src/store.rs`, `src/fleet.rs` and `src/api.rs` put them into HTTP.
+
+use super::*;
+use hazelsaddle::fleet::Rental;
+use std::fmt::Write as _;
+use twox_hash::XxHash64;
+
+/// What one world's controllers have asked for. A world has none unless a test switches it on.
+#[derive(Default)]
+pub(crate) struct Trace {
+    /// The lines, each with its end.
+    text: String,
+}
+
+impl Trace {
+    /// Notes one effect that is carried out at a simulated time.
+    pub(crate) fn note(&mut self, now: u64, controller: usize, effect: &Effect) {
+        let (kind, bytes) = wire(effect);
+        let hash = XxHash64::oneshot(0, &bytes);
+        writeln!(self.text, "{now} {controller} {kind} {hash:016x}").expect("a string takes all");
+    }
+
+    /// The lines so far.
+    pub(crate) fn text(&self) -> &str {
+        &self.text
+    }
+
+    /// How many of the lines are of this kind.
+    pub(crate) fn count(&self, kind: &str) -> usize {
+        self.text.lines().filter(|line| line.split(' ').nth(2) == Some(kind)).count()
+    }
+
+    /// One number for all lines.
+    pub(crate) fn digest(&self) -> u64 {
+        XxHash64::oneshot(0, self.text.as_bytes())
+    }
+}
+
+/// The kinds of effect, as they stand in a line.
+pub(crate) const KINDS: [&str; 6] = ["reply", "frame", "store", "cloud", "probe", "greet"];
+
+/// The kind of an effect, and what of it leaves the process; numbers that the controller keeps for itself (tickets,
+/// requests) stand before it.
+fn wire(effect: &Effect) -> (&'static str, Vec<u8>) {
+    match effect {
+        Effect::Reply(ticket, reply) => {
+            let retry_after = reply.retry_after.map(|s| format!("Retry-After: {s}\n")).unwrap_or_default();
+            let head = format!("{ticket}\n{}\nContent-Type: application/json\n{retry_after}\n", reply.status);
+            (KINDS[0], [head.as_bytes(), reply.body.as_bytes()].concat())
+        }
+        Effect::Send(peer, frame) => {
+            let bytes = frame.encode().expect("frames can be encoded");
+            (KINDS[1], [format!("{peer}\n").as_bytes(), &bytes].concat())
+        }
+        Effect::Store(id, request, ring) => {
+            (KINDS[2], format!("{id} {}\n{}", u8::from(*ring), store_request(request)).into_bytes())
+        }
+        Effect::Cloud(request) => (KINDS[3], cloud_request(request).into_bytes()),
+        Effect::Probe(addresses) => (KINDS[4], joined(addresses).into_bytes()),
+        Effect::Greet(token, list) => {
+            let one = |g: &Greeting| {
+                let body = json!({"rein": token, "ride": g.session, "calls": []});
+                joined(&[g.machine.clone(), format!("POST http://{}/do\n{body}", g.addr)])
+            };
+            (KINDS[5], list.iter().map(one).collect::<String>().into_bytes())
+        }
+    }
+}
+
+/// Texts with their lengths before them, so that no two lists give the same.
+fn joined<T: AsRef<str>>(texts: &[T]) -> String {
+    texts.iter().map(|text| format!("{}:{}\n", text.as_ref().len(), text.as_ref())).collect()
+}
+
+/// A request to the state service: method, path and body as its client sends them.
+fn store_request(request: &StoreRequest) -> String {
+    match request {
+        StoreRequest::Get(key) => format!("GET /store/{key}\n"),
+        StoreRequest::List(prefix, after) if after.is_empty() => {
+            format!("GET /store?prefix={prefix}&limit=200\n")
+        }
+        StoreRequest::List(prefix, after) => format!("GET /store?prefix={prefix}&limit=200&after={after}\n"),
+        StoreRequest::Commit(commit) => format!("POST /commit\n{}", commit_body(commit)),
+        StoreRequest::Grant(ms) => format!("POST /grants\n{}", json!({ "lifeMs": ms })),
+        StoreRequest::Renew(id) => format!("POST /grants/{id}/renew\n{{}}"),
+        StoreRequest::Revision => "GET /store?prefix=ring/epoch&limit=1\n".into(),
+        // The client's own patience follows from the whole of the wait, the path has milliseconds only.
+        StoreRequest::Watch(prefix, after, wait) => {
+            format!("GET /changes?prefix={prefix}&after={after}&waitMs={}\n{}", wait.0 / 1000, wait.0)
+        }
+    }
+}
+
+/// The body of an atomic change.
+fn commit_body(commit: &Commit) -> String {
+    let conditions: Vec<Value> =
+        commit.conditions.iter().map(|(key, mark)| json!({"k": key, "mark": mark})).collect();
+    let puts = commit.puts.iter().map(|(key, value, lease)| match lease {
+        Some(lease) => json!({"write": key, "v": value, "tether": lease}),
+        None => json!({"write": key, "v": value}),
+    });
+    let writes: Vec<Value> = puts.chain(commit.drops.iter().map(|key| json!({"drop": key}))).collect();
+    json!({"if": conditions, "writes": writes}).to_string()
+}
+
+/// A request to the cloud: method, path and body as its client sends them.
+fn cloud_request(request: &CloudRequest) -> String {
+    match request {
+        CloudRequest::Types => "GET /flavors\n".into(),
+        CloudRequest::List(after) if after.is_empty() => "GET /rentals?limit=500\n".into(),
+        CloudRequest::List(after) => format!("GET /rentals?after={after}&limit=500\n"),
+        CloudRequest::Rent(Rental { name, kind, zone, spot, count }) => {
+            let body =
+                json!({"hire": name, "stallKind": kind, "paddock": zone, "borrowed": spot, "count": count});
+            format!("POST /rentals\n{body}")
+        }
+        CloudRequest::Return(names) => format!("POST /rentals/return\n{}", json!({ "stalls": names })),
+    }
+}
