--- /dev/null
+++ b/tests/golden.rs
@@ -0,0 +1,907 @@
+//! Today's stored and sent forms, to the byte: what the code writes for fixed values is what
+//! `fixtures/current-form.json` holds (`fixtures/README.md`), and what is read from there is written again alike. A
+//! renaming or a refactoring must leave all of it as it is.
+//!
+//! The fixtures are never written by this test. `GOLDEN_WRITE=1 cargo test --test golden -- --nocapture` prints what the
+//! code writes now to standard output, one line for each form, and changes nothing else.
+
+use hazelsaddle::fleet::{CloudAnswer, CloudRequest};
+use hazelsaddle::jobs::{Final, Owner, RecordWrite};
+use hazelsaddle::machines::{MachineRecord, Report, ReportedTask};
+use hazelsaddle::node::{Effect, Event, Node, read_end};
+use hazelsaddle::operators::Operators;
+use hazelsaddle::peer::*;
+use hazelsaddle::ring::EpochRecord;
+use hazelsaddle::roll::{self, Roll};
+use hazelsaddle::settings::Settings;
+use hazelsaddle::spec::Spec;
+use hazelsaddle::store::{Commit, Row, StoreAnswer, StoreRequest};
+use hazelsaddle::teams::{Need, Teams};
+use hazelsaddle::units::{Micros, Ranges, Room};
+use hazelsaddle_freshness::batch::{Batch, Grant, Put, Writer};
+use hazelsaddle_loans::ledger::{Ledger, Loan, State};
+use hazelsaddle_pact::census::{Member, Stands};
+use hazelsaddle_pact::record::{Key, Kind, Record, items, pages};
+use hazelsaddle_release::set::{self, ClosedBy, Release};
+use serde_json::{Map, Value, json};
+use std::collections::BTreeMap;
+use std::path::Path;
+use std::process::Command;
+
+type Forms = Vec<(String, Value)>;
+
+fn fixtures(section: &str) -> Map<String, Value> {
+    let all: Value = serde_json::from_str(include_str!("fixtures/current-form.json")).expect("JSON");
+    all[section].as_object().cloned().unwrap_or_default()
+}
+
+/// Compares what the code writes with sections of the fixtures, byte by byte.
+fn same(sections: &[(&str, Forms)]) {
+    if std::env::var_os("GOLDEN_WRITE").is_some_and(|v| v == "1") {
+        for (section, forms) in sections {
+            forms.iter().for_each(|(name, value)| println!("\ngolden\t{section}\t{name}\t{value}"));
+        }
+    }
+    sections.iter().for_each(|(section, forms)| same_section(section, forms));
+}
+
+fn same_section(section: &str, now: &Forms) {
+    let golden = fixtures(section);
+    for (name, value) in now {
+        let stored = golden.get(name).unwrap_or_else(|| panic!("{section}: {name} is not in the fixtures"));
+        assert_eq!(value.to_string(), stored.to_string(), "{section}: {name} is written to the byte");
+    }
+    assert_eq!(golden.len(), now.len(), "{section}: each form once, and no other");
+}
+
+fn settings() -> Settings {
+    let text = "member = \"c0\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n[outside]\ncloud = \"10.0.0.9:1\"\n\
+        state = \"10.0.0.9:2\"\n[settings]\n[[settings.teams]]\nname = \"vision\"\ncpus = 16.0\ncpus_max = 40.0\n\
+        [settings.workers]\nreport_s = 3.0\nlease_s = 18.0\ngang_wait_s = 30.0\ngang_peer_s = 6.0\ncancel_s = 43.0\n\
+        [settings.state]\nrps = 100.0\nwrite_rps = 50.0\nvalue_kb = 4.0\ntxn_ops = 8\n\
+        [settings.cloud]\nrps = 5.0\nlist_lag_s = 8.0\n";
+    Settings::parse("test", text).expect("valid")
+}
+
+fn body(id: &str) -> Value {
+    json!({"uid":id,"breed":"train","herd":"vision","gait":"group","rank":"high","strides":16,
+        "vcpus":8.0,"cards":1.0,"ramGb":64.0,"tack":"img-07","imageGb":6.2,"breedsOfStall":["g8"],
+        "paddock":null,"together":true,"scatter":false,"borrowed":true,"rideS":240.0,"restS":30.0,
+        "unsaddleS":4.0,"dueS":900.0})
+}
+
+fn body_with(key: &str, value: Value) -> Value {
+    let mut raw = body("wk-000412");
+    raw[key] = value;
+    raw
+}
+
+// Frames.
+
+fn frame(body: Message) -> Frame {
+    Frame {
+        from: 1,
+        epoch: 7,
+        members: vec![0, 1, 2],
+        clock: Micros(5_000_001),
+        boot: 11,
+        echo: Micros(4_000_002),
+        echo_boot: 12,
+        digest_seen: (7 << 32) + 3,
+        body,
+    }
+}
+
+fn room(n: i64) -> Room {
+    Room { cpus: 1000 * n, gpus: n, memory: 2500 * n }
+}
+
+fn key(index: u32) -> TaskKey {
+    TaskKey { job: "wk-000412".into(), index, attempt: (7 << 24) + 2 }
+}
+
+fn handed_machine() -> HandedMachine {
+    let task = HandedTask {
+        key: key(3),
+        room: Some(room(2)),
+        priority: 12,
+        image: 99,
+        phase: Phase::Exited(Exit::Stopped(true)),
+        want: Some(Want::Stop(Micros(4_000_000))),
+        sent_to: (1, 88),
+    };
+    HandedMachine {
+        name: "i-000231".into(),
+        kind: "tolgy16".into(),
+        zone: "buda-a".into(),
+        spot: true,
+        addr: "10.1.0.232:9000".into(),
+        on_record: true,
+        known: true,
+        last: (1, 90),
+        silent: Micros(400_000),
+        notice: Some(Micros(9_000_000)),
+        idle: None,
+        images: vec![7, 8],
+        tasks: vec![task],
+    }
+}
+
+fn vouched() -> Vec<Vouched> {
+    let start = Vouched::Start { key: key(4), machine: "i-000231".into(), zone: "buda-a".into() };
+    vec![Vouched::Job("wk-000412".into()), start]
+}
+
+fn parcel() -> Parcel {
+    let start = HandedStart {
+        index: 3,
+        attempt: (7 << 24) + 2,
+        machine: "i-000231".into(),
+        zone: "buda-a".into(),
+        stopping: true,
+        phase: Some(Phase::InDoubt),
+    };
+    let testimony = Testimony {
+        of: 2,
+        epoch: 6,
+        members: vec![0, 1, 2],
+        heard_in: 5,
+        heard_with: vec![1, 2],
+        since: 4,
+        items: vouched(),
+        fresh: vec!["wk-000413".into()],
+    };
+    let job = HandedJob { id: "wk-000412".into(), done: "0-2".into(), starts: vec![start], doubt: Some(0) };
+    Parcel {
+        jobs: vec![job],
+        doubts: vec![vec!["i-000007".into()]],
+        machines: vec![handed_machine()],
+        testimony: vec![testimony],
+        gone: vec!["i-000005".into()],
+    }
+}
+
+fn lending() -> Lending {
+    let task =
+        LendableTask { index: 2, attempt: 9, machine: "i-000231".into(), lost_ms: 61_000, fixed: true };
+    let job = Lendable {
+        job: "wk-000412".into(),
+        team: "vision".into(),
+        rank: 3,
+        gang: true,
+        room: room(2),
+        tasks: vec![task],
+    };
+    Lending { jobs: vec![job], lacks: vec![("chat".into(), room(4), Micros(21_000_000))] }
+}
+
+/// One of each kind of message that `first-form.json` doesn't hold.
+fn frames() -> Vec<(&'static str, Frame)> {
+    let id = || "wk-000412".to_owned();
+    let ask = |request| Message::Ask { id: 9, request };
+    let vouch = Message::Vouch { rev: 5, since: 4, added: vouched(), dropped: vouched() };
+    [
+        ("needed", Message::Needed(vec![(id(), 2), ("wk-1".into(), 1)])),
+        ("hand_over", Message::HandOver { number: 4, parcel: parcel() }),
+        ("taken", Message::Taken(vec![4, 5])),
+        ("vouch", vouch),
+        ("noted", Message::Noted(5)),
+        ("lending", Message::Lending(lending())),
+        ("why", ask(UserRequest::Why(id()))),
+        ("permit", ask(UserRequest::Permit(id(), "117440514/3".into()))),
+        ("answer_without_time", Message::Answer { id: 8, reply: Reply::error(404, "no such job") }),
+    ]
+    .map(|(name, body)| (name, frame(body)))
+    .into()
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn bytes_of(hex: &str) -> Vec<u8> {
+    let byte = |i: usize| u8::from_str_radix(&hex[i..i + 2], 16).expect("hexadecimal");
+    (0..hex.len()).step_by(2).map(byte).collect()
+}
+
+#[test]
+fn frames_are_written_and_read_to_the_byte() {
+    let written = |f: &Frame| Value::from(hex(&f.encode().expect("encoded")));
+    let forms = frames().iter().map(|(name, f)| ((*name).to_owned(), written(f))).collect();
+    same(&[("frames", forms)]);
+    let golden = fixtures("frames");
+    for (name, f) in frames() {
+        let bytes = bytes_of(golden[name].as_str().expect("text"));
+        let read = Frame::decode(&bytes[4..]).expect(name);
+        assert_eq!(read, f, "{name} is read");
+        assert_eq!(read.encode(), Some(bytes), "{name} is written again alike");
+    }
+}
+
+// Stored records.
+
+/// Descriptions of jobs, by what they have beside the plain fields.
+fn descriptions() -> [(&'static str, Value); 5] {
+    let release = json!({"title": "t", "night": "2026-12-01", "stage": "rotation"});
+    let mut both = body_with("release", release.clone());
+    both["follows"] = json!(["wk-000398", "wk-405"]);
+    [
+        ("plain", body("wk-000412")),
+        ("follows", body_with("follows", json!(["wk-000398", "wk-405"]))),
+        ("release", both),
+        ("batch", body_with("batch", json!({"name": "b-7", "version": 3}))),
+        ("merges", body_with("merges", json!({"name": "b-7", "version": 3}))),
+    ]
+}
+
+const ACCEPTED: Micros = Micros(1_790_000_000_000_000);
+
+fn end_of(record: &Value, f: Final) -> Value {
+    let (raw, spec, accepted, done) = Owner::read_record(record).expect("a record");
+    let id = spec.id.clone();
+    let mut owner = Owner::new(&settings());
+    owner.insert(raw, spec, accepted, done, 1, true);
+    owner.jobs.get_mut(&id).expect("live").ending = Some(f);
+    match owner.next_write(Micros(1), true) {
+        Some((_, RecordWrite::End(_, end), _)) => end,
+        _ => panic!("no end"),
+    }
+}
+
+fn job_forms() -> Forms {
+    let mut out = Forms::new();
+    for (name, raw) in descriptions() {
+        let spec = Spec::from_value(&raw).expect("valid");
+        let record = Owner::new_record(&raw, &spec, ACCEPTED);
+        for (end, f) in [("done", Final::Done), ("cancelled", Final::Cancelled)] {
+            out.push((format!("job/{name}/{end}"), end_of(&record, f)));
+        }
+        out.push((format!("job/{name}"), record));
+    }
+    let done = Ranges::decode("0-3,7", 16).expect("ranges");
+    let progress = Owner::record(&body("wk-000412"), ACCEPTED, &done.encode(1000));
+    out.push(("job/progress/cancelled".into(), end_of(&progress, Final::Cancelled)));
+    out.push(("job/progress".into(), progress));
+    out
+}
+
+#[test]
+fn records_of_jobs_are_written_and_read_to_the_byte() {
+    same(&[("jobs", job_forms())]);
+    let golden = fixtures("jobs");
+    for (name, raw) in descriptions() {
+        let stored = &golden[&format!("job/{name}")];
+        let (read, spec, accepted, done) = Owner::read_record(stored).expect(name);
+        assert_eq!((accepted, done.len()), (ACCEPTED, 0), "{name}");
+        assert_eq!(spec, Spec::from_value(&raw).expect("valid"), "{name} is read");
+        assert_eq!(Owner::new_record(&read, &spec, accepted).to_string(), stored.to_string(), "{name}");
+        for (end, f) in [("done", Final::Done), ("cancelled", Final::Cancelled)] {
+            let ended = &golden[&format!("job/{name}/{end}")];
+            assert_eq!(read_end(ended), Some((f, 0)), "{name} {end} is read");
+            assert_eq!(end_of(stored, f).to_string(), ended.to_string(), "{name} {end}");
+        }
+    }
+    let stored = &golden["job/progress"];
+    let (raw, _, accepted, done) = Owner::read_record(stored).expect("a record");
+    assert_eq!(Owner::record(&raw, accepted, &done.encode(1000)).to_string(), stored.to_string());
+    assert_eq!(read_end(&golden["job/progress/cancelled"]), Some((Final::Cancelled, 5)));
+}
+
+fn epoch() -> EpochRecord {
+    EpochRecord { epoch: 7, members: vec![("c0".into(), 11), ("c1".into(), 12)] }
+}
+
+fn machines() -> [(&'static str, MachineRecord); 2] {
+    let record = |spot, addr: &str| MachineRecord {
+        kind: "tolgy16".into(),
+        zone: "buda-a".into(),
+        spot,
+        addr: addr.into(),
+    };
+    [("i-000231", record(true, "10.1.0.232:9000")), ("i-000232", record(false, ""))]
+}
+
+fn page_of(rows: &[(String, MachineRecord)]) -> Value {
+    let mut roll = Roll::new("c0", 2048);
+    for (name, record) in rows {
+        roll.add(name, record);
+    }
+    let write = roll.next_write(true).expect("a page");
+    assert_eq!(write.key, "mach/c0/0");
+    write.value.expect("not empty")
+}
+
+fn need(job: &str, each: i64, accepted: Micros) -> Need {
+    Need {
+        job: job.into(),
+        one: Room { cpus: each, gpus: 0, memory: 0 },
+        in_use: Room::default(),
+        settled: true,
+        more: 2,
+        whole: true,
+        priority: 3,
+        accepted,
+    }
+}
+
+/// What an owner of only these jobs makes of a team's record.
+fn team_after(record: &Value, needs: &[Need]) -> Value {
+    let s = settings();
+    let mut teams = Teams::new(&s.teams);
+    teams.take("vision", Some((record, 5)));
+    let mine = |job: &str| needs.iter().any(|n| n.job == job);
+    let write = teams.plan(Micros(60_000_000), "vision", needs, mine, |_| false, s.value_bytes);
+    write.expect("a change").value
+}
+
+/// Claims of two and three parts, and one of six: what waits for room.
+fn team() -> Value {
+    let before = json!({"wk-000001": [9000, 0], "wk-000002": [9000, 2, 1_789_999_999]});
+    team_after(&before, &[need("wk-000003", 5000, ACCEPTED), need("wk-000004", 15_000, ACCEPTED)])
+}
+
+fn loan(id: u64, state: State) -> Loan {
+    Loan {
+        id,
+        job: "wk-000500".into(),
+        lender: "vision".into(),
+        from: "wk-000412".into(),
+        tasks: vec![(0, 9), (1, 10)],
+        gpus: 4000,
+        cpus: 16_000,
+        memory: 64_000,
+        replicas: 2,
+        hold: (4000, 8000, 32_000),
+        machine: "i-000231".into(),
+        since_us: ACCEPTED.0,
+        state,
+    }
+}
+
+fn ledger() -> Ledger {
+    let states = [State::Taking, State::Held, State::Returning];
+    let mut rest = Map::new();
+    rest.insert("drains".into(), json!({"i-000009": 2}));
+    Ledger { fence: 9, loans: states.into_iter().zip(6..).map(|(s, id)| loan(id, s)).collect(), rest }
+}
+
+fn release() -> Release {
+    let mut rest = Map::new();
+    rest.insert("later".into(), json!(1));
+    Release {
+        title: "t".into(),
+        night: "2026-12-01".into(),
+        calendar: "n".into(),
+        begins_us: 1,
+        renders_us: 2,
+        due_us: 3,
+        opened_us: 4,
+        expects: None,
+        closed_by: None,
+        waived: BTreeMap::new(),
+        rotated: false,
+        by_hand: true,
+        rest,
+    }
+}
+
+/// A release in each phase: open, closing, and closed with its page.
+fn release_forms() -> Forms {
+    let key = Key::new(Kind::Release, "t@2026-12-01").expect("a name");
+    let member = |says: Value| Member { stands: Stands::Live, says };
+    let says = |stage: &str| json!({"title": "t", "night": "2026-12-01", "stage": stage});
+    let mut rebuild = says("rebuild");
+    rebuild["expects"] = json!(2);
+    let found =
+        BTreeMap::from([("wk-1".to_owned(), member(rebuild)), ("wk-2".to_owned(), member(says("render")))]);
+    let open = release().record();
+    let closing = set::closing(&open, ClosedBy::Count).expect("it is open");
+    let (written, head) = set::closed(&key, &closing, &found, 2048).expect("it is closing");
+    let known = set::members(written.iter().map(|(_, v)| v)).expect("members");
+    let waived = set::waive(&head, &known, "wk-2", "lost").expect("waived");
+    let heads = [("open", open), ("closing", closing), ("closed", head), ("waived", waived)];
+    let heads = heads.into_iter().map(|(name, r)| (format!("release/{name}"), r.value()));
+    heads.chain(written.into_iter().map(|(k, v)| (format!("release/page/{k}"), v))).collect()
+}
+
+fn batch_forms() -> Forms {
+    let writer = |attempt, task| Writer { job: "wk-000412".into(), attempt, task };
+    let granted = |b: &Batch, w: &Writer| match b.grant(w, 2048) {
+        Grant::New(next, _) => next,
+        other => panic!("{other:?}"),
+    };
+    let first = Batch::first(7);
+    let held = granted(&granted(&first, &writer(9, Some(3))), &writer(10, None));
+    let Ok(Put::Raised(raised)) = held.put(8) else { panic!("not raised") };
+    let all = [("first", first), ("held", held), ("raised", raised)];
+    all.into_iter().map(|(name, b)| (format!("batch/{name}"), b.record().value())).collect()
+}
+
+fn record_forms() -> Forms {
+    let rows: Vec<_> = machines().into_iter().map(|(n, r)| (n.to_owned(), r)).collect();
+    let (pages, lost) = pages([json!(["a", 1]), json!(["b"])], 50);
+    assert_eq!(lost, 0);
+    let mut out: Forms = vec![
+        ("epoch".into(), serde_json::to_value(epoch()).expect("plain")),
+        ("machines".into(), page_of(&rows)),
+        ("team".into(), team()),
+        ("ledger".into(), Record::open(1, ledger().body()).value()),
+        ("pact/pages".into(), pages.into()),
+    ];
+    for (kind, name) in [(Kind::Release, "release"), (Kind::Batch, "batch"), (Kind::Loan, "loan")] {
+        let key = Key::new(kind, "n").expect("a name");
+        out.push((format!("pact/keys/{name}"), json!([kind.prefix(), key.head(), key.page(3, 12)])));
+    }
+    out.extend(release_forms());
+    out.extend(batch_forms());
+    out
+}
+
+#[test]
+fn other_records_are_written_to_the_byte() {
+    same(&[("records", record_forms())]);
+}
+
+#[test]
+fn other_records_are_read_and_written_again_alike() {
+    let golden = fixtures("records");
+    let again = |name: &str, value: Value| assert_eq!(value.to_string(), golden[name].to_string(), "{name}");
+    let read: EpochRecord = serde_json::from_value(golden["epoch"].clone()).expect("an epoch");
+    assert_eq!(read, epoch());
+    again("epoch", serde_json::to_value(read).expect("plain"));
+
+    let rows = roll::read(&golden["machines"]).expect("a page");
+    assert_eq!(rows, machines().map(|(n, r)| (n.to_owned(), r)));
+    again("machines", page_of(&rows));
+
+    // Another owner's claim comes beside what is there.
+    let mut beside = team_after(&golden["team"], &[need("wk-000005", 100, ACCEPTED)]);
+    assert!(beside.as_object_mut().expect("claims").remove("wk-000005").is_some());
+    again("team", beside);
+
+    let record = Record::read(&golden["ledger"]).expect("a record");
+    let read = Ledger::read(&record.body).expect("a ledger");
+    assert_eq!(read, ledger());
+    again("ledger", Record { body: read.body(), ..record }.value());
+
+    for page in golden["pact/pages"].as_array().expect("pages") {
+        let (again, lost) = pages(items(page).expect("a page").iter().cloned(), 50);
+        assert_eq!((again, lost), (vec![page.clone()], 0));
+    }
+    for name in ["release", "batch", "loan"] {
+        let head = golden[&format!("pact/keys/{name}")][1].as_str().expect("a key");
+        assert_eq!(Key::parse(head).expect("a key").head(), head);
+    }
+}
+
+#[test]
+fn releases_and_batches_are_read_and_written_again_alike() {
+    for (name, stored) in fixtures("records") {
+        if name.starts_with("release/page/") {
+            let (again, _) = pages(items(&stored).expect("a page").iter().cloned(), 2048);
+            assert_eq!(again, std::slice::from_ref(&stored), "{name}");
+            assert_eq!(set::members([&stored]).expect("members").len(), 2);
+        } else if name.starts_with("release/") {
+            let record = Record::read(&stored).expect("a record");
+            let body = serde_json::to_value(Release::read(&record).expect("a release")).expect("plain");
+            assert_eq!(Record { body, ..record }.value().to_string(), stored.to_string(), "{name}");
+        } else if name.starts_with("batch/") {
+            let read = Batch::read(&Record::read(&stored).expect("a record")).expect("a batch");
+            assert_eq!(read.record().value().to_string(), stored.to_string(), "{name}");
+        }
+    }
+}
+
+// What users, workers and operators get.
+
+fn told(r: &Reply) -> Value {
+    json!([r.status, r.body, r.retry_after])
+}
+
+/// A state service that carries out everything at once.
+#[derive(Default)]
+struct Service {
+    rows: BTreeMap<String, (Value, u64)>,
+    revision: u64,
+    /// The first value that was written under each key.
+    first: BTreeMap<String, Value>,
+    /// The latest, also of keys that have been deleted.
+    last: BTreeMap<String, Value>,
+}
+
+impl Service {
+    fn row(&self, key: &str) -> Option<Row> {
+        let (value, mark) = self.rows.get(key)?;
+        Some(Row { key: key.into(), value: value.clone(), mark: *mark })
+    }
+
+    fn commit(&mut self, c: Commit) -> StoreAnswer {
+        let mark = |key: &str| self.rows.get(key).map_or(0, |r| r.1);
+        let failed: Vec<String> =
+            c.conditions.iter().filter(|(k, m)| mark(k) != *m).map(|(k, _)| k.clone()).collect();
+        if !failed.is_empty() {
+            return StoreAnswer::Conflict(failed);
+        }
+        self.revision += 1;
+        for (key, value, _) in c.puts {
+            self.first.entry(key.clone()).or_insert_with(|| value.clone());
+            self.last.insert(key.clone(), value.clone());
+            self.rows.insert(key, (value, self.revision));
+        }
+        for key in c.drops {
+            self.rows.remove(&key);
+        }
+        StoreAnswer::Committed(self.revision)
+    }
+
+    fn answer(&mut self, r: StoreRequest) -> StoreAnswer {
+        match r {
+            StoreRequest::Get(key) => StoreAnswer::Got(self.row(&key)),
+            StoreRequest::List(prefix, after) => {
+                let keys = self.rows.keys().filter(|k| k.starts_with(&prefix) && **k > after);
+                StoreAnswer::Page(keys.filter_map(|k| self.row(k)).collect(), false)
+            }
+            StoreRequest::Commit(c) => self.commit(c),
+            StoreRequest::Grant(_) => StoreAnswer::Granted(1),
+            StoreRequest::Renew(_) => StoreAnswer::Renewed,
+            StoreRequest::Revision => StoreAnswer::At(self.revision),
+            StoreRequest::Watch(..) => StoreAnswer::Changes(self.revision, Vec::new()),
+        }
+    }
+}
+
+/// One controller with its state service, in rounds of a tenth of a second.
+struct Play {
+    node: Node,
+    service: Service,
+    now: Micros,
+    out: Vec<Effect>,
+    answers: Vec<(u64, Reply)>,
+    ticket: u64,
+}
+
+impl Play {
+    fn start(settings: Settings, service: Service) -> Play {
+        let node = Node::new(settings, 11);
+        let now = Micros(1_000_000);
+        let mut play = Play { node, service, now, out: Vec::new(), answers: Vec::new(), ticket: 0 };
+        play.rounds(200);
+        assert!(play.node.membership.may_act(play.now), "it acts");
+        play
+    }
+
+    fn wall(&self) -> Micros {
+        Micros(ACCEPTED.0 + self.now.0)
+    }
+
+    fn cloud(request: &CloudRequest) -> CloudAnswer {
+        let kind = json!({"sku":"k8","vcpus":8,"cards":0,"ramGb":64,"cacheGb":10,"fetchGbPerS":1,"rate":1.0,
+            "lowPrice":0.5,"startupS":5,"paddocks":["z"]});
+        match request {
+            CloudRequest::Types => CloudAnswer::Types(vec![serde_json::from_value(kind).expect("a type")]),
+            CloudRequest::List(_) => CloudAnswer::Page(Vec::new(), false),
+            CloudRequest::Rent(_) => CloudAnswer::NoCapacity,
+            CloudRequest::Return(_) => CloudAnswer::Failed,
+        }
+    }
+
+    fn round(&mut self) {
+        let wall = self.wall();
+        for effect in std::mem::take(&mut self.out) {
+            let event = match effect {
+                Effect::Reply(ticket, reply) => {
+                    self.answers.push((ticket, reply));
+                    continue;
+                }
+                Effect::Store(id, request, _) => Event::Store(id, self.service.answer(request)),
+                Effect::Cloud(request) => {
+                    let answer = Play::cloud(&request);
+                    Event::Cloud(request, answer)
+                }
+                _ => continue,
+            };
+            self.node.step(self.now, wall, event, &mut self.out);
+        }
+        self.now = self.now + Micros(100_000);
+        self.node.reconcile(self.now, self.wall(), &mut self.out);
+    }
+
+    fn rounds(&mut self, count: usize) {
+        for _ in 0..count {
+            self.round();
+        }
+    }
+
+    fn begin(&mut self, event: impl FnOnce(u64) -> Event) -> u64 {
+        self.ticket += 1;
+        let wall = self.wall();
+        self.node.step(self.now, wall, event(self.ticket), &mut self.out);
+        self.ticket
+    }
+
+    fn answered(&mut self, ticket: u64) -> Option<Reply> {
+        let at = self.answers.iter().position(|(t, _)| *t == ticket)?;
+        Some(self.answers.remove(at).1)
+    }
+
+    fn ask(&mut self, event: impl FnOnce(u64) -> Event) -> Reply {
+        let ticket = self.begin(event);
+        let answer = (0..100).find_map(|_| {
+            self.round();
+            self.answered(ticket)
+        });
+        answer.expect("an answer within ten seconds")
+    }
+
+    /// The answer to a user as it goes out: status, body, and when to come back.
+    fn user(&mut self, request: UserRequest) -> Value {
+        let r = self.ask(|ticket| Event::User(ticket, request));
+        told(&r)
+    }
+
+    fn submit(&mut self, raw: &Value) -> Value {
+        let id = raw["uid"].as_str().expect("an id").to_owned();
+        self.user(UserRequest::Submit(id, raw.to_string()))
+    }
+
+    fn query(&mut self, id: &str) -> Value {
+        self.user(UserRequest::Query(id.into()))
+    }
+
+    fn withdraw(&mut self, id: &str) -> Value {
+        self.user(UserRequest::Withdraw(id.into()))
+    }
+}
+
+/// A worker that does what it is told, and says when its tasks are done.
+#[derive(Default)]
+struct Worker {
+    token: u64,
+    seq: u64,
+    tasks: Vec<ReportedTask>,
+    /// The first body with each set of commands.
+    told: Forms,
+}
+
+impl Worker {
+    fn report(&mut self) -> Report {
+        self.seq += 1;
+        Report {
+            machine: "i-000231".into(),
+            addr: "10.1.0.232:9000".into(),
+            kind: "k8".into(),
+            zone: "z".into(),
+            spot: false,
+            session: 1,
+            seq: self.seq,
+            token: self.token,
+            notice_s: None,
+            tasks: self.tasks.clone(),
+        }
+    }
+
+    fn end(&mut self, why: &str) {
+        for t in &mut self.tasks {
+            (t.state, t.why, t.saved) = ("ended".into(), Some(why.into()), Some(why == "stopped"));
+        }
+    }
+
+    fn obey(&mut self, command: &Value) {
+        let task = command["stride"].as_str().expect("a task").to_owned();
+        match command["call"].as_str().expect("a command") {
+            "run" => self.tasks.push(ReportedTask {
+                task,
+                attempt: command["mount"].as_u64().expect("an attempt"),
+                state: "running".into(),
+                why: None,
+                saved: None,
+            }),
+            "kill" => self.end("stopped"),
+            _ => self.tasks.retain(|t| t.task != task),
+        }
+    }
+
+    /// Reports until it is told something, or for so many times.
+    fn heartbeats(&mut self, play: &mut Play, most: usize) {
+        for _ in 0..most {
+            let report = self.report();
+            let reply = play.ask(|ticket| Event::Report(ticket, report));
+            play.rounds(10);
+            if reply.status != 200 {
+                continue;
+            }
+            let body: Value = serde_json::from_str(&reply.body).expect("JSON");
+            self.token = body["rein"].as_u64().expect("a token");
+            let calls = body["calls"].as_array().expect("commands").clone();
+            let names: Vec<&str> = calls.iter().filter_map(|c| c["call"].as_str()).collect();
+            let name = if names.is_empty() { "nothing".to_owned() } else { names.join("+") };
+            if !self.told.iter().any(|(n, _)| *n == name) {
+                self.told.push((name, reply.body.clone().into()));
+            }
+            calls.iter().for_each(|c| self.obey(c));
+        }
+    }
+}
+
+fn small(id: &str) -> Value {
+    json!({"uid":id,"breed":"b","herd":"vision","gait":"batch","rank":"idle","strides":1,"vcpus":1.0,
+        "cards":0,"ramGb":1.0,"tack":"i","imageGb":1,"together":false,"scatter":false,"borrowed":false,"rideS":100,
+        "restS":2.5,"unsaddleS":1})
+}
+
+/// A job that ends, one that follows it and is withdrawn while it runs, and what everybody is told meanwhile.
+fn story() -> (Play, Worker, Forms) {
+    let mut play = Play::start(settings(), Service::default());
+    let mut worker = Worker::default();
+    worker.heartbeats(&mut play, 4);
+    let mut told_all = Forms::new();
+    let mut note = |name: &str, reply: Value| told_all.push((name.to_owned(), reply));
+    note("query of no job", play.query("wk-000009"));
+    note("withdraw of no job", play.withdraw("wk-000009"));
+    note("submit", play.submit(&small("wk-000001")));
+    note("submit again", play.submit(&small("wk-000001")));
+    let mut wrong = small("wk-000003");
+    wrong["strides"] = json!(0);
+    note("submit of a wrong field", play.submit(&wrong));
+    let mut never = small("wk-000003");
+    never["vcpus"] = json!(9.0);
+    note("submit of what fits nowhere", play.submit(&never));
+    let mut after = small("wk-000002");
+    after["follows"] = json!(["wk-000001"]);
+    note("submit of one that follows", play.submit(&after));
+    worker.heartbeats(&mut play, 4);
+    note("query while it runs", play.query("wk-000001"));
+    note("query while it waits", play.query("wk-000002"));
+    worker.end("done");
+    worker.heartbeats(&mut play, 8);
+    note("query when done", play.query("wk-000001"));
+    note("withdraw when done", play.withdraw("wk-000001"));
+    note("submit when done", play.submit(&small("wk-000001")));
+    let withdrawn = play.begin(|ticket| Event::User(ticket, UserRequest::Withdraw("wk-000002".into())));
+    worker.heartbeats(&mut play, 8);
+    let reply = play.answered(withdrawn).expect("an answer");
+    note("withdraw while it runs", told(&reply));
+    note("query when withdrawn", play.query("wk-000002"));
+    (play, worker, told_all)
+}
+
+#[test]
+fn users_and_workers_are_told_the_same_to_the_byte() {
+    let (play, worker, told) = story();
+    let (first, last) = (play.service.first, play.service.last);
+    same(&[
+        ("answers", told),
+        ("heartbeats", worker.told),
+        ("stored first", first.into_iter().collect()),
+        ("stored last", last.into_iter().collect()),
+    ]);
+}
+
+/// A controller that begins with what the fixtures say was stored knows it all, and writes it again alike.
+#[test]
+fn a_controller_that_starts_from_the_stored_values_knows_them() {
+    let mut service = Service { revision: 1, ..Service::default() };
+    let ended = |key: &str| key == "job/wk-000001" || key == "job/wk-000002";
+    for (key, value) in fixtures("stored last").into_iter().filter(|(k, _)| !ended(k)) {
+        service.rows.insert(key, (value, 1));
+    }
+    let mut play = Play::start(settings(), service);
+    let golden = fixtures("answers");
+    assert_eq!(play.query("wk-000001"), golden["query when done"]);
+    assert_eq!(play.query("wk-000002"), golden["query when withdrawn"]);
+    let stored = fixtures("stored last");
+    for key in ["ring/m/c0", "ring/m/*", "mach/c0/0"] {
+        assert_eq!(play.service.rows[key].0.to_string(), stored[key].to_string(), "{key}");
+    }
+}
+
+#[test]
+fn refusals_of_reports_are_the_same_to_the_byte() {
+    let mut play = Play::start(settings(), Service::default());
+    let mut worker = Worker::default();
+    worker.heartbeats(&mut play, 2);
+    worker.seq -= 1;
+    let (late, mut newer) = (worker.report(), worker.report());
+    newer.token += 1;
+    let late = play.ask(|ticket| Event::Report(ticket, late));
+    let newer = play.ask(|ticket| Event::Report(ticket, newer));
+    let forms = vec![("late".into(), told(&late)), ("newer epoch".into(), told(&newer))];
+    same(&[("refusals", forms)]);
+}
+
+fn keys(v: &Value) -> Value {
+    v.as_object().expect("an object").keys().cloned().collect::<Vec<_>>().into()
+}
+
+#[test]
+fn the_status_has_the_same_keys() {
+    let mut on = settings();
+    let text = "[logs]\nstores = 10.3.0.1:7103\n[loans]\nborrowers = chat\n";
+    on.operators = Operators::parse("f.ini", text).expect("valid");
+    let mut out = Forms::new();
+    for (name, settings) in [("plain", settings()), ("loans and logs", on)] {
+        let mut play = Play::start(settings, Service::default());
+        let body = play.ask(Event::Status).body;
+        let status: Value = serde_json::from_str(&body).expect("JSON");
+        out.push((name.into(), keys(&status)));
+        for (key, part) in status.as_object().expect("an object").iter().filter(|(_, v)| v.is_object()) {
+            out.push((format!("{name}/{key}"), keys(part)));
+        }
+    }
+    same(&[("status", out)]);
+}
+
+// Settings.
+
+const PLAIN: &str = "member = \"c0\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n[[seeds]]\nmember = \"c1\"\n\
+    addr = \"10.0.0.2:2\"\n[outside]\ncloud = \"10.0.0.9:1\"\nstate = \"10.0.0.9:2\"\n[[settings.teams]]\n\
+    name = \"t\"\ncpus = 1.0\n[settings.workers]\nreport_s = 3.0\nlease_s = 18.0\ngang_wait_s = 30.0\n\
+    gang_peer_s = 6.0\ncancel_s = 43.0\n[settings.state]\nrps = 100.0\nwrite_rps = 50.0\nvalue_kb = 4.0\n\
+    txn_ops = 8\n[settings.state.next]\nvalue_kb = 2.0\n[settings.cloud]\nrps = 5.0\nlist_lag_s = 8.0\n";
+
+/// Changes of the platform's file, each of which makes it wrong.
+const WRONG: [(&str, &str, &str); 12] = [
+    ("no TOML", "member = \"c0\"", "member ="),
+    ("a key is missing", "lease_s = 18.0\n", ""),
+    ("a key of another type", "lease_s = 18.0", "lease_s = \"long\""),
+    ("no address", "10.0.0.9:1", "cloud"),
+    ("not above 0", "report_s = 3.0", "report_s = 0.0"),
+    ("no number", "lease_s = 18.0", "lease_s = nan"),
+    ("a lag below 0", "list_lag_s = 8.0", "list_lag_s = -1.0"),
+    ("few changes", "txn_ops = 8", "txn_ops = 3"),
+    ("a later limit", "value_kb = 2.0", "value_kb = -2.0"),
+    ("a team without a name", "name = \"t\"", "name = \"\""),
+    ("a guarantee below 0", "cpus = 1.0", "cpus = -1.0"),
+    ("a name twice", "member = \"c1\"", "member = \"c0\""),
+];
+
+/// Operators' files that are wrong.
+const REFUSED: [(&str, &str); 13] = [
+    ("an unknown section", "[log]\nstores = 10.0.0.1:1\n"),
+    ("an unknown key", "[logs]\nstore = 10.0.0.1:1\n"),
+    ("no address", "[logs]\nstores = here:1\n"),
+    ("a calendar's unknown key", "[calendar n]\ntitel = x\n"),
+    ("a calendar's missing key", "[calendar n]\ntitle = x\n"),
+    ("an unknown key of loans", "[loans]\nborrower = serve\n"),
+    ("no time", "[loans]\nstay_s = soon\n"),
+    ("too long a time", "[loans]\nback_s = 31\n"),
+    ("an unknown key of freshness", "[freshness]\nsource = a\n"),
+    ("no name of a class", "[freshness]\nsources = a b\n"),
+    ("a class twice", "[freshness]\nsources = a, a\n"),
+    ("required and no source", "[freshness]\nsources = a\nrequired = b\n"),
+    ("source and merge", "[freshness]\nsources = a\nmerges = a\n"),
+];
+
+/// What the command says of these files: exit code and message. A file without a text is missing.
+fn checked(folder: &Path, config: Option<&str>, operators: Option<&str>) -> Value {
+    for (name, text) in [("c.toml", config), ("o.ini", operators)] {
+        let file = folder.join(name);
+        let _ = std::fs::remove_file(&file);
+        text.into_iter().for_each(|text| std::fs::write(&file, text).expect("written"));
+    }
+    let mut command = Command::new(env!("CARGO_BIN_EXE_hazelsaddle"));
+    command.current_dir(folder).args(["check", "--config", "c.toml", "--operators", "o.ini"]);
+    let out = command.output().expect("it runs");
+    json!([out.status.code(), String::from_utf8(out.stderr).expect("text")])
+}
+
+#[test]
+fn settings_that_are_wrong_are_refused_in_the_same_words() {
+    let folder = std::env::temp_dir().join(format!("hazelsaddle-golden-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let mut out: Forms = vec![
+        ("valid".into(), checked(&folder, Some(PLAIN), Some(""))),
+        ("platform: no file".into(), checked(&folder, None, Some(""))),
+        ("operators: no file".into(), checked(&folder, Some(PLAIN), None)),
+    ];
+    for (name, from, to) in WRONG {
+        assert!(PLAIN.contains(from), "{name}");
+        let text = PLAIN.replacen(from, to, 1);
+        out.push((format!("platform: {name}"), checked(&folder, Some(&text), Some(""))));
+    }
+    for (name, text) in REFUSED {
+        out.push((format!("operators: {name}"), checked(&folder, Some(PLAIN), Some(text))));
+    }
+    std::fs::remove_dir_all(&folder).expect("removed");
+    same(&[("settings", out)]);
+}
