--- a/crates/base/src/line.rs
+++ b/crates/cluster/src/send_queue.rs
@@ -1,7 +1,7 @@
 //! A queue of frames for one peer. What a newer frame says again takes no place in it: a peer that is slow, or just being
 //! replaced, must not lose what can't be said again for the sake of what will be.
 
-use crate::link::Framed;
+use crate::transport::Framed;
 use std::collections::VecDeque;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
@@ -26,19 +26,19 @@
 }
 
 /// The end where frames are put.
-pub struct Line<F>(Arc<Shared<F>>);
+pub struct SendQueue<F>(Arc<Shared<F>>);
 
 /// The end where they are taken.
-pub(crate) struct Taker<F>(Arc<Shared<F>>);
+pub(crate) struct SendQueueReceiver<F>(Arc<Shared<F>>);
 
 /// Both ends of a new queue.
-pub(crate) fn line<F>() -> (Line<F>, Taker<F>) {
+pub(crate) fn channel<F>() -> (SendQueue<F>, SendQueueReceiver<F>) {
     let inner = Mutex::new(Inner { waiting: VecDeque::new(), closed: false });
     let shared = Arc::new(Shared { inner, news: Condvar::new() });
-    (Line(shared.clone()), Taker(shared))
+    (SendQueue(shared.clone()), SendQueueReceiver(shared))
 }
 
-impl<F: Framed> Line<F> {
+impl<F: Framed> SendQueue<F> {
     /// Puts a frame at the end, in place of those that it says again. False if the queue is full: it is dropped.
     pub fn put(&self, frame: F) -> bool {
         let mut inner = self.0.lock();
@@ -53,20 +53,20 @@
     }
 }
 
-impl<F> Drop for Line<F> {
+impl<F> Drop for SendQueue<F> {
     fn drop(&mut self) {
         self.0.lock().closed = true;
         self.0.news.notify_one();
     }
 }
 
-impl<F> Drop for Taker<F> {
+impl<F> Drop for SendQueueReceiver<F> {
     fn drop(&mut self) {
         self.0.lock().closed = true;
     }
 }
 
-impl<F> Taker<F> {
+impl<F> SendQueueReceiver<F> {
     /// The next frame; None once the other end is gone.
     pub(crate) fn take(&self) -> Option<F> {
         let mut inner = self.0.lock();
@@ -91,11 +91,11 @@
     use super::*;
 
     #[derive(Debug, PartialEq)]
-    enum Said {
+    enum Enqueued {
         State(u32),
         Once(u32),
     }
-    impl Framed for Said {
+    impl Framed for Enqueued {
         fn encode(&self) -> Option<Vec<u8>> {
             None
         }
@@ -103,7 +103,7 @@
             None
         }
         fn replaces(&self, older: &Self) -> bool {
-            matches!((self, older), (Said::State(_), Said::State(_)))
+            matches!((self, older), (Enqueued::State(_), Enqueued::State(_)))
         }
     }
 
@@ -111,15 +111,15 @@
     /// waited that the next one said again.
     #[test]
     fn what_is_said_again_never_takes_the_place_of_what_is_not() {
-        let (tx, rx) = line();
+        let (tx, rx) = channel();
         for i in 0..QUEUE as u32 - 1 {
-            assert!(tx.put(Said::State(i)) && tx.put(Said::Once(i)));
+            assert!(tx.put(Enqueued::State(i)) && tx.put(Enqueued::Once(i)));
         }
-        assert!(tx.put(Said::State(99)), "in the place of the last");
-        assert!(!tx.put(Said::Once(99)), "full");
+        assert!(tx.put(Enqueued::State(99)), "in the place of the last");
+        assert!(!tx.put(Enqueued::Once(99)), "full");
         drop(tx);
-        let mut all: Vec<Said> = std::iter::from_fn(|| rx.take()).collect();
-        assert_eq!(all.pop(), Some(Said::State(99)));
-        assert_eq!(all, (0..QUEUE as u32 - 1).map(Said::Once).collect::<Vec<_>>());
+        let mut all: Vec<Enqueued> = std::iter::from_fn(|| rx.take()).collect();
+        assert_eq!(all.pop(), Some(Enqueued::State(99)));
+        assert_eq!(all, (0..QUEUE as u32 - 1).map(Enqueued::Once).collect::<Vec<_>>());
     }
 }
--- a/crates/base/src/link.rs
+++ b/crates/cluster/src/transport.rs
@@ -1,7 +1,7 @@
 //! Links between processes: framed TCP, each frame an `rkyv` archive with its length (4 bytes, little-endian) in
 //! front, validated on arrival. A link carries frames one way; who wants an answer is dialled in turn.
 
-use crate::line::{Line, line};
+use crate::send_queue::{SendQueue, channel};
 use rkyv::api::high::{HighDeserializer, HighSerializer, HighValidator};
 use rkyv::bytecheck::CheckBytes;
 use rkyv::rancor::Error;
@@ -53,8 +53,8 @@
 }
 
 /// Starts a thread that keeps a connection to one peer and sends it frames. It ends when the sender is dropped.
-pub fn dial<F: Framed>(addr: SocketAddrV4) -> Line<F> {
-    let (tx, rx) = line::<F>();
+pub fn dial<F: Framed>(addr: SocketAddrV4) -> SendQueue<F> {
+    let (tx, rx) = channel::<F>();
     std::thread::spawn(move || {
         let mut link: Option<TcpStream> = None;
         while let Some(frame) = rx.take() {
@@ -87,7 +87,7 @@
 }
 
 /// Puts a frame on a peer's queue, or drops it if the queue is full. Returns whether it was taken.
-pub fn enqueue<F: Framed>(tx: &Line<F>, frame: F) -> bool {
+pub fn enqueue<F: Framed>(tx: &SendQueue<F>, frame: F) -> bool {
     let taken = tx.put(frame);
     if !taken {
         tracing::debug!("a peer's queue is full; frame dropped");
--- a/crates/pact/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -2,11 +2,11 @@
 //! several owners. Release sets, batches and loans stand on them.
 //!
 //! [`record`] has the record: its key, its form, its phase, which only goes forward within a version, and the pages that a
-//! long list is split into. [`shelf`] is what one controller holds of records, from which reading, and which are to be read
+//! long list is split into. [`record_cache`] is what one controller holds of records, from which reading, and which are to be read
 //! next. [`census`] finds all members of a pact from the jobs' own records, so that joining costs no change at all. All are
 //! pure: no clock, no sockets; times are passed in. What a pact says is the business of who stands on it; `docs/pacts.md`
 //! has the argument.
 
 pub mod census;
 pub mod record;
-pub mod shelf;
+pub mod record_cache;
--- a/crates/pact/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -105,7 +105,7 @@
 
 /// The head of a record.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Record {
+pub struct CoordinationRecord {
     /// Grows when the record begins anew, and never goes back.
     pub version: u64,
     /// How far it has got.
@@ -129,7 +129,7 @@
 
 /// A change that a record does not allow.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum TransitionError {
     /// Within a version a record only goes forward.
     #[error("the record is {0:?} already")]
     Phase(Phase),
@@ -138,25 +138,25 @@
     Version(u64),
 }
 
-impl Record {
+impl CoordinationRecord {
     /// A record that begins.
     #[must_use]
-    pub fn open(version: u64, body: Value) -> Record {
-        Record { version, phase: Phase::Open, pages: 0, body }
+    pub fn open(version: u64, body: Value) -> CoordinationRecord {
+        CoordinationRecord { version, phase: Phase::Open, pages: 0, body }
     }
 
     /// Reads a head.
     ///
     /// # Errors
     /// If it is of a newer form, or damaged.
-    pub fn read(v: &Value) -> Result<Record, Unreadable> {
+    pub fn read(v: &Value) -> Result<CoordinationRecord, Unreadable> {
         let number = |key: &'static str| v.get(key).and_then(Value::as_u64).ok_or(Unreadable::Damaged(key));
         let form = number("form")?;
         if form > FORM {
             return Err(Unreadable::Newer(form));
         }
         let phase = v.get("phase").cloned().and_then(|p| serde_json::from_value(p).ok());
-        Ok(Record {
+        Ok(CoordinationRecord {
             version: number("version")?,
             phase: phase.ok_or(Unreadable::Damaged("phase"))?,
             pages: usize::try_from(number("pages")?).map_err(|_| Unreadable::Damaged("pages"))?,
@@ -175,12 +175,12 @@
     ///
     /// # Errors
     /// If it would go back.
-    pub fn allows(&self, next: &Record) -> Result<(), Refused> {
+    pub fn allows(&self, next: &CoordinationRecord) -> Result<(), TransitionError> {
         if next.version < self.version {
-            return Err(Refused::Version(self.version));
+            return Err(TransitionError::Version(self.version));
         }
         if next.version == self.version && next.phase < self.phase {
-            return Err(Refused::Phase(self.phase));
+            return Err(TransitionError::Phase(self.phase));
         }
         Ok(())
     }
@@ -242,25 +242,25 @@
 
     #[test]
     fn what_is_newer_or_damaged_is_told_apart() {
-        let v = Record::open(3, json!({"a": 1})).value();
-        assert_eq!(Record::read(&v).map(|r| r.version), Ok(3));
+        let v = CoordinationRecord::open(3, json!({"a": 1})).value();
+        assert_eq!(CoordinationRecord::read(&v).map(|r| r.version), Ok(3));
         let with = |key: &str, x: Value| {
             let mut v = v.clone();
             v[key] = x;
-            Record::read(&v)
+            CoordinationRecord::read(&v)
         };
         assert_eq!(with("form", json!(FORM + 1)), Err(Unreadable::Newer(FORM + 1)));
         assert_eq!(with("phase", json!("ajar")), Err(Unreadable::Damaged("phase")));
         assert_eq!(with("version", json!(-1)), Err(Unreadable::Damaged("version")));
-        assert_eq!(Record::read(&json!(7)), Err(Unreadable::Damaged("form")));
+        assert_eq!(CoordinationRecord::read(&json!(7)), Err(Unreadable::Damaged("form")));
     }
 
     #[test]
     fn a_record_only_goes_forward() {
-        let at = |version, phase| Record { version, phase, pages: 0, body: Value::Null };
+        let at = |version, phase| CoordinationRecord { version, phase, pages: 0, body: Value::Null };
         let closed = at(2, Phase::Closed);
-        assert_eq!(closed.allows(&at(2, Phase::Closing)), Err(Refused::Phase(Phase::Closed)));
-        assert_eq!(closed.allows(&at(1, Phase::Closed)), Err(Refused::Version(2)));
+        assert_eq!(closed.allows(&at(2, Phase::Closing)), Err(TransitionError::Phase(Phase::Closed)));
+        assert_eq!(closed.allows(&at(1, Phase::Closed)), Err(TransitionError::Version(2)));
         assert_eq!(closed.allows(&at(3, Phase::Open)), Ok(()));
     }
 
--- a/crates/pact/src/shelf.rs
+++ b/crates/coordination/src/record_cache.rs
@@ -3,8 +3,8 @@
 //! A reading counts from when its question went out, not from when its answer came: whoever needs to know how things stood
 //! *after* some moment asks for a reading that began after it.
 
-use crate::record::{Key, Record, Unreadable};
-use hazelsaddle_base::units::Micros;
+use crate::record::{CoordinationRecord, Key, Unreadable};
+use hazelsaddle_cluster::time::Micros;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +18,7 @@
     /// It can't be used; what rests on it waits.
     Unreadable(Unreadable),
     /// It says this.
-    Is(Record),
+    Is(CoordinationRecord),
 }
 
 #[derive(Clone, Debug)]
@@ -38,15 +38,15 @@
 
 /// Records by key.
 #[derive(Clone, Debug, Default)]
-pub struct Shelf {
+pub struct RecordCache {
     entries: BTreeMap<Key, Entry>,
 }
 
 /// A question without an answer is asked again after so long.
 const PATIENCE: Micros = Micros::from_millis(4000);
 
-impl Shelf {
-    /// The record is of use here: it is read once, and then again every `pause` by [`Shelf::due`].
+impl RecordCache {
+    /// The record is of use here: it is read once, and then again every `pause` by [`RecordCache::due`].
     pub fn want(&mut self, key: &Key) {
         self.entries.entry(key.clone()).or_insert_with(|| Entry {
             held: Held::Unread,
@@ -107,7 +107,7 @@
         }
         e.as_of = sent;
         e.next = if e.since > sent { Micros(0) } else { next };
-        let held = match row.map(|(v, _)| Record::read(v)) {
+        let held = match row.map(|(v, _)| CoordinationRecord::read(v)) {
             None => Held::Absent,
             Some(Ok(r)) => Held::Is(r),
             Some(Err(why)) => Held::Unreadable(why),
@@ -125,7 +125,7 @@
     }
 
     /// Our own change is on record with this mark.
-    pub fn committed(&mut self, key: &Key, sent: Micros, record: Record, mark: u64) {
+    pub fn committed(&mut self, key: &Key, sent: Micros, record: CoordinationRecord, mark: u64) {
         if let Some(e) = self.entries.get_mut(key)
             && mark > e.mark
         {
@@ -170,7 +170,7 @@
     #[test]
     fn a_reading_counts_from_its_question_and_older_ones_are_dropped() {
         let key = Key::new(Kind::Batch, "b").expect("valid");
-        let mut s = Shelf::default();
+        let mut s = RecordCache::default();
         s.want(&key);
         assert_eq!(s.due(at(10), 9), std::slice::from_ref(&key));
         s.asked(&key, at(10));
@@ -178,9 +178,9 @@
         s.want_since(&key, at(30));
         assert_eq!(s.due(at(30), 9), std::slice::from_ref(&key), "it began too early for who asks now");
         s.asked(&key, at(31));
-        let newer = Record::open(2, json!(null)).value();
+        let newer = CoordinationRecord::open(2, json!(null)).value();
         assert!(s.read(&key, at(31), at(1000), Some((&newer, 7))));
-        let older = Record::open(1, json!(null)).value();
+        let older = CoordinationRecord::open(1, json!(null)).value();
         assert!(!s.read(&key, at(10), at(1000), Some((&older, 5))), "overtaken on the way");
         assert!(matches!(s.get_since(&key, at(30)), Some(Held::Is(r)) if r.version == 2));
         assert_eq!(s.get_since(&key, at(32)), None);
@@ -192,7 +192,7 @@
     #[test]
     fn nothing_rests_on_what_was_never_read() {
         let key = Key::new(Kind::Loan, "l").expect("valid");
-        let mut s = Shelf::default();
+        let mut s = RecordCache::default();
         s.want(&key);
         assert_eq!((s.get(&key), s.get_since(&key, at(0)), s.mark(&key)), (&Held::Unread, None, 0));
         s.keep(&BTreeSet::new());
--- a/crates/takeover/src/parcels.rs
+++ b/crates/failover/src/handoff_batch.rs
@@ -3,7 +3,7 @@
 //! A parcel helps and is never needed: who does not get it rebuilds from what the machines say. So it is repeated only
 //! for a while, and dropped without a word when the epoch changes or its receiver never says that it came.
 
-use hazelsaddle_base::units::Micros;
+use hazelsaddle_cluster::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a parcel is offered. By then its receiver has heard from the machines that live.
--- a/crates/takeover/src/witness.rs
+++ b/crates/failover/src/start_replica.rs
@@ -2,7 +2,7 @@
 //!
 //! The paper's leader awaits acknowledgements of its peers (4.3). Here a controller keeps a set of items (starts that
 //! it alone decides and alone carries out, and jobs for which the set is complete) and tells the others of each change.
-//! An item is [`witnessed`](Told::witnessed) once at least one of them has said that it holds it, so all of them together
+//! An item is [`witnessed`](ReplicationUpdate::witnessed) once at least one of them has said that it holds it, so all of them together
 //! hold every witnessed item, whatever was lost on the way: a message names all that changed since the one that its
 //! receiver last said it has.
 
@@ -41,19 +41,19 @@
 
 /// The teller's side.
 #[derive(Clone, Debug)]
-pub struct Told<K> {
+pub struct ReplicationUpdate<K> {
     rev: u64,
     live: BTreeSet<K>,
     peers: BTreeMap<usize, Peer<K>>,
 }
 
-impl<K> Default for Told<K> {
+impl<K> Default for ReplicationUpdate<K> {
     fn default() -> Self {
-        Told { rev: 0, live: BTreeSet::new(), peers: BTreeMap::new() }
+        ReplicationUpdate { rev: 0, live: BTreeSet::new(), peers: BTreeMap::new() }
     }
 }
 
-impl<K: Clone + Ord> Told<K> {
+impl<K: Clone + Ord> ReplicationUpdate<K> {
     /// Begins anew with other witnesses, who hold nothing. Numbers go on.
     pub fn begin(&mut self, peers: impl Iterator<Item = usize>) {
         self.live.clear();
@@ -158,18 +158,18 @@
 
 /// The witness's side: what one teller has told.
 #[derive(Clone, Debug)]
-pub struct Heard<K> {
+pub struct ReceivedStarts<K> {
     rev: u64,
     items: BTreeSet<K>,
 }
 
-impl<K> Default for Heard<K> {
+impl<K> Default for ReceivedStarts<K> {
     fn default() -> Self {
-        Heard { rev: 0, items: BTreeSet::new() }
+        ReceivedStarts { rev: 0, items: BTreeSet::new() }
     }
 }
 
-impl<K: Clone + Ord> Heard<K> {
+impl<K: Clone + Ord> ReceivedStarts<K> {
     /// Takes a message. Returns the number to say in answer; None for one that is out of date or builds on something that
     /// is not held.
     pub fn take(&mut self, c: Changes<K>) -> Option<u64> {
@@ -205,9 +205,9 @@
     fn what_is_witnessed_is_held_by_somebody_until_it_is_gone() {
         for seed in 0..300 {
             let mut rng = StdRng::seed_from_u64(seed);
-            let mut told: Told<u32> = Told::default();
+            let mut told: ReplicationUpdate<u32> = ReplicationUpdate::default();
             told.begin([1, 2].into_iter());
-            let mut heard = [Heard::default(), Heard::default()];
+            let mut heard = [ReceivedStarts::default(), ReceivedStarts::default()];
             let mut road: Vec<(usize, Changes<u32>)> = Vec::new();
             let mut back: Vec<(usize, u64)> = Vec::new();
             let mut there = BTreeSet::new();
@@ -267,7 +267,7 @@
 
     #[test]
     fn nothing_is_witnessed_by_nobody() {
-        let mut told: Told<u32> = Told::default();
+        let mut told: ReplicationUpdate<u32> = ReplicationUpdate::default();
         told.begin(std::iter::empty());
         told.set(1, true);
         assert!(!told.witnessed(&1));
--- a/crates/takeover/src/doubts.rs
+++ b/crates/failover/src/unresolved.rs
@@ -1,32 +1,32 @@
 //! Machines that may hold tasks nobody has told us of.
 //!
 //! A job that was taken over waits for evidence from each machine that may hold tasks of it. Jobs that were taken over
-//! together wait for the same machines, so they share a [`Doubt`]: a set that only shrinks. It outlives epochs: what a
+//! together wait for the same machines, so they share a [`UnresolvedSetId`]: a set that only shrinks. It outlives epochs: what a
 //! machine has shown since its job became ours stays true, because nobody else has commanded that job since.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A set of machines that some jobs wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Doubt(u64);
+pub struct UnresolvedSetId(u64);
 
 /// All sets that are waited for.
 #[derive(Clone, Debug, Default)]
-pub struct Doubts {
+pub struct UnresolvedSets {
     next: u64,
-    sets: BTreeMap<Doubt, BTreeSet<String>>,
+    sets: BTreeMap<UnresolvedSetId, BTreeSet<String>>,
 }
 
-impl Doubts {
+impl UnresolvedSets {
     /// Jobs wait for these machines from now on. None if there are none: nothing is in doubt.
     #[must_use]
-    pub fn open(&mut self, machines: BTreeSet<String>) -> Option<Doubt> {
+    pub fn open(&mut self, machines: BTreeSet<String>) -> Option<UnresolvedSetId> {
         if machines.is_empty() {
             return None;
         }
         self.next += 1;
-        self.sets.insert(Doubt(self.next), machines);
-        Some(Doubt(self.next))
+        self.sets.insert(UnresolvedSetId(self.next), machines);
+        Some(UnresolvedSetId(self.next))
     }
 
     /// A machine has shown what it holds, or is certainly gone. Returns whether some set has become empty. Calling it
@@ -52,18 +52,18 @@
     }
 
     /// Forgets the sets that no job waits for any more.
-    pub fn keep(&mut self, used: &BTreeSet<Doubt>) {
+    pub fn keep(&mut self, used: &BTreeSet<UnresolvedSetId>) {
         self.sets.retain(|d, _| used.contains(d));
     }
 
     /// Whether anything of this set is still waited for.
     #[must_use]
-    pub fn is_open(&self, d: Doubt) -> bool {
+    pub fn is_open(&self, d: UnresolvedSetId) -> bool {
         self.sets.contains_key(&d)
     }
 
     /// The machines of a set that are still waited for.
-    pub fn machines(&self, d: Doubt) -> impl Iterator<Item = &String> {
+    pub fn machines(&self, d: UnresolvedSetId) -> impl Iterator<Item = &String> {
         self.sets.get(&d).into_iter().flatten()
     }
 
@@ -91,7 +91,7 @@
 
     #[test]
     fn nothing_in_doubt_is_no_doubt() {
-        let mut d = Doubts::default();
+        let mut d = UnresolvedSets::default();
         assert_eq!(d.open(BTreeSet::new()), None);
         assert!(d.is_empty());
     }
@@ -102,8 +102,8 @@
     fn a_doubt_ends_with_the_last_of_its_machines_and_not_before() {
         for seed in 0..200 {
             let mut rng = StdRng::seed_from_u64(seed);
-            let mut d = Doubts::default();
-            let mut model: BTreeMap<Doubt, BTreeSet<String>> = BTreeMap::new();
+            let mut d = UnresolvedSets::default();
+            let mut model: BTreeMap<UnresolvedSetId, BTreeSet<String>> = BTreeMap::new();
             for _ in 0..120 {
                 match rng.random_range(0..8) {
                     0 => {
@@ -118,7 +118,7 @@
                         model.values_mut().for_each(|s| s.retain(|m| names(&on).contains(m)));
                     }
                     2 => {
-                        let used: BTreeSet<Doubt> =
+                        let used: BTreeSet<UnresolvedSetId> =
                             model.keys().copied().filter(|_| rng.random_bool(0.8)).collect();
                         d.keep(&used);
                         model.retain(|n, _| used.contains(n));
--- a/crates/freshness/src/batch.rs
+++ b/crates/freshness/src/batch.rs
@@ -1,6 +1,6 @@
 //! The record of a batch: its version and the permits that are held.
 
-use hazelsaddle_pact::record::{Record, Refused, Unreadable};
+use hazelsaddle_coordination::record::{CoordinationRecord, TransitionError, Unreadable};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
@@ -94,25 +94,25 @@
     ///
     /// # Errors
     /// If its body is damaged.
-    pub fn read(r: &Record) -> Result<Batch, Unreadable> {
+    pub fn read(r: &CoordinationRecord) -> Result<Batch, Unreadable> {
         let body: Body = serde_json::from_value(r.body.clone()).map_err(|_| Unreadable::Damaged("body"))?;
         Ok(Batch { version: r.version, fence: body.fence, permits: body.permits, after: body.after })
     }
 
     /// The record to be written.
     #[must_use]
-    pub fn record(&self) -> Record {
+    pub fn record(&self) -> CoordinationRecord {
         let body: Value = json!({"fence": self.fence, "permits": self.permits, "after": self.after});
-        Record::open(self.version, body)
+        CoordinationRecord::open(self.version, body)
     }
 
     /// Somebody names a version: an operator, or a run that is submitted.
     ///
     /// # Errors
     /// If a higher one is on record.
-    pub fn put(&self, version: u64) -> Result<Put, Refused> {
+    pub fn put(&self, version: u64) -> Result<Put, TransitionError> {
         if version < self.version {
-            return Err(Refused::Version(self.version));
+            return Err(TransitionError::Version(self.version));
         }
         if version == self.version {
             return Ok(Put::Same);
@@ -200,12 +200,12 @@
     #[test]
     fn a_version_only_rises_and_twice_is_fine() {
         let b = Batch::first(7);
-        assert_eq!(b.put(6), Err(Refused::Version(7)));
+        assert_eq!(b.put(6), Err(TransitionError::Version(7)));
         assert_eq!(b.put(7), Ok(Put::Same));
         let Ok(Put::Raised(next)) = b.put(9) else { panic!("not raised") };
         assert_eq!(next.version, 9);
         assert_eq!(Batch::read(&next.record()), Ok(next));
-        assert!(Batch::read(&Record::open(1, json!({"fence": 1}))).is_err());
+        assert!(Batch::read(&CoordinationRecord::open(1, json!({"fence": 1}))).is_err());
     }
 
     #[test]
--- a/crates/freshness/src/guard.rs
+++ b/crates/freshness/src/guard.rs
@@ -3,7 +3,7 @@
 use crate::batch::{Batch, Grant, Permit, Writer};
 use crate::settings::Settings;
 use crate::upstream::{Known, Look, Of, Run, look};
-use hazelsaddle_pact::shelf::Held;
+use hazelsaddle_coordination::record_cache::Held;
 use std::collections::BTreeSet;
 
 /// What is known of a merge and all that it rests on.
@@ -178,7 +178,7 @@
 mod tests {
     use super::*;
     use crate::upstream::Says;
-    use hazelsaddle_pact::record::{Record, Unreadable};
+    use hazelsaddle_coordination::record::{CoordinationRecord, Unreadable};
 
     fn settings() -> Settings {
         let mut s = Settings::default();
@@ -240,7 +240,7 @@
         let next = Writer { attempt: 2, ..w };
         assert!(v.must_stop(&h, &next));
         assert!(matches!(permit(&v, &h, &next, 2000), Answer::Stale(8, _)));
-        let damaged = Held::Is(Record::open(7, serde_json::json!(1)));
+        let damaged = Held::Is(CoordinationRecord::open(7, serde_json::json!(1)));
         assert!(matches!(permit(&verdict(&damaged, 7, &[]), &damaged, &next, 2000), Answer::Later(_)));
     }
 }
--- a/crates/freshness/tests/model.rs
+++ b/crates/freshness/tests/model.rs
@@ -6,11 +6,11 @@
 //! is cut short, no owner starts a merge on what was old before its time, and wherever things stand both merges can still
 //! get done. With any guard taken out, one of these breaks.
 
+use hazelsaddle_coordination::record_cache::Held;
 use hazelsaddle_freshness::batch::{Batch, Permit, Put, Writer};
 use hazelsaddle_freshness::guard::{Answer, Merge, Verdict, permit};
 use hazelsaddle_freshness::settings::Settings;
 use hazelsaddle_freshness::upstream::{Known, Of, Run, Says};
-use hazelsaddle_pact::shelf::Held;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/loans/src/ledger.rs
+++ b/crates/gpu_lending/src/ledger.rs
@@ -65,7 +65,7 @@
 
 /// Why a claim is refused. Nothing is changed then.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum LedgerError {
     /// What is on record already covers the need.
     #[error("{0} replicas are claimed for already, and {1} are missing")]
     Enough(u32, u32),
@@ -181,11 +181,11 @@
         claim: &Claim,
         others: &[&Ledger],
         bytes: usize,
-    ) -> Result<Ledger, Refused> {
+    ) -> Result<Ledger, LedgerError> {
         // Guards against owners that follow on one another, or that read at the same time, each taking for the same need.
         let claimed = self.claimed(job);
         if claimed + claim.replicas.max(1) > missing {
-            return Err(Refused::Enough(claimed, missing));
+            return Err(LedgerError::Enough(claimed, missing));
         }
         let mut next = self.clone();
         for (n, part) in claim.parts.iter().enumerate() {
@@ -193,7 +193,7 @@
             let lent =
                 |t: &(u32, u64)| next.lent(&part.from, *t) || others.iter().any(|l| l.lent(&part.from, *t));
             if let Some(t) = part.tasks.iter().find(|t| lent(t)) {
-                return Err(Refused::Lent(part.from.clone(), t.0));
+                return Err(LedgerError::Lent(part.from.clone(), t.0));
             }
             next.fence += 1;
             let replicas = if n == 0 { claim.replicas.max(1) } else { 0 };
@@ -215,7 +215,7 @@
             });
         }
         let long = next.body().to_string().len();
-        if long > bytes { Err(Refused::Full(long)) } else { Ok(next) }
+        if long > bytes { Err(LedgerError::Full(long)) } else { Ok(next) }
     }
 
     /// Moves each loan on as far as the facts tell, and drops what is over. `back_us`: for so long room is kept for a lender.
@@ -283,13 +283,16 @@
     fn what_is_on_record_covers_the_need_and_a_task_is_lent_once() {
         let l = Ledger::default().claim(5, "wk-1", 1, &claim("i-1", "wk-9", 0), &[], 4096).expect("free");
         let again = l.claim(6, "wk-1", 1, &claim("i-2", "wk-9", 1), &[], 4096);
-        assert_eq!(again, Err(Refused::Enough(1, 1)));
+        assert_eq!(again, Err(LedgerError::Enough(1, 1)));
         let twice = l.claim(6, "wk-1", 2, &claim("i-1", "wk-9", 0), &[], 4096);
-        assert_eq!(twice, Err(Refused::Lent("wk-9".into(), 0)));
+        assert_eq!(twice, Err(LedgerError::Lent("wk-9".into(), 0)));
         let other = Ledger::default().claim(6, "wk-2", 2, &claim("i-1", "wk-9", 0), &[&l], 4096);
-        assert_eq!(other, Err(Refused::Lent("wk-9".into(), 0)), "also in another team's ledger");
+        assert_eq!(other, Err(LedgerError::Lent("wk-9".into(), 0)), "also in another team's ledger");
         assert!(l.claim(6, "wk-1", 2, &claim("i-2", "wk-9", 1), &[], 4096).is_ok());
-        assert!(matches!(l.claim(6, "wk-1", 2, &claim("i-2", "wk-9", 1), &[], 300), Err(Refused::Full(_))));
+        assert!(matches!(
+            l.claim(6, "wk-1", 2, &claim("i-2", "wk-9", 1), &[], 300),
+            Err(LedgerError::Full(_))
+        ));
     }
 
     #[test]
--- a/crates/loans/src/lib.rs
+++ b/crates/gpu_lending/src/lib.rs
@@ -1,13 +1,13 @@
 //! GPUs lent from batch work and fine-tuning to serving, and given back, within each team's guarantee.
 //!
-//! [`ledger`] has the record of who lent what to whom: claimed before anything is stopped, and never kept for ever. [`take`]
-//! says what may be taken and where the least is lost. [`back`] says when a replica goes so that the lender gets its GPUs. All
+//! [`ledger`] has the record of who lent what to whom: claimed before anything is stopped, and never kept for ever. [`preemption`]
+//! says what may be taken and where the least is lost. [`reclaim`] says when a replica goes so that the lender gets its GPUs. All
 //! are pure: no clock, no sockets; times are passed in. Whether a job is within its team's guarantee is decided elsewhere, once,
 //! and passed in. `docs/loans.md` has the argument.
 
-pub mod back;
 pub mod ledger;
-pub mod take;
+pub mod preemption;
+pub mod reclaim;
 
 use std::ops::{Add, Sub};
 
--- a/crates/loans/src/back.rs
+++ b/crates/gpu_lending/src/reclaim.rs
@@ -18,7 +18,7 @@
 
 /// What work within a team's guarantee lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lack {
+pub struct Shortfall {
     /// How much.
     pub room: Amount,
     /// Since when, in microseconds.
@@ -36,7 +36,7 @@
 
 /// What stands on a loan: which of the borrower's jobs has how many replicas there, and what each takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Stands {
+pub struct LoanStanding {
     /// How many.
     pub replicas: u32,
     /// Thousandths of GPUs each.
@@ -53,8 +53,8 @@
     terms: Terms,
     ledger: &Ledger,
     borrower: Borrower,
-    lacks: &BTreeMap<String, Lack>,
-    stands: impl Fn(&str, &str) -> Stands,
+    lacks: &BTreeMap<String, Shortfall>,
+    stands: impl Fn(&str, &str) -> LoanStanding,
 ) -> Vec<u64> {
     let mut left = borrower.used;
     let mut coming: BTreeMap<&str, i64> = BTreeMap::new();
@@ -126,9 +126,9 @@
         let terms = Terms { stay_us: s(60), burst_us: s(10) };
         let lack = |gpus: i64| {
             let room = Amount { gpus, ..Amount::default() };
-            BTreeMap::from([("vision".to_owned(), Lack { room, since_us: s(100) })])
+            BTreeMap::from([("vision".to_owned(), Shortfall { room, since_us: s(100) })])
         };
-        let stands = |_: &str, _: &str| Stands { replicas: 1, each: 4000, within: false };
+        let stands = |_: &str, _: &str| LoanStanding { replicas: 1, each: 4000, within: false };
         let much = Borrower { used: 20_000, guarantee: 8_000 };
         let back = |now, b, lacks: &BTreeMap<_, _>, l: &Ledger| give_back(now, terms, l, b, lacks, stands);
         assert_eq!(back(s(200), much, &lack(4000), &ledger), [3]);
@@ -140,12 +140,12 @@
             "not below the guarantee"
         );
         assert!(back(s(105), much, &lack(4000), &ledger).is_empty(), "a short burst is waited out");
-        let late = BTreeMap::from([("vision".to_owned(), Lack { since_us: 0, ..lack(9000)["vision"] })]);
+        let late = BTreeMap::from([("vision".to_owned(), Shortfall { since_us: 0, ..lack(9000)["vision"] })]);
         assert_eq!(back(s(81), much, &late, &ledger), [2, 1], "the third came a short time ago");
         let mut coming = ledger.clone();
         coming.loans[2].state = State::Returning;
         assert!(back(s(200), much, &lack(4000), &coming).is_empty(), "it is on its way");
-        let within = |_: &str, _: &str| Stands { replicas: 1, each: 4000, within: true };
+        let within = |_: &str, _: &str| LoanStanding { replicas: 1, each: 4000, within: true };
         assert!(give_back(s(200), terms, &ledger, much, &lack(4000), within).is_empty());
     }
 }
--- a/crates/loans/tests/fleets.rs
+++ b/crates/gpu_lending/tests/fleets.rs
@@ -1,10 +1,10 @@
 //! Random fleets and sequences: nothing within a guarantee is stopped, nothing is taken in vain, gangs go whole, no loan stays
 //! for ever, and giving back never takes a team below its guarantee.
 
-use hazelsaddle_loans::Amount;
-use hazelsaddle_loans::back::{Borrower, Lack, Stands, Terms, give_back};
-use hazelsaddle_loans::ledger::{Facts, Ledger, State, TAKING_S};
-use hazelsaddle_loans::take::{Machine, Need, Task, choose, may_take};
+use hazelsaddle_gpu_lending::Amount;
+use hazelsaddle_gpu_lending::ledger::{Facts, Ledger, State, TAKING_S};
+use hazelsaddle_gpu_lending::preemption::{Machine, Need, Task, choose, may_take};
+use hazelsaddle_gpu_lending::reclaim::{Borrower, LoanStanding, Shortfall, Terms, give_back};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -139,7 +139,7 @@
                 }
             }
             let known = rng.random_bool(0.8);
-            let facts = |l: &hazelsaddle_loans::ledger::Loan| Facts {
+            let facts = |l: &hazelsaddle_gpu_lending::ledger::Loan| Facts {
                 live: known.then_some(now < end),
                 there: known.then_some(u32::from(held.contains(&l.machine))),
                 missing: Some(1),
@@ -150,9 +150,9 @@
             let next = ledger.tidy(now, back_us, facts).unwrap_or_else(|| ledger.clone());
             let used = held.len() as i64 * need.each.gpus;
             let since_us = now - rng.random_range(0..20_000_000u64).min(now);
-            let lack = Lack { room: gpus(rng.random_range(0..20)), since_us };
-            let lacks: BTreeMap<String, Lack> = [("vision".to_owned(), lack)].into();
-            let stands = |_: &str, _: &str| Stands { replicas: 1, each: need.each.gpus, within: false };
+            let lack = Shortfall { room: gpus(rng.random_range(0..20)), since_us };
+            let lacks: BTreeMap<String, Shortfall> = [("vision".to_owned(), lack)].into();
+            let stands = |_: &str, _: &str| LoanStanding { replicas: 1, each: need.each.gpus, within: false };
             let ids = give_back(now, terms, &next, Borrower { used, guarantee }, &lacks, stands);
             let gone: BTreeSet<&String> = next.loans.iter().filter(|l| ids.contains(&l.id)).map(|l| &l.machine).collect();
             prop_assert!(gone.is_empty() || used - gone.len() as i64 * need.each.gpus >= guarantee);
@@ -178,7 +178,7 @@
         }
         for _ in 0..3 {
             now += 500_000_000;
-            let over = |_: &hazelsaddle_loans::ledger::Loan| Facts { live: Some(false), ..Facts::default() };
+            let over = |_: &hazelsaddle_gpu_lending::ledger::Loan| Facts { live: Some(false), ..Facts::default() };
             ledger = ledger.tidy(now, back_us, over).unwrap_or(ledger);
         }
         prop_assert!(ledger.loans.is_empty());
--- a/crates/logs/src/chunk.rs
+++ b/crates/logs/src/chunk.rs
@@ -14,8 +14,8 @@
     Data,
     /// Output is missing here (`Gap` as JSON).
     Gap,
-    /// The task had to wait here (`Stall` as JSON).
-    Stall,
+    /// The task had to wait here (`BackPressure` as JSON).
+    BackPressure,
     /// The stream is complete; this is its last chunk (`Close` as JSON).
     Close,
 }
@@ -28,13 +28,13 @@
             Kind::Err => 2,
             Kind::Data => 3,
             Kind::Gap => 4,
-            Kind::Stall => 5,
+            Kind::BackPressure => 5,
             Kind::Close => 6,
         }
     }
     /// Reads what `number` wrote.
     pub fn of(number: u8) -> Option<Kind> {
-        [Kind::Out, Kind::Err, Kind::Data, Kind::Gap, Kind::Stall, Kind::Close]
+        [Kind::Out, Kind::Err, Kind::Data, Kind::Gap, Kind::BackPressure, Kind::Close]
             .into_iter()
             .find(|k| k.number() == number)
     }
@@ -88,7 +88,7 @@
 
 /// A wait of the task for its log.
 #[derive(serde::Serialize, serde::Deserialize, Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stall {
+pub struct BackPressure {
     /// How long it waited, in microseconds.
     pub waited: u64,
 }
--- a/crates/logs/src/cli.rs
+++ b/crates/logs/src/cli.rs
@@ -1,6 +1,6 @@
 //! The commands: `store`, `stores`, `logs` and `artefacts`.
 
-use crate::chunk::{Chunk, Gap, Kind, Stall};
+use crate::chunk::{BackPressure, Chunk, Gap, Kind};
 use crate::config::{StoreConfig, sample};
 use crate::key::{AttemptKey, StreamKey};
 use crate::members::{List, Member};
@@ -438,8 +438,8 @@
                 let g: Gap = serde_json::from_slice(&c.body).unwrap_or_default();
                 each(note(format!("[{} lines ({} bytes) are missing here: {}]", g.lines, g.bytes, g.why)));
             }
-            Kind::Stall => {
-                let s: Stall = serde_json::from_slice(&c.body).unwrap_or_default();
+            Kind::BackPressure => {
+                let s: BackPressure = serde_json::from_slice(&c.body).unwrap_or_default();
                 each(note(format!("[the task waited {:.1} s for its log here]", s.waited as f64 / 1e6)));
             }
             Kind::Data | Kind::Close => {}
--- a/crates/logs/src/client.rs
+++ b/crates/logs/src/client.rs
@@ -3,7 +3,7 @@
 
 use crate::members::{List, Members};
 use crate::wire::{Answer, Ask, FORM, Request};
-use hazelsaddle_base::link::{self, Framed};
+use hazelsaddle_cluster::transport::{self, Framed};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::{SocketAddrV4, TcpStream};
@@ -70,7 +70,7 @@
         let bytes = request.encode().ok_or_else(|| io::Error::other("the request is too large"))?;
         s.write_all(&bytes)?;
         let mut buffer = Vec::new();
-        if !link::read_frame(s, &mut buffer) {
+        if !transport::read_frame(s, &mut buffer) {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         Answer::decode(&buffer).ok_or_else(|| io::Error::other("the store's answer is malformed"))
--- a/crates/logs/src/config.rs
+++ b/crates/logs/src/config.rs
@@ -3,9 +3,9 @@
 
 use crate::limits::Rates;
 use crate::members::{List, Member, MembersError};
-use crate::node::NodeOptions;
-use crate::shelf::{Retention, ShelfOptions};
-use hazelsaddle_base::units::Micros;
+use crate::replica::ReplicaOptions;
+use crate::segment_store::{Retention, SegmentStoreOptions};
+use hazelsaddle_cluster::time::Micros;
 use ini::Ini;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -138,9 +138,9 @@
     /// All stores, this one included, before any list was made by an operator.
     pub list: List,
     /// How it decides.
-    pub node: NodeOptions,
+    pub node: ReplicaOptions,
     /// How it keeps things.
-    pub shelf: ShelfOptions,
+    pub shelf: SegmentStoreOptions,
     /// Shippers' connections at the most.
     pub connections: usize,
     /// Bytes of requests that may wait.
@@ -263,7 +263,7 @@
         let rate = |key| get("limits", key) * 1024;
         Ok(StoreConfig {
             folder: text("folder")?.into(),
-            node: NodeOptions {
+            node: ReplicaOptions {
                 name: member.name.clone(),
                 copies,
                 acks,
@@ -283,13 +283,13 @@
                 heal_bytes: get("copies", "heal_kib_s") * 1024,
                 keep_bytes: get("disk", "keep_kib_s") * 1024,
             },
-            shelf: ShelfOptions {
+            shelf: SegmentStoreOptions {
                 segment_bytes: get("disk", "segment_mib") << 20,
                 max_bytes: get("disk", "max_mib") << 20,
                 compress: get("disk", "compress") == 1,
                 cache_bytes: (get("disk", "cache_mib") << 20) as usize,
                 checkpoint_bytes: get("disk", "checkpoint_mib") << 20,
-                ..ShelfOptions::default()
+                ..SegmentStoreOptions::default()
             },
             connections: get("limits", "connections") as usize,
             queue_bytes: get("limits", "queue_mib") << 20,
--- a/crates/logs/src/index.rs
+++ b/crates/logs/src/index.rs
@@ -3,7 +3,7 @@
 
 use crate::disk::Disk;
 use crate::key::StreamKey;
-use hazelsaddle_base::link::decode;
+use hazelsaddle_cluster::transport::decode;
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
 use rkyv::rancor::Error as Rancor;
 use rkyv::{Archive, Deserialize, Serialize};
--- a/crates/logs/src/key.rs
+++ b/crates/logs/src/key.rs
@@ -1,6 +1,6 @@
 //! What output is kept under: an attempt of a task, and the streams within it.
 
-use hazelsaddle_base::ring;
+use hazelsaddle_cluster::hash_ring;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::fmt;
 
@@ -68,7 +68,7 @@
     }
     /// Where the attempt lies on the ring of stores.
     pub fn place(&self) -> u64 {
-        ring::hash(&format!("log/{self}"))
+        hash_ring::hash(&format!("log/{self}"))
     }
 }
 
--- a/crates/logs/src/limits.rs
+++ b/crates/logs/src/limits.rs
@@ -1,7 +1,7 @@
 //! Rate limits: token buckets per attempt, job and team, in exact integers.
 
 use crate::key::AttemptKey;
-use hazelsaddle_base::units::Micros;
+use hazelsaddle_cluster::time::Micros;
 use std::collections::HashMap;
 use std::hash::Hash;
 
--- a/crates/logs/src/members.rs
+++ b/crates/logs/src/members.rs
@@ -2,7 +2,7 @@
 //! lies follows from the list, but what is held is found by asking all of them: the list decides how well things
 //! go, not whether what was acknowledged can be read.
 
-use hazelsaddle_base::ring::Ring;
+use hazelsaddle_cluster::hash_ring::Ring;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
--- a/crates/logs/src/reader.rs
+++ b/crates/logs/src/reader.rs
@@ -2,9 +2,9 @@
 
 use crate::chunk::{Chunk, Close, Kind};
 use crate::key::{AttemptKey, StreamKey};
-use crate::node::Listed;
+use crate::replica::Listed;
 use crate::wire::{Page, Span};
-use hazelsaddle_base::link::Framed;
+use hazelsaddle_cluster::transport::Framed;
 use roaring::RoaringBitmap;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Read;
@@ -430,7 +430,7 @@
         at: key.of.to_string(),
         name: key.name.clone(),
         team: of.first().map(|l| l.team.clone()).unwrap_or_default(),
-        held: crate::node::spans(&held),
+        held: crate::replica::spans(&held),
         closed,
         end: of.iter().find_map(|l| l.end.clone()),
         bytes: of.iter().map(|l| l.bytes).max().unwrap_or(0),
--- a/crates/logs/src/node.rs
+++ b/crates/logs/src/replica.rs
@@ -1,7 +1,7 @@
 //! A store's decisions. `step` takes an event, `flush` makes sure of what came, `tick` works off what is due; all
 //! return effects. Nothing here reads a clock or touches a socket; the disk is behind a trait.
 //!
-//! What tells anybody that something is held waits in `Node` until `flush` has synced it.
+//! What tells anybody that something is held waits in `Replica` until `flush` has synced it.
 
 mod copies;
 mod lead;
@@ -10,10 +10,10 @@
 use crate::key::{AttemptKey, StreamKey};
 use crate::limits::{Limits, Rates};
 use crate::members::{List, Members};
-use crate::shelf::{Recovery, Retention, Shelf, ShelfError};
+use crate::segment_store::{Recovery, Retention, SegmentStore, SegmentStoreError};
 use crate::wire::{Ack, Answer, Ask, FORM, Frame, Message, Request};
 use copies::Heal;
-use hazelsaddle_base::units::Micros;
+use hazelsaddle_cluster::time::Micros;
 use lead::{Hashing, Lead};
 pub use reads::{Listed, Read, Reply, spans};
 use std::collections::{BTreeSet, HashMap};
@@ -23,7 +23,7 @@
 
 /// How a store is run.
 #[derive(Clone, Debug)]
-pub struct NodeOptions {
+pub struct ReplicaOptions {
     /// Its name.
     pub name: String,
     /// Copies of each chunk, this one included.
@@ -48,9 +48,9 @@
     pub keep_bytes: u64,
 }
 
-impl Default for NodeOptions {
-    fn default() -> NodeOptions {
-        NodeOptions {
+impl Default for ReplicaOptions {
+    fn default() -> ReplicaOptions {
+        ReplicaOptions {
             name: "store-0".into(),
             copies: 3,
             acks: 2,
@@ -106,10 +106,10 @@
 }
 
 /// One store.
-pub struct Node {
-    options: NodeOptions,
+pub struct Replica {
+    options: ReplicaOptions,
     members: Members,
-    shelf: Shelf,
+    shelf: SegmentStore,
     recovery: Recovery,
     started: Micros,
     lead: Lead,
@@ -135,9 +135,15 @@
 /// Name of the value that holds the list of stores.
 const LIST: &str = "members";
 
-impl Node {
+impl Replica {
     /// A store over an opened shelf. The list of stores that the shelf holds wins over the one given if it is newer.
-    pub fn new(options: NodeOptions, list: List, mut shelf: Shelf, recovery: Recovery, now: Micros) -> Node {
+    pub fn new(
+        options: ReplicaOptions,
+        list: List,
+        mut shelf: SegmentStore,
+        recovery: Recovery,
+        now: Micros,
+    ) -> Replica {
         let kept = match shelf.disk().get(LIST) {
             Ok(Some(bytes)) => serde_json::from_slice::<List>(&bytes).ok().filter(|l| l.check().is_ok()),
             _ => None,
@@ -146,7 +152,7 @@
             Some(k) if k.replaces(&list) => k,
             _ => list,
         };
-        Node {
+        Replica {
             members: Members::new(list),
             lead: Lead::default(),
             hashing: Hashing::default(),
@@ -170,7 +176,7 @@
     }
 
     /// What it holds.
-    pub fn shelf(&mut self) -> &mut Shelf {
+    pub fn shelf(&mut self) -> &mut SegmentStore {
         &mut self.shelf
     }
     /// The list of stores that it goes by.
@@ -302,9 +308,9 @@
 
     /// The disk or the index fails: what was staged is lost, and nothing new is taken until the next start if the
     /// index is what fails.
-    fn fail(&mut self, e: &ShelfError) {
+    fn fail(&mut self, e: &SegmentStoreError) {
         tracing::error!(reason = %e, "the shelf failed");
-        if matches!(e, ShelfError::Index(_)) {
+        if matches!(e, SegmentStoreError::Index(_)) {
             self.broken = Some(e.to_string());
         }
     }
@@ -326,7 +332,7 @@
                 self.wake(now, &touched, out);
             }
             Err(e) => {
-                let status = if matches!(e, ShelfError::Full) { 507 } else { 503 };
+                let status = if matches!(e, SegmentStoreError::Full) { 507 } else { 503 };
                 self.fail(e);
                 self.hashing.clear();
                 self.touched.clear();
@@ -372,7 +378,7 @@
     }
 
     /// One small step of everything that keeps the shelf in shape.
-    fn tidy(&mut self, now: Micros, wall: u64) -> Result<(), ShelfError> {
+    fn tidy(&mut self, now: Micros, wall: u64) -> Result<(), SegmentStoreError> {
         if self.shelf.has_staged() {
             return Ok(());
         }
--- a/crates/logs/src/node/copies.rs
+++ b/crates/logs/src/replica/copies.rs
@@ -4,12 +4,12 @@
 //! All of it is repeated round after round, so that a lost message costs a delay and nothing else, and bounded in
 //! bytes a second, so that it never crowds out what shippers send.
 
-use super::{Effect, Node, Waiting};
+use super::{Effect, Replica, Waiting};
 use crate::index::Stream;
 use crate::key::StreamKey;
 use crate::limits::Bucket;
 use crate::wire::{Batch, Message, State};
-use hazelsaddle_base::units::Micros;
+use hazelsaddle_cluster::time::Micros;
 use roaring::RoaringBitmap;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -84,7 +84,7 @@
     RoaringBitmap::deserialize_from(state.held.as_slice()).unwrap_or_default()
 }
 
-impl Node {
+impl Replica {
     fn owns(&self, name: &str, key: &StreamKey) -> bool {
         self.members.owners(key.of.place(), self.options.copies).iter().any(|m| m.name == name)
     }
@@ -113,7 +113,9 @@
         shared.iter().fold(0u64, |sum, (key, s)| {
             let gone = u64::from(s.dropped.is_some());
             let digest = if s.dropped.is_some() { 0 } else { s.digest };
-            let own = hazelsaddle_base::ring::hash(&format!("{key}")).wrapping_add(digest).wrapping_add(gone);
+            let own = hazelsaddle_cluster::hash_ring::hash(&format!("{key}"))
+                .wrapping_add(digest)
+                .wrapping_add(gone);
             sum.wrapping_add(own.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (own >> 29))
         })
     }
--- a/crates/logs/src/node/lead.rs
+++ b/crates/logs/src/replica/lead.rs
@@ -1,11 +1,11 @@
 //! Taking chunks: from shippers, as the lead that sees to the copies, and from other stores, as a copy.
 
-use super::{Effect, Node, Ticket, Waiting};
+use super::{Effect, Replica, Ticket, Waiting};
 use crate::chunk::{Close, Kind};
 use crate::key::StreamKey;
-use crate::shelf::{Put, ShelfError};
+use crate::segment_store::{Put, SegmentStoreError};
 use crate::wire::{Ack, Answer, Batch, Message};
-use hazelsaddle_base::units::Micros;
+use hazelsaddle_cluster::time::Micros;
 use std::collections::{BTreeMap, HashMap};
 
 /// Requests that wait for copies; more are refused at once.
@@ -59,18 +59,18 @@
     }
 }
 
-fn status_of(e: &ShelfError) -> u16 {
+fn status_of(e: &SegmentStoreError) -> u16 {
     match e {
-        ShelfError::Different(_) | ShelfError::BehindEnd(_) => 409,
-        ShelfError::Token => 403,
-        ShelfError::Dropped => 410,
-        ShelfError::TooLarge => 413,
-        ShelfError::Full => 507,
-        ShelfError::Damaged(_) | ShelfError::Disk(_) | ShelfError::Index(_) => 503,
+        SegmentStoreError::Different(_) | SegmentStoreError::BehindEnd(_) => 409,
+        SegmentStoreError::Token => 403,
+        SegmentStoreError::Dropped => 410,
+        SegmentStoreError::TooLarge => 413,
+        SegmentStoreError::Full => 507,
+        SegmentStoreError::Damaged(_) | SegmentStoreError::Disk(_) | SegmentStoreError::Index(_) => 503,
     }
 }
 
-impl Node {
+impl Replica {
     /// Chunks from a shipper.
     pub(super) fn append(
         &mut self,
@@ -127,7 +127,7 @@
         for c in &batch.chunks {
             let fits = match c.kind {
                 Kind::Data => !batch.stream.is_log(),
-                Kind::Out | Kind::Err | Kind::Gap | Kind::Stall => batch.stream.is_log(),
+                Kind::Out | Kind::Err | Kind::Gap | Kind::BackPressure => batch.stream.is_log(),
                 Kind::Close => true,
             };
             if !fits {
@@ -175,10 +175,10 @@
                 }
                 Err(e) => {
                     let status = status_of(&e);
-                    if matches!(e, ShelfError::Different(_) | ShelfError::Token) {
+                    if matches!(e, SegmentStoreError::Different(_) | SegmentStoreError::Token) {
                         tracing::error!(stream = %batch.stream, chunk = chunk.n, reason = %e, "chunk refused");
                     }
-                    if matches!(e, ShelfError::Disk(_) | ShelfError::Index(_)) {
+                    if matches!(e, SegmentStoreError::Disk(_) | SegmentStoreError::Index(_)) {
                         self.fail(&e);
                     }
                     let retry = if status >= 429 { 1000 } else { 0 };
@@ -236,10 +236,10 @@
                 Ok(Put::Same) => {}
                 Err(e) => {
                     status = status_of(&e);
-                    if matches!(e, ShelfError::Different(_) | ShelfError::Token) {
+                    if matches!(e, SegmentStoreError::Different(_) | SegmentStoreError::Token) {
                         tracing::error!(stream = %batch.stream, chunk = chunk.n, %from, reason = %e, "copy refused");
                     }
-                    if matches!(e, ShelfError::Disk(_) | ShelfError::Index(_)) {
+                    if matches!(e, SegmentStoreError::Disk(_) | SegmentStoreError::Index(_)) {
                         self.fail(&e);
                     }
                 }
--- a/crates/logs/src/node/reads.rs
+++ b/crates/logs/src/replica/reads.rs
@@ -1,13 +1,13 @@
 //! What readers and operators ask of one store. A store tells what it holds itself; readers put together what
 //! several of them say (`reader`).
 
-use super::{Effect, Node, Ticket, Waiting};
+use super::{Effect, Replica, Ticket, Waiting};
 use crate::index::Stream;
 use crate::key::{AttemptKey, StreamKey};
 use crate::members::List;
 use crate::wire::{Page, Span};
-use hazelsaddle_base::link::Framed;
-use hazelsaddle_base::units::Micros;
+use hazelsaddle_cluster::time::Micros;
+use hazelsaddle_cluster::transport::Framed;
 use roaring::RoaringBitmap;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -153,7 +153,7 @@
     count: usize,
 }
 
-impl Node {
+impl Replica {
     /// Takes a reader's request.
     pub(super) fn read(&mut self, now: Micros, ticket: Ticket, read: Read, out: &mut Vec<Effect>) {
         let reply = match read {
@@ -250,7 +250,7 @@
 
     /// Chunks of a stream from a number on; whether there are any, or nothing more can come.
     fn page(&mut self, now: Micros, stream: &StreamKey, from: u32) -> Result<(Reply, bool), Reply> {
-        let later = |e: crate::shelf::ShelfError| Reply::later(&e.to_string());
+        let later = |e: crate::segment_store::SegmentStoreError| Reply::later(&e.to_string());
         let s = self.shelf.stream(stream).map_err(later)?.unwrap_or_default();
         let mut page = Page {
             held: spans(&s.held),
--- a/crates/logs/src/shelf.rs
+++ b/crates/logs/src/segment_store.rs
@@ -18,7 +18,7 @@
 
 /// How a shelf is kept.
 #[derive(Clone, Debug)]
-pub struct ShelfOptions {
+pub struct SegmentStoreOptions {
     /// A segment is sealed once it has this many bytes.
     pub segment_bytes: u64,
     /// All segments together may have this many bytes; what would go beyond is refused.
@@ -33,9 +33,9 @@
     pub tombstone: u64,
 }
 
-impl Default for ShelfOptions {
-    fn default() -> ShelfOptions {
-        ShelfOptions {
+impl Default for SegmentStoreOptions {
+    fn default() -> SegmentStoreOptions {
+        SegmentStoreOptions {
             segment_bytes: 64 << 20,
             max_bytes: 64 << 30,
             compress: true,
@@ -48,7 +48,7 @@
 
 /// Why a chunk is not taken, or what is held can't be had.
 #[derive(Debug, thiserror::Error)]
-pub enum ShelfError {
+pub enum SegmentStoreError {
     /// Another chunk is held under this number. The writer is wrong; sending again doesn't help.
     #[error("chunk {0} is held already, with another content")]
     Different(u32),
@@ -146,10 +146,10 @@
 }
 
 /// One store's segments and index.
-pub struct Shelf {
+pub struct SegmentStore {
     disk: Box<dyn Disk>,
     index: Index,
-    options: ShelfOptions,
+    options: SegmentStoreOptions,
     /// The segment that is added to, and its length on disk.
     open: u32,
     open_len: u64,
@@ -169,16 +169,16 @@
     pub counts: Counts,
 }
 
-impl Shelf {
+impl SegmentStore {
     /// Opens a shelf: brings the index up to date with the segments, cuts a torn tail, steps over damage.
     ///
     /// # Errors
     /// If the disk or the index can't be used at all.
     pub fn open(
         mut disk: Box<dyn Disk>,
-        options: ShelfOptions,
+        options: SegmentStoreOptions,
         wall: u64,
-    ) -> Result<(Shelf, Recovery), ShelfError> {
+    ) -> Result<(SegmentStore, Recovery), SegmentStoreError> {
         let files = disk.list()?;
         let (index, fresh) = Index::open(disk.as_mut(), options.cache_bytes, false)?;
         // An index that knows of more than there is describes another disk.
@@ -203,7 +203,7 @@
         // A segment that was begun but never written to has no file. The one before it was left because its end was in
         // doubt after a failed sync: nothing may be added to it again.
         let open = files.last().map_or(1, |f| f.0).max(upto.0);
-        let mut shelf = Shelf {
+        let mut shelf = SegmentStore {
             disk,
             index,
             options,
@@ -257,7 +257,7 @@
         last: bool,
         wall: u64,
         found: &mut Recovery,
-    ) -> Result<(), ShelfError> {
+    ) -> Result<(), SegmentStoreError> {
         const BATCH: usize = 4096;
         let mut at = from;
         loop {
@@ -315,7 +315,7 @@
     }
 
     /// Takes a record that is on disk into what is staged for the index.
-    fn indexed(&mut self, id: u32, at: u64, size: u32, sum: u32, r: Record) -> Result<(), ShelfError> {
+    fn indexed(&mut self, id: u32, at: u64, size: u32, sum: u32, r: Record) -> Result<(), SegmentStoreError> {
         self.seq = self.seq.max(r.seq + 1);
         let mut s = self.stream_or_new(&r.head.stream)?;
         let n = r.head.n;
@@ -367,7 +367,7 @@
     }
 
     /// Where a chunk is, or will be once what is staged is committed.
-    fn spot(&self, id: u64, n: u32) -> Result<Option<Spot>, ShelfError> {
+    fn spot(&self, id: u64, n: u32) -> Result<Option<Spot>, SegmentStoreError> {
         match self.staged.changes.chunks.get(&(id, n)) {
             Some(spot) => Ok(Some(*spot)),
             None => Ok(self.index.spot(id, n)?),
@@ -375,7 +375,7 @@
     }
 
     /// Takes all chunks below its floor out of a staged stream; those that came after a release stay.
-    fn wipe(&mut self, key: &StreamKey) -> Result<(), ShelfError> {
+    fn wipe(&mut self, key: &StreamKey) -> Result<(), SegmentStoreError> {
         let Some(mut s) = self.staged.changes.streams.get(key).cloned() else { return Ok(()) };
         let mut kept = Stream { held: Default::default(), digest: 0, bytes: 0, closed: None, ..s.clone() };
         for n in s.held.iter() {
@@ -398,7 +398,7 @@
         Ok(())
     }
 
-    fn stream_or_new(&mut self, key: &StreamKey) -> Result<Stream, ShelfError> {
+    fn stream_or_new(&mut self, key: &StreamKey) -> Result<Stream, SegmentStoreError> {
         if let Some(s) = self.staged.changes.streams.get(key) {
             return Ok(s.clone());
         }
@@ -420,29 +420,29 @@
         token: u64,
         chunk: &Chunk,
         wall: u64,
-    ) -> Result<Put, ShelfError> {
+    ) -> Result<Put, SegmentStoreError> {
         let mut s = self.stream_or_new(key)?;
         let (n, sum) = (chunk.n, chunk.sum());
         if s.dropped.is_some() {
-            return Err(ShelfError::Dropped);
+            return Err(SegmentStoreError::Dropped);
         }
         if !s.held.is_empty() && s.token != token {
-            return Err(ShelfError::Token);
+            return Err(SegmentStoreError::Token);
         }
         if s.held.contains(n) {
             self.counts.repeats += 1;
             return match self.spot(s.id, n)? {
                 Some(spot) if spot.sum == sum => Ok(Put::Same),
-                _ => Err(ShelfError::Different(n)),
+                _ => Err(SegmentStoreError::Different(n)),
             };
         }
         if s.closed.as_ref().is_some_and(|c| n > c.0) || (chunk.kind == Kind::Close && s.held.max() > Some(n))
         {
-            return Err(ShelfError::BehindEnd(n));
+            return Err(SegmentStoreError::BehindEnd(n));
         }
         let room = chunk.body.len() as u64 + 512;
         if self.used + self.staged.bytes.len() as u64 + room > self.options.max_bytes {
-            return Err(ShelfError::Full);
+            return Err(SegmentStoreError::Full);
         }
         let head = Head { stream: key.clone(), team: team.to_owned(), token, n, at: chunk.at, taken: wall };
         let spot = self.record(self.seq, What::Chunk(chunk.kind), &head, &chunk.body, Some(sum))?;
@@ -477,12 +477,12 @@
         head: &Head,
         body: &[u8],
         sum: Option<u32>,
-    ) -> Result<Spot, ShelfError> {
+    ) -> Result<Spot, SegmentStoreError> {
         let before = self.staged.bytes.len();
         let compress = self.options.compress && head.stream.is_log();
         let Some(len) = segment::write(&mut self.staged.bytes, seq, what, head, body, compress) else {
             self.staged.bytes.truncate(before);
-            return Err(ShelfError::TooLarge);
+            return Err(SegmentStoreError::TooLarge);
         };
         let graves = u64::from(matches!(what, What::Drop | What::Release));
         self.count(self.open, u64::from(len), u64::from(len), graves);
@@ -503,7 +503,7 @@
     /// # Errors
     /// If the disk fails nothing of what was staged is held: whoever waits for it must be refused. The shelf goes on
     /// with a new segment, since what the old one's end holds can't be known any more.
-    pub fn commit(&mut self, wall: u64) -> Result<(), ShelfError> {
+    pub fn commit(&mut self, wall: u64) -> Result<(), SegmentStoreError> {
         if self.staged.is_empty() {
             return Ok(());
         }
@@ -517,8 +517,8 @@
                 let _ = self.disk.truncate(self.open, self.open_len);
                 self.begin_segment(wall, None)?;
                 return Err(match e.kind() {
-                    io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => ShelfError::Full,
-                    _ => ShelfError::Disk(e),
+                    io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => SegmentStoreError::Full,
+                    _ => SegmentStoreError::Disk(e),
                 });
             }
             self.counts.syncs += 1;
@@ -535,7 +535,7 @@
         Ok(())
     }
 
-    fn index_staged(&mut self, wall: u64, durable: bool) -> Result<(), ShelfError> {
+    fn index_staged(&mut self, wall: u64, durable: bool) -> Result<(), SegmentStoreError> {
         let durable = durable || self.since_checkpoint >= self.options.checkpoint_bytes;
         let mut staged = std::mem::take(&mut self.staged);
         let c = &mut staged.changes;
@@ -554,12 +554,12 @@
     ///
     /// # Errors
     /// What the index says.
-    pub fn checkpoint(&mut self, wall: u64) -> Result<(), ShelfError> {
+    pub fn checkpoint(&mut self, wall: u64) -> Result<(), SegmentStoreError> {
         self.commit(wall)?;
         self.index_staged(wall, true)
     }
 
-    fn seal(&mut self, wall: u64) -> Result<(), ShelfError> {
+    fn seal(&mut self, wall: u64) -> Result<(), SegmentStoreError> {
         let sketch = self.sketch.take().map(|s| s.bytes());
         if let Some(bytes) = &sketch {
             let mut record = Vec::new();
@@ -574,7 +574,7 @@
         self.begin_segment(wall, sketch)
     }
 
-    fn begin_segment(&mut self, wall: u64, sketch: Option<Vec<u8>>) -> Result<(), ShelfError> {
+    fn begin_segment(&mut self, wall: u64, sketch: Option<Vec<u8>>) -> Result<(), SegmentStoreError> {
         self.staged.changes.sealed.push((self.open, sketch));
         self.open += 1;
         self.open_len = 0;
@@ -587,7 +587,7 @@
     ///
     /// # Errors
     /// What the index says.
-    pub fn stream(&self, key: &StreamKey) -> Result<Option<Stream>, ShelfError> {
+    pub fn stream(&self, key: &StreamKey) -> Result<Option<Stream>, SegmentStoreError> {
         Ok(self.index.stream(key)?)
     }
     /// Streams of a job (all jobs if it is empty) behind `after`, at most so many.
@@ -599,7 +599,7 @@
         job: &str,
         after: Option<&StreamKey>,
         most: usize,
-    ) -> Result<Vec<(StreamKey, Stream)>, ShelfError> {
+    ) -> Result<Vec<(StreamKey, Stream)>, SegmentStoreError> {
         let mut prefix = job.as_bytes().to_vec();
         if !job.is_empty() {
             prefix.push(0);
@@ -616,21 +616,21 @@
         to: u64,
         after: Option<&StreamKey>,
         most: usize,
-    ) -> Result<Vec<(StreamKey, Stream)>, ShelfError> {
+    ) -> Result<Vec<(StreamKey, Stream)>, SegmentStoreError> {
         Ok(self.index.placed(from, to, after, most)?)
     }
     /// Teams and their bytes.
     ///
     /// # Errors
     /// What the index says.
-    pub fn teams(&self) -> Result<BTreeMap<String, u64>, ShelfError> {
+    pub fn teams(&self) -> Result<BTreeMap<String, u64>, SegmentStoreError> {
         Ok(self.index.teams()?)
     }
     /// All segments.
     ///
     /// # Errors
     /// What the index says.
-    pub fn segments(&self) -> Result<BTreeMap<u32, Segment>, ShelfError> {
+    pub fn segments(&self) -> Result<BTreeMap<u32, Segment>, SegmentStoreError> {
         Ok(self.index.segments()?)
     }
     /// Bytes of all segments.
@@ -638,7 +638,7 @@
         self.used
     }
     /// How it is kept.
-    pub fn options(&self) -> &ShelfOptions {
+    pub fn options(&self) -> &SegmentStoreOptions {
         &self.options
     }
     /// The disk, for the few small values that a store keeps beside its segments.
@@ -650,7 +650,7 @@
     ///
     /// # Errors
     /// `Damaged` if what the disk has is not what was written; the chunk is not held any more then.
-    pub fn read(&mut self, key: &StreamKey, n: u32) -> Result<Option<Chunk>, ShelfError> {
+    pub fn read(&mut self, key: &StreamKey, n: u32) -> Result<Option<Chunk>, SegmentStoreError> {
         let Some(s) = self.index.stream(key)? else { return Ok(None) };
         let Some(spot) = self.index.spot(s.id, n)? else { return Ok(None) };
         match self.fetch(&spot)? {
@@ -666,7 +666,7 @@
         }
     }
 
-    fn fetch(&mut self, spot: &Spot) -> Result<Option<Record>, ShelfError> {
+    fn fetch(&mut self, spot: &Spot) -> Result<Option<Record>, SegmentStoreError> {
         let mut bytes = vec![0; spot.len as usize];
         match self.disk.read(spot.segment, spot.at, &mut bytes) {
             Ok(have) => Ok(segment::read(&bytes[..have])),
@@ -676,7 +676,7 @@
     }
 
     /// A damaged chunk is not held any more: the copies heal it.
-    fn lose(&mut self, key: &StreamKey, n: u32, spot: Spot) -> Result<Option<Chunk>, ShelfError> {
+    fn lose(&mut self, key: &StreamKey, n: u32, spot: Spot) -> Result<Option<Chunk>, SegmentStoreError> {
         tracing::error!(stream = %key, chunk = n, segment = spot.segment, at = spot.at, "a chunk is damaged");
         self.counts.damaged += 1;
         let mut s = self.stream_or_new(key)?;
@@ -689,14 +689,14 @@
             self.staged.changes.bad.push((s.id, n));
             self.staged.changes.streams.insert(key.clone(), s);
         }
-        Err(ShelfError::Damaged(n))
+        Err(SegmentStoreError::Damaged(n))
     }
 
     /// Whether an artefact is whole and what it was said to be; reads all of it.
     ///
     /// # Errors
     /// As `read`.
-    pub fn verify(&mut self, key: &StreamKey, chunks: u32, close: &Close) -> Result<bool, ShelfError> {
+    pub fn verify(&mut self, key: &StreamKey, chunks: u32, close: &Close) -> Result<bool, SegmentStoreError> {
         let mut hash = blake3::Hasher::new();
         let mut size = 0;
         for n in 0..chunks {
--- a/crates/logs/src/shelf/keep.rs
+++ b/crates/logs/src/segment_store/keep.rs
@@ -1,6 +1,6 @@
 //! Keeping a shelf in shape: dropping, releasing, retention, compaction and scrubbing, each in small steps.
 
-use super::{Shelf, ShelfError};
+use super::{SegmentStore, SegmentStoreError};
 use crate::index::Spot;
 use crate::key::{AttemptKey, StreamKey};
 use crate::segment::{self, Head, What};
@@ -23,12 +23,12 @@
 /// Streams looked at in one step for writers that never came back.
 const LOOKS: usize = 64;
 
-impl Shelf {
+impl SegmentStore {
     /// Drops streams for good. What was staged before is committed first.
     ///
     /// # Errors
     /// As `commit`.
-    pub fn drop_streams(&mut self, keys: &[StreamKey], wall: u64) -> Result<(), ShelfError> {
+    pub fn drop_streams(&mut self, keys: &[StreamKey], wall: u64) -> Result<(), SegmentStoreError> {
         self.grave(keys, What::Drop, wall)
     }
 
@@ -36,11 +36,11 @@
     ///
     /// # Errors
     /// As `commit`.
-    pub fn release(&mut self, keys: &[StreamKey], wall: u64) -> Result<(), ShelfError> {
+    pub fn release(&mut self, keys: &[StreamKey], wall: u64) -> Result<(), SegmentStoreError> {
         self.grave(keys, What::Release, wall)
     }
 
-    fn grave(&mut self, keys: &[StreamKey], what: What, wall: u64) -> Result<(), ShelfError> {
+    fn grave(&mut self, keys: &[StreamKey], what: What, wall: u64) -> Result<(), SegmentStoreError> {
         self.commit(wall)?;
         for key in keys {
             let mut s = self.stream_or_new(key)?;
@@ -79,7 +79,7 @@
         keep: &Retention,
         wall: u64,
         alive: impl Fn(&AttemptKey) -> bool,
-    ) -> Result<Vec<StreamKey>, ShelfError> {
+    ) -> Result<Vec<StreamKey>, SegmentStoreError> {
         let mut going = Vec::new();
         for (team, bytes) in self.index.teams()? {
             let mut over = bytes.saturating_sub(keep.team_bytes);
@@ -127,7 +127,7 @@
     ///
     /// # Errors
     /// As `commit`.
-    pub fn compact(&mut self, budget: u64, wall: u64) -> Result<bool, ShelfError> {
+    pub fn compact(&mut self, budget: u64, wall: u64) -> Result<bool, SegmentStoreError> {
         self.commit(wall)?;
         let segments = self.index.segments()?;
         let (victim, from) = match self.compacting {
@@ -208,7 +208,7 @@
     ///
     /// # Errors
     /// If the disk fails altogether.
-    pub fn scrub(&mut self) -> Result<u64, ShelfError> {
+    pub fn scrub(&mut self) -> Result<u64, SegmentStoreError> {
         let next = self.index.streams(&[], &self.scrubbed, 1)?;
         let Some((key, s)) = next.into_iter().next() else {
             self.scrubbed = Vec::new();
@@ -217,7 +217,7 @@
         self.scrubbed = key.sorted();
         for n in s.held.iter() {
             match self.read(&key, n) {
-                Ok(_) | Err(ShelfError::Damaged(_)) => {}
+                Ok(_) | Err(SegmentStoreError::Damaged(_)) => {}
                 Err(e) => return Err(e),
             }
         }
@@ -229,7 +229,12 @@
     ///
     /// # Errors
     /// What the disk says.
-    pub fn search(&mut self, text: &str, from: u32, most: usize) -> Result<(Hits, Option<u32>), ShelfError> {
+    pub fn search(
+        &mut self,
+        text: &str,
+        from: u32,
+        most: usize,
+    ) -> Result<(Hits, Option<u32>), SegmentStoreError> {
         let mut wanted = Vec::new();
         sketch::words(text.as_bytes(), |w| wanted.push(w));
         let needle = text.as_bytes().to_ascii_lowercase();
--- a/crates/logs/src/serve.rs
+++ b/crates/logs/src/serve.rs
@@ -4,13 +4,13 @@
 use crate::disk::Folder;
 use crate::key::{AttemptKey, StreamKey};
 use crate::members::List;
-use crate::node::{Effect, Event, Node, Read, Reply, Ticket};
-use crate::shelf::{Shelf, ShelfError};
+use crate::replica::{Effect, Event, Read, Replica, Reply, Ticket};
+use crate::segment_store::{SegmentStore, SegmentStoreError};
 use crate::wire::{Ack, Answer, Frame, Request};
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
-use hazelsaddle_base::line::Line;
-use hazelsaddle_base::link::{self, Framed};
-use hazelsaddle_base::units::Micros;
+use hazelsaddle_cluster::send_queue::SendQueue;
+use hazelsaddle_cluster::time::Micros;
+use hazelsaddle_cluster::transport::{self, Framed};
 use std::collections::HashMap;
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -42,7 +42,7 @@
     Folder(String, String),
     /// What it holds can't be read.
     #[error(transparent)]
-    Shelf(#[from] ShelfError),
+    SegmentStore(#[from] SegmentStoreError),
     /// Its settings.
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -135,7 +135,7 @@
     let _ = s.set_write_timeout(Some(Duration::from_secs(5)));
     let (back, answers) = bounded(1);
     let mut buffer = Vec::new();
-    while link::read_frame(&mut s, &mut buffer) {
+    while transport::read_frame(&mut s, &mut buffer) {
         let Some(request) = Request::decode(&buffer) else {
             tracing::error!(bytes = buffer.len(), "a shipper's request is malformed; connection closed");
             return;
@@ -315,7 +315,7 @@
     let begun = Instant::now();
     let folder = config.folder.display().to_string();
     let disk = Folder::open(&config.folder).map_err(|e| ServeError::Folder(folder.clone(), e.to_string()))?;
-    let (shelf, recovery) = Shelf::open(Box::new(disk), config.shelf.clone(), wall())?;
+    let (shelf, recovery) = SegmentStore::open(Box::new(disk), config.shelf.clone(), wall())?;
     tracing::info!(
         store = %config.member.name, %folder, segments = recovery.segments, bytes = recovery.bytes,
         scanned = recovery.scanned, torn = recovery.torn, damaged = recovery.damaged, rebuilt = recovery.rebuilt,
@@ -329,7 +329,7 @@
         let (tx, tickets) = (tx.clone(), tickets.clone());
         move || take_shippers(listener, tx, tickets, most, queue)
     });
-    let peer_addr = link::listen(StoreConfig::address(&config.member.peer)?, move |f: Frame| {
+    let peer_addr = transport::listen(StoreConfig::address(&config.member.peer)?, move |f: Frame| {
         let _ = peers.send(Inbound::Peer(f));
     })
     .map_err(|e| ServeError::Listen(format!("peer {}", config.member.peer), e.to_string()))?;
@@ -356,7 +356,7 @@
     }
     tracing::info!(store = %config.member.name, link = %link_addr, peer = %peer_addr, http = %http_addr, "started");
     // Ports that the system chose must be known to the other stores by another way: a list set by an operator.
-    let node = Node::new(config.node.clone(), config.list.clone(), shelf, recovery, Micros(1_000_000));
+    let node = Replica::new(config.node.clone(), config.list.clone(), shelf, recovery, Micros(1_000_000));
     let thread = std::thread::spawn(move || {
         run(node, &rx, &answer_tx, begun);
         ended.store(true, Ordering::Relaxed);
@@ -365,7 +365,7 @@
 }
 
 fn run(
-    mut node: Node,
+    mut node: Replica,
     rx: &Receiver<Inbound>,
     answer_tx: &Sender<(tiny_http::Request, Reply)>,
     begun: Instant,
@@ -373,7 +373,7 @@
     let clock = || Micros(1_000_000 + begun.elapsed().as_micros() as u64);
     let mut shippers: HashMap<Ticket, Sender<Answer>> = HashMap::new();
     let mut readers: HashMap<Ticket, tiny_http::Request> = HashMap::new();
-    let mut links: HashMap<String, (String, Line<Frame>)> = HashMap::new();
+    let mut links: HashMap<String, (String, SendQueue<Frame>)> = HashMap::new();
     let mut out = Vec::new();
     loop {
         let mut next = rx.recv_timeout(Duration::from_millis(20)).ok();
@@ -432,7 +432,7 @@
 }
 
 /// Sends what is meant for other stores, and keeps the rest.
-fn send(node: &Node, links: &mut HashMap<String, (String, Line<Frame>)>, out: &mut Vec<Effect>) {
+fn send(node: &Replica, links: &mut HashMap<String, (String, SendQueue<Frame>)>, out: &mut Vec<Effect>) {
     for effect in std::mem::take(out) {
         let Effect::Send(to, frame) = effect else {
             out.push(effect);
@@ -442,10 +442,10 @@
         // A store may come back at another address.
         if links.get(&to).is_none_or(|l| l.0 != member.peer) {
             let Ok(addr) = member.peer.parse() else { continue };
-            links.insert(to.clone(), (member.peer.clone(), link::dial(addr)));
+            links.insert(to.clone(), (member.peer.clone(), transport::dial(addr)));
         }
         if let Some((_, tx)) = links.get(&to) {
-            link::enqueue(tx, frame);
+            transport::enqueue(tx, frame);
         }
     }
 }
--- a/crates/logs/src/spool.rs
+++ b/crates/logs/src/spool.rs
@@ -4,7 +4,7 @@
 //! A chunk gets its number when it is sent for the first time, and is never changed from then on: only what was never
 //! sent may be dropped. So whatever became of a request, sending its chunks again is safe.
 
-use crate::chunk::{Chunk, Close, Gap, Kind, Stall};
+use crate::chunk::{BackPressure, Chunk, Close, Gap, Kind};
 use std::collections::{BTreeSet, VecDeque};
 
 /// What to do with output while storage is slower than the task.
@@ -189,7 +189,7 @@
         if let Some(since) = self.waiting_since.take() {
             let waited = now.saturating_sub(since);
             self.waited += waited;
-            self.note(Kind::Stall, now, &Stall { waited });
+            self.note(Kind::BackPressure, now, &BackPressure { waited });
         }
     }
 
@@ -464,7 +464,7 @@
             s.acked(sent.iter().map(|c| c.n));
             all.extend(sent);
         }
-        let stall = all.iter().find(|c| c.kind == Kind::Stall).expect("a stall in the log");
-        assert_eq!(serde_json::from_slice::<Stall>(&stall.body).expect("readable").waited, 3000);
+        let stall = all.iter().find(|c| c.kind == Kind::BackPressure).expect("a stall in the log");
+        assert_eq!(serde_json::from_slice::<BackPressure>(&stall.body).expect("readable").waited, 3000);
     }
 }
--- a/crates/logs/src/wire.rs
+++ b/crates/logs/src/wire.rs
@@ -1,9 +1,9 @@
-//! What shippers and stores say to one another, as `rkyv` archives in frames (`hazelsaddle_base::link`).
+//! What shippers and stores say to one another, as `rkyv` archives in frames (`hazelsaddle_cluster::transport`).
 
 use crate::chunk::Chunk;
 use crate::key::StreamKey;
 use crate::members::List;
-use hazelsaddle_base::link::{self, Framed};
+use hazelsaddle_cluster::transport::{self, Framed};
 use rkyv::{Archive, Deserialize, Serialize};
 
 /// The form of all messages. A process that speaks another one is told so, and nothing else is taken from it.
@@ -175,10 +175,10 @@
     ($($t:ty),*) => {$(
         impl Framed for $t {
             fn encode(&self) -> Option<Vec<u8>> {
-                link::encode(self)
+                transport::encode(self)
             }
             fn decode(bytes: &[u8]) -> Option<Self> {
-                link::decode(bytes)
+                transport::decode(bytes)
             }
         }
     )*};
--- a/crates/logs/tests/loopback.rs
+++ b/crates/logs/tests/loopback.rs
@@ -297,11 +297,11 @@
     let mut odd = batch(1, 1, 10);
     odd.team = "a b".into();
     assert_eq!(status(odd).0, 400);
-    use hazelsaddle_base::link::Framed;
+    use hazelsaddle_cluster::transport::Framed;
     let mut c = std::net::TcpStream::connect(stores[0].link).expect("it listens");
     c.write_all(&Request { form: 99, ask: Ask::Members }.encode().expect("encoded")).expect("written");
     let mut buffer = Vec::new();
-    assert!(hazelsaddle_base::link::read_frame(&mut c, &mut buffer));
+    assert!(hazelsaddle_cluster::transport::read_frame(&mut c, &mut buffer));
     assert!(matches!(Answer::decode(&buffer), Some(Answer::Ack(a)) if a.status == 505));
     let mut r = Reader::new(doors(&stores));
     let found: BTreeMap<String, String> =
--- a/crates/logs/tests/shelf.rs
+++ b/crates/logs/tests/segment_store.rs
@@ -6,7 +6,7 @@
 use hazelsaddle_logs::chunk::{Chunk, Kind};
 use hazelsaddle_logs::key::{AttemptKey, StreamKey};
 use hazelsaddle_logs::segment::{self, Head, What};
-use hazelsaddle_logs::shelf::{Put, Retention, Shelf, ShelfError, ShelfOptions};
+use hazelsaddle_logs::segment_store::{Put, Retention, SegmentStore, SegmentStoreError, SegmentStoreOptions};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::collections::BTreeMap;
@@ -20,8 +20,8 @@
     Chunk { n, at: 7, kind: Kind::Out, body: text.into_iter().cycle().take(len).collect() }
 }
 
-fn options(segment_bytes: u64) -> ShelfOptions {
-    ShelfOptions {
+fn options(segment_bytes: u64) -> SegmentStoreOptions {
+    SegmentStoreOptions {
         segment_bytes,
         checkpoint_bytes: 4000,
         tombstone: 500,
@@ -37,7 +37,7 @@
     for seed in 0..120u64 {
         let mut rng = StdRng::seed_from_u64(seed);
         let platter = Platter::new();
-        let open = |wall| Shelf::open(platter.open(), options(3000), wall).expect("it opens").0;
+        let open = |wall| SegmentStore::open(platter.open(), options(3000), wall).expect("it opens").0;
         let mut shelf = open(1);
         let mut certain: BTreeMap<(StreamKey, u32), Chunk> = BTreeMap::new();
         let mut staged = Vec::new();
@@ -57,8 +57,8 @@
                             staged.push((k, c));
                         }
                         Ok(Put::Same) => {}
-                        Err(ShelfError::Dropped) => assert!(gone.contains_key(&k), "seed {seed}"),
-                        Err(ShelfError::Different(n)) => {
+                        Err(SegmentStoreError::Dropped) => assert!(gone.contains_key(&k), "seed {seed}"),
+                        Err(SegmentStoreError::Different(n)) => {
                             let old = certain.get(&(k.clone(), n)).cloned();
                             let old =
                                 old.or(staged.iter().find(|s| s.0 == k && s.1.n == n).map(|s| s.1.clone()));
@@ -169,7 +169,7 @@
     for seed in 0..60u64 {
         let mut rng = StdRng::seed_from_u64(seed);
         let platter = Platter::new();
-        let (mut shelf, _) = Shelf::open(platter.open(), options(5000), 1).expect("it opens");
+        let (mut shelf, _) = SegmentStore::open(platter.open(), options(5000), 1).expect("it opens");
         let mut all = Vec::new();
         for n in 0..60 {
             let c = chunk(n, seed, 150);
@@ -184,7 +184,7 @@
         if seed % 2 == 0 {
             drop(shelf);
             platter.lose_index();
-            shelf = Shelf::open(platter.open(), options(5000), 1).expect("it opens").0;
+            shelf = SegmentStore::open(platter.open(), options(5000), 1).expect("it opens").0;
         } else {
             while shelf.scrub().expect("scrubbed") > 0 {}
             shelf.commit(1).expect("committed");
@@ -207,16 +207,16 @@
 
 #[test]
 fn another_writer_another_content_and_what_lies_behind_the_end_are_refused() {
-    let (mut s, _) = Shelf::open(Platter::new().open(), options(1 << 20), 1).expect("it opens");
+    let (mut s, _) = SegmentStore::open(Platter::new().open(), options(1 << 20), 1).expect("it opens");
     let k = key(1, 1);
     s.append(&k, "t", 1, &chunk(0, 1, 10), 1).expect("taken");
-    assert!(matches!(s.append(&k, "t", 2, &chunk(1, 1, 10), 1), Err(ShelfError::Token)));
-    assert!(matches!(s.append(&k, "t", 1, &chunk(0, 2, 10), 1), Err(ShelfError::Different(0))));
+    assert!(matches!(s.append(&k, "t", 2, &chunk(1, 1, 10), 1), Err(SegmentStoreError::Token)));
+    assert!(matches!(s.append(&k, "t", 1, &chunk(0, 2, 10), 1), Err(SegmentStoreError::Different(0))));
     assert!(matches!(s.append(&k, "t", 1, &chunk(0, 1, 10), 1), Ok(Put::Same)));
     let end = Chunk { n: 3, at: 1, kind: Kind::Close, body: b"{\"why\":\"done\"}".to_vec() };
     s.append(&k, "t", 1, &end, 1).expect("taken");
     s.commit(1).expect("committed");
-    assert!(matches!(s.append(&k, "t", 1, &chunk(4, 1, 10), 1), Err(ShelfError::BehindEnd(4))));
+    assert!(matches!(s.append(&k, "t", 1, &chunk(4, 1, 10), 1), Err(SegmentStoreError::BehindEnd(4))));
     assert!(!s.stream(&k).expect("listed").expect("known").whole());
     for n in 1..3 {
         s.append(&k, "t", 1, &chunk(n, 1, 10), 1).expect("late ones before the end");
@@ -227,7 +227,7 @@
 
 #[test]
 fn retention_drops_the_oldest_closed_streams_and_never_a_running_one() {
-    let (mut s, _) = Shelf::open(Platter::new().open(), options(1000), 1).expect("it opens");
+    let (mut s, _) = SegmentStore::open(Platter::new().open(), options(1000), 1).expect("it opens");
     let end = |n| Chunk { n, at: 1, kind: Kind::Close, body: b"{\"why\":\"done\"}".to_vec() };
     for task in 0..10 {
         let wall = 1000 + u64::from(task);
@@ -250,7 +250,7 @@
     let rest = s.retire(&keep, 6009, |of| of.task == 0).expect("retired");
     assert!(!rest.is_empty() && rest.iter().all(|k| k.of.task != 0), "{rest:?}");
     assert!(s.retire(&keep, 6009, |_| false).expect("retired").iter().any(|k| k.of.task == 0));
-    assert!(matches!(s.append(&key(1, 1), "t", 1, &chunk(2, 1, 10), 6010), Err(ShelfError::Dropped)));
+    assert!(matches!(s.append(&key(1, 1), "t", 1, &chunk(2, 1, 10), 6010), Err(SegmentStoreError::Dropped)));
     // What is dropped gives its room back.
     let used = s.used();
     while s.compact(1 << 20, 6020).expect("compacted") {}
@@ -262,7 +262,7 @@
 #[test]
 fn a_segment_whose_sync_failed_is_never_added_to_again() {
     let platter = Platter::new();
-    let open = || Shelf::open(platter.open(), options(1 << 20), 1).expect("it opens").0;
+    let open = || SegmentStore::open(platter.open(), options(1 << 20), 1).expect("it opens").0;
     let mut s = open();
     s.append(&key(1, 0), "t", 1, &chunk(0, 1, 50), 1).expect("taken");
     s.commit(1).expect("committed");
@@ -289,7 +289,7 @@
     let platter = Platter::new();
     let day = 86_400_000_000u64;
     let wall = 20_000 * day;
-    let (mut s, _) = Shelf::open(platter.open(), options(1 << 20), wall).expect("it opens");
+    let (mut s, _) = SegmentStore::open(platter.open(), options(1 << 20), wall).expect("it opens");
     for (task, at) in [(0, 0), (1, 3 * day), (2, wall + 900 * day)] {
         s.append(&key(1, task), "t", 1, &Chunk { at, ..chunk(0, 1, 50) }, wall).expect("taken");
         let end = Chunk { n: 1, at, kind: Kind::Close, body: b"{\"why\":\"done\"}".to_vec() };
@@ -298,7 +298,7 @@
     s.commit(wall).expect("committed");
     drop(s);
     platter.lose_index();
-    let (mut s, _) = Shelf::open(platter.open(), options(1 << 20), wall + 60).expect("it opens");
+    let (mut s, _) = SegmentStore::open(platter.open(), options(1 << 20), wall + 60).expect("it opens");
     let keep = Retention { age: 14 * day, team_bytes: u64::MAX };
     assert!(s.retire(&keep, wall + 60, |_| false).expect("retired").is_empty());
     assert_eq!(s.retire(&keep, wall + 15 * day, |_| false).expect("retired").len(), 3);
@@ -307,21 +307,21 @@
 #[test]
 fn a_full_disk_refuses_new_data_and_keeps_serving() {
     let platter = Platter::new();
-    let limited = ShelfOptions { max_bytes: 3000, ..options(1 << 20) };
-    let (mut s, _) = Shelf::open(platter.open(), limited, 1).expect("it opens");
+    let limited = SegmentStoreOptions { max_bytes: 3000, ..options(1 << 20) };
+    let (mut s, _) = SegmentStore::open(platter.open(), limited, 1).expect("it opens");
     let mut n = 0;
     while s.append(&key(1, 0), "t", 1, &chunk(n, n.into(), 300), 1).is_ok() {
         s.commit(1).expect("committed");
         n += 1;
     }
     assert!(n > 2);
-    assert!(matches!(s.append(&key(1, 0), "t", 1, &chunk(n, 1, 300), 1), Err(ShelfError::Full)));
+    assert!(matches!(s.append(&key(1, 0), "t", 1, &chunk(n, 1, 300), 1), Err(SegmentStoreError::Full)));
     assert!((0..n).all(|i| s.read(&key(1, 0), i).expect("readable").is_some()));
 }
 
 #[test]
 fn a_search_finds_text_and_skips_segments_by_their_sketch() {
-    let (mut s, _) = Shelf::open(Platter::new().open(), options(1000), 1).expect("it opens");
+    let (mut s, _) = SegmentStore::open(Platter::new().open(), options(1000), 1).expect("it opens");
     for n in 0..40u32 {
         let body = format!("line {n} says {}\n", if n == 17 { "Zanzibar" } else { "nothing" }).into_bytes();
         s.append(&key(1, n), "t", 1, &Chunk { n: 0, at: 1, kind: Kind::Out, body }, 1).expect("taken");
@@ -374,7 +374,7 @@
         prop_assert!(scan.end + scan.tail == len);
         let _ = segment::read(&noise);
         // A store opens over it, and serves no more than that.
-        let (mut shelf, _) = Shelf::open(platter.open(), options(1 << 20), 1).expect("it opens");
+        let (mut shelf, _) = SegmentStore::open(platter.open(), options(1 << 20), 1).expect("it opens");
         for (n, body) in written.iter().enumerate() {
             if let Some(c) = shelf.read(&key(1, 1), n as u32).expect("readable") {
                 prop_assert_eq!(&c.body, body);
@@ -388,7 +388,7 @@
         noise in proptest::collection::vec(any::<u8>(), 0..400),
         at in any::<u16>(), with in any::<u8>(),
     ) {
-        use hazelsaddle_base::link::Framed;
+        use hazelsaddle_cluster::transport::Framed;
         use hazelsaddle_logs::wire::{Answer, Ask, Batch, Frame, Page, Request};
         let _ = (Request::decode(&noise), Answer::decode(&noise), Frame::decode(&noise), Page::decode(&noise));
         // An artefact's manifest is its last chunk.
--- a/crates/logs/tests/sim.rs
+++ b/crates/logs/tests/sim.rs
@@ -5,14 +5,14 @@
 mod common;
 
 use common::Platter;
-use hazelsaddle_base::link::Framed;
-use hazelsaddle_base::units::Micros;
+use hazelsaddle_cluster::time::Micros;
+use hazelsaddle_cluster::transport::Framed;
 use hazelsaddle_logs::chunk::{Chunk, Gap, Kind};
 use hazelsaddle_logs::key::{AttemptKey, StreamKey};
 use hazelsaddle_logs::limits::Rates;
 use hazelsaddle_logs::members::{List, Member, Members};
-use hazelsaddle_logs::node::{Effect, Event, Node, NodeOptions, Read, Reply};
-use hazelsaddle_logs::shelf::{Shelf, ShelfOptions};
+use hazelsaddle_logs::replica::{Effect, Event, Read, Replica, ReplicaOptions, Reply};
+use hazelsaddle_logs::segment_store::{SegmentStore, SegmentStoreOptions};
 use hazelsaddle_logs::spool::{Offer, Policy, Spool, SpoolOptions};
 use hazelsaddle_logs::wire::{Answer, Ask, Batch, FORM, Frame, Page, Request};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -22,7 +22,7 @@
 
 struct Store {
     platter: Platter,
-    node: Option<Node>,
+    node: Option<Replica>,
     back_at: u64,
     /// Effects of a step that were not let out yet, and whether a flush is due.
     dirty: bool,
@@ -65,7 +65,7 @@
     calm: bool,
     /// No disk dies and no bit rots: copies can be counted.
     counts: bool,
-    options: NodeOptions,
+    options: ReplicaOptions,
     crashes: u32,
 }
 
@@ -96,11 +96,11 @@
             flips: false,
             calm: false,
             counts: true,
-            options: NodeOptions {
+            options: ReplicaOptions {
                 heal_every: Micros::from_millis(2),
                 heal_bytes: 1 << 20,
                 rates: Rates { attempt: 1 << 20, job: 1 << 20, team: 1 << 20 },
-                ..NodeOptions::default()
+                ..ReplicaOptions::default()
             },
             crashes: 0,
         };
@@ -118,15 +118,16 @@
 
     fn start(&mut self, i: usize) {
         let s = &mut self.stores[i];
-        let shelf = ShelfOptions {
+        let shelf = SegmentStoreOptions {
             segment_bytes: 20_000,
             checkpoint_bytes: 30_000,
             cache_bytes: 1 << 20,
             ..Default::default()
         };
-        let (shelf, recovery) = Shelf::open(s.platter.open(), shelf, self.now).expect("a store starts");
-        let options = NodeOptions { name: format!("s{i}"), ..self.options.clone() };
-        s.node = Some(Node::new(options, s.list.clone(), shelf, recovery, Micros(self.now)));
+        let (shelf, recovery) =
+            SegmentStore::open(s.platter.open(), shelf, self.now).expect("a store starts");
+        let options = ReplicaOptions { name: format!("s{i}"), ..self.options.clone() };
+        s.node = Some(Replica::new(options, s.list.clone(), shelf, recovery, Micros(self.now)));
         s.dirty = false;
     }
 
@@ -322,10 +323,10 @@
     /// would not show one that is only on one.
     fn on_two_disks(&self) {
         let open = |s: &Store| {
-            let o = ShelfOptions { cache_bytes: 1 << 20, ..Default::default() };
-            Shelf::open(s.platter.survivor().open(), o, self.now).expect("it opens").0
+            let o = SegmentStoreOptions { cache_bytes: 1 << 20, ..Default::default() };
+            SegmentStore::open(s.platter.survivor().open(), o, self.now).expect("it opens").0
         };
-        let shelves: Vec<Shelf> = self.stores.iter().map(open).collect();
+        let shelves: Vec<SegmentStore> = self.stores.iter().map(open).collect();
         for s in &self.shippers {
             let held: Vec<_> = shelves
                 .iter()
--- a/crates/release/src/join.rs
+++ b/crates/release/src/join.rs
@@ -8,10 +8,10 @@
 //! A rotation is no member: it may join as long as its night is not over, also a set that is closed.
 
 use crate::calendar::{Calendar, Calendars, EARLY, Stage, date_of};
-use crate::says::Says;
+use crate::release_ref::ReleaseRef;
 use crate::set::{ClosedBy, Release};
-use hazelsaddle_pact::record::{Phase, Record};
-use hazelsaddle_pact::shelf::Held;
+use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
+use hazelsaddle_coordination::record_cache::Held;
 
 /// Whether a job may join.
 #[derive(Clone, Debug, PartialEq)]
@@ -19,7 +19,7 @@
     /// Yes: its acceptance is conditional on the record's mark as read.
     Now,
     /// There is no record yet: this one is to be written first, on condition that there is none.
-    Open(Record),
+    Open(CoordinationRecord),
     /// Not now (503): the record is not known, or can't be read.
     Later(String),
     /// No (422).
@@ -107,7 +107,7 @@
 pub fn night<'a>(
     calendars: &Calendars,
     sets: impl IntoIterator<Item = (Phase, &'a Release)>,
-    says: &Says,
+    says: &ReleaseRef,
     now: u64,
 ) -> Result<String, Refusal> {
     let calendar = calendars.of(&says.title);
@@ -145,7 +145,7 @@
 /// Whether a job that names this night may join, by what is known of the record. A job that was accepted is not asked again:
 /// its repeat is answered by its own record.
 #[must_use]
-pub fn may_join(held: &Held, calendars: &Calendars, says: &Says, class: &str, now: u64) -> Join {
+pub fn may_join(held: &Held, calendars: &Calendars, says: &ReleaseRef, class: &str, now: u64) -> Join {
     let calendar = calendars.of(&says.title);
     if let Some(c) = calendar
         && !c.takes(says.stage, class)
@@ -168,7 +168,7 @@
     }
 }
 
-fn on_record(record: &Record, says: &Says) -> Join {
+fn on_record(record: &CoordinationRecord, says: &ReleaseRef) -> Join {
     let body = match Release::read(record) {
         Ok(body) => body,
         Err(why) => return Join::Later(why.to_string()),
@@ -184,7 +184,7 @@
     })
 }
 
-fn absent(c: &Calendar, says: &Says, now: u64) -> Result<Release, Refusal> {
+fn absent(c: &Calendar, says: &ReleaseRef, now: u64) -> Result<Release, Refusal> {
     let night = says.night.clone().unwrap_or_default();
     let found = date_of(&night).ok().and_then(|d| c.night(d));
     let Some(n) = found else { return Err(Refusal::NotOne { calendar: c.name.clone(), night }) };
--- a/crates/release/src/lib.rs
+++ b/crates/release/src/lib.rs
@@ -6,27 +6,27 @@
 //! How a slice uses it:
 //!
 //! 1. *Settings*: [`calendar::Calendar::parse`] for each `[calendar NAME]`, all of them in a [`calendar::Calendars`].
-//! 2. *A submission* with `"release"`: a known job is answered first, whatever this says. [`says::Says::parse`] (400), then
+//! 2. *A submission* with `"release"`: a known job is answered first, whatever this says. [`release_ref::ReleaseRef::parse`] (400), then
 //!    [`join::night`] (422) unless it names one, then [`join::may_join`] with what the shelf holds of
-//!    [`says::key`]`(title, night)`. `Now`: the transaction that accepts the job is also conditional on the record's mark as
+//!    [`release_ref::key`]`(title, night)`. `Now`: the transaction that accepts the job is also conditional on the record's mark as
 //!    read, and if that fails, all is asked anew. `Open(record)`: write it first, on condition that there is none. `Later`:
-//!    503. The job's record has [`says::Says::value`], with the night filled in.
+//!    503. The job's record has [`release_ref::ReleaseRef::value`], with the night filled in.
 //! 3. *Closing*, by the owner of the head's key: [`set::Release::to_close`] says whether it is time; write
-//!    [`set::closing`], then take the census (`pact::census`; a job's record says [`says::Says`]), then write the pages and the head of
+//!    [`set::closing`], then take the census (`pact::census`; a job's record says [`release_ref::ReleaseRef`]), then write the pages and the head of
 //!    [`set::closed`].
-//! 4. *A rotation* starts nothing until [`verdict::verdict`] says `Open`. `Ready(record)` is to be written first, on condition
+//! 4. *A rotation* starts nothing until [`readiness::verdict`] says `Open`. `Ready(record)` is to be written first, on condition
 //!    of the mark. `Held` has the causes to show. Facts about members come from records alone.
 //! 5. *Operators*: [`set::close`], [`set::waive`], [`set::reopen`] give the record to be written or the reason why not;
-//!    [`show::Shown::of`] is what `release show` prints.
-//! 6. *Order*: [`stagger`] has the urgency and the deadline that members inherit.
+//!    [`status::ReleaseStatus::of`] is what `release show` prints.
+//! 6. *Order*: [`priority_inheritance`] has the urgency and the deadline that members inherit.
 
 pub mod calendar;
 pub mod join;
-pub mod says;
+pub mod priority_inheritance;
+pub mod readiness;
+pub mod release_ref;
 pub mod set;
-pub mod show;
-pub mod stagger;
-pub mod verdict;
+pub mod status;
 
 #[cfg(test)]
 mod tests;
--- a/crates/release/src/stagger.rs
+++ b/crates/release/src/priority_inheritance.rs
@@ -6,22 +6,22 @@
 
 /// How much a job is wanted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pull {
+pub struct InheritedPriority {
     /// Higher goes first.
     pub urgency: u8,
     /// When it should be done, in microseconds since 1970.
     pub due: Option<u64>,
 }
 
-impl Pull {
+impl InheritedPriority {
     /// Both wants at once: the higher urgency, and the earlier time.
     #[must_use]
-    pub fn and(self, other: Pull) -> Pull {
+    pub fn and(self, other: InheritedPriority) -> InheritedPriority {
         let due = match (self.due, other.due) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
-        Pull { urgency: self.urgency.max(other.urgency), due }
+        InheritedPriority { urgency: self.urgency.max(other.urgency), due }
     }
 
     /// The order of two jobs: the one that sorts first goes first.
@@ -34,11 +34,14 @@
 /// What a set's rebuilds and renders inherit: the urgency of its most urgent rotation that still waits, and the set's own times. Nothing
 /// once it has rotated. A rotation's own deadline counts if it is earlier.
 #[must_use]
-pub fn of_set(set: &Release, rotations: impl IntoIterator<Item = Pull>) -> Option<Pull> {
+pub fn of_set(
+    set: &Release,
+    rotations: impl IntoIterator<Item = InheritedPriority>,
+) -> Option<InheritedPriority> {
     if set.rotated {
         return None;
     }
     // A reopened set has no time of its own but the rotation's.
     let due = if set.by_hand { set.due_us } else { set.renders_us.min(set.due_us) };
-    Some(rotations.into_iter().fold(Pull { urgency: 0, due: Some(due) }, Pull::and))
+    Some(rotations.into_iter().fold(InheritedPriority { urgency: 0, due: Some(due) }, InheritedPriority::and))
 }
--- a/crates/release/src/verdict.rs
+++ b/crates/release/src/readiness.rs
@@ -2,8 +2,8 @@
 
 use crate::calendar::Stage;
 use crate::set::{MISSING, Member, Release, counted, rotated};
-use hazelsaddle_pact::record::{Phase, Record};
-use hazelsaddle_pact::shelf::Held;
+use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
+use hazelsaddle_coordination::record_cache::Held;
 use serde::Serialize;
 use std::fmt;
 
@@ -102,11 +102,11 @@
 
 /// Whether a rotation of a set may start.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Readiness {
     /// Yes, and that is on record. It never changes.
     Open,
     /// It may, once this is on record, written on condition of the record's mark. Nothing starts before.
-    Ready(Record),
+    Ready(CoordinationRecord),
     /// Not yet.
     Held {
         /// What it waits for; never empty.
@@ -117,8 +117,8 @@
 /// What a rotation waits for. `members`: all of a closed set, from its pages; of one that is not closed those known so far,
 /// which are shown and decide nothing. `fact` must come from records.
 #[must_use]
-pub fn verdict(held: &Held, members: Option<&[Member]>, fact: impl Fn(&str) -> Fact) -> Verdict {
-    let one = |c| Verdict::Held { why: vec![c] };
+pub fn verdict(held: &Held, members: Option<&[Member]>, fact: impl Fn(&str) -> Fact) -> Readiness {
+    let one = |c| Readiness::Held { why: vec![c] };
     let record = match held {
         Held::Unread => return one(Cause::Unread),
         Held::Absent => return one(Cause::NotOpened),
@@ -130,7 +130,7 @@
         Err(why) => return one(Cause::Unreadable { why: why.to_string() }),
     };
     if body.rotated {
-        return Verdict::Open;
+        return Readiness::Open;
     }
     let mut why = Vec::new();
     match record.phase {
@@ -164,10 +164,10 @@
         }
     }
     if !why.is_empty() {
-        return Verdict::Held { why };
+        return Readiness::Held { why };
     }
     match rotated(record) {
-        Ok(next) => Verdict::Ready(next),
+        Ok(next) => Readiness::Ready(next),
         Err(e) => one(Cause::Unreadable { why: e.to_string() }),
     }
 }
--- a/crates/release/src/says.rs
+++ b/crates/release/src/release_ref.rs
@@ -1,7 +1,7 @@
 //! What a job says of a release, and the key of its record.
 
 use crate::calendar::{Stage, date_of, nearest};
-use hazelsaddle_pact::record::{Key, Kind};
+use hazelsaddle_coordination::record::{Key, Kind};
 use serde_json::{Map, Value};
 
 /// Longest title, in bytes.
@@ -11,7 +11,7 @@
 
 /// The member `release` of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Says {
+pub struct ReleaseRef {
     /// The title.
     pub title: String,
     /// The night; None: the one that is open.
@@ -25,20 +25,20 @@
 /// A member that is malformed: answered with 400.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("release{}{field}: {reason}", if field.is_empty() { "" } else { "." })]
-pub struct SaysError {
+pub struct ReleaseRefError {
     /// The field.
     pub field: &'static str,
     /// What is wrong with it.
     pub reason: String,
 }
 
-impl Says {
+impl ReleaseRef {
     /// Reads the member.
     ///
     /// # Errors
     /// If it is malformed.
-    pub fn parse(v: &Value) -> Result<Says, SaysError> {
-        let bad = |field: &'static str, reason: &str| SaysError { field, reason: reason.to_owned() };
+    pub fn parse(v: &Value) -> Result<ReleaseRef, ReleaseRefError> {
+        let bad = |field: &'static str, reason: &str| ReleaseRefError { field, reason: reason.to_owned() };
         let map = v.as_object().ok_or_else(|| bad("", "must be an object"))?;
         let text = |key: &'static str| match map.get(key).filter(|v| !v.is_null()) {
             None => Ok(None),
@@ -69,7 +69,7 @@
                     .ok_or_else(|| bad("expects", "must be a whole number of renders, 1 to 100000"))?,
             ),
         };
-        Ok(Says { title, night, stage, expects })
+        Ok(ReleaseRef { title, night, stage, expects })
     }
 
     /// The member again, as the job's record and its final record keep it.
@@ -124,7 +124,7 @@
     #[test]
     fn what_a_job_says_is_read_and_kept_and_errors_name_the_field() {
         let v = json!({"title": "boldog", "night": "2026-12-01", "stage": "rebuild", "expects": 40});
-        let s = Says::parse(&v).expect("valid");
+        let s = ReleaseRef::parse(&v).expect("valid");
         assert_eq!(s.value(), v);
         let key = s.key().expect("a key");
         assert_eq!(
@@ -132,7 +132,7 @@
             ("pact/r/boldog@2026-12-01", Some(("boldog", "2026-12-01")))
         );
         assert_eq!(
-            Says::parse(&json!({"title": "t", "stage": "render", "night": null})).expect("valid").night,
+            ReleaseRef::parse(&json!({"title": "t", "stage": "render", "night": null})).expect("valid").night,
             None
         );
         for (v, named) in [
@@ -150,7 +150,7 @@
             (json!({"title": "t", "stage": "render", "expects": 4}), "release.expects: is for rebuilds"),
             (json!({"title": "t", "stage": "rebuild", "expects": 0}), "release.expects: must"),
         ] {
-            let e = Says::parse(&v).expect_err(named).to_string();
+            let e = ReleaseRef::parse(&v).expect_err(named).to_string();
             assert!(e.starts_with(named), "{e}");
         }
     }
--- a/crates/release/src/set.rs
+++ b/crates/release/src/set.rs
@@ -1,9 +1,11 @@
 //! A release set's record: what it says, and every change that it allows.
 
 use crate::calendar::{Night, Stage, nearest};
-use crate::says::Says;
-use hazelsaddle_pact::census;
-use hazelsaddle_pact::record::{Key, Phase, Record, Refused, Unreadable, items, pages};
+use crate::release_ref::ReleaseRef;
+use hazelsaddle_coordination::census;
+use hazelsaddle_coordination::record::{
+    CoordinationRecord, Key, Phase, TransitionError, Unreadable, items, pages,
+};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
@@ -89,7 +91,7 @@
 
 /// A change that is not allowed, for an operator to read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Not {
+pub enum ChangeError {
     /// It says that already.
     #[error("the set is {0:?} already")]
     Already(Phase),
@@ -118,7 +120,7 @@
     Unreadable(#[from] Unreadable),
     /// It would go back.
     #[error("{0}")]
-    Refused(#[from] Refused),
+    Transition(#[from] TransitionError),
 }
 
 impl Release {
@@ -146,14 +148,14 @@
     ///
     /// # Errors
     /// If it can't be read: what rests on it is held.
-    pub fn read(record: &Record) -> Result<Release, Unreadable> {
+    pub fn read(record: &CoordinationRecord) -> Result<Release, Unreadable> {
         serde_json::from_value(record.body.clone()).map_err(|_| Unreadable::Damaged("body"))
     }
 
     /// Its record, at the first version.
     #[must_use]
-    pub fn record(&self) -> Record {
-        Record::open(1, self.value())
+    pub fn record(&self) -> CoordinationRecord {
+        CoordinationRecord::open(1, self.value())
     }
 
     fn value(&self) -> Value {
@@ -197,7 +199,7 @@
 
 impl Member {
     fn of(id: &str, says: &Value) -> Option<Member> {
-        match Says::parse(says) {
+        match ReleaseRef::parse(says) {
             Ok(s) if s.stage == Stage::Rotation => None,
             Ok(s) => Some(Member { id: id.to_owned(), stage: s.stage, expects: s.expects }),
             // It has joined, whatever it is to a newer version: it is waited for.
@@ -231,14 +233,14 @@
 }
 
 fn changed(
-    record: &Record,
+    record: &CoordinationRecord,
     phase: Phase,
     pages: usize,
     change: impl FnOnce(&mut Release),
-) -> Result<Record, Not> {
+) -> Result<CoordinationRecord, ChangeError> {
     let mut body = Release::read(record)?;
     change(&mut body);
-    let next = Record { version: record.version, phase, pages, body: body.value() };
+    let next = CoordinationRecord { version: record.version, phase, pages, body: body.value() };
     record.allows(&next)?;
     Ok(next)
 }
@@ -247,10 +249,10 @@
 ///
 /// # Errors
 /// If it is not open.
-pub fn closing(record: &Record, by: ClosedBy) -> Result<Record, Not> {
+pub fn closing(record: &CoordinationRecord, by: ClosedBy) -> Result<CoordinationRecord, ChangeError> {
     match record.phase {
         Phase::Open => changed(record, Phase::Closing, 0, |b| b.closed_by = Some(by)),
-        phase => Err(Not::Already(phase)),
+        phase => Err(ChangeError::Already(phase)),
     }
 }
 
@@ -258,7 +260,7 @@
 ///
 /// # Errors
 /// If it is not open.
-pub fn close(record: &Record) -> Result<Record, Not> {
+pub fn close(record: &CoordinationRecord) -> Result<CoordinationRecord, ChangeError> {
     closing(record, ClosedBy::Operator)
 }
 
@@ -269,12 +271,12 @@
 /// If it is not closing, or a member fits on no page.
 pub fn closed(
     key: &Key,
-    record: &Record,
+    record: &CoordinationRecord,
     found: &BTreeMap<String, census::Member>,
     bytes: usize,
-) -> Result<(Vec<(String, Value)>, Record), Not> {
+) -> Result<(Vec<(String, Value)>, CoordinationRecord), ChangeError> {
     if record.phase != Phase::Closing {
-        return Err(Not::Already(record.phase));
+        return Err(ChangeError::Already(record.phase));
     }
     let members: Vec<Member> = found.iter().filter_map(|(id, m)| Member::of(id, &m.says)).collect();
     let standing = |m: &&Member| found.get(&m.id).is_none_or(|f| f.stands != census::Stands::Cancelled);
@@ -293,25 +295,30 @@
 ///
 /// # Errors
 /// If the rotation has started, the reason is none, or there is no such member.
-pub fn waive(record: &Record, known: &[Member], job: &str, why: &str) -> Result<Record, Not> {
+pub fn waive(
+    record: &CoordinationRecord,
+    known: &[Member],
+    job: &str,
+    why: &str,
+) -> Result<CoordinationRecord, ChangeError> {
     let body = Release::read(record)?;
     if body.rotated {
-        return Err(Not::Rotated(body.title, body.night));
+        return Err(ChangeError::Rotated(body.title, body.night));
     }
     if why.trim().is_empty() || why.len() > WHY || why.chars().any(char::is_control) {
-        return Err(Not::Why);
+        return Err(ChangeError::Why);
     }
     let ids = || known.iter().map(|m| m.id.as_str());
     if job != MISSING && !ids().any(|id| id == job) {
         let like = nearest(job, ids()).map(str::to_owned);
-        return Err(Not::NoMember { job: job.to_owned(), like });
+        return Err(ChangeError::NoMember { job: job.to_owned(), like });
     }
     if job == MISSING && record.phase != Phase::Closed {
         // What is missing is known once it is closed; said before, it would cover whatever goes missing later.
-        return Err(Not::Counting);
+        return Err(ChangeError::Counting);
     }
     if body.waived.len() >= WAIVERS && !body.waived.contains_key(job) {
-        return Err(Not::Many);
+        return Err(ChangeError::Many);
     }
     // The first reason stands: it is what was decided.
     changed(record, record.phase, record.pages, |b| {
@@ -323,15 +330,15 @@
 ///
 /// # Errors
 /// If the rotation has started, or it is not closed.
-pub fn reopen(record: &Record) -> Result<Record, Not> {
+pub fn reopen(record: &CoordinationRecord) -> Result<CoordinationRecord, ChangeError> {
     let mut body = Release::read(record)?;
     if body.rotated {
-        return Err(Not::Rotated(body.title, body.night));
+        return Err(ChangeError::Rotated(body.title, body.night));
     }
     match record.phase {
-        Phase::Open => return Err(Not::Already(Phase::Open)),
+        Phase::Open => return Err(ChangeError::Already(Phase::Open)),
         // The census that is under way would be of no use: let it end.
-        Phase::Closing => return Err(Not::Counting),
+        Phase::Closing => return Err(ChangeError::Counting),
         Phase::Closed => {}
     }
     // What was missing then says nothing of what will be; it is still shown.
@@ -339,15 +346,15 @@
         body.waived.insert(format!("{MISSING}/{}", record.version), why);
     }
     (body.closed_by, body.expects, body.by_hand) = (None, None, true);
-    let next = Record::open(record.version + 1, body.value());
+    let next = CoordinationRecord::open(record.version + 1, body.value());
     record.allows(&next)?;
     Ok(next)
 }
 
 /// A rotation may start: on record before its first task does.
-pub(crate) fn rotated(record: &Record) -> Result<Record, Not> {
+pub(crate) fn rotated(record: &CoordinationRecord) -> Result<CoordinationRecord, ChangeError> {
     match record.phase {
         Phase::Closed => changed(record, Phase::Closed, record.pages, |b| b.rotated = true),
-        phase => Err(Not::Already(phase)),
+        phase => Err(ChangeError::Already(phase)),
     }
 }
--- a/crates/release/src/show.rs
+++ b/crates/release/src/status.rs
@@ -2,10 +2,10 @@
 //! the same.
 
 use crate::calendar::Stage;
+use crate::readiness::{Cause, Fact, Readiness, verdict};
 use crate::set::{ClosedBy, MISSING, Member, Release};
-use crate::verdict::{Cause, Fact, Verdict, verdict};
-use hazelsaddle_pact::record::Phase;
-use hazelsaddle_pact::shelf::Held;
+use hazelsaddle_coordination::record::Phase;
+use hazelsaddle_coordination::record_cache::Held;
 use jiff::Timestamp;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 /// A set as it is shown.
 #[derive(Serialize, Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct ReleaseStatus {
     /// The title.
     pub title: String,
     /// The night.
@@ -61,8 +61,8 @@
     at.map_or_else(|| us.to_string(), |t| t.strftime("%FT%TZ").to_string())
 }
 
-impl Shown {
-    /// A set by what is on record. See [`verdict`] for `members` and `fact`.
+impl ReleaseStatus {
+    /// A set by what is on record. See [`readiness`] for `members` and `fact`.
     #[must_use]
     pub fn of(
         (title, night): (&str, &str),
@@ -70,8 +70,8 @@
         members: Option<&[Member]>,
         fact: impl Fn(&str) -> Fact,
         now: u64,
-    ) -> Shown {
-        let mut s = Shown {
+    ) -> ReleaseStatus {
+        let mut s = ReleaseStatus {
             title: title.to_owned(),
             night: night.to_owned(),
             state: match held {
@@ -111,9 +111,9 @@
         s.renders = renders().count();
         s.renders_done = renders().filter(|m| fact(&m.id) == Fact::Done).count();
         match verdict(held, members, fact) {
-            Verdict::Open => {}
-            Verdict::Ready(_) => s.state = "ready",
-            Verdict::Held { why } => {
+            Readiness::Open => {}
+            Readiness::Ready(_) => s.state = "ready",
+            Readiness::Held { why } => {
                 s.waits_for = why.into_iter().map(|cause| Waits { text: cause.to_string(), cause }).collect();
             }
         }
@@ -121,7 +121,7 @@
     }
 }
 
-impl fmt::Display for Shown {
+impl fmt::Display for ReleaseStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let late = if self.late { ", late" } else { "" };
         writeln!(f, "{} {}: {}{late}", self.title, self.night, self.state)?;
--- a/crates/release/src/tests.rs
+++ b/crates/release/src/tests.rs
@@ -1,13 +1,13 @@
 use crate::calendar::{Calendar, Calendars, EARLY, Stage, date_of};
 use crate::join::{Join, Refusal, may_join, night};
-use crate::says::{Says, key};
-use crate::set::{self, ClosedBy, MISSING, Member, Not, Release};
-use crate::show::Shown;
-use crate::stagger::{Pull, of_set};
-use crate::verdict::{Cause, Fact, Verdict, verdict};
-use hazelsaddle_pact::census::{self, Stands};
-use hazelsaddle_pact::record::{Phase, Record, Unreadable};
-use hazelsaddle_pact::shelf::Held;
+use crate::priority_inheritance::{InheritedPriority, of_set};
+use crate::readiness::{Cause, Fact, Readiness, verdict};
+use crate::release_ref::{ReleaseRef, key};
+use crate::set::{self, ChangeError, ClosedBy, MISSING, Member, Release};
+use crate::status::ReleaseStatus;
+use hazelsaddle_coordination::census::{self, Stands};
+use hazelsaddle_coordination::record::{CoordinationRecord, Phase, Unreadable};
+use hazelsaddle_coordination::record_cache::Held;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -27,11 +27,11 @@
     ];
     Calendars(vec![Calendar::parse("nightly", pairs).expect("valid")])
 }
-fn says(stage: Stage, night: &str) -> Says {
+fn says(stage: Stage, night: &str) -> ReleaseRef {
     let night = (!night.is_empty()).then(|| night.to_owned());
-    Says { title: "boldog-1".into(), night, stage, expects: None }
+    ReleaseRef { title: "boldog-1".into(), night, stage, expects: None }
 }
-fn opened() -> Record {
+fn opened() -> CoordinationRecord {
     let c = calendars("05:00");
     let n = c.0[0].night(date_of("2026-12-01").expect("a date")).expect("a night");
     Release::open("boldog-1", &n, "nightly", BEGINS).record()
@@ -40,7 +40,7 @@
     Member { id: id.into(), stage, expects }
 }
 /// A set closed with a rebuild `a` that declares two renders, and these renders.
-fn closed(renders: &[&str]) -> (Record, Vec<Member>) {
+fn closed(renders: &[&str]) -> (CoordinationRecord, Vec<Member>) {
     let found = |id: &str, says: Value| (id.to_owned(), census::Member { stands: Stands::Live, says });
     let mut all: BTreeMap<String, census::Member> =
         [found("a", json!({"title": "boldog-1", "stage": "rebuild", "expects": 2}))].into();
@@ -52,9 +52,9 @@
     let members = set::members(pages.iter().map(|p| &p.1)).expect("readable");
     (head, members)
 }
-fn causes(record: &Record, members: &[Member], fact: impl Fn(&str) -> Fact) -> Vec<String> {
+fn causes(record: &CoordinationRecord, members: &[Member], fact: impl Fn(&str) -> Fact) -> Vec<String> {
     match verdict(&Held::Is(record.clone()), Some(members), fact) {
-        Verdict::Held { why } => why.iter().map(ToString::to_string).collect(),
+        Readiness::Held { why } => why.iter().map(ToString::to_string).collect(),
         other => panic!("{other:?}"),
     }
 }
@@ -62,7 +62,7 @@
 #[test]
 fn who_may_join_and_why_not() {
     let c = calendars("05:00");
-    let ask = |held: &Held, s: &Says, class: &str, now: u64| match may_join(held, &c, s, class, now) {
+    let ask = |held: &Held, s: &ReleaseRef, class: &str, now: u64| match may_join(held, &c, s, class, now) {
         Join::Now => "now".to_owned(),
         Join::Open(r) => format!("open {}", r.version),
         Join::Later(why) => format!("later: {why}"),
@@ -160,13 +160,13 @@
         (Held::Absent, Cause::NotOpened),
         (Held::Unreadable(Unreadable::Newer(2)), Cause::Unreadable { why: Unreadable::Newer(2).to_string() }),
     ] {
-        assert_eq!(verdict(&held, Some(&[]), all(Fact::Done)), Verdict::Held { why: vec![cause] });
+        assert_eq!(verdict(&held, Some(&[]), all(Fact::Done)), Readiness::Held { why: vec![cause] });
     }
     let (head, members) = closed(&["b", "c"]);
     assert_eq!(members.len(), 3, "a rotation is no member");
     assert_eq!(
         verdict(&Held::Is(head.clone()), None, all(Fact::Done)),
-        Verdict::Held { why: vec![Cause::Pages] }
+        Readiness::Held { why: vec![Cause::Pages] }
     );
     let facts = |id: &str| match id {
         "a" => Fact::Done,
@@ -186,19 +186,19 @@
     let waived = set::waive(&head, &members, "b", "broken prices").expect("a member");
     assert_eq!(causes(&waived, &members, |id| if id == "b" { Fact::Cancelled } else { Fact::Done }).len(), 1);
     let waived = set::waive(&waived, &members, MISSING, "one is enough").expect("closed");
-    let Verdict::Ready(next) = verdict(&Held::Is(waived.clone()), Some(&members), |id| {
+    let Readiness::Ready(next) = verdict(&Held::Is(waived.clone()), Some(&members), |id| {
         if id == "b" { Fact::Cancelled } else { Fact::Done }
     }) else {
         panic!("nothing is left to wait for")
     };
     // On record first; and from then on whatever else is known.
-    assert_eq!(verdict(&Held::Is(next.clone()), None, all(Fact::Unread)), Verdict::Open);
-    assert_eq!(set::reopen(&next), Err(Not::Rotated("boldog-1".into(), "2026-12-01".into())));
-    assert!(matches!(set::waive(&next, &members, "c", "late"), Err(Not::Rotated(..))));
+    assert_eq!(verdict(&Held::Is(next.clone()), None, all(Fact::Unread)), Readiness::Open);
+    assert_eq!(set::reopen(&next), Err(ChangeError::Rotated("boldog-1".into(), "2026-12-01".into())));
+    assert!(matches!(set::waive(&next, &members, "c", "late"), Err(ChangeError::Rotated(..))));
 
     let (none, members) = closed(&[]);
     let without = set::waive(&none, &members, MISSING, "prices alone").expect("closed");
-    assert!(matches!(verdict(&Held::Is(without), Some(&members), all(Fact::Done)), Verdict::Ready(_)));
+    assert!(matches!(verdict(&Held::Is(without), Some(&members), all(Fact::Done)), Readiness::Ready(_)));
     let rebuild = [member("a", Stage::Rebuild, None)];
     assert_eq!(
         causes(&none, &rebuild, all(Fact::Done)),
@@ -212,20 +212,20 @@
     let k = key("boldog-1", "2026-12-01").expect("a key");
     assert_eq!(
         set::closed(&k, &open, &BTreeMap::new(), 4096),
-        Err(Not::Already(Phase::Open)),
+        Err(ChangeError::Already(Phase::Open)),
         "others may still join"
     );
-    assert_eq!(set::rotated(&open), Err(Not::Already(Phase::Open)));
+    assert_eq!(set::rotated(&open), Err(ChangeError::Already(Phase::Open)));
     assert_eq!(
         set::waive(&open, &[], MISSING, "why not"),
-        Err(Not::Counting),
+        Err(ChangeError::Counting),
         "it would cover what goes missing later"
     );
-    assert_eq!(set::reopen(&set::close(&open).expect("open")), Err(Not::Counting));
+    assert_eq!(set::reopen(&set::close(&open).expect("open")), Err(ChangeError::Counting));
     let (head, members) = closed(&["b"]);
-    assert_eq!(set::close(&head), Err(Not::Already(Phase::Closed)));
+    assert_eq!(set::close(&head), Err(ChangeError::Already(Phase::Closed)));
     for why in ["", "  ", "a\nb", &"x".repeat(121)] {
-        assert_eq!(set::waive(&head, &members, "b", why), Err(Not::Why));
+        assert_eq!(set::waive(&head, &members, "b", why), Err(ChangeError::Why));
     }
     let e = set::waive(&head, &members, "wk-b", "so").expect_err("no member");
     assert_eq!(e.to_string(), "wk-b is no render or rebuild of this set; the nearest is b");
@@ -234,7 +234,7 @@
     assert_eq!(Release::read(&twice).expect("readable").waived["b"], "first");
     let many: Vec<Member> = (0..20).map(|n| member(&format!("r{n:02}"), Stage::Render, None)).collect();
     let last = many.iter().try_fold(head, |r, m| set::waive(&r, &many, &m.id, &"x".repeat(120)));
-    assert_eq!(last, Err(Not::Many), "the head must fit into a value");
+    assert_eq!(last, Err(ChangeError::Many), "the head must fit into a value");
 }
 
 #[test]
@@ -262,8 +262,9 @@
     let (head, members) = closed(&["b", "c"]);
     let head = set::waive(&head, &members, "c", "shop 7 is shut").expect("a member");
     let fact = |id: &str| if id == "a" { Fact::Done } else { Fact::Live };
-    let show =
-        |now| Shown::of(("boldog-1", "2026-12-01"), &Held::Is(head.clone()), Some(&members), fact, now);
+    let show = |now| {
+        ReleaseStatus::of(("boldog-1", "2026-12-01"), &Held::Is(head.clone()), Some(&members), fact, now)
+    };
     assert_eq!(
         show(BEGINS + 11 * HOUR).to_string(),
         "boldog-1 2026-12-01: held, late\n  calendar nightly: began 2026-12-01T20:00:00Z, renders due 2026-12-02T05:00:00Z, rotation due 2026-12-02T06:00:00Z\n  \
@@ -273,7 +274,7 @@
     assert_eq!((&v["late"], &v["closed_by"]), (&json!(false), &json!("operator")));
     let waits = json!([{"cause": "live", "job": "b", "stage": "render", "text": "render b is not finished"}]);
     assert_eq!(v["waits_for"], waits);
-    let gone = Shown::of(("boldog-1", "2026-12-01"), &Held::Absent, None, fact, BEGINS);
+    let gone = ReleaseStatus::of(("boldog-1", "2026-12-01"), &Held::Absent, None, fact, BEGINS);
     assert_eq!((gone.state, gone.waits_for[0].text.as_str()), ("absent", "no render has joined yet"));
 }
 
@@ -282,16 +283,16 @@
     let body = Release::read(&opened()).expect("readable");
     let mut later = body.clone();
     later.renders_us += HOUR;
-    let rotation = Pull { urgency: 13, due: Some(BEGINS + 30 * HOUR) };
+    let rotation = InheritedPriority { urgency: 13, due: Some(BEGINS + 30 * HOUR) };
     let (first, second) =
         (of_set(&body, [rotation]).expect("held"), of_set(&later, [rotation]).expect("held"));
-    assert_eq!(first, Pull { urgency: 13, due: Some(body.renders_us) });
+    assert_eq!(first, InheritedPriority { urgency: 13, due: Some(body.renders_us) });
     assert!(first.order() < second.order());
     // Urgency goes before time; a job keeps what it has itself where that is more.
     assert!(second.order() < of_set(&body, []).expect("held").order());
-    let own = Pull { urgency: 20, due: Some(1) };
+    let own = InheritedPriority { urgency: 20, due: Some(1) };
     assert_eq!(own.and(first), own);
-    assert_eq!(first.and(Pull::default()), first);
+    assert_eq!(first.and(InheritedPriority::default()), first);
     let mut rotated = body;
     rotated.rotated = true;
     assert_eq!(of_set(&rotated, [rotation]), None);
--- a/crates/release/tests/model.rs
+++ b/crates/release/tests/model.rs
@@ -77,7 +77,7 @@
 /// How far a count of members has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Census {
-    Not,
+    NotStarted,
     /// The first half of the records is read.
     Half(u8),
     Whole(u8),
@@ -114,7 +114,7 @@
     pages: [None; 2],
     jobs: [Job::Absent; 2],
     joins: [None; 2],
-    closers: [Closer { held: None, census: Census::Not, page: None, head: None }; 2],
+    closers: [Closer { held: None, census: Census::NotStarted, page: None, head: None }; 2],
     reopen: None,
     reopened: false,
     started: false,
@@ -187,7 +187,7 @@
         for c in 0..2 {
             let me = s.closers[c];
             // It reads, or begins anew after a crash: its writes are still on their way.
-            then(&|n| (n.closers[c].held, n.closers[c].census) = (Some(s.head), Census::Not));
+            then(&|n| (n.closers[c].held, n.closers[c].census) = (Some(s.head), Census::NotStarted));
             if let Some((version, members)) = me.page {
                 then(&|n| {
                     n.closers[c].page = None;
@@ -230,10 +230,10 @@
                 let live = |j| matches!(j, Job::Live | Job::Ended);
                 let ended = |j| matches!(j, Job::Done | Job::Cancelled);
                 match me.census {
-                    Census::Not if self.live_before_ends => {
+                    Census::NotStarted if self.live_before_ends => {
                         then(&|n| n.closers[c].census = Census::Half(s.found(live)))
                     }
-                    Census::Not => then(&|n| n.closers[c].census = Census::Half(s.found(ended))),
+                    Census::NotStarted => then(&|n| n.closers[c].census = Census::Half(s.found(ended))),
                     Census::Half(half) => {
                         let rest = if self.live_before_ends { s.found(ended) } else { s.found(live) };
                         then(&|n| n.closers[c].census = Census::Whole(half | rest));
--- a/crates/release/tests/races.rs
+++ b/crates/release/tests/races.rs
@@ -1,14 +1,14 @@
 //! Random races against a conditional store, with the package's own decisions: joins race closing, ends, cancels, waivers and
 //! reopening; three controllers hold old readings, forget all in a crash, get no answers, and their commits come late.
 
-use hazelsaddle_pact::census::{Census, ENDS, LIVE, Reading, Stands, Step};
-use hazelsaddle_pact::record::{Key, Phase, Record};
-use hazelsaddle_pact::shelf::Held;
+use hazelsaddle_coordination::census::{Census, ENDS, LIVE, Reading, Stands, Step};
+use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
+use hazelsaddle_coordination::record_cache::Held;
 use hazelsaddle_release::calendar::{Calendar, Calendars, Stage};
 use hazelsaddle_release::join::{Join, Refusal, may_join};
-use hazelsaddle_release::says::Says;
+use hazelsaddle_release::readiness::{Fact, Readiness, verdict};
+use hazelsaddle_release::release_ref::ReleaseRef;
 use hazelsaddle_release::set::{self, MISSING, Member, Release};
-use hazelsaddle_release::verdict::{Fact, Verdict, verdict};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,8 +35,8 @@
     says(Stage::Render, None).key().expect("a key")
 }
 
-fn says(stage: Stage, expects: Option<u64>) -> Says {
-    Says { title: TITLE.into(), night: Some(NIGHT.into()), stage, expects }
+fn says(stage: Stage, expects: Option<u64>) -> ReleaseRef {
+    ReleaseRef { title: TITLE.into(), night: Some(NIGHT.into()), stage, expects }
 }
 
 #[derive(Clone, Debug)]
@@ -72,7 +72,7 @@
     fn held(&self) -> (Held, u64) {
         match self.rows.get(&key().head()) {
             None => (Held::Absent, 0),
-            Some((v, mark)) => (Record::read(v).map_or_else(Held::Unreadable, Held::Is), *mark),
+            Some((v, mark)) => (CoordinationRecord::read(v).map_or_else(Held::Unreadable, Held::Is), *mark),
         }
     }
     fn fact(&self, id: &str) -> Fact {
@@ -83,10 +83,10 @@
         }
     }
     /// Every rebuild and render that was accepted, as its own record says.
-    fn accepted(&self) -> Vec<(String, Says)> {
+    fn accepted(&self) -> Vec<(String, ReleaseRef)> {
         let of = |(k, (v, _)): (&String, &(Value, u64))| {
             let id = k.strip_prefix(LIVE).or_else(|| k.strip_prefix(ENDS))?;
-            let says = Says::parse(&v["says"]).expect("written by us");
+            let says = ReleaseRef::parse(&v["says"]).expect("written by us");
             (says.stage != Stage::Rotation).then(|| (id.to_owned(), says))
         };
         self.rows.iter().filter_map(of).collect()
@@ -183,7 +183,7 @@
         }
     }
 
-    fn head(&mut self, c: usize, record: &Record, way: Way) -> bool {
+    fn head(&mut self, c: usize, record: &CoordinationRecord, way: Way) -> bool {
         let key = key().head();
         if let Held::Is(old) = &self.controllers[c].held {
             old.allows(record).expect("no decision goes back");
@@ -255,17 +255,17 @@
                 }
                 let me = &self.controllers[c];
                 match verdict(&me.held, me.members.as_deref(), |id| self.store.fact(id)) {
-                    Verdict::Open => self.started = true,
-                    Verdict::Ready(next) => {
+                    Readiness::Open => self.started = true,
+                    Readiness::Ready(next) => {
                         self.head(c, &next, way);
                     }
-                    Verdict::Held { why } => assert!(!why.is_empty()),
+                    Readiness::Held { why } => assert!(!why.is_empty()),
                 }
             }
         }
     }
 
-    fn count(&mut self, c: usize, record: &Record, way: Way) {
+    fn count(&mut self, c: usize, record: &CoordinationRecord, way: Way) {
         let census = self.controllers[c].census.get_or_insert_with(|| Census::begin([key().head()].into()));
         match census.next() {
             Step::Read(prefix, after) => {
@@ -297,7 +297,7 @@
     fn operator(
         &mut self,
         c: usize,
-        change: impl Fn(&Record, &[Member]) -> Result<Record, set::Not>,
+        change: impl Fn(&CoordinationRecord, &[Member]) -> Result<CoordinationRecord, set::ChangeError>,
         way: Way,
     ) {
         let Held::Is(record) = self.controllers[c].held.clone() else { return };
@@ -386,7 +386,7 @@
                 self.play(&Op::Close(0), Way::Answered);
             }
             let me = &self.controllers[0];
-            if let (Some(members), Verdict::Held { why }) =
+            if let (Some(members), Readiness::Held { why }) =
                 (&me.members, verdict(&me.held, me.members.as_deref(), |id| self.store.fact(id)))
             {
                 let known = members.clone();
--- a/crates/lab/src/batches.rs
+++ b/crates/testbed/src/batches.rs
@@ -5,12 +5,12 @@
 //! recorded, not by what controllers say.
 
 use crate::http::lock;
-use crate::town::{Size, Town, description};
-use crate::trial::{Change, Clock, Told, Troubles, Users, history, keep_logs, member, value_at, with};
+use crate::local_cluster::{LocalCluster, Size, description};
 use crate::worker::Script;
+use crate::workload::{Change, Clock, Told, Troubles, Users, history, keep_logs, member, value_at, with};
+use hazelsaddle_coordination::record::CoordinationRecord;
 use hazelsaddle_freshness::batch::{Batch, Permit};
 use hazelsaddle_logs::spool::Policy;
-use hazelsaddle_pact::record::Record;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -115,7 +115,7 @@
     }
 }
 
-fn draw(rng: &mut StdRng, n: usize, seed: u64, town: &Town) -> Plan {
+fn draw(rng: &mut StdRng, n: usize, seed: u64, town: &LocalCluster) -> Plan {
     let name = format!("batch-{n}");
     let mut count = 0;
     let mut job = |rng: &mut StdRng, class: &str, lines: (u32, u32), members: &[(&str, Value)]| {
@@ -196,7 +196,7 @@
 
 /// Running merges ask whether they may write, again and again, by way of the load balancer.
 fn writers(
-    town: &Town,
+    town: &LocalCluster,
     users: &Arc<Users>,
     ended: &Arc<AtomicBool>,
 ) -> (JoinHandle<()>, Arc<Mutex<Vec<Answer>>>) {
@@ -243,7 +243,7 @@
 ) -> Result<Outcome, Box<dyn std::error::Error>> {
     let mut rng = StdRng::seed_from_u64(seed);
     let size = Size { workers: machines, operators: INI.into(), keep_all: true, ..Size::default() };
-    let mut town = Town::start(program, &size)?;
+    let mut town = LocalCluster::start(program, &size)?;
     let clock = Clock::start(town.state.clone());
     let users = Users::start(town.api.clone());
     let plans: Vec<Plan> = (0..(machines / 2).max(6)).map(|n| draw(&mut rng, n, seed, &town)).collect();
@@ -349,7 +349,7 @@
         self.clock.of(self.changes.iter().find(of)?.at)
     }
 
-    fn judge(&self, town: &Town, users: &Users, plans: &[Plan], told: &[Answer], out: &mut Outcome) {
+    fn judge(&self, town: &LocalCluster, users: &Users, plans: &[Plan], told: &[Answer], out: &mut Outcome) {
         let merges: BTreeMap<String, String> = plans
             .iter()
             .flat_map(|p| {
@@ -404,7 +404,7 @@
         let mut given: BTreeMap<(String, u64), String> = BTreeMap::new();
         let mut last: BTreeMap<String, Batch> = BTreeMap::new();
         for c in self.changes.iter().filter(|c| c.key.starts_with("pact/b/")) {
-            let batch = c.value.as_ref().and_then(|v| Batch::read(&Record::read(v).ok()?).ok());
+            let batch = c.value.as_ref().and_then(|v| Batch::read(&CoordinationRecord::read(v).ok()?).ok());
             let Some(batch) = batch else {
                 tracing::error!(key = c.key, "a batch that can't be read");
                 out.rules_broken += 1;
--- a/crates/lab/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,10 +1,10 @@
 //! Experiments: a deployment under seeded faults, and an account of what came of it.
 
 use crate::http::lock;
+use crate::local_cluster::{LocalCluster, Size};
 use crate::measure;
-use crate::town::{Size, Town};
 use crate::worker::{Script, Written, line};
-use hazelsaddle_logs::chunk::{Gap, Kind, Stall};
+use hazelsaddle_logs::chunk::{BackPressure, Gap, Kind};
 use hazelsaddle_logs::key::{AttemptKey, StreamKey};
 use hazelsaddle_logs::reader::{Piece, Reader};
 use hazelsaddle_logs::spool::Policy;
@@ -117,8 +117,10 @@
         ("retention", "silent_s = 5".to_owned()),
         ("copies", "heal_ms = 3".to_owned()),
     ];
-    let mut town =
-        Town::start(program, &Size { workers: plan.workers, stores: 4, settings, ..Size::default() })?;
+    let mut town = LocalCluster::start(
+        program,
+        &Size { workers: plan.workers, stores: 4, settings, ..Size::default() },
+    )?;
     let mut out = Outcome { seed: plan.seed, ..Outcome::default() };
     let mut jobs = Vec::new();
     for j in 0..3 + plan.workers / 3 {
@@ -190,7 +192,7 @@
     (out.follow_p50_ms, out.follow_p99_ms) = follow.end();
     check(&town, &mut out);
     if !out.holds() {
-        let kept = std::env::temp_dir().join(format!("hazelsaddle-lab-{}.log", plan.seed));
+        let kept = std::env::temp_dir().join(format!("hazelsaddle-testbed-{}.log", plan.seed));
         std::fs::write(&kept, town.logs())?;
         tracing::error!(seed = plan.seed, logs = %kept.display(), "the experiment does not hold");
     }
@@ -203,7 +205,7 @@
 
 /// Starts again what was killed, once its time has come.
 fn revive(
-    town: &mut Town,
+    town: &mut LocalCluster,
     back: &mut Vec<(Instant, bool, usize)>,
     out: &mut Outcome,
 ) -> Result<(), Box<dyn std::error::Error>> {
@@ -221,7 +223,7 @@
 }
 
 /// Reads everything back and compares it with what the writers say.
-fn check(town: &Town, out: &mut Outcome) {
+fn check(town: &LocalCluster, out: &mut Outcome) {
     let mut reader = Reader::new(town.doors.clone());
     // Threads of machines that were killed may still be counting.
     std::thread::sleep(Duration::from_millis(500));
@@ -285,8 +287,8 @@
                 gaps += g.lines;
                 out.lines_in_gaps += g.lines;
             }
-            Piece::Chunk(c) if c.kind == Kind::Stall => {
-                let s: Stall = serde_json::from_slice(&c.body).unwrap_or_default();
+            Piece::Chunk(c) if c.kind == Kind::BackPressure => {
+                let s: BackPressure = serde_json::from_slice(&c.body).unwrap_or_default();
                 waited += s.waited;
             }
             Piece::Chunk(_) => {}
--- a/crates/lab/src/town.rs
+++ b/crates/testbed/src/local_cluster.rs
@@ -42,7 +42,7 @@
 }
 
 /// The deployment.
-pub struct Town {
+pub struct LocalCluster {
     program: PathBuf,
     folder: tempfile::TempDir,
     controllers: Vec<Process>,
@@ -66,12 +66,12 @@
 
 type Failed = Box<dyn std::error::Error>;
 
-impl Town {
+impl LocalCluster {
     /// Starts everything. `program` is this laboratory's own binary, which runs controllers and stores, too.
     ///
     /// # Errors
     /// If a port, a file or a process can't be had.
-    pub fn start(program: &Path, size: &Size) -> Result<Town, Failed> {
+    pub fn start(program: &Path, size: &Size) -> Result<LocalCluster, Failed> {
         let folder = tempfile::tempdir()?;
         let ended = Arc::new(AtomicBool::new(false));
         let state_away = Arc::new(AtomicBool::new(false));
@@ -99,7 +99,7 @@
         let cloud: cloud::Shared = Arc::new(Mutex::new(Cloud::new(named, registry.clone(), size.workers)));
         let shared = cloud.clone();
         serve(cloud_at, 4, ended.clone(), move |m, u, b| cloud::handle(&shared, m, u, b))?;
-        let mut town = Town {
+        let mut town = LocalCluster {
             program: program.to_owned(),
             controllers: Vec::new(),
             stores: Vec::new(),
@@ -168,22 +168,22 @@
     /// # Errors
     /// What the system says.
     pub fn start_controller(&mut self, i: usize) -> std::io::Result<()> {
-        Town::run(&self.program, &mut self.controllers[i])
+        LocalCluster::run(&self.program, &mut self.controllers[i])
     }
     /// Kills a controller without a warning.
     pub fn kill_controller(&mut self, i: usize) {
-        Town::end_of(&mut self.controllers[i]);
+        LocalCluster::end_of(&mut self.controllers[i]);
     }
     /// Starts a store that was killed.
     ///
     /// # Errors
     /// What the system says.
     pub fn start_store(&mut self, i: usize) -> std::io::Result<()> {
-        Town::run(&self.program, &mut self.stores[i])
+        LocalCluster::run(&self.program, &mut self.stores[i])
     }
     /// Kills a store without a warning.
     pub fn kill_store(&mut self, i: usize) {
-        Town::end_of(&mut self.stores[i]);
+        LocalCluster::end_of(&mut self.stores[i]);
     }
     /// Which stores run.
     pub fn stores_up(&self) -> Vec<usize> {
@@ -285,11 +285,11 @@
         "rideS": 5.0, "restS": 0.0, "unsaddleS": 0.0, "dueS": null})
 }
 
-impl Drop for Town {
+impl Drop for LocalCluster {
     fn drop(&mut self) {
         lock(&self.cloud).end();
         for p in self.controllers.iter_mut().chain(&mut self.stores) {
-            Town::end_of(p);
+            LocalCluster::end_of(p);
         }
         self.ended.store(true, Ordering::Relaxed);
     }
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -2,12 +2,12 @@
 
 use clap::{Parser, Subcommand};
 use hazelsaddle::{daemon, operators::Operators, settings::Settings};
-use hazelsaddle_lab::experiment::{self, Plan};
-use hazelsaddle_lab::measure;
-use hazelsaddle_lab::town::{Size, Town};
-use hazelsaddle_lab::worker::Script;
-use hazelsaddle_lab::{batches, releases};
 use hazelsaddle_logs::{cli, spool::Policy};
+use hazelsaddle_testbed::experiment::{self, Plan};
+use hazelsaddle_testbed::local_cluster::{LocalCluster, Size};
+use hazelsaddle_testbed::measure;
+use hazelsaddle_testbed::worker::Script;
+use hazelsaddle_testbed::{batches, releases};
 use std::process::ExitCode;
 use std::time::Duration;
 
@@ -139,7 +139,8 @@
 }
 
 fn up(stay: bool) -> Result<(), Box<dyn std::error::Error>> {
-    let town = Town::start(&std::env::current_exe()?, &Size { workers: 3, stores: 3, ..Size::default() })?;
+    let town =
+        LocalCluster::start(&std::env::current_exe()?, &Size { workers: 3, stores: 3, ..Size::default() })?;
     let shown =
         |a: &[std::net::SocketAddrV4]| a.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
     println!("controllers  {}", shown(&town.api));
@@ -199,7 +200,7 @@
 }
 
 fn failed(e: Box<dyn std::error::Error>) -> ExitCode {
-    eprintln!("hazelsaddle-lab: {e}");
+    eprintln!("hazelsaddle-testbed: {e}");
     ExitCode::from(1)
 }
 
--- a/crates/lab/src/releases.rs
+++ b/crates/testbed/src/releases.rs
@@ -5,13 +5,13 @@
 //! controllers say.
 
 use crate::http::lock;
-use crate::town::{Size, Town, description};
-use crate::trial::{
+use crate::local_cluster::{LocalCluster, Size, description};
+use crate::worker::{Ran, Script};
+use crate::workload::{
     Change, Clock, Told, Troubles, Users, history, keep_logs, member, quantile, value_at, with,
 };
-use crate::worker::{Ran, Script};
+use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
 use hazelsaddle_logs::spool::Policy;
-use hazelsaddle_pact::record::{Phase, Record};
 use hazelsaddle_release::set::{ClosedBy, Release, members};
 use jiff::{SignedDuration, Timestamp, ToSpan, tz::TimeZone};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -165,7 +165,7 @@
     let due = [Timestamp::now() + 110.seconds(), Timestamp::now() + 2.hours()];
     let operators = calendar("soon", "due-*", due[0]) + &calendar("long", "long-*", due[1]);
     let size = Size { workers: machines, operators, keep_all: true, ..Size::default() };
-    let mut town = Town::start(program, &size)?;
+    let mut town = LocalCluster::start(program, &size)?;
     let clock = Clock::start(town.state.clone());
     let users = Users::start(town.api.clone());
     let titles: Vec<Title> = (0..(machines / 2).max(6)).map(|n| draw(&mut rng, n, seed, due)).collect();
@@ -330,13 +330,13 @@
     key: String,
     /// Its states on record: revision, phase and body.
     states: Vec<(u64, Phase, Release)>,
-    last: Record,
+    last: CoordinationRecord,
 }
 
 fn sets(changes: &[Change]) -> BTreeMap<String, Set> {
     let mut out: BTreeMap<String, Set> = BTreeMap::new();
     for c in changes.iter().filter(|c| c.key.starts_with("pact/r/")) {
-        let Some(Ok(record)) = c.value.as_ref().map(Record::read) else { continue };
+        let Some(Ok(record)) = c.value.as_ref().map(CoordinationRecord::read) else { continue };
         let Ok(body) = Release::read(&record) else { continue };
         let state = (c.at, record.phase, body);
         let set = out.entry(state.2.title.clone()).or_insert_with(|| Set {
@@ -350,7 +350,7 @@
     out
 }
 
-fn judge(town: &Town, users: &Users, titles: &[Title], clock: &Clock, out: &mut Outcome) {
+fn judge(town: &LocalCluster, users: &Users, titles: &[Title], clock: &Clock, out: &mut Outcome) {
     let changes = history(town, &["job/", "done/", "pact/r/", "pactpage/r/"]);
     let sets = sets(&changes);
     let joined = joined(&changes);
@@ -489,7 +489,7 @@
         for (key, us) in night {
             body[key] = us.into();
         }
-        let value = Record { version: 1, phase, pages, body }.value();
+        let value = CoordinationRecord { version: 1, phase, pages, body }.value();
         Change { at, key: "pact/r/t@2026-12-01".into(), value: Some(value) }
     }
     fn job(at: u64, id: &str, end: Option<&str>) -> Change {
--- a/crates/lab/src/trial.rs
+++ b/crates/testbed/src/workload.rs
@@ -2,8 +2,8 @@
 //! troubles at seeded moments; what was on record when; and the account of what holds on every seed.
 
 use crate::http::{body, lock};
+use crate::local_cluster::LocalCluster;
 use crate::state::State;
-use crate::town::Town;
 use crate::worker::Ran;
 use rand::{RngExt, rngs::StdRng};
 use serde::Serialize;
@@ -234,7 +234,7 @@
 
     /// Looks at every job once more, sends every submission again, and counts. `over`: when the last trouble was.
     #[must_use]
-    pub fn account(&self, town: &Town, over: Instant) -> Account {
+    pub fn account(&self, town: &LocalCluster, over: Instant) -> Account {
         let ids: Vec<String> = lock(&self.jobs).keys().cloned().collect();
         let mut out = Account::default();
         for id in ids {
@@ -342,7 +342,7 @@
     ///
     /// # Errors
     /// If a controller can't be started again.
-    pub fn step(&mut self, town: &mut Town) -> std::io::Result<()> {
+    pub fn step(&mut self, town: &mut LocalCluster) -> std::io::Result<()> {
         while let Some(n) = self.back.iter().position(|b| Instant::now() >= b.0) {
             let (_, i) = self.back.swap_remove(n);
             town.start_controller(i)?;
@@ -421,7 +421,7 @@
 
 /// All that was ever on record, of the keys that begin with one of these.
 #[must_use]
-pub fn history(town: &Town, prefixes: &[&str]) -> Vec<Change> {
+pub fn history(town: &LocalCluster, prefixes: &[&str]) -> Vec<Change> {
     let state = lock(&town.state);
     let of = |k: &str| prefixes.iter().any(|p| k.starts_with(p));
     let all = state.history().filter(|(_, k, _)| of(k));
@@ -458,8 +458,8 @@
 }
 
 /// Keeps the logs of a trial that doesn't hold.
-pub fn keep_logs(town: &Town, name: &str, seed: u64) {
-    let kept = std::env::temp_dir().join(format!("hazelsaddle-lab-{name}-{seed}.log"));
+pub fn keep_logs(town: &LocalCluster, name: &str, seed: u64) {
+    let kept = std::env::temp_dir().join(format!("hazelsaddle-testbed-{name}-{seed}.log"));
     let wrote = std::fs::write(&kept, town.logs()).is_ok();
     tracing::error!(seed, logs = %kept.display(), wrote, "the experiment does not hold");
 }
--- a/crates/lab/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn the_experiment_on_logs_loses_doubles_and_mixes_nothing() {
-    let out = Command::new(env!("CARGO_BIN_EXE_hazelsaddle-lab"))
+    let out = Command::new(env!("CARGO_BIN_EXE_hazelsaddle-testbed"))
         .args(["experiment", "logs", "--seed", "5", "--workers", "4", "--kills", "3", "--drains", "1"])
         .args(["--mib", "0", "--json"])
         .output()
@@ -23,7 +23,8 @@
 #[test]
 fn wrong_arguments_end_with_2_and_say_why() {
     for args in [&["experiment", "logs"][..], &["experiment", "logs", "--seed", "x"], &["up", "now"]] {
-        let out = Command::new(env!("CARGO_BIN_EXE_hazelsaddle-lab")).args(args).output().expect("it runs");
+        let out =
+            Command::new(env!("CARGO_BIN_EXE_hazelsaddle-testbed")).args(args).output().expect("it runs");
         assert_eq!(out.status.code(), Some(2), "{args:?}");
         assert!(!out.stderr.is_empty());
     }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -9,7 +9,7 @@
 use crate::store::{StoreClient, StoreRequest};
 use crate::units::Micros;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
-use hazelsaddle_base::line::Line;
+use hazelsaddle_cluster::send_queue::SendQueue;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -115,7 +115,7 @@
         std::thread::spawn(move || reader(server, tickets, tx, first));
     }
 
-    let links: HashMap<usize, Line<Frame>> = settings
+    let links: HashMap<usize, SendQueue<Frame>> = settings
         .seeds
         .iter()
         .filter_map(|s| {
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -29,7 +29,7 @@
 use crate::spec::{GUARANTEED, Kind, Spec};
 use crate::units::{Micros, Ranges, Room};
 use crate::views::{Seen, View};
-use hazelsaddle_takeover::doubts::{Doubt, Doubts};
+use hazelsaddle_failover::unresolved::{UnresolvedSetId, UnresolvedSets};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -79,7 +79,7 @@
     /// The names on record are being read: any machine may hold tasks of it.
     Unread,
     /// Machines in this set may hold tasks of it.
-    Waits(Doubt),
+    Waits(UnresolvedSetId),
     /// Nobody can have started it if this epoch stands; if a newer one has been raised, its owner there may have.
     IfEpochStands,
 }
@@ -178,9 +178,9 @@
     /// Machines that may hold tasks we don't know of.
     unheard: BTreeSet<String>,
     /// Those that jobs taken over wait for; a job keeps its own over epochs.
-    doubts: Doubts,
+    doubts: UnresolvedSets,
     /// The set that jobs read in this epoch wait for.
-    of_epoch: Option<Doubt>,
+    of_epoch: Option<UnresolvedSetId>,
     /// Some set has become empty: jobs may be settled.
     ends_doubt: bool,
     vouching: vouch::Vouching,
@@ -259,7 +259,7 @@
             by_machine: BTreeMap::new(),
             views: (0..n).map(|_| View::default()).collect(),
             unheard: BTreeSet::new(),
-            doubts: Doubts::default(),
+            doubts: UnresolvedSets::default(),
             of_epoch: None,
             ends_doubt: false,
             vouching: vouch::Vouching::default(),
--- a/src/jobs/handover.rs
+++ b/src/jobs/handover.rs
@@ -18,7 +18,7 @@
     /// The jobs that have another owner in `next`, the epoch that directly follows, by that owner. To be called before
     /// that epoch is adopted, and only by who decides no more.
     pub fn hand_over(&self, next: &Membership) -> BTreeMap<usize, Parcel> {
-        let mut out: BTreeMap<usize, (Parcel, BTreeMap<Doubt, u32>)> = BTreeMap::new();
+        let mut out: BTreeMap<usize, (Parcel, BTreeMap<UnresolvedSetId, u32>)> = BTreeMap::new();
         for (id, j) in &self.jobs {
             let Some(to) = next.job_owner(id).filter(|&o| o != next.me) else { continue };
             let (parcel, sets) = out.entry(to).or_default();
@@ -63,7 +63,7 @@
     pub fn handed(&mut self, now: Micros, jobs: Vec<HandedJob>, doubts: &[Vec<String>]) -> usize {
         let mut taken = 0;
         // What has been heard in this epoch was told to us, or is gone.
-        let open: Vec<Option<Doubt>> = doubts
+        let open: Vec<Option<UnresolvedSetId>> = doubts
             .iter()
             .map(|set| {
                 let left = set.iter().filter(|m| self.unheard.contains(*m)).cloned().collect();
--- a/src/jobs/loans.rs
+++ b/src/jobs/loans.rs
@@ -9,10 +9,10 @@
 use crate::peer::{Lendable, LendableTask, Lending as Told};
 use crate::placement::Place;
 use crate::teams::Teams;
-use hazelsaddle_loans::Amount;
-use hazelsaddle_loans::back::{Borrower, Lack, Stands, Terms, give_back};
-use hazelsaddle_loans::ledger::{Claim, Facts, Ledger, Loan, State};
-use hazelsaddle_loans::take::{Machine, Need, Task, choose};
+use hazelsaddle_gpu_lending::Amount;
+use hazelsaddle_gpu_lending::ledger::{Claim, Facts, Ledger, Loan, State};
+use hazelsaddle_gpu_lending::preemption::{Machine, Need, Task, choose};
+use hazelsaddle_gpu_lending::reclaim::{Borrower, LoanStanding, Shortfall, Terms, give_back};
 
 /// What others said holds for so long.
 const WORD: Micros = Micros::from_millis(5_000);
@@ -442,10 +442,10 @@
         let fresh = self.loans.others.values().filter(|(t, _)| now.since(*t) < WORD);
         let others = fresh.flat_map(|(_, told)| told.lacks.iter().cloned());
         let ours = self.loans.short.iter().map(|(t, (r, since))| (t.clone(), *r, now.since(*since)));
-        let mut lacks: BTreeMap<String, Lack> = BTreeMap::new();
+        let mut lacks: BTreeMap<String, Shortfall> = BTreeMap::new();
         for (team, room, age) in ours.chain(others) {
             let since_us = wall.0.saturating_sub(age.0);
-            let l = lacks.entry(team).or_insert(Lack { room: Amount::default(), since_us });
+            let l = lacks.entry(team).or_insert(Shortfall { room: Amount::default(), since_us });
             l.room = l.room + amount(room);
             l.since_us = l.since_us.min(since_us);
         }
@@ -456,13 +456,13 @@
         let stands =
             |job: &str, machine: &str| match self.jobs.get(job).filter(|_| m.job_owner(job) == Some(self.me))
             {
-                Some(j) => Stands {
+                Some(j) => LoanStanding {
                     replicas: j.placed.values().filter(|p| p.machine == machine).count() as u32,
                     each: j.spec.room.gpus,
                     within: j.footing == Footing::Within,
                 },
                 // Another owner decides about it.
-                None => Stands { within: true, ..Stands::default() },
+                None => LoanStanding { within: true, ..LoanStanding::default() },
             };
         let terms = Terms { stay_us: terms.stay.0, burst_us: terms.burst.0 };
         give_back(wall.0, terms, ledger, Borrower { used, guarantee }, &lacks, stands)
--- a/src/jobs/vouch.rs
+++ b/src/jobs/vouch.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use crate::peer::{HandedStart, Vouched};
-use hazelsaddle_base::ring::Ring;
+use hazelsaddle_cluster::hash_ring::Ring;
 
 /// What the witnesses are told.
 pub(super) struct Vouching {
@@ -102,7 +102,7 @@
                 });
             }
         }
-        let mut narrowed: BTreeMap<Doubt, Evidence> = BTreeMap::new();
+        let mut narrowed: BTreeMap<UnresolvedSetId, Evidence> = BTreeMap::new();
         let mut helped = 0;
         let theirs: Vec<String> = items
             .iter()
--- a/src/node.rs
+++ b/src/node.rs
@@ -39,7 +39,7 @@
 use crate::store::{Budget, Commit, Row, StoreAnswer, StoreRequest};
 use crate::teams::{ClaimWrite, Teams};
 use crate::units::{Micros, Ranges};
-use hazelsaddle_pact::record::{Key, Record};
+use hazelsaddle_coordination::record::{CoordinationRecord, Key};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -176,7 +176,7 @@
     /// Readings that decide about it must have begun since.
     since: Micros,
     /// A record that is put on record together with it, and when that went out.
-    with: Option<(Key, Record, Micros)>,
+    with: Option<(Key, CoordinationRecord, Micros)>,
 }
 
 /// A reading of a job's record that is under way.
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -9,13 +9,13 @@
 use crate::api::ops::OpRequest;
 use crate::jobs::follow::unpacked;
 use crate::jobs::{Attempt, Hold, Job};
+use hazelsaddle_coordination::census::Stands;
+use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Sort};
+use hazelsaddle_coordination::record_cache::Held;
 use hazelsaddle_freshness::batch::{Batch, Permit, Put, Writer};
 use hazelsaddle_freshness::guard::{self, Answer, Merge, Verdict};
 use hazelsaddle_freshness::settings::{Settings as Classes, nearest};
 use hazelsaddle_freshness::upstream::{Known, Look, Of, Run, Says};
-use hazelsaddle_pact::census::Stands;
-use hazelsaddle_pact::record::{Key, Kind as Sort, Record};
-use hazelsaddle_pact::shelf::Held;
 
 /// Merges are looked at so often, and at once when something is new.
 const PAUSE: Micros = Micros::from_millis(300);
@@ -195,7 +195,7 @@
     }
 
     /// A run was put on record with a newer version of its batch.
-    pub(super) fn raised(&mut self, id: &str, with: Option<(Key, Record, Micros)>, mark: u64) {
+    pub(super) fn raised(&mut self, id: &str, with: Option<(Key, CoordinationRecord, Micros)>, mark: u64) {
         let Some((key, record, sent)) = with else { return };
         tracing::info!(batch = %key.name(), version = record.version, by = id, "batch is at a newer version");
         self.fresh.counts.raised += 1;
--- a/src/node/freshness/show.rs
+++ b/src/node/freshness/show.rs
@@ -121,7 +121,7 @@
         let StoreAnswer::Page(page, more) = a else { return };
         for row in page {
             if let Some(key) = Key::parse(&row.key) {
-                let version = Record::read(&row.value).map(|r| json!(r.version));
+                let version = CoordinationRecord::read(&row.value).map(|r| json!(r.version));
                 let version = version.unwrap_or_else(|why| json!(why.to_string()));
                 rows.push(json!({"batch": key.name(), "version": version}));
             }
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -4,7 +4,7 @@
 use crate::peer::{HandedJob, HandedMachine, Parcel, Testimony};
 use crate::ring::Membership;
 use crate::ring::aside::Missing;
-use hazelsaddle_takeover::parcels::{Inbox, Outbox};
+use hazelsaddle_failover::handoff_batch::{Inbox, Outbox};
 
 /// The form of peers' frames that this and witnesses need.
 pub(super) const FORM: u64 = 3;
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -1,7 +1,7 @@
 //! Frames from and to peers.
 
 use super::*;
-use hazelsaddle_takeover::witness::Changes;
+use hazelsaddle_failover::start_replica::Changes;
 
 impl Node {
     /// The newest epoch that others may take it from us that we know. One that has stepped aside says
--- a/src/node/loans.rs
+++ b/src/node/loans.rs
@@ -5,8 +5,8 @@
 
 use super::*;
 use crate::operators::LoanTerms;
-use hazelsaddle_loans::ledger::{Ledger, Loan, State};
-use hazelsaddle_pact::record::{Key, Kind as Pact, Record};
+use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Pact};
+use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, State};
 
 /// The form from which on controllers say what their jobs could lend.
 pub(super) const FORM: u64 = 4;
@@ -21,14 +21,14 @@
     /// Reading all ledgers: the epoch, and when the question went out.
     List(u64, Micros),
     /// A change of a team's ledger: the epoch, the team, and what it is to say.
-    Change(u64, String, Box<Record>),
+    Change(u64, String, Box<CoordinationRecord>),
 }
 
 /// What this controller knows of ledgers.
 #[derive(Default)]
 pub(super) struct Loans {
     /// As read, with their marks.
-    read: BTreeMap<String, (Record, Ledger, u64)>,
+    read: BTreeMap<String, (CoordinationRecord, Ledger, u64)>,
     /// Ledgers that can't be read, and why. Nothing is claimed meanwhile.
     unreadable: BTreeMap<String, String>,
     /// Whether they have been read in this epoch.
@@ -126,8 +126,8 @@
         }
         let body = next.body();
         let record = match self.loans.read.get(team) {
-            Some((r, ..)) => Record { body, ..r.clone() },
-            None => Record::open(1, body),
+            Some((r, ..)) => CoordinationRecord { body, ..r.clone() },
+            None => CoordinationRecord::open(1, body),
         };
         if record.value().to_string().len() > self.settings.value_bytes || !self.writes.take(now, 1.0, 0.2) {
             return;
@@ -187,7 +187,7 @@
         for row in rows {
             let Some(key) = Key::parse(&row.key) else { continue };
             let team = key.name().to_owned();
-            let r = Record::read(&row.value).map_err(|e| e.to_string());
+            let r = CoordinationRecord::read(&row.value).map_err(|e| e.to_string());
             match r.and_then(|r| Ledger::read(&r.body).map(|l| (r, l)).map_err(|e| e.to_string())) {
                 Ok((r, l)) => {
                     read.insert(team, (r, l, row.mark));
--- a/src/node/pacts.rs
+++ b/src/node/pacts.rs
@@ -3,9 +3,9 @@
 
 use super::*;
 use crate::jobs::says_of_record;
-use hazelsaddle_pact::census::{Census, Reading, Stands, Step};
-use hazelsaddle_pact::record::{self, Key, Record};
-use hazelsaddle_pact::shelf::{Held, Shelf};
+use hazelsaddle_coordination::census::{Census, Reading, Stands, Step};
+use hazelsaddle_coordination::record::{self, CoordinationRecord, Key};
+use hazelsaddle_coordination::record_cache::{Held, RecordCache};
 
 /// Work that looks at all records is done so often.
 pub(super) const ROUND: Micros = Micros::from_millis(300);
@@ -54,7 +54,7 @@
     key: Key,
     epoch: u64,
     mark: u64,
-    next: Record,
+    next: CoordinationRecord,
     /// Pages and their keys, the last first.
     pages: Vec<(String, Value)>,
     sent: Micros,
@@ -63,7 +63,7 @@
 }
 
 /// A census' outcome: members by pact, and when it began.
-pub(super) type Members = BTreeMap<String, hazelsaddle_pact::census::Member>;
+pub(super) type Members = BTreeMap<String, hazelsaddle_coordination::census::Member>;
 
 /// An operator's request that is under way.
 pub(super) struct Operating {
@@ -75,7 +75,7 @@
 /// What this controller knows of pacts.
 #[derive(Default)]
 pub(super) struct Pacts {
-    pub(super) shelf: Shelf,
+    pub(super) shelf: RecordCache,
     /// Keys under change by this process.
     changing: BTreeSet<Key>,
     /// Submissions that wait for a record.
@@ -117,7 +117,7 @@
 
 /// What a job's record says: the heads of the pacts that it joined, and how it stands.
 pub(super) fn reading(key: &str, v: &Value) -> Reading {
-    if key.starts_with(hazelsaddle_pact::census::ENDS) {
+    if key.starts_with(hazelsaddle_coordination::census::ENDS) {
         let (f, _) = read_end(v)?;
         let stands = if f == Final::Done { Stands::Done } else { Stands::Cancelled };
         return Some((v.get("says").map(joined).unwrap_or_default(), stands));
@@ -131,7 +131,7 @@
     let mut out = Vec::new();
     if let Some(r) = says.get("release")
         && let (Some(title), Some(night)) = (text(r, "title"), text(r, "night"))
-        && let Some(key) = hazelsaddle_release::says::key(&title, &night)
+        && let Some(key) = hazelsaddle_release::release_ref::key(&title, &night)
     {
         out.push((key.head(), r.clone()));
     }
@@ -201,7 +201,7 @@
         &mut self,
         now: Micros,
         key: &Key,
-        next: Record,
+        next: CoordinationRecord,
         pages: Vec<(String, Value)>,
         then: Option<(u64, Reply)>,
         out: &mut Vec<Effect>,
@@ -416,14 +416,14 @@
                 tracing::error!(key = %row.key, "a pact's key can't be read");
                 continue;
             };
-            if let Some((title, night)) = hazelsaddle_release::says::named(&key) {
+            if let Some((title, night)) = hazelsaddle_release::release_ref::named(&key) {
                 let latest = self.pacts.latest.entry(title.to_owned()).or_default();
                 if latest.as_str() < night {
                     *latest = night.to_owned();
                 }
             }
             // What is over for good is of no use here.
-            let over = Record::read(&row.value).is_ok_and(|r| self.release_over(&r));
+            let over = CoordinationRecord::read(&row.value).is_ok_and(|r| self.release_over(&r));
             if over && *self.pacts.shelf.get(&key) == Held::Unread {
                 continue;
             }
--- a/src/node/release.rs
+++ b/src/node/release.rs
@@ -5,16 +5,16 @@
 use super::*;
 use crate::api::ops::OpRequest;
 use crate::jobs::Hold;
-use hazelsaddle_pact::census::Stands;
-use hazelsaddle_pact::record::{Key, Phase, Record};
-use hazelsaddle_pact::shelf::Held;
+use hazelsaddle_coordination::census::Stands;
+use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
+use hazelsaddle_coordination::record_cache::Held;
 use hazelsaddle_release::calendar::nearest;
 use hazelsaddle_release::join::{self, Join};
-use hazelsaddle_release::says::{self, Says};
-use hazelsaddle_release::set::{self, Member, Not, Release};
-use hazelsaddle_release::show::Shown;
-use hazelsaddle_release::stagger;
-use hazelsaddle_release::verdict::{Fact, Verdict, verdict};
+use hazelsaddle_release::priority_inheritance;
+use hazelsaddle_release::readiness::{Fact, Readiness, verdict};
+use hazelsaddle_release::release_ref::{self, ReleaseRef};
+use hazelsaddle_release::set::{self, ChangeError, Member, Release};
+use hazelsaddle_release::status::ReleaseStatus;
 
 /// Open sets are counted so often, to close those that have all renders that were declared.
 const COUNT: Micros = Micros::from_millis(5000);
@@ -61,7 +61,7 @@
 /// The rebuilds and renders among those that a census found.
 fn seen(members: &Members) -> Vec<Member> {
     let of = |id: &String, says: &Value| {
-        let s = Says::parse(says).ok()?;
+        let s = ReleaseRef::parse(says).ok()?;
         let rotates = s.stage == hazelsaddle_release::calendar::Stage::Rotation;
         (!rotates).then(|| Member { id: id.clone(), stage: s.stage, expects: s.expects })
     };
@@ -75,7 +75,7 @@
     }
 
     /// Whether a record is of no use to anybody but its own rotation any more.
-    pub(super) fn release_over(&self, r: &Record) -> bool {
+    pub(super) fn release_over(&self, r: &CoordinationRecord) -> bool {
         Release::read(r).is_ok_and(|b| b.rotated)
     }
 
@@ -142,13 +142,13 @@
             self.releases.count_since = now;
         }
         self.inherit_dues();
-        let sets: Vec<(Key, Record)> = self
+        let sets: Vec<(Key, CoordinationRecord)> = self
             .pacts
             .shelf
             .iter()
             .filter(|(k, _)| self.keeps_pact(k))
             .filter_map(|(k, h)| match h {
-                Held::Is(r) if k.kind() == hazelsaddle_pact::record::Kind::Release => {
+                Held::Is(r) if k.kind() == hazelsaddle_coordination::record::Kind::Release => {
                     Some((k.clone(), r.clone()))
                 }
                 _ => None,
@@ -194,7 +194,7 @@
         for (id, key) in members {
             let shelf = &self.pacts.shelf;
             let due = *dues.entry(key).or_insert_with_key(|key| match shelf.get(key) {
-                Held::Is(r) => stagger::of_set(&Release::read(r).ok()?, [])?.due.map(Micros),
+                Held::Is(r) => priority_inheritance::of_set(&Release::read(r).ok()?, [])?.due.map(Micros),
                 _ => None,
             });
             self.owner.due(&id, due);
@@ -202,7 +202,7 @@
     }
 
     /// What the keeper of a set does by itself.
-    fn keep_release(&mut self, now: Micros, key: &Key, record: &Record, out: &mut Vec<Effect>) {
+    fn keep_release(&mut self, now: Micros, key: &Key, record: &CoordinationRecord, out: &mut Vec<Effect>) {
         let Ok(body) = Release::read(record) else { return };
         if body.rotated {
             return;
@@ -249,17 +249,17 @@
         let known = self.release_known(now, key, &held, out);
         match verdict(&held, known.members.as_deref(), |m| known.fact(m)) {
             // Only what is on record lets a task start: a controller that comes next must find the same.
-            Verdict::Open => {
+            Readiness::Open => {
                 tracing::info!(job = id, record = %key.head(), "rotation released");
                 self.owner.note_time(self.wall);
                 self.owner.lift(id);
             }
-            Verdict::Ready(next) => {
+            Readiness::Ready(next) => {
                 if self.change_pact(now, key, next, Vec::new(), None, out) {
                     tracing::info!(job = id, record = %key.head(), "release complete");
                 }
             }
-            Verdict::Held { why } => {
+            Readiness::Held { why } => {
                 let mut text: Vec<String> = why.iter().take(CAUSES).map(ToString::to_string).collect();
                 if why.len() > CAUSES {
                     text.push(format!("and {} more", why.len() - CAUSES));
@@ -313,7 +313,7 @@
         &mut self,
         now: Micros,
         key: &Key,
-        record: &Record,
+        record: &CoordinationRecord,
         out: &mut Vec<Effect>,
     ) -> Option<Vec<Member>> {
         let of = (key.clone(), record.version);
@@ -395,7 +395,7 @@
                 None => return Some(self.no_such_title(title)),
             },
         };
-        let Some(key) = says::key(title, &night) else {
+        let Some(key) = release_ref::key(title, &night) else {
             return Some(Reply::error(400, "title: can't be the name of a release"));
         };
         let held = self.pact_since(now, &key, o.began)?;
@@ -416,7 +416,8 @@
             _ => {
                 let known = self.members_for(now, o, &key, &record, out)?;
                 let members = known.members.as_deref();
-                let shown = Shown::of((title, &night), &held, members, |m| known.fact(m), self.wall.0);
+                let shown =
+                    ReleaseStatus::of((title, &night), &held, members, |m| known.fact(m), self.wall.0);
                 let text = shown.to_string();
                 return Some(match serde_json::to_value(&shown) {
                     Ok(mut v) => {
@@ -428,8 +429,10 @@
             }
         };
         match change {
-            Err(e @ (Not::Why | Not::NoMember { .. })) => Some(Reply::error(422, &e.to_string())),
-            Err(Not::Counting) => Some(Reply::later(&Not::Counting.to_string())),
+            Err(e @ (ChangeError::Why | ChangeError::NoMember { .. })) => {
+                Some(Reply::error(422, &e.to_string()))
+            }
+            Err(ChangeError::Counting) => Some(Reply::later(&ChangeError::Counting.to_string())),
             Err(e) => Some(Reply::error(409, &e.to_string())),
             Ok(next) => {
                 let reply =
@@ -447,7 +450,7 @@
         now: Micros,
         o: &Operating,
         key: &Key,
-        record: &Record,
+        record: &CoordinationRecord,
         out: &mut Vec<Effect>,
     ) -> Option<Known> {
         let found = self.census_since(key, o.began).cloned();
@@ -470,7 +473,7 @@
     /// Releases that are not over, as the latest list had them.
     pub(super) fn release_status(&self) -> Vec<Value> {
         let of = |key: &Key| {
-            let (title, night) = says::named(key)?;
+            let (title, night) = release_ref::named(key)?;
             Some(match self.pacts.shelf.get(key) {
                 Held::Is(r) => match Release::read(r) {
                     Ok(b) => json!({"title": title, "night": night, "phase": r.phase, "version": r.version,
--- a/src/node/witness.rs
+++ b/src/node/witness.rs
@@ -9,7 +9,7 @@
 use crate::jobs::Owner;
 use crate::peer::{TaskKey, Testimony, Vouched};
 use crate::ring::{Membership, Ring};
-use hazelsaddle_takeover::witness::{Changes, Heard, Told};
+use hazelsaddle_failover::start_replica::{Changes, ReceivedStarts, ReplicationUpdate};
 
 /// Where it is put on record that a controller goes on without witnesses: its latest such epoch under its name.
 pub(super) const PREFIX: &str = "unwitnessed/";
@@ -57,13 +57,13 @@
     /// The epoch in which it last told us, and that epoch's members.
     epoch: u64,
     members: Vec<u32>,
-    told: Heard<Vouched>,
+    told: ReceivedStarts<Vouched>,
 }
 
 /// What we tell witnesses, what we have heard as one, and what new owners are told.
 pub(super) struct Witness {
     mode: Mode,
-    told: Told<Vouched>,
+    told: ReplicationUpdate<Vouched>,
     last_told: Vec<Micros>,
     /// When somebody last said that it holds something, or when there was first something to hold.
     last_noted: Micros,
@@ -92,7 +92,7 @@
     pub(super) fn new(controllers: usize) -> Witness {
         Witness {
             mode: Mode::Off,
-            told: Told::default(),
+            told: ReplicationUpdate::default(),
             last_told: vec![Micros(0); controllers],
             last_noted: Micros(0),
             next_try: Micros(0),
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -3,8 +3,8 @@
 //! receiver last said it has, so a lost, repeated or overtaken one costs a delay and nothing else.
 
 use crate::units::{Micros, Room};
-use hazelsaddle_base::link::{self, Framed};
-pub use hazelsaddle_base::link::{dial, enqueue, listen};
+use hazelsaddle_cluster::transport::{self, Framed};
+pub use hazelsaddle_cluster::transport::{dial, enqueue, listen};
 use rkyv::{Archive, Deserialize, Serialize};
 
 /// One start of one task.
@@ -556,11 +556,11 @@
 impl Frame {
     /// The frame as bytes, with its length in front.
     pub fn encode(&self) -> Option<Vec<u8>> {
-        link::encode(self)
+        transport::encode(self)
     }
     /// Reads the bytes behind the length; None if they are no valid frame.
     pub fn decode(bytes: &[u8]) -> Option<Frame> {
-        link::decode(bytes)
+        transport::decode(bytes)
     }
 }
 
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -4,7 +4,7 @@
 
 use crate::settings::Settings;
 use crate::units::Micros;
-pub use hazelsaddle_base::ring::Ring;
+pub use hazelsaddle_cluster::hash_ring::Ring;
 use serde::{Deserialize, Serialize};
 
 /// A peer that has said nothing for longer may be gone, or the way to it.
--- a/src/spec.rs
+++ b/src/spec.rs
@@ -2,9 +2,9 @@
 
 use crate::settings::TeamSettings;
 use crate::units::{Micros, Room};
-use hazelsaddle_pact::record::{self, Key};
+use hazelsaddle_coordination::record::{self, Key};
 use hazelsaddle_release::calendar::Stage;
-use hazelsaddle_release::says::Says;
+use hazelsaddle_release::release_ref::ReleaseRef;
 use serde::Deserialize;
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -70,7 +70,7 @@
     /// Jobs that must be done before any of its tasks starts: in order, each once.
     pub follows: Vec<String>,
     /// The release that it belongs to.
-    pub release: Option<Says>,
+    pub release: Option<ReleaseRef>,
     /// The batch and version that it is a run of.
     pub batch: Option<Batch>,
     /// The batch and version that it may merge.
@@ -188,8 +188,8 @@
         }
         Ok(x)
     }
-    fn release(&self) -> Result<Option<Says>, SpecError> {
-        let read = |v| Says::parse(v).map_err(|e| SpecError::Member(e.to_string()));
+    fn release(&self) -> Result<Option<ReleaseRef>, SpecError> {
+        let read = |v| ReleaseRef::parse(v).map_err(|e| SpecError::Member(e.to_string()));
         self.get("release").map(read).transpose()
     }
     fn batch(&self, key: &'static str) -> Result<Option<Batch>, SpecError> {
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,6 +1,6 @@
 //! Time, amounts of machine room, and sets of task numbers.
 
-pub use hazelsaddle_base::units::Micros;
+pub use hazelsaddle_cluster::time::Micros;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -18,10 +18,10 @@
 use hazelsaddle::store::{Commit, Row, StoreAnswer, StoreRequest};
 use hazelsaddle::teams::{Need, Teams};
 use hazelsaddle::units::{Micros, Ranges, Room};
+use hazelsaddle_coordination::census::{Member, Stands};
+use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind, items, pages};
 use hazelsaddle_freshness::batch::{Batch, Grant, Put, Writer};
-use hazelsaddle_loans::ledger::{Ledger, Loan, State};
-use hazelsaddle_pact::census::{Member, Stands};
-use hazelsaddle_pact::record::{Key, Kind, Record, items, pages};
+use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, State};
 use hazelsaddle_release::set::{self, ClosedBy, Release};
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
@@ -425,7 +425,7 @@
         ("epoch".into(), serde_json::to_value(epoch()).expect("plain")),
         ("machines".into(), page_of(&rows)),
         ("team".into(), team()),
-        ("ledger".into(), Record::open(1, ledger().body()).value()),
+        ("ledger".into(), CoordinationRecord::open(1, ledger().body()).value()),
         ("pact/pages".into(), pages.into()),
     ];
     for (kind, name) in [(Kind::Release, "release"), (Kind::Batch, "batch"), (Kind::Loan, "loan")] {
@@ -459,10 +459,10 @@
     assert!(beside.as_object_mut().expect("claims").remove("wk-000005").is_some());
     again("team", beside);
 
-    let record = Record::read(&golden["ledger"]).expect("a record");
+    let record = CoordinationRecord::read(&golden["ledger"]).expect("a record");
     let read = Ledger::read(&record.body).expect("a ledger");
     assert_eq!(read, ledger());
-    again("ledger", Record { body: read.body(), ..record }.value());
+    again("ledger", CoordinationRecord { body: read.body(), ..record }.value());
 
     for page in golden["pact/pages"].as_array().expect("pages") {
         let (again, lost) = pages(items(page).expect("a page").iter().cloned(), 50);
@@ -482,11 +482,15 @@
             assert_eq!(again, std::slice::from_ref(&stored), "{name}");
             assert_eq!(set::members([&stored]).expect("members").len(), 2);
         } else if name.starts_with("release/") {
-            let record = Record::read(&stored).expect("a record");
+            let record = CoordinationRecord::read(&stored).expect("a record");
             let body = serde_json::to_value(Release::read(&record).expect("a release")).expect("plain");
-            assert_eq!(Record { body, ..record }.value().to_string(), stored.to_string(), "{name}");
+            assert_eq!(
+                CoordinationRecord { body, ..record }.value().to_string(),
+                stored.to_string(),
+                "{name}"
+            );
         } else if name.starts_with("batch/") {
-            let read = Batch::read(&Record::read(&stored).expect("a record")).expect("a batch");
+            let read = Batch::read(&CoordinationRecord::read(&stored).expect("a record")).expect("a batch");
             assert_eq!(read.record().value().to_string(), stored.to_string(), "{name}");
         }
     }
--- a/tests/world/days/loans.rs
+++ b/tests/world/days/loans.rs
@@ -1,7 +1,7 @@
 //! Days with GPUs: serving takes them from other teams' work and gives them back, whatever fails.
 
 use crate::*;
-use hazelsaddle_loans::ledger::{Ledger, Loan, State as Stands};
+use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, State as LoanStanding};
 
 /// Two machines without GPUs and eight of four; each zone is full, so that nothing can be rented.
 pub(super) const GPUS: Shape = Shape { machines: 2, gpus: 8, room: 5, teams: 4, jobs: 0, ..SMALL };
@@ -80,7 +80,8 @@
                 }
             }
             for job in ledger.loans.iter().map(|l| &l.job).collect::<BTreeSet<_>>() {
-                let live = ledger.loans.iter().filter(|l| l.job == *job && l.state != Stands::Returning);
+                let live =
+                    ledger.loans.iter().filter(|l| l.job == *job && l.state != LoanStanding::Returning);
                 let n: u32 = live.map(|l| l.replicas).sum();
                 seen.most = seen.most.max(n);
                 let all = w.jobs[job].spec.tasks;
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -10,7 +10,7 @@
 use hazelsaddle::spec::{MachineType, Spec};
 use hazelsaddle::store::{Commit, StoreAnswer, StoreRequest};
 use hazelsaddle::units::Micros;
-use hazelsaddle_lab::state::State;
+use hazelsaddle_testbed::state::State;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
