--- a/crates/testbed/src/state.rs
+++ b/crates/testbed/src/state.rs
@@ -1,7 +1,7 @@
 //! The state service: a small consistent store with leases, conditions and watches. Pure: time is an argument.
 //! `http` puts it on a port; the seeded world of the daemon's tests drives it directly.
 
-use hazelsaddle::store::{Commit, Row, StoreAnswer, StoreRequest};
+use hazelsaddle::state_store::{Commit, Row, StoreAnswer, StoreRequest};
 use hazelsaddle::units::Micros;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
--- a/src/api.rs
+++ b/src/api.rs
@@ -3,8 +3,8 @@
 
 pub mod ops;
 
-use crate::machines::{Greeting, Report};
-use crate::node::Event;
+use crate::controller::Event;
+use crate::machine_shard::{Greeting, Report};
 use crate::peer::{Reply, UserRequest};
 use crate::spec::{BODY_LIMIT, Spec, is_job_id};
 use std::io::Read;
@@ -122,7 +122,8 @@
 /// Whether a worker at this address answers.
 pub fn reachable(addr: &str) -> bool {
     let agent = ureq::AgentBuilder::new().timeout(std::time::Duration::from_secs(1)).redirects(0).build();
-    crate::store::call(&agent, "GET", &format!("http://{addr}/inspect"), None).is_some_and(|(s, _)| s == 200)
+    crate::state_store::call(&agent, "GET", &format!("http://{addr}/inspect"), None)
+        .is_some_and(|(s, _)| s == 200)
 }
 
 /// A client for [`greet`]. A machine that is there answers at once; one that is not must not hold up the others.
@@ -142,7 +143,8 @@
     let mut session = g.session;
     for _ in 0..2 {
         let body = serde_json::json!({"rein": epoch, "ride": session, "calls": []}).to_string();
-        let (_, text) = crate::store::call(agent, "POST", &format!("http://{}/do", g.addr), Some(body))?;
+        let (_, text) =
+            crate::state_store::call(agent, "POST", &format!("http://{}/do", g.addr), Some(body))?;
         let r: Report = serde_json::from_str(&text).ok()?;
         if r.token >= epoch || r.session == session {
             return Some(r);
--- a/src/fleet.rs
+++ b/src/autoscaler.rs
@@ -1,21 +1,21 @@
 //! The fleet: one decider rents machines for work that finds no room and returns those that idle,
 //! never come up or have failed. The decider is the ring owner of a fixed key.
 
-mod room;
+mod headroom;
 
-use self::room::headroom;
+use self::headroom::headroom;
+use crate::machine_view::Seen;
 use crate::peer::{Demand, Standing};
 use crate::settings::Settings;
 use crate::spec::{MachineType, Types};
-use crate::store::{Budget, call};
+use crate::state_store::{Budget, call};
 use crate::units::{Micros, Room};
-use crate::views::Seen;
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-mod absent;
+mod lost_machines;
 
 /// Most machines in one rental.
 const RENT_LIMIT: u32 = 50;
@@ -800,7 +800,7 @@
                 }
                 left = left.min((excess / window).ceil() as i64);
             } else {
-                only = room::zone_for(&d, &self.types, &coming, |zone| {
+                only = headroom::zone_for(&d, &self.types, &coming, |zone| {
                     let none = |t: &&MachineType| {
                         self.no_capacity.contains_key(&(t.name.clone(), zone.to_owned(), false))
                     };
--- a/src/fleet/room.rs
+++ b/src/autoscaler/headroom.rs
@@ -1,9 +1,9 @@
 //! Which room the decider rents for what: free room for guarantees, and all of a gang in one zone.
 
+use crate::machine_view::Seen;
 use crate::peer::Demand;
 use crate::spec::{MachineType, Types};
 use crate::units::{Micros, Room};
-use crate::views::Seen;
 use std::collections::BTreeMap;
 
 /// One part of a room.
@@ -30,7 +30,7 @@
     let free: i64 = open().map(|d| part(d.free).max(0)).sum();
     let used: i64 = open().map(|d| part(d.total)).sum::<i64>() - free;
     // Where little runs, little is kept free, and nothing where nothing runs.
-    let lacking = crate::jobs::headroom(part(guaranteed), used) - free;
+    let lacking = crate::job_shard::headroom(part(guaranteed), used) - free;
     (lacking > 0).then(|| Demand {
         room: largest,
         kinds: Vec::new(),
--- a/src/node.rs
+++ b/src/controller.rs
@@ -2,42 +2,42 @@
 //! is to be done; it reads no clock and does no input or output, so that a simulated world can
 //! drive the code that runs.
 
-mod epochs;
-mod follow;
+mod coordination;
+mod dependencies;
+mod fencing_probe;
+mod flap_damping;
 mod freshness;
-mod greet;
-mod handover;
-mod links;
-mod loans;
-mod operate;
-mod pacts;
-mod records;
+mod gpu_lending;
+mod handoff;
+mod heartbeats;
+mod membership;
+mod operator_requests;
+mod peer_traffic;
 mod release;
-mod restraint;
-mod users;
-mod witness;
-mod workers;
+mod start_replica;
+mod state_store_io;
+mod user_requests;
 
-use self::follow::Follow;
+use self::coordination::{PactPurpose, Pacts};
+use self::dependencies::Follow;
+use self::flap_damping::Restraint;
 use self::freshness::{FreshPurpose, Freshness};
-use self::handover::Handover;
-pub use self::handover::LEAVING;
-use self::loans::{LoanPurpose, Loans};
-use self::pacts::{PactPurpose, Pacts};
+use self::gpu_lending::{LoanPurpose, Loans};
+use self::handoff::Handover;
+pub use self::handoff::LEAVING;
 use self::release::Releases;
-use self::restraint::Restraint;
-use self::witness::Witness;
-use crate::fleet::{CloudAnswer, CloudRequest, Fleet};
-use crate::jobs::{Final, Owner, RecordWrite};
-use crate::machines::{Greeting, Home, Report, Verdict};
+use self::start_replica::Witness;
+use crate::autoscaler::{CloudAnswer, CloudRequest, Fleet};
+use crate::job_shard::{Final, Owner, RecordWrite};
+use crate::machine_registry::{self, PageWrite, Roll};
+use crate::machine_shard::{Greeting, Home, Report, Verdict};
+use crate::membership::step_down::{Aside, Strays};
+use crate::membership::{EpochRecord, Membership};
 use crate::peer::{Frame, Message, Reply, UserRequest, Wishes};
-use crate::ring::aside::{Aside, Strays};
-use crate::ring::{EpochRecord, Membership};
-use crate::roll::{self, PageWrite, Roll};
+use crate::quota::{ClaimWrite, Teams};
 use crate::settings::Settings;
 use crate::spec::{Kind, Spec};
-use crate::store::{Budget, Commit, Row, StoreAnswer, StoreRequest};
-use crate::teams::{ClaimWrite, Teams};
+use crate::state_store::{Budget, Commit, Row, StoreAnswer, StoreRequest};
 use crate::units::{Micros, Ranges};
 use hazelsaddle_coordination::record::{CoordinationRecord, Key};
 use serde_json::{Value, json};
@@ -497,7 +497,7 @@
         let (bad_jobs, bad_machines) = self.owner.suspects(now);
         let (known, machines) = self.home.counts();
         let waiting = self.owner.waiting_jobs();
-        let shown = |j: &&crate::jobs::Job| {
+        let shown = |j: &&crate::job_shard::Job| {
             let on: Vec<&str> = j.waits_for().take(SHOWN).collect();
             json!({"job": j.spec.id, "waits_for": on, "for_s": self.wall.since(j.accepted_wall).secs()})
         };
--- a/src/node/pacts.rs
+++ b/src/controller/coordination.rs
@@ -2,7 +2,7 @@
 //! joined. What a release or a batch means is the business of `release` and `freshness`.
 
 use super::*;
-use crate::jobs::says_of_record;
+use crate::job_shard::says_of_record;
 use hazelsaddle_coordination::census::{Census, Reading, Stands, Step};
 use hazelsaddle_coordination::record::{self, CoordinationRecord, Key};
 use hazelsaddle_coordination::record_cache::{Held, RecordCache};
--- a/src/node/follow.rs
+++ b/src/controller/dependencies.rs
@@ -1,7 +1,7 @@
 //! Jobs that wait for others, at the edge of a controller: who may take them, checking what they name,
 //! and watching for ends.
 
-use super::pacts::Gate;
+use super::coordination::Gate;
 use super::*;
 
 /// The form of peers' frames from which on jobs may follow others; `Message::Needed` came with it.
@@ -251,7 +251,7 @@
     // ---- Checking a submission ----
 
     fn is_known(&self, id: &str) -> bool {
-        let live = |j: &crate::jobs::Job| j.spec.kind != Kind::Service;
+        let live = |j: &crate::job_shard::Job| j.spec.kind != Kind::Service;
         self.owner.jobs.get(id).is_some_and(live)
             || self.owner.final_of(id).is_some()
             || self.follow.known.contains(id)
--- a/src/node/freshness.rs
+++ b/src/controller/freshness.rs
@@ -4,11 +4,11 @@
 mod permits;
 mod show;
 
-use super::pacts::{Gate, Operating};
+use super::coordination::{Gate, Operating};
 use super::*;
 use crate::api::ops::OpRequest;
-use crate::jobs::follow::unpacked;
-use crate::jobs::{Attempt, Hold, Job};
+use crate::job_shard::dependencies::unpacked;
+use crate::job_shard::{Attempt, Hold, Job};
 use hazelsaddle_coordination::census::Stands;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Sort};
 use hazelsaddle_coordination::record_cache::Held;
@@ -102,7 +102,7 @@
         (record.get("says").cloned().unwrap_or_default(), record.get("says").is_some())
     } else {
         let breed = record.get("spec")?.get("breed")?.clone();
-        let mut says = crate::jobs::says_of_record(record).unwrap_or_else(|| json!({}));
+        let mut says = crate::job_shard::says_of_record(record).unwrap_or_else(|| json!({}));
         says["breed"] = breed;
         (says, true)
     };
@@ -326,7 +326,8 @@
     /// Since when a census must have begun so that with what the watch has told since, all done runs are known.
     fn runs_since(&self, key: &Key) -> Option<Micros> {
         let (since, _) = self.fresh.runs.get(&key.head())?;
-        let watched = self.fresh.watched.filter(|_| matches!(self.follow.watch, follow::Watch::At(..)))?;
+        let watched =
+            self.fresh.watched.filter(|_| matches!(self.follow.watch, dependencies::Watch::At(..)))?;
         Some(watched.max(*since))
     }
 
--- a/src/node/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -12,7 +12,7 @@
 
 impl Node {
     /// A merge asks whether it may write; its job is ours to answer for. None: answered later.
-    pub(in crate::node) fn permit(
+    pub(in crate::controller) fn permit(
         &mut self,
         now: Micros,
         from: Origin,
--- a/src/node/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -8,7 +8,7 @@
 
 impl Node {
     /// An operator's request about batches: the answer, or None if it is to be asked again in the next round.
-    pub(in crate::node) fn batch_request(
+    pub(in crate::controller) fn batch_request(
         &mut self,
         now: Micros,
         r: &Operating,
@@ -131,7 +131,7 @@
     }
 
     /// How batches stand, for operators.
-    pub(in crate::node) fn batch_status(&self) -> Value {
+    pub(in crate::controller) fn batch_status(&self) -> Value {
         let (f, c) = (&self.fresh, self.fresh.counts);
         json!({
             "on": self.batches_on(),
--- a/src/node/handover.rs
+++ b/src/controller/handoff.rs
@@ -1,9 +1,9 @@
 //! Handing over to the next owner and home, and taking from the last.
 
 use super::*;
+use crate::membership::Membership;
+use crate::membership::step_down::Missing;
 use crate::peer::{HandedJob, HandedMachine, Parcel, Testimony};
-use crate::ring::Membership;
-use crate::ring::aside::Missing;
 use hazelsaddle_failover::handoff_batch::{Inbox, Outbox};
 
 /// The form of peers' frames that this and witnesses need.
--- a/src/node/handover/tests.rs
+++ b/src/controller/handoff/tests.rs
@@ -1,8 +1,8 @@
 //! Who leaves the ring, and in which epoch what it hands over counts.
 
 use super::*;
-use crate::machines::Report;
-use crate::store::{Commit, Row, StoreAnswer, StoreRequest};
+use crate::machine_shard::Report;
+use crate::state_store::{Commit, Row, StoreAnswer, StoreRequest};
 
 const LEASE: u64 = 77;
 
--- a/src/node/epochs.rs
+++ b/src/controller/membership.rs
@@ -36,7 +36,7 @@
 
     /// The key that shows that this process lives, and whether it wants a place on the ring.
     fn own_key(&self, lease: u64, aside: bool) -> (String, Value, Option<u64>) {
-        let mut value = json!({"boot": self.boot, "reads": follow::NEWEST});
+        let mut value = json!({"boot": self.boot, "reads": dependencies::NEWEST});
         if aside {
             value["aside"] = true.into();
         }
--- a/src/node/operate.rs
+++ b/src/controller/operator_requests.rs
@@ -1,7 +1,7 @@
 //! Operators' requests about releases and batches, and why a job waits. Any controller answers, from the records
 //! themselves, by conditional changes.
 
-use super::pacts::Operating;
+use super::coordination::Operating;
 use super::*;
 use crate::api::ops::OpRequest;
 
--- a/src/node/links.rs
+++ b/src/controller/peer_traffic.rs
@@ -110,7 +110,7 @@
             Message::Vouch { rev, since, added, dropped } if same && from != self.settings.me => {
                 let c = Changes { rev, since, added, dropped };
                 if let Some(rev) = self.witness.heard(from, f.boot, c)
-                    && self.reads(from, handover::FORM)
+                    && self.reads(from, handoff::FORM)
                 {
                     out.push(Effect::Send(from, self.envelope(now, from, Message::Noted(rev))));
                 }
--- a/src/node/links/tests.rs
+++ b/src/controller/peer_traffic/tests.rs
@@ -1,7 +1,7 @@
 //! What is said to peers of the ring.
 
-use super::super::handover::tests::{at, node};
-use crate::ring::EpochRecord;
+use super::super::handoff::tests::{at, node};
+use crate::membership::EpochRecord;
 
 /// Three that are held back at the same time heard one another as members, and nobody joined for the whole pause (seed 4542 of
 /// the world's restarts).
--- a/src/node/release.rs
+++ b/src/controller/release.rs
@@ -1,10 +1,10 @@
 //! Releases: opened by calendar with the first submission, joined, closed, counted, and only then rotated. What a set is
 //! and when a rotation may start is `hazelsaddle_release`'s; here its records are read and written.
 
-use super::pacts::{Gate, Members, Operating};
+use super::coordination::{Gate, Members, Operating};
 use super::*;
 use crate::api::ops::OpRequest;
-use crate::jobs::Hold;
+use crate::job_shard::Hold;
 use hazelsaddle_coordination::census::Stands;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
 use hazelsaddle_coordination::record_cache::Held;
--- a/src/node/witness.rs
+++ b/src/controller/start_replica.rs
@@ -4,11 +4,11 @@
 //! Who can't reach any witness puts on record that it goes on without: for the rest of that epoch nobody's word about it
 //! counts, and its successor asks every machine.
 
-use super::handover::FORM;
+use super::handoff::FORM;
 use super::*;
-use crate::jobs::Owner;
+use crate::job_shard::Owner;
+use crate::membership::{Membership, Ring};
 use crate::peer::{TaskKey, Testimony, Vouched};
-use crate::ring::{Membership, Ring};
 use hazelsaddle_failover::start_replica::{Changes, ReceivedStarts, ReplicationUpdate};
 
 /// Where it is put on record that a controller goes on without witnesses: its latest such epoch under its name.
--- a/src/node/records.rs
+++ b/src/controller/state_store_io.rs
@@ -36,9 +36,9 @@
         let e = self.membership.epoch;
         let (purpose, prefix) = match self.load {
             Load::Jobs => (Purpose::LoadJobs(e), "job/"),
-            Load::Machines => (Purpose::LoadMachines(e), roll::PREFIX),
+            Load::Machines => (Purpose::LoadMachines(e), machine_registry::PREFIX),
             Load::Teams => (Purpose::LoadTeams(e), "team/"),
-            _ => (Purpose::LoadUnwitnessed(e), witness::PREFIX),
+            _ => (Purpose::LoadUnwitnessed(e), start_replica::PREFIX),
         };
         let r = StoreRequest::List(prefix.into(), self.load_after.clone());
         self.ask_store(purpose, r, out);
@@ -54,7 +54,7 @@
                     self.take_job_row(row);
                 }
                 Load::Machines => {
-                    let Some(list) = roll::read(&row.value) else {
+                    let Some(list) = machine_registry::read(&row.value) else {
                         tracing::error!(key = %row.key, "unreadable page of machines");
                         continue;
                     };
@@ -238,7 +238,7 @@
                 let read = match &a {
                     StoreAnswer::Got(None) => Some((0, Vec::new())),
                     StoreAnswer::Got(Some(row)) => {
-                        Some((row.mark, roll::read(&row.value).unwrap_or_default()))
+                        Some((row.mark, machine_registry::read(&row.value).unwrap_or_default()))
                     }
                     _ => None,
                 };
--- a/src/node/users.rs
+++ b/src/controller/user_requests.rs
@@ -14,7 +14,7 @@
 
     /// Whether a peer would take a request for less than it says.
     fn beyond(&self, peer: usize, r: &UserRequest) -> bool {
-        if self.reads(peer, follow::PACTS) {
+        if self.reads(peer, dependencies::PACTS) {
             return false;
         }
         let body = match r {
@@ -262,8 +262,8 @@
                 "the description is too long to be kept: its record may have {limit} bytes"
             ));
         }
-        if spec.follows.len() > follow::MOST {
-            return Some(format!("follows: a job may name {} others at most", follow::MOST));
+        if spec.follows.len() > dependencies::MOST {
+            return Some(format!("follows: a job may name {} others at most", dependencies::MOST));
         }
         None
     }
--- a/src/node/users/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -1,6 +1,6 @@
 //! What users are told.
 
-use super::super::handover::tests::{at, node};
+use super::super::handoff::tests::{at, node};
 use super::*;
 
 /// The owner may not know that its end is on record, as its write had no answer or is late, and says that the job runs.
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,12 +1,12 @@
 //! The running daemon: threads at the edges, one thread for the controller itself.
 
 use crate::api::{self, Parsed};
-use crate::fleet::{CloudClient, CloudRequest};
-use crate::machines::Greeting;
-use crate::node::{Effect, Event, Node};
+use crate::autoscaler::{CloudClient, CloudRequest};
+use crate::controller::{Effect, Event, Node};
+use crate::machine_shard::Greeting;
 use crate::peer::{self, Frame, Reply};
 use crate::settings::Settings;
-use crate::store::{StoreClient, StoreRequest};
+use crate::state_store::{StoreClient, StoreRequest};
 use crate::units::Micros;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use hazelsaddle_cluster::send_queue::SendQueue;
--- a/src/jobs.rs
+++ b/src/job_shard.rs
@@ -1,34 +1,34 @@
 //! The owner side of jobs: records, where each task stands, starts and stops, gangs, takeover.
 
-pub use follow::{Hold, says_of_record};
-pub use room::headroom;
-pub use stale::Attempt;
-
-mod blame;
-mod doubted;
-pub(crate) mod follow;
-mod handover;
-mod keeping;
-mod loans;
-mod newcomers;
-mod order;
-mod plan;
+pub use dependencies::{Hold, says_of_record};
+pub use preemption::headroom;
+pub use stale_inputs::Attempt;
+
+mod adoption;
+mod cancellation;
+pub(crate) mod dependencies;
+mod failure_attribution;
+mod gpu_lending;
+mod handoff;
+mod preemption;
+mod queue_order;
+mod reconciliation;
 mod records;
-mod room;
-mod stale;
-mod sync;
-mod vouch;
-mod withdrawal;
-
-use self::blame::Blame;
-use self::follow::Waiting;
-use crate::guarantee::Footing;
+mod reservations;
+mod scheduling_pass;
+mod stale_inputs;
+mod start_replication;
+mod unresolved_starts;
+
+use self::dependencies::Waiting;
+use self::failure_attribution::Blame;
+use crate::machine_view::{Seen, View};
+use crate::membership::Membership;
 use crate::peer::{Demand, Phase, Reservation, Standing, TaskKey, Want};
-use crate::ring::Membership;
+use crate::quota::tier::Footing;
 use crate::settings::{Objective, Settings};
 use crate::spec::{GUARANTEED, Kind, Spec};
 use crate::units::{Micros, Ranges, Room};
-use crate::views::{Seen, View};
 use hazelsaddle_failover::unresolved::{UnresolvedSetId, UnresolvedSets};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -111,7 +111,7 @@
     /// When its progress may next be.
     next_progress: Micros,
     /// What it has on its way, if it is to end.
-    withdrawal: withdrawal::Withdrawal,
+    withdrawal: cancellation::Withdrawal,
     /// Jobs that it needs and that are not known to be done.
     waits_for: BTreeSet<String>,
     /// What else holds it.
@@ -183,7 +183,7 @@
     of_epoch: Option<UnresolvedSetId>,
     /// Some set has become empty: jobs may be settled.
     ends_doubt: bool,
-    vouching: vouch::Vouching,
+    vouching: start_replication::Vouching,
     /// Jobs whose record was written after this epoch was raised, which may not have been in it, and when we read it.
     maybe_new: BTreeMap<String, Micros>,
     revs: Vec<u64>,
@@ -200,14 +200,14 @@
     pub alone: bool,
     /// Something changed that may let a task be placed.
     pub replan: bool,
-    endings: withdrawal::Endings,
+    endings: cancellation::Endings,
     blame: Blame,
     waiting: Waiting,
     /// Every end says its job's class: what is upstream of a merge must be known by it.
     keep_class: bool,
     demands: Vec<Demand>,
-    doubted: doubted::Doubted,
-    loans: loans::Loans,
+    doubted: unresolved_starts::Doubted,
+    loans: gpu_lending::Loans,
     gang_wait: Micros,
     /// How long a home answers a machine without our word.
     reach: Micros,
@@ -219,13 +219,13 @@
     /// Machines kept for our waiting work.
     reserved: Vec<Reservation>,
     /// The same of other owners.
-    others: keeping::Others,
+    others: reservations::Others,
     /// When tasks were last stopped on a machine to make room.
     evicted: BTreeMap<String, Micros>,
     /// Machines on which room is being asked back, and since when.
     reclaiming: BTreeMap<String, Micros>,
-    asked: room::Asked,
-    refusals: keeping::Refusals,
+    asked: preemption::Asked,
+    refusals: reservations::Refusals,
     /// Types that the decider leaves to urgent work.
     kept_types: Vec<(String, bool, u8)>,
     /// The same for single machines.
@@ -262,7 +262,7 @@
             doubts: UnresolvedSets::default(),
             of_epoch: None,
             ends_doubt: false,
-            vouching: vouch::Vouching::default(),
+            vouching: start_replication::Vouching::default(),
             maybe_new: BTreeMap::new(),
             revs: vec![0; n],
             touched: BTreeSet::new(),
@@ -271,13 +271,13 @@
             loaded: false,
             alone: true,
             replan: true,
-            endings: withdrawal::Endings::default(),
+            endings: cancellation::Endings::default(),
             blame: Blame::default(),
             waiting: Waiting::default(),
             keep_class: s.operators.freshness.is_some(),
             demands: Vec::new(),
-            doubted: doubted::Doubted::default(),
-            loans: loans::Loans::new(s.operators.loans.clone()),
+            doubted: unresolved_starts::Doubted::default(),
+            loans: gpu_lending::Loans::new(s.operators.loans.clone()),
             gang_wait: s.gang_wait,
             reach: s.reach,
             older_silent: Micros(0),
@@ -289,11 +289,11 @@
                 .map(|t| (t.name.clone(), Room::need(t.cpus, t.gpus, 0.0)))
                 .collect(),
             reserved: Vec::new(),
-            others: keeping::Others::default(),
+            others: reservations::Others::default(),
             evicted: BTreeMap::new(),
             reclaiming: BTreeMap::new(),
-            asked: room::Asked::default(),
-            refusals: keeping::Refusals::default(),
+            asked: preemption::Asked::default(),
+            refusals: reservations::Refusals::default(),
             kept_types: Vec::new(),
             kept_machines: BTreeMap::new(),
             steered: false,
@@ -368,7 +368,7 @@
         }
         self.unheard.clear();
         self.of_epoch = None;
-        self.vouching = vouch::Vouching::default();
+        self.vouching = start_replication::Vouching::default();
         self.maybe_new.clear();
         let used = self.jobs.values().filter_map(|j| match j.evidence {
             Evidence::Waits(d) => Some(d),
@@ -378,7 +378,7 @@
         self.dirty.fill(true);
         self.loans.anew();
         self.demands.clear();
-        self.doubted = doubted::Doubted::default();
+        self.doubted = unresolved_starts::Doubted::default();
         self.others.inherit(&std::mem::take(&mut self.reserved));
     }
 
@@ -443,11 +443,11 @@
             verify: false,
             next_write: Micros(0),
             next_progress: Micros(0),
-            withdrawal: withdrawal::Withdrawal::default(),
+            withdrawal: cancellation::Withdrawal::default(),
             waits_for: spec.follows.iter().cloned().collect(),
             hold: Hold::of(&spec, &raw),
             due: None,
-            released_wall: follow::released_at(&raw),
+            released_wall: dependencies::released_at(&raw),
             rank: spec.priority,
             keeps: Vec::new(),
             footing: if self.guaranteed.contains_key(&spec.team) {
@@ -653,11 +653,11 @@
 
 #[cfg(test)]
 mod tests {
-    use super::plan::{likely, note_run};
+    use super::scheduling_pass::{likely, note_run};
     use super::*;
+    use crate::membership::EpochRecord;
     use crate::peer::{Actual, Digest, Exit, MachineDigest, Standing, Wishes};
-    use crate::ring::EpochRecord;
-    use crate::teams::Teams;
+    use crate::quota::Teams;
 
     fn settings() -> Settings {
         let text = "member = \"c0\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n[outside]\ncloud = \"10.0.0.9:1\"\n\
--- a/src/jobs/withdrawal.rs
+++ b/src/job_shard/cancellation.rs
@@ -11,7 +11,7 @@
 //! - Starts of a job taken over that are not known yet were sent before the older epochs fell silent.
 
 use super::*;
-use crate::machines::ANSWER;
+use crate::machine_shard::ANSWER;
 
 /// How far a cancelled job's starts have been withdrawn.
 #[derive(Clone, Copy, Debug, Default)]
--- a/src/jobs/withdrawal/tests.rs
+++ b/src/job_shard/cancellation/tests.rs
@@ -1,8 +1,8 @@
 use super::super::tests::{owner_of, raw, running, whole};
 use super::*;
+use crate::membership::EpochRecord;
 use crate::peer::{Actual, Digest, Exit, MachineDigest, Wishes};
-use crate::ring::EpochRecord;
-use crate::teams::Teams;
+use crate::quota::Teams;
 
 fn at(ms: u64) -> Micros {
     Micros::from_millis(ms)
--- a/src/jobs/loans.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -2,13 +2,13 @@
 //! is kept for somebody, and tasks that are stopped, or go back, by what a ledger says. Which job is within its guarantee is
 //! decided in `guarantee` alone.
 
-use super::plan::likely;
+use super::scheduling_pass::likely;
 use super::*;
-use crate::guarantee::Footing;
 use crate::operators::LoanTerms;
 use crate::peer::{Lendable, LendableTask, Lending as Told};
-use crate::placement::Place;
-use crate::teams::Teams;
+use crate::quota::Teams;
+use crate::quota::tier::Footing;
+use crate::scheduler::placement::Place;
 use hazelsaddle_gpu_lending::Amount;
 use hazelsaddle_gpu_lending::ledger::{Claim, Facts, Ledger, Loan, State};
 use hazelsaddle_gpu_lending::preemption::{Machine, Need, Task, choose};
--- a/src/jobs/room.rs
+++ b/src/job_shard/preemption.rs
@@ -1,9 +1,9 @@
 //! Room that has to be made: what is stopped for whom, what is left free for guarantees, what saves in time.
 
 use super::*;
-use crate::guarantee::{self, Footing};
-use crate::placement::Place;
-use crate::teams::Teams;
+use crate::quota::Teams;
+use crate::quota::tier::{self, Footing};
+use crate::scheduler::placement::Place;
 
 /// One part of a room.
 type Part = fn(Room) -> i64;
@@ -65,7 +65,7 @@
             let need = Room { memory: 0, ..j.spec.room.times(left) };
             let was =
                 std::mem::replace(&mut j.footing, teams.footing(&j.spec.team, id, j.accepted_wall, need));
-            if guarantee::shown(j.spec.priority, was) != guarantee::shown(j.spec.priority, j.footing) {
+            if tier::shown(j.spec.priority, was) != tier::shown(j.spec.priority, j.footing) {
                 for (&idx, p) in &j.placed {
                     touch(&mut self.touched, &p.machine, id, idx, p.attempt);
                 }
@@ -112,7 +112,7 @@
                 // work is stopped, and not at once.
                 let saves = j.spec.checkpoint.0 > 0;
                 if !matches!(p.want, Want::Stop(_))
-                    && guarantee::may_stop(j.spec.priority, j.footing, saves, r.priority, stood)
+                    && tier::may_stop(j.spec.priority, j.footing, saves, r.priority, stood)
                 {
                     ours.push((p.since, id.clone(), *idx));
                 }
--- a/src/jobs/order.rs
+++ b/src/job_shard/queue_order.rs
@@ -1,6 +1,6 @@
 //! In which order jobs get room.
 
-use super::plan::likely;
+use super::scheduling_pass::likely;
 use super::*;
 
 impl Owner {
@@ -35,7 +35,7 @@
 
     /// Whether a job should have begun by now.
     pub(super) fn waits_too_long(&self, j: &Job) -> bool {
-        j.placed.is_empty() && j.done.is_empty() && self.wall.since(j.ready_wall()) >= keeping::DUE
+        j.placed.is_empty() && j.done.is_empty() && self.wall.since(j.ready_wall()) >= reservations::DUE
     }
 
     /// How long an array's tasks have left to run, one after the other.
--- a/src/jobs/sync.rs
+++ b/src/job_shard/reconciliation.rs
@@ -1,9 +1,9 @@
 //! What an owner and the homes tell one another: wishes out, digests in, and what follows for tasks.
 
-use super::plan::note_run;
+use super::scheduling_pass::note_run;
 use super::*;
-use crate::guarantee;
 use crate::peer::{Actual, Digest, Exit, Standing, Wanted, Wishes};
+use crate::quota::tier;
 
 impl Owner {
     pub(super) fn unindex(&mut self, machine: &str, id: &str, idx: u32) {
@@ -100,7 +100,7 @@
             let placed = placed.filter(|(p, _)| p.attempt == key.attempt && p.machine == *machine);
             let (room, want, priority, image) = if let Some((p, (spec, footing))) = placed {
                 p.asked = p.asked.min(rev);
-                (spec.room, p.want, guarantee::shown(spec.priority, footing), spec.image_hash)
+                (spec.room, p.want, tier::shown(spec.priority, footing), spec.image_hash)
             } else if let Some(l) = self.leftovers.get_mut(&left) {
                 l.asked = l.asked.min(rev);
                 (l.room, l.want, l.priority, 0)
--- a/src/jobs/records.rs
+++ b/src/job_shard/records.rs
@@ -5,7 +5,7 @@
 impl Owner {
     /// Reads a job's record.
     pub fn read_record(v: &Value) -> Option<(Value, Spec, Micros, Ranges)> {
-        let raw = follow::restored(v.get("spec")?)?;
+        let raw = dependencies::restored(v.get("spec")?)?;
         let spec = Spec::from_value(&raw).ok()?;
         let accepted = Micros(v.get("accepted_us")?.as_u64()?);
         let done = Ranges::decode(v.get("done")?.as_str()?, spec.tasks)?;
@@ -19,13 +19,13 @@
 
     /// The record of a job that waits for others.
     pub fn waiting_record(raw: &Value, accepted: Micros) -> Value {
-        Owner::record(&follow::held(raw, false), accepted, "")
+        Owner::record(&dependencies::held(raw, false), accepted, "")
     }
 
     /// The record of a job that is new.
     pub fn new_record(raw: &Value, spec: &Spec, accepted: Micros) -> Value {
         match (Hold::of(spec, raw).is_some(), spec.follows.is_empty()) {
-            (true, _) => Owner::record(&follow::held(raw, true), accepted, ""),
+            (true, _) => Owner::record(&dependencies::held(raw, true), accepted, ""),
             (_, false) => Owner::waiting_record(raw, accepted),
             _ => Owner::record(raw, accepted, ""),
         }
@@ -39,7 +39,7 @@
         if !spec.has_pact() {
             return first;
         }
-        let later = Owner::record(&follow::released(raw, accepted), accepted, "");
+        let later = Owner::record(&dependencies::released(raw, accepted), accepted, "");
         let end = Owner::end_record(raw, Final::Cancelled, spec.tasks);
         first.max(long(later)).max(long(end))
     }
@@ -47,7 +47,7 @@
     /// The record of a job's end.
     fn end_record(raw: &Value, f: Final, done: u32) -> Value {
         let mut v = json!({"end": if f == Final::Done { "done" } else { "cancelled" }, "done": done});
-        if let Some(says) = follow::says(raw) {
+        if let Some(says) = dependencies::says(raw) {
             v["says"] = says;
         }
         v
@@ -56,8 +56,8 @@
     /// A live job's description as it is to be stored.
     fn stored_raw(j: &Job) -> Value {
         match (j.waits(), j.released_wall) {
-            (true, _) => follow::held(&j.raw, j.hold.is_some()),
-            (false, Some(at)) => follow::released(&j.raw, at),
+            (true, _) => dependencies::held(&j.raw, j.hold.is_some()),
+            (false, Some(at)) => dependencies::released(&j.raw, at),
             (false, None) => j.raw.clone(),
         }
     }
--- a/src/jobs/keeping.rs
+++ b/src/job_shard/reservations.rs
@@ -4,9 +4,9 @@
 //! has waited for `DUE` is not overtaken any more: see `docs/design.md`, "The largest begin".
 
 use super::*;
-use crate::guarantee::{self, Footing};
 use crate::peer::Standing;
-use crate::placement::Place;
+use crate::quota::tier::{self, Footing};
+use crate::scheduler::placement::Place;
 
 /// From then on a job that waits to begin is not overtaken by work that is no more urgent.
 pub(super) const DUE: Micros = Micros::from_millis(45_000);
@@ -171,7 +171,7 @@
         k.kept += open;
         let mut out = Vec::new();
         if age >= self.patience(s) {
-            let asks = guarantee::asks(s.priority, j.footing);
+            let asks = tier::asks(s.priority, j.footing);
             for machine in &names {
                 let r =
                     |priority, evict| Reservation { machine: machine.clone(), priority, need: s.room, evict };
--- a/src/jobs/plan.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -1,11 +1,11 @@
 //! Where tasks go: a placing pass, gangs, room that has to be made, and what finds no room.
 
-use super::keeping::FIRST_LOT;
-use super::room::{Short, short_after};
+use super::preemption::{Short, short_after};
+use super::reservations::FIRST_LOT;
 use super::*;
 use crate::peer::MachineDigest;
-use crate::placement::{self, ZoneCounts};
-use crate::teams::{Need, Teams};
+use crate::quota::{Need, Teams};
+use crate::scheduler::placement::{self, ZoneCounts};
 /// Run time after which older tasks begin to count for less.
 pub(super) const RUN_MEMORY: Micros = Micros::from_millis(4_000_000);
 /// Starts in one placement pass, which bounds the time a pass takes.
@@ -224,7 +224,7 @@
                     })
                 });
                 let at = at.flatten();
-                loans::Loans::unlend(&mut places, &lent, one, at.as_deref().unwrap_or_default());
+                gpu_lending::Loans::unlend(&mut places, &lent, one, at.as_deref().unwrap_or_default());
                 match at {
                     Some(at) => {
                         for (i, &pl) in at.iter().enumerate() {
@@ -277,7 +277,7 @@
                     at.extend(placement::fill(&j.spec, &mut places, &mut counts, rest, usable));
                     at
                 };
-                loans::Loans::unlend(&mut places, &lent, one, &at);
+                gpu_lending::Loans::unlend(&mut places, &lent, one, &at);
                 if at.len() < next.len() {
                     // A task may be known to be done by another's word while its start still counts as placed.
                     unplaced = left.saturating_sub(at.len()).min(allowed) as u32;
--- a/src/jobs/doubted.rs
+++ b/src/job_shard/unresolved_starts.rs
@@ -4,8 +4,8 @@
 //! they will certainly lack is asked for meanwhile.
 
 use super::*;
-use crate::placement::{self, Place, ZoneCounts};
-use crate::teams::Teams;
+use crate::quota::Teams;
+use crate::scheduler::placement::{self, Place, ZoneCounts};
 
 /// What waits for evidence is counted this often. It is a placing pass of its own.
 const EVERY: Micros = Micros::from_millis(500);
@@ -86,7 +86,7 @@
                     one_zone: spec.one_zone,
                     spot: spec.spot,
                     count: if gang { spec.tasks } else { lacks as u32 },
-                    estimate: plan::likely(&self.ran, &spec),
+                    estimate: scheduling_pass::likely(&self.ran, &spec),
                     priority: spec.priority,
                     horizon,
                     together: if gang { spec.tasks } else { 1 },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,22 +2,21 @@
 //! decide what runs where. `docs/design.md` tells how and why.
 
 pub mod api;
+pub mod autoscaler;
 pub mod commands;
+pub mod controller;
 pub mod daemon;
-pub mod fleet;
-pub mod guarantee;
-pub mod jobs;
+pub mod job_shard;
 pub mod lending;
-pub mod machines;
-pub mod node;
+pub mod machine_registry;
+pub mod machine_shard;
+pub mod machine_view;
+pub mod membership;
 pub mod operators;
 pub mod peer;
-pub mod placement;
-pub mod ring;
-pub mod roll;
+pub mod quota;
+pub mod scheduler;
 pub mod settings;
 pub mod spec;
-pub mod store;
-pub mod teams;
+pub mod state_store;
 pub mod units;
-pub mod views;
--- a/src/roll.rs
+++ b/src/machine_registry.rs
@@ -3,7 +3,7 @@
 //! changes and not bytes: at a change a machine, hundreds of machines would take it half a minute.
 //! Each controller writes pages of its own, and says which of its names may go.
 
-use crate::machines::MachineRecord;
+use crate::machine_shard::MachineRecord;
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/machines.rs
+++ b/src/machine_shard.rs
@@ -1,21 +1,21 @@
 //! The home side of machines: their reports, sessions and leases, what may be started on them,
 //! and the commands they are given.
 
+use crate::membership::Membership;
 use crate::peer::{Actual, Digest, Exit, MachineDigest, Phase, Standing, TaskKey, Want, Wanted, Wishes};
-use crate::ring::Membership;
 use crate::settings::Settings;
 use crate::units::{Micros, Room};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-mod greet;
-mod handover;
-mod lease;
-mod reach;
+mod agent_lease;
+mod fencing_probe;
+mod handoff;
+mod owner_liveness;
 
-pub use greet::Greeting;
-pub(crate) use lease::ANSWER;
-use reach::{Reach, Standpoint};
+pub(crate) use agent_lease::ANSWER;
+pub use fencing_probe::Greeting;
+use owner_liveness::{Reach, Standpoint};
 
 /// A worker's report.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
--- a/src/machines/reach/tests.rs
+++ b/src/machine_shard/owner_liveness/tests.rs
@@ -1,7 +1,7 @@
 use super::super::tests::{ROOM, report, want};
 use super::super::{Home, Verdict};
+use crate::membership::{EpochRecord, Membership};
 use crate::peer::{TaskKey, Want, Wanted, Wishes};
-use crate::ring::{EpochRecord, Membership};
 use crate::settings::Settings;
 use crate::units::Micros;
 
--- a/src/machines/tests.rs
+++ b/src/machine_shard/tests.rs
@@ -1,7 +1,7 @@
 //! The home side by itself.
 
 use super::*;
-use crate::ring::EpochRecord;
+use crate::membership::EpochRecord;
 
 pub(super) const ROOM: Room = Room { cpus: 4000, gpus: 0, memory: 8000 };
 
--- a/src/views.rs
+++ b/src/machine_view.rs
@@ -126,9 +126,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::machines::{Home, Report, ReportedTask};
+    use crate::machine_shard::{Home, Report, ReportedTask};
+    use crate::membership::{EpochRecord, Membership};
     use crate::peer::{TaskKey, Want, Wanted, Wishes};
-    use crate::ring::{EpochRecord, Membership};
     use crate::settings::Settings;
     use crate::units::Room;
     use rand::{RngExt, SeedableRng, rngs::StdRng};
--- a/src/ring.rs
+++ b/src/membership.rs
@@ -1,6 +1,6 @@
 //! The ring: members, the epoch (the workers' token), who owns what, and who may act.
 
-pub mod aside;
+pub mod step_down;
 
 use crate::settings::Settings;
 use crate::units::Micros;
--- a/src/teams.rs
+++ b/src/quota.rs
@@ -5,12 +5,13 @@
 //! which order a team's jobs came, so that all controllers agree on which lie within the guarantee, and for which
 //! job others are to leave room (`notes`).
 
-mod notes;
+mod allocation_notes;
+pub mod tier;
 
-use crate::guarantee::{self, Footing};
+use self::tier::Footing;
 use crate::settings::TeamSettings;
 use crate::units::{Micros, Room};
-use notes::{Note, Want};
+use allocation_notes::{Note, Want};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
@@ -66,7 +67,7 @@
     }
     /// Its place among jobs that wait for the team's room.
     fn rank(&self) -> (std::cmp::Reverse<u8>, u64, &str) {
-        (std::cmp::Reverse(self.priority), guarantee::seconds(self.accepted), &self.job)
+        (std::cmp::Reverse(self.priority), tier::seconds(self.accepted), &self.job)
     }
 }
 
@@ -188,7 +189,7 @@
         let room = t.claims.get(job).copied().unwrap_or(need);
         let at = |id: &String| t.notes.get(id).and_then(|n| n.accepted);
         let others = t.claims.iter().map(|(id, c)| (id.as_str(), at(id), *c));
-        guarantee::footing(t.guarantee, (guarantee::seconds(accepted), job), room, others)
+        tier::footing(t.guarantee, (tier::seconds(accepted), job), room, others)
     }
     /// Whether the team has a guarantee.
     pub fn guaranteed(&self, team: &str) -> bool {
@@ -446,12 +447,12 @@
         }
         claims.retain(|_, c| c.cpus > 0 || c.gpus > 0);
         for n in needs.iter().filter(|n| claims.contains_key(&n.job)) {
-            notes.entry(n.job.clone()).or_default().accepted = Some(guarantee::seconds(n.accepted));
+            notes.entry(n.job.clone()).or_default().accepted = Some(tier::seconds(n.accepted));
         }
         if let Some(n) = ours {
             let have = claims.get(&n.job).copied().unwrap_or_default();
             let want = Want { room: n.target() - have, priority: n.priority };
-            let note = Note { accepted: Some(guarantee::seconds(n.accepted)), want: Some(want) };
+            let note = Note { accepted: Some(tier::seconds(n.accepted)), want: Some(want) };
             notes.insert(n.job.clone(), note);
         }
         notes.retain(|job, n| claims.contains_key(job) || n.want.is_some());
--- /dev/null
+++ b/src/scheduler.rs
@@ -0,0 +1,3 @@
+//! Scheduling decisions that need neither a clock nor input or output.
+
+pub mod placement;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,8 @@
 //! The platform's settings file (TOML) and what is derived from it.
 
-mod budget;
+mod cancellation_budget;
 
-pub use budget::{Budget, BudgetError};
+pub use cancellation_budget::{Budget, BudgetError};
 
 use crate::operators::Operators;
 use crate::units::Micros;
--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -2,14 +2,14 @@
 //! (`fixtures/README.md`) are read, and what is written for it is what it would have written. A change of
 //! layout fails here.
 
-use hazelsaddle::jobs::{Final, Owner, RecordWrite};
-use hazelsaddle::machines::MachineRecord;
+use hazelsaddle::job_shard::{Final, Owner, RecordWrite};
+use hazelsaddle::machine_registry::{self, Roll};
+use hazelsaddle::machine_shard::MachineRecord;
+use hazelsaddle::membership::EpochRecord;
 use hazelsaddle::peer::*;
-use hazelsaddle::ring::EpochRecord;
-use hazelsaddle::roll::{self, Roll};
+use hazelsaddle::quota::{Need, Teams};
 use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::Spec;
-use hazelsaddle::teams::{Need, Teams};
 use hazelsaddle::units::{Micros, Ranges, Room};
 use serde_json::{Map, Value, json};
 
@@ -269,7 +269,7 @@
     owner.jobs.get_mut("wk-000412").expect("live").ending = Some(Final::Cancelled);
     let Some((_, RecordWrite::End(_, end), _)) = owner.next_write(Micros(1), true) else { panic!("no end") };
     assert_eq!(end, stored["done/wk-000413"]);
-    assert_eq!(hazelsaddle::node::read_end(&end), Some((Final::Cancelled, 0)));
+    assert_eq!(hazelsaddle::controller::read_end(&end), Some((Final::Cancelled, 0)));
 }
 
 /// What the first version makes of a waiting job's record: a job that no machine suits. It hands the
@@ -340,8 +340,8 @@
         assert_eq!(end["says"]["breed"], with["breed"]);
         let packed = if follows.is_null() { Value::Null } else { "000398,405".into() };
         assert_eq!(end["says"]["follows"], packed);
-        assert_eq!(hazelsaddle::jobs::says_of_record(&record), Some(end["says"].clone()));
-        assert_eq!(hazelsaddle::node::read_end(&end), Some((Final::Done, 0)));
+        assert_eq!(hazelsaddle::job_shard::says_of_record(&record), Some(end["says"].clone()));
+        assert_eq!(hazelsaddle::controller::read_end(&end), Some((Final::Done, 0)));
     }
 }
 
@@ -378,7 +378,7 @@
     assert!(w.value.to_string().len() <= 2048 && jobs > 20, "as many as a value holds: {jobs}");
 
     let key = "mach/c0/0";
-    let rows = roll::read(&all["stored"][key]).expect("a page");
+    let rows = machine_registry::read(&all["stored"][key]).expect("a page");
     assert!(all["stored"][key].to_string().len() > 2048);
     let mut roll = Roll::new("c0", s.value_bytes);
     roll.take(key, &rows, 9);
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -1,12 +1,12 @@
 //! Jobs of two or three tasks that end far apart while their owners change: one task's end is known to its machine alone,
 //! or to a home, or to a record that was cut short or whose write had no answer.
 
-use hazelsaddle::jobs::{Final, Owner, RecordWrite};
+use hazelsaddle::job_shard::{Final, Owner, RecordWrite};
+use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::*;
-use hazelsaddle::ring::{EpochRecord, Membership};
+use hazelsaddle::quota::Teams;
 use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::Spec;
-use hazelsaddle::teams::Teams;
 use hazelsaddle::units::{Micros, Ranges, Room};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::json;
--- a/tests/follow.rs
+++ b/tests/follow.rs
@@ -1,8 +1,8 @@
 //! Who waits for whom, apart from the rest: ends that come in any order, twice or not at all at first,
 //! urgency that passes on, and the work that one end costs.
 
-use hazelsaddle::jobs::{Final, Owner};
-use hazelsaddle::ring::{EpochRecord, Membership};
+use hazelsaddle::job_shard::{Final, Owner};
+use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::Spec;
 use hazelsaddle::units::{Micros, Ranges};
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -5,18 +5,18 @@
 //! The fixtures are never written by this test. `GOLDEN_WRITE=1 cargo test --test golden -- --nocapture` prints what the
 //! code writes now to standard output, one line for each form, and changes nothing else.
 
-use hazelsaddle::fleet::{CloudAnswer, CloudRequest};
-use hazelsaddle::jobs::{Final, Owner, RecordWrite};
-use hazelsaddle::machines::{MachineRecord, Report, ReportedTask};
-use hazelsaddle::node::{Effect, Event, Node, read_end};
+use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest};
+use hazelsaddle::controller::{Effect, Event, Node, read_end};
+use hazelsaddle::job_shard::{Final, Owner, RecordWrite};
+use hazelsaddle::machine_registry::{self, Roll};
+use hazelsaddle::machine_shard::{MachineRecord, Report, ReportedTask};
+use hazelsaddle::membership::EpochRecord;
 use hazelsaddle::operators::Operators;
 use hazelsaddle::peer::*;
-use hazelsaddle::ring::EpochRecord;
-use hazelsaddle::roll::{self, Roll};
+use hazelsaddle::quota::{Need, Teams};
 use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::Spec;
-use hazelsaddle::store::{Commit, Row, StoreAnswer, StoreRequest};
-use hazelsaddle::teams::{Need, Teams};
+use hazelsaddle::state_store::{Commit, Row, StoreAnswer, StoreRequest};
 use hazelsaddle::units::{Micros, Ranges, Room};
 use hazelsaddle_coordination::census::{Member, Stands};
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind, items, pages};
@@ -450,7 +450,7 @@
     assert_eq!(read, epoch());
     again("epoch", serde_json::to_value(read).expect("plain"));
 
-    let rows = roll::read(&golden["machines"]).expect("a page");
+    let rows = machine_registry::read(&golden["machines"]).expect("a page");
     assert_eq!(rows, machines().map(|(n, r)| (n.to_owned(), r)));
     again("machines", page_of(&rows));
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,13 +1,13 @@
 //! What a home and an owner hand to the next: taken for complete where it is, never for more, and without harm when it
 //! comes late or twice.
 
-use hazelsaddle::jobs::Owner;
-use hazelsaddle::machines::{Home, Report, ReportedTask, Verdict};
+use hazelsaddle::job_shard::Owner;
+use hazelsaddle::machine_shard::{Home, Report, ReportedTask, Verdict};
+use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::*;
-use hazelsaddle::ring::{EpochRecord, Membership};
+use hazelsaddle::quota::Teams;
 use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::Spec;
-use hazelsaddle::teams::Teams;
 use hazelsaddle::units::{Micros, Ranges, Room};
 use serde_json::{Value, json};
 
@@ -166,7 +166,7 @@
 #[test]
 fn the_clock_of_a_machine_that_nobody_knows_goes_on() {
     let t = two();
-    let r = hazelsaddle::machines::MachineRecord {
+    let r = hazelsaddle::machine_shard::MachineRecord {
         kind: "k".into(),
         zone: "z".into(),
         spot: false,
@@ -205,7 +205,7 @@
 fn the_clock_of_a_machine_that_stays_goes_on() {
     let t = two();
     let stays = (0..).map(|i| format!("i-{i:06}")).find(|n| t.next.home(n) == Some(0)).expect("one of many");
-    let r = hazelsaddle::machines::MachineRecord {
+    let r = hazelsaddle::machine_shard::MachineRecord {
         kind: "k".into(),
         zone: "z".into(),
         spot: false,
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,8 +1,8 @@
 //! The edges over real sockets on loopback, against stand-ins for the outside systems.
 
-use hazelsaddle::fleet::{CloudAnswer, CloudClient, CloudRequest, Rental};
+use hazelsaddle::autoscaler::{CloudAnswer, CloudClient, CloudRequest, Rental};
 use hazelsaddle::peer::{self, Frame, Message};
-use hazelsaddle::store::{Commit, StoreAnswer, StoreClient, StoreRequest};
+use hazelsaddle::state_store::{Commit, StoreAnswer, StoreClient, StoreRequest};
 use hazelsaddle::units::Micros;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, SocketAddrV4};
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -2,15 +2,15 @@
 //! that rest on a right which has run out.
 
 use hazelsaddle::api::{self, Parsed};
-use hazelsaddle::fleet::CloudRequest;
-use hazelsaddle::machines::{Home, Report};
-use hazelsaddle::node::{Effect, Node};
+use hazelsaddle::autoscaler::CloudRequest;
+use hazelsaddle::controller::{Effect, Node};
+use hazelsaddle::machine_shard::{Home, Report};
+use hazelsaddle::machine_view::View;
+use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::{Digest, Reply, TaskKey, Want, Wanted, Wishes};
-use hazelsaddle::ring::{EpochRecord, Membership};
 use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::Spec;
 use hazelsaddle::units::{Micros, Room};
-use hazelsaddle::views::View;
 use serde_json::json;
 
 const EPOCH: u64 = 3;
--- a/tests/old_reports.rs
+++ b/tests/old_reports.rs
@@ -1,9 +1,9 @@
 //! One worker and the homes that follow one another, with copies of old reports, answers that are lost while the reports
 //! arrive, direct messages held up, and homes that begin knowing nothing: what a home says is not on the machine is not.
 
-use hazelsaddle::machines::{Home, MachineRecord, Orders, Report, ReportedTask, Verdict};
+use hazelsaddle::machine_shard::{Home, MachineRecord, Orders, Report, ReportedTask, Verdict};
+use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::*;
-use hazelsaddle::ring::{EpochRecord, Membership};
 use hazelsaddle::settings::Settings;
 use hazelsaddle::units::{Micros, Room};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
--- a/tests/spec.rs
+++ b/tests/spec.rs
@@ -1,7 +1,7 @@
 //! What a submission must say, and which jobs can never run: by PROTOCOL, "POST /v1/jobs".
 
 use hazelsaddle::api::{self, Parsed};
-use hazelsaddle::jobs::Owner;
+use hazelsaddle::job_shard::Owner;
 use hazelsaddle::peer::Reply;
 use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::{MachineType, Spec, SpecError, Types};
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -2,15 +2,15 @@
 //! workers, the cloud and the state service are stand-ins that never fail; a digest or a wish of another controller
 //! takes a step or two. Seeds alone decide what is asked.
 
-use hazelsaddle::fleet::{CloudAnswer, CloudRequest, Fleet, Listed};
-use hazelsaddle::jobs::{Owner, RecordWrite};
+use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest, Fleet, Listed};
+use hazelsaddle::job_shard::{Owner, RecordWrite};
+use hazelsaddle::machine_view::Seen;
+use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::{Actual, Digest, Exit, MachineDigest, Phase, Standing, TaskKey, Want, Wishes};
-use hazelsaddle::ring::{EpochRecord, Membership};
+use hazelsaddle::quota::Teams;
 use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::{Kind, MachineType, Spec};
-use hazelsaddle::teams::Teams;
 use hazelsaddle::units::{Micros, Ranges, Room};
-use hazelsaddle::views::Seen;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -424,7 +424,7 @@
     };
     let rent = |count, spot| {
         let (name, kind, zone) = ("r".into(), "large".into(), "a".into());
-        Effect::Cloud(CloudRequest::Rent(hazelsaddle::fleet::Rental { name, kind, zone, spot, count }))
+        Effect::Cloud(CloudRequest::Rent(hazelsaddle::autoscaler::Rental { name, kind, zone, spot, count }))
     };
     let all = [
         Effect::Reply(1, Reply::error(503, "later")),
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -1,14 +1,14 @@
 //! A simulated world (store, cloud, workers, users, a network that loses, delays and holds back)
 //! that drives the controllers' own code with seeded troubles and checks the rules after each step.
 
-use hazelsaddle::fleet::{CloudAnswer, CloudRequest, Listed};
-use hazelsaddle::machines::{Greeting, Report, ReportedTask};
-use hazelsaddle::node::{Effect, Event, Node};
+use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest, Listed};
+use hazelsaddle::controller::{Effect, Event, Node};
+use hazelsaddle::machine_shard::{Greeting, Report, ReportedTask};
 use hazelsaddle::operators::Operators;
 use hazelsaddle::peer::{Message, Reply, UserRequest};
 use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::{MachineType, Spec};
-use hazelsaddle::store::{Commit, StoreAnswer, StoreRequest};
+use hazelsaddle::state_store::{Commit, StoreAnswer, StoreRequest};
 use hazelsaddle::units::Micros;
 use hazelsaddle_testbed::state::State;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
--- a/tests/world/trace.rs
+++ b/tests/world/trace.rs
@@ -6,7 +6,7 @@
 //! these may change: requests are hashed as the clients of `src/store.rs`, `src/fleet.rs` and `src/api.rs` put them into HTTP.
 
 use super::*;
-use hazelsaddle::fleet::Rental;
+use hazelsaddle::autoscaler::Rental;
 use std::fmt::Write as _;
 use twox_hash::XxHash64;
 
