--- a/crates/testbed/src/state.rs
+++ b/crates/testbed/src/state.rs
@@ -1,7 +1,7 @@
 //! The state service: a small consistent store with leases, conditions and watches. Pure: time is an argument.
 //! `http` puts it on a port; the seeded world of the daemon's tests drives it directly.
 
-use hazelsaddle::state_store::{Commit, Row, StoreAnswer, StoreRequest};
+use hazelsaddle::state_store::{KeyValue, StoreAnswer, StoreRequest, Transaction};
 use hazelsaddle::units::Micros;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
@@ -96,13 +96,16 @@
     /// Carries out a request. A watch is answered as if its time had run out.
     pub fn apply(&mut self, now: u64, r: StoreRequest) -> StoreAnswer {
         self.expire(now);
-        let row =
-            |k: &String, v: &(Value, u64, Option<u64>)| Row { key: k.clone(), value: v.0.clone(), mark: v.1 };
+        let row = |k: &String, v: &(Value, u64, Option<u64>)| KeyValue {
+            key: k.clone(),
+            value: v.0.clone(),
+            mark: v.1,
+        };
         match r {
             StoreRequest::Get(k) => StoreAnswer::Got(self.keys.get(&k).map(|v| row(&k, v))),
             StoreRequest::List(prefix, after) => {
                 let page = if prefix.starts_with("ring/") { self.pages.0 } else { self.pages.1 };
-                let mut rows: Vec<Row> = self
+                let mut rows: Vec<KeyValue> = self
                     .keys
                     .range(prefix.clone()..)
                     .take_while(|(k, _)| k.starts_with(&prefix))
@@ -116,7 +119,7 @@
                 }
                 StoreAnswer::Page(rows, more)
             }
-            StoreRequest::Commit(Commit { conditions, puts, drops }) => {
+            StoreRequest::Transaction(Transaction { conditions, puts, drops }) => {
                 let failed: Vec<String> = conditions
                     .into_iter()
                     .filter(|(k, m)| self.keys.get(k).map_or(0, |v| v.1) != *m)
@@ -193,7 +196,7 @@
             ("POST", "/commit") => {
                 let list = |key: &str| body[key].as_array().cloned().unwrap_or_default();
                 let text = |v: &Value| v.as_str().unwrap_or("").to_owned();
-                let mut c = Commit::default();
+                let mut c = Transaction::default();
                 for i in list("if") {
                     c.conditions.push((text(&i["k"]), i["mark"].as_u64().unwrap_or(0)));
                 }
@@ -207,7 +210,7 @@
                 if long || c.puts.len() + c.drops.len() > self.limits.1 {
                     return Some((400, json!({"error": "too large"})));
                 }
-                StoreRequest::Commit(c)
+                StoreRequest::Transaction(c)
             }
             ("POST", _) if lease.is_some() => StoreRequest::Renew(lease.unwrap_or(0)),
             ("DELETE", _) if lease.is_some() => {
@@ -216,7 +219,7 @@
             }
             _ => return Some((400, json!({"error": "no such request"}))),
         };
-        let is_commit = matches!(request, StoreRequest::Commit(_));
+        let is_commit = matches!(request, StoreRequest::Transaction(_));
         let answer = self.apply(now, request);
         Some(match answer {
             StoreAnswer::NoLease if is_commit => (400, json!({"error": "no such lease"})),
@@ -226,7 +229,7 @@
 
     fn told(&self, a: StoreAnswer) -> (u16, Value) {
         let ledger = self.revision;
-        let row = |r: Row| {
+        let row = |r: KeyValue| {
             let tether = self.keys.get(&r.key).and_then(|v| v.2);
             json!({"k": r.key, "v": r.value, "mark": r.mark, "tether": tether})
         };
--- a/src/api.rs
+++ b/src/api.rs
@@ -4,9 +4,9 @@
 pub mod ops;
 
 use crate::controller::Event;
-use crate::machine_shard::{Greeting, Report};
+use crate::machine_shard::{FencingProbe, Heartbeat};
 use crate::peer::{Reply, UserRequest};
-use crate::spec::{BODY_LIMIT, Spec, is_job_id};
+use crate::spec::{BODY_LIMIT, JobSpec, is_job_id};
 use std::io::Read;
 
 /// Longest report taken: one with thousands of tasks.
@@ -41,8 +41,8 @@
         "/hello" if post => {
             return match read_body(REPORT_LIMIT) {
                 Err(r) => Parsed::Answer(r),
-                Ok(body) => match serde_json::from_str::<Report>(&body) {
-                    Ok(r) => Parsed::Event(Event::Report(ticket, r)),
+                Ok(body) => match serde_json::from_str::<Heartbeat>(&body) {
+                    Ok(r) => Parsed::Event(Event::Heartbeat(ticket, r)),
                     Err(e) => {
                         tracing::error!(reason = %e, "malformed report");
                         Parsed::Answer(Reply::error(400, &e.to_string()))
@@ -53,7 +53,7 @@
         "/v1/jobs" if post => {
             return match read_body(BODY_LIMIT) {
                 Err(r) => Parsed::Answer(r),
-                Ok(body) => match Spec::parse(&body) {
+                Ok(body) => match JobSpec::parse(&body) {
                     Ok(s) => Parsed::Event(Event::User(ticket, UserRequest::Submit(s.id, body))),
                     Err(e) => match named(&body) {
                         // It may repeat a job that was accepted with another body: its record is read first.
@@ -139,13 +139,13 @@
 
 /// Tells a worker the token, without any command; its report, if it answers. One whose lease has run out in between is
 /// in another session than was thought, and says so.
-pub fn greet(agent: &ureq::Agent, epoch: u64, g: &Greeting) -> Option<Report> {
+pub fn greet(agent: &ureq::Agent, epoch: u64, g: &FencingProbe) -> Option<Heartbeat> {
     let mut session = g.session;
     for _ in 0..2 {
         let body = serde_json::json!({"rein": epoch, "ride": session, "calls": []}).to_string();
         let (_, text) =
             crate::state_store::call(agent, "POST", &format!("http://{}/do", g.addr), Some(body))?;
-        let r: Report = serde_json::from_str(&text).ok()?;
+        let r: Heartbeat = serde_json::from_str(&text).ok()?;
         if r.token >= epoch || r.session == session {
             return Some(r);
         }
@@ -214,11 +214,11 @@
                 r.respond(answer).expect("sent");
             }
         });
-        let g = Greeting { machine: "i-1".into(), addr, session: 1 };
+        let g = FencingProbe { machine: "i-1".into(), addr, session: 1 };
         let r = greet(&greeter(), 9, &g).expect("a report");
         assert_eq!((r.session, r.token, r.seq), (3, 9, 8));
         worker.join().expect("asked twice");
-        let nobody = Greeting { addr: "127.0.0.1:1".into(), ..g };
+        let nobody = FencingProbe { addr: "127.0.0.1:1".into(), ..g };
         assert!(greet(&greeter(), 9, &nobody).is_none());
     }
 }
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -4,12 +4,12 @@
 mod headroom;
 
 use self::headroom::headroom;
-use crate::machine_view::Seen;
-use crate::peer::{Demand, Standing};
+use crate::machine_view::MachineSnapshot;
+use crate::peer::{Demand, InventoryState};
 use crate::settings::Settings;
 use crate::spec::{MachineType, Types};
-use crate::state_store::{Budget, call};
-use crate::units::{Micros, Room};
+use crate::state_store::{RateLimiter, call};
+use crate::units::{Micros, Resources};
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,14 +38,14 @@
     /// A page of the machine list.
     List(String),
     /// Rent machines.
-    Rent(Rental),
+    Rent(ScaleOut),
     /// Return machines.
     Return(Vec<String>),
 }
 
 /// A rental. Its name makes a repeated request safe and is never used twice.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rental {
+pub struct ScaleOut {
     /// The name.
     pub name: String,
     /// The machine type.
@@ -186,10 +186,10 @@
 }
 
 /// What the decider knows. Only the decider acts; the others keep the types.
-pub struct Fleet {
+pub struct Autoscaler {
     boot: u64,
     rentals: u64,
-    budget: Budget,
+    budget: RateLimiter,
     /// The machine types, once known.
     pub types: Types,
     next_types: Micros,
@@ -199,7 +199,7 @@
     /// Rented and not yet reporting.
     coming: BTreeMap<String, Coming>,
     no_capacity: BTreeMap<(String, String, bool), Micros>,
-    renting: Option<Rental>,
+    renting: Option<ScaleOut>,
     busy: bool,
     pause_until: Micros,
     demands: BTreeMap<usize, (Micros, Vec<Demand>)>,
@@ -218,14 +218,14 @@
     /// Whether `kept` rests on the word of all owners.
     pub steers: bool,
     /// What queueable work was like of late: a task's room and run time, and how long it may queue.
-    usual: Option<(Room, Micros, Micros)>,
+    usual: Option<(Resources, Micros, Micros)>,
     /// Machines being emptied because the rest of the fleet is enough.
     spare: BTreeSet<String>,
     next_spare: Micros,
     /// Whether guarantees ask for room to be kept.
     guarantees: bool,
     /// What the guarantees add up to.
-    guaranteed: Room,
+    guaranteed: Resources,
     /// A machine that has been silent for longer is given back.
     silence: Micros,
     list_lag: Micros,
@@ -235,13 +235,13 @@
     pub overdue: BTreeSet<String>,
 }
 
-impl Fleet {
+impl Autoscaler {
     /// Nothing known. `boot` is this process's random number.
-    pub fn new(boot: u64, s: &Settings) -> Fleet {
-        Fleet {
+    pub fn new(boot: u64, s: &Settings) -> Autoscaler {
+        Autoscaler {
             boot,
             rentals: 0,
-            budget: Budget::new(s.cloud_rps * 0.8),
+            budget: RateLimiter::new(s.cloud_rps * 0.8),
             types: Types::new(),
             next_types: Micros(0),
             next_list: Micros(0),
@@ -264,7 +264,10 @@
             spare: BTreeSet::new(),
             next_spare: Micros(0),
             guarantees: s.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0),
-            guaranteed: s.teams.iter().fold(Room::default(), |a, t| a + Room::need(t.cpus, t.gpus, 0.0)),
+            guaranteed: s
+                .teams
+                .iter()
+                .fold(Resources::default(), |a, t| a + Resources::need(t.cpus, t.gpus, 0.0)),
             // By then its tasks' lease has run out, and one that only hung had time to come back.
             silence: Micros(s.worker_lease.0 * 2),
             list_lag: s.list_lag,
@@ -275,7 +278,7 @@
     }
 
     /// A type's room.
-    pub fn room(&self, kind: &str) -> Option<Room> {
+    pub fn room(&self, kind: &str) -> Option<Resources> {
         self.types.get(kind).map(MachineType::room)
     }
 
@@ -360,7 +363,7 @@
         &mut self,
         now: Micros,
         decider: bool,
-        machines: &[&Seen],
+        machines: &[&MachineSnapshot],
         heard: bool,
         rebuilt: bool,
         members: &[usize],
@@ -400,7 +403,8 @@
         if !heard || now < self.next_plan || self.types.is_empty() || !self.budget.take(now, 1.0, 0.0) {
             return None;
         }
-        let by_name: BTreeMap<&str, &Seen> = machines.iter().map(|d| (d.name.as_str(), *d)).collect();
+        let by_name: BTreeMap<&str, &MachineSnapshot> =
+            machines.iter().map(|d| (d.name.as_str(), *d)).collect();
         // Word on what is kept goes out only once every owner has said what it has seen.
         let all = members.iter().all(|m| self.demands.contains_key(m));
         self.steers = all || now.since(since) > Micros::from_millis(2000);
@@ -445,7 +449,7 @@
     fn returns(
         &mut self,
         now: Micros,
-        machines: &BTreeMap<&str, &Seen>,
+        machines: &BTreeMap<&str, &MachineSnapshot>,
         since: Micros,
         rebuilt: bool,
     ) -> Vec<String> {
@@ -457,12 +461,12 @@
         }
         // Room kept for guarantees is of use only while there is work at all.
         // Machines that are gone are named until the next epoch and say nothing about that.
-        let there = || machines.values().filter(|d| d.standing != Standing::Gone);
+        let there = || machines.values().filter(|d| d.standing != InventoryState::Gone);
         let quiet = there().all(|d| d.busy == 0 && d.idle_for(now) > Micros::from_millis(20_000));
         let mut drain = BTreeSet::new();
         let up_to = self.listed_up_to();
         for d in machines.values() {
-            if d.standing == Standing::Gone || self.gone.contains_key(&d.name) {
+            if d.standing == InventoryState::Gone || self.gone.contains_key(&d.name) {
                 continue;
             }
             let failed =
@@ -488,7 +492,11 @@
                     || (self.drain.contains(&d.name) && d.busy == 0))
             {
                 drain.insert(d.name.clone());
-                if self.drain.contains(&d.name) && !d.open && d.busy == 0 && d.standing == Standing::Known {
+                if self.drain.contains(&d.name)
+                    && !d.open
+                    && d.busy == 0
+                    && d.standing == InventoryState::Known
+                {
                     out.push(d.name.clone());
                 }
             }
@@ -514,7 +522,7 @@
 
     /// Which types to leave to urgent work: those on which alone some shape of job fits that others
     /// of lower priority don't need, as long as that is the smaller part of the fleet.
-    fn keep(&mut self, now: Micros, machines: &[&Seen]) {
+    fn keep(&mut self, now: Micros, machines: &[&MachineSnapshot]) {
         let shapes = self.fresh_demands(now);
         let mut options: BTreeSet<(String, bool)> = BTreeSet::new();
         for t in self.types.values() {
@@ -585,10 +593,10 @@
     /// Machines to leave to gangs whose tasks take most of a machine: for the two largest of late at
     /// the most, in one zone if they ask for that, and never more than a small part of those that
     /// would do. The same ones as before as long as they serve, then those that are emptiest.
-    fn reserved(&self, shapes: &[Demand], lowest: u8, machines: &[&Seen]) -> BTreeMap<String, u8> {
+    fn reserved(&self, shapes: &[Demand], lowest: u8, machines: &[&MachineSnapshot]) -> BTreeMap<String, u8> {
         let mut out: BTreeMap<String, u8> = BTreeMap::new();
         for d in shapes.iter().filter(|d| d.priority > lowest && d.together > 1) {
-            let fits: Vec<&&Seen> = machines
+            let fits: Vec<&&MachineSnapshot> = machines
                 .iter()
                 .filter(|x| {
                     x.open
@@ -627,7 +635,7 @@
 
     /// Empties the dearest machine when the rest of the fleet gets through the queue in a small part
     /// of the time that the work may queue.
-    fn shrink(&mut self, now: Micros, machines: &BTreeMap<&str, &Seen>) {
+    fn shrink(&mut self, now: Micros, machines: &BTreeMap<&str, &MachineSnapshot>) {
         self.spare.retain(|n| machines.contains_key(n.as_str()) && !self.gone.contains_key(n));
         let demands = self.fresh_demands(now);
         for d in demands.iter().filter(|d| d.horizon.0 > 0 && d.estimate.0 > 0) {
@@ -639,13 +647,13 @@
         if self.guarantees || now < self.next_spare {
             return;
         }
-        let for_queue = |d: &&&Seen| {
-            d.standing == Standing::Known
+        let for_queue = |d: &&&MachineSnapshot| {
+            d.standing == InventoryState::Known
                 && !self.reserve.contains_key(&d.name)
                 && !self.kept.iter().any(|(k, s, _)| *k == d.kind && *s == d.spot)
         };
-        let slots = |d: &Seen| d.total.count_of(room).clamp(0, 10_000);
-        let all: Vec<&&Seen> = machines.values().filter(|d| for_queue(d) && d.open).collect();
+        let slots = |d: &MachineSnapshot| d.total.count_of(room).clamp(0, 10_000);
+        let all: Vec<&&MachineSnapshot> = machines.values().filter(|d| for_queue(d) && d.open).collect();
         let total: i64 = all.iter().map(|d| slots(d)).sum();
         let busy: i64 = machines.values().filter(for_queue).map(|d| i64::from(d.busy)).sum();
         let queued: f64 = demands
@@ -658,27 +666,29 @@
         if time(total) > horizon.0 as f64 {
             self.spare.clear();
         }
-        let price = |d: &Seen| {
+        let price = |d: &MachineSnapshot| {
             let t = self.types.get(&d.kind)?;
             Some((if d.spot { t.spot_price } else { t.price }) / slots(d).max(1) as f64)
         };
         // A machine costs a minute at least, so one that is younger is no saving.
-        let paid =
-            |d: &Seen| self.listed.as_ref().and_then(|l| l.get(&d.name)).is_some_and(|l| l.age_s > 60.0);
-        let mut dearest: Vec<&&Seen> =
+        let paid = |d: &MachineSnapshot| {
+            self.listed.as_ref().and_then(|l| l.get(&d.name)).is_some_and(|l| l.age_s > 60.0)
+        };
+        let mut dearest: Vec<&&MachineSnapshot> =
             all.iter().filter(|d| paid(d) && !self.spare.contains(&d.name)).copied().collect();
         dearest.sort_by(|a, b| {
             let by_price = price(b).unwrap_or(0.0).total_cmp(&price(a).unwrap_or(0.0));
             by_price.then(a.busy.cmp(&b.busy))
         });
         // Every shape of work must still find a machine that it fits.
-        let fits = |s: &Demand, x: &Seen| {
+        let fits = |s: &Demand, x: &MachineSnapshot| {
             x.spot <= s.spot
                 && (s.kinds.is_empty() || s.kinds.contains(&x.kind))
                 && s.zone.as_ref().is_none_or(|z| *z == x.zone)
                 && x.total.holds(s.room)
         };
-        let left: Vec<&&Seen> = all.iter().filter(|x| !self.spare.contains(&x.name)).copied().collect();
+        let left: Vec<&&MachineSnapshot> =
+            all.iter().filter(|x| !self.spare.contains(&x.name)).copied().collect();
         let mut total: i64 = left.iter().map(|d| slots(d)).sum();
         let mut free: i64 = left.iter().map(|d| d.free.count_of(room).clamp(0, 10_000)).sum();
         let mut chosen: Vec<&str> = Vec::new();
@@ -689,7 +699,7 @@
             if chosen.len() >= all.len() / 10 || !(chosen.is_empty() || surplus) {
                 break;
             }
-            let stays = |x: &Seen| x.name != d.name && !chosen.contains(&x.name.as_str());
+            let stays = |x: &MachineSnapshot| x.name != d.name && !chosen.contains(&x.name.as_str());
             let safe = demands.iter().all(|s| !fits(s, d) || left.iter().any(|x| stays(x) && fits(s, x)));
             if !safe || time(total - slots(d)) >= horizon.0 as f64 * 0.5 {
                 break;
@@ -715,10 +725,10 @@
     }
 
     /// The next rental that the waiting work is worth.
-    fn rent(&mut self, now: Micros, machines: &BTreeMap<&str, &Seen>) -> Option<Rental> {
+    fn rent(&mut self, now: Micros, machines: &BTreeMap<&str, &MachineSnapshot>) -> Option<ScaleOut> {
         self.no_capacity.retain(|_, until| now < *until);
         // Room on its way: rented by us, or listed as booting.
-        let mut coming: Vec<(String, String, bool, Room)> = Vec::new();
+        let mut coming: Vec<(String, String, bool, Resources)> = Vec::new();
         let mut seen = BTreeSet::new();
         // One that takes twice as long as promised may never come, so it is replaced; but only a few at a
         // time, or a surge would be rented twice when all of them are late.
@@ -752,7 +762,7 @@
             tracing::info!(machines = ?overdue, "machines overdue: rented, and twice their boot time has passed");
             self.overdue = overdue;
         }
-        let usable: Vec<(String, String, bool, Room)> = machines
+        let usable: Vec<(String, String, bool, Resources)> = machines
             .values()
             .filter(|d| d.open && !self.reserve.contains_key(&d.name))
             .map(|d| (d.kind.clone(), d.zone.clone(), d.spot, d.total))
@@ -817,7 +827,7 @@
             if left <= 0 {
                 continue;
             }
-            let mut options: Vec<(f64, Rental)> = Vec::new();
+            let mut options: Vec<(f64, ScaleOut)> = Vec::new();
             for t in self.types.values() {
                 let each = t.room().count_of(d.room).min(i64::from(u32::MAX));
                 if each <= 0 {
@@ -845,7 +855,7 @@
                         // For a large backlog the price of room counts, for a small one that of
                         // the machines it takes.
                         let cost = price * f64::from(count).max(left as f64 / each as f64);
-                        let r = Rental {
+                        let r = ScaleOut {
                             name: String::new(),
                             kind: t.name.clone(),
                             zone: zone.clone(),
@@ -885,7 +895,7 @@
     }
     fn shape(cpus: f64, spot: bool, priority: u8) -> Demand {
         Demand {
-            room: Room::need(cpus, 0.0, 1.0),
+            room: Resources::need(cpus, 0.0, 1.0),
             kinds: Vec::new(),
             zone: None,
             one_zone: false,
@@ -904,8 +914,8 @@
             txn_ops = 8\n[settings.cloud]\nrps = 8.0\nlist_lag_s = 8.0\n";
         Settings::parse("test", text).expect("valid")
     }
-    pub(super) fn fleet(shapes: Vec<Demand>) -> Fleet {
-        let mut f = Fleet::new(1, &settings());
+    pub(super) fn fleet(shapes: Vec<Demand>) -> Autoscaler {
+        let mut f = Autoscaler::new(1, &settings());
         for t in [kind("small", 4.0), kind("large", 32.0)] {
             f.types.insert(t.name.clone(), t);
         }
@@ -928,46 +938,46 @@
         assert_eq!(f.kept, Vec::new());
     }
 
-    pub(super) fn machine(i: usize, kind: &str, free: f64, total: f64) -> Seen {
-        let d = crate::peer::MachineDigest {
+    pub(super) fn machine(i: usize, kind: &str, free: f64, total: f64) -> MachineSnapshot {
+        let d = crate::peer::MachineStatus {
             name: format!("i-{i:03}"),
             kind: kind.into(),
             zone: "a".into(),
             spot: false,
-            standing: Standing::Known,
+            standing: InventoryState::Known,
             open: true,
             notice: None,
-            free: Room::need(free, 0.0, 64.0),
-            total: Room::need(total, 0.0, 64.0),
-            by_priority: vec![(0, Room::need(total - free, 0.0, 0.0))],
+            free: Resources::need(free, 0.0, 64.0),
+            total: Resources::need(total, 0.0, 64.0),
+            by_priority: vec![(0, Resources::need(total - free, 0.0, 0.0))],
             images: Vec::new(),
             busy: (total - free) as u32,
             idle: None,
             silent: None,
             tasks: Vec::new(),
         };
-        Seen::new(Micros(1), d)
+        MachineSnapshot::new(Micros(1), d)
     }
 
-    fn by_name(list: &[Seen]) -> BTreeMap<&str, &Seen> {
+    fn by_name(list: &[MachineSnapshot]) -> BTreeMap<&str, &MachineSnapshot> {
         list.iter().map(|d| (d.name.as_str(), d)).collect()
     }
 
     /// Seen on a day with GPUs: all ordinary machines were left to gangs, and arrays had a few spot machines.
     #[test]
     fn a_few_spot_machines_are_nowhere_else_to_go() {
-        let gang = Demand { room: Room::need(96.0, 8.0, 1.0), together: 4, ..shape(96.0, false, 11) };
-        let array = Demand { room: Room::need(8.0, 1.0, 1.0), ..shape(8.0, true, 10) };
+        let gang = Demand { room: Resources::need(96.0, 8.0, 1.0), together: 4, ..shape(96.0, false, 11) };
+        let array = Demand { room: Resources::need(8.0, 1.0, 1.0), ..shape(8.0, true, 10) };
         let kept = |spots: usize| {
             let mut f = fleet(vec![gang.clone(), array.clone()]);
             f.types.insert("g".into(), MachineType { gpus: 8.0, ..kind("g", 96.0) });
-            let mut seen: Vec<Seen> = (0..60).map(|i| machine(i, "large", 0.0, 32.0)).collect();
+            let mut seen: Vec<MachineSnapshot> = (0..60).map(|i| machine(i, "large", 0.0, 32.0)).collect();
             for i in 0..12 + spots {
                 let d = machine(100 + i, "g", 96.0, 96.0);
-                let total = Room::need(96.0, 8.0, 64.0);
-                seen.push(Seen::new(
+                let total = Resources::need(96.0, 8.0, 64.0);
+                seen.push(MachineSnapshot::new(
                     Micros(1),
-                    crate::peer::MachineDigest { total, spot: i >= 12, ..(*d).clone() },
+                    crate::peer::MachineStatus { total, spot: i >= 12, ..(*d).clone() },
                 ));
             }
             f.keep(Micros(2), &seen.iter().collect::<Vec<_>>());
@@ -980,7 +990,7 @@
     #[test]
     fn of_many_big_machines_some_are_left_to_gangs_and_stay_the_same() {
         let mut f = fleet(vec![Demand { together: 3, ..shape(30.0, false, 2) }, shape(1.0, true, 0)]);
-        let mut seen: Vec<Seen> =
+        let mut seen: Vec<MachineSnapshot> =
             (0..60).map(|i| machine(i, "large", if i < 6 { 20.0 } else { 2.0 }, 32.0)).collect();
         f.keep(Micros(2), &seen.iter().collect::<Vec<_>>());
         assert_eq!(f.kept, Vec::new(), "enough of them that a part will do");
@@ -997,14 +1007,14 @@
     #[test]
     fn headroom_follows_what_runs_and_ends_with_it() {
         let f = fleet(vec![]);
-        let promised = Room { cpus: 1_000_000, ..Room::default() };
-        let full: Vec<Seen> = (0..20).map(|i| machine(i, "large", 0.0, 32.0)).collect();
+        let promised = Resources { cpus: 1_000_000, ..Resources::default() };
+        let full: Vec<MachineSnapshot> = (0..20).map(|i| machine(i, "large", 0.0, 32.0)).collect();
         // A quarter of 640 in use, which is less than a fifth of 1,000: 160, five machines.
         assert_eq!(
             headroom(promised, &f.types, &by_name(&full)).first().map(|d| (d.count, d.spot)),
             Some((6, false))
         );
-        let idle: Vec<Seen> = (0..20).map(|i| machine(i, "large", 32.0, 32.0)).collect();
+        let idle: Vec<MachineSnapshot> = (0..20).map(|i| machine(i, "large", 32.0, 32.0)).collect();
         assert!(headroom(promised, &f.types, &by_name(&idle)).is_empty());
     }
 
@@ -1012,10 +1022,10 @@
     #[test]
     fn clear_surplus_goes_in_batches_and_queued_work_stops_that() {
         let mut f = fleet(vec![]);
-        f.usual = Some((Room::need(1.0, 0.0, 1.0), Micros(20_000_000), Micros(60_000_000)));
-        let idle: Vec<Seen> = (0..100).map(|i| machine(i, "small", 3.0, 4.0)).collect();
+        f.usual = Some((Resources::need(1.0, 0.0, 1.0), Micros(20_000_000), Micros(60_000_000)));
+        let idle: Vec<MachineSnapshot> = (0..100).map(|i| machine(i, "small", 3.0, 4.0)).collect();
         let by_name = by_name(&idle);
-        let old = |d: &Seen| Listed {
+        let old = |d: &MachineSnapshot| Listed {
             name: d.name.clone(),
             kind: d.kind.clone(),
             zone: d.zone.clone(),
@@ -1067,7 +1077,7 @@
     fn while_a_takeover_is_under_way_only_what_has_failed_goes_back() {
         let mut f = fleet(vec![]);
         let late = Micros(200_000_000);
-        let mut seen: Vec<Seen> = (0..9).map(|i| machine(i, "small", 4.0, 4.0)).collect();
+        let mut seen: Vec<MachineSnapshot> = (0..9).map(|i| machine(i, "small", 4.0, 4.0)).collect();
         for (i, d) in seen.iter_mut().enumerate() {
             (d.idle_since, d.silent_since) = (Some(Micros(1)), (i == 4).then_some(Micros(1)));
         }
--- a/src/autoscaler/headroom.rs
+++ b/src/autoscaler/headroom.rs
@@ -1,30 +1,34 @@
 //! Which room the decider rents for what: free room for guarantees, and all of a gang in one zone.
 
-use crate::machine_view::Seen;
+use crate::machine_view::MachineSnapshot;
 use crate::peer::Demand;
 use crate::spec::{MachineType, Types};
-use crate::units::{Micros, Room};
+use crate::units::{Micros, Resources};
 use std::collections::BTreeMap;
 
 /// One part of a room.
-type Part = fn(Room) -> i64;
+type Part = fn(Resources) -> i64;
 
 /// Room to keep free for guarantees: work within them should start at once, also when the next surge comes, and a
 /// machine takes long to boot. Processors beside GPUs don't count as such where there are machines without.
-pub(super) fn headroom(guaranteed: Room, types: &Types, machines: &BTreeMap<&str, &Seen>) -> Vec<Demand> {
+pub(super) fn headroom(
+    guaranteed: Resources,
+    types: &Types,
+    machines: &BTreeMap<&str, &MachineSnapshot>,
+) -> Vec<Demand> {
     let parts: [(Part, bool); 2] = [(|r| r.cpus, false), (|r| r.gpus, true)];
     parts.into_iter().filter_map(|(part, gpus)| lacking(guaranteed, types, machines, part, gpus)).collect()
 }
 
 fn lacking(
-    guaranteed: Room,
+    guaranteed: Resources,
     types: &Types,
-    machines: &BTreeMap<&str, &Seen>,
+    machines: &BTreeMap<&str, &MachineSnapshot>,
     part: Part,
     gpus: bool,
 ) -> Option<Demand> {
     let plain = types.values().any(|t| t.gpus <= 0.0);
-    let suits = |r: Room| (r.gpus > 0) == gpus || (!plain && !gpus);
+    let suits = |r: Resources| (r.gpus > 0) == gpus || (!plain && !gpus);
     let largest = types.values().map(MachineType::room).filter(|r| suits(*r)).max_by_key(|r| part(*r))?;
     let open = || machines.values().filter(|d| d.open && suits(d.total));
     let free: i64 = open().map(|d| part(d.free).max(0)).sum();
@@ -50,7 +54,7 @@
 pub(super) fn zone_for(
     d: &Demand,
     types: &Types,
-    coming: &[(String, String, bool, Room)],
+    coming: &[(String, String, bool, Resources)],
     out_of: impl Fn(&str) -> bool,
 ) -> Option<String> {
     if !d.one_zone || d.together <= 1 {
@@ -98,7 +102,7 @@
     fn a_gang_of_one_zone_is_rented_for_where_its_machines_are_coming() {
         let types: Types = [kind("k", 16.0, 0.0)].into();
         let d = Demand {
-            room: Room::need(15.0, 0.0, 1.0),
+            room: Resources::need(15.0, 0.0, 1.0),
             kinds: Vec::new(),
             zone: None,
             one_zone: true,
@@ -109,7 +113,8 @@
             horizon: Micros(0),
             together: 24,
         };
-        let coming = |b: usize| vec![("k".to_owned(), "b".to_owned(), false, Room::need(16.0, 0.0, 64.0)); b];
+        let coming =
+            |b: usize| vec![("k".to_owned(), "b".to_owned(), false, Resources::need(16.0, 0.0, 64.0)); b];
         let zone = |b: usize, out: &[&str]| zone_for(&d, &types, &coming(b), |z| out.contains(&z));
         assert_eq!(zone(0, &[]), None, "nothing is coming: wherever it is cheapest");
         assert_eq!(zone(10, &[]).as_deref(), Some("b"));
@@ -121,14 +126,14 @@
     fn headroom_counts_gpus_by_themselves() {
         let types: Types = [kind("k", 16.0, 0.0), kind("g", 96.0, 8.0)].into();
         let none = BTreeMap::new();
-        assert!(headroom(Room::need(500.0, 40.0, 0.0), &types, &none).is_empty(), "nothing runs");
-        let seen = |name: &str, kind: &str, free: Room| {
-            let d = crate::peer::MachineDigest {
+        assert!(headroom(Resources::need(500.0, 40.0, 0.0), &types, &none).is_empty(), "nothing runs");
+        let seen = |name: &str, kind: &str, free: Resources| {
+            let d = crate::peer::MachineStatus {
                 name: name.into(),
                 kind: kind.into(),
                 zone: "a".into(),
                 spot: false,
-                standing: crate::peer::Standing::Known,
+                standing: crate::peer::InventoryState::Known,
                 open: true,
                 notice: None,
                 free,
@@ -140,17 +145,23 @@
                 silent: None,
                 tasks: Vec::new(),
             };
-            Seen::new(Micros(1), d)
+            MachineSnapshot::new(Micros(1), d)
         };
-        let busy = [seen("1", "g", Room::need(90.0, 0.0, 9.0)), seen("2", "k", Room::need(16.0, 0.0, 9.0))];
+        let busy = [
+            seen("1", "g", Resources::need(90.0, 0.0, 9.0)),
+            seen("2", "k", Resources::need(16.0, 0.0, 9.0)),
+        ];
         let by_name = busy.iter().map(|d| (d.name.as_str(), d)).collect();
-        let wanted = headroom(Room::need(500.0, 40.0, 0.0), &types, &by_name);
+        let wanted = headroom(Resources::need(500.0, 40.0, 0.0), &types, &by_name);
         let shapes: Vec<(i64, i64)> = wanted.iter().map(|d| (d.room.gpus, i64::from(d.count))).collect();
         assert_eq!(
             shapes,
             [(8000, 1)],
             "a quarter of the eight in use; processors beside GPUs are no headroom"
         );
-        assert!(headroom(Room::need(500.0, 0.0, 0.0), &types, &by_name).is_empty(), "no GPUs are guaranteed");
+        assert!(
+            headroom(Resources::need(500.0, 0.0, 0.0), &types, &by_name).is_empty(),
+            "no GPUs are guaranteed"
+        );
     }
 }
--- a/src/autoscaler/lost_machines.rs
+++ b/src/autoscaler/lost_machines.rs
@@ -10,7 +10,7 @@
 /// The pages of one list are asked for within this time, as a rule.
 const PAGES: Micros = Micros::from_millis(10_000);
 
-impl Fleet {
+impl Autoscaler {
     /// The youngest listed machine that is so old that every page of the list, however late, describes a time at which
     /// it was there, and with it all machines that are older. Names are in the order of creation.
     pub(super) fn listed_up_to(&self) -> Option<&str> {
@@ -20,8 +20,8 @@
     }
 
     /// Whether a machine that nobody hears is absent from a list that would name it if it were there.
-    pub(super) fn absent(&self, d: &Seen, up_to: Option<&str>) -> bool {
-        let quiet = d.standing == Standing::Unconfirmed || d.silent_since.is_some();
+    pub(super) fn absent(&self, d: &MachineSnapshot, up_to: Option<&str>) -> bool {
+        let quiet = d.standing == InventoryState::Unconfirmed || d.silent_since.is_some();
         quiet
             && up_to.is_some_and(|name| d.name.as_str() < name)
             && self.listed.as_ref().is_some_and(|l| !l.contains_key(&d.name))
@@ -32,7 +32,7 @@
 mod tests {
     use super::super::tests::{fleet, machine};
     use super::*;
-    use crate::peer::MachineDigest;
+    use crate::peer::MachineStatus;
 
     fn listed(i: usize, age_s: f64) -> (String, Listed) {
         let d = machine(i, "small", 4.0, 4.0);
@@ -54,18 +54,22 @@
         let mut f = fleet(vec![]);
         f.list_lag = Micros::from_millis(8_000);
         let now = Micros(200_000_000);
-        let mut seen: Vec<Seen> = (0..9)
+        let mut seen: Vec<MachineSnapshot> = (0..9)
             .map(|i| {
                 let mut d = machine(i, "small", 4.0, 4.0);
                 if i < 8 {
-                    d = Seen::new(now, MachineDigest { standing: Standing::Unconfirmed, ..(*d).clone() });
+                    d = MachineSnapshot::new(
+                        now,
+                        MachineStatus { standing: InventoryState::Unconfirmed, ..(*d).clone() },
+                    );
                 }
                 d
             })
             .collect();
         // 3 is listed. 6 came just before 7, the youngest that is old enough to prove anything; 8 is heard.
         f.listed = Some([listed(3, 300.0), listed(7, 27.0)].into());
-        let gone = |f: &mut Fleet, seen: &[Seen]| f.returns(now, &by_name(seen), Micros(1), false);
+        let gone =
+            |f: &mut Autoscaler, seen: &[MachineSnapshot]| f.returns(now, &by_name(seen), Micros(1), false);
         assert_eq!(gone(&mut f, &seen), ["i-000", "i-001", "i-002", "i-004", "i-005", "i-006"]);
         f.listed = Some([listed(3, 300.0), listed(7, 25.0)].into());
         assert_eq!(gone(&mut f, &seen), ["i-000", "i-001", "i-002"], "a page may be older than 7");
@@ -78,7 +82,7 @@
         assert!(gone(&mut f, &seen).is_empty(), "no list, no hint");
     }
 
-    fn by_name(list: &[Seen]) -> BTreeMap<&str, &Seen> {
+    fn by_name(list: &[MachineSnapshot]) -> BTreeMap<&str, &MachineSnapshot> {
         list.iter().map(|d| (d.name.as_str(), d)).collect()
     }
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -18,26 +18,26 @@
 mod state_store_io;
 mod user_requests;
 
-use self::coordination::{PactPurpose, Pacts};
-use self::dependencies::Follow;
-use self::flap_damping::Restraint;
-use self::freshness::{FreshPurpose, Freshness};
-use self::gpu_lending::{LoanPurpose, Loans};
-use self::handoff::Handover;
+use self::coordination::{PendingRecordRequest, RecordSlice};
+use self::dependencies::Dependencies;
+use self::flap_damping::FlapDamping;
+use self::freshness::{Freshness, PendingFreshnessRequest};
+use self::gpu_lending::{Loans, PendingLoanRequest};
+use self::handoff::Handoff;
 pub use self::handoff::LEAVING;
 use self::release::Releases;
-use self::start_replica::Witness;
-use crate::autoscaler::{CloudAnswer, CloudRequest, Fleet};
-use crate::job_shard::{Final, Owner, RecordWrite};
-use crate::machine_registry::{self, PageWrite, Roll};
-use crate::machine_shard::{Greeting, Home, Report, Verdict};
-use crate::membership::step_down::{Aside, Strays};
+use self::start_replica::StartReplica;
+use crate::autoscaler::{Autoscaler, CloudAnswer, CloudRequest};
+use crate::job_shard::{JobOutcome, JobShard, RecordWrite};
+use crate::machine_registry::{self, MachineRegistry, PageWrite};
+use crate::machine_shard::{FencingProbe, Heartbeat, MachineShard, Verdict};
+use crate::membership::step_down::{MisroutedHeartbeats, StepDown};
 use crate::membership::{EpochRecord, Membership};
-use crate::peer::{Frame, Message, Reply, UserRequest, Wishes};
-use crate::quota::{ClaimWrite, Teams};
+use crate::peer::{DesiredState, Frame, Message, Reply, UserRequest};
+use crate::quota::{AllocationWrite, QuotaLedger};
 use crate::settings::Settings;
-use crate::spec::{Kind, Spec};
-use crate::state_store::{Budget, Commit, Row, StoreAnswer, StoreRequest};
+use crate::spec::{JobKind, JobSpec};
+use crate::state_store::{KeyValue, RateLimiter, StoreAnswer, StoreRequest, Transaction};
 use crate::units::{Micros, Ranges};
 use hazelsaddle_coordination::record::{CoordinationRecord, Key};
 use serde_json::{Value, json};
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A worker's report; the answer goes to the ticket.
-    Report(u64, Report),
+    Heartbeat(u64, Heartbeat),
     /// A user's request, its syntax checked.
     User(u64, UserRequest),
     /// An operator's request about releases or batches.
@@ -81,7 +81,7 @@
     /// Whether one of the workers that were to be probed has answered.
     Probed(bool),
     /// What a worker answered that was asked directly.
-    Greeted(Report),
+    Greeted(Heartbeat),
     /// The process is to end: hand everything on and leave the ring.
     Leave,
     /// Only time has passed.
@@ -102,19 +102,19 @@
     /// Find out whether a worker at one of these addresses answers.
     Probe(Vec<String>),
     /// Tell these workers the token, without any command, and bring back their reports.
-    Greet(u64, Vec<Greeting>),
+    Greet(u64, Vec<FencingProbe>),
 }
 
 /// Who waits for an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Origin {
+enum Caller {
     Ticket(u64),
     Peer(usize, u64),
 }
 
 /// What a request to the state service was for.
 #[derive(Clone, Debug)]
-enum Purpose {
+enum PendingStoreRequest {
     Grant,
     ReadOwn,
     Register,
@@ -132,22 +132,22 @@
     Verify(String, u64),
     VerifyEnd(String, u64),
     Lookup(String, u64),
-    Peek(String, Origin),
+    Peek(String, Caller),
     LookupEnd(String, u64),
-    Roll(u64, PageWrite),
+    MachineRegistry(u64, PageWrite),
     ReadPage(u64, u32),
-    Claim(ClaimWrite),
+    Claim(AllocationWrite),
     ReadTeam(String),
     NoteForms(u64),
-    Pact(PactPurpose),
-    Fresh(FreshPurpose),
+    Pact(PendingRecordRequest),
+    Fresh(PendingFreshnessRequest),
     Revision,
     Watch,
     ReadEnd(String),
     Check(String, String),
     CheckEnd(String, String),
     Refuse(String, String),
-    Loan(LoanPurpose),
+    Loan(PendingLoanRequest),
 }
 
 /// What is read at the beginning of an epoch.
@@ -155,18 +155,18 @@
 enum Load {
     Jobs,
     Machines,
-    Teams,
+    QuotaLedger,
     Unwitnessed,
     Done,
 }
 
 struct Accepting {
-    origins: Vec<Origin>,
+    origins: Vec<Caller>,
     /// Requests that came after it was sent to the store: by the time of the answer the job may have ended.
-    late: Vec<Origin>,
+    late: Vec<Caller>,
     /// Whether it was sent to the store.
     sent: bool,
-    spec: Spec,
+    spec: JobSpec,
     raw: Value,
     wall: Micros,
     /// Jobs that it follows and that are not yet known to have been accepted.
@@ -184,14 +184,14 @@
     /// Tells its answer from those of earlier readings, also of an earlier epoch.
     number: u64,
     /// Requests that came before it began.
-    waiting: Vec<(Origin, UserRequest)>,
+    waiting: Vec<(Caller, UserRequest)>,
     /// Requests that came since. What is being read may be older than what their users were told before they asked, so they
     /// wait for the next reading.
-    next: Vec<(Origin, UserRequest)>,
+    next: Vec<(Caller, UserRequest)>,
 }
 
 /// A request passed to a peer.
-struct Asked {
+struct ForwardedRequest {
     /// Who waits for the answer, if anybody does.
     ticket: Option<u64>,
     at: Micros,
@@ -199,20 +199,20 @@
 }
 
 /// One controller.
-pub struct Node {
+pub struct Controller {
     settings: Settings,
     boot: u64,
     /// What it knows of the ring.
     pub membership: Membership,
     /// Its work as an owner.
-    pub owner: Owner,
+    pub owner: JobShard,
     /// Its work as a home.
-    pub home: Home,
+    pub home: MachineShard,
     /// The teams' records.
-    pub teams: Teams,
+    pub teams: QuotaLedger,
     /// Its work as the decider.
-    pub fleet: Fleet,
-    roll: Roll,
+    pub fleet: Autoscaler,
+    roll: MachineRegistry,
     next_prune: Micros,
     // Ring loop.
     lease: Option<u64>,
@@ -220,12 +220,12 @@
     seen: Option<(EpochRecord, u64, Micros)>,
     ring_busy: bool,
     next_ring: Micros,
-    aside: Aside,
-    restraint: Restraint,
+    aside: StepDown,
+    restraint: FlapDamping,
     /// Other controllers whose store leases lived when last read.
     alive: Vec<usize>,
     /// Per controller: machines of its that turned up here and were sent on to it.
-    strays: Vec<Strays>,
+    strays: Vec<MisroutedHeartbeats>,
     /// When the last round ended; a gap means that the process stood still.
     last_round: Micros,
     // Loading.
@@ -236,27 +236,27 @@
     machines_on_record: Vec<String>,
     // State service.
     next_id: u64,
-    in_flight: BTreeMap<u64, Purpose>,
-    requests: Budget,
-    writes: Budget,
+    in_flight: BTreeMap<u64, PendingStoreRequest>,
+    requests: RateLimiter,
+    writes: RateLimiter,
     store_pause: Micros,
     next_team_plan: Micros,
     // Users.
     accepting: BTreeMap<String, Accepting>,
-    follow: Follow,
-    pacts: Pacts,
+    follow: Dependencies,
+    pacts: RecordSlice,
     fresh: Freshness,
     releases: Releases,
-    handover: Handover,
+    handover: Handoff,
     /// The version of its own key, if it was read since that was last written, and what was last written there without an
     /// answer.
     own_mark: Option<u64>,
     own_sent: Option<Value>,
     loans: Loans,
-    witness: Witness,
+    witness: StartReplica,
     lookups: BTreeMap<String, Lookup>,
-    withdrawing: BTreeMap<String, Vec<Origin>>,
-    asked: BTreeMap<u64, Asked>,
+    withdrawing: BTreeMap<String, Vec<Caller>>,
+    asked: BTreeMap<u64, ForwardedRequest>,
     /// Jobs accepted in place of an owner that did not answer, and when it is next told.
     standing_in: BTreeMap<String, Micros>,
     // Peers.
@@ -279,28 +279,28 @@
     unreached: BTreeSet<String>,
 }
 
-impl Node {
+impl Controller {
     /// A controller that has just started; `boot` is a random number.
-    pub fn new(settings: Settings, boot: u64) -> Node {
+    pub fn new(settings: Settings, boot: u64) -> Controller {
         let n = settings.members.len();
-        Node {
+        Controller {
             boot,
             membership: Membership::new(&settings, boot),
-            owner: Owner::new(&settings),
-            home: Home::new(&settings),
-            teams: Teams::new(&settings.teams),
-            fleet: Fleet::new(boot, &settings),
-            roll: Roll::new(&settings.member, settings.value_bytes),
+            owner: JobShard::new(&settings),
+            home: MachineShard::new(&settings),
+            teams: QuotaLedger::new(&settings.teams),
+            fleet: Autoscaler::new(boot, &settings),
+            roll: MachineRegistry::new(&settings.member, settings.value_bytes),
             next_prune: Micros(0),
             lease: None,
             registered: false,
             seen: None,
             ring_busy: false,
             next_ring: Micros(0),
-            aside: Aside::new(&settings),
-            restraint: Restraint::default(),
+            aside: StepDown::new(&settings),
+            restraint: FlapDamping::default(),
             alive: Vec::new(),
-            strays: (0..n).map(|_| Strays::default()).collect(),
+            strays: (0..n).map(|_| MisroutedHeartbeats::default()).collect(),
             last_round: Micros(0),
             load: Load::Done,
             load_after: String::new(),
@@ -310,18 +310,18 @@
             // Peers answer late: what an earlier process asked must not answer what this one asks under the same number.
             next_id: boot << 12,
             in_flight: BTreeMap::new(),
-            requests: Budget::new(settings.store_rps),
-            writes: Budget::new(settings.store_write_rps),
+            requests: RateLimiter::new(settings.store_rps),
+            writes: RateLimiter::new(settings.store_write_rps),
             store_pause: Micros(0),
             next_team_plan: Micros(0),
             accepting: BTreeMap::new(),
-            follow: Follow::default(),
-            pacts: Pacts::default(),
+            follow: Dependencies::default(),
+            pacts: RecordSlice::default(),
             fresh: Freshness::default(),
             releases: Releases::default(),
-            handover: Handover::new(n),
+            handover: Handoff::new(n),
             loans: Loans::default(),
-            witness: Witness::new(n),
+            witness: StartReplica::new(n),
             lookups: BTreeMap::new(),
             withdrawing: BTreeMap::new(),
             asked: BTreeMap::new(),
@@ -350,12 +350,12 @@
         self.wall = wall;
         self.wake(now);
         match event {
-            Event::Report(ticket, r) => {
+            Event::Heartbeat(ticket, r) => {
                 if let Some(reply) = self.report(now, ticket, &r, out) {
                     out.push(Effect::Reply(ticket, reply));
                 }
             }
-            Event::User(ticket, r) => self.user(now, Origin::Ticket(ticket), r, out),
+            Event::User(ticket, r) => self.user(now, Caller::Ticket(ticket), r, out),
             Event::Operator(ticket, r) => self.operator(now, ticket, r, out),
             Event::Ready(ticket) => {
                 // Also while it reads its records: polls and submissions are answered all the same, and what is not
@@ -538,25 +538,25 @@
     }
 }
 
-fn stance_of(f: Final) -> &'static str {
+fn stance_of(f: JobOutcome) -> &'static str {
     match f {
-        Final::Done => "done",
-        Final::Cancelled => "aborted",
+        JobOutcome::Done => "done",
+        JobOutcome::Cancelled => "aborted",
     }
 }
 
 /// Reads the record of a job's end.
-pub fn read_end(v: &Value) -> Option<(Final, u32)> {
+pub fn read_end(v: &Value) -> Option<(JobOutcome, u32)> {
     let f = match v.get("end")?.as_str()? {
-        "done" => Final::Done,
-        "cancelled" => Final::Cancelled,
+        "done" => JobOutcome::Done,
+        "cancelled" => JobOutcome::Cancelled,
         _ => return None,
     };
     Some((f, v.get("done").and_then(Value::as_u64).and_then(|n| u32::try_from(n).ok()).unwrap_or(0)))
 }
 
 /// Only the fields of a description that are read, each job that it follows once, and the pacts that it names.
-fn trimmed(raw: &Value, spec: &Spec) -> Value {
+fn trimmed(raw: &Value, spec: &JobSpec) -> Value {
     const KEPT: [&str; 20] = [
         "uid",
         "breed",
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -35,7 +35,7 @@
 
 /// What a request to the state service was for.
 #[derive(Clone, Debug)]
-pub(super) enum PactPurpose {
+pub(super) enum PendingRecordRequest {
     Read(Key, Micros),
     Heads(u64, Micros),
     Change(Box<Change>),
@@ -74,7 +74,7 @@
 
 /// What this controller knows of pacts.
 #[derive(Default)]
-pub(super) struct Pacts {
+pub(super) struct RecordSlice {
     pub(super) shelf: RecordCache,
     /// Keys under change by this process.
     changing: BTreeSet<Key>,
@@ -119,10 +119,10 @@
 pub(super) fn reading(key: &str, v: &Value) -> Reading {
     if key.starts_with(hazelsaddle_coordination::census::ENDS) {
         let (f, _) = read_end(v)?;
-        let stands = if f == Final::Done { Stands::Done } else { Stands::Cancelled };
+        let stands = if f == JobOutcome::Done { Stands::Done } else { Stands::Cancelled };
         return Some((v.get("says").map(joined).unwrap_or_default(), stands));
     }
-    Owner::read_record(v)?;
+    JobShard::read_record(v)?;
     Some((says_of_record(v).as_ref().map(joined).unwrap_or_default(), Stands::Live))
 }
 
@@ -147,7 +147,7 @@
     out
 }
 
-impl Node {
+impl Controller {
     /// A new epoch: what rests on the order of readings within the last one is begun anew. Records stay as read: they
     /// only go forward, and every change is conditional on what is held.
     pub(super) fn pacts_anew(&mut self) {
@@ -238,15 +238,23 @@
     /// one that is written late changes nothing that was decided.
     fn change_on(&mut self, mut c: Box<Change>, out: &mut Vec<Effect>) {
         let conditions = vec![self.fence(), (c.key.head(), c.mark)];
-        let mut commit = Commit { conditions, ..Commit::default() };
+        let mut commit = Transaction { conditions, ..Transaction::default() };
         match c.pages.pop() {
             Some((key, page)) => {
                 commit.puts.push((key, page, None));
-                self.ask_store(Purpose::Pact(PactPurpose::Page(c)), StoreRequest::Commit(commit), out);
+                self.ask_store(
+                    PendingStoreRequest::Pact(PendingRecordRequest::Page(c)),
+                    StoreRequest::Transaction(commit),
+                    out,
+                );
             }
             None => {
                 commit.puts.push((c.key.head(), c.next.value(), None));
-                self.ask_store(Purpose::Pact(PactPurpose::Change(c)), StoreRequest::Commit(commit), out);
+                self.ask_store(
+                    PendingStoreRequest::Pact(PendingRecordRequest::Change(c)),
+                    StoreRequest::Transaction(commit),
+                    out,
+                );
             }
         }
     }
@@ -291,7 +299,7 @@
             return Gate::Later("a record that it names could not be read or changed in time".into());
         }
         let mut all = Vec::new();
-        for gate in [Node::release_gate, Node::batch_gate] {
+        for gate in [Controller::release_gate, Controller::batch_gate] {
             match gate(self, now, id, out) {
                 Gate::Open(conditions) => all.extend(conditions),
                 Gate::Wait => {
@@ -381,7 +389,7 @@
             }
             self.pacts.shelf.asked(&key, now);
             let get = StoreRequest::Get(key.head());
-            self.ask_store(Purpose::Pact(PactPurpose::Read(key, now)), get, out);
+            self.ask_store(PendingStoreRequest::Pact(PendingRecordRequest::Read(key, now)), get, out);
         }
     }
 
@@ -398,7 +406,11 @@
         self.pacts.listing = true;
         let prefix = record::Kind::Release.prefix();
         let r = StoreRequest::List(prefix, self.pacts.listed_after.clone());
-        self.ask_store(Purpose::Pact(PactPurpose::Heads(self.membership.epoch, now)), r, out);
+        self.ask_store(
+            PendingStoreRequest::Pact(PendingRecordRequest::Heads(self.membership.epoch, now)),
+            r,
+            out,
+        );
     }
 
     fn heads(&mut self, now: Micros, sent: Micros, a: StoreAnswer) {
@@ -481,9 +493,9 @@
     }
 
     /// A member's end is on record.
-    pub(super) fn member_ended(&mut self, id: &str, f: Final) {
+    pub(super) fn member_ended(&mut self, id: &str, f: JobOutcome) {
         self.pacts.unread.remove(id);
-        let stands = if f == Final::Done { Stands::Done } else { Stands::Cancelled };
+        let stands = if f == JobOutcome::Done { Stands::Done } else { Stands::Cancelled };
         if self.pacts.awaited.contains(id) {
             self.pacts.ends.insert(id.to_owned(), stands);
         }
@@ -528,8 +540,8 @@
             let Some(id) = self.pacts.unread.pop_first() else { break };
             self.requests.take(now, 1.0, 0.0);
             let get = StoreRequest::Get(format!("done/{id}"));
-            let purpose = PactPurpose::Member(self.membership.epoch, id);
-            self.ask_store(Purpose::Pact(purpose), get, out);
+            let purpose = PendingRecordRequest::Member(self.membership.epoch, id);
+            self.ask_store(PendingStoreRequest::Pact(purpose), get, out);
         }
     }
 
@@ -548,7 +560,11 @@
         }
         self.pacts.census_busy = true;
         let r = StoreRequest::List(prefix.into(), after);
-        self.ask_store(Purpose::Pact(PactPurpose::Census(self.membership.epoch)), r, out);
+        self.ask_store(
+            PendingStoreRequest::Pact(PendingRecordRequest::Census(self.membership.epoch)),
+            r,
+            out,
+        );
     }
 
     fn census_page(&mut self, now: Micros, a: StoreAnswer) {
@@ -585,18 +601,26 @@
     }
 
     /// An answer of the state service.
-    pub(super) fn pact_answer(&mut self, now: Micros, p: PactPurpose, a: StoreAnswer, out: &mut Vec<Effect>) {
+    pub(super) fn pact_answer(
+        &mut self,
+        now: Micros,
+        p: PendingRecordRequest,
+        a: StoreAnswer,
+        out: &mut Vec<Effect>,
+    ) {
         match p {
-            PactPurpose::Read(key, sent) => match a {
+            PendingRecordRequest::Read(key, sent) => match a {
                 StoreAnswer::Got(row) => {
                     let row = row.as_ref().map(|r| (&r.value, r.mark));
                     self.take_pact(&key, sent, now, row);
                 }
                 _ => self.pacts.shelf.failed(&key, now + PAUSE_FAILED),
             },
-            PactPurpose::Heads(epoch, sent) if epoch == self.membership.epoch => self.heads(now, sent, a),
-            PactPurpose::Census(epoch) if epoch == self.membership.epoch => self.census_page(now, a),
-            PactPurpose::Member(epoch, id) if epoch == self.membership.epoch => match a {
+            PendingRecordRequest::Heads(epoch, sent) if epoch == self.membership.epoch => {
+                self.heads(now, sent, a)
+            }
+            PendingRecordRequest::Census(epoch) if epoch == self.membership.epoch => self.census_page(now, a),
+            PendingRecordRequest::Member(epoch, id) if epoch == self.membership.epoch => match a {
                 StoreAnswer::Got(Some(row)) => match read_end(&row.value) {
                     Some((f, _)) => self.member_ended(&id, f),
                     None => tracing::error!(job = %id, "unreadable final record"),
@@ -606,10 +630,12 @@
                     self.pacts.unread.insert(id);
                 }
             },
-            PactPurpose::Members(key, version, n) => self.members_page(now, key, version, n, a),
+            PendingRecordRequest::Members(key, version, n) => self.members_page(now, key, version, n, a),
             // Of an epoch that has passed: all of this was begun anew.
-            PactPurpose::Heads(..) | PactPurpose::Census(_) | PactPurpose::Member(..) => {}
-            PactPurpose::Page(c) => match a {
+            PendingRecordRequest::Heads(..)
+            | PendingRecordRequest::Census(_)
+            | PendingRecordRequest::Member(..) => {}
+            PendingRecordRequest::Page(c) => match a {
                 StoreAnswer::Committed(_) if c.epoch == self.membership.epoch => self.change_on(c, out),
                 a => self.changed(
                     now,
@@ -618,7 +644,7 @@
                     out,
                 ),
             },
-            PactPurpose::Change(c) => self.changed(now, *c, a, out),
+            PendingRecordRequest::Change(c) => self.changed(now, *c, a, out),
         }
     }
 
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -4,10 +4,10 @@
 use super::coordination::Gate;
 use super::*;
 
-/// The form of peers' frames from which on jobs may follow others; `Message::Needed` came with it.
+/// The form of peers' frames from which on jobs may follow others; `Message::InheritedPriorities` came with it.
 pub(super) const FORM: u64 = 2;
 /// The newest form that this version reads; it says so in its member's value. Version 1 says nothing. Form 3 adds
-/// `Message::HandOver` and `Message::Taken`; form 4 pacts and loans.
+/// `Message::Handoff` and `Message::HandoffAck`; form 4 pacts and loans.
 pub(super) const NEWEST: u64 = 4;
 /// The form from which on jobs may name pacts.
 pub(super) const PACTS: u64 = 4;
@@ -36,7 +36,7 @@
 
 /// What this controller knows beside its waiting jobs.
 #[derive(Default)]
-pub(super) struct Follow {
+pub(super) struct Dependencies {
     pub(super) watch: Watch,
     retry: Micros,
     /// Jobs that were found to be accepted and no services.
@@ -50,11 +50,11 @@
     sent: BTreeSet<usize>,
 }
 
-impl Node {
+impl Controller {
     /// Takes note of the forms that controllers read, from the members' values.
-    pub(super) fn note_forms(&mut self, rows: &[Row], out: &mut Vec<Effect>) {
+    pub(super) fn note_forms(&mut self, rows: &[KeyValue], out: &mut Vec<Effect>) {
         let f = &mut self.follow;
-        let reads = |r: &Row| r.value.get("reads").and_then(Value::as_u64).unwrap_or(1);
+        let reads = |r: &KeyValue| r.value.get("reads").and_then(Value::as_u64).unwrap_or(1);
         f.forms = vec![(0, 0); self.settings.members.len()];
         let mut mark = 0;
         for r in rows {
@@ -74,12 +74,12 @@
             f.noting = true;
             tracing::info!(form = all, "every controller reads the new form");
             // Guards against one that is carried out late: an older form would stand for a newer one.
-            let c = Commit {
+            let c = Transaction {
                 conditions: vec![(FORMS_KEY.into(), mark)],
                 puts: vec![(FORMS_KEY.into(), json!({ "reads": all }), None)],
-                ..Commit::default()
+                ..Transaction::default()
             };
-            self.ask_store(Purpose::NoteForms(all), StoreRequest::Commit(c), out);
+            self.ask_store(PendingStoreRequest::NoteForms(all), StoreRequest::Transaction(c), out);
         }
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// Why a job can't be taken yet, if an older controller is in the ring.
-    pub(super) fn not_yet(&self, spec: &Spec) -> Option<Reply> {
+    pub(super) fn not_yet(&self, spec: &JobSpec) -> Option<Reply> {
         if spec.has_pact() && !self.takes_pacts() {
             return Some(Reply::later("not every controller knows of releases and batches yet"));
         }
@@ -150,7 +150,7 @@
             if p == self.settings.me {
                 self.owner.urged_by(p, list);
             } else {
-                out.push(Effect::Send(p, self.envelope(now, p, Message::Needed(list))));
+                out.push(Effect::Send(p, self.envelope(now, p, Message::InheritedPriorities(list))));
             }
         }
     }
@@ -167,7 +167,7 @@
         match self.follow.watch {
             Watch::Off if self.watches() && self.requests.take(now, 1.0, 0.1) => {
                 self.follow.watch = Watch::Asking;
-                self.ask_store(Purpose::Revision, StoreRequest::Revision, out);
+                self.ask_store(PendingStoreRequest::Revision, StoreRequest::Revision, out);
             }
             Watch::At(after, false) => {
                 if !self.watches() {
@@ -175,7 +175,7 @@
                 } else if self.requests.take(now, 1.0, 0.1) {
                     self.follow.watch = Watch::At(after, true);
                     let r = StoreRequest::Watch("done/".into(), after, WATCH);
-                    self.ask_store(Purpose::Watch, r, out);
+                    self.ask_store(PendingStoreRequest::Watch, r, out);
                 }
             }
             _ => {}
@@ -186,7 +186,11 @@
         while self.in_flight.len() < IN_FLIGHT && self.requests.level(now) >= 0.2 {
             let Some(p) = self.owner.next_unread() else { break };
             self.requests.take(now, 1.0, 0.0);
-            self.ask_store(Purpose::ReadEnd(p.clone()), StoreRequest::Get(format!("done/{p}")), out);
+            self.ask_store(
+                PendingStoreRequest::ReadEnd(p.clone()),
+                StoreRequest::Get(format!("done/{p}")),
+                out,
+            );
         }
     }
 
@@ -251,7 +255,7 @@
     // ---- Checking a submission ----
 
     fn is_known(&self, id: &str) -> bool {
-        let live = |j: &crate::job_shard::Job| j.spec.kind != Kind::Service;
+        let live = |j: &crate::job_shard::Job| j.spec.kind != JobKind::Service;
         self.owner.jobs.get(id).is_some_and(live)
             || self.owner.final_of(id).is_some()
             || self.follow.known.contains(id)
@@ -269,7 +273,7 @@
         &mut self,
         now: Micros,
         id: &str,
-        spec: &Spec,
+        spec: &JobSpec,
         out: &mut Vec<Effect>,
     ) -> Result<BTreeSet<String>, Reply> {
         let unknown: BTreeSet<String> = spec.follows.iter().filter(|p| !self.is_known(p)).cloned().collect();
@@ -282,7 +286,7 @@
             if !self.requests.take(now, 1.0, 0.3) {
                 return Err(Reply::later("some of the jobs that it follows are still to be looked up"));
             }
-            let purpose = Purpose::Check(id.to_owned(), p.clone());
+            let purpose = PendingStoreRequest::Check(id.to_owned(), p.clone());
             self.ask_store(purpose, StoreRequest::Get(format!("job/{p}")), out);
         }
         Ok(unknown)
@@ -319,7 +323,7 @@
             None if !end => {
                 let get = StoreRequest::Get(format!("done/{p}"));
                 self.requests.take(now, 1.0, 0.0);
-                self.ask_store(Purpose::CheckEnd(id, p), get, out);
+                self.ask_store(PendingStoreRequest::CheckEnd(id, p), get, out);
             }
             None => self.refuse(id, format!("follows: {p} was never accepted"), out),
         }
@@ -329,11 +333,11 @@
     pub(super) fn refuse(&mut self, id: String, why: String, out: &mut Vec<Effect>) {
         let Some(a) = self.accepting.get_mut(&id) else { return };
         a.goes_out();
-        let c = Commit {
+        let c = Transaction {
             conditions: vec![self.fence(), (format!("job/{id}"), 0), (format!("done/{id}"), 0)],
-            ..Commit::default()
+            ..Transaction::default()
         };
-        self.ask_store(Purpose::Refuse(id, why), StoreRequest::Commit(c), out);
+        self.ask_store(PendingStoreRequest::Refuse(id, why), StoreRequest::Transaction(c), out);
     }
 
     /// The store has compared: if nothing of the job is on record it is refused for good.
@@ -387,11 +391,15 @@
         let mut conditions = vec![self.fence(), (format!("job/{id}"), 0), (format!("done/{id}"), 0)];
         let Some(a) = self.accepting.get_mut(&id) else { return };
         a.goes_out();
-        let value = Owner::new_record(&a.raw, &a.spec, a.wall);
+        let value = JobShard::new_record(&a.raw, &a.spec, a.wall);
         conditions.extend(joins);
         let mut puts = vec![(format!("job/{id}"), value, None)];
         puts.extend(a.with.iter().map(|(key, record, _)| (key.head(), record.value(), None)));
-        let c = Commit { conditions, puts, drops: Vec::new() };
-        self.ask_store(Purpose::Accept(id, self.membership.epoch), StoreRequest::Commit(c), out);
+        let c = Transaction { conditions, puts, drops: Vec::new() };
+        self.ask_store(
+            PendingStoreRequest::Accept(id, self.membership.epoch),
+            StoreRequest::Transaction(c),
+            out,
+        );
     }
 }
--- a/src/controller/fencing_probe.rs
+++ b/src/controller/fencing_probe.rs
@@ -11,7 +11,7 @@
 const PARCELS: Micros = Micros::from_millis(250);
 const EVERY: Micros = Micros::from_millis(100);
 
-impl Node {
+impl Controller {
     /// Asks the next few.
     pub(super) fn greet(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let since = now.since(self.membership.adopted_at);
@@ -27,7 +27,7 @@
     }
 
     /// A machine has answered.
-    pub(super) fn greeted(&mut self, now: Micros, r: &Report) {
+    pub(super) fn greeted(&mut self, now: Micros, r: &Heartbeat) {
         if self.home.greeted(now, &self.membership, r) == Verdict::Deposed {
             self.next_ring = now;
         }
--- a/src/controller/flap_damping.rs
+++ b/src/controller/flap_damping.rs
@@ -16,7 +16,7 @@
 
 /// What is known of earlier lives.
 #[derive(Default)]
-pub(super) struct Restraint {
+pub(super) struct FlapDamping {
     /// When this process began.
     since: Option<Micros>,
     /// Who joined lately, and when by the wall clock of who raised that epoch, in seconds.
@@ -30,7 +30,7 @@
     Micros(s.member_lease.0 * 10)
 }
 
-impl Restraint {
+impl FlapDamping {
     /// Takes the list out of the epoch record. One that can't be read holds nobody back.
     pub(super) fn read(&mut self, record: &Value) {
         let list = record.get(KEY).cloned().unwrap_or(Value::Null);
@@ -77,7 +77,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Whether this process keeps out of the ring for now. Never one that has been in it, and not while no member is
     /// heard: then nobody serves whom it could disturb.
     pub(super) fn held_back(&mut self, now: Micros) -> bool {
@@ -103,7 +103,7 @@
 
     #[test]
     fn pauses_grow_with_each_join_and_are_forgotten() {
-        let (s, mut r) = (settings(), Restraint::default());
+        let (s, mut r) = (settings(), FlapDamping::default());
         let wall = |secs: u64| Micros(1_000_000_000_000 + secs * 1_000_000);
         let mut record = json!({});
         let mut old = EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] };
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -36,7 +36,7 @@
 
 /// What a request to the state service was for.
 #[derive(Clone, Debug)]
-pub(super) enum FreshPurpose {
+pub(super) enum PendingFreshnessRequest {
     /// What a job says: its live record, then its final one.
     Says(String, bool),
     /// A page of batches, for an operator's ticket.
@@ -45,7 +45,7 @@
 
 /// A writer's question.
 struct Asking {
-    from: Origin,
+    from: Caller,
     job: String,
     attempt: u64,
     task: u32,
@@ -54,7 +54,7 @@
 
 /// What this controller knows of a merge of its.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct SeenRevision {
     /// When it was first looked at in this epoch: what was read before counts for nothing.
     since: Micros,
     /// It is stale.
@@ -76,7 +76,7 @@
 #[derive(Default)]
 pub(super) struct Freshness {
     next: Micros,
-    merges: BTreeMap<String, Seen>,
+    merges: BTreeMap<String, SeenRevision>,
     /// What jobs of other owners, or ended ones, say.
     says: BTreeMap<String, Says>,
     /// Records to be read, and those being read.
@@ -130,7 +130,7 @@
     Some(Run { job: job.to_owned(), class: says.get("breed")?.as_str()?.to_owned(), version })
 }
 
-impl Node {
+impl Controller {
     fn classes(&self) -> Option<&Classes> {
         self.settings.operators.freshness.as_ref()
     }
@@ -231,7 +231,7 @@
             }
             self.requests.take(now, 1.0, 0.0);
             let get = StoreRequest::Get(format!("job/{id}"));
-            self.ask_store(Purpose::Fresh(FreshPurpose::Says(id, false)), get, out);
+            self.ask_store(PendingStoreRequest::Fresh(PendingFreshnessRequest::Says(id, false)), get, out);
         }
     }
 
@@ -239,13 +239,13 @@
     pub(super) fn fresh_answer(
         &mut self,
         now: Micros,
-        p: FreshPurpose,
+        p: PendingFreshnessRequest,
         a: StoreAnswer,
         out: &mut Vec<Effect>,
     ) {
         let (id, end) = match p {
-            FreshPurpose::Says(id, end) => (id, end),
-            FreshPurpose::Heads(ticket) => return self.listed(ticket, a),
+            PendingFreshnessRequest::Says(id, end) => (id, end),
+            PendingFreshnessRequest::Heads(ticket) => return self.listed(ticket, a),
         };
         match a {
             StoreAnswer::Got(Some(row)) => {
@@ -269,7 +269,7 @@
             // It may have ended between the two: in this order it is seen in one of them.
             StoreAnswer::Got(None) if !end => {
                 let get = StoreRequest::Get(format!("done/{id}"));
-                self.ask_store(Purpose::Fresh(FreshPurpose::Says(id, true)), get, out);
+                self.ask_store(PendingStoreRequest::Fresh(PendingFreshnessRequest::Says(id, true)), get, out);
             }
             StoreAnswer::Got(None) => {
                 self.fresh.reading.remove(&id);
@@ -297,7 +297,7 @@
 
     /// The watch tells of an end.
     pub(super) fn run_ended(&mut self, id: &str, value: &Value) {
-        if self.fresh.runs.is_empty() || !matches!(read_end(value), Some((Final::Done, _))) {
+        if self.fresh.runs.is_empty() || !matches!(read_end(value), Some((JobOutcome::Done, _))) {
             return;
         }
         let Some(says) = value.get("says") else { return };
@@ -340,7 +340,7 @@
 
     /// A merge was found stale: runs that supersede the old ones are looked for.
     fn mark_stale(&mut self, now: Micros, id: &str, key: &Key) {
-        let new = Seen { since: now, stale: true, sought: true };
+        let new = SeenRevision { since: now, stale: true, sought: true };
         self.fresh.merges.entry(id.to_owned()).or_insert(new).sought = true;
         self.fresh.runs.entry(key.head()).or_insert((now, BTreeSet::new()));
     }
@@ -414,8 +414,12 @@
         let mut heads = BTreeSet::new();
         for id in ids {
             let Some((key, merge)) = self.merge_of(&id) else { continue };
-            let mut seen =
-                self.fresh.merges.get(&id).cloned().unwrap_or(Seen { since: now, ..Seen::default() });
+            let mut seen = self
+                .fresh
+                .merges
+                .get(&id)
+                .cloned()
+                .unwrap_or(SeenRevision { since: now, ..SeenRevision::default() });
             let held = self.pact(now, &key);
             let verdict = self.verdict(&held, &merge, &key);
             let since = seen.since.max(Micros(now.0.saturating_sub(RECENT.0)));
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -10,12 +10,12 @@
     json!({"old": old.collect::<Vec<_>>(), "missing": l.missing})
 }
 
-impl Node {
+impl Controller {
     /// A merge asks whether it may write; its job is ours to answer for. None: answered later.
     pub(in crate::controller) fn permit(
         &mut self,
         now: Micros,
-        from: Origin,
+        from: Caller,
         id: &str,
         attempt: u64,
         task: u32,
@@ -68,7 +68,7 @@
         let Some(j) = self.owner.jobs.get(&a.job).filter(|j| j.ending.is_none()) else {
             return Some(Reply::error(409, "the job has ended"));
         };
-        let task = (j.spec.kind != Kind::Gang).then_some(a.task);
+        let task = (j.spec.kind != JobKind::Gang).then_some(a.task);
         let standing = self.owner.attempt(&a.job, task, a.attempt);
         match standing {
             Attempt::Over => return Some(Reply::error(409, "no such attempt runs")),
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -6,7 +6,7 @@
     json!({"job": p.job, "attempt": p.attempt, "task": p.task, "fence": p.fence, "version": p.version})
 }
 
-impl Node {
+impl Controller {
     /// An operator's request about batches: the answer, or None if it is to be asked again in the next round.
     pub(in crate::controller) fn batch_request(
         &mut self,
@@ -110,7 +110,7 @@
         if !*busy && rows.len() < LISTED && self.requests.take(now, 1.0, 0.2) {
             *busy = true;
             let r = StoreRequest::List(Sort::Batch.prefix(), after.clone());
-            self.ask_store(Purpose::Fresh(FreshPurpose::Heads(ticket)), r, out);
+            self.ask_store(PendingStoreRequest::Fresh(PendingFreshnessRequest::Heads(ticket)), r, out);
         }
         None
     }
--- a/src/controller/gpu_lending.rs
+++ b/src/controller/gpu_lending.rs
@@ -17,7 +17,7 @@
 
 /// What a request to the state service was for.
 #[derive(Clone, Debug)]
-pub(super) enum LoanPurpose {
+pub(super) enum PendingLoanRequest {
     /// Reading all ledgers: the epoch, and when the question went out.
     List(u64, Micros),
     /// A change of a team's ledger: the epoch, the team, and what it is to say.
@@ -40,7 +40,7 @@
     next_look: Micros,
 }
 
-impl Node {
+impl Controller {
     /// A new epoch: everything is read anew.
     pub(super) fn loans_anew(&mut self) {
         self.loans = Loans::default();
@@ -72,7 +72,11 @@
         {
             (self.loans.asked, self.loans.next_read) = (Some(now), now + READ);
             let list = StoreRequest::List(Pact::Loan.prefix(), String::new());
-            self.ask_store(Purpose::Loan(LoanPurpose::List(self.membership.epoch, now)), list, out);
+            self.ask_store(
+                PendingStoreRequest::Loan(PendingLoanRequest::List(self.membership.epoch, now)),
+                list,
+                out,
+            );
         }
         if !self.loans.known || self.loans.changing || now < self.loans.next_look {
             return;
@@ -141,16 +145,17 @@
                 conditions.push((k.head(), *mark));
             }
         }
-        let commit = Commit { conditions, puts: vec![(key.head(), record.value(), None)], drops: Vec::new() };
+        let commit =
+            Transaction { conditions, puts: vec![(key.head(), record.value(), None)], drops: Vec::new() };
         self.loans.changing = true;
-        let purpose = LoanPurpose::Change(self.membership.epoch, team.to_owned(), Box::new(record));
-        self.ask_store(Purpose::Loan(purpose), StoreRequest::Commit(commit), out);
+        let purpose = PendingLoanRequest::Change(self.membership.epoch, team.to_owned(), Box::new(record));
+        self.ask_store(PendingStoreRequest::Loan(purpose), StoreRequest::Transaction(commit), out);
     }
 
     /// The state service has answered.
-    pub(super) fn loan_answer(&mut self, now: Micros, p: LoanPurpose, a: StoreAnswer) {
+    pub(super) fn loan_answer(&mut self, now: Micros, p: PendingLoanRequest, a: StoreAnswer) {
         match p {
-            LoanPurpose::List(epoch, sent) if epoch == self.membership.epoch => {
+            PendingLoanRequest::List(epoch, sent) if epoch == self.membership.epoch => {
                 if self.loans.asked != Some(sent) {
                     return;
                 }
@@ -160,7 +165,7 @@
                     self.ledgers_read(sent, rows);
                 }
             }
-            LoanPurpose::Change(epoch, team, record) if epoch == self.membership.epoch => {
+            PendingLoanRequest::Change(epoch, team, record) if epoch == self.membership.epoch => {
                 self.loans.changing = false;
                 // Whatever came of it, the next reading tells; one that is under way began too early.
                 (self.loans.asked, self.loans.next_read) = (None, now);
@@ -177,11 +182,11 @@
                 }
             }
             // Of an epoch that has passed.
-            LoanPurpose::List(..) | LoanPurpose::Change(..) => {}
+            PendingLoanRequest::List(..) | PendingLoanRequest::Change(..) => {}
         }
     }
 
-    fn ledgers_read(&mut self, sent: Micros, rows: Vec<Row>) {
+    fn ledgers_read(&mut self, sent: Micros, rows: Vec<KeyValue>) {
         let mut read = BTreeMap::new();
         let mut unreadable = BTreeMap::new();
         for row in rows {
--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::membership::Membership;
 use crate::membership::step_down::Missing;
-use crate::peer::{HandedJob, HandedMachine, Parcel, Testimony};
+use crate::peer::{HandoffBatch, JobHandoff, MachineHandoff, ReplicatedStarts};
 use hazelsaddle_failover::handoff_batch::{Inbox, Outbox};
 
 /// The form of peers' frames that this and witnesses need.
@@ -14,11 +14,11 @@
 const STARTS: usize = 1500;
 
 /// Jobs and the sets of machines that they wait for.
-type Jobs = (Vec<HandedJob>, Vec<Vec<String>>);
+type Jobs = (Vec<JobHandoff>, Vec<Vec<String>>);
 
 /// Parcels out and in, and what this epoch's takeover came to.
-pub(super) struct Handover {
-    out: Outbox<Parcel>,
+pub(super) struct Handoff {
+    out: Outbox<HandoffBatch>,
     /// The epoch that what is packed counts in.
     packed_for: u64,
     /// The epoch that this process may yet leave the ring by: it asked the store to raise it without itself and had no
@@ -36,9 +36,9 @@
     leaving: Option<Micros>,
 }
 
-impl Handover {
-    pub(super) fn new(controllers: usize) -> Handover {
-        Handover {
+impl Handoff {
+    pub(super) fn new(controllers: usize) -> Handoff {
+        Handoff {
             out: Outbox::default(),
             packed_for: 0,
             out_in_doubt: None,
@@ -72,12 +72,12 @@
     /// Packs what a process that has just joined can't know.
     pub(super) fn pack_gone(&mut self, now: Micros, to: usize, gone: Vec<String>) {
         if !gone.is_empty() {
-            self.out.pack(now, to, Parcel { gone, ..Parcel::default() });
+            self.out.pack(now, to, HandoffBatch { gone, ..HandoffBatch::default() });
         }
     }
     /// Packs what was heard of one that is there no more, for a job's new owner.
-    pub(super) fn pack_testimony(&mut self, now: Micros, to: usize, t: Testimony) {
-        self.out.pack(now, to, Parcel { testimony: vec![t], ..Parcel::default() });
+    pub(super) fn pack_testimony(&mut self, now: Micros, to: usize, t: ReplicatedStarts) {
+        self.out.pack(now, to, HandoffBatch { testimony: vec![t], ..HandoffBatch::default() });
     }
     pub(super) fn acknowledged(&mut self, from: usize, numbers: &[u64]) {
         self.out.acknowledged(from, numbers);
@@ -102,7 +102,7 @@
     out
 }
 
-impl Node {
+impl Controller {
     /// A new epoch has been adopted by the membership, and by nothing else yet. What it gives to others is handed to them
     /// if nobody else can have commanded it in between.
     pub(super) fn hand_over(&mut self, now: Micros, follows: bool) {
@@ -171,14 +171,14 @@
             tracing::info!(epoch = next.epoch, jobs = of_jobs, machines = of_machines, "handing over");
         }
         for (to, list) in machines {
-            for machines in pieces(list, |m: &HandedMachine| m.tasks.len()) {
-                self.handover.out.pack(now, to, Parcel { machines, ..Parcel::default() });
+            for machines in pieces(list, |m: &MachineHandoff| m.tasks.len()) {
+                self.handover.out.pack(now, to, HandoffBatch { machines, ..HandoffBatch::default() });
             }
         }
-        for (to, Parcel { jobs, doubts, .. }) in jobs {
-            for jobs in pieces(jobs, |j: &HandedJob| j.starts.len()) {
+        for (to, HandoffBatch { jobs, doubts, .. }) in jobs {
+            for jobs in pieces(jobs, |j: &JobHandoff| j.starts.len()) {
                 let doubts = doubts.clone();
-                self.handover.out.pack(now, to, Parcel { jobs, doubts, ..Parcel::default() });
+                self.handover.out.pack(now, to, HandoffBatch { jobs, doubts, ..HandoffBatch::default() });
             }
         }
     }
@@ -201,11 +201,11 @@
                 continue;
             }
             for (number, parcel) in self.handover.out.due(now, p, pause) {
-                out.push(Effect::Send(p, self.envelope(now, p, Message::HandOver { number, parcel })));
+                out.push(Effect::Send(p, self.envelope(now, p, Message::Handoff { number, parcel })));
             }
             let owed = std::mem::take(&mut self.handover.owed[p]);
             if !owed.is_empty() {
-                out.push(Effect::Send(p, self.envelope(now, p, Message::Taken(owed))));
+                out.push(Effect::Send(p, self.envelope(now, p, Message::HandoffAck(owed))));
             }
         }
         if let Some(since) = self.handover.since
@@ -227,7 +227,7 @@
     }
 
     /// A parcel of this epoch has come.
-    pub(super) fn parcel(&mut self, now: Micros, from: usize, boot: u64, number: u64, parcel: Parcel) {
+    pub(super) fn parcel(&mut self, now: Micros, from: usize, boot: u64, number: u64, parcel: HandoffBatch) {
         if let Some(owed) = self.handover.owed.get_mut(from) {
             owed.push(number);
         }
--- a/src/controller/handoff/tests.rs
+++ b/src/controller/handoff/tests.rs
@@ -1,8 +1,8 @@
 //! Who leaves the ring, and in which epoch what it hands over counts.
 
 use super::*;
-use crate::machine_shard::Report;
-use crate::state_store::{Commit, Row, StoreAnswer, StoreRequest};
+use crate::machine_shard::Heartbeat;
+use crate::state_store::{KeyValue, StoreAnswer, StoreRequest, Transaction};
 
 const LEASE: u64 = 77;
 
@@ -24,8 +24,8 @@
 }
 
 /// c0, which acts in epoch 7 beside c1 and c2 and knows some machines.
-pub(crate) fn node() -> Node {
-    let mut n = Node::new(settings(), 1);
+pub(crate) fn node() -> Controller {
+    let mut n = Controller::new(settings(), 1);
     n.membership.adopt(at(1000), &record(7, &[0, 1, 2]), 7);
     n.home.adopt(at(1000), &n.membership, false, |_| None);
     n.owner.adopt(&n.membership, false);
@@ -37,7 +37,7 @@
     n.lease = Some(LEASE);
     n.registered = true;
     for i in 0..60 {
-        let r = Report {
+        let r = Heartbeat {
             machine: format!("i-{i:06}"),
             addr: String::new(),
             kind: "k".into(),
@@ -57,35 +57,35 @@
 }
 
 /// The members' keys, each of which says that it reads the newest form.
-fn members() -> Vec<Row> {
+fn members() -> Vec<KeyValue> {
     let key = |i: usize| format!("ring/m/c{i}");
-    let row = |i| Row { key: key(i), value: json!({"boot": 1, "reads": FORM}), mark: 1 };
+    let row = |i| KeyValue { key: key(i), value: json!({"boot": 1, "reads": FORM}), mark: 1 };
     (0..3).map(row).collect()
 }
 
 /// The node answers and commands nothing any more.
-fn leaves(n: &mut Node) {
+fn leaves(n: &mut Controller) {
     n.aside.leave(at(1200), Missing::Peers);
     n.membership.aside = true;
 }
 
 /// One reading of the ring, by which the epoch record is `r` at version `mark`, and what follows from it.
-fn reads(n: &mut Node, now: Micros, r: &EpochRecord, mark: u64) -> Vec<Effect> {
-    let epoch = Row { key: EPOCH_KEY.into(), value: serde_json::to_value(r).expect("plain"), mark };
+fn reads(n: &mut Controller, now: Micros, r: &EpochRecord, mark: u64) -> Vec<Effect> {
+    let epoch = KeyValue { key: EPOCH_KEY.into(), value: serde_json::to_value(r).expect("plain"), mark };
     let mut out = Vec::new();
-    n.ring_answer(now, Purpose::ReadEpoch(now), StoreAnswer::Got(Some(epoch)), &mut out);
+    n.ring_answer(now, PendingStoreRequest::ReadEpoch(now), StoreAnswer::Got(Some(epoch)), &mut out);
     out.clear();
     let page = StoreAnswer::Page(members(), false);
-    n.ring_answer(now, Purpose::ReadMembers(now), page, &mut out);
+    n.ring_answer(now, PendingStoreRequest::ReadMembers(now), page, &mut out);
     out
 }
 
 /// The epochs in whose name parcels go out.
-fn parcels(n: &mut Node, now: Micros) -> Vec<u64> {
+fn parcels(n: &mut Controller, now: Micros) -> Vec<u64> {
     let mut out = Vec::new();
     n.say_parcels(now, &mut out);
     let of = |e: &Effect| match e {
-        Effect::Send(_, Frame { epoch, body: Message::HandOver { .. }, .. }) => Some(*epoch),
+        Effect::Send(_, Frame { epoch, body: Message::Handoff { .. }, .. }) => Some(*epoch),
         _ => None,
     };
     out.iter().filter_map(of).collect()
@@ -97,12 +97,22 @@
 fn what_is_handed_on_leaving_counts_in_the_next_epoch_and_in_no_later_one() {
     let mut n = node();
     leaves(&mut n);
-    n.ring_answer(at(1300), Purpose::Raise(record(8, &[1, 2])), StoreAnswer::Committed(8), &mut Vec::new());
+    n.ring_answer(
+        at(1300),
+        PendingStoreRequest::Raise(record(8, &[1, 2])),
+        StoreAnswer::Committed(8),
+        &mut Vec::new(),
+    );
     let first = parcels(&mut n, at(1400));
     assert!(!first.is_empty() && first.iter().all(|e| *e == 8), "{first:?}");
     // Nobody has said that it has them, and the ring moves on.
-    let epoch = Row { key: EPOCH_KEY.into(), value: json!(record(9, &[1])), mark: 9 };
-    n.ring_answer(at(3000), Purpose::ReadEpoch(at(3000)), StoreAnswer::Got(Some(epoch)), &mut Vec::new());
+    let epoch = KeyValue { key: EPOCH_KEY.into(), value: json!(record(9, &[1])), mark: 9 };
+    n.ring_answer(
+        at(3000),
+        PendingStoreRequest::ReadEpoch(at(3000)),
+        StoreAnswer::Got(Some(epoch)),
+        &mut Vec::new(),
+    );
     assert_eq!(n.known_epoch().0, 9);
     assert_eq!(parcels(&mut n, at(3100)), Vec::<u64>::new());
 }
@@ -112,7 +122,12 @@
 fn who_is_out_of_the_ring_hands_over_whoever_raised_the_epoch() {
     let mut n = node();
     leaves(&mut n);
-    n.ring_answer(at(1300), Purpose::Raise(record(8, &[1, 2])), StoreAnswer::Unknown, &mut Vec::new());
+    n.ring_answer(
+        at(1300),
+        PendingStoreRequest::Raise(record(8, &[1, 2])),
+        StoreAnswer::Unknown,
+        &mut Vec::new(),
+    );
     assert_eq!(parcels(&mut n, at(1400)), Vec::<u64>::new());
     reads(&mut n, at(1700), &record(8, &[1, 2]), 8);
     let said = parcels(&mut n, at(1800));
@@ -123,8 +138,13 @@
     n.aside.leave(at(1200), Missing::Asked);
     n.membership.aside = true;
     n.alive = vec![1, 2];
-    let epoch = Row { key: EPOCH_KEY.into(), value: json!(record(8, &[1, 2])), mark: 8 };
-    n.ring_answer(at(1700), Purpose::ReadEpoch(at(1700)), StoreAnswer::Got(Some(epoch)), &mut Vec::new());
+    let epoch = KeyValue { key: EPOCH_KEY.into(), value: json!(record(8, &[1, 2])), mark: 8 };
+    n.ring_answer(
+        at(1700),
+        PendingStoreRequest::ReadEpoch(at(1700)),
+        StoreAnswer::Got(Some(epoch)),
+        &mut Vec::new(),
+    );
     assert!(!n.gone(at(1701)), "out, and nothing packed yet");
     reads(&mut n, at(1702), &record(8, &[1, 2]), 8);
     assert!(!n.gone(at(1703)), "packed, and not taken");
@@ -145,11 +165,11 @@
     for (answer, again) in [(StoreAnswer::Unknown, true), (StoreAnswer::Refused, false)] {
         let mut n = node();
         leaves(&mut n);
-        n.ring_answer(at(1300), Purpose::Raise(record(8, &[1, 2])), answer, &mut Vec::new());
+        n.ring_answer(at(1300), PendingStoreRequest::Raise(record(8, &[1, 2])), answer, &mut Vec::new());
         n.aside.back(at(9000));
         let out = reads(&mut n, at(9100), &record(7, &[0, 1, 2]), 7);
         let raises = out.iter().any(|e| match e {
-            Effect::Store(_, StoreRequest::Commit(Commit { conditions, puts, .. }), _) => {
+            Effect::Store(_, StoreRequest::Transaction(Transaction { conditions, puts, .. }), _) => {
                 // The epoch as it was read, and each member's key.
                 let keys = conditions[1..].iter().all(|(k, _)| k.starts_with("ring/m/"));
                 conditions[0] == (EPOCH_KEY.to_owned(), 7)
@@ -163,7 +183,7 @@
         if again {
             n.ring_answer(
                 at(9200),
-                Purpose::Raise(record(8, &[0, 1, 2])),
+                PendingStoreRequest::Raise(record(8, &[0, 1, 2])),
                 StoreAnswer::Committed(9),
                 &mut Vec::new(),
             );
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -3,12 +3,12 @@
 use super::*;
 use crate::peer::TaskKey;
 
-impl Node {
+impl Controller {
     pub(super) fn report(
         &mut self,
         now: Micros,
         ticket: u64,
-        r: &Report,
+        r: &Heartbeat,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
         self.aside.worker(now, &r.machine);
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Node {
+impl Controller {
     pub(super) fn ring_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if self.ring_busy || now < self.next_ring {
             return;
@@ -10,7 +10,7 @@
         self.ring_busy = true;
         let Some(lease) = self.lease else {
             let ms = self.settings.member_lease.0 / 1000;
-            return self.ask_store(Purpose::Grant, StoreRequest::Grant(ms), out);
+            return self.ask_store(PendingStoreRequest::Grant, StoreRequest::Grant(ms), out);
         };
         // How often it joined of late stands in the epoch record: once read, its key may take back that it wants a place.
         if !self.registered {
@@ -20,7 +20,7 @@
             }
             let Some(mark) = self.own_mark.take() else {
                 let key = format!("ring/m/{}", self.settings.member);
-                return self.ask_store(Purpose::ReadOwn, StoreRequest::Get(key), out);
+                return self.ask_store(PendingStoreRequest::ReadOwn, StoreRequest::Get(key), out);
             };
             self.restraint.registers(held);
             let aside = held || self.aside.away().is_some();
@@ -28,10 +28,14 @@
             self.own_sent = Some(own.1.clone());
             // Guards against one that is carried out late, after a newer one of this process or the next: the key would
             // say that a controller wants no place, or is another process, and the others would put it out while it acts.
-            let c = Commit { conditions: vec![(own.0.clone(), mark)], puts: vec![own], ..Commit::default() };
-            return self.ask_store(Purpose::Register, StoreRequest::Commit(c), out);
+            let c = Transaction {
+                conditions: vec![(own.0.clone(), mark)],
+                puts: vec![own],
+                ..Transaction::default()
+            };
+            return self.ask_store(PendingStoreRequest::Register, StoreRequest::Transaction(c), out);
         }
-        self.ask_store(Purpose::ReadEpoch(now), StoreRequest::Get(EPOCH_KEY.into()), out);
+        self.ask_store(PendingStoreRequest::ReadEpoch(now), StoreRequest::Get(EPOCH_KEY.into()), out);
     }
 
     /// The key that shows that this process lives, and whether it wants a place on the ring.
@@ -84,7 +88,13 @@
         self.next_ring = now + Micros::from_millis(ms);
     }
 
-    pub(super) fn ring_answer(&mut self, now: Micros, p: Purpose, a: StoreAnswer, out: &mut Vec<Effect>) {
+    pub(super) fn ring_answer(
+        &mut self,
+        now: Micros,
+        p: PendingStoreRequest,
+        a: StoreAnswer,
+        out: &mut Vec<Effect>,
+    ) {
         match (p, a) {
             (_, StoreAnswer::NoLease) => {
                 tracing::info!(epoch = self.membership.epoch, "store lease lost");
@@ -94,11 +104,11 @@
                 self.membership.lease_lost();
                 self.ring_again(now, 0);
             }
-            (Purpose::Grant, StoreAnswer::Granted(id)) => {
+            (PendingStoreRequest::Grant, StoreAnswer::Granted(id)) => {
                 self.lease = Some(id);
                 self.ring_again(now, 0);
             }
-            (Purpose::ReadOwn, StoreAnswer::Got(row)) => {
+            (PendingStoreRequest::ReadOwn, StoreAnswer::Got(row)) => {
                 // Guards against a controller that never joins: what it wrote may stand although no answer ever comes, and
                 // others count it in while it writes again until its lease ends. With its lease the key would be gone.
                 if row.as_ref().is_some_and(|r| self.own_sent.as_ref() == Some(&r.value)) {
@@ -109,16 +119,16 @@
                 }
                 self.ring_again(now, 0);
             }
-            (Purpose::Register, StoreAnswer::Committed(_)) => {
+            (PendingStoreRequest::Register, StoreAnswer::Committed(_)) => {
                 self.registered = true;
                 self.own_sent = None;
                 self.ring_again(now, 0);
             }
-            (Purpose::ReadEpoch(sent), StoreAnswer::Got(row)) => {
+            (PendingStoreRequest::ReadEpoch(sent), StoreAnswer::Got(row)) => {
                 self.restraint.read(row.as_ref().map_or(&Value::Null, |r| &r.value));
                 let (record, mark) = match row {
                     None => (EpochRecord::default(), 0),
-                    Some(Row { value, mark, .. }) => match serde_json::from_value(value) {
+                    Some(KeyValue { value, mark, .. }) => match serde_json::from_value(value) {
                         Ok(r) => (r, mark),
                         Err(e) => {
                             tracing::error!(reason = %e, "unreadable epoch record");
@@ -128,12 +138,12 @@
                 };
                 self.seen = Some((record, mark, sent));
                 self.ask_store(
-                    Purpose::ReadMembers(sent),
+                    PendingStoreRequest::ReadMembers(sent),
                     StoreRequest::List("ring/m/".into(), String::new()),
                     out,
                 );
             }
-            (Purpose::ReadMembers(sent), StoreAnswer::Page(rows, _)) => {
+            (PendingStoreRequest::ReadMembers(sent), StoreAnswer::Page(rows, _)) => {
                 let Some((record, mark, _)) = self.seen.clone() else {
                     return self.ring_again(now, 300);
                 };
@@ -159,9 +169,14 @@
                 // Whose lease has ended without its knowledge must get a new one before it joins:
                 // the others would put it out again at once, and so on in turns.
                 let key = format!("ring/m/{}", own.0);
-                let there = |r: &Row| r.key == key && r.value.get("boot").is_some_and(|b| *b == own.1);
+                let there = |r: &KeyValue| r.key == key && r.value.get("boot").is_some_and(|b| *b == own.1);
                 if !rows.iter().any(there) {
-                    return self.ring_answer(now, Purpose::ReadMembers(sent), StoreAnswer::NoLease, out);
+                    return self.ring_answer(
+                        now,
+                        PendingStoreRequest::ReadMembers(sent),
+                        StoreAnswer::NoLease,
+                        out,
+                    );
                 }
                 alive.retain(|m| m.0 != own.0);
                 let number = |(n, _): &(String, u64)| self.settings.members.iter().position(|m| m == n);
@@ -190,16 +205,23 @@
                         let mark = rows.iter().find(|r| r.key == key).map_or(0, |r| r.mark);
                         (key, mark)
                     }));
-                    let mut c =
-                        Commit { conditions, puts: vec![(EPOCH_KEY.into(), value, None)], drops: Vec::new() };
+                    let mut c = Transaction {
+                        conditions,
+                        puts: vec![(EPOCH_KEY.into(), value, None)],
+                        drops: Vec::new(),
+                    };
                     if away {
                         c.puts.push(self.own_key(lease, true));
                     }
-                    return self.ask_store(Purpose::Raise(next), StoreRequest::Commit(c), out);
+                    return self.ask_store(
+                        PendingStoreRequest::Raise(next),
+                        StoreRequest::Transaction(c),
+                        out,
+                    );
                 }
                 if away {
                     self.hand_over_on_leaving(now, &record, mark);
-                    return self.ask_store(Purpose::Renew(sent), StoreRequest::Renew(lease), out);
+                    return self.ask_store(PendingStoreRequest::Renew(sent), StoreRequest::Renew(lease), out);
                 }
                 if record.epoch > self.membership.epoch {
                     self.adopt(now, &record, mark, out);
@@ -208,11 +230,11 @@
                     self.owner.epoch_stands(sent);
                     // It came back before it had left: its place is still its own.
                     self.membership.aside = false;
-                    return self.ask_store(Purpose::Renew(sent), StoreRequest::Renew(lease), out);
+                    return self.ask_store(PendingStoreRequest::Renew(sent), StoreRequest::Renew(lease), out);
                 }
                 self.ring_again(now, 300);
             }
-            (Purpose::Raise(record), StoreAnswer::Committed(mark)) => {
+            (PendingStoreRequest::Raise(record), StoreAnswer::Committed(mark)) => {
                 if self.membership.is_in(&record) {
                     self.adopt(now, &record, mark, out);
                 } else {
@@ -222,13 +244,13 @@
                 }
                 self.ring_again(now, 0);
             }
-            (Purpose::Raise(_), StoreAnswer::Conflict(_)) => self.ring_again(now, 20),
+            (PendingStoreRequest::Raise(_), StoreAnswer::Conflict(_)) => self.ring_again(now, 20),
             // It may be carried out yet. One that the store refused is not.
-            (Purpose::Raise(record), StoreAnswer::Unknown) if !self.membership.is_in(&record) => {
+            (PendingStoreRequest::Raise(record), StoreAnswer::Unknown) if !self.membership.is_in(&record) => {
                 self.handover.asks_out(Some(record.epoch));
                 self.ring_again(now, 300);
             }
-            (Purpose::Renew(sent), StoreAnswer::Renewed) => {
+            (PendingStoreRequest::Renew(sent), StoreAnswer::Renewed) => {
                 self.membership.confirmed_by_store(sent);
                 self.ring_again(now, self.settings.member_lease.0 / 6000);
             }
@@ -240,7 +262,7 @@
         let ring_before = self.membership.ring.clone();
         self.membership.aside = self.aside.away().is_some();
         self.aside.epoch(now);
-        self.strays.fill_with(Strays::default);
+        self.strays.fill_with(MisroutedHeartbeats::default);
         let follows = self.membership.adopt(now, record, mark);
         tracing::info!(epoch = record.epoch, members = ?record.members.iter().map(|(n, _)| n).collect::<Vec<_>>(), follows, "epoch adopted");
         self.hand_over(now, follows);
@@ -263,7 +285,7 @@
         self.load_retry = now;
         self.machines_on_record.clear();
         // Who waits is told to come back: the job may have another owner now.
-        let waiting: Vec<Origin> = std::mem::take(&mut self.withdrawing)
+        let waiting: Vec<Caller> = std::mem::take(&mut self.withdrawing)
             .into_values()
             .flatten()
             .chain(
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -10,7 +10,7 @@
 /// Requests under way at the most.
 const MOST: usize = 50;
 
-impl Node {
+impl Controller {
     /// An operator's request has come.
     pub(super) fn operator(&mut self, now: Micros, ticket: u64, request: OpRequest, out: &mut Vec<Effect>) {
         if self.pacts.operating.len() >= MOST {
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -3,7 +3,7 @@
 use super::*;
 use hazelsaddle_failover::start_replica::Changes;
 
-impl Node {
+impl Controller {
     /// The newest epoch that others may take it from us that we know. One that has stepped aside says
     /// so by naming the epoch without it: nobody need wait for its lease to end.
     pub(super) fn known_epoch(&self) -> (u64, Vec<u32>) {
@@ -90,13 +90,13 @@
             Message::Reserve(list) if same && from != self.settings.me => {
                 self.owner.others_reserve(now, from, list);
             }
-            Message::Fleet { drain, gone, kept, kept_machines }
+            Message::ScalingPlan { drain, gone, kept, kept_machines }
                 if same && self.membership.decider() == Some(from) =>
             {
                 self.owner.keep(kept, kept_machines);
                 self.home.fleet(&drain.into_iter().collect(), &gone);
             }
-            Message::Strays(list) if same => {
+            Message::MisroutedHeartbeats(list) if same => {
                 let (home, m) = (&self.home, &self.membership);
                 let ours =
                     list.into_iter().filter(|n| m.home(n) == Some(m.me) && home.is_gone(n) == Some(false));
@@ -105,24 +105,24 @@
             Message::Lending(told) if same && from != self.settings.me => {
                 self.owner.others_lend(now, from, told)
             }
-            Message::Needed(list) if same => self.owner.urged_by(from, list),
-            Message::HandOver { number, parcel } if same => self.parcel(now, from, f.boot, number, parcel),
-            Message::Vouch { rev, since, added, dropped } if same && from != self.settings.me => {
+            Message::InheritedPriorities(list) if same => self.owner.urged_by(from, list),
+            Message::Handoff { number, parcel } if same => self.parcel(now, from, f.boot, number, parcel),
+            Message::ReplicateStarts { rev, since, added, dropped } if same && from != self.settings.me => {
                 let c = Changes { rev, since, added, dropped };
                 if let Some(rev) = self.witness.heard(from, f.boot, c)
                     && self.reads(from, handoff::FORM)
                 {
-                    out.push(Effect::Send(from, self.envelope(now, from, Message::Noted(rev))));
+                    out.push(Effect::Send(from, self.envelope(now, from, Message::StartsReplicated(rev))));
                 }
             }
-            Message::Noted(rev) if same => self.noted(now, from, rev),
+            Message::StartsReplicated(rev) if same => self.noted(now, from, rev),
             // Who leaves the ring hands over in an epoch that it doesn't adopt. An older process of ours had other
             // numbers.
-            Message::Taken(numbers) if f.echo_boot == self.boot => {
+            Message::HandoffAck(numbers) if f.echo_boot == self.boot => {
                 self.handover.acknowledged(from, &numbers);
             }
-            Message::Ask { id, request } => self.user(now, Origin::Peer(from, id), request, out),
-            Message::Answer { id, reply } => {
+            Message::ForwardRequest { id, request } => self.user(now, Caller::Peer(from, id), request, out),
+            Message::ForwardResponse { id, reply } => {
                 if let Some(a) = self.asked.remove(&id) {
                     // One that is in a newer epoch than ours can't have started it in this one: that it is new stays worth
                     // saying.
@@ -134,7 +134,7 @@
                     if let (503, Some(t), UserRequest::Submit(job, body)) =
                         (reply.status, a.ticket, &a.request)
                         && self.writes.level(now) >= 0.5
-                        && self.accept_unseen(now, Origin::Ticket(t), job, body, out)
+                        && self.accept_unseen(now, Caller::Ticket(t), job, body, out)
                     {
                         return;
                     }
@@ -154,7 +154,7 @@
             for p in (0..n).filter(|&p| p != self.settings.me) {
                 if now.since(self.sent[p]) >= period {
                     self.sent[p] = now;
-                    out.push(Effect::Send(p, self.envelope(now, p, Message::Beat)));
+                    out.push(Effect::Send(p, self.envelope(now, p, Message::KeepAlive)));
                 }
             }
             return;
@@ -172,7 +172,7 @@
             self.owe_ack[p] = false;
             let wishes = match self.membership.members.contains(&p) {
                 true => self.owner.wanted(p, &self.membership),
-                false => Wishes::default(),
+                false => DesiredState::default(),
             };
             let fleet = &self.fleet;
             let digest = self.home.digest(now, &self.membership, p, self.acked[p], |k| fleet.room(k));
@@ -188,7 +188,7 @@
             for p in 0..n {
                 let list = self.strays[p].report();
                 if !list.is_empty() {
-                    out.push(Effect::Send(p, self.envelope(now, p, Message::Strays(list))));
+                    out.push(Effect::Send(p, self.envelope(now, p, Message::MisroutedHeartbeats(list))));
                 }
             }
             for p in (0..n).filter(|&p| p != self.settings.me) {
@@ -208,7 +208,8 @@
                         let kept = self.fleet.kept.clone();
                         let gone = self.fleet.gone();
                         let kept_machines = self.fleet.reserve.clone().into_iter().collect();
-                        let f = self.envelope(now, p, Message::Fleet { drain, gone, kept, kept_machines });
+                        let f =
+                            self.envelope(now, p, Message::ScalingPlan { drain, gone, kept, kept_machines });
                         if p == self.settings.me { own.push(f) } else { out.push(Effect::Send(p, f)) }
                     }
                 }
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -68,7 +68,7 @@
     members.iter().filter_map(|(id, m)| of(id, &m.says)).collect()
 }
 
-impl Node {
+impl Controller {
     /// Whether operators have set a calendar.
     pub(super) fn releases_on(&self) -> bool {
         !self.settings.operators.calendars.0.is_empty()
@@ -341,8 +341,8 @@
             }
             self.releases.asked.insert(this, now + Micros::from_millis(4000));
             let get = StoreRequest::Get(key.page(record.version, n));
-            let purpose = PactPurpose::Members(key.clone(), record.version, n);
-            self.ask_store(Purpose::Pact(purpose), get, out);
+            let purpose = PendingRecordRequest::Members(key.clone(), record.version, n);
+            self.ask_store(PendingStoreRequest::Pact(purpose), get, out);
         }
         None
     }
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -6,9 +6,9 @@
 
 use super::handoff::FORM;
 use super::*;
-use crate::job_shard::Owner;
+use crate::job_shard::JobShard;
 use crate::membership::{Membership, Ring};
-use crate::peer::{TaskKey, Testimony, Vouched};
+use crate::peer::{ReplicatedItem, ReplicatedStarts, TaskKey};
 use hazelsaddle_failover::start_replica::{Changes, ReceivedStarts, ReplicationUpdate};
 
 /// Where it is put on record that a controller goes on without witnesses: its latest such epoch under its name.
@@ -37,7 +37,7 @@
 /// One that is there no more, as its witnesses remember it: who has spoken, and what they said.
 #[derive(Default)]
 struct Case {
-    spoken: BTreeMap<usize, Testimony>,
+    spoken: BTreeMap<usize, ReplicatedStarts>,
 }
 
 /// What all who witnessed a controller know together.
@@ -46,7 +46,7 @@
     epoch: u64,
     /// The members of the epochs that it rests on. By each of them a job must be the controller's, and a machine.
     rings: Vec<Vec<u32>>,
-    items: BTreeSet<Vouched>,
+    items: BTreeSet<ReplicatedItem>,
 }
 
 /// What another member has told us.
@@ -57,13 +57,13 @@
     /// The epoch in which it last told us, and that epoch's members.
     epoch: u64,
     members: Vec<u32>,
-    told: ReceivedStarts<Vouched>,
+    told: ReceivedStarts<ReplicatedItem>,
 }
 
 /// What we tell witnesses, what we have heard as one, and what new owners are told.
-pub(super) struct Witness {
+pub(super) struct StartReplica {
     mode: Mode,
-    told: ReplicationUpdate<Vouched>,
+    told: ReplicationUpdate<ReplicatedItem>,
     last_told: Vec<Micros>,
     /// When somebody last said that it holds something, or when there was first something to hold.
     last_noted: Micros,
@@ -88,9 +88,9 @@
 /// Processes whose form is remembered.
 const FORMS: usize = 200;
 
-impl Witness {
-    pub(super) fn new(controllers: usize) -> Witness {
-        Witness {
+impl StartReplica {
+    pub(super) fn new(controllers: usize) -> StartReplica {
+        StartReplica {
             mode: Mode::Off,
             told: ReplicationUpdate::default(),
             last_told: vec![Micros(0); controllers],
@@ -123,7 +123,7 @@
     }
 
     /// Whether a start may go out to one of our machines. One that another owner decided is known to that one too.
-    pub(super) fn may_go(&self, m: &Membership, owner: &Owner, key: &TaskKey, machine: &str) -> bool {
+    pub(super) fn may_go(&self, m: &Membership, owner: &JobShard, key: &TaskKey, machine: &str) -> bool {
         match self.mode {
             Mode::Off | Mode::Without => true,
             Mode::On | Mode::Asking => {
@@ -150,7 +150,7 @@
     }
 
     /// Takes what another member has told; returns the number to say in answer.
-    pub(super) fn heard(&mut self, from: usize, boot: u64, c: Changes<Vouched>) -> Option<u64> {
+    pub(super) fn heard(&mut self, from: usize, boot: u64, c: Changes<ReplicatedItem>) -> Option<u64> {
         let epoch = self.ring.0;
         let of = self.streams.get_mut(from)?;
         if of.boot != boot {
@@ -169,7 +169,7 @@
     }
 
     /// A witness speaks of one that is there no more.
-    pub(super) fn testified(&mut self, from: usize, t: Testimony) {
+    pub(super) fn testified(&mut self, from: usize, t: ReplicatedStarts) {
         if t.epoch + 1 == self.ring.0 && t.members.contains(&(from as u32)) {
             self.cases.entry(t.of as usize).or_default().spoken.entry(from).or_insert(t);
         }
@@ -205,12 +205,12 @@
         } else if latest.heard_in == first.epoch {
             return None;
         }
-        word.items.extend(fresh.into_iter().map(Vouched::Job));
+        word.items.extend(fresh.into_iter().map(ReplicatedItem::Job));
         Some(word)
     }
 }
 
-impl Node {
+impl Controller {
     /// A new epoch has been taken up by the membership: what was heard of members that are there no more goes to the new
     /// owners of their jobs, and who has just joined is told which machines are gone.
     pub(super) fn testify(&mut self, now: Micros, record: &EpochRecord, follows: bool) {
@@ -261,7 +261,7 @@
             let s = streams.get(&of).filter(|s| s.boot == boot && s.epoch > 0).unwrap_or(&none);
             for to in self.membership.members.clone() {
                 let theirs = |job: &str| self.membership.job_owner(job) == Some(to);
-                let t = Testimony {
+                let t = ReplicatedStarts {
                     of: of as u32,
                     epoch,
                     members: members.clone(),
@@ -349,7 +349,7 @@
             if let Some(Changes { rev, since, added, dropped }) = w.told.tell(p) {
                 out.push(Effect::Send(
                     p,
-                    self.envelope(now, p, Message::Vouch { rev, since, added, dropped }),
+                    self.envelope(now, p, Message::ReplicateStarts { rev, since, added, dropped }),
                 ));
             }
         }
@@ -365,14 +365,18 @@
             w.mode = Mode::Asking;
             let key = format!("{PREFIX}{}", self.settings.member);
             let value = json!({"epoch": self.membership.epoch});
-            let c = Commit {
+            let c = Transaction {
                 conditions: vec![self.fence()],
                 puts: vec![(key, value, None)],
-                ..Commit::default()
+                ..Transaction::default()
             };
             // It goes out whatever is left of the budget: without it this controller starts nothing on its machines.
             self.writes.take(now, 1.0, 0.0);
-            self.ask_store(Purpose::Unwitnessed(self.membership.epoch), StoreRequest::Commit(c), out);
+            self.ask_store(
+                PendingStoreRequest::Unwitnessed(self.membership.epoch),
+                StoreRequest::Transaction(c),
+                out,
+            );
         }
     }
 
@@ -380,7 +384,7 @@
     pub(super) fn noted(&mut self, now: Micros, from: usize, rev: u64) {
         self.witness.last_noted = now;
         for item in self.witness.told.noted(from, rev) {
-            if let Vouched::Start { machine, .. } = item {
+            if let ReplicatedItem::Start { machine, .. } = item {
                 self.home.freshen(&machine);
             }
         }
@@ -399,7 +403,7 @@
     }
 
     /// The store says that a controller went on without witnesses in some epoch.
-    pub(super) fn unwitnessed_on_record(&mut self, row: &Row) {
+    pub(super) fn unwitnessed_on_record(&mut self, row: &KeyValue) {
         let name = row.key.strip_prefix(PREFIX);
         let number = name.and_then(|n| self.settings.members.iter().position(|m| m == n));
         let Some(number) = number else { return };
@@ -416,9 +420,9 @@
     }
 }
 
-fn job_of(item: &Vouched) -> &str {
+fn job_of(item: &ReplicatedItem) -> &str {
     match item {
-        Vouched::Job(id) => id,
-        Vouched::Start { key, .. } => &key.job,
+        ReplicatedItem::Job(id) => id,
+        ReplicatedItem::Start { key, .. } => &key.job,
     }
 }
--- a/src/controller/state_store_io.rs
+++ b/src/controller/state_store_io.rs
@@ -2,24 +2,24 @@
 
 use super::*;
 
-impl Node {
+impl Controller {
     /// Every change carries this condition: a controller that has been deposed can't write, not
     /// even by a transaction that is applied late.
     pub(super) fn fence(&self) -> (String, u64) {
         (EPOCH_KEY.into(), self.membership.mark)
     }
 
-    pub(super) fn ask_store(&mut self, p: Purpose, r: StoreRequest, out: &mut Vec<Effect>) {
+    pub(super) fn ask_store(&mut self, p: PendingStoreRequest, r: StoreRequest, out: &mut Vec<Effect>) {
         let id = self.fresh_id();
         let ring = matches!(
             p,
-            Purpose::Grant
-                | Purpose::ReadOwn
-                | Purpose::Register
-                | Purpose::ReadEpoch(_)
-                | Purpose::ReadMembers(_)
-                | Purpose::Raise(_)
-                | Purpose::Renew(_)
+            PendingStoreRequest::Grant
+                | PendingStoreRequest::ReadOwn
+                | PendingStoreRequest::Register
+                | PendingStoreRequest::ReadEpoch(_)
+                | PendingStoreRequest::ReadMembers(_)
+                | PendingStoreRequest::Raise(_)
+                | PendingStoreRequest::Renew(_)
         );
         self.in_flight.insert(id, p);
         out.push(Effect::Store(id, r, ring));
@@ -35,16 +35,16 @@
         self.load_busy = true;
         let e = self.membership.epoch;
         let (purpose, prefix) = match self.load {
-            Load::Jobs => (Purpose::LoadJobs(e), "job/"),
-            Load::Machines => (Purpose::LoadMachines(e), machine_registry::PREFIX),
-            Load::Teams => (Purpose::LoadTeams(e), "team/"),
-            _ => (Purpose::LoadUnwitnessed(e), start_replica::PREFIX),
+            Load::Jobs => (PendingStoreRequest::LoadJobs(e), "job/"),
+            Load::Machines => (PendingStoreRequest::LoadMachines(e), machine_registry::PREFIX),
+            Load::QuotaLedger => (PendingStoreRequest::LoadTeams(e), "team/"),
+            _ => (PendingStoreRequest::LoadUnwitnessed(e), start_replica::PREFIX),
         };
         let r = StoreRequest::List(prefix.into(), self.load_after.clone());
         self.ask_store(purpose, r, out);
     }
 
-    pub(super) fn loaded_page(&mut self, now: Micros, part: Load, rows: Vec<Row>, more: bool) {
+    pub(super) fn loaded_page(&mut self, now: Micros, part: Load, rows: Vec<KeyValue>, more: bool) {
         if let Some(last) = rows.last() {
             self.load_after = last.key.clone();
         }
@@ -66,7 +66,7 @@
                         self.machines_on_record.push(name);
                     }
                 }
-                Load::Teams => {
+                Load::QuotaLedger => {
                     if let Some(team) = row.key.strip_prefix("team/") {
                         self.teams.take(team, Some((&row.value, row.mark)));
                     }
@@ -80,8 +80,8 @@
         self.load_after.clear();
         self.load = match part {
             Load::Jobs => Load::Machines,
-            Load::Machines => Load::Teams,
-            Load::Teams => Load::Unwitnessed,
+            Load::Machines => Load::QuotaLedger,
+            Load::QuotaLedger => Load::Unwitnessed,
             _ => Load::Done,
         };
         if self.load == Load::Done {
@@ -99,12 +99,12 @@
     }
 
     /// Takes a job's record; false if it can't be read, in which case nothing may be said of the job.
-    pub(super) fn take_job_row(&mut self, row: Row) -> bool {
+    pub(super) fn take_job_row(&mut self, row: KeyValue) -> bool {
         let Some(id) = row.key.strip_prefix("job/") else { return false };
         if self.membership.job_owner(id) != Some(self.settings.me) {
             return true;
         }
-        match Owner::read_record(&row.value) {
+        match JobShard::read_record(&row.value) {
             Some((raw, spec, accepted, done)) if spec.id == id => {
                 // Of one that we know the latest write may be our own, and says nothing of what it had before us.
                 let unknown = !self.owner.jobs.contains_key(id);
@@ -121,7 +121,13 @@
         }
     }
 
-    pub(super) fn stored(&mut self, now: Micros, p: Purpose, a: StoreAnswer, out: &mut Vec<Effect>) {
+    pub(super) fn stored(
+        &mut self,
+        now: Micros,
+        p: PendingStoreRequest,
+        a: StoreAnswer,
+        out: &mut Vec<Effect>,
+    ) {
         if let StoreAnswer::Conflict(keys) = &a
             && keys.iter().any(|k| k == EPOCH_KEY)
         {
@@ -132,27 +138,27 @@
             self.store_pause = now + Micros::from_millis(200);
         }
         match p {
-            Purpose::Grant
-            | Purpose::Register
-            | Purpose::ReadOwn
-            | Purpose::ReadEpoch(_)
-            | Purpose::ReadMembers(_)
-            | Purpose::Raise(_)
-            | Purpose::Renew(_) => {
+            PendingStoreRequest::Grant
+            | PendingStoreRequest::Register
+            | PendingStoreRequest::ReadOwn
+            | PendingStoreRequest::ReadEpoch(_)
+            | PendingStoreRequest::ReadMembers(_)
+            | PendingStoreRequest::Raise(_)
+            | PendingStoreRequest::Renew(_) => {
                 self.ring_answer(now, p, a, out);
             }
-            Purpose::LoadJobs(e)
-            | Purpose::LoadMachines(e)
-            | Purpose::LoadTeams(e)
-            | Purpose::LoadUnwitnessed(e) => {
+            PendingStoreRequest::LoadJobs(e)
+            | PendingStoreRequest::LoadMachines(e)
+            | PendingStoreRequest::LoadTeams(e)
+            | PendingStoreRequest::LoadUnwitnessed(e) => {
                 if e != self.membership.epoch {
                     return;
                 }
                 self.load_busy = false;
                 let part = match p {
-                    Purpose::LoadJobs(_) => Load::Jobs,
-                    Purpose::LoadMachines(_) => Load::Machines,
-                    Purpose::LoadTeams(_) => Load::Teams,
+                    PendingStoreRequest::LoadJobs(_) => Load::Jobs,
+                    PendingStoreRequest::LoadMachines(_) => Load::Machines,
+                    PendingStoreRequest::LoadTeams(_) => Load::QuotaLedger,
                     _ => Load::Unwitnessed,
                 };
                 match a {
@@ -160,22 +166,26 @@
                     _ => self.load_retry = now + Micros::from_millis(300),
                 }
             }
-            Purpose::Unwitnessed(e) => self.unwitnessed(now, e, matches!(a, StoreAnswer::Committed(_))),
-            Purpose::Peek(id, from) => self.peeked(now, id, from, a, out),
-            Purpose::NoteForms(form) => self.forms_noted(form, matches!(a, StoreAnswer::Committed(_))),
-            Purpose::Pact(p) => self.pact_answer(now, p, a, out),
-            Purpose::Fresh(p) => self.fresh_answer(now, p, a, out),
-            Purpose::Revision | Purpose::Watch => self.watched(now, a),
-            Purpose::ReadEnd(id) => self.prerequisite_read(now, &id, a),
-            Purpose::Check(id, p) => self.checked(now, id, p, a, false, out),
-            Purpose::CheckEnd(id, p) => self.checked(now, id, p, a, true, out),
-            Purpose::Refuse(id, why) => self.refused(now, id, why, a, out),
-            Purpose::Loan(p) => self.loan_answer(now, p, a),
-            Purpose::Accept(id, epoch) => self.accepted(now, id, epoch, a, out),
-            Purpose::Record(id, w) => self.recorded(now, &id, w, a, out),
+            PendingStoreRequest::Unwitnessed(e) => {
+                self.unwitnessed(now, e, matches!(a, StoreAnswer::Committed(_)))
+            }
+            PendingStoreRequest::Peek(id, from) => self.peeked(now, id, from, a, out),
+            PendingStoreRequest::NoteForms(form) => {
+                self.forms_noted(form, matches!(a, StoreAnswer::Committed(_)))
+            }
+            PendingStoreRequest::Pact(p) => self.pact_answer(now, p, a, out),
+            PendingStoreRequest::Fresh(p) => self.fresh_answer(now, p, a, out),
+            PendingStoreRequest::Revision | PendingStoreRequest::Watch => self.watched(now, a),
+            PendingStoreRequest::ReadEnd(id) => self.prerequisite_read(now, &id, a),
+            PendingStoreRequest::Check(id, p) => self.checked(now, id, p, a, false, out),
+            PendingStoreRequest::CheckEnd(id, p) => self.checked(now, id, p, a, true, out),
+            PendingStoreRequest::Refuse(id, why) => self.refused(now, id, why, a, out),
+            PendingStoreRequest::Loan(p) => self.loan_answer(now, p, a),
+            PendingStoreRequest::Accept(id, epoch) => self.accepted(now, id, epoch, a, out),
+            PendingStoreRequest::Record(id, w) => self.recorded(now, &id, w, a, out),
             // Guards against what was read in an earlier epoch: the job may have ended since under another owner, and would
             // live again here. Each epoch has what it keeps read anew.
-            Purpose::Verify(id, epoch) if epoch == self.membership.epoch => match a {
+            PendingStoreRequest::Verify(id, epoch) if epoch == self.membership.epoch => match a {
                 StoreAnswer::Got(Some(row)) => {
                     if let Some(j) = self.owner.jobs.get_mut(&id) {
                         j.writing = false;
@@ -183,34 +193,34 @@
                     }
                 }
                 StoreAnswer::Got(None) => {
-                    let purpose = Purpose::VerifyEnd(id.clone(), epoch);
+                    let purpose = PendingStoreRequest::VerifyEnd(id.clone(), epoch);
                     self.ask_store(purpose, StoreRequest::Get(format!("done/{id}")), out);
                 }
                 _ => self.owner.write_failed(now, &id, false),
             },
-            Purpose::VerifyEnd(id, epoch) if epoch == self.membership.epoch => match a {
+            PendingStoreRequest::VerifyEnd(id, epoch) if epoch == self.membership.epoch => match a {
                 StoreAnswer::Got(Some(row)) => match read_end(&row.value) {
                     Some((f, _)) => self.end(now, &id, f, out),
                     None => tracing::error!(job = %id, "unreadable final record"),
                 },
                 _ => self.owner.write_failed(now, &id, false),
             },
-            Purpose::Verify(..) | Purpose::VerifyEnd(..) => {}
+            PendingStoreRequest::Verify(..) | PendingStoreRequest::VerifyEnd(..) => {}
             // Guards against the answer to an earlier reading of the same job, which is older than those who wait now.
-            Purpose::Lookup(id, number) | Purpose::LookupEnd(id, number)
+            PendingStoreRequest::Lookup(id, number) | PendingStoreRequest::LookupEnd(id, number)
                 if self.lookups.get(&id).is_none_or(|l| l.number != number) => {}
-            Purpose::Lookup(id, number) => match a {
+            PendingStoreRequest::Lookup(id, number) => match a {
                 StoreAnswer::Got(Some(row)) => {
                     let read = self.take_job_row(row);
                     self.looked_up(now, &id, read, out);
                 }
                 StoreAnswer::Got(None) => {
-                    let purpose = Purpose::LookupEnd(id.clone(), number);
+                    let purpose = PendingStoreRequest::LookupEnd(id.clone(), number);
                     self.ask_store(purpose, StoreRequest::Get(format!("done/{id}")), out);
                 }
                 _ => self.looked_up(now, &id, false, out),
             },
-            Purpose::LookupEnd(id, _) => match a {
+            PendingStoreRequest::LookupEnd(id, _) => match a {
                 StoreAnswer::Got(row) => {
                     if let Some(row) = row {
                         match read_end(&row.value) {
@@ -225,7 +235,7 @@
                 }
                 _ => self.looked_up(now, &id, false, out),
             },
-            Purpose::Roll(epoch, w) if epoch == self.membership.epoch => match a {
+            PendingStoreRequest::MachineRegistry(epoch, w) if epoch == self.membership.epoch => match a {
                 StoreAnswer::Committed(mark) => {
                     self.roll.written(&w, mark);
                     for n in &w.names {
@@ -234,7 +244,7 @@
                 }
                 a => self.roll.failed(w.page, a == StoreAnswer::Refused),
             },
-            Purpose::ReadPage(epoch, page) if epoch == self.membership.epoch => {
+            PendingStoreRequest::ReadPage(epoch, page) if epoch == self.membership.epoch => {
                 let read = match &a {
                     StoreAnswer::Got(None) => Some((0, Vec::new())),
                     StoreAnswer::Got(Some(row)) => {
@@ -249,8 +259,8 @@
                 }
             }
             // Of an epoch that has passed: the page has been read again since.
-            Purpose::Roll(..) | Purpose::ReadPage(..) => {}
-            Purpose::Claim(w) => match a {
+            PendingStoreRequest::MachineRegistry(..) | PendingStoreRequest::ReadPage(..) => {}
+            PendingStoreRequest::Claim(w) => match a {
                 StoreAnswer::Committed(mark) => {
                     self.teams.committed(w, mark);
                     self.owner.replan = true;
@@ -258,7 +268,7 @@
                 StoreAnswer::Conflict(_) | StoreAnswer::Refused => self.teams.failed(&w, true),
                 _ => self.teams.failed(&w, false),
             },
-            Purpose::ReadTeam(team) => match a {
+            PendingStoreRequest::ReadTeam(team) => match a {
                 StoreAnswer::Got(row) => self.teams.take(&team, row.as_ref().map(|r| (&r.value, r.mark))),
                 _ => self.teams.reread(&team),
             },
@@ -296,7 +306,11 @@
         self.next_team_plan = now + Micros::from_millis(100);
         let needs = self.owner.needs(&self.teams);
         for team in self.teams.reads(now, &needs) {
-            self.ask_store(Purpose::ReadTeam(team.clone()), StoreRequest::Get(format!("team/{team}")), out);
+            self.ask_store(
+                PendingStoreRequest::ReadTeam(team.clone()),
+                StoreRequest::Get(format!("team/{team}")),
+                out,
+            );
         }
         let none = Vec::new();
         for team in self.teams.names() {
@@ -316,12 +330,12 @@
                 break;
             }
             self.teams.sent(now, &w);
-            let c = Commit {
+            let c = Transaction {
                 conditions: vec![self.fence(), (format!("team/{team}"), w.mark)],
                 puts: vec![(format!("team/{team}"), w.value.clone(), None)],
                 drops: Vec::new(),
             };
-            self.ask_store(Purpose::Claim(w), StoreRequest::Commit(c), out);
+            self.ask_store(PendingStoreRequest::Claim(w), StoreRequest::Transaction(c), out);
         }
     }
 
@@ -336,7 +350,7 @@
             if let Some(j) = self.owner.jobs.get_mut(&id) {
                 j.writing = true;
             }
-            let purpose = Purpose::Verify(id.clone(), self.membership.epoch);
+            let purpose = PendingStoreRequest::Verify(id.clone(), self.membership.epoch);
             self.ask_store(purpose, StoreRequest::Get(format!("job/{id}")), out);
         }
         // The budget holds a second's worth and no more. It is kept nearly full, which costs no
@@ -371,26 +385,30 @@
         }
         let epoch = self.membership.epoch;
         while let Some((page, key)) = self.roll.next_read() {
-            self.ask_store(Purpose::ReadPage(epoch, page), StoreRequest::Get(key), out);
+            self.ask_store(PendingStoreRequest::ReadPage(epoch, page), StoreRequest::Get(key), out);
         }
         while self.writes.level(now) >= 0.5 && self.in_flight.len() < IN_FLIGHT {
             let spare = self.writes.level(now) >= 0.9;
             let Some(w) = self.roll.next_write(spare) else { break };
             self.writes.take(now, 1.0, 0.0);
-            let mut c =
-                Commit { conditions: vec![self.fence(), (w.key.clone(), w.mark)], ..Commit::default() };
+            let mut c = Transaction {
+                conditions: vec![self.fence(), (w.key.clone(), w.mark)],
+                ..Transaction::default()
+            };
             match &w.value {
                 Some(v) => c.puts.push((w.key.clone(), v.clone(), None)),
                 None => c.drops.push(w.key.clone()),
             }
-            self.ask_store(Purpose::Roll(epoch, w), StoreRequest::Commit(c), out);
+            self.ask_store(PendingStoreRequest::MachineRegistry(epoch, w), StoreRequest::Transaction(c), out);
         }
     }
 
     pub(super) fn commit_record(&mut self, id: String, w: RecordWrite, mark: u64, out: &mut Vec<Effect>) {
         // The record's own version keeps a late transaction from bringing back an older state.
-        let mut c =
-            Commit { conditions: vec![self.fence(), (format!("job/{id}"), mark)], ..Commit::default() };
+        let mut c = Transaction {
+            conditions: vec![self.fence(), (format!("job/{id}"), mark)],
+            ..Transaction::default()
+        };
         match &w {
             RecordWrite::Progress(v, _) => c.puts.push((format!("job/{id}"), v.clone(), None)),
             RecordWrite::End(_, v) => {
@@ -398,6 +416,6 @@
                 c.drops.push(format!("job/{id}"));
             }
         }
-        self.ask_store(Purpose::Record(id, w), StoreRequest::Commit(c), out);
+        self.ask_store(PendingStoreRequest::Record(id, w), StoreRequest::Transaction(c), out);
     }
 }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-impl Node {
-    pub(super) fn reply(&self, now: Micros, to: Origin, reply: Reply, out: &mut Vec<Effect>) {
+impl Controller {
+    pub(super) fn reply(&self, now: Micros, to: Caller, reply: Reply, out: &mut Vec<Effect>) {
         match to {
-            Origin::Ticket(t) => out.push(Effect::Reply(t, reply)),
-            Origin::Peer(p, id) => {
-                out.push(Effect::Send(p, self.envelope(now, p, Message::Answer { id, reply })));
+            Caller::Ticket(t) => out.push(Effect::Reply(t, reply)),
+            Caller::Peer(p, id) => {
+                out.push(Effect::Send(p, self.envelope(now, p, Message::ForwardResponse { id, reply })));
             }
         }
     }
@@ -23,17 +23,17 @@
             // It would drop the link.
             UserRequest::Why(_) | UserRequest::Permit(..) => return true,
         };
-        Spec::parse(body).is_ok_and(|s| s.has_pact() || (!s.follows.is_empty() && !self.reads_new(peer)))
+        JobSpec::parse(body).is_ok_and(|s| s.has_pact() || (!s.follows.is_empty() && !self.reads_new(peer)))
     }
 
-    pub(super) fn user(&mut self, now: Micros, from: Origin, r: UserRequest, out: &mut Vec<Effect>) {
+    pub(super) fn user(&mut self, now: Micros, from: Caller, r: UserRequest, out: &mut Vec<Effect>) {
         let (what, job) = (r.kind(), r.job().to_owned());
         let reply = match self.membership.pass_job_to(r.job()) {
             None => Reply::later("no ring yet"),
             Some(o) if o != self.settings.me => match from {
                 // It would take the job without the jobs that it follows, or the pacts that it names.
                 _ if self.beyond(o, &r) => Reply::later("not every controller can run such jobs yet"),
-                Origin::Ticket(t) if self.asked.len() < WAITING_LIMIT => {
+                Caller::Ticket(t) if self.asked.len() < WAITING_LIMIT => {
                     return self.pass_on(now, o, Some(t), r, out);
                 }
                 _ => Reply::later("busy, or the job has moved"),
@@ -75,8 +75,11 @@
         out: &mut Vec<Effect>,
     ) {
         let id = self.fresh_id();
-        out.push(Effect::Send(to, self.envelope(now, to, Message::Ask { id, request: request.clone() })));
-        self.asked.insert(id, Asked { ticket, at: now, request });
+        out.push(Effect::Send(
+            to,
+            self.envelope(now, to, Message::ForwardRequest { id, request: request.clone() }),
+        ));
+        self.asked.insert(id, ForwardedRequest { ticket, at: now, request });
     }
 
     /// Accepts a job without having seen whether it is known: its owner does not answer, or may not yet
@@ -86,7 +89,7 @@
     pub(super) fn accept_unseen(
         &mut self,
         now: Micros,
-        from: Origin,
+        from: Caller,
         id: &str,
         body: &str,
         out: &mut Vec<Effect>,
@@ -99,7 +102,7 @@
             return false;
         }
         let raw: Value = serde_json::from_str(body).unwrap_or(Value::Null);
-        let Ok(spec) = Spec::from_value(&raw) else { return false };
+        let Ok(spec) = JobSpec::from_value(&raw) else { return false };
         let raw = trimmed(&raw, &spec);
         if self.never(&raw, &spec).is_some() || self.not_yet(&spec).is_some() {
             return false;
@@ -112,7 +115,7 @@
 
     /// Answers a poll from the record where the job's owner can't: a live record says that nobody has told its end. Returns
     /// whether the record is asked for.
-    fn peek(&mut self, now: Micros, from: Origin, id: &str, out: &mut Vec<Effect>) -> bool {
+    fn peek(&mut self, now: Micros, from: Caller, id: &str, out: &mut Vec<Effect>) -> bool {
         if !self.membership.may_act(now)
             || now < self.store_pause
             || self.in_flight.len() >= PEEKS
@@ -120,7 +123,11 @@
         {
             return false;
         }
-        self.ask_store(Purpose::Peek(id.to_owned(), from), StoreRequest::Get(format!("job/{id}")), out);
+        self.ask_store(
+            PendingStoreRequest::Peek(id.to_owned(), from),
+            StoreRequest::Get(format!("job/{id}")),
+            out,
+        );
         true
     }
 
@@ -131,12 +138,12 @@
         &mut self,
         now: Micros,
         id: String,
-        from: Origin,
+        from: Caller,
         a: StoreAnswer,
         out: &mut Vec<Effect>,
     ) {
         let done = match &a {
-            StoreAnswer::Got(Some(row)) => Owner::read_record(&row.value).map(|(.., done)| done.len()),
+            StoreAnswer::Got(Some(row)) => JobShard::read_record(&row.value).map(|(.., done)| done.len()),
             _ => None,
         };
         let reply = match done {
@@ -164,7 +171,7 @@
     pub(super) fn own_request(
         &mut self,
         now: Micros,
-        from: Origin,
+        from: Caller,
         r: UserRequest,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
@@ -195,7 +202,7 @@
         if let Some(known) = self.known(&id) {
             return Some(match r {
                 UserRequest::Withdraw(_) => {
-                    let f = self.owner.final_of(&id).map_or(Final::Done, |(f, _)| f);
+                    let f = self.owner.final_of(&id).map_or(JobOutcome::Done, |(f, _)| f);
                     Reply::json(200, &json!({"uid": id, "stance": stance_of(f)}))
                 }
                 _ => known,
@@ -208,7 +215,7 @@
             }
             let raw: Value = serde_json::from_str(body).unwrap_or(Value::Null);
             // One that can't be taken may still repeat a job that was: its record is read before it is turned down.
-            if let Ok(spec) = Spec::from_value(&raw) {
+            if let Ok(spec) = JobSpec::from_value(&raw) {
                 if self.fleet.types.is_empty() {
                     return Some(Reply::later("machine types are not known yet"));
                 }
@@ -227,7 +234,7 @@
     }
 
     /// Has the record of a job that isn't known here read for these requests, by a reading that begins now or later.
-    fn look_up(&mut self, now: Micros, id: &str, waiting: Vec<(Origin, UserRequest)>, out: &mut Vec<Effect>) {
+    fn look_up(&mut self, now: Micros, id: &str, waiting: Vec<(Caller, UserRequest)>, out: &mut Vec<Effect>) {
         if waiting.is_empty() {
             return;
         }
@@ -245,19 +252,23 @@
         }
         let number = self.fresh_id();
         self.lookups.insert(id.to_owned(), Lookup { number, waiting, next: Vec::new() });
-        self.ask_store(Purpose::Lookup(id.to_owned(), number), StoreRequest::Get(format!("job/{id}")), out);
+        self.ask_store(
+            PendingStoreRequest::Lookup(id.to_owned(), number),
+            StoreRequest::Get(format!("job/{id}")),
+            out,
+        );
     }
 
     /// Why a job can never run here, if so, by its trimmed description. Nobody is told before its record was looked for: a
     /// repeated submission may have another body than the first, which was taken.
-    fn never(&self, raw: &Value, spec: &Spec) -> Option<String> {
+    fn never(&self, raw: &Value, spec: &JobSpec) -> Option<String> {
         if let Err(e) = spec.check(&self.fleet.types, &self.settings.teams) {
             return Some(e.to_string());
         }
         let limit = self.settings.value_bytes;
         // The night is filled in later.
         let night = if spec.release.as_ref().is_some_and(|r| r.night.is_none()) { 32 } else { 0 };
-        if Owner::longest(raw, spec, self.wall) + night > limit {
+        if JobShard::longest(raw, spec, self.wall) + night > limit {
             return Some(format!(
                 "the description is too long to be kept: its record may have {limit} bytes"
             ));
@@ -268,14 +279,14 @@
         None
     }
 
-    /// Begins to put a job on record that can run, as far as [`Node::never`] tells, by its trimmed description: a body with
+    /// Begins to put a job on record that can run, as far as [`Controller::never`] tells, by its trimmed description: a body with
     /// superfluous fields must not make a record that the store won't take.
     pub(super) fn accept(
         &mut self,
         now: Micros,
-        from: Origin,
+        from: Caller,
         id: String,
-        spec: Spec,
+        spec: JobSpec,
         raw: Value,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
@@ -364,7 +375,7 @@
         now: Micros,
         id: &str,
         raw: &Value,
-        from: Vec<Origin>,
+        from: Vec<Caller>,
         out: &mut Vec<Effect>,
     ) {
         if from.is_empty() {
@@ -386,7 +397,7 @@
         &mut self,
         now: Micros,
         id: &str,
-        asked: Vec<(Origin, UserRequest)>,
+        asked: Vec<(Caller, UserRequest)>,
         out: &mut Vec<Effect>,
     ) {
         if !self.owner.jobs.contains_key(id) && self.owner.final_of(id).is_none() {
@@ -399,7 +410,7 @@
         }
     }
 
-    pub(super) fn end(&mut self, now: Micros, id: &str, f: Final, out: &mut Vec<Effect>) {
+    pub(super) fn end(&mut self, now: Micros, id: &str, f: JobOutcome, out: &mut Vec<Effect>) {
         self.owner.ended(id, f);
         for o in self.withdrawing.remove(id).unwrap_or_default() {
             self.reply(now, o, Reply::json(200, &json!({"uid": id, "stance": stance_of(f)})), out);
@@ -420,7 +431,7 @@
                 let reply = match r {
                     UserRequest::Submit(_, body) => {
                         let raw = serde_json::from_str(&body).unwrap_or(Value::Null);
-                        match Spec::from_value(&raw).map(|s| (self.never(&trimmed(&raw, &s), &s), s)) {
+                        match JobSpec::from_value(&raw).map(|s| (self.never(&trimmed(&raw, &s), &s), s)) {
                             Err(e) => Reply::error(e.status(), &e.to_string()),
                             Ok((Some(why), _)) => Reply::error(422, &why),
                             Ok((None, s)) => {
@@ -441,7 +452,7 @@
     pub(super) fn overdue(&mut self, now: Micros, out: &mut Vec<Effect>) {
         // An answer takes a few hundredths of a second. Users of new jobs wait for no more than that.
         let patience = Micros(self.settings.digest.0 / 4);
-        let late = |a: &Asked| {
+        let late = |a: &ForwardedRequest| {
             // A poll is waited for for two seconds, and the record can answer it.
             let poll = a.ticket.is_some() && matches!(a.request, UserRequest::Query(_));
             now.since(a.at) >= Micros::from_millis(if poll { 600 } else { 1500 })
@@ -459,12 +470,12 @@
             let Some(a) = self.asked.remove(&id) else { continue };
             let Some(ticket) = a.ticket else { continue };
             if let UserRequest::Submit(job, body) = &a.request
-                && self.accept_unseen(now, Origin::Ticket(ticket), job, body, out)
+                && self.accept_unseen(now, Caller::Ticket(ticket), job, body, out)
             {
                 continue;
             }
             if let UserRequest::Query(job) = &a.request
-                && self.peek(now, Origin::Ticket(ticket), job, out)
+                && self.peek(now, Caller::Ticket(ticket), job, out)
             {
                 continue;
             }
@@ -502,7 +513,7 @@
 
     /// Another submission of the same job. Guards against an answer that is older than what its user was told before asking:
     /// while the store's answer is on its way the job may be ended through another controller.
-    fn join(&mut self, from: Origin) {
+    fn join(&mut self, from: Caller) {
         if self.sent { self.late.push(from) } else { self.origins.push(from) }
     }
 }
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -9,8 +9,8 @@
     let mut n = node();
     let mut told = |value: Option<Value>| {
         let mut out = Vec::new();
-        let got = StoreAnswer::Got(value.map(|value| Row { key: String::new(), value, mark: 9 }));
-        n.peeked(at(2000), "wk-1".into(), Origin::Ticket(5), got, &mut out);
+        let got = StoreAnswer::Got(value.map(|value| KeyValue { key: String::new(), value, mark: 9 }));
+        n.peeked(at(2000), "wk-1".into(), Caller::Ticket(5), got, &mut out);
         match &out[..] {
             [Effect::Reply(5, r)] => (r.status, r.body.contains("\"stance\":\"pending\"")),
             other => panic!("{other:?}"),
@@ -19,13 +19,13 @@
     let raw = json!({"uid":"wk-1","breed":"b","herd":"t","gait":"batch","rank":"idle","strides":2,"vcpus":1.0,
         "cards":0,"ramGb":1.0,"tack":"i","imageGb":1,"together":false,"scatter":false,"borrowed":false,"rideS":1,
         "restS":0,"unsaddleS":0});
-    assert_eq!(told(Some(Owner::record(&raw, Micros(1), ""))), (200, true));
+    assert_eq!(told(Some(JobShard::record(&raw, Micros(1), ""))), (200, true));
     assert_eq!(told(None).0, 503, "its end may be on record");
     assert_eq!(told(Some(json!({"end": "done", "done": 2}))).0, 503);
 }
 
 /// c0 with its records read and the machine types known, while nobody acts in an older epoch; and a job that it owns, or not.
-fn owner(owns: bool) -> (Node, String) {
+fn owner(owns: bool) -> (Controller, String) {
     let mut n = node();
     n.membership.confirmed_by_store(NOW);
     n.owner.load_done(std::iter::empty());
@@ -57,8 +57,8 @@
 }
 
 fn live(id: &str, mark: u64) -> StoreAnswer {
-    let value = Owner::record(&body(id), Micros(1), "");
-    StoreAnswer::Got(Some(Row { key: format!("job/{id}"), value, mark }))
+    let value = JobShard::record(&body(id), Micros(1), "");
+    StoreAnswer::Got(Some(KeyValue { key: format!("job/{id}"), value, mark }))
 }
 
 /// What an event brings about: answers to users as (ticket, status, stance), and requests to the state service.
@@ -70,7 +70,7 @@
 }
 
 impl Told {
-    fn by(n: &mut Node, event: Event) -> Told {
+    fn by(n: &mut Controller, event: Event) -> Told {
         let mut out = Vec::new();
         n.step(NOW, Micros(1), event, &mut out);
         let mut told = Told::default();
@@ -81,7 +81,7 @@
                     told.answers.push((t, r.status, body["stance"].as_str().unwrap_or("").to_owned()));
                 }
                 Effect::Store(id, StoreRequest::Get(key), _) => told.reads.push((id, key)),
-                Effect::Store(id, StoreRequest::Commit(c), _) => {
+                Effect::Store(id, StoreRequest::Transaction(c), _) => {
                     told.commits.push((id, c.puts.into_iter().map(|p| p.0).collect()));
                 }
                 _ => {}
@@ -90,7 +90,7 @@
         told
     }
 
-    fn asked(n: &mut Node, ticket: u64, r: UserRequest) -> Told {
+    fn asked(n: &mut Controller, ticket: u64, r: UserRequest) -> Told {
         Told::by(n, Event::User(ticket, r))
     }
 
@@ -168,9 +168,9 @@
 fn who_repeats_a_submission_is_not_told_by_a_write_that_went_out_before() {
     let (mut n, id) = owner(false);
     let mut out = Vec::new();
-    assert!(n.accept_unseen(NOW, Origin::Ticket(1), &id, &body(&id).to_string(), &mut out));
-    let Some(Effect::Store(accept, StoreRequest::Commit(_), _)) = out.pop() else { panic!("{out:?}") };
-    assert!(n.accept_unseen(NOW, Origin::Ticket(2), &id, &body(&id).to_string(), &mut out) && out.is_empty());
+    assert!(n.accept_unseen(NOW, Caller::Ticket(1), &id, &body(&id).to_string(), &mut out));
+    let Some(Effect::Store(accept, StoreRequest::Transaction(_), _)) = out.pop() else { panic!("{out:?}") };
+    assert!(n.accept_unseen(NOW, Caller::Ticket(2), &id, &body(&id).to_string(), &mut out) && out.is_empty());
     let told = Told::by(&mut n, Event::Store(accept, StoreAnswer::Committed(9)));
     assert_eq!(told.answers, [(1, 201, "pending".into())]);
     let (peek, key) = &told.reads[0];
@@ -195,16 +195,16 @@
 fn what_was_read_in_an_earlier_epoch_brings_nothing_back() {
     let (mut n, id) = owner(true);
     let mut out = Vec::new();
-    n.ask_store(Purpose::Verify(id.clone(), 6), StoreRequest::Get(format!("job/{id}")), &mut out);
+    n.ask_store(PendingStoreRequest::Verify(id.clone(), 6), StoreRequest::Get(format!("job/{id}")), &mut out);
     let Some(Effect::Store(old, ..)) = out.first() else { panic!("{out:?}") };
     Told::by(&mut n, Event::Store(*old, live(&id, 9)));
     assert!(!n.owner.jobs.contains_key(&id));
     // Nor does an acceptance that was sent in it.
     n.accept(
         NOW,
-        Origin::Ticket(1),
+        Caller::Ticket(1),
         id.clone(),
-        Spec::from_value(&body(&id)).expect("valid"),
+        JobSpec::from_value(&body(&id)).expect("valid"),
         body(&id),
         &mut out,
     );
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -2,8 +2,8 @@
 
 use crate::api::{self, Parsed};
 use crate::autoscaler::{CloudClient, CloudRequest};
-use crate::controller::{Effect, Event, Node};
-use crate::machine_shard::Greeting;
+use crate::controller::{Controller, Effect, Event};
+use crate::machine_shard::FencingProbe;
 use crate::peer::{self, Frame, Reply};
 use crate::settings::Settings;
 use crate::state_store::{StoreClient, StoreRequest};
@@ -79,7 +79,7 @@
         match api::parse(ticket, &method, &url, |limit| api::body(request.as_reader(), limit)) {
             Parsed::Answer(r) => answer(request, r),
             Parsed::Event(e) => {
-                let tx = if matches!(e, Event::Report(..)) { &tx } else { &first };
+                let tx = if matches!(e, Event::Heartbeat(..)) { &tx } else { &first };
                 if tx.len() >= QUEUE {
                     answer(request, Reply::later("overloaded"));
                 } else if tx.send(Inbound::Request(ticket, request, e)).is_err() {
@@ -166,7 +166,7 @@
     });
 
     // Dead ones cost a wait each, so there are several threads; they have nothing to do but after an epoch.
-    let (greet_tx, greet_rx) = unbounded::<(u64, Greeting)>();
+    let (greet_tx, greet_rx) = unbounded::<(u64, FencingProbe)>();
     let newest = Arc::new(AtomicU64::new(0));
     for _ in 0..GREETERS {
         let (tx, line, newest) = (tx.clone(), greet_rx.clone(), newest.clone());
@@ -188,7 +188,7 @@
 
     tracing::info!(member = %settings.member, zone = %settings.zone, api = %settings.api, back = %settings.back, "started");
     let boot: u64 = rand::random::<u64>() >> 12;
-    let mut node = Node::new(settings, boot);
+    let mut node = Controller::new(settings, boot);
     let mut open: HashMap<u64, tiny_http::Request> = HashMap::new();
     let mut out = Vec::new();
     let clock = || Micros(CLOCK_START.0 + start.elapsed().as_micros() as u64);
--- a/src/job_shard.rs
+++ b/src/job_shard.rs
@@ -21,14 +21,14 @@
 mod unresolved_starts;
 
 use self::dependencies::Waiting;
-use self::failure_attribution::Blame;
-use crate::machine_view::{Seen, View};
+use self::failure_attribution::FailureAttribution;
+use crate::machine_view::{MachineSnapshot, MachineView};
 use crate::membership::Membership;
-use crate::peer::{Demand, Phase, Reservation, Standing, TaskKey, Want};
-use crate::quota::tier::Footing;
+use crate::peer::{Demand, DesiredAction, InventoryState, Reservation, TaskKey, TaskPhase};
+use crate::quota::tier::QuotaTier;
 use crate::settings::{Objective, Settings};
-use crate::spec::{GUARANTEED, Kind, Spec};
-use crate::units::{Micros, Ranges, Room};
+use crate::spec::{GUARANTEED, JobKind, JobSpec};
+use crate::units::{Micros, Ranges, Resources};
 use hazelsaddle_failover::unresolved::{UnresolvedSetId, UnresolvedSets};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -38,7 +38,7 @@
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum JobOutcome {
     /// All its tasks are done.
     Done,
     /// Its user cancelled it.
@@ -47,14 +47,14 @@
 
 /// A start that has been placed.
 #[derive(Clone, Debug)]
-struct Placed {
+struct Assignment {
     machine: String,
     zone: String,
     attempt: u64,
-    want: Want,
+    want: DesiredAction,
     /// The first message to its home that named it; `u64::MAX` before that.
     asked: u64,
-    phase: Option<Phase>,
+    phase: Option<TaskPhase>,
     since: Micros,
     /// Taken over while under way: how long it has run is not known.
     taken_over: bool,
@@ -87,7 +87,7 @@
 /// A live job.
 pub struct Job {
     /// What its user asked for.
-    pub spec: Spec,
+    pub spec: JobSpec,
     raw: Value,
     /// When it was accepted, by the time of day.
     pub accepted_wall: Micros,
@@ -96,12 +96,12 @@
     evidence: Evidence,
     done: Ranges,
     durable: Ranges,
-    placed: BTreeMap<u32, Placed>,
+    placed: BTreeMap<u32, Assignment>,
     gang: Option<Gang>,
     starts: u64,
     not_before: Micros,
     /// The end it is to have, once the store has it.
-    pub ending: Option<Final>,
+    pub ending: Option<JobOutcome>,
     /// A change of its record is under way.
     pub writing: bool,
     /// Its record's version must be read again first.
@@ -111,7 +111,7 @@
     /// When its progress may next be.
     next_progress: Micros,
     /// What it has on its way, if it is to end.
-    withdrawal: cancellation::Withdrawal,
+    withdrawal: cancellation::Cancellation,
     /// Jobs that it needs and that are not known to be done.
     waits_for: BTreeSet<String>,
     /// What else holds it.
@@ -126,15 +126,15 @@
     /// every pass would empty one machine after another.
     keeps: Vec<String>,
     /// How it stands to its team's guarantee.
-    footing: Footing,
+    footing: QuotaTier,
 }
 
 /// An old start that is stopping or waits to be forgotten.
 #[derive(Clone, Debug)]
-struct Leftover {
-    room: Room,
+struct RetiredStart {
+    room: Resources,
     priority: u8,
-    want: Want,
+    want: DesiredAction,
     alive: bool,
     /// The worker is known to have had it.
     arrived: bool,
@@ -144,7 +144,7 @@
 }
 
 /// A job's leftovers by task, machine and attempt: whether each is alive, and its zone.
-type OpenLeft = BTreeMap<(u32, String, u64), (bool, String)>;
+type OpenRetiredStarts = BTreeMap<(u32, String, u64), (bool, String)>;
 /// A start on a machine.
 type Key = (String, TaskKey);
 /// Stands for the number of a message that has not gone out yet.
@@ -156,25 +156,25 @@
     /// Progress.
     Progress(Value, Ranges),
     /// The end.
-    End(Final, Value),
+    End(JobOutcome, Value),
 }
 
 /// All that a controller knows as the owner of jobs.
-pub struct Owner {
+pub struct JobShard {
     me: usize,
     value_bytes: usize,
     /// Live jobs.
     pub jobs: BTreeMap<String, Job>,
-    finals: BTreeMap<String, (Final, u32)>,
+    finals: BTreeMap<String, (JobOutcome, u32)>,
     finals_order: VecDeque<String>,
-    leftovers: BTreeMap<(String, u32, String, u64), Leftover>,
+    leftovers: BTreeMap<(String, u32, String, u64), RetiredStart>,
     /// Per job, the leftovers that still matter to placing: those alive, with their zone, and those
     /// that ended without completing. Completed ones wait in hundreds for their record.
-    open_left: BTreeMap<String, OpenLeft>,
+    open_left: BTreeMap<String, OpenRetiredStarts>,
     /// The leftovers of each machine, by job, task and attempt, and whether each is alive.
     left_on: BTreeMap<String, BTreeMap<(String, u32, u64), bool>>,
     by_machine: BTreeMap<String, BTreeSet<(String, u32)>>,
-    views: Vec<View>,
+    views: Vec<MachineView>,
     /// Machines that may hold tasks we don't know of.
     unheard: BTreeSet<String>,
     /// Those that jobs taken over wait for; a job keeps its own over epochs.
@@ -183,7 +183,7 @@
     of_epoch: Option<UnresolvedSetId>,
     /// Some set has become empty: jobs may be settled.
     ends_doubt: bool,
-    vouching: start_replication::Vouching,
+    vouching: start_replication::StartReplication,
     /// Jobs whose record was written after this epoch was raised, which may not have been in it, and when we read it.
     maybe_new: BTreeMap<String, Micros>,
     revs: Vec<u64>,
@@ -200,13 +200,13 @@
     pub alone: bool,
     /// Something changed that may let a task be placed.
     pub replan: bool,
-    endings: cancellation::Endings,
-    blame: Blame,
+    endings: cancellation::EndQueue,
+    blame: FailureAttribution,
     waiting: Waiting,
     /// Every end says its job's class: what is upstream of a merge must be known by it.
     keep_class: bool,
     demands: Vec<Demand>,
-    doubted: unresolved_starts::Doubted,
+    doubted: unresolved_starts::UnresolvedStarts,
     loans: gpu_lending::Loans,
     gang_wait: Micros,
     /// How long a home answers a machine without our word.
@@ -215,17 +215,17 @@
     older_silent: Micros,
     objectives: Vec<Objective>,
     /// What each team is guaranteed, of those that are guaranteed anything.
-    guaranteed: BTreeMap<String, Room>,
+    guaranteed: BTreeMap<String, Resources>,
     /// Machines kept for our waiting work.
     reserved: Vec<Reservation>,
     /// The same of other owners.
-    others: reservations::Others,
+    others: reservations::OtherReservations,
     /// When tasks were last stopped on a machine to make room.
     evicted: BTreeMap<String, Micros>,
     /// Machines on which room is being asked back, and since when.
     reclaiming: BTreeMap<String, Micros>,
-    asked: preemption::Asked,
-    refusals: reservations::Refusals,
+    asked: preemption::PreemptionRequests,
+    refusals: reservations::PlacementRefusals,
     /// Types that the decider leaves to urgent work.
     kept_types: Vec<(String, bool, u8)>,
     /// The same for single machines.
@@ -243,11 +243,11 @@
     ran: BTreeMap<String, (Micros, Micros)>,
 }
 
-impl Owner {
+impl JobShard {
     /// Owns nothing yet.
-    pub fn new(s: &Settings) -> Owner {
+    pub fn new(s: &Settings) -> JobShard {
         let n = s.members.len();
-        Owner {
+        JobShard {
             me: s.me,
             value_bytes: s.value_bytes,
             jobs: BTreeMap::new(),
@@ -257,12 +257,12 @@
             open_left: BTreeMap::new(),
             left_on: BTreeMap::new(),
             by_machine: BTreeMap::new(),
-            views: (0..n).map(|_| View::default()).collect(),
+            views: (0..n).map(|_| MachineView::default()).collect(),
             unheard: BTreeSet::new(),
             doubts: UnresolvedSets::default(),
             of_epoch: None,
             ends_doubt: false,
-            vouching: start_replication::Vouching::default(),
+            vouching: start_replication::StartReplication::default(),
             maybe_new: BTreeMap::new(),
             revs: vec![0; n],
             touched: BTreeSet::new(),
@@ -271,12 +271,12 @@
             loaded: false,
             alone: true,
             replan: true,
-            endings: cancellation::Endings::default(),
-            blame: Blame::default(),
+            endings: cancellation::EndQueue::default(),
+            blame: FailureAttribution::default(),
             waiting: Waiting::default(),
             keep_class: s.operators.freshness.is_some(),
             demands: Vec::new(),
-            doubted: unresolved_starts::Doubted::default(),
+            doubted: unresolved_starts::UnresolvedStarts::default(),
             loans: gpu_lending::Loans::new(s.operators.loans.clone()),
             gang_wait: s.gang_wait,
             reach: s.reach,
@@ -286,14 +286,14 @@
                 .teams
                 .iter()
                 .filter(|t| t.cpus > 0.0 || t.gpus > 0.0)
-                .map(|t| (t.name.clone(), Room::need(t.cpus, t.gpus, 0.0)))
+                .map(|t| (t.name.clone(), Resources::need(t.cpus, t.gpus, 0.0)))
                 .collect(),
             reserved: Vec::new(),
-            others: reservations::Others::default(),
+            others: reservations::OtherReservations::default(),
             evicted: BTreeMap::new(),
             reclaiming: BTreeMap::new(),
-            asked: preemption::Asked::default(),
-            refusals: reservations::Refusals::default(),
+            asked: preemption::PreemptionRequests::default(),
+            refusals: reservations::PlacementRefusals::default(),
             kept_types: Vec::new(),
             kept_machines: BTreeMap::new(),
             steered: false,
@@ -368,7 +368,7 @@
         }
         self.unheard.clear();
         self.of_epoch = None;
-        self.vouching = start_replication::Vouching::default();
+        self.vouching = start_replication::StartReplication::default();
         self.maybe_new.clear();
         let used = self.jobs.values().filter_map(|j| match j.evidence {
             Evidence::Waits(d) => Some(d),
@@ -378,7 +378,7 @@
         self.dirty.fill(true);
         self.loans.anew();
         self.demands.clear();
-        self.doubted = unresolved_starts::Doubted::default();
+        self.doubted = unresolved_starts::UnresolvedStarts::default();
         self.others.inherit(&std::mem::take(&mut self.reserved));
     }
 
@@ -403,7 +403,7 @@
     pub fn insert(
         &mut self,
         raw: Value,
-        spec: Spec,
+        spec: JobSpec,
         accepted_wall: Micros,
         done: Ranges,
         mark: u64,
@@ -443,7 +443,7 @@
             verify: false,
             next_write: Micros(0),
             next_progress: Micros(0),
-            withdrawal: cancellation::Withdrawal::default(),
+            withdrawal: cancellation::Cancellation::default(),
             waits_for: spec.follows.iter().cloned().collect(),
             hold: Hold::of(&spec, &raw),
             due: None,
@@ -451,9 +451,9 @@
             rank: spec.priority,
             keeps: Vec::new(),
             footing: if self.guaranteed.contains_key(&spec.team) {
-                Footing::Unknown
+                QuotaTier::Unknown
             } else {
-                Footing::Unpromised
+                QuotaTier::Unpromised
             },
             spec,
             raw,
@@ -472,11 +472,11 @@
     }
 
     /// The end of a job, if it is remembered.
-    pub fn final_of(&self, id: &str) -> Option<(Final, u32)> {
+    pub fn final_of(&self, id: &str) -> Option<(JobOutcome, u32)> {
         self.finals.get(id).copied()
     }
     /// Remembers the end of a job that the store has on record.
-    pub fn remember_final(&mut self, id: &str, f: Final, done: u32) {
+    pub fn remember_final(&mut self, id: &str, f: JobOutcome, done: u32) {
         if self.finals.insert(id.into(), (f, done)).is_none() {
             self.finals_order.push_back(id.into());
             if self.finals_order.len() > FINALS
@@ -488,7 +488,7 @@
     }
 
     /// The job's end is on record: it is live no more, and what it left behind is cleared away.
-    pub fn ended(&mut self, id: &str, f: Final) {
+    pub fn ended(&mut self, id: &str, f: JobOutcome) {
         // Whoever waits for it must hear even if it was not ours any more: the store has its end.
         self.prerequisite_ended(id, f);
         let Some(j) = self.jobs.remove(id) else { return };
@@ -500,15 +500,15 @@
         self.remember_final(id, f, j.done.len());
         for (idx, p) in j.placed {
             self.unindex(&p.machine, id, idx);
-            self.leave(id, idx, &p, j.spec.room, Want::Stop(Micros(0)), true, false);
+            self.leave(id, idx, &p, j.spec.room, DesiredAction::Stop(Micros(0)), true, false);
         }
         let left = self.leftovers.range_mut((id.to_owned(), 0, String::new(), 0)..);
         for ((job, idx, machine, attempt), l) in left {
             if job != id {
                 break;
             }
-            if !l.alive && l.want != Want::Forget {
-                l.want = Want::Forget;
+            if !l.alive && l.want != DesiredAction::Forget {
+                l.want = DesiredAction::Forget;
                 touch(&mut self.touched, machine, job, *idx, *attempt);
             }
         }
@@ -518,9 +518,11 @@
     /// What a user sees of a live job: whether a task runs, and how many are done and run.
     pub fn stance(&self, id: &str) -> Option<(&'static str, u32, u32)> {
         let j = self.jobs.get(id)?;
-        let running =
-            j.placed.values().filter(|p| matches!(p.phase, Some(Phase::Running | Phase::Saving))).count()
-                as u32;
+        let running = j
+            .placed
+            .values()
+            .filter(|p| matches!(p.phase, Some(TaskPhase::Running | TaskPhase::Saving)))
+            .count() as u32;
         Some((if running > 0 { "running" } else { "pending" }, j.done.len(), running))
     }
 
@@ -528,17 +530,17 @@
     fn complete(&mut self, id: &str, idx: u32) {
         let Some(j) = self.jobs.get_mut(id) else { return };
         match j.spec.kind {
-            Kind::Array => {
+            JobKind::Array => {
                 if idx < j.spec.tasks {
                     j.done.insert(idx);
                 }
             }
-            Kind::Gang => {
+            JobKind::Gang => {
                 for i in 0..j.spec.tasks {
                     j.done.insert(i);
                 }
             }
-            Kind::Service => {}
+            JobKind::Service => {}
         }
         self.endings.changed(id);
         self.replan = true;
@@ -559,8 +561,8 @@
         j.gang = if j.placed.is_empty() { None } else { Some(Gang::Ending) };
         for (&idx, p) in &mut j.placed {
             // One that is saving already keeps its time.
-            if !matches!(p.want, Want::Stop(_)) {
-                p.want = Want::Stop(grace);
+            if !matches!(p.want, DesiredAction::Stop(_)) {
+                p.want = DesiredAction::Stop(grace);
                 touch(&mut self.touched, &p.machine, id, idx, p.attempt);
             }
         }
@@ -590,9 +592,9 @@
         self.open_left.get(id).into_iter().flatten()
     }
 
-    fn in_use(&self, id: &str, j: &Job) -> Room {
+    fn in_use(&self, id: &str, j: &Job) -> Resources {
         let left = self.open_of(id).filter(|(_, (alive, _))| *alive).count();
-        Room { memory: 0, ..j.spec.room.times((j.placed.len() + left) as i64) }
+        Resources { memory: 0, ..j.spec.room.times((j.placed.len() + left) as i64) }
     }
 
     /// Some of the machines that have not been heard since the epoch began.
@@ -618,18 +620,18 @@
         self.unheard.len()
     }
     /// Machines of all homes as last seen.
-    pub fn machines(&self, epoch: u64) -> impl Iterator<Item = &Seen> {
+    pub fn machines(&self, epoch: u64) -> impl Iterator<Item = &MachineSnapshot> {
         self.views.iter().filter_map(move |v| v.machines(epoch)).flat_map(BTreeMap::values)
     }
     /// One machine as its home last described it.
-    pub fn seen(&self, name: &str, m: &Membership) -> Option<&Seen> {
+    pub fn seen(&self, name: &str, m: &Membership) -> Option<&MachineSnapshot> {
         self.views.get(m.home(name)?)?.machines(m.epoch)?.get(name)
     }
     /// Whether a machine of another home is certainly gone: its home has spoken in this epoch and
     /// says so, or doesn't name it.
     pub fn gone(&self, name: &str, m: &Membership) -> bool {
         let view = m.home(name).and_then(|h| self.views.get(h)?.machines(m.epoch));
-        view.is_some_and(|v| v.get(name).is_none_or(|d| d.standing == Standing::Gone))
+        view.is_some_and(|v| v.get(name).is_none_or(|d| d.standing == InventoryState::Gone))
     }
     /// Whether all homes have spoken in this epoch.
     pub fn all_homes_heard(&self, m: &Membership) -> bool {
@@ -656,8 +658,10 @@
     use super::scheduling_pass::{likely, note_run};
     use super::*;
     use crate::membership::EpochRecord;
-    use crate::peer::{Actual, Digest, Exit, MachineDigest, Standing, Wishes};
-    use crate::quota::Teams;
+    use crate::peer::{
+        DesiredState, InventoryState, MachineStatus, MachineStatusDelta, ObservedTask, TaskExit,
+    };
+    use crate::quota::QuotaLedger;
 
     fn settings() -> Settings {
         let text = "member = \"c0\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n[outside]\ncloud = \"10.0.0.9:1\"\n\
@@ -673,29 +677,34 @@
             "rideS":1,"restS":checkpoint,"unsaddleS":5.0})
     }
 
-    pub(super) fn whole(m: &Membership, seq: u64, rev_seen: u64, machines: Vec<MachineDigest>) -> Digest {
-        Digest { seq: (m.epoch << 32) + seq, since: 0, rev_seen, machines }
+    pub(super) fn whole(
+        m: &Membership,
+        seq: u64,
+        rev_seen: u64,
+        machines: Vec<MachineStatus>,
+    ) -> MachineStatusDelta {
+        MachineStatusDelta { seq: (m.epoch << 32) + seq, since: 0, rev_seen, machines }
     }
 
     /// An owner of one job, and one machine with room as its home describes it.
-    pub(super) fn owner_of(raw: Value) -> (Membership, Teams, Owner, MachineDigest) {
+    pub(super) fn owner_of(raw: Value) -> (Membership, QuotaLedger, JobShard, MachineStatus) {
         let s = settings();
         let mut m = Membership::new(&s, 1);
         m.adopt(Micros(1), &EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] }, 1);
-        let teams = Teams::new(&s.teams);
-        let mut owner = Owner::new(&s);
+        let teams = QuotaLedger::new(&s.teams);
+        let mut owner = JobShard::new(&s);
         owner.adopt(&m, false);
         owner.load_done(std::iter::empty());
         owner.keep(Vec::new(), Vec::new());
-        let spec = Spec::from_value(&raw).expect("valid");
+        let spec = JobSpec::from_value(&raw).expect("valid");
         owner.insert(raw, spec, Micros(1), Ranges::default(), 1, true);
-        let room = Room { cpus: 8000, gpus: 0, memory: 9000 };
-        let machine = MachineDigest {
+        let room = Resources { cpus: 8000, gpus: 0, memory: 9000 };
+        let machine = MachineStatus {
             name: "i-1".into(),
             kind: "k".into(),
             zone: "z".into(),
             spot: true,
-            standing: Standing::Known,
+            standing: InventoryState::Known,
             open: true,
             notice: None,
             free: room,
@@ -717,14 +726,14 @@
             let now = Micros::from_millis(1000);
             owner.digest(now, &m, 0, whole(&m, 1, 0, vec![machine.clone()]));
             owner.plan(now, now, &m, &teams);
-            let Wishes { rev, list: wanted, .. } = owner.wanted(0, &m);
-            assert_eq!(wanted[0].want, Want::Run);
-            machine.tasks = vec![Actual { key: wanted[0].key.clone(), phase: Phase::Running }];
+            let DesiredState { rev, list: wanted, .. } = owner.wanted(0, &m);
+            assert_eq!(wanted[0].want, DesiredAction::Run);
+            machine.tasks = vec![ObservedTask { key: wanted[0].key.clone(), phase: TaskPhase::Running }];
             machine.notice = Some(Micros::from_millis(9000));
             owner.digest(now, &m, 0, whole(&m, 2, rev, vec![machine]));
             owner.make_room(now, &m);
             // What stays as it was is not said again.
-            let expected = stops.then_some(Want::Stop(Micros::from_millis(5000)));
+            let expected = stops.then_some(DesiredAction::Stop(Micros::from_millis(5000)));
             assert_eq!(owner.wanted(0, &m).list.first().map(|w| w.want), expected);
         }
     }
@@ -734,25 +743,34 @@
     fn a_home_hears_only_what_changed() {
         let (m, teams, mut owner, machine) = owner_of(raw("batch", 400, 0.0));
         let now = Micros::from_millis(1000);
-        let fleet: Vec<MachineDigest> =
-            (0..100).map(|i| MachineDigest { name: format!("i-{i}"), ..machine.clone() }).collect();
+        let fleet: Vec<MachineStatus> =
+            (0..100).map(|i| MachineStatus { name: format!("i-{i}"), ..machine.clone() }).collect();
         owner.digest(now, &m, 0, whole(&m, 1, 0, fleet.clone()));
         owner.plan(now, now, &m, &teams);
         let first = owner.wanted(0, &m);
         assert_eq!(first.list.len(), 400);
         // Not yet seen by the home, so it is said again.
         assert_eq!(owner.wanted(0, &m).list.len(), 400);
-        let seen =
-            Digest { seq: (m.epoch << 32) + 2, since: 0, rev_seen: first.rev + 1, machines: Vec::new() };
-        let on = |d: &MachineDigest| {
+        let seen = MachineStatusDelta {
+            seq: (m.epoch << 32) + 2,
+            since: 0,
+            rev_seen: first.rev + 1,
+            machines: Vec::new(),
+        };
+        let on = |d: &MachineStatus| {
             let here = first.list.iter().filter(|w| w.machine == d.name);
-            MachineDigest { tasks: here.map(|w| running(&w.key)).collect(), ..d.clone() }
+            MachineStatus { tasks: here.map(|w| running(&w.key)).collect(), ..d.clone() }
         };
-        owner.digest(now, &m, 0, Digest { machines: fleet.iter().map(on).collect(), ..seen.clone() });
+        owner.digest(
+            now,
+            &m,
+            0,
+            MachineStatusDelta { machines: fleet.iter().map(on).collect(), ..seen.clone() },
+        );
         assert!(owner.wanted(0, &m).list.is_empty());
         let mut one = on(&fleet[7]);
-        one.tasks[0].phase = Phase::Exited(Exit::Stopped(false));
-        let change = Digest { seq: seen.seq + 1, since: seen.seq, machines: vec![one], ..seen };
+        one.tasks[0].phase = TaskPhase::Exited(TaskExit::Stopped(false));
+        let change = MachineStatusDelta { seq: seen.seq + 1, since: seen.seq, machines: vec![one], ..seen };
         assert!(owner.digest(now, &m, 0, change));
         assert_eq!(owner.wanted(0, &m).list.len(), 1);
     }
@@ -766,7 +784,7 @@
         let mut add = |id: &str, tasks: u32, accepted_s: u64| {
             let mut r = raw("batch", tasks, 0.0);
             r["uid"] = json!(id);
-            let spec = Spec::from_value(&r).expect("valid");
+            let spec = JobSpec::from_value(&r).expect("valid");
             owner.insert(r, spec, Micros::from_millis(accepted_s * 1000), Ranges::default(), 1, true);
         };
         add("wk-2", 9, 90);
@@ -791,7 +809,7 @@
         let mut note = |tasks: u32, cpus: f64, gpus: f64| {
             let mut r = raw("group", tasks, 0.0);
             (r["vcpus"], r["cards"]) = (json!(cpus), json!(gpus));
-            owner.note_shape(Micros(1), &Spec::from_value(&r).expect("valid"), Micros(0));
+            owner.note_shape(Micros(1), &JobSpec::from_value(&r).expect("valid"), Micros(0));
             owner.demands().iter().map(|d| (d.together, d.room.cpus / 1000)).collect::<Vec<_>>()
         };
         note(24, 15.0, 0.0);
@@ -801,7 +819,7 @@
 
     #[test]
     fn guesses_are_corrected_by_what_was_seen() {
-        let s = Spec::from_value(&json!({"uid":"wk-1","breed":"b","herd":"t","gait":"batch","rank":"idle",
+        let s = JobSpec::from_value(&json!({"uid":"wk-1","breed":"b","herd":"t","gait":"batch","rank":"idle",
             "strides":1,"vcpus":1.0,"cards":0,"ramGb":1.0,"tack":"i","imageGb":1,"together":false,"scatter":false,
             "borrowed":true,"rideS":40.0,"restS":0,"unsaddleS":0}))
         .expect("valid");
@@ -817,8 +835,8 @@
         assert!(likely(&ran, &s) < Micros::from_millis(21_000));
     }
 
-    pub(super) fn running(key: &TaskKey) -> Actual {
-        Actual { key: key.clone(), phase: Phase::Running }
+    pub(super) fn running(key: &TaskKey) -> ObservedTask {
+        ObservedTask { key: key.clone(), phase: TaskPhase::Running }
     }
 
     #[test]
@@ -837,18 +855,18 @@
         let now = Micros::from_millis(1000);
         owner.digest(now, &m, 0, whole(&m, 1, 0, vec![machine.clone()]));
         owner.plan(now, now, &m, &teams);
-        let Wishes { rev, list: wanted, .. } = owner.wanted(0, &m);
+        let DesiredState { rev, list: wanted, .. } = owner.wanted(0, &m);
         let old = TaskKey { attempt: 5, ..wanted[0].key.clone() };
         machine.tasks = vec![running(&old), running(&wanted[0].key)];
         owner.digest(now, &m, 0, whole(&m, 2, rev, vec![machine.clone()]));
         machine.tasks = vec![running(&old)];
-        let other = MachineDigest { name: "i-2".into(), tasks: Vec::new(), ..machine.clone() };
+        let other = MachineStatus { name: "i-2".into(), tasks: Vec::new(), ..machine.clone() };
         owner.digest(now, &m, 0, whole(&m, 3, rev, vec![machine, other]));
         let later = Micros::from_millis(9000);
         owner.plan(later, later, &m, &teams);
         let wanted = owner.wanted(0, &m).list;
         assert_eq!(wanted.len(), 1);
-        assert_eq!((&wanted[0].key, wanted[0].want), (&old, Want::Stop(Micros(0))));
+        assert_eq!((&wanted[0].key, wanted[0].want), (&old, DesiredAction::Stop(Micros(0))));
         // It counts towards its team's room all the while.
         assert_eq!(owner.in_use("wk-1", &owner.jobs["wk-1"]).cpus, 2000);
     }
@@ -859,21 +877,21 @@
         let now = Micros::from_millis(1000);
         owner.digest(now, &m, 0, whole(&m, 1, 0, vec![machine.clone()]));
         owner.plan(now, now, &m, &teams);
-        let Wishes { rev, list: wanted, .. } = owner.wanted(0, &m);
-        let done = Actual { key: wanted[0].key.clone(), phase: Phase::Exited(Exit::Done) };
+        let DesiredState { rev, list: wanted, .. } = owner.wanted(0, &m);
+        let done = ObservedTask { key: wanted[0].key.clone(), phase: TaskPhase::Exited(TaskExit::Done) };
         machine.tasks = vec![done, running(&wanted[1].key)];
-        let want_of = |owner: &mut Owner| {
+        let want_of = |owner: &mut JobShard| {
             let list = owner.wanted(0, &m).list;
             list.iter().find(|w| w.key.index == 0).map(|w| w.want)
         };
         for seq in 2..5 {
             owner.digest(now, &m, 0, whole(&m, seq, rev, vec![machine.clone()]));
-            assert_eq!(want_of(&mut owner), Some(Want::Keep));
+            assert_eq!(want_of(&mut owner), Some(DesiredAction::Keep));
         }
         let (id, write, _) = owner.next_write(now, false).expect("progress is due");
         let RecordWrite::Progress(_, kept) = write else { panic!("not an end") };
         owner.progress_written(now, &id, kept, 9);
-        assert_eq!(want_of(&mut owner), Some(Want::Forget));
+        assert_eq!(want_of(&mut owner), Some(DesiredAction::Forget));
     }
 
     #[test]
--- a/src/job_shard/adoption.rs
+++ b/src/job_shard/adoption.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 
-impl Owner {
+impl JobShard {
     /// The record of a job that we knew nothing of, read just now, was written after this epoch was raised.
     pub fn maybe_new(&mut self, now: Micros, id: &str) {
         let Some(j) = self.jobs.get_mut(id) else { return };
@@ -51,10 +51,10 @@
             let (mut m, _, mut owner, machine) = owner_of(raw("batch", 1, 0.0));
             owner.adopt(&m, false);
             let at = Micros::from_millis;
-            let read = |owner: &mut Owner| {
+            let read = |owner: &mut JobShard| {
                 let mut r = raw("batch", 4, 0.0);
                 r["uid"] = json!("wk-2");
-                let spec = Spec::from_value(&r).expect("valid");
+                let spec = JobSpec::from_value(&r).expect("valid");
                 owner.insert(r, spec, Micros(1), Ranges::default(), 9, false);
                 owner.maybe_new(at(1000), "wk-2");
             };
@@ -81,7 +81,7 @@
     }
 
     /// Adopts the next epoch, in which a machine is on record.
-    fn owner_in_next<'a>(owner: &'a mut Owner, m: &Membership) -> &'a mut Owner {
+    fn owner_in_next<'a>(owner: &'a mut JobShard, m: &Membership) -> &'a mut JobShard {
         owner.adopt(m, true);
         owner.load_done(["i-1".to_owned()].into_iter());
         owner
@@ -93,10 +93,10 @@
         owner.adopt(&m, false);
         owner.load_done(["i-1".to_owned()].into_iter());
         let at = Micros::from_millis;
-        let read = |owner: &mut Owner, id: &str| {
+        let read = |owner: &mut JobShard, id: &str| {
             let mut r = raw("batch", 4, 0.0);
             r["uid"] = json!(id);
-            let spec = Spec::from_value(&r).expect("valid");
+            let spec = JobSpec::from_value(&r).expect("valid");
             owner.insert(r, spec, Micros(1), Ranges::default(), 9, false);
         };
         read(&mut owner, "wk-2");
--- a/src/job_shard/cancellation.rs
+++ b/src/job_shard/cancellation.rs
@@ -15,7 +15,7 @@
 
 /// How far a cancelled job's starts have been withdrawn.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Withdrawal {
+pub(super) struct Cancellation {
     /// Since when it is to end.
     pub(super) since: Option<Micros>,
     /// Since when the homes of all that is still on its way have taken account of that.
@@ -24,14 +24,14 @@
 
 /// Jobs that are to end, so that no pass over all jobs looks for them.
 #[derive(Debug, Default)]
-pub(super) struct Endings {
+pub(super) struct EndQueue {
     /// Jobs that may have become complete, or were cancelled, since that was last noted.
     changed: BTreeSet<String>,
     /// Whether they are done, since when they are to end, and which: in the order in which ends go on record.
     pub(super) queue: BTreeSet<(bool, Micros, String)>,
 }
 
-impl Endings {
+impl EndQueue {
     pub(super) fn changed(&mut self, id: &str) {
         self.changed.insert(id.to_owned());
     }
@@ -43,23 +43,23 @@
 
     pub(super) fn ended(&mut self, id: &str, j: &Job) {
         if let (Some(f), Some(since)) = (j.ending, j.withdrawal.since) {
-            self.queue.remove(&(f != Final::Cancelled, since, id.to_owned()));
+            self.queue.remove(&(f != JobOutcome::Cancelled, since, id.to_owned()));
         }
     }
 }
 
-impl Withdrawal {
+impl Cancellation {
     /// A new epoch: machines may have other homes.
     pub(super) fn anew(&mut self) {
         self.heard = None;
     }
 }
 
-impl Owner {
+impl JobShard {
     /// A live job is to end as cancelled, unless it is to end already. Says whether that is new.
     pub fn cancel(&mut self, id: &str) -> bool {
         let Some(j) = self.jobs.get_mut(id).filter(|j| j.ending.is_none()) else { return false };
-        j.ending = Some(Final::Cancelled);
+        j.ending = Some(JobOutcome::Cancelled);
         self.endings.changed(id);
         true
     }
@@ -68,20 +68,20 @@
     pub(super) fn note_endings(&mut self, now: Micros) {
         for id in std::mem::take(&mut self.endings.changed) {
             let Some(j) = self.jobs.get_mut(&id) else { continue };
-            let complete = j.spec.kind != Kind::Service && j.done.len() == j.spec.tasks;
+            let complete = j.spec.kind != JobKind::Service && j.done.len() == j.spec.tasks;
             if j.ending.is_none() && complete {
                 // While its record is written or read it is looked at again.
                 if j.writing || j.verify {
                     self.endings.changed.insert(id);
                     continue;
                 }
-                j.ending = Some(Final::Done);
+                j.ending = Some(JobOutcome::Done);
             }
             let Some(f) = j.ending else { continue };
             if j.withdrawal.since.is_none() {
                 j.withdrawal.since = Some(now);
-                self.endings.queue.insert((f != Final::Cancelled, now, id.clone()));
-                if f == Final::Cancelled {
+                self.endings.queue.insert((f != JobOutcome::Cancelled, now, id.clone()));
+                if f == JobOutcome::Cancelled {
                     self.withdraw(&id);
                 }
             }
@@ -93,7 +93,7 @@
         let key = |machine: &str, index, attempt| {
             (machine.to_owned(), TaskKey { job: id.to_owned(), index, attempt })
         };
-        let placed = j.placed.iter().filter(|(_, p)| !p.phase.is_some_and(Phase::arrived));
+        let placed = j.placed.iter().filter(|(_, p)| !p.phase.is_some_and(TaskPhase::arrived));
         let mut out: Vec<Key> = placed.map(|(&index, p)| key(&p.machine, index, p.attempt)).collect();
         let left = self.leftovers.range((id.to_owned(), 0, String::new(), 0)..);
         for ((_, index, machine, attempt), l) in left.take_while(|(k, _)| k.0 == id) {
@@ -108,14 +108,14 @@
         let Some(j) = self.jobs.get_mut(id) else { return };
         let mut any = false;
         for (&index, p) in &mut j.placed {
-            if !p.phase.is_some_and(Phase::arrived) && !matches!(p.want, Want::Stop(_)) {
-                p.want = Want::Stop(Micros(0));
+            if !p.phase.is_some_and(TaskPhase::arrived) && !matches!(p.want, DesiredAction::Stop(_)) {
+                p.want = DesiredAction::Stop(Micros(0));
                 touch(&mut self.touched, &p.machine, id, index, p.attempt);
                 any = true;
             }
         }
         // The others of a gang's attempt must not be told to begin.
-        if any && j.spec.kind == Kind::Gang {
+        if any && j.spec.kind == JobKind::Gang {
             j.gang = Some(Gang::Ending);
         }
     }
--- a/src/job_shard/cancellation/tests.rs
+++ b/src/job_shard/cancellation/tests.rs
@@ -1,15 +1,15 @@
 use super::super::tests::{owner_of, raw, running, whole};
 use super::*;
 use crate::membership::EpochRecord;
-use crate::peer::{Actual, Digest, Exit, MachineDigest, Wishes};
-use crate::quota::Teams;
+use crate::peer::{DesiredState, MachineStatus, MachineStatusDelta, ObservedTask, TaskExit};
+use crate::quota::QuotaLedger;
 
 fn at(ms: u64) -> Micros {
     Micros::from_millis(ms)
 }
 
 /// An owner whose job's starts have been asked for, of which its home has not yet said anything, and that message.
-fn asked(raw: Value) -> (Membership, Teams, Owner, MachineDigest, Wishes) {
+fn asked(raw: Value) -> (Membership, QuotaLedger, JobShard, MachineStatus, DesiredState) {
     let (mut m, teams, mut owner, machine) = owner_of(raw);
     m.note_stopped(at(500));
     owner.digest(at(900), &m, 0, whole(&m, 1, 0, vec![machine.clone()]));
@@ -19,20 +19,20 @@
     (m, teams, owner, machine, wishes)
 }
 
-fn cancel(owner: &mut Owner) {
+fn cancel(owner: &mut JobShard) {
     assert!(owner.cancel("wk-1"));
 }
 
-fn ends(owner: &mut Owner, now: Micros) -> bool {
+fn ends(owner: &mut JobShard, now: Micros) -> bool {
     match owner.next_write(now, true) {
-        Some((_, RecordWrite::End(Final::Cancelled, _), _)) => true,
+        Some((_, RecordWrite::End(JobOutcome::Cancelled, _), _)) => true,
         None => false,
         other => panic!("{other:?}"),
     }
 }
 
-fn listed(machine: &MachineDigest, tasks: Vec<Actual>) -> Vec<MachineDigest> {
-    vec![MachineDigest { tasks, ..machine.clone() }]
+fn listed(machine: &MachineStatus, tasks: Vec<ObservedTask>) -> Vec<MachineStatus> {
+    vec![MachineStatus { tasks, ..machine.clone() }]
 }
 
 #[test]
@@ -43,7 +43,7 @@
     cancel(&mut owner);
     assert!(ends(&mut owner, at(1200)));
     assert!(
-        owner.wanted(0, &m).list.iter().all(|w| w.want != Want::Stop(Micros(0))),
+        owner.wanted(0, &m).list.iter().all(|w| w.want != DesiredAction::Stop(Micros(0))),
         "not before it is on record"
     );
 }
@@ -52,12 +52,16 @@
 #[test]
 fn a_start_that_has_not_gone_out_is_withdrawn_before_the_end() {
     let (m, _, mut owner, machine, w) = asked(raw("batch", 2, 0.0));
-    let queued = w.list.iter().map(|w| Actual { key: w.key.clone(), phase: Phase::Queued }).collect();
+    let queued =
+        w.list.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Queued }).collect();
     owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, listed(&machine, queued)));
     cancel(&mut owner);
     assert!(!ends(&mut owner, at(1200)));
     let stops = owner.wanted(0, &m);
-    assert!(stops.list.len() == 2 && stops.list.iter().all(|w| w.want == Want::Stop(Micros(0))), "{stops:?}");
+    assert!(
+        stops.list.len() == 2 && stops.list.iter().all(|w| w.want == DesiredAction::Stop(Micros(0))),
+        "{stops:?}"
+    );
     assert!(!ends(&mut owner, at(1300)), "its home has yet to say so");
     owner.digest(at(1400), &m, 0, whole(&m, 3, stops.rev, listed(&machine, Vec::new())));
     assert!(ends(&mut owner, at(1400)));
@@ -68,16 +72,16 @@
 fn a_start_in_doubt_holds_up_the_end_until_it_has_arrived_or_can_not_arrive() {
     for arrives in [true, false] {
         let (m, _, mut owner, machine, w) = asked(raw("batch", 1, 0.0));
-        let as_ = |phase| listed(&machine, vec![Actual { key: w.list[0].key.clone(), phase }]);
-        owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, as_(Phase::Queued)));
+        let as_ = |phase| listed(&machine, vec![ObservedTask { key: w.list[0].key.clone(), phase }]);
+        owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, as_(TaskPhase::Queued)));
         cancel(&mut owner);
         assert!(!ends(&mut owner, at(1200)));
         let rev = owner.wanted(0, &m).rev;
-        owner.digest(at(1300), &m, 0, whole(&m, 3, rev, as_(Phase::InDoubt)));
+        owner.digest(at(1300), &m, 0, whole(&m, 3, rev, as_(TaskPhase::InDoubt)));
         owner.wanted(0, &m);
         assert!(!ends(&mut owner, at(1300)));
         if arrives {
-            owner.digest(at(1800), &m, 0, whole(&m, 4, rev, as_(Phase::Fetching)));
+            owner.digest(at(1800), &m, 0, whole(&m, 4, rev, as_(TaskPhase::Fetching)));
             assert!(ends(&mut owner, at(1800)));
         } else {
             assert!(!ends(&mut owner, at(5290)));
@@ -108,7 +112,14 @@
     owner.adopt(&m, false);
     owner.load_done(std::iter::once("i-1".to_owned()));
     let raw = raw("batch", 1, 0.0);
-    owner.insert(raw.clone(), Spec::from_value(&raw).expect("valid"), Micros(1), Ranges::default(), 1, false);
+    owner.insert(
+        raw.clone(),
+        JobSpec::from_value(&raw).expect("valid"),
+        Micros(1),
+        Ranges::default(),
+        1,
+        false,
+    );
     cancel(&mut owner);
     let silent = m.older_silent_at();
     assert!(!ends(&mut owner, at(10_100)) && !ends(&mut owner, silent + at(3_900)));
@@ -116,7 +127,7 @@
     assert!(ends(&mut heard, silent + at(4_100)));
     // Its machine has shown this epoch's token: it takes no older answer.
     heard.write_failed(at(15_000), "wk-1", true);
-    heard.jobs.get_mut("wk-1").expect("live").withdrawal = Withdrawal::default();
+    heard.jobs.get_mut("wk-1").expect("live").withdrawal = Cancellation::default();
     assert!(!ends(&mut heard, at(15_600)));
     heard.digest(at(15_700), &m, 0, whole(&m, 1, 0, vec![machine]));
     assert!(ends(&mut heard, at(15_700)));
@@ -126,20 +137,23 @@
 #[test]
 fn a_gang_that_is_cancelled_while_it_is_held_does_not_begin() {
     let (m, teams, mut owner, machine, w) = asked(raw("group", 2, 0.0));
-    assert!(w.list.iter().all(|w| w.want == Want::Hold));
+    assert!(w.list.iter().all(|w| w.want == DesiredAction::Hold));
     cancel(&mut owner);
-    let held = w.list.iter().map(|w| Actual { key: w.key.clone(), phase: Phase::Held }).collect();
+    let held = w.list.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Held }).collect();
     owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, listed(&machine, held)));
     owner.plan(at(1200), at(1200), &m, &teams);
     let stops = owner.wanted(0, &m);
-    assert!(stops.list.len() == 2 && stops.list.iter().all(|w| w.want == Want::Stop(Micros(0))), "{stops:?}");
+    assert!(
+        stops.list.len() == 2 && stops.list.iter().all(|w| w.want == DesiredAction::Stop(Micros(0))),
+        "{stops:?}"
+    );
 }
 
 /// Nor do starts that are there no more because they were withdrawn count against their home.
 #[test]
 fn a_withdrawn_start_is_no_refusal() {
     let (m, _, mut owner, machine, w) = asked(raw("batch", 1, 0.0));
-    let left_alone = |owner: &mut Owner| owner.refusals.current(at(1500), &m);
+    let left_alone = |owner: &mut JobShard| owner.refusals.current(at(1500), &m);
     cancel(&mut owner);
     assert!(!ends(&mut owner, at(1200)));
     let rev = owner.wanted(0, &m).rev.max(w.rev);
@@ -154,7 +168,14 @@
     let mut add = |id: &str| {
         let mut r = raw("batch", 1, 0.0);
         r["uid"] = json!(id);
-        owner.insert(r.clone(), Spec::from_value(&r).expect("valid"), Micros(1), Ranges::default(), 1, true);
+        owner.insert(
+            r.clone(),
+            JobSpec::from_value(&r).expect("valid"),
+            Micros(1),
+            Ranges::default(),
+            1,
+            true,
+        );
     };
     ["wk-2", "wk-3", "wk-4"].into_iter().for_each(&mut add);
     let mut next = |done: &[&str], cancelled: &[&str], now: u64| {
@@ -162,7 +183,7 @@
         cancelled.iter().for_each(|id| assert!(owner.cancel(id)));
         let next = owner.next_write(at(now), true);
         next.map(|(id, ..)| {
-            owner.ended(&id, Final::Done);
+            owner.ended(&id, JobOutcome::Done);
             id
         })
     };
@@ -181,20 +202,23 @@
     owner.note_endings(at(1000));
     assert!(!owner.cancel("wk-1"));
     let next = owner.next_write(at(1000), true);
-    assert!(matches!(next, Some((_, RecordWrite::End(Final::Done, _), _))));
+    assert!(matches!(next, Some((_, RecordWrite::End(JobOutcome::Done, _), _))));
 }
 
 /// Progress is put on record now and then only; who has ended, or is cancelled right after, doesn't wait for the next time.
 #[test]
 fn an_end_does_not_wait_for_the_pause_between_two_writes_of_progress() {
     let (m, _, mut owner, machine, w) = asked(raw("batch", 2, 0.0));
-    let exited = |w: &crate::peer::Wanted| Actual { key: w.key.clone(), phase: Phase::Exited(Exit::Done) };
+    let exited = |w: &crate::peer::DesiredTask| ObservedTask {
+        key: w.key.clone(),
+        phase: TaskPhase::Exited(TaskExit::Done),
+    };
     let one = vec![exited(&w.list[0]), running(&w.list[1].key)];
     owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, listed(&machine, one)));
     let (id, write, _) = owner.next_write(at(1200), false).expect("progress is due");
     let RecordWrite::Progress(_, kept) = write else { panic!("not an end") };
     owner.progress_written(at(1210), &id, kept, 9);
-    let all: Digest = whole(&m, 3, w.rev, listed(&machine, w.list.iter().map(exited).collect()));
+    let all: MachineStatusDelta = whole(&m, 3, w.rev, listed(&machine, w.list.iter().map(exited).collect()));
     owner.digest(at(1300), &m, 0, all);
-    assert!(matches!(owner.next_write(at(1400), true), Some((_, RecordWrite::End(Final::Done, _), _))));
+    assert!(matches!(owner.next_write(at(1400), true), Some((_, RecordWrite::End(JobOutcome::Done, _), _))));
 }
--- a/src/job_shard/dependencies.rs
+++ b/src/job_shard/dependencies.rs
@@ -36,7 +36,7 @@
 
 impl Hold {
     /// The hold that a job begins with.
-    pub(super) fn of(spec: &Spec, raw: &Value) -> Option<Hold> {
+    pub(super) fn of(spec: &JobSpec, raw: &Value) -> Option<Hold> {
         if spec.merges.is_some() {
             // Fresh inputs must be seen anew by each owner: a newer version may have come.
             return Some(Hold::Batch("its inputs have not been looked at yet".into()));
@@ -231,7 +231,7 @@
     raw.get(RELEASED)?.as_u64().map(Micros)
 }
 
-impl Owner {
+impl JobShard {
     /// A job has come: notes what it waits for, and how urgent others make it.
     pub(super) fn note_waiting(&mut self, id: &str) {
         if let Some(j) = self.jobs.get(id) {
@@ -285,12 +285,12 @@
     }
 
     /// The store has the end of a job on record: those that wait for it go on, or end with it.
-    pub fn prerequisite_ended(&mut self, prerequisite: &str, end: Final) {
+    pub fn prerequisite_ended(&mut self, prerequisite: &str, end: JobOutcome) {
         self.waiting.unread.remove(prerequisite);
         for id in self.waiting.followers.remove(prerequisite).unwrap_or_default() {
             let Some(j) = self.jobs.get_mut(&id) else { continue };
             match end {
-                Final::Done => {
+                JobOutcome::Done => {
                     j.waits_for.remove(prerequisite);
                     if !j.waits() {
                         j.released_wall = Some(self.wall.max(j.accepted_wall));
@@ -299,7 +299,7 @@
                     }
                 }
                 // It stays a waiting job until its own end is on record.
-                Final::Cancelled => {
+                JobOutcome::Cancelled => {
                     if self.cancel(&id) {
                         tracing::info!(job = %id, needs = prerequisite, "cancelled with a job that it needs");
                     }
--- a/src/job_shard/failure_attribution.rs
+++ b/src/job_shard/failure_attribution.rs
@@ -17,7 +17,7 @@
 const PROBE: Micros = Micros::from_millis(2_000);
 
 #[derive(Debug, Default)]
-struct JobTrouble {
+struct JobFailures {
     machines: BTreeMap<String, Micros>,
     suspected: bool,
     probes: u32,
@@ -25,19 +25,19 @@
 }
 
 #[derive(Debug, Default)]
-struct MachineTrouble {
+struct MachineFailures {
     jobs: BTreeSet<String>,
     until: Micros,
 }
 
 /// The errors that have not been cleared by a success since.
 #[derive(Debug, Default)]
-pub struct Blame {
-    jobs: BTreeMap<String, JobTrouble>,
-    machines: BTreeMap<String, MachineTrouble>,
+pub struct FailureAttribution {
+    jobs: BTreeMap<String, JobFailures>,
+    machines: BTreeMap<String, MachineFailures>,
 }
 
-impl Blame {
+impl FailureAttribution {
     /// A task of a job failed on a machine.
     pub fn error(&mut self, now: Micros, job: &str, machine: &str) {
         let j = self.jobs.entry(job.to_owned()).or_default();
@@ -127,7 +127,7 @@
     fn a_mistaken_job_costs_no_machine_and_is_probed_ever_more_rarely() {
         for seed in 0..20 {
             let mut rng = StdRng::seed_from_u64(seed);
-            let mut b = Blame::default();
+            let mut b = FailureAttribution::default();
             let mut now = s(1);
             for _ in 0..400 {
                 let m = format!("i-{}", rng.random_range(0..60));
@@ -153,7 +153,7 @@
 
     #[test]
     fn a_faulty_machine_is_shunned_and_the_jobs_it_failed_are_not_suspected() {
-        let mut b = Blame::default();
+        let mut b = FailureAttribution::default();
         for i in 0..20 {
             b.error(s(10 + i), &format!("wk-{i}"), "i-9");
             assert!(!b.suspected(&format!("wk-{i}")));
