--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -6,8 +6,8 @@
 use super::*;
 use crate::operators::LoanTerms;
 use crate::peer::{Lendable, LendableTask, Lending as Told};
-use crate::quota::Teams;
-use crate::quota::tier::Footing;
+use crate::quota::QuotaLedger;
+use crate::quota::tier::QuotaTier;
 use crate::scheduler::placement::Place;
 use hazelsaddle_gpu_lending::Amount;
 use hazelsaddle_gpu_lending::ledger::{Claim, Facts, Ledger, Loan, State};
@@ -32,7 +32,7 @@
     /// Services that lack replicas, and since when.
     lacking: BTreeMap<String, Micros>,
     /// Teams whose work within its guarantee lacks GPUs, by our jobs: how much, and since when.
-    short: BTreeMap<String, (Room, Micros)>,
+    short: BTreeMap<String, (Resources, Micros)>,
 }
 
 /// Room that is to be claimed.
@@ -48,7 +48,7 @@
     pub claims: Vec<Claim>,
 }
 
-fn amount(r: Room) -> Amount {
+fn amount(r: Resources) -> Amount {
     Amount { gpus: r.gpus, cpus: r.cpus, memory: r.memory }
 }
 
@@ -69,14 +69,14 @@
 
     /// Room on machines that is kept for somebody: for a borrower's replicas until they stand, and for a lender's job until
     /// it is back. The first says whom a loan is for.
-    fn kept(&self) -> impl Iterator<Item = (&Loan, Room)> {
+    fn kept(&self) -> impl Iterator<Item = (&Loan, Resources)> {
         self.all().filter_map(|l| match l.state {
             State::Taking => {
                 let (gpus, cpus, memory) = l.hold;
-                Some((l, Room { gpus, cpus, memory }))
+                Some((l, Resources { gpus, cpus, memory }))
             }
             State::Held => None,
-            State::Returning => Some((l, Room { gpus: l.gpus, cpus: l.cpus, memory: l.memory })),
+            State::Returning => Some((l, Resources { gpus: l.gpus, cpus: l.cpus, memory: l.memory })),
         })
     }
 
@@ -90,7 +90,7 @@
 
     /// Takes what is kept for somebody off what is free.
     pub(super) fn hold_back(&self, places: &mut [Place]) {
-        let mut by: BTreeMap<&str, Room> = BTreeMap::new();
+        let mut by: BTreeMap<&str, Resources> = BTreeMap::new();
         for (l, room) in self.kept() {
             let sum = by.entry(&l.machine).or_default();
             *sum = *sum + room;
@@ -108,9 +108,9 @@
     }
 
     /// Gives a job the room that is kept for it: which places, and how much.
-    pub(super) fn lend(&self, places: &mut [Place], id: &str, j: &Job) -> Vec<(usize, Room)> {
-        let mut by: BTreeMap<&str, Room> = BTreeMap::new();
-        let (team, within) = (j.spec.team.as_str(), j.footing == Footing::Within);
+    pub(super) fn lend(&self, places: &mut [Place], id: &str, j: &Job) -> Vec<(usize, Resources)> {
+        let mut by: BTreeMap<&str, Resources> = BTreeMap::new();
+        let (team, within) = (j.spec.team.as_str(), j.footing == QuotaTier::Within);
         for (l, room) in self.kept().filter(|(l, _)| Loans::is_for(l, id, team, within)) {
             let sum = by.entry(&l.machine).or_default();
             *sum = *sum + room;
@@ -127,7 +127,7 @@
     }
 
     /// Takes back what of it the job has not used.
-    pub(super) fn unlend(places: &mut [Place], lent: &[(usize, Room)], one: Room, at: &[usize]) {
+    pub(super) fn unlend(places: &mut [Place], lent: &[(usize, Resources)], one: Resources, at: &[usize]) {
         for (i, room) in lent {
             let used = one.times(at.iter().filter(|a| *a == i).count() as i64).min(*room);
             places[*i].free = places[*i].free - (*room - used);
@@ -156,11 +156,11 @@
     }
 }
 
-impl Owner {
+impl JobShard {
     /// Whether a job may borrow.
-    pub(super) fn borrows(&self, s: &Spec) -> bool {
+    pub(super) fn borrows(&self, s: &JobSpec) -> bool {
         let may = |t: &LoanTerms| t.borrowers.iter().any(|b| *b == s.team || *b == s.class);
-        s.kind == Kind::Service && s.room.gpus > 0 && self.loans.terms.as_ref().is_some_and(may)
+        s.kind == JobKind::Service && s.room.gpus > 0 && self.loans.terms.as_ref().is_some_and(may)
     }
 
     /// The ledgers were read.
@@ -177,7 +177,7 @@
     /// Sees which services lack replicas, and which teams lack GPUs within their guarantees.
     pub fn note_lacks(&mut self, now: Micros) {
         let mut lacking: BTreeMap<String, Micros> = BTreeMap::new();
-        let mut short: BTreeMap<String, (Room, Micros)> = BTreeMap::new();
+        let mut short: BTreeMap<String, (Resources, Micros)> = BTreeMap::new();
         for (id, j) in &self.jobs {
             let lacks = (j.spec.tasks as usize).saturating_sub(j.done.len() as usize + j.placed.len());
             if j.spec.room.gpus <= 0 || lacks == 0 || j.ending.is_some() || j.waits() || !j.settled() {
@@ -186,9 +186,9 @@
             if self.borrows(&j.spec) {
                 lacking.insert(id.clone(), self.loans.lacking.get(id).copied().unwrap_or(now));
             }
-            if j.footing == Footing::Within && !self.blame.suspected(id) {
+            if j.footing == QuotaTier::Within && !self.blame.suspected(id) {
                 let since = self.loans.short.get(&j.spec.team).map_or(now, |(_, t)| *t);
-                let sum = short.entry(j.spec.team.clone()).or_insert((Room::default(), since));
+                let sum = short.entry(j.spec.team.clone()).or_insert((Resources::default(), since));
                 sum.0 = sum.0 + j.spec.room.times(lacks as i64);
             }
         }
@@ -202,21 +202,22 @@
         let Some(terms) = &self.loans.terms else { return out };
         for (id, j) in &self.jobs {
             // Work within its team's guarantee, or of which that is not known, is never offered.
-            let lent = matches!(j.footing, Footing::Beyond | Footing::Unpromised);
+            let lent = matches!(j.footing, QuotaTier::Beyond | QuotaTier::Unpromised);
             if !lent || j.spec.room.gpus <= 0 || j.ending.is_some() || j.placed.is_empty() {
                 continue;
             }
-            let gang = j.spec.kind == Kind::Gang;
+            let gang = j.spec.kind == JobKind::Gang;
             let moving = !j.settled() || (gang && j.gang != Some(Gang::Going));
-            let task = |(&index, p): (&u32, &Placed)| {
-                let there = matches!(p.phase, Some(Phase::Fetching | Phase::Waiting | Phase::Running));
+            let task = |(&index, p): (&u32, &Assignment)| {
+                let there =
+                    matches!(p.phase, Some(TaskPhase::Fetching | TaskPhase::Waiting | TaskPhase::Running));
                 // A replica that was taken for is left where it is for a while, or room would swing.
                 let young = self.loans.all().any(|l| {
                     let age = wall.0.saturating_sub(l.since_us);
                     l.job == *id && l.machine == p.machine && l.state == State::Held && age < terms.stay.0
                 });
                 let claimed = self.loans.ledgers.values().any(|l| l.lent(id, (index, p.attempt)));
-                let ran = if p.phase == Some(Phase::Running) { now.since(p.since).0 / 1000 } else { 0 };
+                let ran = if p.phase == Some(TaskPhase::Running) { now.since(p.since).0 / 1000 } else { 0 };
                 let left = (likely(&self.ran, &j.spec).0 / 1000).saturating_sub(ran);
                 let lost_ms = match j.spec.checkpoint.0 > 0 {
                     true => j.spec.save.0 / 1000,
@@ -224,7 +225,7 @@
                     false if left < ran / 4 => ran * 2,
                     false => ran,
                 };
-                let fixed = moving || !there || matches!(p.want, Want::Stop(_)) || young || claimed;
+                let fixed = moving || !there || matches!(p.want, DesiredAction::Stop(_)) || young || claimed;
                 LendableTask { index, attempt: p.attempt, machine: p.machine.clone(), lost_ms, fixed }
             };
             out.jobs.push(Lendable {
@@ -240,7 +241,7 @@
     }
 
     /// What is to be claimed for one of our services whose replicas have found no room for a moment.
-    pub fn takings(&self, now: Micros, wall: Micros, m: &Membership, teams: &Teams) -> Option<Taking> {
+    pub fn takings(&self, now: Micros, wall: Micros, m: &Membership, teams: &QuotaLedger) -> Option<Taking> {
         // Guards against claims on what others have claimed meanwhile.
         let fresh = self.loans.as_of.is_some_and(|t| now.since(t) < FRESH);
         let wait = |id: &&String| self.loans.lacking.get(*id).is_some_and(|t| now.since(*t) >= MOMENT);
@@ -259,7 +260,8 @@
                 continue;
             }
             let claimed = teams.claim(&j.spec.team, id) - self.in_use(id, j);
-            let may = Room { memory: i64::MAX / 4, ..claimed }.count_of(j.spec.room).clamp(0, 10_000) as u32;
+            let may =
+                Resources { memory: i64::MAX / 4, ..claimed }.count_of(j.spec.room).clamp(0, 10_000) as u32;
             let missing = (j.spec.tasks - j.placed.len() as u32).min(may);
             let open: u32 = self.loans.ledgers.values().map(|l| l.claimed(id)).sum();
             if missing <= open {
@@ -290,7 +292,7 @@
             let need = Need {
                 team: j.spec.team.clone(),
                 rank: j.spec.priority % GUARANTEED,
-                within: j.footing == Footing::Within,
+                within: j.footing == QuotaTier::Within,
                 each: amount(j.spec.room),
                 replicas: missing - open,
                 zones,
@@ -358,9 +360,9 @@
                 self.give(&l);
             } else if let Some(j) = self.jobs.get_mut(&l.job) {
                 for (&idx, p) in &mut j.placed {
-                    if p.machine == l.machine && !matches!(p.want, Want::Stop(_)) {
+                    if p.machine == l.machine && !matches!(p.want, DesiredAction::Stop(_)) {
                         tracing::info!(job = %l.job, task = idx, machine = %l.machine, lender = %l.lender, loan = l.id, "replica goes back");
-                        p.want = Want::Stop(j.spec.save);
+                        p.want = DesiredAction::Stop(j.spec.save);
                         touch(&mut self.touched, &p.machine, &l.job, idx, p.attempt);
                     }
                 }
@@ -371,12 +373,13 @@
     fn give(&mut self, l: &Loan) {
         let Some(j) = self.jobs.get_mut(&l.from) else { return };
         // Guards work that has come to lie within its guarantee since it was offered.
-        if !matches!(j.footing, Footing::Beyond | Footing::Unpromised) || j.ending.is_some() {
+        if !matches!(j.footing, QuotaTier::Beyond | QuotaTier::Unpromised) || j.ending.is_some() {
             return;
         }
         let grace = if j.spec.checkpoint.0 > 0 { j.spec.save } else { Micros(0) };
-        let named = |idx: &u32, p: &Placed| l.tasks.contains(&(*idx, p.attempt)) && p.machine == l.machine;
-        if j.spec.kind == Kind::Gang {
+        let named =
+            |idx: &u32, p: &Assignment| l.tasks.contains(&(*idx, p.attempt)) && p.machine == l.machine;
+        if j.spec.kind == JobKind::Gang {
             if j.gang == Some(Gang::Going) && j.placed.iter().any(|(i, p)| named(i, p)) {
                 tracing::info!(job = %l.from, machine = %l.machine, borrower = %l.job, loan = l.id, "gang stops for a loan");
                 self.stop_gang(&l.from, grace);
@@ -384,9 +387,9 @@
             return;
         }
         for (&idx, p) in &mut j.placed {
-            if named(&idx, p) && !matches!(p.want, Want::Stop(_)) {
+            if named(&idx, p) && !matches!(p.want, DesiredAction::Stop(_)) {
                 tracing::info!(job = %l.from, task = idx, machine = %l.machine, borrower = %l.job, loan = l.id, "task stops for a loan");
-                p.want = Want::Stop(grace);
+                p.want = DesiredAction::Stop(grace);
                 touch(&mut self.touched, &p.machine, &l.from, idx, p.attempt);
             }
         }
@@ -409,10 +412,10 @@
         }
         if m.job_owner(&l.from) == Some(self.me) {
             f.refused = self.jobs.get(&l.from).is_some_and(|j| {
-                let safe = matches!(j.footing, Footing::Within | Footing::Unknown);
+                let safe = matches!(j.footing, QuotaTier::Within | QuotaTier::Unknown);
                 let named = |(idx, attempt): &(u32, u64)| {
                     let p = j.placed.get(idx).filter(|p| p.attempt == *attempt);
-                    p.is_some_and(|p| !matches!(p.want, Want::Stop(_)))
+                    p.is_some_and(|p| !matches!(p.want, DesiredAction::Stop(_)))
                 };
                 safe && l.tasks.iter().all(named)
             });
@@ -436,7 +439,7 @@
         team: &str,
         ledger: &Ledger,
         m: &Membership,
-        teams: &Teams,
+        teams: &QuotaLedger,
     ) -> Vec<u64> {
         let Some(terms) = &self.loans.terms else { return Vec::new() };
         let fresh = self.loans.others.values().filter(|(t, _)| now.since(*t) < WORD);
@@ -459,7 +462,7 @@
                 Some(j) => LoanStanding {
                     replicas: j.placed.values().filter(|p| p.machine == machine).count() as u32,
                     each: j.spec.room.gpus,
-                    within: j.footing == Footing::Within,
+                    within: j.footing == QuotaTier::Within,
                 },
                 // Another owner decides about it.
                 None => LoanStanding { within: true, ..LoanStanding::default() },
--- a/src/job_shard/handoff.rs
+++ b/src/job_shard/handoff.rs
@@ -5,7 +5,7 @@
 //! starts of the owners before it can only be where it was itself still in doubt, and those machines are named.
 
 use super::*;
-use crate::peer::{HandedJob, HandedStart, Parcel};
+use crate::peer::{HandoffBatch, JobHandoff, StartHandoff};
 
 impl Job {
     /// Whether every start that it may ever have had is known.
@@ -14,11 +14,11 @@
     }
 }
 
-impl Owner {
+impl JobShard {
     /// The jobs that have another owner in `next`, the epoch that directly follows, by that owner. To be called before
     /// that epoch is adopted, and only by who decides no more.
-    pub fn hand_over(&self, next: &Membership) -> BTreeMap<usize, Parcel> {
-        let mut out: BTreeMap<usize, (Parcel, BTreeMap<UnresolvedSetId, u32>)> = BTreeMap::new();
+    pub fn hand_over(&self, next: &Membership) -> BTreeMap<usize, HandoffBatch> {
+        let mut out: BTreeMap<usize, (HandoffBatch, BTreeMap<UnresolvedSetId, u32>)> = BTreeMap::new();
         for (id, j) in &self.jobs {
             let Some(to) = next.job_owner(id).filter(|&o| o != next.me) else { continue };
             let (parcel, sets) = out.entry(to).or_default();
@@ -31,15 +31,15 @@
                     parcel.doubts.len() as u32 - 1
                 })),
             };
-            let placed = j.placed.iter().map(|(&index, p)| HandedStart {
+            let placed = j.placed.iter().map(|(&index, p)| StartHandoff {
                 index,
                 attempt: p.attempt,
                 machine: p.machine.clone(),
                 zone: p.zone.clone(),
-                stopping: matches!(p.want, Want::Stop(_)),
+                stopping: matches!(p.want, DesiredAction::Stop(_)),
                 phase: p.phase,
             });
-            let left = self.open_of(id).filter(|(_, (alive, _))| *alive).map(|(k, (_, zone))| HandedStart {
+            let left = self.open_of(id).filter(|(_, (alive, _))| *alive).map(|(k, (_, zone))| StartHandoff {
                 index: k.0,
                 attempt: k.2,
                 machine: k.1.clone(),
@@ -47,7 +47,7 @@
                 stopping: true,
                 phase: None,
             });
-            parcel.jobs.push(HandedJob {
+            parcel.jobs.push(JobHandoff {
                 id: id.clone(),
                 done: j.done.encode(usize::MAX),
                 starts: placed.chain(left).collect(),
@@ -60,7 +60,7 @@
     /// Takes jobs from their owner of the epoch directly before; returns how many wait for less than they did. To be
     /// called only once the records have been read. Does nothing to a job that waits for nothing: the parcel came late,
     /// or twice.
-    pub fn handed(&mut self, now: Micros, jobs: Vec<HandedJob>, doubts: &[Vec<String>]) -> usize {
+    pub fn handed(&mut self, now: Micros, jobs: Vec<JobHandoff>, doubts: &[Vec<String>]) -> usize {
         let mut taken = 0;
         // What has been heard in this epoch was told to us, or is gone.
         let open: Vec<Option<UnresolvedSetId>> = doubts
@@ -85,7 +85,7 @@
             j.evidence = evidence;
             self.vouching.jobs_changed = true;
             taken += 1;
-            let (tasks, gang) = (j.spec.tasks, j.spec.kind == Kind::Gang);
+            let (tasks, gang) = (j.spec.tasks, j.spec.kind == JobKind::Gang);
             let completed: Vec<u32> =
                 (0..tasks).filter(|i| done.contains(*i) && !j.done.contains(*i)).collect();
             for index in completed {
@@ -101,18 +101,18 @@
 
     /// A start that may be on a machine: it is kept if nothing is known that speaks against it, else stopped. Until its
     /// machine has spoken it holds its room and its place, and its task is not started elsewhere.
-    pub(super) fn take_start(&mut self, now: Micros, id: &str, s: HandedStart, gang: bool) {
+    pub(super) fn take_start(&mut self, now: Micros, id: &str, s: StartHandoff, gang: bool) {
         let key = (id.to_owned(), s.index, s.attempt);
         let Some(j) = self.jobs.get_mut(id) else { return };
         if self.left_on.get(&s.machine).is_some_and(|l| l.contains_key(&key)) {
             return;
         }
         let room = j.spec.room;
-        let p = Placed {
+        let p = Assignment {
             machine: s.machine.clone(),
             zone: s.zone,
             attempt: s.attempt,
-            want: Want::Keep,
+            want: DesiredAction::Keep,
             asked: UNSENT,
             phase: s.phase,
             since: now,
@@ -123,7 +123,7 @@
         {
             // Its machine was heard first.
             if s.stopping {
-                q.want = Want::Stop(Micros(0));
+                q.want = DesiredAction::Stop(Micros(0));
                 touch(&mut self.touched, &s.machine, id, s.index, s.attempt);
             }
             return;
@@ -132,7 +132,7 @@
         let alike = !gang || j.placed.values().all(|q| q.attempt == s.attempt);
         let keep = !s.stopping && alike && !j.done.contains(s.index) && !j.placed.contains_key(&s.index);
         if !keep {
-            return self.leave(id, s.index, &p, room, Want::Stop(Micros(0)), true, false);
+            return self.leave(id, s.index, &p, room, DesiredAction::Stop(Micros(0)), true, false);
         }
         if gang && j.gang.is_none() {
             j.gang = Some(Gang::Going);
--- a/src/job_shard/preemption.rs
+++ b/src/job_shard/preemption.rs
@@ -1,12 +1,12 @@
 //! Room that has to be made: what is stopped for whom, what is left free for guarantees, what saves in time.
 
 use super::*;
-use crate::quota::Teams;
-use crate::quota::tier::{self, Footing};
+use crate::quota::QuotaLedger;
+use crate::quota::tier::{self, QuotaTier};
 use crate::scheduler::placement::Place;
 
 /// One part of a room.
-type Part = fn(Room) -> i64;
+type Part = fn(Resources) -> i64;
 
 /// Machines on which room is asked back at a time.
 const RECLAIMED: usize = 60;
@@ -20,7 +20,7 @@
 
 /// How jobs stand to their teams' guarantees, and since when which machine has been asked for.
 #[derive(Debug, Default)]
-pub(super) struct Asked {
+pub(super) struct PreemptionRequests {
     next_judged: Micros,
     /// Machines on which we asked for room in the last pass.
     ours: Vec<String>,
@@ -28,14 +28,14 @@
 }
 
 /// Work within a guarantee that finds no room.
-pub(super) struct Short {
-    pub(super) spec: Spec,
+pub(super) struct Shortfall {
+    pub(super) spec: JobSpec,
     pub(super) count: u32,
 }
 
 /// How long work within a guarantee waits before it asks for room: not at all where some work has no guarantee, else
 /// until what ends by itself would have made room.
-pub(super) fn short_after(teams: &Teams) -> Micros {
+pub(super) fn short_after(teams: &QuotaLedger) -> Micros {
     let all = teams.names().iter().all(|t| teams.guaranteed(t));
     Micros::from_millis(if all { 5_000 } else { 0 })
 }
@@ -46,10 +46,10 @@
     (all / 5).min(used / 4)
 }
 
-impl Owner {
+impl JobShard {
     /// Sees which of our jobs lie within their team's guarantee. Others are told what is borrowed by the priority
     /// that its tasks are shown with.
-    pub(super) fn judge(&mut self, now: Micros, teams: &Teams) {
+    pub(super) fn judge(&mut self, now: Micros, teams: &QuotaLedger) {
         if self.guaranteed.is_empty() {
             return;
         }
@@ -58,11 +58,11 @@
             self.asked.next_judged = now + JUDGED;
         }
         for (id, j) in &mut self.jobs {
-            if !(all || j.footing == Footing::Unknown) || !self.guaranteed.contains_key(&j.spec.team) {
+            if !(all || j.footing == QuotaTier::Unknown) || !self.guaranteed.contains_key(&j.spec.team) {
                 continue;
             }
             let left = i64::from(j.spec.tasks - j.done.len());
-            let need = Room { memory: 0, ..j.spec.room.times(left) };
+            let need = Resources { memory: 0, ..j.spec.room.times(left) };
             let was =
                 std::mem::replace(&mut j.footing, teams.footing(&j.spec.team, id, j.accepted_wall, need));
             if tier::shown(j.spec.priority, was) != tier::shown(j.spec.priority, j.footing) {
@@ -111,7 +111,7 @@
                 // less than what is lost by stopping tasks that never save: of what has one, only borrowed
                 // work is stopped, and not at once.
                 let saves = j.spec.checkpoint.0 > 0;
-                if !matches!(p.want, Want::Stop(_))
+                if !matches!(p.want, DesiredAction::Stop(_))
                     && tier::may_stop(j.spec.priority, j.footing, saves, r.priority, stood)
                 {
                     ours.push((p.since, id.clone(), *idx));
@@ -126,10 +126,10 @@
                 free = free + j.spec.room;
                 let grace = if j.spec.checkpoint.0 > 0 { j.spec.save } else { Micros(0) };
                 tracing::debug!(job = %id, task = idx, machine = %r.machine, priority = r.priority, "task makes room");
-                if j.spec.kind == Kind::Gang {
+                if j.spec.kind == JobKind::Gang {
                     self.stop_gang(&id, grace);
                 } else if let Some(p) = j.placed.get_mut(&idx) {
-                    p.want = Want::Stop(grace);
+                    p.want = DesiredAction::Stop(grace);
                     touch(&mut self.touched, &p.machine, &id, idx, p.attempt);
                 }
             }
@@ -172,7 +172,7 @@
     }
 
     /// Asks for room that is used beyond guarantees, where work within one finds none.
-    pub(super) fn reclaim(&mut self, now: Micros, places: &[Place], short: Vec<Short>) {
+    pub(super) fn reclaim(&mut self, now: Micros, places: &[Place], short: Vec<Shortfall>) {
         // Room that was asked for takes a report or two to come free. Without a memory of that, each
         // pass would empty other machines.
         self.reclaiming.retain(|_, t| now.since(*t) < RECLAIM_TIME);
@@ -184,7 +184,7 @@
         let mut used: BTreeSet<usize> = BTreeSet::new();
         for s in short {
             // Where most can be had, of what the work needs most; machines that are being emptied already go first.
-            let part = |r: Room| if s.spec.room.gpus > 0 { r.gpus } else { r.cpus };
+            let part = |r: Resources| if s.spec.room.gpus > 0 { r.gpus } else { r.cpus };
             let mut at: Vec<(bool, i64, usize)> = places
                 .iter()
                 .enumerate()
@@ -237,17 +237,17 @@
                 if j.spec.checkpoint.0 == 0 || left < save {
                     continue;
                 }
-                if j.spec.kind == Kind::Gang {
+                if j.spec.kind == JobKind::Gang {
                     if j.gang != Some(Gang::Ending) {
                         tracing::info!(job = %id, machine = %name, reason = "notice", "gang saves and stops");
                         self.stop_gang(&id, save);
                     }
                 } else if let Some(p) = j.placed.get_mut(&idx)
-                    && p.phase == Some(Phase::Running)
-                    && !matches!(p.want, Want::Stop(_))
+                    && p.phase == Some(TaskPhase::Running)
+                    && !matches!(p.want, DesiredAction::Stop(_))
                 {
                     tracing::info!(job = %id, task = idx, machine = %name, reason = "notice", "task saves and stops");
-                    p.want = Want::Stop(save);
+                    p.want = DesiredAction::Stop(save);
                     touch(&mut self.touched, &p.machine, &id, idx, p.attempt);
                 }
             }
--- a/src/job_shard/queue_order.rs
+++ b/src/job_shard/queue_order.rs
@@ -3,14 +3,15 @@
 use super::scheduling_pass::likely;
 use super::*;
 
-impl Owner {
+impl JobShard {
     /// Jobs in the order in which they get room: by priority; then those that can still keep the
     /// earliest time promised for their class, those that can keep a later one, the rest; then by
     /// age. When there is far more work than room, arrays of one such group go by what they have
     /// left instead: being late with few large jobs beats being late with all.
     pub fn order(&self) -> Vec<String> {
-        let arrays =
-            || self.jobs.values().filter(|j| j.spec.kind == Kind::Array && j.ending.is_none() && !j.waits());
+        let arrays = || {
+            self.jobs.values().filter(|j| j.spec.kind == JobKind::Array && j.ending.is_none() && !j.waits())
+        };
         let work = arrays().fold(0u64, |sum, j| sum.saturating_add(self.left(j)));
         let running: usize = arrays().map(|j| j.placed.len()).sum();
         let queue = Micros(work / running.max(1) as u64);
@@ -21,7 +22,7 @@
             .map(|(id, j)| {
                 // A job that has waited for long to begin goes by its age: what goes by what is left, or is late
                 // anyway, could be overtaken for ever.
-                let by_age = j.spec.kind != Kind::Array || self.waits_too_long(j);
+                let by_age = j.spec.kind != JobKind::Array || self.waits_too_long(j);
                 let (late, left) = if by_age { (0, 0) } else { self.standing(j, queue) };
                 // Of two releases the one that is due first; whoever belongs to one goes before its equals, but not
                 // before what should have begun by now.
--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -2,10 +2,10 @@
 
 use super::scheduling_pass::note_run;
 use super::*;
-use crate::peer::{Actual, Digest, Exit, Standing, Wanted, Wishes};
+use crate::peer::{DesiredState, DesiredTask, InventoryState, MachineStatusDelta, ObservedTask, TaskExit};
 use crate::quota::tier;
 
-impl Owner {
+impl JobShard {
     pub(super) fn unindex(&mut self, machine: &str, id: &str, idx: u32) {
         if let Some(s) = self.by_machine.get_mut(machine) {
             s.remove(&(id.to_owned(), idx));
@@ -20,16 +20,16 @@
         &mut self,
         id: &str,
         idx: u32,
-        p: &Placed,
-        room: Room,
-        want: Want,
+        p: &Assignment,
+        room: Resources,
+        want: DesiredAction,
         alive: bool,
         done: bool,
     ) {
         let key = (id.to_owned(), idx, p.machine.clone(), p.attempt);
         let priority = self.jobs.get(id).map_or(0, |j| j.spec.priority);
-        let arrived = p.phase.is_some_and(Phase::arrived);
-        let left = Leftover { room, priority, want, alive, arrived, done, asked: UNSENT };
+        let arrived = p.phase.is_some_and(TaskPhase::arrived);
+        let left = RetiredStart { room, priority, want, alive, arrived, done, asked: UNSENT };
         self.leftovers.insert(key, left);
         if alive || !done {
             let open = self.open_left.entry(id.to_owned()).or_default();
@@ -78,14 +78,14 @@
     }
 
     /// What one home is to hear: all that changed since the last message that it says it has seen.
-    pub fn wanted(&mut self, home: usize, m: &Membership) -> Wishes {
+    pub fn wanted(&mut self, home: usize, m: &Membership) -> DesiredState {
         self.has_news(home, m);
         let rev = self.revs[home] + 1;
         self.revs[home] = rev;
         self.dirty[home] = false;
         let seen = self.views[home].rev_seen(m.epoch);
         let since = if seen > m.epoch << 32 { seen } else { 0 };
-        let mut out = Wishes { rev, since, ..Wishes::default() };
+        let mut out = DesiredState { rev, since, ..DesiredState::default() };
         let mut first = Vec::new();
         let mut unacked = std::mem::take(&mut self.unacked[home]);
         unacked.retain(|_, r| *r > since);
@@ -108,7 +108,14 @@
                 out.dropped.push((machine.clone(), key.clone()));
                 continue;
             };
-            out.list.push(Wanted { key: key.clone(), machine: machine.clone(), room, want, priority, image });
+            out.list.push(DesiredTask {
+                key: key.clone(),
+                machine: machine.clone(),
+                room,
+                want,
+                priority,
+                image,
+            });
         }
         self.unacked[home] = unacked;
         self.views[home].await_answer(rev, first);
@@ -122,7 +129,7 @@
 
     /// Takes a home's digest: the truth about our tasks on its machines. Says whether it brought
     /// anything new.
-    pub fn digest(&mut self, now: Micros, m: &Membership, from: usize, d: Digest) -> bool {
+    pub fn digest(&mut self, now: Micros, m: &Membership, from: usize, d: MachineStatusDelta) -> bool {
         let Some(v) = self.views.get_mut(from) else { return false };
         if !self.loaded {
             return false;
@@ -153,15 +160,16 @@
         true
     }
 
-    pub(super) fn machine_news(&mut self, now: Micros, m: &Membership, view: &View, name: &str) {
+    pub(super) fn machine_news(&mut self, now: Micros, m: &Membership, view: &MachineView, name: &str) {
         let rev_seen = view.rev_seen(m.epoch);
         // A home that has read the records names every machine that was ever given a task; one
         // that it doesn't name is gone.
         let seen = view.machines(m.epoch).and_then(|v| v.get(name));
-        let standing = seen.map_or(Standing::Gone, |d| d.standing);
-        let tasks: &[Actual] = seen.map_or(&[], |d| &d.tasks);
+        let standing = seen.map_or(InventoryState::Gone, |d| d.standing);
+        let tasks: &[ObservedTask] = seen.map_or(&[], |d| &d.tasks);
         let listed = |job: &str, index: u32, attempt: u64| {
-            let here = |a: &&Actual| a.key.index == index && a.key.attempt == attempt && a.key.job == job;
+            let here =
+                |a: &&ObservedTask| a.key.index == index && a.key.attempt == attempt && a.key.job == job;
             tasks.iter().find(here).map(|a| a.phase)
         };
         // Most tasks are where they were: only the others are worth a copy of their names.
@@ -170,16 +178,16 @@
             match listed(id, idx, p.attempt) {
                 Some(phase) if p.phase == Some(phase) => None,
                 Some(phase) => Some(Ok(phase)),
-                None if standing == Standing::Gone => Some(Err("machine gone")),
-                None if standing == Standing::Known && p.asked <= rev_seen => {
-                    let was = p.phase.is_some_and(|x| x != Phase::Held);
+                None if standing == InventoryState::Gone => Some(Err("machine gone")),
+                None if standing == InventoryState::Known && p.asked <= rev_seen => {
+                    let was = p.phase.is_some_and(|x| x != TaskPhase::Held);
                     Some(Err(if was { "no longer there" } else { "refused" }))
                 }
                 None => None,
             }
         };
         let current = self.by_machine.get(name).into_iter().flatten();
-        let current: Vec<(String, u32, Result<Phase, &str>)> =
+        let current: Vec<(String, u32, Result<TaskPhase, &str>)> =
             current.filter_map(|(id, idx)| Some((id.clone(), *idx, news(id, *idx)?))).collect();
         for (id, idx, what) in current {
             match what {
@@ -194,7 +202,7 @@
             .into_iter()
             .flatten()
             .filter(|((id, idx, attempt), alive)| match listed(id, *idx, *attempt) {
-                Some(phase) => **alive && matches!(phase, Phase::Exited(_)),
+                Some(phase) => **alive && matches!(phase, TaskPhase::Exited(_)),
                 None => true,
             })
             .map(|((id, idx, attempt), _)| (id.clone(), *idx, name.to_owned(), *attempt))
@@ -202,7 +210,7 @@
         for ((id, idx, attempt), alive) in self.left_on.get(name).into_iter().flatten() {
             let key = || (id.clone(), *idx, name.to_owned(), *attempt);
             if *alive
-                && listed(id, *idx, *attempt).is_some_and(Phase::arrived)
+                && listed(id, *idx, *attempt).is_some_and(TaskPhase::arrived)
                 && let Some(l) = self.leftovers.get_mut(&key())
             {
                 l.arrived = true;
@@ -215,18 +223,19 @@
                     let durable = ended || self.jobs.get(&k.0).is_some_and(|j| j.durable.contains(k.1));
                     let mut finished = false;
                     if let Some(l) = self.leftovers.get_mut(&k)
-                        && let Phase::Exited(exit) = phase
+                        && let TaskPhase::Exited(exit) = phase
                     {
                         if l.alive {
                             if let Some(on) = self.left_on.get_mut(name) {
                                 on.insert((k.0.clone(), k.1, k.3), false);
                             }
                             l.alive = false;
-                            l.done = exit == Exit::Done;
+                            l.done = exit == TaskExit::Done;
                             finished = l.done;
                             self.replan = true;
                         }
-                        let want = if !l.done || durable { Want::Forget } else { Want::Keep };
+                        let want =
+                            if !l.done || durable { DesiredAction::Forget } else { DesiredAction::Keep };
                         if l.want != want {
                             l.want = want;
                             touch(&mut self.touched, name, &k.0, k.1, k.3);
@@ -235,15 +244,15 @@
                     if finished {
                         self.close_leftover(&k);
                         self.complete(&k.0, k.1);
-                    } else if let Phase::Exited(_) = phase
+                    } else if let TaskPhase::Exited(_) = phase
                         && let Some(open) = self.open_left.get_mut(&k.0)
                         && let Some((alive, _)) = open.get_mut(&(k.1, k.2.clone(), k.3))
                     {
                         *alive = false;
                     }
                 }
-                None if standing == Standing::Gone
-                    || (standing == Standing::Known
+                None if standing == InventoryState::Gone
+                    || (standing == InventoryState::Known
                         && self.leftovers.get(&k).is_some_and(|l| l.asked <= rev_seen)) =>
                 {
                     self.clear_leftover(&k);
@@ -263,22 +272,22 @@
             if known || self.left_on.get(name).is_some_and(|s| s.contains_key(&key)) {
                 continue;
             }
-            let p = Placed {
+            let p = Assignment {
                 machine: name.to_owned(),
                 zone: seen.map(|d| d.zone.clone()).unwrap_or_default(),
                 attempt: k.attempt,
-                want: Want::Keep,
+                want: DesiredAction::Keep,
                 asked: UNSENT,
                 phase: Some(a.phase),
                 since: now,
                 taken_over: true,
             };
-            let exited = matches!(a.phase, Phase::Exited(_));
+            let exited = matches!(a.phase, TaskPhase::Exited(_));
             let adopt = self.jobs.get(&k.job).is_some_and(|j| {
                 !exited && k.index < j.spec.tasks && j.ending.is_none() && !j.done.contains(k.index) && !j.placed.contains_key(&k.index)
                     // Members of two attempts of one gang can't be told to run together.
-                    && (j.spec.kind != Kind::Gang || j.placed.values().all(|q| q.attempt == k.attempt))
-                    && !matches!(a.phase, Phase::Held | Phase::Queued)
+                    && (j.spec.kind != JobKind::Gang || j.placed.values().all(|q| q.attempt == k.attempt))
+                    && !matches!(a.phase, TaskPhase::Held | TaskPhase::Queued)
             });
             if adopt {
                 touch(&mut self.touched, name, &k.job, k.index, k.attempt);
@@ -286,19 +295,19 @@
                 self.by_machine.entry(name.into()).or_default().insert((k.job.clone(), k.index));
                 if let Some(j) = self.jobs.get_mut(&k.job) {
                     j.placed.insert(k.index, p);
-                    if j.spec.kind == Kind::Gang && j.gang.is_none() {
+                    if j.spec.kind == JobKind::Gang && j.gang.is_none() {
                         j.gang = Some(Gang::Going);
                     }
                 }
                 self.task_news(now, &k.job, k.index, a.phase);
             } else {
                 let room = self.jobs.get(&k.job).map(|j| j.spec.room).unwrap_or_default();
-                let done = a.phase == Phase::Exited(Exit::Done);
+                let done = a.phase == TaskPhase::Exited(TaskExit::Done);
                 let durable = self.jobs.get(&k.job).is_none_or(|j| j.durable.contains(k.index));
                 let want = match (exited, done && !durable) {
-                    (false, _) => Want::Stop(Micros(0)),
-                    (true, true) => Want::Keep,
-                    (true, false) => Want::Forget,
+                    (false, _) => DesiredAction::Stop(Micros(0)),
+                    (true, true) => DesiredAction::Keep,
+                    (true, false) => DesiredAction::Forget,
                 };
                 self.leave(&k.job, k.index, &p, room, want, !exited, done);
                 if done {
@@ -306,17 +315,18 @@
                 }
             }
         }
-        if standing != Standing::Unconfirmed {
+        if standing != InventoryState::Unconfirmed {
             self.unheard.remove(name);
             self.ends_doubt |= self.doubts.heard(name);
         }
     }
 
-    pub(super) fn task_news(&mut self, now: Micros, id: &str, idx: u32, phase: Phase) {
+    pub(super) fn task_news(&mut self, now: Micros, id: &str, idx: u32, phase: TaskPhase) {
         let Some(j) = self.jobs.get_mut(id) else { return };
         let room = j.spec.room;
         let Some(p) = j.placed.get_mut(&idx) else { return };
-        if !p.taken_over && p.phase == Some(Phase::Running) && phase == Phase::Exited(Exit::Done) {
+        if !p.taken_over && p.phase == Some(TaskPhase::Running) && phase == TaskPhase::Exited(TaskExit::Done)
+        {
             note_run(&mut self.ran, &j.spec, now.since(p.since));
         }
         if p.phase.is_none() && !p.taken_over {
@@ -326,32 +336,32 @@
             p.since = now;
         }
         p.phase = Some(phase);
-        if matches!(phase, Phase::Fetching | Phase::Waiting | Phase::Running | Phase::Saving)
-            && p.want == Want::Run
+        if matches!(phase, TaskPhase::Fetching | TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Saving)
+            && p.want == DesiredAction::Run
         {
-            p.want = Want::Keep;
+            p.want = DesiredAction::Keep;
         }
-        let Phase::Exited(exit) = phase else { return };
+        let TaskPhase::Exited(exit) = phase else { return };
         let Some(p) = j.placed.remove(&idx) else { return };
-        let gang = j.spec.kind == Kind::Gang;
+        let gang = j.spec.kind == JobKind::Gang;
         let machine = p.machine.clone();
-        if exit != Exit::Done {
+        if exit != TaskExit::Done {
             match exit {
                 // A task that can't be started must not spin.
-                Exit::Error | Exit::Unknown => j.not_before = now + Micros::from_millis(1000),
-                Exit::NoRoom | Exit::Busy => j.not_before = now + Micros::from_millis(500),
+                TaskExit::Error | TaskExit::Unknown => j.not_before = now + Micros::from_millis(1000),
+                TaskExit::NoRoom | TaskExit::Busy => j.not_before = now + Micros::from_millis(500),
                 _ => {}
             }
             tracing::debug!(job = id, task = idx, machine = %machine, why = ?exit, "task ended");
         }
         match exit {
-            Exit::Error => self.blame.error(now, id, &machine),
-            Exit::Done => self.blame.success(id, &machine),
+            TaskExit::Error => self.blame.error(now, id, &machine),
+            TaskExit::Done => self.blame.success(id, &machine),
             _ => {}
         }
         self.unindex(&machine, id, idx);
-        let done = exit == Exit::Done;
-        let want = if done { Want::Keep } else { Want::Forget };
+        let done = exit == TaskExit::Done;
+        let want = if done { DesiredAction::Keep } else { DesiredAction::Forget };
         self.leave(id, idx, &p, room, want, false, done);
         if done {
             self.complete(id, idx);
@@ -365,7 +375,7 @@
     pub(super) fn lost(&mut self, now: Micros, id: &str, idx: u32, why: &str) {
         let Some(j) = self.jobs.get_mut(id) else { return };
         let Some(p) = j.placed.remove(&idx) else { return };
-        let gang = j.spec.kind == Kind::Gang;
+        let gang = j.spec.kind == JobKind::Gang;
         // What was withdrawn from a home, since its job is to end, was not refused by it.
         if j.ending.is_some() {
             tracing::debug!(job = id, task = idx, machine = %p.machine, reason = why, "withdrawn");
--- a/src/job_shard/records.rs
+++ b/src/job_shard/records.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-impl Owner {
+impl JobShard {
     /// Reads a job's record.
-    pub fn read_record(v: &Value) -> Option<(Value, Spec, Micros, Ranges)> {
+    pub fn read_record(v: &Value) -> Option<(Value, JobSpec, Micros, Ranges)> {
         let raw = dependencies::restored(v.get("spec")?)?;
-        let spec = Spec::from_value(&raw).ok()?;
+        let spec = JobSpec::from_value(&raw).ok()?;
         let accepted = Micros(v.get("accepted_us")?.as_u64()?);
         let done = Ranges::decode(v.get("done")?.as_str()?, spec.tasks)?;
         Some((raw, spec, accepted, done))
@@ -19,34 +19,34 @@
 
     /// The record of a job that waits for others.
     pub fn waiting_record(raw: &Value, accepted: Micros) -> Value {
-        Owner::record(&dependencies::held(raw, false), accepted, "")
+        JobShard::record(&dependencies::held(raw, false), accepted, "")
     }
 
     /// The record of a job that is new.
-    pub fn new_record(raw: &Value, spec: &Spec, accepted: Micros) -> Value {
+    pub fn new_record(raw: &Value, spec: &JobSpec, accepted: Micros) -> Value {
         match (Hold::of(spec, raw).is_some(), spec.follows.is_empty()) {
-            (true, _) => Owner::record(&dependencies::held(raw, true), accepted, ""),
-            (_, false) => Owner::waiting_record(raw, accepted),
-            _ => Owner::record(raw, accepted, ""),
+            (true, _) => JobShard::record(&dependencies::held(raw, true), accepted, ""),
+            (_, false) => JobShard::waiting_record(raw, accepted),
+            _ => JobShard::record(raw, accepted, ""),
         }
     }
 
     /// The longest that a job's record may become, its progress aside, and its end's: to be looked at before it is
     /// taken, since what an end says may not be left out later.
-    pub fn longest(raw: &Value, spec: &Spec, accepted: Micros) -> usize {
+    pub fn longest(raw: &Value, spec: &JobSpec, accepted: Micros) -> usize {
         let long = |v: Value| v.to_string().len();
-        let first = long(Owner::new_record(raw, spec, accepted));
+        let first = long(JobShard::new_record(raw, spec, accepted));
         if !spec.has_pact() {
             return first;
         }
-        let later = Owner::record(&dependencies::released(raw, accepted), accepted, "");
-        let end = Owner::end_record(raw, Final::Cancelled, spec.tasks);
+        let later = JobShard::record(&dependencies::released(raw, accepted), accepted, "");
+        let end = JobShard::end_record(raw, JobOutcome::Cancelled, spec.tasks);
         first.max(long(later)).max(long(end))
     }
 
     /// The record of a job's end.
-    fn end_record(raw: &Value, f: Final, done: u32) -> Value {
-        let mut v = json!({"end": if f == Final::Done { "done" } else { "cancelled" }, "done": done});
+    fn end_record(raw: &Value, f: JobOutcome, done: u32) -> Value {
+        let mut v = json!({"end": if f == JobOutcome::Done { "done" } else { "cancelled" }, "done": done});
         if let Some(says) = dependencies::says(raw) {
             v["says"] = says;
         }
@@ -99,7 +99,7 @@
         let j = self.jobs.get_mut(&id)?;
         let f = j.ending?;
         j.writing = true;
-        let mut value = Owner::end_record(&j.raw, f, j.done.len());
+        let mut value = JobShard::end_record(&j.raw, f, j.done.len());
         if self.keep_class && value.get("says").is_none() {
             value["says"] = json!({"breed": j.spec.class});
         }
@@ -112,7 +112,7 @@
             if !due || j.ending.is_some() || j.done.len() <= j.durable.len() {
                 continue;
             }
-            let raw = Owner::stored_raw(j);
+            let raw = JobShard::stored_raw(j);
             let raw_len = raw.to_string().len();
             let text = j.done.encode(self.value_bytes.saturating_sub(raw_len + 200));
             let kept = Ranges::decode(&text, j.spec.tasks).unwrap_or_default();
@@ -123,7 +123,7 @@
                 continue;
             }
             j.writing = true;
-            let value = Owner::record(&raw, j.accepted_wall, &text);
+            let value = JobShard::record(&raw, j.accepted_wall, &text);
             return Some((id.clone(), RecordWrite::Progress(value, kept), j.mark));
         }
         None
@@ -142,8 +142,8 @@
             if k.0 != id {
                 break;
             }
-            if !l.alive && durable.contains(k.1) && l.want != Want::Forget {
-                l.want = Want::Forget;
+            if !l.alive && durable.contains(k.1) && l.want != DesiredAction::Forget {
+                l.want = DesiredAction::Forget;
                 touch(&mut self.touched, &k.2, &k.0, k.1, k.3);
             }
         }
--- a/src/job_shard/reservations.rs
+++ b/src/job_shard/reservations.rs
@@ -4,8 +4,8 @@
 //! has waited for `DUE` is not overtaken any more: see `docs/design.md`, "The largest begin".
 
 use super::*;
-use crate::peer::Standing;
-use crate::quota::tier::{self, Footing};
+use crate::peer::InventoryState;
+use crate::quota::tier::{self, QuotaTier};
 use crate::scheduler::placement::Place;
 
 /// From then on a job that waits to begin is not overtaken by work that is no more urgent.
@@ -20,15 +20,15 @@
 
 /// What other owners keep.
 #[derive(Debug, Default)]
-pub(super) struct Others {
+pub(super) struct OtherReservations {
     /// By owner, and when it said so.
     said: BTreeMap<usize, (Micros, Vec<Reservation>)>,
     /// Of the epoch before: machines, the priority and the room of a task, until when.
-    inherited: BTreeMap<String, (u8, Room)>,
+    inherited: BTreeMap<String, (u8, Resources)>,
     until: Option<Micros>,
 }
 
-impl Others {
+impl OtherReservations {
     fn fresh(&self, now: Micros) -> impl Iterator<Item = (usize, &Reservation)> {
         let fresh = self.said.iter().filter(move |(_, (t, _))| now.since(*t) < WORD);
         fresh.flat_map(|(o, (_, l))| l.iter().map(move |r| (*o, r)))
@@ -48,19 +48,19 @@
     }
 
     /// Machines that were kept before the takeover for tasks that need such room.
-    fn kept_before(&self, now: Micros, room: Room) -> Vec<String> {
+    fn kept_before(&self, now: Micros, room: Resources) -> Vec<String> {
         let holds = self.until.is_some_and(|t| now < t);
         let alike = self.inherited.iter().filter(|(_, (_, need))| holds && *need == room);
         alike.map(|(m, _)| m.clone()).collect()
     }
 }
 
-impl Owner {
+impl JobShard {
     /// The machines that take tasks, as far as we know.
-    pub(super) fn places<'a>(&self, now: Micros, m: &Membership, views: &'a [View]) -> Vec<Place<'a>> {
+    pub(super) fn places<'a>(&self, now: Micros, m: &Membership, views: &'a [MachineView]) -> Vec<Place<'a>> {
         let mut out = Vec::new();
         // What a home hasn't seen yet is not in its digest.
-        let mut unseen: BTreeMap<&str, Room> = BTreeMap::new();
+        let mut unseen: BTreeMap<&str, Resources> = BTreeMap::new();
         let news = self.unacked.iter().flat_map(BTreeMap::keys).chain(&self.touched);
         let mut counted = BTreeSet::new();
         for (machine, key) in news {
@@ -92,7 +92,7 @@
             }
         }
         for d in views.iter().filter_map(|v| v.machines(m.epoch)).flat_map(BTreeMap::values) {
-            if !d.open || d.standing != Standing::Known || self.blame.shunned(now, &d.name) {
+            if !d.open || d.standing != InventoryState::Known || self.blame.shunned(now, &d.name) {
                 continue;
             }
             let of_type = self.kept_types.iter().filter(|(k, spot, _)| *k == d.kind && *spot == d.spot);
@@ -134,11 +134,11 @@
     }
 
     /// What this pass may keep, and for whom.
-    pub(super) fn keeping(&mut self, now: Micros) -> Keeping {
+    pub(super) fn keeping(&mut self, now: Micros) -> ReservationPlan {
         if self.others.until.is_none() && !self.others.inherited.is_empty() {
             self.others.until = Some(now + INHERITED);
         }
-        Keeping { taken: self.foreign(now).map(|r| r.machine.clone()).collect(), kept: 0 }
+        ReservationPlan { taken: self.foreign(now).map(|r| r.machine.clone()).collect(), kept: 0 }
     }
 
     /// Keeps machines for a gang that finds no room, if it may keep any: returns which. The other owners hear of it
@@ -146,7 +146,7 @@
     pub(super) fn keep_for(
         &self,
         now: Micros,
-        k: &mut Keeping,
+        k: &mut ReservationPlan,
         places: &mut [Place],
         j: &Job,
         age: Micros,
@@ -157,7 +157,7 @@
         // nowhere and keep all others out. On a large fleet several may, where what is in their way can be stopped,
         // or where they have waited for long: one after the other the last would wait for ever. Machines that
         // nothing less urgent may use anyway don't count.
-        let several = due || j.footing == Footing::Unpromised;
+        let several = due || j.footing == QuotaTier::Unpromised;
         let most = || {
             let would_do = places.iter().filter(|p| p.allowed(s)).count();
             if due { would_do / 8 } else { (would_do / 2).min(places.len() / 6) }
@@ -190,7 +190,7 @@
 }
 
 /// What a placing pass has kept so far.
-pub(super) struct Keeping {
+pub(super) struct ReservationPlan {
     /// Machines that other owners keep.
     taken: BTreeSet<String>,
     /// Machines kept from work that could have used them.
@@ -203,8 +203,8 @@
 /// kept if the gang would not fit even then. Returns which, and how many of them other work could use.
 pub(super) fn keep_places(
     places: &mut [Place],
-    s: &Spec,
-    footing: Footing,
+    s: &JobSpec,
+    footing: QuotaTier,
     due: bool,
     before: &[String],
     taken: &BTreeSet<String>,
@@ -214,9 +214,9 @@
     // Guards against a gang that is overtaken for ever: later ones of its rank, which it may not stop, went to each
     // machine that came free while too few were without any. Once due it keeps those too; what is there runs out.
     let could = |p: &Place| match footing {
-        Footing::Beyond if due => p.free_in_time(s.priority % GUARANTEED),
+        QuotaTier::Beyond if due => p.free_in_time(s.priority % GUARANTEED),
         _ if due => p.free_for(s.priority + 1),
-        Footing::Beyond => p.free_for_borrowed(s.priority),
+        QuotaTier::Beyond => p.free_for_borrowed(s.priority),
         _ => p.free_for(s.priority),
     };
     let usable = |p: &Place| {
@@ -265,7 +265,7 @@
 /// Homes that turned starts down of late. The owner beside a home sees at once what is free there, we see it later: where
 /// that owner has work waiting itself, most of what we ask for is gone, and each refusal costs a round of messages.
 #[derive(Debug, Default)]
-pub(super) struct Refusals {
+pub(super) struct PlacementRefusals {
     /// Starts on machines, in order: whether each was taken.
     news: Vec<(String, bool)>,
     /// Per home, how many rounds of refusals there were without a start taken since, and until when it is left alone.
@@ -276,7 +276,7 @@
 const LEFT_ALONE: Micros = Micros::from_millis(200);
 const DOUBLINGS: u32 = 4;
 
-impl Refusals {
+impl PlacementRefusals {
     pub(super) fn note(&mut self, machine: &str, taken: bool) {
         self.news.push((machine.to_owned(), taken));
     }
@@ -300,18 +300,18 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::peer::MachineDigest;
+    use crate::peer::MachineStatus;
 
-    fn machine(i: usize, zone: &str, busy: &[(u8, i64)]) -> MachineDigest {
-        let total = Room { cpus: 16_000, gpus: 0, memory: 64_000 };
-        let by_priority: Vec<(u8, Room)> =
-            busy.iter().map(|(p, c)| (*p, Room { cpus: *c, ..Room::default() })).collect();
-        MachineDigest {
+    fn machine(i: usize, zone: &str, busy: &[(u8, i64)]) -> MachineStatus {
+        let total = Resources { cpus: 16_000, gpus: 0, memory: 64_000 };
+        let by_priority: Vec<(u8, Resources)> =
+            busy.iter().map(|(p, c)| (*p, Resources { cpus: *c, ..Resources::default() })).collect();
+        MachineStatus {
             name: format!("i-{i:02}"),
             kind: "k".into(),
             zone: zone.into(),
             spot: false,
-            standing: Standing::Known,
+            standing: InventoryState::Known,
             open: true,
             notice: None,
             free: by_priority.iter().fold(total, |a, (_, r)| a - *r),
@@ -325,31 +325,31 @@
         }
     }
 
-    fn gang(tasks: u32, priority: u8) -> Spec {
+    fn gang(tasks: u32, priority: u8) -> JobSpec {
         let raw = json!({"uid":"wk-1","breed":"b","herd":"t","gait":"group","rank":"idle","strides":tasks,"vcpus":15.0,
             "cards":0,"ramGb":1.0,"tack":"i","imageGb":1,"together":true,"scatter":false,"borrowed":false,"rideS":1,
             "restS":0,"unsaddleS":0});
-        Spec { priority, ..Spec::from_value(&raw).expect("valid") }
+        JobSpec { priority, ..JobSpec::from_value(&raw).expect("valid") }
     }
 
-    fn places(machines: &[MachineDigest]) -> Vec<Place<'_>> {
+    fn places(machines: &[MachineStatus]) -> Vec<Place<'_>> {
         let place =
-            |d| Place { machine: d, free: d.free, unseen: Room::default(), near: false, kept_for: None };
+            |d| Place { machine: d, free: d.free, unseen: Resources::default(), near: false, kept_for: None };
         machines.iter().map(place).collect()
     }
 
     fn reservation(machine: &str, priority: u8, evict: bool) -> Reservation {
-        let need = Room { cpus: 15_000, gpus: 0, memory: 1000 };
+        let need = Resources { cpus: 15_000, gpus: 0, memory: 1000 };
         Reservation { machine: machine.into(), priority, need, evict }
     }
 
     /// Two large gangs that hold half of what each needs would wait for one another for ever.
     #[test]
     fn a_gang_keeps_all_its_machines_or_none_and_none_of_another_owners() {
-        let machines: Vec<MachineDigest> = (0..40).map(|i| machine(i, "a", &[(0, 4000)])).collect();
+        let machines: Vec<MachineStatus> = (0..40).map(|i| machine(i, "a", &[(0, 4000)])).collect();
         let keep = |taken: usize| {
             let taken = (0..taken).map(|i| format!("i-{i:02}")).collect();
-            keep_places(&mut places(&machines), &gang(24, 1), Footing::Unpromised, false, &[], &taken).0
+            keep_places(&mut places(&machines), &gang(24, 1), QuotaTier::Unpromised, false, &[], &taken).0
         };
         assert_eq!(keep(0).len(), 24);
         assert!(keep(16).iter().all(|n| n.as_str() >= "i-16") && keep(16).len() == 24);
@@ -370,10 +370,13 @@
             keep_places(&mut places(&machines), &gang(tasks, 11), footing, due, &[], &BTreeSet::new()).0.len()
         };
         let all = |tasks, footing| keeps(tasks, footing, false);
-        assert_eq!(keep(Footing::Within), ["i-02"], "where the least is on it");
-        assert_eq!((all(3, Footing::Within), all(3, Footing::Beyond), all(2, Footing::Beyond)), (3, 0, 2));
+        assert_eq!(keep(QuotaTier::Within), ["i-02"], "where the least is on it");
         assert_eq!(
-            keeps(3, Footing::Beyond, true),
+            (all(3, QuotaTier::Within), all(3, QuotaTier::Beyond), all(2, QuotaTier::Beyond)),
+            (3, 0, 2)
+        );
+        assert_eq!(
+            keeps(3, QuotaTier::Beyond, true),
             3,
             "what it may not stop runs out: it is not overtaken again"
         );
@@ -382,7 +385,7 @@
     /// While a gang's new owner learns what the gang had running, small work would fill its machines.
     #[test]
     fn what_was_kept_before_a_takeover_stays_kept_for_a_while() {
-        let mut o = Others::default();
+        let mut o = OtherReservations::default();
         let now = Micros::from_millis(50_000);
         o.said.insert(1, (now, vec![reservation("i-1", 11, true), reservation("i-1", 12, false)]));
         o.inherit(&[reservation("i-2", 10, true)]);
@@ -391,7 +394,7 @@
         assert_eq!(o.inherited["i-1"].0, 11, "the gang's own priority: it may go there itself");
         let need = reservation("", 0, false).need;
         assert_eq!(o.kept_before(now, need), ["i-1", "i-2"], "a second epoch at once changes nothing");
-        assert!(o.kept_before(now, Room::default()).is_empty(), "for gangs of such tasks only");
+        assert!(o.kept_before(now, Resources::default()).is_empty(), "for gangs of such tasks only");
         assert!(o.kept_before(now + INHERITED, need).is_empty(), "not for ever");
     }
 }
--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -1,17 +1,17 @@
 //! Where tasks go: a placing pass, gangs, room that has to be made, and what finds no room.
 
-use super::preemption::{Short, short_after};
+use super::preemption::{Shortfall, short_after};
 use super::reservations::FIRST_LOT;
 use super::*;
-use crate::peer::MachineDigest;
-use crate::quota::{Need, Teams};
+use crate::peer::MachineStatus;
+use crate::quota::{Need, QuotaLedger};
 use crate::scheduler::placement::{self, ZoneCounts};
 /// Run time after which older tasks begin to count for less.
 pub(super) const RUN_MEMORY: Micros = Micros::from_millis(4_000_000);
 /// Starts in one placement pass, which bounds the time a pass takes.
 pub(super) const STARTS_A_PASS: usize = 400;
 
-impl Owner {
+impl JobShard {
     /// How long a job's tasks may queue before a machine is worth renting for them: not at all
     /// where a guarantee or a waiting time is promised, otherwise a part of the time in which the
     /// job is expected to be done.
@@ -20,7 +20,7 @@
             let mine = self.objectives.iter().filter(|o| o.kind == kind && o.class == j.spec.class);
             mine.map(|o| Micros::from_secs(o.within_s).0).min()
         };
-        if guaranteed || j.spec.kind == Kind::Service || of("wait").is_some() {
+        if guaranteed || j.spec.kind == JobKind::Service || of("wait").is_some() {
             return Micros(0);
         }
         let within = of("finished").or(j.spec.deadline.map(|d| d.0)).unwrap_or(120_000_000);
@@ -28,7 +28,7 @@
     }
 
     /// How long work may wait before work of lower priority is stopped for it.
-    pub(super) fn patience(&self, s: &Spec) -> Micros {
+    pub(super) fn patience(&self, s: &JobSpec) -> Micros {
         let promised = self.objectives.iter().filter(|o| o.kind == "wait" && o.class == s.class);
         let within = promised.map(|o| Micros::from_secs(o.within_s).0).min().unwrap_or(60_000_000);
         Micros(within / 40)
@@ -36,7 +36,7 @@
 
     /// Remembers what a job asks for, with what its tasks are likely to run and how long they may queue:
     /// a decider that has just taken over must know that although nothing waits.
-    pub(super) fn note_shape(&mut self, now: Micros, s: &Spec, horizon: Micros) {
+    pub(super) fn note_shape(&mut self, now: Micros, s: &JobSpec, horizon: Micros) {
         let d = Demand {
             room: s.room,
             kinds: s.kinds.clone(),
@@ -47,7 +47,7 @@
             estimate: likely(&self.ran, s),
             priority: s.priority,
             horizon,
-            together: if s.kind == Kind::Gang { s.tasks } else { 1 },
+            together: if s.kind == JobKind::Gang { s.tasks } else { 1 },
         };
         // Of each sort the largest: jobs whose tasks differ a little must not crowd out the rest.
         // Nor may two unlike ones make a third that nobody asked for, such as a gang of many small tasks and one
@@ -73,7 +73,7 @@
     }
 
     /// What our jobs need of their teams, per team in the order in which they should get it.
-    pub fn needs(&self, teams: &Teams) -> BTreeMap<String, Vec<Need>> {
+    pub fn needs(&self, teams: &QuotaLedger) -> BTreeMap<String, Vec<Need>> {
         let mut out: BTreeMap<String, Vec<Need>> = BTreeMap::new();
         for id in self.order() {
             let Some(j) = self.jobs.get(&id) else { continue };
@@ -85,7 +85,7 @@
             // that wait for machines would leave it nothing for as long as gangs come. More would keep the gangs out.
             let list = out.entry(j.spec.team.clone()).or_default();
             // One whose starts are not all known may have begun long ago.
-            let first = j.spec.kind == Kind::Array
+            let first = j.spec.kind == JobKind::Array
                 && j.settled()
                 && self.waits_too_long(j)
                 && !self.blame.suspected(&id)
@@ -98,12 +98,12 @@
                 at,
                 Need {
                     in_use: self.in_use(&id, j),
-                    one: Room { memory: 0, ..j.spec.room },
-                    more: match self.blame.suspected(&id) && j.spec.kind == Kind::Array {
+                    one: Resources { memory: 0, ..j.spec.room },
+                    more: match self.blame.suspected(&id) && j.spec.kind == JobKind::Array {
                         true => i64::from(j.placed.is_empty()),
                         false => left.saturating_sub(j.placed.len()) as i64,
                     },
-                    whole: j.spec.kind != Kind::Array,
+                    whole: j.spec.kind != JobKind::Array,
                     settled: j.settled(),
                     priority: if first { u8::MAX } else { j.spec.priority },
                     accepted: j.accepted_wall,
@@ -119,7 +119,7 @@
             if teams.limited(&j.spec.team) {
                 out.entry(j.spec.team.clone()).or_default().push(Need {
                     job: id.clone(),
-                    one: Room { memory: 0, ..j.spec.room },
+                    one: Resources { memory: 0, ..j.spec.room },
                     in_use: self.in_use(id, j),
                     more: 0,
                     whole: true,
@@ -133,7 +133,7 @@
     }
 
     /// Places what can be placed, moves gangs on, and notes what finds no room.
-    pub fn plan(&mut self, now: Micros, wall: Micros, m: &Membership, teams: &Teams) {
+    pub fn plan(&mut self, now: Micros, wall: Micros, m: &Membership, teams: &QuotaLedger) {
         if !self.loaded {
             return;
         }
@@ -150,9 +150,9 @@
         let mut places = self.places(now, m, &views);
         self.loans.hold_back(&mut places);
         self.leave_headroom(&mut places);
-        let mut short: Vec<Short> = Vec::new();
+        let mut short: Vec<Shortfall> = Vec::new();
         // Shapes for which no machine has room left: nothing as large is looked for again.
-        let mut full: Vec<Spec> = Vec::new();
+        let mut full: Vec<JobSpec> = Vec::new();
         let mut budget = STARTS_A_PASS;
         self.demands.clear();
         self.reserved.clear();
@@ -184,7 +184,7 @@
             let one = j.spec.room;
             let claim = teams.claim(&j.spec.team, &id);
             let in_use = self.in_use(&id, j);
-            let claim_left = Room { memory: i64::MAX / 4, ..claim - in_use };
+            let claim_left = Resources { memory: i64::MAX / 4, ..claim - in_use };
             let mut counts = ZoneCounts::new();
             for p in j.placed.values() {
                 *counts.entry(p.zone.clone()).or_default() += 1;
@@ -202,12 +202,12 @@
             let suspected = self.blame.suspected(&id);
             // What is borrowed keeps away from machines where room is being made for a guarantee; that it finds none
             // says nothing about other work.
-            let kept_out = j.footing == Footing::Beyond && !promised.is_empty() && !self.waits_too_long(j);
-            let apart = |d: &MachineDigest| kept_out && promised.contains(&d.name);
+            let kept_out = j.footing == QuotaTier::Beyond && !promised.is_empty() && !self.waits_too_long(j);
+            let apart = |d: &MachineStatus| kept_out && promised.contains(&d.name);
             let mut starts: Vec<(u32, usize)> = Vec::new();
             let mut unplaced = 0u32;
             let mut keeps = Vec::new();
-            if j.spec.kind == Kind::Gang {
+            if j.spec.kind == JobKind::Gang {
                 if j.gang.is_some() || !j.placed.is_empty() || !still_there.is_empty() {
                     continue;
                 }
@@ -215,7 +215,7 @@
                     continue;
                 }
                 let hopeless = full.iter().any(|f| {
-                    f.kind == Kind::Gang && f.tasks <= j.spec.tasks && placement::no_easier(&j.spec, f)
+                    f.kind == JobKind::Gang && f.tasks <= j.spec.tasks && placement::no_easier(&j.spec, f)
                 });
                 let lent = self.loans.lend(&mut places, &id, j);
                 let at = (!hopeless || !lent.is_empty()).then(|| {
@@ -257,18 +257,19 @@
                     .filter(|idx| !j.placed.contains_key(idx) && !still_there.contains(idx))
                     .take(if self.waits_too_long(j) { allowed.min(FIRST_LOT) } else { allowed }.min(budget))
                     .collect();
-                let hopeless = full.iter().any(|f| f.kind != Kind::Gang && placement::no_easier(&j.spec, f));
+                let hopeless =
+                    full.iter().any(|f| f.kind != JobKind::Gang && placement::no_easier(&j.spec, f));
                 // Room that is kept for the job goes first, or it would have been kept, or taken, in vain.
                 let lent = self.loans.lend(&mut places, &id, j);
                 let at = if (hopeless && lent.is_empty()) || next.is_empty() {
                     Vec::new()
                 } else {
-                    let usable = |p: &MachineDigest| {
+                    let usable = |p: &MachineStatus| {
                         !old.contains(p.name.as_str()) && !apart(p) && !left_alone.contains(p.name.as_str())
                     };
                     let kept: BTreeSet<String> =
                         lent.iter().map(|(i, _)| places[*i].machine.name.clone()).collect();
-                    let first = |p: &MachineDigest| usable(p) && kept.contains(&p.name);
+                    let first = |p: &MachineStatus| usable(p) && kept.contains(&p.name);
                     let mut at = match lent.is_empty() {
                         true => Vec::new(),
                         false => placement::fill(&j.spec, &mut places, &mut counts, next.len(), first),
@@ -287,9 +288,9 @@
                 }
                 budget -= at.len();
                 // What a borrower lacks is claimed in its team's ledger first; asked back here too, it would be taken twice.
-                let asks = j.footing == Footing::Within && age >= asks_after && !self.borrows(&j.spec);
+                let asks = j.footing == QuotaTier::Within && age >= asks_after && !self.borrows(&j.spec);
                 if unplaced > 0 && !suspected && asks {
-                    short.push(Short { spec: j.spec.clone(), count: unplaced });
+                    short.push(Shortfall { spec: j.spec.clone(), count: unplaced });
                 }
                 starts.extend(next.into_iter().zip(at));
             }
@@ -307,7 +308,7 @@
                     estimate: likely(&self.ran, s),
                     priority: s.priority,
                     horizon: self.horizon(j, teams.guaranteed(&s.team), age),
-                    together: if s.kind == Kind::Gang { s.tasks } else { 1 },
+                    together: if s.kind == JobKind::Gang { s.tasks } else { 1 },
                 });
             }
             let Some(j) = self.jobs.get_mut(&id) else { continue };
@@ -316,7 +317,7 @@
             if starts.is_empty() {
                 continue;
             }
-            let gang = j.spec.kind == Kind::Gang;
+            let gang = j.spec.kind == JobKind::Gang;
             if gang {
                 j.gang = Some(Gang::Holding(now));
                 j.starts += 1;
@@ -328,11 +329,11 @@
                 let place = places[pl].machine;
                 // The epoch in front makes attempts unique across owners without a counter on
                 // record.
-                let p = Placed {
+                let p = Assignment {
                     machine: place.name.clone(),
                     zone: place.zone.clone(),
                     attempt: (m.epoch << 24) + j.starts,
-                    want: if gang { Want::Hold } else { Want::Run },
+                    want: if gang { DesiredAction::Hold } else { DesiredAction::Run },
                     asked: UNSENT,
                     phase: None,
                     since: now,
@@ -355,11 +356,11 @@
         for (id, j) in &mut self.jobs {
             match j.gang {
                 Some(Gang::Holding(since)) => {
-                    let held = j.placed.values().filter(|p| p.phase == Some(Phase::Held)).count();
+                    let held = j.placed.values().filter(|p| p.phase == Some(TaskPhase::Held)).count();
                     if held == j.spec.tasks as usize {
                         j.gang = Some(Gang::Going);
                         for (&idx, p) in &mut j.placed {
-                            p.want = Want::Run;
+                            p.want = DesiredAction::Run;
                             touch(&mut self.touched, &p.machine, id, idx, p.attempt);
                         }
                     } else if now.since(since) > Micros::from_millis(4000) {
@@ -371,7 +372,7 @@
                     // out by themselves after a while, ours is to notice the odd one.
                     let short = j.placed.len() < j.spec.tasks as usize;
                     let stuck = j.placed.values().any(|p| {
-                        matches!(p.phase, Some(Phase::Queued | Phase::InDoubt) | None)
+                        matches!(p.phase, Some(TaskPhase::Queued | TaskPhase::InDoubt) | None)
                             && now.since(p.since) > self.gang_wait
                     });
                     if short || stuck {
@@ -411,7 +412,7 @@
 }
 
 /// A task of this sort completed after running for so long.
-pub(super) fn note_run(ran: &mut BTreeMap<String, (Micros, Micros)>, s: &Spec, run: Micros) {
+pub(super) fn note_run(ran: &mut BTreeMap<String, (Micros, Micros)>, s: &JobSpec, run: Micros) {
     if s.estimate == Micros(0) {
         return;
     }
@@ -427,7 +428,7 @@
 }
 
 /// How long a task of this sort is likely to run.
-pub(super) fn likely(ran: &BTreeMap<String, (Micros, Micros)>, s: &Spec) -> Micros {
+pub(super) fn likely(ran: &BTreeMap<String, (Micros, Micros)>, s: &JobSpec) -> Micros {
     let (was, expected) = ran.get(&s.class).copied().unwrap_or((Micros(1), Micros(1)));
     Micros((u128::from(s.estimate.0) * u128::from(was.0) / u128::from(expected.0.max(1))) as u64)
 }
--- a/src/job_shard/stale_inputs.rs
+++ b/src/job_shard/stale_inputs.rs
@@ -15,14 +15,18 @@
     Unknown,
 }
 
-impl Owner {
+impl JobShard {
     /// How an attempt of a live job stands; `task` is None for a gang, whose attempts are the job's.
     pub fn attempt(&self, id: &str, task: Option<u32>, attempt: u64) -> Attempt {
         let Some(j) = self.jobs.get(id) else { return Attempt::Over };
         let mine = |t: u32| task.is_none_or(|task| task == t);
         let placed = j.placed.iter().find(|(t, p)| mine(**t) && p.attempt == attempt);
         if let Some((_, p)) = placed {
-            return if matches!(p.want, Want::Stop(_)) { Attempt::Stopping } else { Attempt::Stands };
+            return if matches!(p.want, DesiredAction::Stop(_)) {
+                Attempt::Stopping
+            } else {
+                Attempt::Stands
+            };
         }
         let left = self.open_of(id).any(|((t, _, a), (alive, _))| *alive && mine(*t) && *a == attempt);
         match (left, j.settled()) {
@@ -36,8 +40,8 @@
     /// `writes` names have begun to write and go on. Returns how many were stopped.
     pub fn stop_stale(&mut self, id: &str, writes: impl Fn(Option<u32>, u64) -> bool) -> usize {
         let Some(j) = self.jobs.get_mut(id) else { return 0 };
-        let gang = j.spec.kind == Kind::Gang;
-        let running = |p: &Placed| !matches!(p.want, Want::Stop(_));
+        let gang = j.spec.kind == JobKind::Gang;
+        let running = |p: &Assignment| !matches!(p.want, DesiredAction::Stop(_));
         let stops: Vec<u32> = j
             .placed
             .iter()
@@ -53,7 +57,7 @@
         }
         for t in &stops {
             if let Some(p) = j.placed.get_mut(t) {
-                p.want = Want::Stop(Micros(0));
+                p.want = DesiredAction::Stop(Micros(0));
                 touch(&mut self.touched, &p.machine, id, *t, p.attempt);
             }
         }
--- a/src/job_shard/start_replication.rs
+++ b/src/job_shard/start_replication.rs
@@ -5,11 +5,11 @@
 //! its successor would have to ask every machine. See `docs/takeovers.md`.
 
 use super::*;
-use crate::peer::{HandedStart, Vouched};
+use crate::peer::{ReplicatedItem, StartHandoff};
 use hazelsaddle_cluster::hash_ring::Ring;
 
 /// What the witnesses are told.
-pub(super) struct Vouching {
+pub(super) struct StartReplication {
     /// Starts on machines of our own that may have changed.
     pub(super) touched: BTreeSet<Key>,
     /// Those that were last told of, with their zones, and the jobs that we last vouched for.
@@ -19,9 +19,9 @@
     pub(super) jobs_changed: bool,
 }
 
-impl Default for Vouching {
+impl Default for StartReplication {
     fn default() -> Self {
-        Vouching {
+        StartReplication {
             touched: BTreeSet::new(),
             starts: BTreeMap::new(),
             jobs: BTreeSet::new(),
@@ -30,10 +30,10 @@
     }
 }
 
-impl Owner {
+impl JobShard {
     /// What has changed since this was last asked, of starts on our own machines that may be alive and of jobs whose
     /// starts are all known: each item, and whether it is there.
-    pub fn vouch_changes(&mut self) -> Vec<(Vouched, bool)> {
+    pub fn vouch_changes(&mut self) -> Vec<(ReplicatedItem, bool)> {
         let mut out = Vec::new();
         for key in std::mem::take(&mut self.vouching.touched) {
             let (machine, k) = &key;
@@ -42,7 +42,7 @@
             let left = (k.index, machine.clone(), k.attempt);
             let open = self.open_left.get(&k.job).and_then(|o| o.get(&left));
             let zone = placed.map(|p| &p.zone).or(open.filter(|(alive, _)| *alive).map(|(_, zone)| zone));
-            let item = |zone: &String| Vouched::Start {
+            let item = |zone: &String| ReplicatedItem::Start {
                 key: k.clone(),
                 machine: machine.clone(),
                 zone: zone.clone(),
@@ -66,33 +66,39 @@
         let gone: Vec<String> = self.vouching.jobs.iter().filter(|id| !settled(id)).cloned().collect();
         for id in gone {
             self.vouching.jobs.remove(&id);
-            out.push((Vouched::Job(id), false));
+            out.push((ReplicatedItem::Job(id), false));
         }
         for (id, _) in self.jobs.iter().filter(|(_, j)| j.settled()) {
             if !self.vouching.jobs.contains(id) {
                 self.vouching.jobs.insert(id.clone());
-                out.push((Vouched::Job(id.clone()), true));
+                out.push((ReplicatedItem::Job(id.clone()), true));
             }
         }
         out
     }
 
     /// The item for a start on one of our own machines, if it was told of.
-    pub fn vouched(&self, machine: &str, key: &crate::peer::TaskKey) -> Option<Vouched> {
+    pub fn vouched(&self, machine: &str, key: &crate::peer::TaskKey) -> Option<ReplicatedItem> {
         let key = (machine.to_owned(), key.clone());
         let zone = self.vouching.starts.get(&key)?.clone();
-        Some(Vouched::Start { key: key.1, machine: key.0, zone })
+        Some(ReplicatedItem::Start { key: key.1, machine: key.0, zone })
     }
 
     /// All witnesses of a controller that is there no more have spoken: the jobs that it vouched for, of those that were
     /// its by all `rings` that this rests on, need not wait for the machines whose home it was by all of them. Returns
     /// how many jobs that helped.
-    pub fn witnessed(&mut self, now: Micros, of: usize, rings: &[Ring], items: &BTreeSet<Vouched>) -> usize {
+    pub fn witnessed(
+        &mut self,
+        now: Micros,
+        of: usize,
+        rings: &[Ring],
+        items: &BTreeSet<ReplicatedItem>,
+    ) -> usize {
         let its = |class: &str, name: &str| rings.iter().all(|r| r.owner_of(class, name) == Some(of));
-        let mut starts: BTreeMap<&str, Vec<HandedStart>> = BTreeMap::new();
+        let mut starts: BTreeMap<&str, Vec<StartHandoff>> = BTreeMap::new();
         for item in items {
-            if let Vouched::Start { key, machine, zone } = item {
-                starts.entry(&key.job).or_default().push(HandedStart {
+            if let ReplicatedItem::Start { key, machine, zone } = item {
+                starts.entry(&key.job).or_default().push(StartHandoff {
                     index: key.index,
                     attempt: key.attempt,
                     machine: machine.clone(),
@@ -107,7 +113,7 @@
         let theirs: Vec<String> = items
             .iter()
             .filter_map(|i| match i {
-                Vouched::Job(id) if its("job/", id) => Some(id.clone()),
+                ReplicatedItem::Job(id) if its("job/", id) => Some(id.clone()),
                 _ => None,
             })
             .collect();
@@ -123,7 +129,7 @@
             j.evidence = evidence;
             self.vouching.jobs_changed = true;
             helped += 1;
-            let (tasks, gang) = (j.spec.tasks, j.spec.kind == Kind::Gang);
+            let (tasks, gang) = (j.spec.tasks, j.spec.kind == JobKind::Gang);
             for s in starts.remove(id.as_str()).unwrap_or_default() {
                 if s.index < tasks {
                     self.take_start(now, &id, s, gang);
--- a/src/job_shard/unresolved_starts.rs
+++ b/src/job_shard/unresolved_starts.rs
@@ -4,7 +4,7 @@
 //! they will certainly lack is asked for meanwhile.
 
 use super::*;
-use crate::quota::Teams;
+use crate::quota::QuotaLedger;
 use crate::scheduler::placement::{self, Place, ZoneCounts};
 
 /// What waits for evidence is counted this often. It is a placing pass of its own.
@@ -15,32 +15,32 @@
 
 /// The latest count.
 #[derive(Default)]
-pub(super) struct Doubted {
+pub(super) struct UnresolvedStarts {
     next: Micros,
     pub(super) demands: Vec<Demand>,
 }
 
-impl Owner {
+impl JobShard {
     /// Counts what unsettled jobs lack that would find no room in what placing has left.
     pub(super) fn count_doubted(
         &mut self,
         now: Micros,
         wall: Micros,
-        teams: &Teams,
+        teams: &QuotaLedger,
         m: &Membership,
-        views: &[View],
+        views: &[MachineView],
         places: &mut [Place],
     ) {
         if self.jobs.values().all(Job::settled) {
-            self.doubted = Doubted::default();
+            self.doubted = UnresolvedStarts::default();
             return;
         }
         if now < self.doubted.next {
             return;
         }
-        self.doubted = Doubted { next: now + EVERY, demands: Vec::new() };
+        self.doubted = UnresolvedStarts { next: now + EVERY, demands: Vec::new() };
         let all: usize = views.iter().filter_map(|v| v.machines(m.epoch)).map(BTreeMap::len).sum();
-        let mut full: Vec<Spec> = Vec::new();
+        let mut full: Vec<JobSpec> = Vec::new();
         for id in self.order() {
             let Some(j) = self.jobs.get(&id) else { continue };
             let Evidence::Waits(d) = j.evidence else { continue };
@@ -49,7 +49,7 @@
                 continue;
             }
             let spec = j.spec.clone();
-            let gang = spec.kind == Kind::Gang;
+            let gang = spec.kind == JobKind::Gang;
             let left_alive = self.open_of(&id).filter(|(_, (alive, _))| *alive).count();
             let there = j.placed.len() + left_alive;
             let lacking = (spec.tasks as usize).saturating_sub(j.done.len() as usize + there);
@@ -58,7 +58,8 @@
             let expected = (there * hidden).div_ceil(all.saturating_sub(hidden).max(1));
             let lacking = if gang && there > 0 { 0 } else { lacking.saturating_sub(expected) };
             let claim = teams.claim(&spec.team, &id) - self.in_use(&id, j);
-            let allowed = Room { memory: i64::MAX / 4, ..claim }.count_of(spec.room).clamp(0, lacking as i64);
+            let allowed =
+                Resources { memory: i64::MAX / 4, ..claim }.count_of(spec.room).clamp(0, lacking as i64);
             if allowed == 0 || (gang && allowed < i64::from(spec.tasks)) {
                 continue;
             }
@@ -100,7 +101,7 @@
 mod tests {
     use super::super::tests::{owner_of, raw, running, whole};
     use super::*;
-    use crate::peer::MachineDigest;
+    use crate::peer::MachineStatus;
     use crate::units::Ranges;
 
     /// Measured on rough days of the large sites: for half a minute at a time all work waited for a few dead machines, and
@@ -109,30 +110,30 @@
     fn what_waits_for_a_dead_machine_asks_for_room_and_what_is_likely_there_does_not() {
         let (m, teams, mut owner, machine) = owner_of(raw("batch", 4, 0.0));
         let now = Micros::from_millis(1000);
-        let fleet: Vec<MachineDigest> = (0..20)
-            .map(|i| MachineDigest { name: format!("i-{i:02}"), open: i < 2, ..machine.clone() })
+        let fleet: Vec<MachineStatus> = (0..20)
+            .map(|i| MachineStatus { name: format!("i-{i:02}"), open: i < 2, ..machine.clone() })
             .collect();
         // A new epoch: one machine of twenty is not heard, and 40 tasks of a job taken over run on the others.
         owner.adopt(&m, false);
         let mut r = raw("batch", 100, 0.0);
         r["uid"] = json!("wk-2");
-        let spec = Spec::from_value(&r).expect("valid");
+        let spec = JobSpec::from_value(&r).expect("valid");
         owner.insert(r, spec, Micros(1), Ranges::default(), 1, false);
         owner.load_done(fleet.iter().map(|d| d.name.clone()));
         let mut seq = 0;
-        let mut tell = |owner: &mut Owner, unheard: usize| {
+        let mut tell = |owner: &mut JobShard, unheard: usize| {
             let mut list = fleet.clone();
             for (i, d) in list.iter_mut().enumerate() {
                 let key = |index| TaskKey { job: "wk-2".into(), index, attempt: 9 };
                 match i < unheard {
-                    true => (d.standing, d.open) = (Standing::Unconfirmed, false),
+                    true => (d.standing, d.open) = (InventoryState::Unconfirmed, false),
                     false => d.tasks = (0..2).map(|k| running(&key((i * 2 + k) as u32))).collect(),
                 }
             }
             seq += 1;
             owner.digest(now, &m, 0, whole(&m, seq, 0, list));
         };
-        let asked = |owner: &mut Owner, at: u64| {
+        let asked = |owner: &mut JobShard, at: u64| {
             let now = Micros::from_millis(at);
             owner.plan(now, now, &m, &teams);
             owner.demands().iter().map(|d| d.count).sum::<u32>()
@@ -142,7 +143,10 @@
         tell(&mut owner, 1);
         // Less those seen, those that may well be on the unheard one, and those that fit beside two on the one open.
         assert_eq!(asked(&mut owner, 2000), 100 - 38 - 2 - 2);
-        assert!(owner.wanted(0, &m).list.iter().all(|w| w.want != Want::Run), "nothing of it is placed");
+        assert!(
+            owner.wanted(0, &m).list.iter().all(|w| w.want != DesiredAction::Run),
+            "nothing of it is placed"
+        );
         assert_eq!(owner.in_doubt(), 1);
         tell(&mut owner, 0);
         assert_eq!((owner.in_doubt(), asked(&mut owner, 3000)), (0, 100 - 40 - 4));
--- a/src/machine_registry.rs
+++ b/src/machine_registry.rs
@@ -48,7 +48,7 @@
 }
 
 /// This controller's pages.
-pub struct Roll {
+pub struct MachineRegistry {
     member: String,
     limit: usize,
     pages: BTreeMap<u32, Page>,
@@ -68,10 +68,10 @@
     v.as_object()?.iter().map(row).collect()
 }
 
-impl Roll {
+impl MachineRegistry {
     /// No pages yet; a page has at most `limit` bytes.
-    pub fn new(member: &str, limit: usize) -> Roll {
-        Roll { member: member.into(), limit, pages: BTreeMap::new(), at: BTreeMap::new() }
+    pub fn new(member: &str, limit: usize) -> MachineRegistry {
+        MachineRegistry { member: member.into(), limit, pages: BTreeMap::new(), at: BTreeMap::new() }
     }
 
     fn own(&self, key: &str) -> Option<u32> {
--- a/src/machine_registry/tests.rs
+++ b/src/machine_registry/tests.rs
@@ -8,8 +8,8 @@
 /// Seen on sanaq-forms-next: half of all changes went to pages of the roll in a swing of arrivals.
 #[test]
 fn machines_that_come_together_go_on_few_pages() {
-    let mut roll = Roll::new("c0", 1000);
-    let writes = |roll: &mut Roll| std::iter::from_fn(|| roll.next_write(false)).count();
+    let mut roll = MachineRegistry::new("c0", 1000);
+    let writes = |roll: &mut MachineRegistry| std::iter::from_fn(|| roll.next_write(false)).count();
     for i in 0..200 {
         roll.add(&format!("i-{i:06}"), &record());
     }
@@ -37,7 +37,7 @@
 fn what_was_written_stays_whatever_is_applied_late() {
     for seed in 0..40 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut roll = Roll::new("c0", 300);
+        let mut roll = MachineRegistry::new("c0", 300);
         let mut store: BTreeMap<String, (Value, u64)> = BTreeMap::new();
         let mut mark = 0;
         let mut late: Vec<PageWrite> = Vec::new();
@@ -108,7 +108,7 @@
 /// Guards against machines that get no work although their names are on record: no write of their page is ever answered.
 #[test]
 fn names_are_known_to_be_on_record_once_the_page_has_moved_on() {
-    let mut roll = Roll::new("c0", 1000);
+    let mut roll = MachineRegistry::new("c0", 1000);
     roll.add("i-1", &record());
     let first = roll.next_write(false).expect("a page");
     roll.failed(first.page, false);
--- a/src/machine_shard.rs
+++ b/src/machine_shard.rs
@@ -2,9 +2,12 @@
 //! and the commands they are given.
 
 use crate::membership::Membership;
-use crate::peer::{Actual, Digest, Exit, MachineDigest, Phase, Standing, TaskKey, Want, Wanted, Wishes};
+use crate::peer::{
+    DesiredAction, DesiredState, DesiredTask, InventoryState, MachineStatus, MachineStatusDelta,
+    ObservedTask, TaskExit, TaskKey, TaskPhase,
+};
 use crate::settings::Settings;
-use crate::units::{Micros, Room};
+use crate::units::{Micros, Resources};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,12 +17,12 @@
 mod owner_liveness;
 
 pub(crate) use agent_lease::ANSWER;
-pub use fencing_probe::Greeting;
-use owner_liveness::{Reach, Standpoint};
+pub use fencing_probe::FencingProbe;
+use owner_liveness::{OwnerBasis, OwnerLiveness};
 
 /// A worker's report.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "stall")]
     pub machine: String,
@@ -49,12 +52,12 @@
     pub notice_s: Option<f64>,
     /// Its tasks.
     #[serde(rename = "strides", default)]
-    pub tasks: Vec<ReportedTask>,
+    pub tasks: Vec<HeartbeatTask>,
 }
 
 /// A task in a report.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
-pub struct ReportedTask {
+pub struct HeartbeatTask {
     /// `job/number`.
     #[serde(rename = "stride")]
     pub task: String,
@@ -72,24 +75,24 @@
     pub saved: Option<bool>,
 }
 
-impl ReportedTask {
-    fn read(&self) -> Option<(TaskKey, Phase)> {
+impl HeartbeatTask {
+    fn read(&self) -> Option<(TaskKey, TaskPhase)> {
         let (job, index) = self.task.rsplit_once('/')?;
         let key = TaskKey { job: job.into(), index: index.parse().ok()?, attempt: self.attempt };
         let phase = match self.state.as_str() {
-            "pulling" => Phase::Fetching,
-            "waiting" => Phase::Waiting,
-            "running" => Phase::Running,
-            "flushing" => Phase::Saving,
-            "ended" => Phase::Exited(match self.why.as_deref() {
-                Some("done") => Exit::Done,
-                Some("stopped") => Exit::Stopped(self.saved == Some(true)),
-                Some("peers") => Exit::Peers,
-                Some("alone") => Exit::Alone,
-                Some("no_room") => Exit::NoRoom,
-                Some("busy") => Exit::Busy,
-                Some("unknown") => Exit::Unknown,
-                _ => Exit::Error,
+            "pulling" => TaskPhase::Fetching,
+            "waiting" => TaskPhase::Waiting,
+            "running" => TaskPhase::Running,
+            "flushing" => TaskPhase::Saving,
+            "ended" => TaskPhase::Exited(match self.why.as_deref() {
+                Some("done") => TaskExit::Done,
+                Some("stopped") => TaskExit::Stopped(self.saved == Some(true)),
+                Some("peers") => TaskExit::Peers,
+                Some("alone") => TaskExit::Alone,
+                Some("no_room") => TaskExit::NoRoom,
+                Some("busy") => TaskExit::Busy,
+                Some("unknown") => TaskExit::Unknown,
+                _ => TaskExit::Error,
             }),
             _ => return None,
         };
@@ -99,7 +102,7 @@
 
 /// The answer to a report.
 #[derive(Serialize, Clone, Debug, PartialEq)]
-pub struct Orders {
+pub struct HeartbeatResponse {
     /// The token.
     #[serde(rename = "rein")]
     pub token: u64,
@@ -151,23 +154,23 @@
 #[derive(Clone, Debug)]
 struct Entry {
     /// None until the owner has said what the task takes.
-    room: Option<Room>,
+    room: Option<Resources>,
     priority: u8,
     image: u64,
-    phase: Phase,
-    want: Option<Want>,
+    phase: TaskPhase,
+    want: Option<DesiredAction>,
     /// The report that the start was answered to.
     sent_to: (u64, u64),
     /// How long its machine may be answered on its owner's behalf.
-    standpoint: Standpoint,
+    standpoint: OwnerBasis,
 }
 
 impl Entry {
     fn on_machine(&self) -> bool {
-        !matches!(self.phase, Phase::Held | Phase::Queued)
+        !matches!(self.phase, TaskPhase::Held | TaskPhase::Queued)
     }
     fn alive(&self) -> bool {
-        !matches!(self.phase, Phase::Exited(_))
+        !matches!(self.phase, TaskPhase::Exited(_))
     }
 }
 
@@ -185,7 +188,7 @@
     zone: String,
     spot: bool,
     addr: String,
-    standing: Standing,
+    standing: InventoryState,
     record: Record,
     last: (u64, u64),
     /// When the last report came; for one that never reported, when it became ours.
@@ -265,7 +268,7 @@
 }
 
 /// All that a controller knows as the home of machines.
-pub struct Home {
+pub struct MachineShard {
     worker_lease: Micros,
     machines: BTreeMap<String, Machine>,
     /// Starts that were decided on once, accepted or refused. A start is never decided on twice:
@@ -282,18 +285,18 @@
     returned: BTreeSet<String>,
     /// What owners want of starts on machines that have yet to say what they hold. A wish is said only
     /// once, and a machine's first report in an epoch may come after it.
-    early: BTreeMap<String, BTreeMap<TaskKey, Wanted>>,
+    early: BTreeMap<String, BTreeMap<TaskKey, DesiredTask>>,
     /// From when on nobody else can be answering workers, by what this epoch says.
     older_silent: Micros,
-    reach: Reach,
+    reach: OwnerLiveness,
     /// The epoch taken up; 0 before the first.
     epoch: u64,
 }
 
-impl Home {
+impl MachineShard {
     /// Knows nothing yet.
-    pub fn new(s: &Settings) -> Home {
-        Home {
+    pub fn new(s: &Settings) -> MachineShard {
+        MachineShard {
             worker_lease: s.worker_lease,
             machines: BTreeMap::new(),
             decided: BTreeMap::new(),
@@ -304,7 +307,7 @@
             returned: BTreeSet::new(),
             early: BTreeMap::new(),
             older_silent: Micros(0),
-            reach: Reach::new(s),
+            reach: OwnerLiveness::new(s),
             epoch: 0,
         }
     }
@@ -334,12 +337,12 @@
                 x.record = Record::No;
             }
             match (follows, x.standing) {
-                (false, Standing::Known) => {
-                    x.standing = Standing::Unconfirmed;
+                (false, InventoryState::Known) => {
+                    x.standing = InventoryState::Unconfirmed;
                     x.heard_at = now;
                 }
                 // Nobody but us can have answered it since the epoch before.
-                (true, Standing::Unconfirmed) => x.answered = x.answered.or(Some(self.older_silent)),
+                (true, InventoryState::Unconfirmed) => x.answered = x.answered.or(Some(self.older_silent)),
                 _ => {}
             }
             if !follows {
@@ -369,7 +372,7 @@
             .or_insert_with(|| Machine::new(now, self.epoch, r.kind, r.zone, r.spot, r.addr));
         x.record = Record::Yes;
         if self.returned.contains(name) {
-            x.standing = Standing::Gone;
+            x.standing = InventoryState::Gone;
             x.entries.clear();
         }
         self.changes.touch(name, &mut x.version);
@@ -378,13 +381,13 @@
     /// Where some of the machines can be reached; others each time.
     pub fn addresses(&self, n: usize, now: Micros) -> Vec<String> {
         let known: Vec<&String> =
-            self.machines.values().filter(|x| x.standing != Standing::Gone).map(|x| &x.addr).collect();
+            self.machines.values().filter(|x| x.standing != InventoryState::Gone).map(|x| &x.addr).collect();
         let first = (now.0 / 1_000_000) as usize * n;
         (0..n.min(known.len())).map(|i| known[(first + i) % known.len()].clone()).collect()
     }
 
     /// Takes a report and says what to answer. `capacity` gives a type's room.
-    pub fn report(&mut self, now: Micros, m: &Membership, r: &Report) -> Verdict {
+    pub fn report(&mut self, now: Micros, m: &Membership, r: &Heartbeat) -> Verdict {
         if r.token > m.epoch {
             return Verdict::Deposed;
         }
@@ -399,7 +402,7 @@
         });
         // A delayed report tells nothing new, and its sender has given up on the answer. One of a session that is over
         // proves neither that the machine lives nor what is on it, though its number be the highest seen.
-        if (r.session, r.seq) <= x.last || r.session <= x.ended || x.standing == Standing::Gone {
+        if (r.session, r.seq) <= x.last || r.session <= x.ended || x.standing == InventoryState::Gone {
             return Verdict::Stale;
         }
         x.shows(now, r.token, m.epoch);
@@ -410,8 +413,8 @@
         x.notice_at = r.notice_s.map(|s| now + Micros::from_secs(s));
         // Only a report that shows our token proves that no older controller's answer can still
         // be executed, hence that the list is complete.
-        if r.token == m.epoch && x.standing == Standing::Unconfirmed {
-            x.standing = Standing::Known;
+        if r.token == m.epoch && x.standing == InventoryState::Unconfirmed {
+            x.standing = InventoryState::Known;
             changed = true;
         }
         let early = self.early.get(&r.machine);
@@ -426,7 +429,7 @@
             let e = x.entries.entry(key.clone()).or_insert_with(|| {
                 changed = true;
                 let w = early.and_then(|e| e.get(&key));
-                let mut standpoint = Standpoint::new(m.job_owner(&key.job), next);
+                let mut standpoint = OwnerBasis::new(m.job_owner(&key.job), next);
                 if w.is_some() {
                     standpoint.named();
                 }
@@ -440,20 +443,19 @@
                     standpoint,
                 }
             });
-            if e.phase == Phase::InDoubt {
+            if e.phase == TaskPhase::InDoubt {
                 x.answers_lost = 0;
             }
             changed |= e.phase != phase;
             e.phase = phase;
             listed.insert(key);
         }
-        if x.standing == Standing::Known {
+        if x.standing == InventoryState::Known {
             self.early.remove(&r.machine);
         }
-        if x.entries
-            .iter()
-            .any(|(k, e)| e.phase == Phase::InDoubt && e.sent_to < (r.session, r.seq) && !listed.contains(k))
-        {
+        if x.entries.iter().any(|(k, e)| {
+            e.phase == TaskPhase::InDoubt && e.sent_to < (r.session, r.seq) && !listed.contains(k)
+        }) {
             x.lost_answer(now, self.patience);
         }
         // What is not listed and was out is not there: the worker keeps one report in flight, so
@@ -462,13 +464,15 @@
         x.entries.retain(|k, e| {
             !e.on_machine()
                 || listed.contains(k)
-                || (e.phase == Phase::InDoubt && e.sent_to >= (r.session, r.seq))
+                || (e.phase == TaskPhase::InDoubt && e.sent_to >= (r.session, r.seq))
         });
         changed |= before != x.entries.len();
         let present: BTreeSet<u64> = x
             .entries
             .values()
-            .filter(|e| e.image != 0 && matches!(e.phase, Phase::Running | Phase::Waiting | Phase::Saving))
+            .filter(|e| {
+                e.image != 0 && matches!(e.phase, TaskPhase::Running | TaskPhase::Waiting | TaskPhase::Saving)
+            })
             .map(|e| e.image)
             .collect();
         for image in present {
@@ -494,35 +498,39 @@
         m: &Membership,
         name: &str,
         may_go: impl Fn(&TaskKey) -> bool,
-    ) -> Option<Orders> {
+    ) -> Option<HeartbeatResponse> {
         let x = self.machines.get_mut(name)?;
         let mut commands = Vec::new();
         for (k, e) in &x.entries {
             match (e.phase, e.want) {
-                (Phase::Exited(_), Some(Want::Forget)) => {
+                (TaskPhase::Exited(_), Some(DesiredAction::Forget)) => {
                     commands.push(Command::new("forget", k, None));
                 }
-                (Phase::Fetching | Phase::Waiting | Phase::Running | Phase::Saving, Some(Want::Stop(g))) => {
+                (
+                    TaskPhase::Fetching | TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Saving,
+                    Some(DesiredAction::Stop(g)),
+                ) => {
                     commands.push(Command::new("kill", k, Some(g)));
                 }
                 _ => {}
             }
         }
         commands.truncate(COMMANDS_AN_ANSWER);
-        if x.standing == Standing::Known && x.record == Record::Yes {
+        if x.standing == InventoryState::Known && x.record == Record::Yes {
             let mut room = STARTS_AN_ANSWER;
             let last = x.last;
             for (k, e) in &mut x.entries {
-                if room > 0 && e.phase == Phase::Queued && e.want == Some(Want::Run) && may_go(k) {
+                if room > 0 && e.phase == TaskPhase::Queued && e.want == Some(DesiredAction::Run) && may_go(k)
+                {
                     room -= 1;
                     // No news for the owners: queued and in doubt are the same to them.
-                    e.phase = Phase::InDoubt;
+                    e.phase = TaskPhase::InDoubt;
                     e.sent_to = last;
                     commands.push(Command::new("run", k, None));
                 }
             }
         }
-        Some(Orders { token: m.epoch, commands })
+        Some(HeartbeatResponse { token: m.epoch, commands })
     }
 
     /// Whether the answer to this machine's report should wait a little: it has room, there is
@@ -532,18 +540,18 @@
         &self,
         now: Micros,
         name: &str,
-        capacity: impl Fn(&str) -> Option<Room>,
+        capacity: impl Fn(&str) -> Option<Resources>,
         may_go: impl Fn(&TaskKey) -> bool,
     ) -> bool {
         self.machines.get(name).is_some_and(|x| {
-            x.standing == Standing::Known
+            x.standing == InventoryState::Known
                 && x.record == Record::Yes
                 && x.open(now, self.patience)
                 && capacity(&x.kind).and_then(|t| x.free(t)).is_some_and(|f| f.cpus > 0 && f.memory > 0)
                 && !x.entries.iter().any(|(k, e)| match e.want {
-                    Some(Want::Run) => e.phase == Phase::Queued && may_go(k),
-                    Some(Want::Stop(_)) => e.alive(),
-                    Some(Want::Forget) => !e.alive(),
+                    Some(DesiredAction::Run) => e.phase == TaskPhase::Queued && may_go(k),
+                    Some(DesiredAction::Stop(_)) => e.alive(),
+                    Some(DesiredAction::Forget) => !e.alive(),
                     _ => false,
                 })
         })
@@ -555,9 +563,9 @@
         &mut self,
         now: Micros,
         from: usize,
-        w: &Wishes,
+        w: &DesiredState,
         m: &Membership,
-        capacity: impl Fn(&str) -> Option<Room>,
+        capacity: impl Fn(&str) -> Option<Resources>,
     ) -> bool {
         if self.revs.get(from).is_none_or(|&r| w.rev <= r || w.since > r) {
             return false;
@@ -598,7 +606,7 @@
     }
 
     /// A whole state came: what it doesn't name is wanted no more.
-    fn forget_unlisted(&mut self, from: usize, list: &[Wanted], m: &Membership) {
+    fn forget_unlisted(&mut self, from: usize, list: &[DesiredTask], m: &Membership) {
         let listed: BTreeSet<(&str, &TaskKey)> = list.iter().map(|w| (w.machine.as_str(), &w.key)).collect();
         for (name, x) in &mut self.machines {
             let before = x.entries.len();
@@ -634,7 +642,13 @@
         }
     }
 
-    fn want(&mut self, now: Micros, from: usize, w: &Wanted, capacity: impl Fn(&str) -> Option<Room>) {
+    fn want(
+        &mut self,
+        now: Micros,
+        from: usize,
+        w: &DesiredTask,
+        capacity: impl Fn(&str) -> Option<Resources>,
+    ) {
         if let Some(x) = self.machines.get_mut(&w.machine)
             && let Some(e) = x.entries.get_mut(&w.key)
         {
@@ -642,19 +656,19 @@
             e.room = Some(w.room);
             e.priority = w.priority;
             e.image = w.image;
-            if e.phase == Phase::Held && w.want == Want::Run {
-                e.phase = Phase::Queued;
+            if e.phase == TaskPhase::Held && w.want == DesiredAction::Run {
+                e.phase = TaskPhase::Queued;
             }
             e.want = Some(w.want);
             // A held or queued start that is to be stopped never goes out.
-            if !e.on_machine() && !matches!(w.want, Want::Hold | Want::Run) {
+            if !e.on_machine() && !matches!(w.want, DesiredAction::Hold | DesiredAction::Run) {
                 x.entries.remove(&w.key);
             }
             self.changes.touch(&w.machine, &mut x.version);
             return;
         }
-        if !matches!(w.want, Want::Hold | Want::Run) {
-            if self.machines.get(&w.machine).is_none_or(|x| x.standing == Standing::Unconfirmed) {
+        if !matches!(w.want, DesiredAction::Hold | DesiredAction::Run) {
+            if self.machines.get(&w.machine).is_none_or(|x| x.standing == InventoryState::Unconfirmed) {
                 self.early.entry(w.machine.clone()).or_default().insert(w.key.clone(), w.clone());
             }
             return;
@@ -667,7 +681,7 @@
         // elsewhere, while a repeat of this very wish is still on its way.
         self.decided.insert(w.key.clone(), from);
         let Some(x) = self.machines.get_mut(&w.machine) else { return };
-        if x.standing != Standing::Known {
+        if x.standing != InventoryState::Known {
             return;
         }
         let Some(total) = capacity(&x.kind) else { return };
@@ -675,8 +689,8 @@
         let twin = x.entries.iter().any(|(k, e)| k.job == w.key.job && k.index == w.key.index && e.alive());
         let fits = x.free(total).is_some_and(|f| f.holds(w.room));
         if x.open(now, self.patience) && fits && !twin {
-            let phase = if w.want == Want::Run { Phase::Queued } else { Phase::Held };
-            let mut standpoint = Standpoint::new(Some(from), self.changes.seq + 1);
+            let phase = if w.want == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
+            let mut standpoint = OwnerBasis::new(Some(from), self.changes.seq + 1);
             standpoint.named();
             let entry = Entry {
                 room: Some(w.room),
@@ -715,9 +729,9 @@
             self.returned.pop_first();
         }
         if let Some(x) = self.machines.get_mut(name)
-            && x.standing != Standing::Gone
+            && x.standing != InventoryState::Gone
         {
-            x.standing = Standing::Gone;
+            x.standing = InventoryState::Gone;
             x.entries.clear();
             self.changes.touch(name, &mut x.version);
         }
@@ -727,7 +741,7 @@
     pub fn to_record(&mut self) -> Vec<(String, MachineRecord)> {
         let mut out = Vec::new();
         for (name, x) in &mut self.machines {
-            if x.record == Record::No && x.reported && x.standing != Standing::Gone {
+            if x.record == Record::No && x.reported && x.standing != InventoryState::Gone {
                 x.record = Record::Asked;
                 let r = MachineRecord {
                     kind: x.kind.clone(),
@@ -749,7 +763,7 @@
     }
     /// Whether a machine of ours is gone for good; None if it isn't ours or not known.
     pub fn is_gone(&self, name: &str) -> Option<bool> {
-        self.machines.get(name).map(|x| x.standing == Standing::Gone)
+        self.machines.get(name).map(|x| x.standing == InventoryState::Gone)
     }
 
     /// Drops machines that are gone, once every controller in `acked` (the changes that each holds)
@@ -758,7 +772,7 @@
         let least = acked.iter().copied().min().unwrap_or(0);
         let by_seq = &mut self.changes.by_seq;
         self.machines.retain(|_, x| {
-            let drop = x.standing == Standing::Gone && x.version <= least;
+            let drop = x.standing == InventoryState::Gone && x.version <= least;
             if drop {
                 by_seq.remove(&x.version);
             }
@@ -801,8 +815,8 @@
         m: &Membership,
         to: usize,
         acked: u64,
-        capacity: impl Fn(&str) -> Option<Room>,
-    ) -> Digest {
+        capacity: impl Fn(&str) -> Option<Resources>,
+    ) -> MachineStatusDelta {
         let since = if acked > m.epoch << 32 && acked <= self.changes.seq { acked } else { 0 };
         let machines = self
             .changes
@@ -812,13 +826,13 @@
             .map(|(name, x)| {
                 let total = capacity(&x.kind).unwrap_or_default();
                 let free = x.free(total);
-                MachineDigest {
+                MachineStatus {
                     name: name.clone(),
                     kind: x.kind.clone(),
                     zone: x.zone.clone(),
                     spot: x.spot,
                     standing: x.standing,
-                    open: x.open(now, self.patience) && x.standing == Standing::Known && free.is_some(),
+                    open: x.open(now, self.patience) && x.standing == InventoryState::Known && free.is_some(),
                     notice: x.notice_at.map(|t| t.since(now)),
                     free: free.unwrap_or_default(),
                     total,
@@ -831,18 +845,18 @@
                         .entries
                         .iter()
                         .filter(|(k, _)| m.job_owner(&k.job) == Some(to))
-                        .map(|(k, e)| Actual { key: k.clone(), phase: e.phase })
+                        .map(|(k, e)| ObservedTask { key: k.clone(), phase: e.phase })
                         .collect(),
                 }
             })
             .collect();
         let rev_seen = self.revs.get(to).copied().unwrap_or(0);
-        Digest { seq: self.changes.seq, since, rev_seen, machines }
+        MachineStatusDelta { seq: self.changes.seq, since, rev_seen, machines }
     }
 
     /// How many machines are known, and how many there are.
     pub fn counts(&self) -> (usize, usize) {
-        let known = self.machines.values().filter(|x| x.standing == Standing::Known).count();
+        let known = self.machines.values().filter(|x| x.standing == InventoryState::Known).count();
         (known, self.machines.len())
     }
 }
@@ -854,7 +868,7 @@
             zone,
             spot,
             addr,
-            standing: Standing::Unconfirmed,
+            standing: InventoryState::Unconfirmed,
             record: Record::No,
             last: (0, 0),
             heard_at: now,
@@ -877,7 +891,7 @@
         }
     }
     /// Free room; None while some task's needs are unknown.
-    fn free(&self, total: Room) -> Option<Room> {
+    fn free(&self, total: Resources) -> Option<Resources> {
         let mut free = total;
         for e in self.entries.values().filter(|e| e.alive()) {
             free = free - e.room?;
@@ -885,9 +899,11 @@
         Some(free)
     }
     /// Room taken by tasks of each priority that are not being stopped.
-    fn by_priority(&self) -> Vec<(u8, Room)> {
-        let mut sums: BTreeMap<u8, Room> = BTreeMap::new();
-        for e in self.entries.values().filter(|e| e.alive() && !matches!(e.want, Some(Want::Stop(_)))) {
+    fn by_priority(&self) -> Vec<(u8, Resources)> {
+        let mut sums: BTreeMap<u8, Resources> = BTreeMap::new();
+        for e in
+            self.entries.values().filter(|e| e.alive() && !matches!(e.want, Some(DesiredAction::Stop(_))))
+        {
             let sum = sums.entry(e.priority).or_default();
             *sum = *sum + e.room.unwrap_or_default();
         }
--- a/src/machine_shard/agent_lease.rs
+++ b/src/machine_shard/agent_lease.rs
@@ -15,7 +15,7 @@
 /// A worker drops what comes later than this after it sent its report.
 pub(crate) const ANSWER: Micros = Micros::from_millis(4000);
 
-impl Home {
+impl MachineShard {
     /// This process did not get to run for so long. Machines may have spoken meanwhile, so their
     /// silence is counted without that time.
     pub fn paused(&mut self, now: Micros, pause: Micros) {
@@ -43,22 +43,22 @@
             // controller can have answered it since. One that never confirmed may have been
             // answered under an older token until those fell silent.
             let last_answer = match x.standing {
-                Standing::Known => x.heard_at,
-                Standing::Unconfirmed => x.last_answer(self.older_silent),
-                Standing::Gone => continue,
+                InventoryState::Known => x.heard_at,
+                InventoryState::Unconfirmed => x.last_answer(self.older_silent),
+                InventoryState::Gone => continue,
             };
             let ended = now >= last_answer + lease;
             if ended {
                 // Whatever still comes of this session was sent before its end.
                 x.ended = x.ended.max(x.last.0);
             }
-            let unheard = x.standing == Standing::Unconfirmed;
+            let unheard = x.standing == InventoryState::Unconfirmed;
             let deaf = unheard && !ended && x.hears_nobody(x.answered.unwrap_or(self.older_silent) + lease);
             if (ended && (unheard || x.entries.values().any(Entry::on_machine))) || deaf {
                 let reason = if deaf { "it hears nobody" } else { "lease ran out" };
                 tracing::info!(machine = %name, epoch = m.epoch, tasks = x.entries.len(), reason, "machine's tasks are gone");
                 x.entries.clear();
-                x.standing = Standing::Known;
+                x.standing = InventoryState::Known;
                 self.changes.touch(name, &mut x.version);
             }
             let idle = x.entries.is_empty();
--- a/src/machine_shard/fencing_probe.rs
+++ b/src/machine_shard/fencing_probe.rs
@@ -13,7 +13,7 @@
 
 /// A machine that is to be told the token, and to report.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Greeting {
+pub struct FencingProbe {
     /// The machine.
     pub machine: String,
     /// Where it takes direct commands.
@@ -22,11 +22,11 @@
     pub session: u64,
 }
 
-impl Home {
+impl MachineShard {
     /// Up to `most` of our machines that may hold tasks that we don't know of, to be asked now.
-    pub fn to_greet(&mut self, now: Micros, most: usize) -> Vec<Greeting> {
+    pub fn to_greet(&mut self, now: Micros, most: usize) -> Vec<FencingProbe> {
         let due = |x: &&mut Machine| {
-            x.standing == Standing::Unconfirmed
+            x.standing == InventoryState::Unconfirmed
                 && !x.addr.is_empty()
                 && x.greeted.0 < TRIES
                 && now >= x.greeted.1 + Micros(PAUSE.0 * u64::from(x.greeted.0))
@@ -41,18 +41,18 @@
             }
             x.greeted = (x.greeted.0 + 1, now);
             // Nearly all machines are in their first session; one that is not says so.
-            out.push(Greeting { machine: name.clone(), addr: x.addr.clone(), session: x.last.0.max(1) });
+            out.push(FencingProbe { machine: name.clone(), addr: x.addr.clone(), session: x.last.0.max(1) });
         }
         out
     }
 
     /// A machine has answered. Only an answer that shows our token says anything, and only of a machine on which nothing
     /// was started in this epoch: what goes out with answers to reports is settled by reports.
-    pub fn greeted(&mut self, now: Micros, m: &Membership, r: &Report) -> Verdict {
+    pub fn greeted(&mut self, now: Micros, m: &Membership, r: &Heartbeat) -> Verdict {
         if r.token > m.epoch {
             return Verdict::Deposed;
         }
-        let waits = |x: &Machine| x.standing == Standing::Unconfirmed;
+        let waits = |x: &Machine| x.standing == InventoryState::Unconfirmed;
         if r.token < m.epoch
             || m.home(&r.machine) != Some(m.me)
             || !self.machines.get(&r.machine).is_some_and(waits)
--- a/src/machine_shard/handoff.rs
+++ b/src/machine_shard/handoff.rs
@@ -5,23 +5,23 @@
 //! only in answers. Each that it ever sent is listed, in doubt if need be, with the report that it answered.
 
 use super::*;
-use crate::peer::{HandedMachine, HandedTask};
+use crate::peer::{MachineHandoff, TaskHandoff};
 
-impl Home {
+impl MachineShard {
     /// The machines that have another home in `next`, the epoch that directly follows, by that home. To be called
     /// before that epoch is adopted, and only by who does not command any more.
-    pub fn hand_over(&self, now: Micros, next: &Membership) -> BTreeMap<usize, Vec<HandedMachine>> {
-        let mut out: BTreeMap<usize, Vec<HandedMachine>> = BTreeMap::new();
+    pub fn hand_over(&self, now: Micros, next: &Membership) -> BTreeMap<usize, Vec<MachineHandoff>> {
+        let mut out: BTreeMap<usize, Vec<MachineHandoff>> = BTreeMap::new();
         for (name, x) in &self.machines {
             let Some(to) = next.home(name).filter(|&h| h != next.me) else { continue };
-            let known = x.standing == Standing::Known;
+            let known = x.standing == InventoryState::Known;
             let last_answer = if known { x.heard_at } else { x.last_answer(self.older_silent) };
             // Of one whose end is not yet certain there is nothing to say that the new home does not know.
-            if x.standing == Standing::Gone || (!known && last_answer > now) {
+            if x.standing == InventoryState::Gone || (!known && last_answer > now) {
                 continue;
             }
             let tasks = x.entries.iter().filter(|(_, e)| known && e.on_machine());
-            out.entry(to).or_default().push(HandedMachine {
+            out.entry(to).or_default().push(MachineHandoff {
                 name: name.clone(),
                 kind: x.kind.clone(),
                 zone: x.zone.clone(),
@@ -35,7 +35,7 @@
                 idle: x.idle_since.map(|t| now.since(t)),
                 images: x.images.clone(),
                 tasks: tasks
-                    .map(|(k, e)| HandedTask {
+                    .map(|(k, e)| TaskHandoff {
                         key: k.clone(),
                         room: e.room,
                         priority: e.priority,
@@ -52,14 +52,14 @@
 
     /// Takes a machine from its home of the epoch directly before. Does nothing to one whose tasks are known already,
     /// or that is another's: the parcel came late, or twice. Returns whether its tasks are known now that were not.
-    pub fn handed(&mut self, now: Micros, m: &Membership, h: HandedMachine) -> bool {
+    pub fn handed(&mut self, now: Micros, m: &Membership, h: MachineHandoff) -> bool {
         if m.home(&h.name) != Some(m.me) || self.returned.contains(&h.name) {
             return false;
         }
         let epoch = self.epoch;
         let new = || Machine::new(now, epoch, h.kind.clone(), h.zone.clone(), h.spot, h.addr.clone());
         let x = self.machines.entry(h.name.clone()).or_insert_with(new);
-        if x.standing != Standing::Unconfirmed {
+        if x.standing != InventoryState::Unconfirmed {
             return false;
         }
         if h.on_record {
@@ -92,7 +92,7 @@
                 phase: t.phase,
                 want: t.want,
                 sent_to: t.sent_to,
-                standpoint: Standpoint::new(m.job_owner(&t.key.job), next),
+                standpoint: OwnerBasis::new(m.job_owner(&t.key.job), next),
             };
             match x.entries.get_mut(&t.key) {
                 Some(e) if e.room.is_none() => *e = Entry { phase: e.phase, ..handed },
@@ -109,7 +109,7 @@
                 (e.room, e.priority, e.image, e.want) = (Some(w.room), w.priority, w.image, Some(w.want));
             }
         }
-        x.standing = Standing::Known;
+        x.standing = InventoryState::Known;
         x.was_open = x.open(now, self.patience);
         self.changes.touch(&h.name, &mut x.version);
         true
--- a/src/machine_shard/owner_liveness.rs
+++ b/src/machine_shard/owner_liveness.rs
@@ -14,13 +14,13 @@
 //! The way to do without the state service is part of it: nothing here asks for it.
 
 use super::{Entry, Machine};
-use crate::peer::{Phase, Want};
+use crate::peer::{DesiredAction, TaskPhase};
 use crate::settings::Settings;
 use crate::units::Micros;
 
 /// What an owner's latest message of this epoch said.
 #[derive(Clone, Copy, Debug, Default)]
-struct Said {
+struct OwnerStatement {
     /// The reading of our clock that it had heard.
     echo: Micros,
     /// The state of our machines that it takes account of.
@@ -29,16 +29,16 @@
 
 /// What a home knows of the owners' messages.
 #[derive(Debug)]
-pub(super) struct Reach {
+pub(super) struct OwnerLiveness {
     limit: Micros,
-    said: Vec<Said>,
+    said: Vec<OwnerStatement>,
     /// Somebody has said something since this was last asked.
     news: bool,
 }
 
 /// What is known about the owner of one task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Standpoint {
+pub(super) struct OwnerBasis {
     /// The owner in this epoch, if anybody is.
     owner: Option<usize>,
     /// The change of our machines from which on the owner, if it has that state, knows of the task.
@@ -49,10 +49,10 @@
     before: Micros,
 }
 
-impl Standpoint {
+impl OwnerBasis {
     /// A task that the owner doesn't know to be there before it holds the state numbered `listed`.
-    pub(super) fn new(owner: Option<usize>, listed: u64) -> Standpoint {
-        Standpoint { owner, listed, named: false, before: Micros(0) }
+    pub(super) fn new(owner: Option<usize>, listed: u64) -> OwnerBasis {
+        OwnerBasis { owner, listed, named: false, before: Micros(0) }
     }
     /// The owner has spoken of this very task.
     pub(super) fn named(&mut self) {
@@ -65,25 +65,25 @@
     }
     /// A new epoch: the owner may be another, which knows of it from the state numbered `listed` on. What was known
     /// before stays true.
-    pub(super) fn adopt(&mut self, reach: &Reach, owner: Option<usize>, listed: u64) {
-        *self = Standpoint { owner, listed, named: false, before: reach.before(self) };
+    pub(super) fn adopt(&mut self, reach: &OwnerLiveness, owner: Option<usize>, listed: u64) {
+        *self = OwnerBasis { owner, listed, named: false, before: reach.before(self) };
     }
 }
 
-impl Reach {
-    pub(super) fn new(s: &Settings) -> Reach {
-        Reach { limit: s.reach, said: vec![Said::default(); s.members.len()], news: false }
+impl OwnerLiveness {
+    pub(super) fn new(s: &Settings) -> OwnerLiveness {
+        OwnerLiveness { limit: s.reach, said: vec![OwnerStatement::default(); s.members.len()], news: false }
     }
 
     /// A new epoch: nobody has said anything in it. To be called after the tasks' standpoints were carried over.
     pub(super) fn adopt(&mut self) {
-        self.said.fill(Said::default());
+        self.said.fill(OwnerStatement::default());
     }
 
     /// An owner's message of this epoch was taken, and none that it builds on is missing.
     pub(super) fn said(&mut self, owner: usize, echo: Micros, seen: u64) {
         if let Some(s) = self.said.get_mut(owner) {
-            *s = Said { echo: s.echo.max(echo), seen: s.seen.max(seen) };
+            *s = OwnerStatement { echo: s.echo.max(echo), seen: s.seen.max(seen) };
             self.news = true;
         }
     }
@@ -93,7 +93,7 @@
         std::mem::take(&mut self.news)
     }
 
-    fn before(&self, p: &Standpoint) -> Micros {
+    fn before(&self, p: &OwnerBasis) -> Micros {
         let said = p.owner.and_then(|o| self.said.get(o)).copied().unwrap_or_default();
         // A message of an owner that doesn't know of the task says nothing about it by being silent.
         if p.named || said.seen >= p.listed { p.before.max(said.echo) } else { p.before }
@@ -102,9 +102,12 @@
     /// Whether the worker may be answered with 200 although this task is there.
     fn covers(&self, now: Micros, e: &Entry) -> bool {
         match (e.phase, e.want) {
-            (Phase::Exited(_) | Phase::Held, _) => true,
+            (TaskPhase::Exited(_) | TaskPhase::Held, _) => true,
             // The answer itself tells the worker to stop it.
-            (Phase::Fetching | Phase::Waiting | Phase::Running | Phase::Saving, Some(Want::Stop(_))) => true,
+            (
+                TaskPhase::Fetching | TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Saving,
+                Some(DesiredAction::Stop(_)),
+            ) => true,
             _ => {
                 let before = self.before(&e.standpoint);
                 before > Micros(0) && now < before + self.limit
--- a/src/machine_shard/owner_liveness/tests.rs
+++ b/src/machine_shard/owner_liveness/tests.rs
@@ -1,14 +1,14 @@
 use super::super::tests::{ROOM, report, want};
-use super::super::{Home, Verdict};
+use super::super::{MachineShard, Verdict};
 use crate::membership::{EpochRecord, Membership};
-use crate::peer::{TaskKey, Want, Wanted, Wishes};
+use crate::peer::{DesiredAction, DesiredState, DesiredTask, TaskKey};
 use crate::settings::Settings;
 use crate::units::Micros;
 
 /// One home (c0) beside two other controllers; a task of each.
 struct Town {
     m: Membership,
-    home: Home,
+    home: MachineShard,
     limit: Micros,
     /// Each owner's latest message.
     revs: [u64; 3],
@@ -37,7 +37,7 @@
         let s = Settings::parse("test", &text).expect("valid");
         let mut m = Membership::new(&s, 1);
         m.adopt(at(1000), &record(7, &[0, 1, 2]), 1);
-        Town { m, home: Home::new(&s), limit: s.reach, revs: [0; 3], seq: 0 }
+        Town { m, home: MachineShard::new(&s), limit: s.reach, revs: [0; 3], seq: 0 }
     }
 
     /// A machine of ours. It stays so while others come and go.
@@ -58,14 +58,14 @@
     }
 
     /// An owner's message that names `list`, sent when it had heard `echo` of our clock and our state of now.
-    fn hears(&mut self, now: Micros, owner: usize, echo: Micros, list: Vec<Wanted>) {
+    fn hears(&mut self, now: Micros, owner: usize, echo: Micros, list: Vec<DesiredTask>) {
         self.hears_state(now, owner, echo, list, self.home.seq());
     }
 
-    fn hears_state(&mut self, now: Micros, owner: usize, echo: Micros, list: Vec<Wanted>, seen: u64) {
+    fn hears_state(&mut self, now: Micros, owner: usize, echo: Micros, list: Vec<DesiredTask>, seen: u64) {
         let since = self.revs[owner];
         self.revs[owner] += 1;
-        let w = Wishes { rev: since + 1, since, list, dropped: Vec::new() };
+        let w = DesiredState { rev: since + 1, since, list, dropped: Vec::new() };
         let m = self.m.clone();
         assert!(self.home.wanted(now, owner, &w, &m, |_| Some(ROOM)), "nothing is missing");
         self.home.said(owner, echo, seen);
@@ -127,7 +127,8 @@
     let job = t.job(1);
     t.report(at(2000), &machine, &[(&format!("{job}/0"), 1, "running")]);
     let key = TaskKey { job, index: 0, attempt: 1 };
-    let stop = Wanted { key, machine: machine.clone(), want: Want::Stop(Micros(0)), ..want(1, 1000) };
+    let stop =
+        DesiredTask { key, machine: machine.clone(), want: DesiredAction::Stop(Micros(0)), ..want(1, 1000) };
     t.hears(at(3000), 1, at(2900), vec![stop]);
     assert!(t.home.in_reach(at(900_000), &machine));
     let m = t.m.clone();
@@ -179,7 +180,7 @@
     t.report(at(2000), &machine, &[]);
     t.home.on_record(&machine);
     let key = TaskKey { job: t.job(1), index: 0, attempt: 1 };
-    t.hears(at(3000), 1, at(2900), vec![Wanted { key, machine: machine.clone(), ..want(1, 1000) }]);
+    t.hears(at(3000), 1, at(2900), vec![DesiredTask { key, machine: machine.clone(), ..want(1, 1000) }]);
     assert!(t.home.in_reach(at(3000), &machine) && !t.home.in_reach(at(2900) + t.limit, &machine));
     let m = t.m.clone();
     assert_eq!(t.home.orders(&m, &machine, |_| true).map(|o| o.commands.len()), Some(1));
--- a/src/machine_shard/tests.rs
+++ b/src/machine_shard/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use crate::membership::EpochRecord;
 
-pub(super) const ROOM: Room = Room { cpus: 4000, gpus: 0, memory: 8000 };
+pub(super) const ROOM: Resources = Resources { cpus: 4000, gpus: 0, memory: 8000 };
 
-pub(super) fn setup() -> (Membership, Home) {
+pub(super) fn setup() -> (Membership, MachineShard) {
     let text = "member = \"c0\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n[outside]\ncloud = \"10.0.0.9:1\"\n\
         state = \"10.0.0.9:2\"\n[settings.workers]\nreport_s = 3.0\nlease_s = 18.0\ngang_wait_s = 30.0\n\
         gang_peer_s = 6.0\ncancel_s = 43.0\n[settings.state]\nrps = 100.0\nwrite_rps = 15.0\nvalue_kb = 4.0\n\
@@ -13,12 +13,12 @@
     let s = Settings::parse("test", text).expect("valid");
     let mut m = Membership::new(&s, 1);
     m.adopt(Micros(1), &EpochRecord { epoch: 7, members: vec![("c0".into(), 1)] }, 1);
-    (m, Home::new(&s))
+    (m, MachineShard::new(&s))
 }
-pub(super) fn report(seq: u64, token: u64, tasks: &[(&str, u64, &str)]) -> Report {
+pub(super) fn report(seq: u64, token: u64, tasks: &[(&str, u64, &str)]) -> Heartbeat {
     let tasks = tasks
         .iter()
-        .map(|(task, attempt, state)| ReportedTask {
+        .map(|(task, attempt, state)| HeartbeatTask {
             task: (*task).into(),
             attempt: *attempt,
             state: (*state).into(),
@@ -26,7 +26,7 @@
             saved: None,
         })
         .collect();
-    Report {
+    Heartbeat {
         machine: "i-1".into(),
         addr: String::new(),
         kind: "k".into(),
@@ -39,24 +39,24 @@
         tasks,
     }
 }
-pub(super) fn want(attempt: u64, cpus: i64) -> Wanted {
-    Wanted {
+pub(super) fn want(attempt: u64, cpus: i64) -> DesiredTask {
+    DesiredTask {
         key: TaskKey { job: "wk-1".into(), index: 0, attempt },
         machine: "i-1".into(),
-        room: Room { cpus, gpus: 0, memory: 0 },
-        want: Want::Run,
+        room: Resources { cpus, gpus: 0, memory: 0 },
+        want: DesiredAction::Run,
         priority: 0,
         image: 0,
     }
 }
-pub(super) fn whole(rev: u64, list: Vec<Wanted>) -> Wishes {
-    Wishes { rev, since: 0, list, dropped: Vec::new() }
+pub(super) fn whole(rev: u64, list: Vec<DesiredTask>) -> DesiredState {
+    DesiredState { rev, since: 0, list, dropped: Vec::new() }
 }
-pub(super) fn starts(home: &mut Home, m: &Membership) -> usize {
+pub(super) fn starts(home: &mut MachineShard, m: &Membership) -> usize {
     let orders = home.orders(m, "i-1", |_| true).expect("known");
     orders.commands.iter().filter(|c| c.op == "run").count()
 }
-pub(super) fn ready() -> (Membership, Home) {
+pub(super) fn ready() -> (Membership, MachineShard) {
     let (m, mut home) = setup();
     assert_eq!(home.report(Micros(10), &m, &report(1, 7, &[])), Verdict::Taken);
     home.on_record("i-1");
@@ -114,9 +114,9 @@
             let r = MachineRecord { kind: "k".into(), zone: "z".into(), spot: false, addr: String::new() };
             home.recorded(Micros(9), "i-1", r);
         }
-        let stop = Wanted { want: Want::Stop(Micros(0)), ..want(1, 3000) };
-        let keep = Wanted {
-            want: Want::Keep,
+        let stop = DesiredTask { want: DesiredAction::Stop(Micros(0)), ..want(1, 3000) };
+        let keep = DesiredTask {
+            want: DesiredAction::Keep,
             key: TaskKey { job: "wk-1".into(), index: 1, attempt: 1 },
             ..want(1, 500)
         };
@@ -140,10 +140,10 @@
     // The owner asks for it no more: what is out can't be called back by silence.
     home.wanted(Micros(12), 0, &whole(2, vec![]), &m, |_| Some(ROOM));
     let d = home.digest(Micros(13), &m, 0, 0, |_| Some(ROOM)).machines.remove(0);
-    assert_eq!((d.free.cpus, d.tasks[0].phase), (1000, Phase::InDoubt));
+    assert_eq!((d.free.cpus, d.tasks[0].phase), (1000, TaskPhase::InDoubt));
     home.report(Micros(20), &m, &report(2, 7, &[("wk-1/0", 1, "pulling")]));
     let d = home.digest(Micros(21), &m, 0, 0, |_| Some(ROOM)).machines.remove(0);
-    assert_eq!((d.free.cpus, d.tasks[0].phase), (1000, Phase::Fetching));
+    assert_eq!((d.free.cpus, d.tasks[0].phase), (1000, TaskPhase::Fetching));
 }
 
 #[test]
@@ -181,7 +181,7 @@
         assert_eq!(home.report(later, &m, &report(6, 7, tasks)), Verdict::Stale);
         let d = home.digest(later, &m, 0, 0, |_| Some(ROOM)).machines.remove(0);
         assert!(!d.open && d.tasks.is_empty() && home.live(later) == 0, "{d:?}");
-        assert_eq!(home.report(later, &m, &Report { session: 2, ..report(1, 7, &[]) }), Verdict::Taken);
+        assert_eq!(home.report(later, &m, &Heartbeat { session: 2, ..report(1, 7, &[]) }), Verdict::Taken);
         assert_eq!(home.live(later), 1);
     }
 }
@@ -190,7 +190,7 @@
 #[test]
 fn a_machine_that_loses_answers_in_a_row_is_given_nothing_for_a_while() {
     let (m, mut home) = ready();
-    let open = |home: &mut Home, at: u64| {
+    let open = |home: &mut MachineShard, at: u64| {
         home.tick(Micros(at), &m);
         home.digest(Micros(at), &m, 0, 0, |_| Some(ROOM)).machines.remove(0).open
     };
@@ -206,7 +206,7 @@
 }
 
 /// A home of epoch 7 that knows a machine by its name on record.
-fn taken_over() -> (Membership, Home) {
+fn taken_over() -> (Membership, MachineShard) {
     let (m, mut home) = setup();
     home.adopt(Micros(1), &m, false, |_| None);
     let r = MachineRecord { kind: "k".into(), zone: "z".into(), spot: false, addr: String::new() };
@@ -214,7 +214,7 @@
     (m, home)
 }
 
-fn standing(home: &mut Home, m: &Membership, s: f64) -> Standing {
+fn standing(home: &mut MachineShard, m: &Membership, s: f64) -> InventoryState {
     home.tick(Micros::from_secs(s), m);
     home.digest(Micros::from_secs(s), m, 0, 0, |_| Some(ROOM)).machines[0].standing
 }
@@ -226,11 +226,15 @@
     let (m, mut home) = taken_over();
     let running = [("wk-1/0", 1, "running")];
     home.report(Micros::from_secs(24.9), &m, &report(1, 6, &running));
-    assert_eq!(standing(&mut home, &m, 25.5), Standing::Unconfirmed);
+    assert_eq!(standing(&mut home, &m, 25.5), InventoryState::Unconfirmed);
     home.report(Micros::from_secs(28.0), &m, &report(2, 6, &running));
-    assert_eq!(standing(&mut home, &m, 40.0), Standing::Unconfirmed);
+    assert_eq!(standing(&mut home, &m, 40.0), InventoryState::Unconfirmed);
     home.report(Micros::from_secs(41.0), &m, &report(3, 6, &running));
-    assert_eq!(standing(&mut home, &m, 41.5), Standing::Known, "sent after all that others began was over");
+    assert_eq!(
+        standing(&mut home, &m, 41.5),
+        InventoryState::Known,
+        "sent after all that others began was over"
+    );
     assert!(home.digest(Micros::from_secs(41.5), &m, 0, 0, |_| Some(ROOM)).machines[0].tasks.is_empty());
 }
 
@@ -243,6 +247,6 @@
     m.adopt(Micros::from_secs(21.0), &EpochRecord { epoch: 8, members: vec![("c0".into(), 1)] }, 2);
     home.adopt(Micros::from_secs(21.0), &m, true, |_| Some(0));
     home.report(Micros::from_secs(33.0), &m, &report(2, 7, &running));
-    assert_eq!(standing(&mut home, &m, 33.5), Standing::Unconfirmed);
+    assert_eq!(standing(&mut home, &m, 33.5), InventoryState::Unconfirmed);
     assert_eq!(home.digest(Micros::from_secs(33.5), &m, 0, 0, |_| Some(ROOM)).machines[0].tasks.len(), 1);
 }
--- a/src/machine_view.rs
+++ b/src/machine_view.rs
@@ -1,13 +1,13 @@
 //! What an owner sees of the machines of all homes: their digests put together.
 
-use crate::peer::{Digest, MachineDigest};
+use crate::peer::{MachineStatus, MachineStatusDelta};
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine as its home last described it, with the spans turned into points of our own clock.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    digest: MachineDigest,
+pub struct MachineSnapshot {
+    digest: MachineStatus,
     /// When the cloud takes it away.
     pub notice_at: Option<Micros>,
     /// Since when it has been without a task.
@@ -16,18 +16,18 @@
     pub silent_since: Option<Micros>,
 }
 
-impl std::ops::Deref for Seen {
-    type Target = MachineDigest;
-    fn deref(&self) -> &MachineDigest {
+impl std::ops::Deref for MachineSnapshot {
+    type Target = MachineStatus;
+    fn deref(&self) -> &MachineStatus {
         &self.digest
     }
 }
 
-impl Seen {
+impl MachineSnapshot {
     /// A machine as described just now.
-    pub fn new(now: Micros, d: MachineDigest) -> Seen {
+    pub fn new(now: Micros, d: MachineStatus) -> MachineSnapshot {
         let ago = |t: Micros| Micros(now.0.saturating_sub(t.0));
-        Seen {
+        MachineSnapshot {
             notice_at: d.notice.map(|t| now + t),
             idle_since: d.idle.map(ago),
             silent_since: d.silent.map(ago),
@@ -46,11 +46,11 @@
 
 /// What is known of one home's machines in one epoch.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct MachineView {
     epoch: u64,
     seq: u64,
     rev_seen: u64,
-    machines: BTreeMap<String, Seen>,
+    machines: BTreeMap<String, MachineSnapshot>,
     /// Machines on which starts were asked for, by the message that did: once the home has seen
     /// that message, what it does not name is an answer too.
     awaiting: BTreeMap<u64, Vec<String>>,
@@ -58,14 +58,14 @@
 
 /// What a digest brought.
 #[derive(Debug, PartialEq)]
-pub struct News {
+pub struct StatusChange {
     /// Machines to look at.
     pub names: BTreeSet<String>,
     /// The whole state came: machines that it does not name are gone.
     pub whole: bool,
 }
 
-impl View {
+impl MachineView {
     /// The home's state that is held, 0 if none of this epoch.
     pub fn seq(&self, epoch: u64) -> u64 {
         if self.epoch == epoch { self.seq } else { 0 }
@@ -75,7 +75,7 @@
         if self.epoch == epoch { self.rev_seen } else { 0 }
     }
     /// The machines, if the home has spoken in this epoch.
-    pub fn machines(&self, epoch: u64) -> Option<&BTreeMap<String, Seen>> {
+    pub fn machines(&self, epoch: u64) -> Option<&BTreeMap<String, MachineSnapshot>> {
         (self.epoch == epoch).then_some(&self.machines)
     }
     /// A message that asks for starts on these machines goes out.
@@ -91,7 +91,7 @@
 
     /// Takes a digest; None if it is older than what is held, or builds on something that is not.
     /// Nothing need be done about that: the sender hears what is held, and builds on it next time.
-    pub fn take(&mut self, now: Micros, epoch: u64, d: Digest) -> Option<News> {
+    pub fn take(&mut self, now: Micros, epoch: u64, d: MachineStatusDelta) -> Option<StatusChange> {
         let first = self.epoch != epoch;
         if (first && d.since != 0) || (!first && (d.seq < self.seq || d.since > self.seq)) {
             return None;
@@ -112,28 +112,28 @@
         self.rev_seen = self.rev_seen.max(d.rev_seen);
         for m in d.machines {
             names.insert(m.name.clone());
-            self.machines.insert(m.name.clone(), Seen::new(now, m));
+            self.machines.insert(m.name.clone(), MachineSnapshot::new(now, m));
         }
         while let Some(e) = self.awaiting.first_entry()
             && *e.key() <= self.rev_seen
         {
             names.extend(e.remove());
         }
-        Some(News { names, whole: d.since == 0 })
+        Some(StatusChange { names, whole: d.since == 0 })
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::machine_shard::{Home, Report, ReportedTask};
+    use crate::machine_shard::{Heartbeat, HeartbeatTask, MachineShard};
     use crate::membership::{EpochRecord, Membership};
-    use crate::peer::{TaskKey, Want, Wanted, Wishes};
+    use crate::peer::{DesiredAction, DesiredState, DesiredTask, TaskKey};
     use crate::settings::Settings;
-    use crate::units::Room;
+    use crate::units::Resources;
     use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-    fn parts() -> (Membership, Home) {
+    fn parts() -> (Membership, MachineShard) {
         let text = "member = \"c0\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n[outside]\ncloud = \"10.0.0.9:1\"\n\
             state = \"10.0.0.9:2\"\n[settings.workers]\nreport_s = 3.0\nlease_s = 18.0\ngang_wait_s = 30.0\n\
             gang_peer_s = 6.0\ncancel_s = 43.0\n[settings.state]\nrps = 100.0\nwrite_rps = 15.0\nvalue_kb = 4.0\n\
@@ -141,15 +141,15 @@
         let s = Settings::parse("test", text).expect("valid");
         let mut m = Membership::new(&s, 1);
         m.adopt(Micros(1), &EpochRecord { epoch: 7, members: vec![("c0".into(), 1)] }, 1);
-        let mut home = Home::new(&s);
+        let mut home = MachineShard::new(&s);
         home.adopt(Micros(1), &m, false, |_| None);
         (m, home)
     }
 
-    fn report(machine: usize, seq: u64, tasks: &BTreeSet<(u32, u64)>) -> Report {
+    fn report(machine: usize, seq: u64, tasks: &BTreeSet<(u32, u64)>) -> Heartbeat {
         let tasks = tasks
             .iter()
-            .map(|&(index, attempt)| ReportedTask {
+            .map(|&(index, attempt)| HeartbeatTask {
                 task: format!("wk-1/{index}"),
                 attempt,
                 state: "running".into(),
@@ -157,7 +157,7 @@
                 saved: None,
             })
             .collect();
-        Report {
+        Heartbeat {
             machine: format!("i-{machine}"),
             addr: String::new(),
             kind: "k".into(),
@@ -178,11 +178,11 @@
         for seed in 0..60 {
             let mut rng = StdRng::seed_from_u64(seed);
             let (m, mut home) = parts();
-            let room = |_: &str| Some(Room { cpus: 64_000, gpus: 0, memory: 64_000 });
-            let mut view = View::default();
+            let room = |_: &str| Some(Resources { cpus: 64_000, gpus: 0, memory: 64_000 });
+            let mut view = MachineView::default();
             let mut now = Micros(1_000_000);
-            let mut digests: Vec<Digest> = Vec::new();
-            let mut wishes: Vec<Wishes> = Vec::new();
+            let mut digests: Vec<MachineStatusDelta> = Vec::new();
+            let mut wishes: Vec<DesiredState> = Vec::new();
             // The owner's side, reduced to its bare rule: all that changed since the last answer.
             let mut wanted: BTreeMap<(String, TaskKey), u64> = BTreeMap::new();
             let mut gone: BTreeMap<(String, TaskKey), u64> = BTreeMap::new();
@@ -214,18 +214,18 @@
                         let list = wanted
                             .iter()
                             .filter(|(_, r)| **r > since)
-                            .map(|((machine, key), _)| Wanted {
+                            .map(|((machine, key), _)| DesiredTask {
                                 key: key.clone(),
                                 machine: machine.clone(),
-                                room: Room { cpus: 1000, gpus: 0, memory: 0 },
-                                want: Want::Hold,
+                                room: Resources { cpus: 1000, gpus: 0, memory: 0 },
+                                want: DesiredAction::Hold,
                                 priority: 0,
                                 image: 0,
                             })
                             .collect();
                         let dropped =
                             gone.iter().filter(|(_, r)| **r > since).map(|(k, _)| k.clone()).collect();
-                        wishes.push(Wishes { rev, since, list, dropped });
+                        wishes.push(DesiredState { rev, since, list, dropped });
                     }
                     5 => digests.push(home.digest(now, &m, 0, view.seq(7), room)),
                     _ => home.tick(now, &m),
@@ -249,7 +249,7 @@
             for w in whole.machines {
                 let s = &seen[&w.name];
                 // Spans count from when each was sent.
-                let plain = |d: &MachineDigest| MachineDigest { idle: None, silent: None, ..d.clone() };
+                let plain = |d: &MachineStatus| MachineStatus { idle: None, silent: None, ..d.clone() };
                 assert_eq!(plain(s), plain(&w), "seed {seed}");
                 assert_eq!((s.idle.is_some(), s.silent.is_some()), (w.idle.is_some(), w.silent.is_some()));
                 for t in w.tasks.iter().filter(|t| t.key.index == 50) {
@@ -266,13 +266,13 @@
     #[test]
     fn machines_of_an_older_epoch_are_no_news_of_the_new_one() {
         let (m, mut home) = parts();
-        let room = |_: &str| Some(Room { cpus: 4000, gpus: 0, memory: 8000 });
+        let room = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
         home.report(Micros(10), &m, &report(1, 1, &BTreeSet::new()));
         home.report(Micros(10), &m, &report(2, 1, &BTreeSet::new()));
-        let mut view = View::default();
+        let mut view = MachineView::default();
         let all = home.digest(Micros(20), &m, 0, 0, room);
         view.take(Micros(30), 7, all.clone());
-        let mut moved = Digest { seq: (8 << 32) + 1, ..all };
+        let mut moved = MachineStatusDelta { seq: (8 << 32) + 1, ..all };
         moved.machines.truncate(1);
         let news = view.take(Micros(40), 8, moved).expect("a new epoch");
         assert_eq!(news.names, BTreeSet::from(["i-1".to_owned()]));
@@ -285,8 +285,8 @@
         for i in 0..300 {
             home.report(Micros(10), &m, &report(i, 1, &BTreeSet::new()));
         }
-        let room = |_: &str| Some(Room { cpus: 4000, gpus: 0, memory: 8000 });
-        let mut view = View::default();
+        let room = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
+        let mut view = MachineView::default();
         let first = home.digest(Micros(20), &m, 0, 0, room);
         assert_eq!(first.machines.len(), 300);
         view.take(Micros(30), 7, first);
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,7 +6,7 @@
 use hazelsaddle::{
     daemon,
     operators::Operators,
-    settings::{Budget, Settings},
+    settings::{CancellationBudget, Settings},
 };
 use hazelsaddle_logs::cli as logs_cli;
 use std::process::ExitCode;
@@ -138,7 +138,7 @@
                 Ok(s) => s,
                 Err(code) => return code,
             };
-            if let Err(e) = Budget::of(&settings).check() {
+            if let Err(e) = CancellationBudget::of(&settings).check() {
                 // What it does serve is worth more than a refusal to start.
                 tracing::error!(reason = %e, "cancellations can't be kept to on these settings");
             }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -21,7 +21,7 @@
 
 /// A newer epoch, as a member of it has told.
 #[derive(Clone)]
-struct Hearsay {
+struct AnnouncedEpoch {
     epoch: u64,
     members: Vec<usize>,
     ring: Ring,
@@ -55,7 +55,7 @@
     /// readings that it had heard when it said so.
     heard: Vec<(u64, Micros)>,
     /// A newer epoch, known from peers only. It says whom to ask; it gives no right to act.
-    hearsay: Option<Hearsay>,
+    hearsay: Option<AnnouncedEpoch>,
     /// The newest epoch for which this controller has given up its right to act under older ones.
     yielded: u64,
     /// Per controller: the epoch that its latest frame named, and when that came.
@@ -157,7 +157,7 @@
         if epoch > known {
             let members: Vec<usize> = members.iter().map(|&m| m as usize).collect();
             let ring = Ring::new(&self.names, &members);
-            self.hearsay = Some(Hearsay { epoch, members, ring, at: now });
+            self.hearsay = Some(AnnouncedEpoch { epoch, members, ring, at: now });
         }
         self.yield_to_newer(now);
     }
--- a/src/membership/step_down.rs
+++ b/src/membership/step_down.rs
@@ -40,13 +40,13 @@
 
 /// The machines of one other controller that turned up here.
 #[derive(Clone, Debug, Default)]
-pub struct Strays {
+pub struct MisroutedHeartbeats {
     /// How often each came, and the number of its latest report.
     visits: BTreeMap<String, (u32, (u64, u64))>,
     news: BTreeSet<String>,
 }
 
-impl Strays {
+impl MisroutedHeartbeats {
     /// A machine's worker came here and was sent on to its home. If its home has answered it in this
     /// epoch (`answered`) it should be there; otherwise it may not have known better the first time. A copy of an older
     /// report is no visit: `number` says which of its messages this one is.
@@ -67,7 +67,7 @@
 }
 
 /// What speaks for leaving and for coming back.
-pub struct Aside {
+pub struct StepDown {
     report: Micros,
     member_lease: Micros,
     /// How soon a cancelled job's tasks must be gone. Their owner may be cut from their home, so half of
@@ -89,10 +89,10 @@
     next_probe: Micros,
 }
 
-impl Aside {
+impl StepDown {
     /// On the ring, as far as this is concerned.
-    pub fn new(s: &Settings) -> Aside {
-        Aside {
+    pub fn new(s: &Settings) -> StepDown {
+        StepDown {
             report: s.report,
             member_lease: s.member_lease,
             cancel: s.cancel,
--- a/src/membership/step_down/tests.rs
+++ b/src/membership/step_down/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-fn aside() -> Aside {
+fn aside() -> StepDown {
     let text = "member = \"c1\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n\
         [[seeds]]\nmember = \"c0\"\naddr = \"10.0.0.2:2\"\n[[seeds]]\nmember = \"c2\"\naddr = \"10.0.0.3:2\"\n\
         [outside]\ncloud = \"10.0.0.9:1\"\nstate = \"10.0.0.9:2\"\n[settings.workers]\nreport_s = 3.0\n\
         lease_s = 18.0\ngang_wait_s = 30.0\ngang_peer_s = 6.0\ncancel_s = 43.0\n[settings.state]\nrps = 100.0\n\
         write_rps = 15.0\nvalue_kb = 4.0\ntxn_ops = 8\n[settings.cloud]\nrps = 5.0\nlist_lag_s = 8.0\n";
-    let mut a = Aside::new(&Settings::parse("test", text).expect("valid"));
+    let mut a = StepDown::new(&Settings::parse("test", text).expect("valid"));
     a.epoch(at(1000));
     a.worker(at(2000), "i-1");
     for p in [0, 2] {
@@ -22,7 +22,7 @@
 fn names(n: usize) -> impl Iterator<Item = String> {
     (0..n).map(|i| format!("i-{i}"))
 }
-fn echo(a: &mut Aside, ms: u64) {
+fn echo(a: &mut StepDown, ms: u64) {
     a.echo(0, at(ms));
     a.echo(2, at(ms));
 }
@@ -89,7 +89,7 @@
 /// A copy of a report that came by here long ago says nothing of where the machine is now.
 #[test]
 fn a_copy_of_an_old_report_is_no_visit() {
-    let mut s = Strays::default();
+    let mut s = MisroutedHeartbeats::default();
     s.visit("i-1", (1, 5), false);
     s.visit("i-1", (1, 5), false);
     s.visit("i-1", (1, 4), true);
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -2,7 +2,7 @@
 //! `rkyv` archive that is validated on arrival. A message holds all that changed since the state the
 //! receiver last said it has, so a lost, repeated or overtaken one costs a delay and nothing else.
 
-use crate::units::{Micros, Room};
+use crate::units::{Micros, Resources};
 use hazelsaddle_cluster::transport::{self, Framed};
 pub use hazelsaddle_cluster::transport::{dial, enqueue, listen};
 use rkyv::{Archive, Deserialize, Serialize};
@@ -21,7 +21,7 @@
 
 /// What an owner wants of a start that it has placed.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum DesiredAction {
     /// Keep room for it, don't start it yet (gangs).
     Hold,
     /// Start it.
@@ -36,15 +36,15 @@
 
 /// A start that an owner has placed on a machine of the receiving home.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Wanted {
+pub struct DesiredTask {
     /// Which start.
     pub key: TaskKey,
     /// On which machine.
     pub machine: String,
     /// What it takes.
-    pub room: Room,
+    pub room: Resources,
     /// What is wanted.
-    pub want: Want,
+    pub want: DesiredAction,
     /// Priority of the job, higher first.
     pub priority: u8,
     /// Hash of the image's name.
@@ -53,7 +53,7 @@
 
 /// Where a start stands, as its home sees it.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum TaskPhase {
     /// Room is kept.
     Held,
     /// Accepted; the command goes out with the next answer to the machine.
@@ -69,19 +69,19 @@
     /// Saving.
     Saving,
     /// Ended.
-    Exited(Exit),
+    Exited(TaskExit),
 }
 
-impl Phase {
+impl TaskPhase {
     /// Whether the worker is known to have had the command.
     pub fn arrived(self) -> bool {
-        !matches!(self, Phase::Held | Phase::Queued | Phase::InDoubt)
+        !matches!(self, TaskPhase::Held | TaskPhase::Queued | TaskPhase::InDoubt)
     }
 }
 
 /// How a task ended.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Exit {
+pub enum TaskExit {
     /// Completed.
     Done,
     /// Stopped by command; whether it saved.
@@ -102,16 +102,16 @@
 
 /// A start on a machine of the sending home.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Actual {
+pub struct ObservedTask {
     /// Which start.
     pub key: TaskKey,
     /// Where it stands.
-    pub phase: Phase,
+    pub phase: TaskPhase,
 }
 
 /// What is known of a machine's tasks.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum InventoryState {
     /// It may hold tasks that its home doesn't know of.
     Unconfirmed,
     /// Its tasks are exactly those listed.
@@ -122,7 +122,7 @@
 
 /// A machine in a home's digest, with those of its tasks that the receiver owns.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct MachineDigest {
+pub struct MachineStatus {
     /// The machine.
     pub name: String,
     /// Its type.
@@ -132,17 +132,17 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// What is known of its tasks.
-    pub standing: Standing,
+    pub standing: InventoryState,
     /// Whether it takes new tasks.
     pub open: bool,
     /// Time until the cloud takes it away, if that was announced; as of sending, like all spans here.
     pub notice: Option<Micros>,
     /// Free room.
-    pub free: Room,
+    pub free: Resources,
     /// All its room.
-    pub total: Room,
+    pub total: Resources,
     /// Room taken by tasks of each priority that aren't being stopped.
-    pub by_priority: Vec<(u8, Room)>,
+    pub by_priority: Vec<(u8, Resources)>,
     /// Images that it is likely to have, by the hashes of their names.
     pub images: Vec<u64>,
     /// How many tasks of any owner are on it or accepted for it.
@@ -152,14 +152,14 @@
     /// How long it has been silent, if it missed reports.
     pub silent: Option<Micros>,
     /// The receiver's tasks on it.
-    pub tasks: Vec<Actual>,
+    pub tasks: Vec<ObservedTask>,
 }
 
 /// Tasks of one shape that an owner can't place for want of machines.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Demand {
     /// What one takes.
-    pub room: Room,
+    pub room: Resources,
     /// Allowed machine types; empty: any.
     pub kinds: Vec<String>,
     /// The only allowed zone.
@@ -188,27 +188,27 @@
     /// Priority of the work.
     pub priority: u8,
     /// Room it needs there.
-    pub need: Room,
+    pub need: Resources,
     /// Whether tasks of lower priority are to be stopped for it.
     pub evict: bool,
 }
 
 /// Owner to home: what the sender wants on the receiver's machines.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
-pub struct Wishes {
+pub struct DesiredState {
     /// Grows with every such message.
     pub rev: u64,
     /// The receiver's state on which the change builds; 0: this is the whole state.
     pub since: u64,
     /// The starts that are new or changed.
-    pub list: Vec<Wanted>,
+    pub list: Vec<DesiredTask>,
     /// The starts no longer wanted, by machine.
     pub dropped: Vec<(String, TaskKey)>,
 }
 
 /// Home to owner: the sender's machines.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
-pub struct Digest {
+pub struct MachineStatusDelta {
     /// Grows with every change of a machine.
     pub seq: u64,
     /// The receiver's state on which the change builds; 0: this is the whole state.
@@ -216,22 +216,22 @@
     /// The receiver's latest `rev` that this state takes account of.
     pub rev_seen: u64,
     /// The machines that changed.
-    pub machines: Vec<MachineDigest>,
+    pub machines: Vec<MachineStatus>,
 }
 
-/// The body of a frame. What the first version reads, up to `Beat`, must keep its layout: it runs beside
+/// The body of a frame. What the first version reads, up to `KeepAlive`, must keep its layout: it runs beside
 /// this one during an upgrade. New kinds come behind, none larger than the largest of the first form, or all
 /// would change. `tests/compat.rs` compares with what the first version wrote.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub enum Message {
     /// Between owners and homes, in both directions.
-    State(Wishes, Digest),
+    State(DesiredState, MachineStatusDelta),
     /// Owner to decider: what can't be placed, and shapes of jobs seen of late (count 0).
     Demands(Vec<Demand>),
     /// Owner to owners: machines kept for its waiting work.
     Reserve(Vec<Reservation>),
     /// Decider to home: machines to take no new tasks for, and machines the cloud has taken.
-    Fleet {
+    ScalingPlan {
         /// Machines about to be returned.
         drain: Vec<String>,
         /// Machines whose return the cloud has confirmed.
@@ -242,49 +242,49 @@
         kept_machines: Vec<(String, u8)>,
     },
     /// A user's request passed to the owner.
-    Ask {
+    ForwardRequest {
         /// The sender's number for it.
         id: u64,
         /// The request.
         request: UserRequest,
     },
     /// The owner's answer to it.
-    Answer {
+    ForwardResponse {
         /// The number it was asked under.
         id: u64,
         /// The answer.
         reply: Reply,
     },
     /// To a home: machines of its that turned up at the sender and were sent on.
-    Strays(Vec<String>),
+    MisroutedHeartbeats(Vec<String>),
     /// Only what every frame says: epoch and clocks.
-    Beat,
+    KeepAlive,
     /// From form 2 on: to the owner of jobs that the sender's waiting jobs need, how urgent those are.
     /// Sent only to processes that read form 2: the others would drop the link.
-    Needed(Vec<(String, u8)>),
+    InheritedPriorities(Vec<(String, u8)>),
     /// From form 3 on: what the sender knew of jobs and machines that are the receiver's in this epoch and were the
     /// sender's in the one directly before it.
-    HandOver {
+    Handoff {
         /// The sender's number for it.
         number: u64,
         /// What it holds.
-        parcel: Parcel,
+        parcel: HandoffBatch,
     },
     /// From form 3 on: the sender has these parcels of the receiver's.
-    Taken(Vec<u64>),
+    HandoffAck(Vec<u64>),
     /// From form 3 on, to a witness: what the sender alone decides and alone carries out.
-    Vouch {
+    ReplicateStarts {
         /// Grows with every such message.
         rev: u64,
         /// The receiver's state on which the change builds; 0: this is the whole state.
         since: u64,
         /// Items that are new.
-        added: Vec<Vouched>,
+        added: Vec<ReplicatedItem>,
         /// Items that are no more.
-        dropped: Vec<Vouched>,
+        dropped: Vec<ReplicatedItem>,
     },
     /// From form 3 on: the sender holds what that message of the receiver's said.
-    Noted(u64),
+    StartsReplicated(u64),
     /// From form 4 on, where operators have switched loans on: what the sender's jobs could lend, and what they lack.
     Lending(Lending),
 }
@@ -295,7 +295,7 @@
     /// Jobs some of whose room could be had.
     pub jobs: Vec<Lendable>,
     /// By team: room that its work within its guarantee lacks, and for how long it has.
-    pub lacks: Vec<(String, Room, Micros)>,
+    pub lacks: Vec<(String, Resources, Micros)>,
 }
 
 /// A job some of whose room could be had.
@@ -310,7 +310,7 @@
     /// Whether it is a gang, which is stopped whole.
     pub gang: bool,
     /// What each task takes.
-    pub room: Room,
+    pub room: Resources,
     /// Its tasks.
     pub tasks: Vec<LendableTask>,
 }
@@ -333,7 +333,7 @@
 /// What would be lost with a controller that owns a job and is the home of the machine that runs it.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[rkyv(derive(Debug))]
-pub enum Vouched {
+pub enum ReplicatedItem {
     /// Every start of this job that may be alive on the sender's own machines is among the items.
     Job(String),
     /// A start that may be on a machine.
@@ -349,7 +349,7 @@
 
 /// What a controller that was a member of the epoch before heard of another that is there no more.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Testimony {
+pub struct ReplicatedStarts {
     /// The one that is there no more.
     pub of: u32,
     /// The last epoch of which it was a member.
@@ -363,42 +363,42 @@
     /// The epoch from which on the sender has taken up every one, and in each of which starts had to be witnessed.
     pub since: u64,
     /// What was heard of jobs that are the receiver's now.
-    pub items: Vec<Vouched>,
+    pub items: Vec<ReplicatedItem>,
     /// Jobs that the sender accepted in that last epoch in its place: nobody can have started them before.
     pub fresh: Vec<String>,
 }
 
 /// Jobs and machines handed over. The sender commands none of them any more.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
-pub struct Parcel {
+pub struct HandoffBatch {
     /// Jobs, for their new owner.
-    pub jobs: Vec<HandedJob>,
+    pub jobs: Vec<JobHandoff>,
     /// Sets of machines that may hold tasks of handed jobs unknown to the sender.
     pub doubts: Vec<Vec<String>>,
     /// Machines, for their new home.
-    pub machines: Vec<HandedMachine>,
+    pub machines: Vec<MachineHandoff>,
     /// What others had vouched for.
-    pub testimony: Vec<Testimony>,
+    pub testimony: Vec<ReplicatedStarts>,
     /// Machines of the receiver's that the cloud has taken back for certain: pages of the roll name them on.
     pub gone: Vec<String>,
 }
 
 /// A job as its owner of the epoch before knew it.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct HandedJob {
+pub struct JobHandoff {
     /// The job.
     pub id: String,
     /// Its completed tasks, also those not yet on record, as ranges.
     pub done: String,
     /// Starts that may be on a machine.
-    pub starts: Vec<HandedStart>,
+    pub starts: Vec<StartHandoff>,
     /// Which of the parcel's sets of machines may hold other tasks of it; None: no machine does.
     pub doubt: Option<u32>,
 }
 
 /// A start that may be on a machine, or on its way there.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct HandedStart {
+pub struct StartHandoff {
     /// The task's number.
     pub index: u32,
     /// Which start.
@@ -410,12 +410,12 @@
     /// Whether it is being stopped.
     pub stopping: bool,
     /// Where it stood, if its home had said.
-    pub phase: Option<Phase>,
+    pub phase: Option<TaskPhase>,
 }
 
 /// A machine as its home of the epoch before knew it.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct HandedMachine {
+pub struct MachineHandoff {
     /// The machine.
     pub name: String,
     /// Its type.
@@ -442,24 +442,24 @@
     /// Images that it is likely to have.
     pub images: Vec<u64>,
     /// Its tasks.
-    pub tasks: Vec<HandedTask>,
+    pub tasks: Vec<TaskHandoff>,
 }
 
 /// A task on a handed machine.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct HandedTask {
+pub struct TaskHandoff {
     /// Which start.
     pub key: TaskKey,
     /// What it takes, if its owner has said.
-    pub room: Option<Room>,
+    pub room: Option<Resources>,
     /// Priority of its job.
     pub priority: u8,
     /// Hash of its image's name.
     pub image: u64,
     /// Where it stands.
-    pub phase: Phase,
+    pub phase: TaskPhase,
     /// What its owner wants.
-    pub want: Option<Want>,
+    pub want: Option<DesiredAction>,
     /// Session and number of the report with whose answer the start went out.
     pub sent_to: (u64, u64),
 }
@@ -581,11 +581,12 @@
                 (State(w, d), State(old, from)) => {
                     self.epoch > older.epoch || (w.rev >= old.rev && d.seq >= from.seq)
                 }
-                (Vouch { rev, .. }, Vouch { rev: old, .. }) | (Noted(rev), Noted(old)) => {
-                    self.epoch > older.epoch || rev >= old
-                }
-                (Demands(_), Demands(_)) | (Reserve(_), Reserve(_)) | (Needed(_), Needed(_)) => true,
-                (Fleet { .. }, Fleet { .. }) | (_, Beat) => true,
+                (ReplicateStarts { rev, .. }, ReplicateStarts { rev: old, .. })
+                | (StartsReplicated(rev), StartsReplicated(old)) => self.epoch > older.epoch || rev >= old,
+                (Demands(_), Demands(_))
+                | (Reserve(_), Reserve(_))
+                | (InheritedPriorities(_), InheritedPriorities(_)) => true,
+                (ScalingPlan { .. }, ScalingPlan { .. }) | (_, KeepAlive) => true,
                 _ => false,
             }
     }
@@ -609,27 +610,27 @@
             echo_boot: 2,
             digest_seen: 3,
             body: Message::State(
-                Wishes::default(),
-                Digest {
+                DesiredState::default(),
+                MachineStatusDelta {
                     seq: 2,
                     since: 1,
                     rev_seen: 1,
-                    machines: vec![MachineDigest {
+                    machines: vec![MachineStatus {
                         name: "i-1".into(),
                         kind: "k".into(),
                         zone: "z".into(),
                         spot: true,
-                        standing: Standing::Known,
+                        standing: InventoryState::Known,
                         open: true,
                         notice: None,
-                        free: Room::need(1.0, 0.0, 2.0),
-                        total: Room::need(2.0, 0.0, 4.0),
-                        by_priority: vec![(1, Room::need(1.0, 0.0, 2.0))],
+                        free: Resources::need(1.0, 0.0, 2.0),
+                        total: Resources::need(2.0, 0.0, 4.0),
+                        by_priority: vec![(1, Resources::need(1.0, 0.0, 2.0))],
                         images: vec![7],
                         busy: 1,
                         idle: Some(Micros(0)),
                         silent: None,
-                        tasks: vec![Actual { key, phase: Phase::Exited(Exit::Stopped(true)) }],
+                        tasks: vec![ObservedTask { key, phase: TaskPhase::Exited(TaskExit::Stopped(true)) }],
                     }],
                 },
             ),
@@ -664,10 +665,10 @@
             body,
         };
         let state = |rev, seq| {
-            let digest = Digest { seq, ..Digest::default() };
-            Message::State(Wishes { rev, ..Wishes::default() }, digest)
+            let digest = MachineStatusDelta { seq, ..MachineStatusDelta::default() };
+            Message::State(DesiredState { rev, ..DesiredState::default() }, digest)
         };
-        let vouch = |rev| Message::Vouch { rev, since: 0, added: Vec::new(), dropped: Vec::new() };
+        let vouch = |rev| Message::ReplicateStarts { rev, since: 0, added: Vec::new(), dropped: Vec::new() };
         let old = frame(7, 1, state(5, 5));
         assert!(frame(7, 1, state(6, 5)).replaces(&old) && frame(8, 1, state(1, 1)).replaces(&old));
         assert!(!frame(7, 1, state(4, 6)).replaces(&old) && !frame(6, 1, state(9, 9)).replaces(&old));
@@ -675,11 +676,11 @@
         assert!(frame(7, 1, vouch(3)).replaces(&frame(7, 1, vouch(2))));
         assert!(!frame(7, 1, vouch(2)).replaces(&frame(7, 1, vouch(3))));
         let once = [
-            Message::HandOver { number: 1, parcel: Parcel::default() },
-            Message::Taken(vec![1]),
-            Message::Strays(vec!["i-1".into()]),
-            Message::Answer { id: 1, reply: Reply::later("x") },
-            Message::Ask { id: 1, request: UserRequest::Query("wk-1".into()) },
+            Message::Handoff { number: 1, parcel: HandoffBatch::default() },
+            Message::HandoffAck(vec![1]),
+            Message::MisroutedHeartbeats(vec!["i-1".into()]),
+            Message::ForwardResponse { id: 1, reply: Reply::later("x") },
+            Message::ForwardRequest { id: 1, request: UserRequest::Query("wk-1".into()) },
         ];
         for body in once {
             let again = frame(8, 1, body.clone());
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -8,29 +8,29 @@
 mod allocation_notes;
 pub mod tier;
 
-use self::tier::Footing;
+use self::tier::QuotaTier;
 use crate::settings::TeamSettings;
-use crate::units::{Micros, Room};
-use allocation_notes::{Note, Want};
+use crate::units::{Micros, Resources};
+use allocation_notes::{Note, RoomRequest};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
 /// A team's limit and who has claimed what of it.
 #[derive(Clone, Debug)]
 pub struct Team {
-    limit: Room,
+    limit: Resources,
     /// The guarantee.
-    pub guarantee: Room,
-    claims: BTreeMap<String, Room>,
+    pub guarantee: Resources,
+    claims: BTreeMap<String, Resources>,
     notes: BTreeMap<String, Note>,
     mark: u64,
     read: bool,
     busy: bool,
     /// The write under way: the version that it builds on, and what it leaves each job.
-    sent: Option<(u64, BTreeMap<String, Room>)>,
+    sent: Option<(u64, BTreeMap<String, Resources>)>,
     /// Writes that were sent on top of this version, got no answer and may yet be applied, and the least that they leave
     /// each job: until the version moves on, nothing may be started beyond that.
-    pending: Option<(u64, BTreeMap<String, Room>)>,
+    pending: Option<(u64, BTreeMap<String, Resources>)>,
     /// When the record may next be read to see whether others gave room back.
     next_read: Micros,
     next_write: Micros,
@@ -46,9 +46,9 @@
     /// The job.
     pub job: String,
     /// What one task takes.
-    pub one: Room,
+    pub one: Resources,
     /// What its tasks use now, in-doubt and exiting ones included.
-    pub in_use: Room,
+    pub in_use: Resources,
     /// Whether that is all: false while machines that may hold tasks of it have not been heard.
     pub settled: bool,
     /// How many more tasks could be started.
@@ -62,8 +62,8 @@
 }
 
 impl Need {
-    fn target(&self) -> Room {
-        Room { memory: 0, ..self.in_use + self.one.times(self.more) }
+    fn target(&self) -> Resources {
+        Resources { memory: 0, ..self.in_use + self.one.times(self.more) }
     }
     /// Its place among jobs that wait for the team's room.
     fn rank(&self) -> (std::cmp::Reverse<u8>, u64, &str) {
@@ -73,7 +73,7 @@
 
 /// A change of a team's record.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClaimWrite {
+pub struct AllocationWrite {
     /// The team.
     pub team: String,
     /// The record's version that it builds on.
@@ -81,12 +81,12 @@
     /// The new record.
     pub value: Value,
     /// The same, for when it is committed.
-    pub claims: BTreeMap<String, Room>,
+    pub claims: BTreeMap<String, Resources>,
     notes: BTreeMap<String, Note>,
 }
 
 /// The teams' records as last seen.
-pub struct Teams {
+pub struct QuotaLedger {
     teams: BTreeMap<String, Team>,
 }
 
@@ -104,22 +104,22 @@
 /// Most bytes by which one becomes longer when it grows.
 const DIGITS: usize = 8;
 
-fn record(claims: &BTreeMap<String, Room>, notes: &BTreeMap<String, Note>) -> Value {
+fn record(claims: &BTreeMap<String, Resources>, notes: &BTreeMap<String, Note>) -> Value {
     let note = |j: &str| notes.get(j).copied().unwrap_or_default();
-    let entry = |(j, c): (&String, &Room)| (j.clone(), note(j).entry(*c));
+    let entry = |(j, c): (&String, &Resources)| (j.clone(), note(j).entry(*c));
     let waits = notes.iter().filter(|(j, n)| n.want.is_some() && !claims.contains_key(*j));
-    let waits = waits.map(|(j, n)| (j.clone(), n.entry(Room::default())));
+    let waits = waits.map(|(j, n)| (j.clone(), n.entry(Resources::default())));
     Value::Object(claims.iter().map(entry).chain(waits).collect())
 }
 
 /// What is left of `a` without `b`; room that is not limited stays so.
-fn without(a: Room, b: Room) -> Room {
-    Room { memory: i64::MAX / 4, ..a - b }
+fn without(a: Resources, b: Resources) -> Resources {
+    Resources { memory: i64::MAX / 4, ..a - b }
 }
 
-fn team_room(cpus: f64, gpus: f64) -> Room {
+fn team_room(cpus: f64, gpus: f64) -> Resources {
     let part = |x: f64| if x > 0.0 { (x * 1000.0 + 1e-6) as i64 } else { i64::MAX / 4 };
-    Room { cpus: part(cpus), gpus: part(gpus), memory: i64::MAX / 4 }
+    Resources { cpus: part(cpus), gpus: part(gpus), memory: i64::MAX / 4 }
 }
 
 impl Team {
@@ -131,7 +131,7 @@
             // is seen when it is read.
             least.retain(|job, c| {
                 old.get(job).is_some_and(|o| {
-                    *c = Room { memory: 0, ..Room::min(*c, *o) };
+                    *c = Resources { memory: 0, ..Resources::min(*c, *o) };
                     true
                 })
             });
@@ -150,15 +150,15 @@
     }
 }
 
-impl Teams {
+impl QuotaLedger {
     /// Nothing read yet.
-    pub fn new(settings: &[TeamSettings]) -> Teams {
+    pub fn new(settings: &[TeamSettings]) -> QuotaLedger {
         let teams = settings
             .iter()
             .map(|t| {
                 let team = Team {
                     limit: team_room(t.cpus_max, t.gpus_max),
-                    guarantee: Room::need(t.cpus, t.gpus, 0.0),
+                    guarantee: Resources::need(t.cpus, t.gpus, 0.0),
                     claims: BTreeMap::new(),
                     notes: BTreeMap::new(),
                     mark: 0,
@@ -174,7 +174,7 @@
                 (t.name.clone(), team)
             })
             .collect();
-        Teams { teams }
+        QuotaLedger { teams }
     }
 
     /// Whether the team has a limit or a guarantee at all; without either nothing is claimed.
@@ -184,8 +184,8 @@
     }
     /// How a job stands to its team's guarantee, by the record: beside all that the team's earlier jobs have claimed.
     /// `need` is what it takes while it has no claim on record.
-    pub fn footing(&self, team: &str, job: &str, accepted: Micros, need: Room) -> Footing {
-        let Some(t) = self.teams.get(team) else { return Footing::Unpromised };
+    pub fn footing(&self, team: &str, job: &str, accepted: Micros, need: Resources) -> QuotaTier {
+        let Some(t) = self.teams.get(team) else { return QuotaTier::Unpromised };
         let room = t.claims.get(job).copied().unwrap_or(need);
         let at = |id: &String| t.notes.get(id).and_then(|n| n.accepted);
         let others = t.claims.iter().map(|(id, c)| (id.as_str(), at(id), *c));
@@ -196,35 +196,35 @@
         self.teams.get(team).is_some_and(|t| t.guarantee.cpus > 0 || t.guarantee.gpus > 0)
     }
     /// What the job may use.
-    pub fn claim(&self, team: &str, job: &str) -> Room {
+    pub fn claim(&self, team: &str, job: &str) -> Resources {
         if !self.limited(team) {
-            return Room { cpus: i64::MAX / 4, gpus: i64::MAX / 4, memory: i64::MAX / 4 };
+            return Resources { cpus: i64::MAX / 4, gpus: i64::MAX / 4, memory: i64::MAX / 4 };
         }
         let t = self.teams.get(team);
         let mut c = t.and_then(|t| t.claims.get(job)).copied().unwrap_or_default();
         let unsettled = t.into_iter().flat_map(|t| [&t.sent, &t.pending]).flatten();
         for (_, left) in unsettled {
-            c = Room { memory: 0, ..Room::min(c, left.get(job).copied().unwrap_or_default()) };
+            c = Resources { memory: 0, ..Resources::min(c, left.get(job).copied().unwrap_or_default()) };
         }
         c.memory = i64::MAX / 4;
         c
     }
     /// All teams' names, guarantees and claimed room.
-    pub fn list(&self) -> impl Iterator<Item = (&str, Room, Room)> {
+    pub fn list(&self) -> impl Iterator<Item = (&str, Resources, Resources)> {
         self.teams.iter().map(|(n, t)| {
-            let used = t.claims.values().fold(Room::default(), |a, &b| a + b);
+            let used = t.claims.values().fold(Resources::default(), |a, &b| a + b);
             (n.as_str(), t.guarantee, used)
         })
     }
     /// What one job has claimed on record.
-    pub fn claimed(&self, team: &str, job: &str) -> Room {
+    pub fn claimed(&self, team: &str, job: &str) -> Resources {
         self.teams.get(team).and_then(|t| t.claims.get(job)).copied().unwrap_or_default()
     }
     /// What all jobs of a team have claimed.
-    pub fn used(&self, team: &str) -> Room {
+    pub fn used(&self, team: &str) -> Resources {
         self.teams
             .get(team)
-            .map_or(Room::default(), |t| t.claims.values().fold(Room::default(), |a, &b| a + b))
+            .map_or(Resources::default(), |t| t.claims.values().fold(Resources::default(), |a, &b| a + b))
     }
     /// A new epoch: records must be read anew.
     pub fn unread(&mut self) {
@@ -256,7 +256,7 @@
             match (part(0), part(1)) {
                 (Some(cpus), Some(gpus)) => {
                     if cpus > 0 || gpus > 0 {
-                        t.claims.insert(job.clone(), Room { cpus, gpus, memory: 0 });
+                        t.claims.insert(job.clone(), Resources { cpus, gpus, memory: 0 });
                     }
                     t.notes.insert(job.clone(), Note::read(v));
                 }
@@ -276,7 +276,7 @@
         }
     }
     /// A write ended without effect (`certain`), or nobody knows how: the record is read again.
-    pub fn failed(&mut self, w: &ClaimWrite, certain: bool) {
+    pub fn failed(&mut self, w: &AllocationWrite, certain: bool) {
         self.reread(&w.team);
         let Some(t) = self.teams.get_mut(&w.team) else { return };
         if t.sent.as_ref().is_none_or(|(base, claims)| (*base, claims) != (w.mark, &w.claims)) {
@@ -291,7 +291,7 @@
         }
     }
     /// A write was committed.
-    pub fn committed(&mut self, w: ClaimWrite, mark: u64) {
+    pub fn committed(&mut self, w: AllocationWrite, mark: u64) {
         if let Some(t) = self.teams.get_mut(&w.team) {
             t.busy = false;
             if mark > t.mark {
@@ -319,11 +319,11 @@
                 })
             });
             let idle = needs.get(&name).is_some_and(|ns| {
-                ns.iter().any(|n| !n.in_use.holds(Room { memory: 0, ..self.claimed(&name, &n.job) }))
+                ns.iter().any(|n| !n.in_use.holds(Resources { memory: 0, ..self.claimed(&name, &n.job) }))
             });
             let Some(t) = self.teams.get_mut(&name) else { continue };
             // Whoever holds claims that it doesn't use hears of nothing that would make it read.
-            let used = t.claims.values().fold(Room::default(), |a, &b| a + b);
+            let used = t.claims.values().fold(Resources::default(), |a, &b| a + b);
             let crowded = used.cpus > t.limit.cpus / 4 * 3 || used.gpus > t.limit.gpus / 4 * 3;
             let asked = idle && crowded && now >= t.next_read + CROWDED;
             if !t.busy && now >= t.next_read && (!t.read || short || asked) {
@@ -346,13 +346,13 @@
         mine: impl Fn(&str) -> bool,
         released: impl Fn(&str) -> bool,
         value_bytes: usize,
-    ) -> Option<ClaimWrite> {
+    ) -> Option<AllocationWrite> {
         let t = self.teams.get(team)?;
         if !self.limited(team) || !t.read || t.busy {
             return None;
         }
         let mut claims = t.claims.clone();
-        let mut dropped = Room::default();
+        let mut dropped = Resources::default();
         let by_job: BTreeMap<&str, &Need> = needs.iter().map(|n| (n.job.as_str(), n)).collect();
         claims.retain(|job, c| {
             let keep = !mine(job) || by_job.contains_key(job.as_str()) || !released(job);
@@ -367,7 +367,8 @@
         for n in needs.iter().filter(|n| n.settled) {
             if let Some(c) = claims.get_mut(&n.job) {
                 let useful = n.in_use + n.one.times(n.more);
-                let less = Room { cpus: c.cpus.min(useful.cpus), gpus: c.gpus.min(useful.gpus), memory: 0 };
+                let less =
+                    Resources { cpus: c.cpus.min(useful.cpus), gpus: c.gpus.min(useful.gpus), memory: 0 };
                 dropped = dropped + (*c - less);
                 *c = less;
             }
@@ -380,18 +381,18 @@
             }
             claims.contains_key(job) || n.want.is_some()
         });
-        let used = claims.values().fold(Room::default(), |a, &b| a + b);
+        let used = claims.values().fold(Resources::default(), |a, &b| a + b);
         let mut free = without(t.limit, used);
         let mut grown = false;
         // Room that jobs of other owners wait for, first those that are to have it first.
         let mut others: Vec<_> = notes.iter().filter_map(|(j, n)| Some((n.rank(j)?, n.want?.room))).collect();
         others.retain(|(_, room)| t.limit.holds(*room));
         others.sort_unstable();
-        let others: Vec<(_, Room)> =
+        let others: Vec<(_, Resources)> =
             others.into_iter().map(|((p, at, j), r)| ((p, at, j.to_owned()), r)).collect();
         let before = |n: &Need| {
             let first = others.iter().filter(|((p, at, j), _)| (*p, *at, j.as_str()) < n.rank());
-            first.fold(Room::default(), |a, (_, r)| a + *r)
+            first.fold(Resources::default(), |a, (_, r)| a + *r)
         };
         let mut ours: Option<&Need> = None;
         // A record must fit into a value. Jobs beyond that wait until others are done; without a count
@@ -407,7 +408,7 @@
             if lacking.cpus <= 0 && lacking.gpus <= 0 {
                 continue;
             }
-            let lacking = Room { cpus: lacking.cpus.max(0), gpus: lacking.gpus.max(0), memory: 0 };
+            let lacking = Resources { cpus: lacking.cpus.max(0), gpus: lacking.gpus.max(0), memory: 0 };
             // Claims that less urgent jobs of ours don't use go to one that can't do with less.
             if n.whole && !free.holds(lacking) {
                 dropped = dropped + give_back(&mut claims, &mut free, &needs[i + 1..], lacking);
@@ -425,7 +426,7 @@
                 continue;
             } else {
                 let part = n.one.times(left.count_of(n.one).clamp(0, n.more));
-                Room { memory: 0, ..part }
+                Resources { memory: 0, ..part }
             };
             if add.cpus <= 0 && add.gpus <= 0 {
                 continue;
@@ -451,7 +452,7 @@
         }
         if let Some(n) = ours {
             let have = claims.get(&n.job).copied().unwrap_or_default();
-            let want = Want { room: n.target() - have, priority: n.priority };
+            let want = RoomRequest { room: n.target() - have, priority: n.priority };
             let note = Note { accepted: Some(tier::seconds(n.accepted)), want: Some(want) };
             notes.insert(n.job.clone(), note);
         }
@@ -485,11 +486,11 @@
         if value.to_string().len() > value_bytes {
             return None;
         }
-        Some(ClaimWrite { team: team.into(), mark: t.mark, value, claims, notes })
+        Some(AllocationWrite { team: team.into(), mark: t.mark, value, claims, notes })
     }
 
     /// Notes that a write goes out.
-    pub fn sent(&mut self, now: Micros, w: &ClaimWrite) {
+    pub fn sent(&mut self, now: Micros, w: &AllocationWrite) {
         if let Some(t) = self.teams.get_mut(&w.team) {
             t.busy = true;
             t.in_doubt();
@@ -510,8 +511,13 @@
 
 /// Takes back what `from`, the last first, have claimed and don't use, until there is room for `lacking`. Claims never
 /// shrink below what is in use. Returns how much.
-fn give_back(claims: &mut BTreeMap<String, Room>, free: &mut Room, from: &[Need], lacking: Room) -> Room {
-    let mut all = Room::default();
+fn give_back(
+    claims: &mut BTreeMap<String, Resources>,
+    free: &mut Resources,
+    from: &[Need],
+    lacking: Resources,
+) -> Resources {
+    let mut all = Resources::default();
     for n in from.iter().rev() {
         if free.holds(lacking) {
             break;
@@ -522,8 +528,8 @@
         }
         let Some(c) = claims.get_mut(&n.job) else { continue };
         // Of a gang's claim a part is of no use to it.
-        let keep = if n.whole { Room::default() } else { (*c - (lacking - *free)).min(*c) };
-        let less = Room { memory: 0, ..Room::min(*c, n.in_use.max(keep)) };
+        let keep = if n.whole { Resources::default() } else { (*c - (lacking - *free)).min(*c) };
+        let less = Resources { memory: 0, ..Resources::min(*c, n.in_use.max(keep)) };
         all = all + (*c - less);
         *free = *free + (*c - less);
         *c = less;
--- a/src/quota/allocation_notes.rs
+++ b/src/quota/allocation_notes.rs
@@ -5,14 +5,14 @@
 //! written again its place in the team's order is unknown (`guarantee::Footing::Unknown`), and nobody leaves room to
 //! what it waits for. Neither lets a team use more than its limit.
 
-use crate::units::Room;
+use crate::units::Resources;
 use serde_json::{Value, json};
 
 /// Room that a job needs at once and that its team has no claim left for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Want {
+pub struct RoomRequest {
     /// What it lacks.
-    pub room: Room,
+    pub room: Resources,
     /// The job's priority.
     pub priority: u8,
 }
@@ -23,12 +23,12 @@
     /// When it was accepted, in seconds.
     pub accepted: Option<u64>,
     /// What it waits for.
-    pub want: Option<Want>,
+    pub want: Option<RoomRequest>,
 }
 
 impl Note {
     /// A claim as it is written.
-    pub fn entry(self, claim: Room) -> Value {
+    pub fn entry(self, claim: Resources) -> Value {
         let at = self.accepted.unwrap_or(0);
         match (self.want, at) {
             (Some(w), _) => json!([claim.cpus, claim.gpus, at, w.room.cpus, w.room.gpus, w.priority]),
@@ -42,7 +42,7 @@
         let part = |i: usize| v.get(i).and_then(Value::as_i64).filter(|x| *x >= 0);
         let want = match (part(3), part(4), part(5).and_then(|p| u8::try_from(p).ok())) {
             (Some(cpus), Some(gpus), Some(priority)) => {
-                Some(Want { room: Room { cpus, gpus, memory: 0 }, priority })
+                Some(RoomRequest { room: Resources { cpus, gpus, memory: 0 }, priority })
             }
             _ => None,
         };
@@ -61,13 +61,13 @@
     use super::super::*;
     use serde_json::json;
 
-    /// Two owners of one team's jobs, and what the record says.
-    struct Two {
-        owners: [Teams; 2],
+    /// TeamDimensions owners of one team's jobs, and what the record says.
+    struct TeamDimensions {
+        owners: [QuotaLedger; 2],
         store: (Value, u64),
     }
 
-    impl Two {
+    impl TeamDimensions {
         fn round(&mut self, now: Micros, needs: [&[Need]; 2]) {
             for (o, needs) in needs.into_iter().enumerate() {
                 let t = &mut self.owners[o];
@@ -93,8 +93,10 @@
     #[test]
     fn a_gang_gets_its_teams_room_however_many_small_jobs_there_are() {
         for held_in_vain in [true, false] {
-            let mut two =
-                Two { owners: [Teams::new(&team(10.0)), Teams::new(&team(10.0))], store: (json!({}), 1) };
+            let mut two = TeamDimensions {
+                owners: [QuotaLedger::new(&team(10.0)), QuotaLedger::new(&team(10.0))],
+                store: (json!({}), 1),
+            };
             let (mut running, mut at) = (0, None);
             for s in 1..120u64 {
                 // The array of the second owner runs what it may, one task of it ends each second, and more come.
@@ -123,7 +125,7 @@
     #[test]
     fn room_is_not_given_back_while_tasks_may_run_that_nobody_knows_of() {
         for settled in [true, false] {
-            let mut t = Teams::new(&team(10.0));
+            let mut t = QuotaLedger::new(&team(10.0));
             t.take("t", Some((&json!({"a": [10_000, 0, 5], "b": [0, 0, 6, 8000, 0, 1]}), 4)));
             let array = Need { settled, priority: 0, ..need("a", 1, 9, false) };
             let late = Micros::from_millis(60_000);
@@ -141,21 +143,21 @@
     fn a_record_without_the_order_of_jobs_is_read_and_completed() {
         let mut s = team(10.0);
         s[0].cpus = 6.0;
-        let mut t = Teams::new(&s);
+        let mut t = QuotaLedger::new(&s);
         t.take("t", Some((&json!({"a": [5000, 0], "z": [3000, 0], "w": [0, 0]}), 4)));
-        let footing = |t: &Teams, job: &str| {
+        let footing = |t: &QuotaLedger, job: &str| {
             let at = if job == "a" { 5_000_000 } else { 7_000_000 };
-            t.footing("t", job, Micros(at), Room::default())
+            t.footing("t", job, Micros(at), Resources::default())
         };
-        assert_eq!(footing(&t, "a"), Footing::Unknown, "whether the other came first is not said");
+        assert_eq!(footing(&t, "a"), QuotaTier::Unknown, "whether the other came first is not said");
         let late = Micros::from_millis(60_000);
         let none = t.plan(late, "t", &[need("a", 5, 0, false)], |j| j == "a", |_| true, 4096);
         assert!(none.is_none(), "the order alone is not worth a write");
         let w = t.plan(late, "t", &[need("a", 5, 1, false)], |j| j == "a", |_| true, 4096).unwrap();
         assert_eq!(w.value, json!({"a": [6000, 0, 5], "z": [3000, 0]}));
         t.take("t", Some((&json!({"a": [3000, 0, 5], "z": [3000, 0, 7]}), 5)));
-        assert_eq!((footing(&t, "a"), footing(&t, "z")), (Footing::Within, Footing::Within));
+        assert_eq!((footing(&t, "a"), footing(&t, "z")), (QuotaTier::Within, QuotaTier::Within));
         t.take("t", Some((&json!({"a": [4000, 0, 5], "z": [3000, 0, 7]}), 6)));
-        assert_eq!((footing(&t, "a"), footing(&t, "z")), (Footing::Within, Footing::Beyond));
+        assert_eq!((footing(&t, "a"), footing(&t, "z")), (QuotaTier::Within, QuotaTier::Beyond));
     }
 }
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -5,8 +5,8 @@
     vec![TeamSettings { name: "t".into(), cpus: 0.0, cpus_max: max, gpus: 0.0, gpus_max: 0.0 }]
 }
 pub(super) fn need(job: &str, in_use: i64, more: i64, whole: bool) -> Need {
-    let one = Room { cpus: 1000, gpus: 0, memory: 500 };
-    let in_use = Room { memory: 0, ..one.times(in_use) };
+    let one = Resources { cpus: 1000, gpus: 0, memory: 500 };
+    let in_use = Resources { memory: 0, ..one.times(in_use) };
     Need {
         job: job.into(),
         one,
@@ -25,7 +25,7 @@
     for seed in 0..30 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut store: (Value, u64) = (json!({}), 0);
-        let mut owners = [Teams::new(&team(10.0)), Teams::new(&team(10.0))];
+        let mut owners = [QuotaLedger::new(&team(10.0)), QuotaLedger::new(&team(10.0))];
         for step in 0..60u64 {
             let o = rng.random_range(0..2usize);
             let prefix = ["a", "b"][o];
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_write_of_unknown_fate_binds_until_it_is_settled() {
-    let mut t = Teams::new(&team(10.0));
+    let mut t = QuotaLedger::new(&team(10.0));
     t.take("t", Some((&json!({"a": [5000, 0]}), 4)));
     let late = Micros::from_millis(60_000);
     let w = t.plan(late, "t", &[need("a", 2, 0, false)], |_| true, |_| true, 4096).unwrap();
@@ -73,7 +73,7 @@
 #[test]
 fn room_that_nobody_lacks_is_given_back_in_lumps() {
     let writes = |limit: f64| {
-        let mut t = Teams::new(&team(limit));
+        let mut t = QuotaLedger::new(&team(limit));
         t.take("t", Some((&json!({"a": [900_000, 0]}), 4)));
         let (mut mark, mut n) = (4, 0);
         for s in 60..120u64 {
@@ -96,7 +96,7 @@
 #[test]
 fn the_claim_of_a_job_in_doubt_never_shrinks() {
     for settled in [false, true] {
-        let mut t = Teams::new(&team(10.0));
+        let mut t = QuotaLedger::new(&team(10.0));
         t.take("t", Some((&json!({"a": [8000, 0]}), 4)));
         let needs = [Need { settled, ..need("a", 0, 1, false) }, need("b", 0, 9, false)];
         let w = t.plan(Micros::from_millis(60_000), "t", &needs, |_| true, |_| true, 4096).expect("b grows");
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_claim_stays_while_tasks_use_it() {
-    let mut t = Teams::new(&team(10.0));
+    let mut t = QuotaLedger::new(&team(10.0));
     t.take("t", Some((&json!({"a": [5000, 0], "gone": [3000, 0]}), 4)));
     let late = Micros::from_millis(60_000);
     let w = t.plan(late, "t", &[need("a", 4, 0, false)], |_| true, |_| false, 4096).unwrap();
@@ -131,12 +131,12 @@
     for seed in 0..400 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut store: (Value, u64) = (json!({}), 1);
-        let mut owners = [Teams::new(&team(10.0)), Teams::new(&team(10.0))];
+        let mut owners = [QuotaLedger::new(&team(10.0)), QuotaLedger::new(&team(10.0))];
         let mut running: BTreeMap<String, i64> = BTreeMap::new();
         // By owner: writes that may be applied yet, with whether their answer will come, and answers of reads under way.
-        let mut late: Vec<(usize, ClaimWrite)> = Vec::new();
+        let mut late: Vec<(usize, AllocationWrite)> = Vec::new();
         let mut answers: Vec<(usize, Value, u64)> = Vec::new();
-        let apply = |store: &mut (Value, u64), w: &ClaimWrite| {
+        let apply = |store: &mut (Value, u64), w: &AllocationWrite| {
             let fits = w.mark == store.1;
             if fits {
                 *store = (w.value.clone(), store.1 + 1);
