--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,19 +1,19 @@
 //! Where a task goes: among the machines that its job allows, the one it leaves fullest, the owner's own first.
 
-use crate::peer::MachineDigest;
-use crate::spec::{GUARANTEED, Spec};
-use crate::units::Room;
+use crate::peer::MachineStatus;
+use crate::spec::{GUARANTEED, JobSpec};
+use crate::units::Resources;
 use std::collections::BTreeMap;
 
 /// A machine as an owner sees it: its home's digest less what the owner has asked for since.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place<'a> {
     /// The machine.
-    pub machine: &'a MachineDigest,
+    pub machine: &'a MachineStatus,
     /// Free room.
-    pub free: Room,
+    pub free: Resources,
     /// What the owner has asked for since, which the machine's home has not seen.
-    pub unseen: Room,
+    pub unseen: Resources,
     /// Its home is the owner itself, which sees at once what is free there.
     pub near: bool,
     /// Kept for waiting work of at least this priority.
@@ -22,30 +22,30 @@
 
 impl Place<'_> {
     /// Whether the job may use this machine at all.
-    pub fn allowed(&self, s: &Spec) -> bool {
+    pub fn allowed(&self, s: &JobSpec) -> bool {
         (self.machine.spot <= s.spot)
             && (s.kinds.is_empty() || s.kinds.contains(&self.machine.kind))
             && s.zone.as_ref().is_none_or(|z| *z == self.machine.zone)
             && self.machine.total.holds(s.room)
     }
     /// Room here is spoken for.
-    pub fn take(&mut self, room: Room) {
+    pub fn take(&mut self, room: Resources) {
         self.free = self.free - room;
         self.unseen = self.unseen + room;
     }
     /// Room there will be once tasks of lower priority than this are gone, and those that are being
     /// stopped already: a machine that is being emptied must not look fuller than one that is not.
-    pub fn free_for(&self, priority: u8) -> Room {
+    pub fn free_for(&self, priority: u8) -> Resources {
         let stays = self.machine.by_priority.iter().filter(|(p, _)| *p >= priority);
         stays.fold(self.machine.total - self.unseen, |a, (_, r)| a - *r)
     }
     /// Room there will be once all that is no more urgent than this rank has ended by itself, whoever is guaranteed it.
-    pub fn free_in_time(&self, rank: u8) -> Room {
+    pub fn free_in_time(&self, rank: u8) -> Resources {
         let stays = self.machine.by_priority.iter().filter(|(p, _)| p % GUARANTEED > rank);
         stays.fold(self.machine.total - self.unseen, |a, (_, r)| a - *r)
     }
     /// What work that borrows can have at once: it may not stop other borrowed work of its own rank or above.
-    pub fn free_for_borrowed(&self, priority: u8) -> Room {
+    pub fn free_for_borrowed(&self, priority: u8) -> Resources {
         let rank = priority % GUARANTEED;
         let stays = |p: u8| p >= priority || (rank..GUARANTEED).contains(&p);
         let stays = self.machine.by_priority.iter().filter(|(p, _)| stays(*p));
@@ -54,7 +54,7 @@
 }
 
 /// Whether work for which `other` found no room leaves none for `s` either.
-pub fn no_easier(s: &Spec, other: &Spec) -> bool {
+pub fn no_easier(s: &JobSpec, other: &JobSpec) -> bool {
     s.room.holds(other.room)
         && s.spot <= other.spot
         && s.priority <= other.priority
@@ -66,7 +66,7 @@
 pub type ZoneCounts = BTreeMap<String, u32>;
 
 /// Whether one more task may go to this zone.
-pub fn zone_allows(s: &Spec, counts: &ZoneCounts, zone: &str) -> bool {
+pub fn zone_allows(s: &JobSpec, counts: &ZoneCounts, zone: &str) -> bool {
     if s.one_zone && counts.iter().any(|(z, &n)| n > 0 && z != zone) {
         return false;
     }
@@ -77,11 +77,11 @@
 /// the fullest machine first, then the next, comes to the same as choosing anew for each task, and
 /// looks at every machine once.
 pub fn fill(
-    s: &Spec,
+    s: &JobSpec,
     places: &mut [Place],
     counts: &mut ZoneCounts,
     n: usize,
-    usable: impl Fn(&MachineDigest) -> bool,
+    usable: impl Fn(&MachineStatus) -> bool,
 ) -> Vec<usize> {
     let mut at: Vec<_> = places
         .iter()
@@ -125,14 +125,14 @@
 /// Places for all tasks of a gang, or none. With one zone for all, each zone is tried, the one
 /// that ends up fullest first.
 pub fn gang(
-    s: &Spec,
+    s: &JobSpec,
     places: &[Place],
     counts: &ZoneCounts,
-    usable: impl Fn(&MachineDigest) -> bool,
+    usable: impl Fn(&MachineStatus) -> bool,
 ) -> Option<Vec<usize>> {
     let attempt = |only: Option<&str>| {
         let mut places = places.to_vec();
-        let here = |d: &MachineDigest| only.is_none_or(|z| d.zone == z) && usable(d);
+        let here = |d: &MachineStatus| only.is_none_or(|z| d.zone == z) && usable(d);
         let out = fill(s, &mut places, &mut counts.clone(), s.tasks as usize, here);
         let left: i64 = out.iter().map(|&i| places[i].free.cpus).sum();
         (out.len() == s.tasks as usize).then_some((left, out))
@@ -147,29 +147,29 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::peer::Standing;
+    use crate::peer::InventoryState;
     use crate::units::Micros;
     use rand::{RngExt, SeedableRng, rngs::StdRng};
     use serde_json::json;
 
-    fn spec(kind: &str, tasks: u32, one_zone: bool, spread: bool) -> Spec {
-        Spec::from_value(&json!({"uid":"wk-1","breed":"b","herd":"t","gait":kind,"rank":"idle",
+    fn spec(kind: &str, tasks: u32, one_zone: bool, spread: bool) -> JobSpec {
+        JobSpec::from_value(&json!({"uid":"wk-1","breed":"b","herd":"t","gait":kind,"rank":"idle",
             "strides":tasks,"vcpus":2.0,"cards":0,"ramGb":1.0,"tack":"i","imageGb":1,"together":one_zone,
             "scatter":spread,"borrowed":false,"rideS":1,"restS":0,"unsaddleS":0}))
         .unwrap()
     }
 
-    fn machine(name: String, zone: &str, spot: bool, cpus: f64, total: f64) -> MachineDigest {
-        MachineDigest {
+    fn machine(name: String, zone: &str, spot: bool, cpus: f64, total: f64) -> MachineStatus {
+        MachineStatus {
             name,
             kind: "k".into(),
             zone: zone.into(),
             spot,
-            standing: Standing::Known,
+            standing: InventoryState::Known,
             open: true,
             notice: None,
-            free: Room::need(cpus, 0.0, 9.0),
-            total: Room::need(total, 0.0, 9.0),
+            free: Resources::need(cpus, 0.0, 9.0),
+            total: Resources::need(total, 0.0, 9.0),
             by_priority: Vec::new(),
             images: Vec::new(),
             busy: 0,
@@ -185,7 +185,7 @@
     fn urgent_work_that_never_saves_goes_to_ordinary_machines_first() {
         let machines = [machine("a".into(), "a", true, 2.0, 8.0), machine("b".into(), "a", false, 8.0, 8.0)];
         let at = |priority: u8, checkpoint: Micros| {
-            let spec = Spec { spot: true, priority, checkpoint, ..spec("batch", 2, false, false) };
+            let spec = JobSpec { spot: true, priority, checkpoint, ..spec("batch", 2, false, false) };
             fill(&spec, &mut places(&machines), &mut ZoneCounts::new(), 2, |_| true)
         };
         assert_eq!(at(1, Micros(0)), [0, 1], "the fullest first");
@@ -194,7 +194,7 @@
         assert_eq!(at(2, Micros(5)), [0, 1], "what saves loses little");
     }
 
-    fn fleet(rng: &mut StdRng) -> Vec<MachineDigest> {
+    fn fleet(rng: &mut StdRng) -> Vec<MachineStatus> {
         (0..rng.random_range(1..12))
             .map(|i| {
                 let zone = ["a", "b", "c"][rng.random_range(0..3usize)];
@@ -204,10 +204,16 @@
             .collect()
     }
 
-    fn places(machines: &[MachineDigest]) -> Vec<Place<'_>> {
+    fn places(machines: &[MachineStatus]) -> Vec<Place<'_>> {
         machines
             .iter()
-            .map(|d| Place { machine: d, free: d.free, unseen: Room::default(), near: false, kept_for: None })
+            .map(|d| Place {
+                machine: d,
+                free: d.free,
+                unseen: Resources::default(),
+                near: false,
+                kept_for: None,
+            })
             .collect()
     }
 
@@ -221,7 +227,7 @@
             let Some(at) = gang(&s, &places, &ZoneCounts::new(), |_| true) else { continue };
             assert_eq!(at.len(), s.tasks as usize);
             let mut counts = ZoneCounts::new();
-            let mut free: Vec<Room> = places.iter().map(|p| p.free).collect();
+            let mut free: Vec<Resources> = places.iter().map(|p| p.free).collect();
             for i in at {
                 assert!(!machines[i].spot);
                 assert!(free[i].holds(s.room));
@@ -238,11 +244,11 @@
     #[test]
     fn a_machine_that_is_being_emptied_counts_as_empty() {
         let mut m = machine("i".into(), "a", false, 0.0, 16.0);
-        m.by_priority = vec![(2, Room::need(6.0, 0.0, 1.0))];
+        m.by_priority = vec![(2, Resources::need(6.0, 0.0, 1.0))];
         let mut p = places(std::slice::from_ref(&m)).remove(0);
         assert_eq!(p.free_for(2).cpus, 10_000, "six stay, the rest is free or being stopped");
         assert_eq!(p.free_for(3).cpus, 16_000);
-        p.take(Room::need(4.0, 0.0, 1.0));
+        p.take(Resources::need(4.0, 0.0, 1.0));
         assert_eq!(p.free_for(2).cpus, 6_000, "what is spoken for is not there twice");
     }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,7 +2,7 @@
 
 mod cancellation_budget;
 
-pub use cancellation_budget::{Budget, BudgetError};
+pub use cancellation_budget::{CancellationBudget, CancellationBudgetError};
 
 use crate::operators::Operators;
 use crate::units::Micros;
@@ -216,7 +216,7 @@
     pub member_lease: Micros,
     /// How long a peer's word that it knows no newer epoch is good for.
     pub confirmation: Micros,
-    /// How long a home answers a machine without a word of its tasks' owners; see `budget`.
+    /// How long a home answers a machine without a word of its tasks' owners; see `cancellation_budget`.
     pub reach: Micros,
     /// How often digests are sent when nothing changes.
     pub digest: Micros,
@@ -321,7 +321,7 @@
             gang_wait: Micros::from_secs(i.workers.gang_wait_s),
             gang_peer: Micros::from_secs(i.workers.gang_peer_s),
             cancel,
-            reach: Budget::new(cancel, lease, report).reach,
+            reach: CancellationBudget::new(cancel, lease, report).reach,
             // A tenth is left unspent: the service counts in its own seconds.
             store_rps: state.rps * 0.9 / share,
             store_write_rps: state.write_rps * 0.9 / share,
--- a/src/settings/cancellation_budget.rs
+++ b/src/settings/cancellation_budget.rs
@@ -1,6 +1,6 @@
-//! The budget of time between a user's being told that a job is cancelled and the end of its last task.
+//! The cancellation_budget of time between a user's being told that a job is cancelled and the end of its last task.
 //!
-//! See `docs/design.md`, "A budget of time", for each step and why it is bounded.
+//! See `docs/design.md`, "A cancellation_budget of time", for each step and why it is bounded.
 
 use super::Settings;
 use crate::units::Micros;
@@ -14,7 +14,7 @@
 
 /// What `cancel_s` is spent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct CancellationBudget {
     /// `cancel_s`: all of it.
     pub whole: Micros,
     /// How long a home may answer a machine without a word of its tasks' owners, by its own clock. The part that is ours
@@ -31,7 +31,7 @@
     the least time for that, {} s, add up to {} s",
     whole.secs(), worker_lease.secs(), reach.secs(), needed.secs()
 )]
-pub struct BudgetError {
+pub struct CancellationBudgetError {
     /// `cancel_s`.
     pub whole: Micros,
     /// `lease_s`.
@@ -42,16 +42,20 @@
     pub needed: Micros,
 }
 
-impl Budget {
+impl CancellationBudget {
     /// Divides `cancel_s` by the workers' settings. Where they leave too little, the least that serves is taken.
-    pub fn new(cancel: Micros, worker_lease: Micros, report: Micros) -> Budget {
+    pub fn new(cancel: Micros, worker_lease: Micros, report: Micros) -> CancellationBudget {
         let left = cancel.0.saturating_sub(worker_lease.stretched().0 + ROUNDS.0);
-        Budget { whole: cancel, reach: Micros(left).shortened().max(Micros(report.0 * LEAST)), worker_lease }
+        CancellationBudget {
+            whole: cancel,
+            reach: Micros(left).shortened().max(Micros(report.0 * LEAST)),
+            worker_lease,
+        }
     }
 
-    /// The budget of these settings.
-    pub fn of(s: &Settings) -> Budget {
-        Budget::new(s.cancel, s.worker_lease, s.report)
+    /// The cancellation_budget of these settings.
+    pub fn of(s: &Settings) -> CancellationBudget {
+        CancellationBudget::new(s.cancel, s.worker_lease, s.report)
     }
 
     /// The longest that a task can outlive the word that its job is cancelled: the home's time without a word of the
@@ -64,11 +68,11 @@
     ///
     /// # Errors
     /// If it isn't: with the figures. The service can run on such settings, but not keep that promise.
-    pub fn check(&self) -> Result<(), BudgetError> {
+    pub fn check(&self) -> Result<(), CancellationBudgetError> {
         let needed = self.longest();
         match needed <= self.whole {
             true => Ok(()),
-            false => Err(BudgetError {
+            false => Err(CancellationBudgetError {
                 whole: self.whole,
                 worker_lease: self.worker_lease,
                 reach: self.reach,
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -49,7 +49,7 @@
 fn on_the_settings_of_every_deployment_a_cancelled_jobs_tasks_are_gone_in_time() {
     for (report, lease, cancel) in DEPLOYMENTS {
         let [report, lease, cancel] = [report, lease, cancel].map(Micros::from_secs);
-        let b = Budget::new(cancel, lease, report);
+        let b = CancellationBudget::new(cancel, lease, report);
         assert_eq!(b.check(), Ok(()));
         // Each step, on the clock on which it is longest.
         let drift = |t: Micros| Micros(t.0 + t.0 / 2000);
@@ -61,7 +61,7 @@
 #[test]
 fn settings_that_leave_no_time_are_named_with_their_figures() {
     let s = |x| Micros::from_secs(x);
-    let b = Budget::new(s(30.0), s(26.0), s(5.0));
+    let b = CancellationBudget::new(s(30.0), s(26.0), s(5.0));
     assert_eq!(b.reach, s(10.0), "the least that serves");
     let e = b.check().expect_err("it can't be held").to_string();
     assert!(e.contains("cancel_s") && e.contains("30 s") && e.contains("26 s") && !e.contains('\n'), "{e}");
--- a/src/spec.rs
+++ b/src/spec.rs
@@ -1,7 +1,7 @@
 //! A job as its user describes it: the wire's form, the checks, and the form used inside.
 
 use crate::settings::TeamSettings;
-use crate::units::{Micros, Room};
+use crate::units::{Micros, Resources};
 use hazelsaddle_coordination::record::{self, Key};
 use hazelsaddle_release::calendar::Stage;
 use hazelsaddle_release::release_ref::ReleaseRef;
@@ -19,7 +19,7 @@
 
 /// How a job's tasks hang together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks.
     Array,
     /// All run at the same time or none does.
@@ -30,7 +30,7 @@
 
 /// A checked job description.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spec {
+pub struct JobSpec {
     /// The job's id.
     pub id: String,
     /// Its class.
@@ -38,13 +38,13 @@
     /// Its team.
     pub team: String,
     /// How its tasks hang together.
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Higher goes first: production 3, high 2, normal 1, idle 0.
     pub priority: u8,
     /// How many tasks.
     pub tasks: u32,
     /// What each takes.
-    pub room: Room,
+    pub room: Resources,
     /// Allowed types; empty: any.
     pub kinds: Vec<String>,
     /// The only allowed zone.
@@ -124,9 +124,9 @@
 
 impl MachineType {
     /// All its room; rounded down, as needs are rounded up.
-    pub fn room(&self) -> Room {
+    pub fn room(&self) -> Resources {
         let down = |x: f64| (x * 1000.0 + 1e-6).floor() as i64;
-        Room { cpus: down(self.cpus), gpus: down(self.gpus), memory: down(self.memory_gb) }
+        Resources { cpus: down(self.cpus), gpus: down(self.gpus), memory: down(self.memory_gb) }
     }
 }
 
@@ -210,27 +210,27 @@
     }
 }
 
-impl Spec {
+impl JobSpec {
     /// Reads a submission's body.
-    pub fn parse(body: &str) -> Result<Spec, SpecError> {
+    pub fn parse(body: &str) -> Result<JobSpec, SpecError> {
         if body.len() > BODY_LIMIT {
             return Err(SpecError::Body("the body is over 64 KiB"));
         }
         let v: Value = serde_json::from_str(body).map_err(|_| SpecError::Body("the body is not JSON"))?;
-        Spec::from_value(&v)
+        JobSpec::from_value(&v)
     }
 
     /// Reads a description from JSON.
-    pub fn from_value(v: &Value) -> Result<Spec, SpecError> {
+    pub fn from_value(v: &Value) -> Result<JobSpec, SpecError> {
         let f = Fields(v.as_object().ok_or(SpecError::Body("the body is not an object"))?);
         let id = f.text("uid")?;
         if !is_job_id(&id) {
             return Err(SpecError::Field("uid", "must be wk- and digits"));
         }
         let kind = match f.text("gait")?.as_str() {
-            "batch" => Kind::Array,
-            "group" => Kind::Gang,
-            "service" => Kind::Service,
+            "batch" => JobKind::Array,
+            "group" => JobKind::Gang,
+            "service" => JobKind::Service,
             _ => return Err(SpecError::Field("gait", "must be batch, group or service")),
         };
         let priority = match f.text("rank")?.as_str() {
@@ -245,7 +245,7 @@
         if !(1..=TASK_LIMIT).contains(&tasks) {
             return Err(SpecError::Field("strides", "must be from 1 to 100000"));
         }
-        let room = Room::need(f.amount("vcpus")?, f.amount("cards")?, f.amount("ramGb")?);
+        let room = Resources::need(f.amount("vcpus")?, f.amount("cards")?, f.amount("ramGb")?);
         f.amount("imageGb")?;
         let kinds = match f.get("breedsOfStall") {
             None => Vec::new(),
@@ -268,7 +268,7 @@
         };
         follows.sort_unstable();
         follows.dedup();
-        Ok(Spec {
+        Ok(JobSpec {
             follows,
             release: f.release()?,
             batch: f.batch("batch")?,
@@ -297,7 +297,7 @@
     /// Urgent work that would lose all it did with its machine: a spot machine that is taken costs it more than
     /// a fuller ordinary one saves.
     pub fn hurried(&self) -> bool {
-        self.priority % GUARANTEED >= 2 && self.checkpoint == Micros(0) && self.kind != Kind::Service
+        self.priority % GUARANTEED >= 2 && self.checkpoint == Micros(0) && self.kind != JobKind::Service
     }
 
     /// Whether it names a pact: such jobs are taken only while every controller knows of pacts.
@@ -329,7 +329,7 @@
         }
         // Guards against a gang that is accepted and waits for ever: all its tasks run at the same time, and one zone may
         // have no more than half of those that are to be scattered.
-        if self.kind == Kind::Gang && self.spread && self.tasks > 1 {
+        if self.kind == JobKind::Gang && self.spread && self.tasks > 1 {
             let zones = types.values().filter(|t| fits(t)).flat_map(|t| &t.zones);
             let zones: BTreeSet<&String> =
                 zones.filter(|z| self.zone.as_ref().is_none_or(|only| only == *z)).collect();
@@ -337,7 +337,7 @@
                 return never("a gang's tasks can't be scattered over a single zone".into());
             }
         }
-        let together = if self.kind == Kind::Array { 1 } else { i64::from(self.tasks) };
+        let together = if self.kind == JobKind::Array { 1 } else { i64::from(self.tasks) };
         let all = self.room.times(together);
         for (need, most, what) in [(all.cpus, team.cpus_max, "processors"), (all.gpus, team.gpus_max, "GPUs")]
         {
@@ -363,25 +363,25 @@
 
     #[test]
     fn each_missing_or_wrong_field_is_named() {
-        assert!(Spec::from_value(&body()).is_ok());
+        assert!(JobSpec::from_value(&body()).is_ok());
         let optional = ["breedsOfStall", "paddock", "dueS"];
         for key in body().as_object().unwrap().keys() {
             let mut b = body();
             b.as_object_mut().unwrap().remove(key);
             if optional.contains(&key.as_str()) {
-                assert!(Spec::from_value(&b).is_ok(), "{key}");
+                assert!(JobSpec::from_value(&b).is_ok(), "{key}");
             } else {
-                let e = Spec::from_value(&b).unwrap_err().to_string();
+                let e = JobSpec::from_value(&b).unwrap_err().to_string();
                 assert!(e.starts_with(key.as_str()), "{e}");
             }
             for wrong in [json!({}), json!([1]), json!(-1.0), json!("")] {
                 b[key] = wrong;
-                let e = Spec::from_value(&b).unwrap_err().to_string();
+                let e = JobSpec::from_value(&b).unwrap_err().to_string();
                 assert!(e.starts_with(key.as_str()), "{e}");
             }
         }
         for text in ["", "[]", "7", "{", "nul"] {
-            assert!(matches!(Spec::parse(text), Err(SpecError::Body(_))), "{text}");
+            assert!(matches!(JobSpec::parse(text), Err(SpecError::Body(_))), "{text}");
         }
     }
 
@@ -390,7 +390,7 @@
         let with = |key: &str, v: Value| {
             let mut b = body();
             b[key] = v;
-            Spec::from_value(&b)
+            JobSpec::from_value(&b)
         };
         let long = "x".repeat(120);
         for (key, wrong) in [
@@ -433,16 +433,16 @@
         let types: Types = [("g8".to_owned(), g8)].into();
         let mut team =
             TeamSettings { name: "vision".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
-        let spec = Spec::from_value(&body()).unwrap();
+        let spec = JobSpec::from_value(&body()).unwrap();
         assert_eq!(spec.check(&types, std::slice::from_ref(&team)), Ok(()));
         team.gpus_max = 15.0;
         assert!(spec.check(&types, std::slice::from_ref(&team)).is_err(), "gang of 16 over a limit of 15");
-        let array = Spec { kind: Kind::Array, ..spec.clone() };
+        let array = JobSpec { kind: JobKind::Array, ..spec.clone() };
         assert_eq!(array.check(&types, std::slice::from_ref(&team)), Ok(()));
         assert!(array.check(&types, &[]).is_err(), "unknown team");
-        let big = Spec { room: Room::need(97.0, 0.0, 1.0), ..array.clone() };
+        let big = JobSpec { room: Resources::need(97.0, 0.0, 1.0), ..array.clone() };
         assert!(big.check(&types, std::slice::from_ref(&team)).is_err());
-        let elsewhere = Spec { zone: Some("b".into()), ..array };
+        let elsewhere = JobSpec { zone: Some("b".into()), ..array };
         assert!(elsewhere.check(&types, &[team]).is_err());
     }
 }
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -13,7 +13,7 @@
     /// Read a page of keys with a prefix, after a key.
     List(String, String),
     /// An atomic, conditional change.
-    Commit(Commit),
+    Transaction(Transaction),
     /// A new lease of that many milliseconds.
     Grant(u64),
     /// Renew a lease.
@@ -26,7 +26,7 @@
 
 /// An atomic change: all conditions must hold.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Commit {
+pub struct Transaction {
     /// Keys and the versions they must have; 0: the key must not exist.
     pub conditions: Vec<(String, u64)>,
     /// Keys to write, with a lease if the key is to end with it.
@@ -35,7 +35,7 @@
     pub drops: Vec<String>,
 }
 
-impl Commit {
+impl Transaction {
     /// How much of the write budget it takes.
     pub fn cost(&self) -> f64 {
         (self.puts.len() + self.drops.len()) as f64
@@ -44,7 +44,7 @@
 
 /// A key's value.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct KeyValue {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
@@ -60,9 +60,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreAnswer {
     /// The key's value, or none.
-    Got(Option<Row>),
+    Got(Option<KeyValue>),
     /// A page; whether there is more.
-    Page(Vec<Row>, bool),
+    Page(Vec<KeyValue>, bool),
     /// The change was made, at this revision.
     Committed(u64),
     /// A condition failed, for these keys.
@@ -87,16 +87,16 @@
 
 /// A token bucket of one second's worth.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RateLimiter {
     rate: f64,
     have: f64,
     at: Micros,
 }
 
-impl Budget {
+impl RateLimiter {
     /// A full bucket refilled at `rate` a second.
-    pub fn new(rate: f64) -> Budget {
-        Budget { rate, have: rate.max(1.0), at: Micros(0) }
+    pub fn new(rate: f64) -> RateLimiter {
+        RateLimiter { rate, have: rate.max(1.0), at: Micros(0) }
     }
     fn refill(&mut self, now: Micros) {
         self.have = (self.have + now.since(self.at).secs() * self.rate).min(self.rate.max(1.0));
@@ -127,7 +127,7 @@
 }
 #[derive(Deserialize)]
 struct Rows {
-    rows: Vec<Row>,
+    rows: Vec<KeyValue>,
     #[serde(default)]
     more: bool,
 }
@@ -176,7 +176,7 @@
         let base = &self.base;
         match r {
             StoreRequest::Get(key) => match self.send("GET", &format!("{base}/store/{key}"), None) {
-                Some((200, text)) => parse(&text, |row: Row| StoreAnswer::Got(Some(row))),
+                Some((200, text)) => parse(&text, |row: KeyValue| StoreAnswer::Got(Some(row))),
                 Some((404, _)) => StoreAnswer::Got(None),
                 other => failure(other),
             },
@@ -190,7 +190,7 @@
                     other => failure(other),
                 }
             }
-            StoreRequest::Commit(c) => {
+            StoreRequest::Transaction(c) => {
                 let conditions: Vec<Value> =
                     c.conditions.iter().map(|(k, m)| json!({"k": k, "mark": m})).collect();
                 let puts = c.puts.iter().map(|(k, v, lease)| match lease {
@@ -298,7 +298,7 @@
 
     #[test]
     fn a_budget_keeps_its_reserve_and_its_rate() {
-        let mut b = Budget::new(10.0);
+        let mut b = RateLimiter::new(10.0);
         let mut taken = 0.0;
         for ms in 0..5000u64 {
             if b.take(Micros::from_millis(ms), 1.0, 0.3) {
--- a/src/units.rs
+++ b/src/units.rs
@@ -8,7 +8,7 @@
 #[derive(
     Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a processor.
     pub cpus: i64,
     /// Thousandths of a GPU.
@@ -17,47 +17,55 @@
     pub memory: i64,
 }
 
-impl Room {
+impl Resources {
     /// Rounds up, so that a sum of tasks never hides a fraction.
-    pub fn need(cpus: f64, gpus: f64, memory: f64) -> Room {
+    pub fn need(cpus: f64, gpus: f64, memory: f64) -> Resources {
         let up = |x: f64| (x * 1000.0 - 1e-6).ceil() as i64;
-        Room { cpus: up(cpus), gpus: up(gpus), memory: up(memory) }
+        Resources { cpus: up(cpus), gpus: up(gpus), memory: up(memory) }
     }
     /// Whether `self` has room for `other`.
-    pub fn holds(self, other: Room) -> bool {
+    pub fn holds(self, other: Resources) -> bool {
         self.cpus >= other.cpus && self.gpus >= other.gpus && self.memory >= other.memory
     }
     /// The larger of each.
-    pub fn max(self, o: Room) -> Room {
-        Room { cpus: self.cpus.max(o.cpus), gpus: self.gpus.max(o.gpus), memory: self.memory.max(o.memory) }
+    pub fn max(self, o: Resources) -> Resources {
+        Resources {
+            cpus: self.cpus.max(o.cpus),
+            gpus: self.gpus.max(o.gpus),
+            memory: self.memory.max(o.memory),
+        }
     }
     /// The smaller of each.
-    pub fn min(self, o: Room) -> Room {
-        Room { cpus: self.cpus.min(o.cpus), gpus: self.gpus.min(o.gpus), memory: self.memory.min(o.memory) }
+    pub fn min(self, o: Resources) -> Resources {
+        Resources {
+            cpus: self.cpus.min(o.cpus),
+            gpus: self.gpus.min(o.gpus),
+            memory: self.memory.min(o.memory),
+        }
     }
     /// `n` times this.
-    pub fn times(self, n: i64) -> Room {
-        Room { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
+    pub fn times(self, n: i64) -> Resources {
+        Resources { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
     }
     /// How many of `one` fit. What takes nothing fits more often than any job has tasks, but not so often that a sum over
     /// machines overflows.
-    pub fn count_of(self, one: Room) -> i64 {
+    pub fn count_of(self, one: Resources) -> i64 {
         let part = |have: i64, each: i64| if each <= 0 { i64::from(u32::MAX) } else { have.max(0) / each };
         part(self.cpus, one.cpus).min(part(self.gpus, one.gpus)).min(part(self.memory, one.memory))
     }
 }
 
-impl std::ops::Add for Room {
-    type Output = Room;
-    fn add(self, o: Room) -> Room {
-        Room { cpus: self.cpus + o.cpus, gpus: self.gpus + o.gpus, memory: self.memory + o.memory }
+impl std::ops::Add for Resources {
+    type Output = Resources;
+    fn add(self, o: Resources) -> Resources {
+        Resources { cpus: self.cpus + o.cpus, gpus: self.gpus + o.gpus, memory: self.memory + o.memory }
     }
 }
 
-impl std::ops::Sub for Room {
-    type Output = Room;
-    fn sub(self, o: Room) -> Room {
-        Room { cpus: self.cpus - o.cpus, gpus: self.gpus - o.gpus, memory: self.memory - o.memory }
+impl std::ops::Sub for Resources {
+    type Output = Resources;
+    fn sub(self, o: Resources) -> Resources {
+        Resources { cpus: self.cpus - o.cpus, gpus: self.gpus - o.gpus, memory: self.memory - o.memory }
     }
 }
 
--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -2,15 +2,15 @@
 //! (`fixtures/README.md`) are read, and what is written for it is what it would have written. A change of
 //! layout fails here.
 
-use hazelsaddle::job_shard::{Final, Owner, RecordWrite};
-use hazelsaddle::machine_registry::{self, Roll};
+use hazelsaddle::job_shard::{JobOutcome, JobShard, RecordWrite};
+use hazelsaddle::machine_registry::{self, MachineRegistry};
 use hazelsaddle::machine_shard::MachineRecord;
 use hazelsaddle::membership::EpochRecord;
 use hazelsaddle::peer::*;
-use hazelsaddle::quota::{Need, Teams};
+use hazelsaddle::quota::{Need, QuotaLedger};
 use hazelsaddle::settings::Settings;
-use hazelsaddle::spec::Spec;
-use hazelsaddle::units::{Micros, Ranges, Room};
+use hazelsaddle::spec::JobSpec;
+use hazelsaddle::units::{Micros, Ranges, Resources};
 use serde_json::{Map, Value, json};
 
 fn fixtures() -> Value {
@@ -35,8 +35,8 @@
         "unsaddleS":4.0,"dueS":900.0})
 }
 
-fn room(n: i64) -> Room {
-    Room { cpus: 1000 * n, gpus: n, memory: 2500 * n }
+fn room(n: i64) -> Resources {
+    Resources { cpus: 1000 * n, gpus: n, memory: 2500 * n }
 }
 
 fn frame(body: Message) -> Frame {
@@ -56,7 +56,7 @@
 /// The values that the fixtures were made of.
 fn frames() -> Vec<(&'static str, Frame)> {
     let key = |index| TaskKey { job: "wk-000412".into(), index, attempt: (7 << 24) + 2 };
-    let want = |i, want| Wanted {
+    let want = |i, want| DesiredTask {
         key: key(i),
         machine: "i-000231".into(),
         room: room(2),
@@ -64,36 +64,36 @@
         priority: 12,
         image: 99,
     };
-    let wishes = Wishes {
+    let wishes = DesiredState {
         rev: (7 << 32) + 4,
         since: (7 << 32) + 1,
         list: vec![
-            want(0, Want::Hold),
-            want(1, Want::Run),
-            want(2, Want::Keep),
-            want(3, Want::Stop(Micros(4_000_000))),
-            want(4, Want::Forget),
+            want(0, DesiredAction::Hold),
+            want(1, DesiredAction::Run),
+            want(2, DesiredAction::Keep),
+            want(3, DesiredAction::Stop(Micros(4_000_000))),
+            want(4, DesiredAction::Forget),
         ],
         dropped: vec![("i-000007".into(), key(5))],
     };
     let phases = [
-        Phase::Held,
-        Phase::Queued,
-        Phase::InDoubt,
-        Phase::Fetching,
-        Phase::Waiting,
-        Phase::Running,
-        Phase::Saving,
-        Phase::Exited(Exit::Done),
-        Phase::Exited(Exit::Stopped(true)),
-        Phase::Exited(Exit::Peers),
-        Phase::Exited(Exit::Alone),
-        Phase::Exited(Exit::Error),
-        Phase::Exited(Exit::NoRoom),
-        Phase::Exited(Exit::Busy),
-        Phase::Exited(Exit::Unknown),
+        TaskPhase::Held,
+        TaskPhase::Queued,
+        TaskPhase::InDoubt,
+        TaskPhase::Fetching,
+        TaskPhase::Waiting,
+        TaskPhase::Running,
+        TaskPhase::Saving,
+        TaskPhase::Exited(TaskExit::Done),
+        TaskPhase::Exited(TaskExit::Stopped(true)),
+        TaskPhase::Exited(TaskExit::Peers),
+        TaskPhase::Exited(TaskExit::Alone),
+        TaskPhase::Exited(TaskExit::Error),
+        TaskPhase::Exited(TaskExit::NoRoom),
+        TaskPhase::Exited(TaskExit::Busy),
+        TaskPhase::Exited(TaskExit::Unknown),
     ];
-    let machine = |name: &str, standing| MachineDigest {
+    let machine = |name: &str, standing| MachineStatus {
         name: name.into(),
         kind: "tolgy16".into(),
         zone: "buda-a".into(),
@@ -108,16 +108,16 @@
         busy: 15,
         idle: None,
         silent: Some(Micros(3_500_000)),
-        tasks: phases.iter().zip(0..).map(|(p, i)| Actual { key: key(i), phase: *p }).collect(),
+        tasks: phases.iter().zip(0..).map(|(p, i)| ObservedTask { key: key(i), phase: *p }).collect(),
     };
-    let digest = Digest {
+    let digest = MachineStatusDelta {
         seq: (7 << 32) + 9,
         since: 0,
         rev_seen: (7 << 32) + 4,
         machines: vec![
-            machine("i-000231", Standing::Known),
-            machine("i-2", Standing::Unconfirmed),
-            machine("i-000000000000003", Standing::Gone),
+            machine("i-000231", InventoryState::Known),
+            machine("i-2", InventoryState::Unconfirmed),
+            machine("i-000000000000003", InventoryState::Gone),
         ],
     };
     let demand = Demand {
@@ -133,13 +133,13 @@
         together: 12,
     };
     let reserve = Reservation { machine: "i-000231".into(), priority: 2, need: room(15), evict: true };
-    let fleet = Message::Fleet {
+    let fleet = Message::ScalingPlan {
         drain: vec!["i-000009".into()],
         gone: vec!["i-000010".into(), "i-000011".into()],
         kept: vec![("ulken32".into(), false, 2)],
         kept_machines: vec![("i-000231".into(), 2)],
     };
-    let ask = |id, request| frame(Message::Ask { id, request });
+    let ask = |id, request| frame(Message::ForwardRequest { id, request });
     let job = || "wk-000412".to_owned();
     vec![
         ("state", frame(Message::State(wishes, digest))),
@@ -149,9 +149,9 @@
         ("submit", ask(5, UserRequest::Submit(job(), body().to_string()))),
         ("query", ask(6, UserRequest::Query(job()))),
         ("withdraw", ask(7, UserRequest::Withdraw(job()))),
-        ("answer", frame(Message::Answer { id: 8, reply: Reply::later("not now") })),
-        ("strays", frame(Message::Strays(vec!["i-000231".into()]))),
-        ("beat", frame(Message::Beat)),
+        ("answer", frame(Message::ForwardResponse { id: 8, reply: Reply::later("not now") })),
+        ("strays", frame(Message::MisroutedHeartbeats(vec!["i-000231".into()]))),
+        ("beat", frame(Message::KeepAlive)),
     ]
 }
 
@@ -172,31 +172,31 @@
 
 #[test]
 fn the_message_of_the_second_form_survives_the_trip() {
-    let f = frame(Message::Needed(vec![("wk-000412".into(), 2), ("wk-1".into(), 1)]));
+    let f = frame(Message::InheritedPriorities(vec![("wk-000412".into(), 2), ("wk-1".into(), 1)]));
     assert_eq!(Frame::decode(&f.encode().expect("encoded")[4..]), Some(f));
 }
 
 #[test]
 fn the_messages_of_the_third_form_survive_the_trip() {
     let key = TaskKey { job: "wk-000412".into(), index: 3, attempt: (7 << 24) + 2 };
-    let start = HandedStart {
+    let start = StartHandoff {
         index: 3,
         attempt: key.attempt,
         machine: "i-000231".into(),
         zone: "buda-a".into(),
         stopping: true,
-        phase: Some(Phase::InDoubt),
+        phase: Some(TaskPhase::InDoubt),
     };
-    let task = HandedTask {
+    let task = TaskHandoff {
         key,
         room: Some(room(2)),
         priority: 12,
         image: 99,
-        phase: Phase::Running,
-        want: Some(Want::Keep),
+        phase: TaskPhase::Running,
+        want: Some(DesiredAction::Keep),
         sent_to: (1, 88),
     };
-    let machine = HandedMachine {
+    let machine = MachineHandoff {
         name: "i-000231".into(),
         kind: "tolgy16".into(),
         zone: "buda-a".into(),
@@ -213,10 +213,10 @@
     };
     let key = TaskKey { job: "wk-000412".into(), index: 4, attempt: 9 };
     let items = vec![
-        Vouched::Job("wk-000412".into()),
-        Vouched::Start { key, machine: "i-000231".into(), zone: "buda-a".into() },
+        ReplicatedItem::Job("wk-000412".into()),
+        ReplicatedItem::Start { key, machine: "i-000231".into(), zone: "buda-a".into() },
     ];
-    let testimony = Testimony {
+    let testimony = ReplicatedStarts {
         of: 2,
         epoch: 6,
         members: vec![0, 1, 2],
@@ -226,18 +226,21 @@
         items: items.clone(),
         fresh: vec!["wk-000413".into()],
     };
-    let job = HandedJob { id: "wk-000412".into(), done: "0-2".into(), starts: vec![start], doubt: Some(0) };
-    let parcel = Parcel {
+    let job = JobHandoff { id: "wk-000412".into(), done: "0-2".into(), starts: vec![start], doubt: Some(0) };
+    let parcel = HandoffBatch {
         jobs: vec![job],
         doubts: vec![vec!["i-000007".into()]],
         machines: vec![machine],
         testimony: vec![testimony],
         gone: vec!["i-000005".into()],
     };
-    let vouch = Message::Vouch { rev: 5, since: 4, added: items.clone(), dropped: items };
-    for body in
-        [Message::HandOver { number: 4, parcel }, Message::Taken(vec![4, 5]), vouch, Message::Noted(5)]
-    {
+    let vouch = Message::ReplicateStarts { rev: 5, since: 4, added: items.clone(), dropped: items };
+    for body in [
+        Message::Handoff { number: 4, parcel },
+        Message::HandoffAck(vec![4, 5]),
+        vouch,
+        Message::StartsReplicated(5),
+    ] {
         let f = frame(body);
         assert_eq!(Frame::decode(&f.encode().expect("encoded")[4..]), Some(f));
     }
@@ -247,7 +250,7 @@
 fn requests_of_the_fourth_form_survive_the_trip() {
     let id = || "wk-000412".to_owned();
     for request in [UserRequest::Why(id()), UserRequest::Permit(id(), "117440514/3".into())] {
-        let f = frame(Message::Ask { id: 9, request });
+        let f = frame(Message::ForwardRequest { id: 9, request });
         assert_eq!(Frame::decode(&f.encode().expect("encoded")[4..]), Some(f));
     }
 }
@@ -260,16 +263,16 @@
     assert_eq!(epoch.members, [("c0".to_owned(), 11), ("c1".to_owned(), 12)]);
     assert_eq!(serde_json::to_value(&epoch).expect("written"), stored["ring/epoch"]);
 
-    let (raw, spec, accepted, done) = Owner::read_record(&stored["job/wk-000412"]).expect("a record");
+    let (raw, spec, accepted, done) = JobShard::read_record(&stored["job/wk-000412"]).expect("a record");
     assert_eq!((raw.clone(), done.len(), spec.follows.len()), (body(), 7, 0));
-    assert_eq!(Owner::record(&raw, accepted, &done.encode(1000)), stored["job/wk-000412"]);
+    assert_eq!(JobShard::record(&raw, accepted, &done.encode(1000)), stored["job/wk-000412"]);
 
-    let mut owner = Owner::new(&settings(4.0));
+    let mut owner = JobShard::new(&settings(4.0));
     owner.insert(raw, spec, accepted, Ranges::default(), 1, true);
-    owner.jobs.get_mut("wk-000412").expect("live").ending = Some(Final::Cancelled);
+    owner.jobs.get_mut("wk-000412").expect("live").ending = Some(JobOutcome::Cancelled);
     let Some((_, RecordWrite::End(_, end), _)) = owner.next_write(Micros(1), true) else { panic!("no end") };
     assert_eq!(end, stored["done/wk-000413"]);
-    assert_eq!(hazelsaddle::controller::read_end(&end), Some((Final::Cancelled, 0)));
+    assert_eq!(hazelsaddle::controller::read_end(&end), Some((JobOutcome::Cancelled, 0)));
 }
 
 /// What the first version makes of a waiting job's record: a job that no machine suits. It hands the
@@ -280,25 +283,25 @@
     with["follows"] = json!(["wk-000398", "wk-405"]);
     for types in [json!(["g8", "g9"]), Value::Null] {
         with["breedsOfStall"] = types.clone();
-        let record = Owner::waiting_record(&with, Micros(5));
+        let record = JobShard::waiting_record(&with, Micros(5));
         // The fields that it reads, by its own checks, which know nothing of `follows`.
         let mut plain = record["spec"].clone();
         let map: &mut Map<String, Value> = plain.as_object_mut().expect("an object");
         assert!(map.remove("follows").is_some());
-        let seen = Spec::from_value(&plain).expect("the first version takes it for a job");
+        let seen = JobSpec::from_value(&plain).expect("the first version takes it for a job");
         assert_eq!(seen.kinds.len(), 1);
         assert!(seen.kinds[0].contains(' '), "and no machine is of a type of this name");
         assert_eq!((seen.id.as_str(), seen.tasks, seen.team.as_str()), ("wk-000412", 16, "vision"));
         // It rewrites the rest, and this version has the user's words again.
         let rewritten = json!({"spec": record["spec"], "accepted_us": record["accepted_us"], "done": "0-3"});
-        let (raw, spec, accepted, done) = Owner::read_record(&rewritten).expect("readable");
+        let (raw, spec, accepted, done) = JobShard::read_record(&rewritten).expect("readable");
         assert_eq!((accepted, done.len()), (Micros(5), 4));
         assert_eq!(spec.follows, ["wk-000398", "wk-405"]);
         assert_eq!(raw["follows"], with["follows"]);
         assert_eq!(raw.get("breedsOfStall").cloned().unwrap_or_default(), types);
     }
     assert_eq!(
-        Owner::read_record(&json!({"spec": {"breedsOfStall": ["(waits for other jobs)"], "follows": 7}})),
+        JobShard::read_record(&json!({"spec": {"breedsOfStall": ["(waits for other jobs)"], "follows": 7}})),
         None
     );
 }
@@ -311,28 +314,28 @@
     with["release"] = json!({"title": "t", "night": "2026-12-01", "stage": "rotation"});
     for follows in [Value::Null, json!(["wk-000398", "wk-405"])] {
         with["follows"] = follows.clone();
-        let spec = Spec::from_value(&with).expect("valid");
-        let record = Owner::new_record(&with, &spec, Micros(5));
+        let spec = JobSpec::from_value(&with).expect("valid");
+        let record = JobShard::new_record(&with, &spec, Micros(5));
         let types = &record["spec"]["breedsOfStall"];
         assert!(types.as_array().is_some_and(|t| t.len() == 1) && types[0] != "(waits for other jobs)");
         assert!(
             record["spec"].get("follows").is_none_or(Value::is_null),
             "nothing for which they would let it go"
         );
-        let (raw, spec, ..) = Owner::read_record(&record).expect("readable");
+        let (raw, spec, ..) = JobShard::read_record(&record).expect("readable");
         assert_eq!(
             (raw["breedsOfStall"].clone(), spec.follows.len()),
             (with["breedsOfStall"].clone(), follows.as_array().map_or(0, Vec::len))
         );
-        let mut owner = Owner::new(&settings(4.0));
+        let mut owner = JobShard::new(&settings(4.0));
         owner.insert(raw, spec, Micros(5), Ranges::default(), 1, true);
         for p in ["wk-000398", "wk-405"] {
-            owner.prerequisite_ended(p, Final::Done);
+            owner.prerequisite_ended(p, JobOutcome::Done);
         }
         assert!(owner.jobs["wk-000412"].waits(), "the release holds it still");
         owner.lift("wk-000412");
         assert!(!owner.jobs["wk-000412"].waits());
-        owner.jobs.get_mut("wk-000412").expect("live").ending = Some(Final::Done);
+        owner.jobs.get_mut("wk-000412").expect("live").ending = Some(JobOutcome::Done);
         let Some((_, RecordWrite::End(_, end), _)) = owner.next_write(Micros(1), true) else {
             panic!("no end")
         };
@@ -341,7 +344,7 @@
         let packed = if follows.is_null() { Value::Null } else { "000398,405".into() };
         assert_eq!(end["says"]["follows"], packed);
         assert_eq!(hazelsaddle::job_shard::says_of_record(&record), Some(end["says"].clone()));
-        assert_eq!(hazelsaddle::controller::read_end(&end), Some((Final::Done, 0)));
+        assert_eq!(hazelsaddle::controller::read_end(&end), Some((JobOutcome::Done, 0)));
     }
 }
 
@@ -353,15 +356,15 @@
     assert_eq!(s.value_bytes, 2048);
     let claims = &all["stored"]["team/t"];
     assert!(claims.to_string().len() > 2048);
-    let mut teams = Teams::new(&s.teams);
+    let mut teams = QuotaLedger::new(&s.teams);
     teams.take("t", Some((claims, 5)));
     let held = claims.as_object().expect("claims").len();
     assert_eq!(teams.used("t").cpus, 15_000 * held as i64, "every claim counts");
-    let one = Room { cpus: 15_000, gpus: 0, memory: 0 };
+    let one = Resources { cpus: 15_000, gpus: 0, memory: 0 };
     let need = |i: usize| Need {
         job: format!("wk-9{i:05}"),
         one,
-        in_use: Room::default(),
+        in_use: Resources::default(),
         settled: true,
         more: 1,
         whole: true,
@@ -380,7 +383,7 @@
     let key = "mach/c0/0";
     let rows = machine_registry::read(&all["stored"][key]).expect("a page");
     assert!(all["stored"][key].to_string().len() > 2048);
-    let mut roll = Roll::new("c0", s.value_bytes);
+    let mut roll = MachineRegistry::new("c0", s.value_bytes);
     roll.take(key, &rows, 9);
     assert_eq!(roll.names().len(), rows.len());
     let new = MachineRecord { kind: "k".into(), zone: "z".into(), spot: false, addr: "10.0.0.1:1".into() };
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -1,13 +1,13 @@
 //! Jobs of two or three tasks that end far apart while their owners change: one task's end is known to its machine alone,
 //! or to a home, or to a record that was cut short or whose write had no answer.
 
-use hazelsaddle::job_shard::{Final, Owner, RecordWrite};
+use hazelsaddle::job_shard::{JobOutcome, JobShard, RecordWrite};
 use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::*;
-use hazelsaddle::quota::Teams;
+use hazelsaddle::quota::QuotaLedger;
 use hazelsaddle::settings::Settings;
-use hazelsaddle::spec::Spec;
-use hazelsaddle::units::{Micros, Ranges, Room};
+use hazelsaddle::spec::JobSpec;
+use hazelsaddle::units::{Micros, Ranges, Resources};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,7 +43,7 @@
     kind: &'static str,
     store: Stored,
     /// What is truly on each machine.
-    on: Vec<BTreeMap<TaskKey, Phase>>,
+    on: Vec<BTreeMap<TaskKey, TaskPhase>>,
     /// Starts that were decided on in this epoch.
     decided: BTreeSet<TaskKey>,
     /// Tasks that have completed: run again they end at once.
@@ -54,41 +54,42 @@
 
 impl Play {
     fn alive(&self, index: u32) -> usize {
-        let here =
-            |(k, p): &(&TaskKey, &Phase)| k.index == index && !matches!(p, Phase::Exited(_) | Phase::Held);
+        let here = |(k, p): &(&TaskKey, &TaskPhase)| {
+            k.index == index && !matches!(p, TaskPhase::Exited(_) | TaskPhase::Held)
+        };
         self.on.iter().flatten().filter(here).count()
     }
 
-    fn spec(&self) -> (serde_json::Value, Spec) {
+    fn spec(&self) -> (serde_json::Value, JobSpec) {
         let raw = json!({"uid":JOB,"breed":"b","herd":"t","gait":self.kind,"rank":"high","strides":self.tasks,
             "vcpus":2.0,"cards":0,"ramGb":1.0,"tack":"i","imageGb":1,"together":false,"scatter":false,
             "borrowed":true,"rideS":1,"restS":0,"unsaddleS":0});
-        let spec = Spec::from_value(&raw).expect("valid");
+        let spec = JobSpec::from_value(&raw).expect("valid");
         (raw, spec)
     }
 
-    fn load(&self, o: &mut Owner) {
+    fn load(&self, o: &mut JobShard) {
         if self.store.end {
-            return o.ended(JOB, Final::Done);
+            return o.ended(JOB, JobOutcome::Done);
         }
         let (raw, spec) = self.spec();
         o.insert(raw, spec, Micros(1), self.store.done.clone(), self.store.mark, false);
     }
 
     /// A home's word: the machines that it has heard, and what it has on record of the others.
-    fn tell(&self, o: &mut Owner, m: &Membership, now: Micros, seq: u64, rev_seen: u64, known: &[bool]) {
-        let room = Room { cpus: 2000, gpus: 0, memory: 9000 };
+    fn tell(&self, o: &mut JobShard, m: &Membership, now: Micros, seq: u64, rev_seen: u64, known: &[bool]) {
+        let room = Resources { cpus: 2000, gpus: 0, memory: 9000 };
         let digest = |i: usize| {
-            let busy = self.on[i].values().any(|p| !matches!(p, Phase::Exited(_)));
-            MachineDigest {
+            let busy = self.on[i].values().any(|p| !matches!(p, TaskPhase::Exited(_)));
+            MachineStatus {
                 name: format!("i-{i}"),
                 kind: "k".into(),
                 zone: "z".into(),
                 spot: true,
-                standing: if known[i] { Standing::Known } else { Standing::Unconfirmed },
+                standing: if known[i] { InventoryState::Known } else { InventoryState::Unconfirmed },
                 open: known[i],
                 notice: None,
-                free: if busy { Room::default() } else { room },
+                free: if busy { Resources::default() } else { room },
                 total: room,
                 by_priority: Vec::new(),
                 images: Vec::new(),
@@ -96,32 +97,34 @@
                 idle: None,
                 silent: None,
                 tasks: match known[i] {
-                    true => self.on[i].iter().map(|(k, p)| Actual { key: k.clone(), phase: *p }).collect(),
+                    true => {
+                        self.on[i].iter().map(|(k, p)| ObservedTask { key: k.clone(), phase: *p }).collect()
+                    }
                     false => Vec::new(),
                 },
             }
         };
         let machines = (0..MACHINES).map(digest).collect();
-        o.digest(now, m, 0, Digest { seq: (m.epoch << 32) + seq, since: 0, rev_seen, machines });
+        o.digest(now, m, 0, MachineStatusDelta { seq: (m.epoch << 32) + seq, since: 0, rev_seen, machines });
     }
 
     /// The machines do what was wished; those that aren't known get nothing.
-    fn obey(&mut self, wishes: &Wishes, known: &[bool]) {
+    fn obey(&mut self, wishes: &DesiredState, known: &[bool]) {
         for on in &mut self.on {
             let listed = |k: &TaskKey| wishes.list.iter().any(|w| w.key == *k);
             let dropped = |k: &TaskKey| wishes.dropped.iter().any(|(_, d)| d == k);
-            on.retain(|k, p| *p != Phase::Held || !(dropped(k) || (wishes.since == 0 && !listed(k))));
+            on.retain(|k, p| *p != TaskPhase::Held || !(dropped(k) || (wishes.since == 0 && !listed(k))));
         }
         for w in &wishes.list {
             let i: usize = w.machine[2..].parse().expect("a number");
             let durable = self.store.end || self.store.done.contains(w.key.index);
             let phase = self.on[i].get(&w.key).copied();
             match (w.want, phase) {
-                (Want::Hold, None) if known[i] && self.decided.insert(w.key.clone()) => {
-                    self.on[i].insert(w.key.clone(), Phase::Held);
+                (DesiredAction::Hold, None) if known[i] && self.decided.insert(w.key.clone()) => {
+                    self.on[i].insert(w.key.clone(), TaskPhase::Held);
                 }
-                (Want::Stop(_), Some(Phase::Held)) => _ = self.on[i].remove(&w.key),
-                (Want::Run, None | Some(Phase::Held))
+                (DesiredAction::Stop(_), Some(TaskPhase::Held)) => _ = self.on[i].remove(&w.key),
+                (DesiredAction::Run, None | Some(TaskPhase::Held))
                     if known[i] && (phase.is_some() || self.decided.insert(w.key.clone())) =>
                 {
                     assert_eq!(
@@ -134,15 +137,20 @@
                     assert!(!self.store.end, "seed {}: {:?} after the end", self.seed, w.key);
                     let again = self.completed[w.key.index as usize];
                     self.ran_again += u32::from(again);
-                    let phase = if again { Phase::Exited(Exit::Done) } else { Phase::Running };
+                    let phase = if again { TaskPhase::Exited(TaskExit::Done) } else { TaskPhase::Running };
                     self.on[i].insert(w.key.clone(), phase);
                 }
-                (Want::Stop(_), Some(Phase::Running)) if known[i] => {
-                    self.on[i].insert(w.key.clone(), Phase::Exited(Exit::Stopped(false)));
+                (DesiredAction::Stop(_), Some(TaskPhase::Running)) if known[i] => {
+                    self.on[i].insert(w.key.clone(), TaskPhase::Exited(TaskExit::Stopped(false)));
                 }
-                (Want::Forget, Some(Phase::Exited(e))) if known[i] => {
+                (DesiredAction::Forget, Some(TaskPhase::Exited(e))) if known[i] => {
                     // What only this machine knows must not be forgotten.
-                    assert!(e != Exit::Done || durable, "seed {}: {:?} is not on record", self.seed, w.key);
+                    assert!(
+                        e != TaskExit::Done || durable,
+                        "seed {}: {:?} is not on record",
+                        self.seed,
+                        w.key
+                    );
                     self.on[i].remove(&w.key);
                 }
                 _ => {}
@@ -151,7 +159,7 @@
     }
 
     /// One write that is due: carried out and told, carried out without an answer, or lost.
-    fn write(&mut self, o: &mut Owner, now: Micros) {
+    fn write(&mut self, o: &mut JobShard, now: Micros) {
         let ends = self.rng.random_bool(0.5);
         let Some((id, write, mark)) = o.next_write(now, ends) else { return };
         assert!(mark <= self.store.mark);
@@ -172,7 +180,7 @@
             }
             RecordWrite::End(f, _) => {
                 assert!(
-                    f == Final::Done && self.completed.iter().all(|c| *c),
+                    f == JobOutcome::Done && self.completed.iter().all(|c| *c),
                     "seed {}: done too early",
                     self.seed
                 );
@@ -188,9 +196,9 @@
 
     fn run(&mut self) {
         let s = settings(self.small);
-        let teams = Teams::new(&s.teams);
+        let teams = QuotaLedger::new(&s.teams);
         let mut m = Membership::new(&s, 1);
-        let mut owner = Owner::new(&s);
+        let mut owner = JobShard::new(&s);
         let (mut epoch, mut seq, mut seen) = (0u64, 0, 0);
         let mut known = [false; MACHINES];
         let mut due = 0;
@@ -206,7 +214,7 @@
                 m.adopt(now, &EpochRecord { epoch, members: vec![("c0".into(), epoch)] }, epoch);
                 let follows = epoch > 1 && self.rng.random_bool(0.3);
                 if !follows {
-                    owner = Owner::new(&s);
+                    owner = JobShard::new(&s);
                 }
                 owner.adopt(&m, follows);
                 self.load(&mut owner);
@@ -215,7 +223,7 @@
                 (seq, seen) = (0, 0);
                 known = [false; MACHINES];
                 self.decided.clear();
-                self.on.iter_mut().for_each(|on| on.retain(|_, p| *p != Phase::Held));
+                self.on.iter_mut().for_each(|on| on.retain(|_, p| *p != TaskPhase::Held));
                 if epoch == 1 {
                     known = [true; MACHINES];
                 }
@@ -227,11 +235,11 @@
             if self.rng.random_bool(0.01) {
                 let i = self.rng.random_range(0..MACHINES);
                 let gang = self.kind == "group";
-                let all = self.on.iter().flatten().filter(|(_, p)| **p == Phase::Running).count();
+                let all = self.on.iter().flatten().filter(|(_, p)| **p == TaskPhase::Running).count();
                 if !gang || all == self.tasks as usize {
                     for (_, on) in self.on.iter_mut().enumerate().filter(|(j, _)| gang || *j == i) {
-                        for (k, p) in on.iter_mut().filter(|(_, p)| **p == Phase::Running) {
-                            *p = Phase::Exited(Exit::Done);
+                        for (k, p) in on.iter_mut().filter(|(_, p)| **p == TaskPhase::Running) {
+                            *p = TaskPhase::Exited(TaskExit::Done);
                             self.completed[k.index as usize] = true;
                         }
                     }
--- a/tests/follow.rs
+++ b/tests/follow.rs
@@ -1,16 +1,16 @@
 //! Who waits for whom, apart from the rest: ends that come in any order, twice or not at all at first,
 //! urgency that passes on, and the work that one end costs.
 
-use hazelsaddle::job_shard::{Final, Owner};
+use hazelsaddle::job_shard::{JobOutcome, JobShard};
 use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::settings::Settings;
-use hazelsaddle::spec::Spec;
+use hazelsaddle::spec::JobSpec;
 use hazelsaddle::units::{Micros, Ranges};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn parts() -> (Membership, Owner) {
+fn parts() -> (Membership, JobShard) {
     let text = "member = \"c0\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n[outside]\ncloud = \"10.0.0.9:1\"\n\
         state = \"10.0.0.9:2\"\n[settings.workers]\nreport_s = 3.0\nlease_s = 18.0\ngang_wait_s = 30.0\n\
         gang_peer_s = 6.0\ncancel_s = 43.0\n[settings.state]\nrps = 100.0\nwrite_rps = 15.0\nvalue_kb = 4.0\n\
@@ -18,17 +18,17 @@
     let s = Settings::parse("test", text).expect("valid");
     let mut m = Membership::new(&s, 1);
     m.adopt(Micros(1), &EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] }, 1);
-    let mut owner = Owner::new(&s);
+    let mut owner = JobShard::new(&s);
     owner.adopt(&m, false);
     owner.load_done(std::iter::empty());
     (m, owner)
 }
 
-fn add(owner: &mut Owner, id: &str, rank: &str, follows: &[String]) {
+fn add(owner: &mut JobShard, id: &str, rank: &str, follows: &[String]) {
     let raw = json!({"uid": id, "breed": "b", "herd": "t", "gait": "batch", "rank": rank, "strides": 1,
         "vcpus": 1.0, "cards": 0, "ramGb": 1.0, "tack": "i", "imageGb": 1, "together": false, "scatter": false,
         "borrowed": false, "rideS": 1, "restS": 0, "unsaddleS": 0, "follows": follows});
-    let spec = Spec::from_value(&raw).expect("valid");
+    let spec = JobSpec::from_value(&raw).expect("valid");
     owner.insert(raw, spec, Micros(1), Ranges::default(), 1, true);
 }
 
@@ -43,8 +43,9 @@
     for seed in 0..60 {
         let mut rng = StdRng::seed_from_u64(seed);
         let (_, mut owner) = parts();
-        let ends: Vec<Final> =
-            (0..30).map(|_| if rng.random_bool(0.05) { Final::Cancelled } else { Final::Done }).collect();
+        let ends: Vec<JobOutcome> = (0..30)
+            .map(|_| if rng.random_bool(0.05) { JobOutcome::Cancelled } else { JobOutcome::Done })
+            .collect();
         let mut needs: BTreeMap<String, BTreeSet<usize>> = BTreeMap::new();
         let mut told: BTreeSet<usize> = BTreeSet::new();
         for step in 0..400 {
@@ -76,9 +77,9 @@
             }
             for (job, on) in &needs {
                 let j = &owner.jobs[job];
-                let all = on.iter().all(|p| told.contains(p) && ends[*p] == Final::Done);
+                let all = on.iter().all(|p| told.contains(p) && ends[*p] == JobOutcome::Done);
                 assert!(j.waits() || all, "seed {seed}: {job} is released too early");
-                let gone = on.iter().any(|p| told.contains(p) && ends[*p] == Final::Cancelled);
+                let gone = on.iter().any(|p| told.contains(p) && ends[*p] == JobOutcome::Cancelled);
                 assert!(j.ending.is_none() || gone, "seed {seed}: {job} ends for nothing");
             }
         }
@@ -90,8 +91,8 @@
         assert!(!owner.watches());
         for (job, on) in &needs {
             let j = &owner.jobs[job];
-            let gone = on.iter().any(|p| ends[*p] == Final::Cancelled);
-            assert_eq!(j.ending, gone.then_some(Final::Cancelled), "seed {seed}: {job}");
+            let gone = on.iter().any(|p| ends[*p] == JobOutcome::Cancelled);
+            assert_eq!(j.ending, gone.then_some(JobOutcome::Cancelled), "seed {seed}: {job}");
             assert_eq!(j.waits(), gone, "seed {seed}: {job}");
         }
     }
@@ -108,9 +109,9 @@
     let reads = std::iter::from_fn(|| owner.next_unread()).count();
     assert_eq!(reads, 100 + 1000);
     owner.replan = false;
-    owner.prerequisite_ended(&id(900_000), Final::Done);
+    owner.prerequisite_ended(&id(900_000), JobOutcome::Done);
     assert!(!owner.replan, "nobody waits for this one");
-    owner.prerequisite_ended(&id(7), Final::Cancelled);
+    owner.prerequisite_ended(&id(7), JobOutcome::Cancelled);
     let touched: Vec<&String> =
         owner.jobs.iter().filter(|(_, j)| j.ending.is_some()).map(|(id, _)| id).collect();
     assert_eq!(touched, (1070..1080).map(id).collect::<Vec<_>>().iter().collect::<Vec<_>>());
@@ -143,14 +144,14 @@
     add(&mut owner, &id(1), "idle", &[]);
     add(&mut owner, &id(2), "idle", &[id(1)]);
     add(&mut owner, &id(3), "high", &[id(2)]);
-    let priority = |o: &Owner, n: usize| o.jobs[&id(n)].spec.priority;
+    let priority = |o: &JobShard, n: usize| o.jobs[&id(n)].spec.priority;
     for _ in 0..2 {
         let list = owner.urges(0, &m);
         owner.urged_by(0, list.clone());
         owner.urged_by(0, list);
     }
     assert_eq!((priority(&owner, 1), priority(&owner, 2), priority(&owner, 3)), (2, 2, 2));
-    owner.jobs.get_mut(&id(3)).expect("live").ending = Some(Final::Cancelled);
+    owner.jobs.get_mut(&id(3)).expect("live").ending = Some(JobOutcome::Cancelled);
     for _ in 0..2 {
         let list = owner.urges(0, &m);
         owner.urged_by(0, list);
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -6,18 +6,18 @@
 //! code writes now to standard output, one line for each form, and changes nothing else.
 
 use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest};
-use hazelsaddle::controller::{Effect, Event, Node, read_end};
-use hazelsaddle::job_shard::{Final, Owner, RecordWrite};
-use hazelsaddle::machine_registry::{self, Roll};
-use hazelsaddle::machine_shard::{MachineRecord, Report, ReportedTask};
+use hazelsaddle::controller::{Controller, Effect, Event, read_end};
+use hazelsaddle::job_shard::{JobOutcome, JobShard, RecordWrite};
+use hazelsaddle::machine_registry::{self, MachineRegistry};
+use hazelsaddle::machine_shard::{Heartbeat, HeartbeatTask, MachineRecord};
 use hazelsaddle::membership::EpochRecord;
 use hazelsaddle::operators::Operators;
 use hazelsaddle::peer::*;
-use hazelsaddle::quota::{Need, Teams};
+use hazelsaddle::quota::{Need, QuotaLedger};
 use hazelsaddle::settings::Settings;
-use hazelsaddle::spec::Spec;
-use hazelsaddle::state_store::{Commit, Row, StoreAnswer, StoreRequest};
-use hazelsaddle::units::{Micros, Ranges, Room};
+use hazelsaddle::spec::JobSpec;
+use hazelsaddle::state_store::{KeyValue, StoreAnswer, StoreRequest, Transaction};
+use hazelsaddle::units::{Micros, Ranges, Resources};
 use hazelsaddle_coordination::census::{Member, Stands};
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind, items, pages};
 use hazelsaddle_freshness::batch::{Batch, Grant, Put, Writer};
@@ -92,25 +92,25 @@
     }
 }
 
-fn room(n: i64) -> Room {
-    Room { cpus: 1000 * n, gpus: n, memory: 2500 * n }
+fn room(n: i64) -> Resources {
+    Resources { cpus: 1000 * n, gpus: n, memory: 2500 * n }
 }
 
 fn key(index: u32) -> TaskKey {
     TaskKey { job: "wk-000412".into(), index, attempt: (7 << 24) + 2 }
 }
 
-fn handed_machine() -> HandedMachine {
-    let task = HandedTask {
+fn handed_machine() -> MachineHandoff {
+    let task = TaskHandoff {
         key: key(3),
         room: Some(room(2)),
         priority: 12,
         image: 99,
-        phase: Phase::Exited(Exit::Stopped(true)),
-        want: Some(Want::Stop(Micros(4_000_000))),
+        phase: TaskPhase::Exited(TaskExit::Stopped(true)),
+        want: Some(DesiredAction::Stop(Micros(4_000_000))),
         sent_to: (1, 88),
     };
-    HandedMachine {
+    MachineHandoff {
         name: "i-000231".into(),
         kind: "tolgy16".into(),
         zone: "buda-a".into(),
@@ -127,21 +127,21 @@
     }
 }
 
-fn vouched() -> Vec<Vouched> {
-    let start = Vouched::Start { key: key(4), machine: "i-000231".into(), zone: "buda-a".into() };
-    vec![Vouched::Job("wk-000412".into()), start]
+fn vouched() -> Vec<ReplicatedItem> {
+    let start = ReplicatedItem::Start { key: key(4), machine: "i-000231".into(), zone: "buda-a".into() };
+    vec![ReplicatedItem::Job("wk-000412".into()), start]
 }
 
-fn parcel() -> Parcel {
-    let start = HandedStart {
+fn parcel() -> HandoffBatch {
+    let start = StartHandoff {
         index: 3,
         attempt: (7 << 24) + 2,
         machine: "i-000231".into(),
         zone: "buda-a".into(),
         stopping: true,
-        phase: Some(Phase::InDoubt),
+        phase: Some(TaskPhase::InDoubt),
     };
-    let testimony = Testimony {
+    let testimony = ReplicatedStarts {
         of: 2,
         epoch: 6,
         members: vec![0, 1, 2],
@@ -151,8 +151,8 @@
         items: vouched(),
         fresh: vec!["wk-000413".into()],
     };
-    let job = HandedJob { id: "wk-000412".into(), done: "0-2".into(), starts: vec![start], doubt: Some(0) };
-    Parcel {
+    let job = JobHandoff { id: "wk-000412".into(), done: "0-2".into(), starts: vec![start], doubt: Some(0) };
+    HandoffBatch {
         jobs: vec![job],
         doubts: vec![vec!["i-000007".into()]],
         machines: vec![handed_machine()],
@@ -178,18 +178,18 @@
 /// One of each kind of message that `first-form.json` doesn't hold.
 fn frames() -> Vec<(&'static str, Frame)> {
     let id = || "wk-000412".to_owned();
-    let ask = |request| Message::Ask { id: 9, request };
-    let vouch = Message::Vouch { rev: 5, since: 4, added: vouched(), dropped: vouched() };
+    let ask = |request| Message::ForwardRequest { id: 9, request };
+    let vouch = Message::ReplicateStarts { rev: 5, since: 4, added: vouched(), dropped: vouched() };
     [
-        ("needed", Message::Needed(vec![(id(), 2), ("wk-1".into(), 1)])),
-        ("hand_over", Message::HandOver { number: 4, parcel: parcel() }),
-        ("taken", Message::Taken(vec![4, 5])),
+        ("needed", Message::InheritedPriorities(vec![(id(), 2), ("wk-1".into(), 1)])),
+        ("hand_over", Message::Handoff { number: 4, parcel: parcel() }),
+        ("taken", Message::HandoffAck(vec![4, 5])),
         ("vouch", vouch),
-        ("noted", Message::Noted(5)),
+        ("noted", Message::StartsReplicated(5)),
         ("lending", Message::Lending(lending())),
         ("why", ask(UserRequest::Why(id()))),
         ("permit", ask(UserRequest::Permit(id(), "117440514/3".into()))),
-        ("answer_without_time", Message::Answer { id: 8, reply: Reply::error(404, "no such job") }),
+        ("answer_without_time", Message::ForwardResponse { id: 8, reply: Reply::error(404, "no such job") }),
     ]
     .map(|(name, body)| (name, frame(body)))
     .into()
@@ -236,10 +236,10 @@
 
 const ACCEPTED: Micros = Micros(1_790_000_000_000_000);
 
-fn end_of(record: &Value, f: Final) -> Value {
-    let (raw, spec, accepted, done) = Owner::read_record(record).expect("a record");
+fn end_of(record: &Value, f: JobOutcome) -> Value {
+    let (raw, spec, accepted, done) = JobShard::read_record(record).expect("a record");
     let id = spec.id.clone();
-    let mut owner = Owner::new(&settings());
+    let mut owner = JobShard::new(&settings());
     owner.insert(raw, spec, accepted, done, 1, true);
     owner.jobs.get_mut(&id).expect("live").ending = Some(f);
     match owner.next_write(Micros(1), true) {
@@ -251,16 +251,16 @@
 fn job_forms() -> Forms {
     let mut out = Forms::new();
     for (name, raw) in descriptions() {
-        let spec = Spec::from_value(&raw).expect("valid");
-        let record = Owner::new_record(&raw, &spec, ACCEPTED);
-        for (end, f) in [("done", Final::Done), ("cancelled", Final::Cancelled)] {
+        let spec = JobSpec::from_value(&raw).expect("valid");
+        let record = JobShard::new_record(&raw, &spec, ACCEPTED);
+        for (end, f) in [("done", JobOutcome::Done), ("cancelled", JobOutcome::Cancelled)] {
             out.push((format!("job/{name}/{end}"), end_of(&record, f)));
         }
         out.push((format!("job/{name}"), record));
     }
     let done = Ranges::decode("0-3,7", 16).expect("ranges");
-    let progress = Owner::record(&body("wk-000412"), ACCEPTED, &done.encode(1000));
-    out.push(("job/progress/cancelled".into(), end_of(&progress, Final::Cancelled)));
+    let progress = JobShard::record(&body("wk-000412"), ACCEPTED, &done.encode(1000));
+    out.push(("job/progress/cancelled".into(), end_of(&progress, JobOutcome::Cancelled)));
     out.push(("job/progress".into(), progress));
     out
 }
@@ -271,20 +271,20 @@
     let golden = fixtures("jobs");
     for (name, raw) in descriptions() {
         let stored = &golden[&format!("job/{name}")];
-        let (read, spec, accepted, done) = Owner::read_record(stored).expect(name);
+        let (read, spec, accepted, done) = JobShard::read_record(stored).expect(name);
         assert_eq!((accepted, done.len()), (ACCEPTED, 0), "{name}");
-        assert_eq!(spec, Spec::from_value(&raw).expect("valid"), "{name} is read");
-        assert_eq!(Owner::new_record(&read, &spec, accepted).to_string(), stored.to_string(), "{name}");
-        for (end, f) in [("done", Final::Done), ("cancelled", Final::Cancelled)] {
+        assert_eq!(spec, JobSpec::from_value(&raw).expect("valid"), "{name} is read");
+        assert_eq!(JobShard::new_record(&read, &spec, accepted).to_string(), stored.to_string(), "{name}");
+        for (end, f) in [("done", JobOutcome::Done), ("cancelled", JobOutcome::Cancelled)] {
             let ended = &golden[&format!("job/{name}/{end}")];
             assert_eq!(read_end(ended), Some((f, 0)), "{name} {end} is read");
             assert_eq!(end_of(stored, f).to_string(), ended.to_string(), "{name} {end}");
         }
     }
     let stored = &golden["job/progress"];
-    let (raw, _, accepted, done) = Owner::read_record(stored).expect("a record");
-    assert_eq!(Owner::record(&raw, accepted, &done.encode(1000)).to_string(), stored.to_string());
-    assert_eq!(read_end(&golden["job/progress/cancelled"]), Some((Final::Cancelled, 5)));
+    let (raw, _, accepted, done) = JobShard::read_record(stored).expect("a record");
+    assert_eq!(JobShard::record(&raw, accepted, &done.encode(1000)).to_string(), stored.to_string());
+    assert_eq!(read_end(&golden["job/progress/cancelled"]), Some((JobOutcome::Cancelled, 5)));
 }
 
 fn epoch() -> EpochRecord {
@@ -302,7 +302,7 @@
 }
 
 fn page_of(rows: &[(String, MachineRecord)]) -> Value {
-    let mut roll = Roll::new("c0", 2048);
+    let mut roll = MachineRegistry::new("c0", 2048);
     for (name, record) in rows {
         roll.add(name, record);
     }
@@ -314,8 +314,8 @@
 fn need(job: &str, each: i64, accepted: Micros) -> Need {
     Need {
         job: job.into(),
-        one: Room { cpus: each, gpus: 0, memory: 0 },
-        in_use: Room::default(),
+        one: Resources { cpus: each, gpus: 0, memory: 0 },
+        in_use: Resources::default(),
         settled: true,
         more: 2,
         whole: true,
@@ -327,7 +327,7 @@
 /// What an owner of only these jobs makes of a team's record.
 fn team_after(record: &Value, needs: &[Need]) -> Value {
     let s = settings();
-    let mut teams = Teams::new(&s.teams);
+    let mut teams = QuotaLedger::new(&s.teams);
     teams.take("vision", Some((record, 5)));
     let mine = |job: &str| needs.iter().any(|n| n.job == job);
     let write = teams.plan(Micros(60_000_000), "vision", needs, mine, |_| false, s.value_bytes);
@@ -514,12 +514,12 @@
 }
 
 impl Service {
-    fn row(&self, key: &str) -> Option<Row> {
+    fn row(&self, key: &str) -> Option<KeyValue> {
         let (value, mark) = self.rows.get(key)?;
-        Some(Row { key: key.into(), value: value.clone(), mark: *mark })
+        Some(KeyValue { key: key.into(), value: value.clone(), mark: *mark })
     }
 
-    fn commit(&mut self, c: Commit) -> StoreAnswer {
+    fn commit(&mut self, c: Transaction) -> StoreAnswer {
         let mark = |key: &str| self.rows.get(key).map_or(0, |r| r.1);
         let failed: Vec<String> =
             c.conditions.iter().filter(|(k, m)| mark(k) != *m).map(|(k, _)| k.clone()).collect();
@@ -545,7 +545,7 @@
                 let keys = self.rows.keys().filter(|k| k.starts_with(&prefix) && **k > after);
                 StoreAnswer::Page(keys.filter_map(|k| self.row(k)).collect(), false)
             }
-            StoreRequest::Commit(c) => self.commit(c),
+            StoreRequest::Transaction(c) => self.commit(c),
             StoreRequest::Grant(_) => StoreAnswer::Granted(1),
             StoreRequest::Renew(_) => StoreAnswer::Renewed,
             StoreRequest::Revision => StoreAnswer::At(self.revision),
@@ -556,7 +556,7 @@
 
 /// One controller with its state service, in rounds of a tenth of a second.
 struct Play {
-    node: Node,
+    node: Controller,
     service: Service,
     now: Micros,
     out: Vec<Effect>,
@@ -566,7 +566,7 @@
 
 impl Play {
     fn start(settings: Settings, service: Service) -> Play {
-        let node = Node::new(settings, 11);
+        let node = Controller::new(settings, 11);
         let now = Micros(1_000_000);
         let mut play = Play { node, service, now, out: Vec::new(), answers: Vec::new(), ticket: 0 };
         play.rounds(200);
@@ -662,15 +662,15 @@
 struct Worker {
     token: u64,
     seq: u64,
-    tasks: Vec<ReportedTask>,
+    tasks: Vec<HeartbeatTask>,
     /// The first body with each set of commands.
     told: Forms,
 }
 
 impl Worker {
-    fn report(&mut self) -> Report {
+    fn report(&mut self) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: "i-000231".into(),
             addr: "10.1.0.232:9000".into(),
             kind: "k8".into(),
@@ -693,7 +693,7 @@
     fn obey(&mut self, command: &Value) {
         let task = command["stride"].as_str().expect("a task").to_owned();
         match command["call"].as_str().expect("a command") {
-            "run" => self.tasks.push(ReportedTask {
+            "run" => self.tasks.push(HeartbeatTask {
                 task,
                 attempt: command["mount"].as_u64().expect("an attempt"),
                 state: "running".into(),
@@ -709,7 +709,7 @@
     fn heartbeats(&mut self, play: &mut Play, most: usize) {
         for _ in 0..most {
             let report = self.report();
-            let reply = play.ask(|ticket| Event::Report(ticket, report));
+            let reply = play.ask(|ticket| Event::Heartbeat(ticket, report));
             play.rounds(10);
             if reply.status != 200 {
                 continue;
@@ -807,8 +807,8 @@
     worker.seq -= 1;
     let (late, mut newer) = (worker.report(), worker.report());
     newer.token += 1;
-    let late = play.ask(|ticket| Event::Report(ticket, late));
-    let newer = play.ask(|ticket| Event::Report(ticket, newer));
+    let late = play.ask(|ticket| Event::Heartbeat(ticket, late));
+    let newer = play.ask(|ticket| Event::Heartbeat(ticket, newer));
     let forms = vec![("late".into(), told(&late)), ("newer epoch".into(), told(&newer))];
     same(&[("refusals", forms)]);
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,17 +1,17 @@
 //! What a home and an owner hand to the next: taken for complete where it is, never for more, and without harm when it
 //! comes late or twice.
 
-use hazelsaddle::job_shard::Owner;
-use hazelsaddle::machine_shard::{Home, Report, ReportedTask, Verdict};
+use hazelsaddle::job_shard::JobShard;
+use hazelsaddle::machine_shard::{Heartbeat, HeartbeatTask, MachineShard, Verdict};
 use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::*;
-use hazelsaddle::quota::Teams;
+use hazelsaddle::quota::QuotaLedger;
 use hazelsaddle::settings::Settings;
-use hazelsaddle::spec::Spec;
-use hazelsaddle::units::{Micros, Ranges, Room};
+use hazelsaddle::spec::JobSpec;
+use hazelsaddle::units::{Micros, Ranges, Resources};
 use serde_json::{Value, json};
 
-const ROOM: Room = Room { cpus: 4000, gpus: 0, memory: 8000 };
+const ROOM: Resources = Resources { cpus: 4000, gpus: 0, memory: 8000 };
 
 fn at(s: f64) -> Micros {
     Micros::from_secs(s)
@@ -58,15 +58,15 @@
     Two { before, next, new, machine, job }
 }
 
-fn report(t: &Two, seq: u64, token: u64, tasks: &[(u64, &str)]) -> Report {
-    let task = |&(attempt, state): &(u64, &str)| ReportedTask {
+fn report(t: &Two, seq: u64, token: u64, tasks: &[(u64, &str)]) -> Heartbeat {
+    let task = |&(attempt, state): &(u64, &str)| HeartbeatTask {
         task: format!("{}/0", t.job),
         attempt,
         state: state.into(),
         why: None,
         saved: None,
     };
-    Report {
+    Heartbeat {
         machine: t.machine.clone(),
         addr: String::new(),
         kind: "k".into(),
@@ -80,35 +80,35 @@
     }
 }
 
-fn wanted(t: &Two, attempt: u64, want: Want) -> Wanted {
-    Wanted {
+fn wanted(t: &Two, attempt: u64, want: DesiredAction) -> DesiredTask {
+    DesiredTask {
         key: TaskKey { job: t.job.clone(), index: 0, attempt },
         machine: t.machine.clone(),
-        room: Room { cpus: 3000, gpus: 0, memory: 0 },
+        room: Resources { cpus: 3000, gpus: 0, memory: 0 },
         want,
         priority: 0,
         image: 0,
     }
 }
 
-fn whole(rev: u64, list: Vec<Wanted>) -> Wishes {
-    Wishes { rev, since: 0, list, dropped: Vec::new() }
+fn whole(rev: u64, list: Vec<DesiredTask>) -> DesiredState {
+    DesiredState { rev, since: 0, list, dropped: Vec::new() }
 }
 
 /// The old home, which has just sent out a start, and the new one.
-fn homes(t: &Two) -> (Home, Home) {
-    let mut old = Home::new(&settings(0));
+fn homes(t: &Two) -> (MachineShard, MachineShard) {
+    let mut old = MachineShard::new(&settings(0));
     old.adopt(at(10.0), &t.before, false, |_| None);
     assert_eq!(old.report(at(99.0), &t.before, &report(t, 1, 7, &[])), Verdict::Taken);
     old.on_record(&t.machine);
-    old.wanted(at(99.1), 0, &whole(1, vec![wanted(t, 5, Want::Run)]), &t.before, |_| Some(ROOM));
+    old.wanted(at(99.1), 0, &whole(1, vec![wanted(t, 5, DesiredAction::Run)]), &t.before, |_| Some(ROOM));
     assert_eq!(old.orders(&t.before, &t.machine, |_| true).expect("known").commands.len(), 1);
-    let mut new = Home::new(&settings(1));
+    let mut new = MachineShard::new(&settings(1));
     new.adopt(at(1001.0), &t.new, false, |_| None);
     (old, new)
 }
 
-fn digest(home: &Home, now: Micros, t: &Two) -> MachineDigest {
+fn digest(home: &MachineShard, now: Micros, t: &Two) -> MachineStatus {
     home.digest(now, &t.new, 1, 0, |_| Some(ROOM)).machines.remove(0)
 }
 
@@ -120,10 +120,13 @@
     let machine = parcels.remove(&1).expect("it moves").remove(0);
     assert!(new.handed(at(1005.0), &t.new, machine.clone()));
     let d = digest(&new, at(1005.0), &t);
-    assert_eq!((d.standing, d.free.cpus, d.tasks[0].phase), (Standing::Known, 1000, Phase::InDoubt));
+    assert_eq!(
+        (d.standing, d.free.cpus, d.tasks[0].phase),
+        (InventoryState::Known, 1000, TaskPhase::InDoubt)
+    );
     assert!(!new.handed(at(1005.1), &t.new, machine.clone()), "twice changes nothing");
     // No room beside the start in doubt, no second start of its task.
-    new.wanted(at(1005.2), 1, &whole(1, vec![wanted(&t, 6, Want::Run)]), &t.new, |_| Some(ROOM));
+    new.wanted(at(1005.2), 1, &whole(1, vec![wanted(&t, 6, DesiredAction::Run)]), &t.new, |_| Some(ROOM));
     assert!(new.orders(&t.new, &t.machine, |_| true).expect("known").commands.is_empty());
     // The start never arrived: the next report says so.
     assert_eq!(new.report(at(1006.0), &t.new, &report(&t, 2, 7, &[])), Verdict::Taken);
@@ -140,11 +143,11 @@
         let (old, mut new) = homes(&t);
         // It shows the old token: alone it proves nothing.
         new.report(at(1004.0), &t.new, &report(&t, seq, 7, &[]));
-        assert_eq!(digest(&new, at(1004.0), &t).standing, Standing::Unconfirmed);
+        assert_eq!(digest(&new, at(1004.0), &t).standing, InventoryState::Unconfirmed);
         let machine = old.hand_over(at(100.0), &t.next).remove(&1).expect("it moves").remove(0);
         new.handed(at(1005.0), &t.new, machine);
         let d = digest(&new, at(1005.0), &t);
-        assert_eq!((d.standing, d.free.cpus), (Standing::Known, cpus), "report {seq}");
+        assert_eq!((d.standing, d.free.cpus), (InventoryState::Known, cpus), "report {seq}");
     }
 }
 
@@ -153,7 +156,7 @@
     let t = two();
     let (old, mut new) = homes(&t);
     new.report(at(1004.0), &t.new, &report(&t, 2, 7, &[(5, "running")]));
-    let stop = wanted(&t, 5, Want::Stop(Micros(0)));
+    let stop = wanted(&t, 5, DesiredAction::Stop(Micros(0)));
     new.wanted(at(1004.5), 1, &whole(1, vec![stop]), &t.new, |_| Some(ROOM));
     let machine = old.hand_over(at(100.0), &t.next).remove(&1).expect("it moves").remove(0);
     new.handed(at(1005.0), &t.new, machine);
@@ -173,11 +176,11 @@
         addr: String::new(),
     };
     for (packed, known_at) in [(30.0, 10.0), (12.0, f64::NAN)] {
-        let mut old = Home::new(&settings(0));
+        let mut old = MachineShard::new(&settings(0));
         old.adopt(at(10.0), &t.before, false, |_| None);
         old.recorded(at(10.0), &t.machine, r.clone());
         let parcels = old.hand_over(at(packed), &t.next);
-        let mut new = Home::new(&settings(1));
+        let mut new = MachineShard::new(&settings(1));
         new.adopt(at(1001.0), &t.new, false, |_| None);
         new.recorded(at(1001.0), &t.machine, r.clone());
         if known_at.is_nan() {
@@ -190,7 +193,7 @@
         // A worker's lease and its margin after 16 s, when the last right of the epoch before ended: by the old home's
         // clock at 35, so 5 s after packing; by the new one's own a member lease, a worker lease and the margin after 1 s.
         let mut over = 1002.0;
-        while digest(&new, at(over), &t).standing == Standing::Unconfirmed {
+        while digest(&new, at(over), &t).standing == InventoryState::Unconfirmed {
             over += 0.25;
             new.tick(at(over), &t.new);
             assert!(over < 1060.0);
@@ -211,14 +214,14 @@
         spot: false,
         addr: String::new(),
     };
-    let mut home = Home::new(&settings(0));
+    let mut home = MachineShard::new(&settings(0));
     home.adopt(at(10.0), &t.before, false, |_| None);
     home.recorded(at(10.0), &stays, r);
     // A member lease after 10 s nobody else could answer it any more: with a worker lease and its margin that is 35 s.
     home.adopt(at(30.0), &t.next, true, |_| None);
-    let known = |home: &mut Home, s: f64| {
+    let known = |home: &mut MachineShard, s: f64| {
         home.tick(at(s), &t.next);
-        home.digest(at(s), &t.next, 0, 0, |_| Some(ROOM)).machines[0].standing == Standing::Known
+        home.digest(at(s), &t.next, 0, 0, |_| Some(ROOM)).machines[0].standing == InventoryState::Known
     };
     assert!(!known(&mut home, 34.0));
     assert!(known(&mut home, 36.0));
@@ -230,21 +233,21 @@
 }
 
 /// The new owner of a job, with a machine that has not been heard and one that has room.
-fn owner(t: &Two, kind: &str, tasks: u32) -> (Owner, Teams, MachineDigest) {
+fn owner(t: &Two, kind: &str, tasks: u32) -> (JobShard, QuotaLedger, MachineStatus) {
     let s = settings(1);
-    let mut o = Owner::new(&s);
+    let mut o = JobShard::new(&s);
     o.adopt(&t.new, false);
     let raw = raw(&t.job, kind, tasks);
-    o.insert(raw.clone(), Spec::from_value(&raw).expect("valid"), Micros(1), Ranges::default(), 1, false);
+    o.insert(raw.clone(), JobSpec::from_value(&raw).expect("valid"), Micros(1), Ranges::default(), 1, false);
     o.load_done([t.machine.clone(), "i-dark".to_owned()].into_iter());
     o.keep(Vec::new(), Vec::new());
-    let room = Room { cpus: 80_000, gpus: 0, memory: 90_000 };
-    let d = MachineDigest {
+    let room = Resources { cpus: 80_000, gpus: 0, memory: 90_000 };
+    let d = MachineStatus {
         name: "i-free".into(),
         kind: "k".into(),
         zone: "z".into(),
         spot: true,
-        standing: Standing::Known,
+        standing: InventoryState::Known,
         open: true,
         notice: None,
         free: room,
@@ -256,16 +259,16 @@
         silent: None,
         tasks: Vec::new(),
     };
-    (o, Teams::new(&s.teams), d)
+    (o, QuotaLedger::new(&s.teams), d)
 }
 
 /// Digests of both homes; machines named beside the free one are known to have no room.
-fn hear(o: &mut Owner, t: &Two, seq: u64, free: &MachineDigest, others: &[(&str, Standing)]) {
+fn hear(o: &mut JobShard, t: &Two, seq: u64, free: &MachineStatus, others: &[(&str, InventoryState)]) {
     for from in 0..2 {
         // The home has seen what it was last told, if it was told anything.
         let rev_seen = if seq == 1 { 0 } else { o.wanted(from, &t.new).rev };
-        let none = Room::default();
-        let other = |&(name, standing): &(&str, Standing)| MachineDigest {
+        let none = Resources::default();
+        let other = |&(name, standing): &(&str, InventoryState)| MachineStatus {
             name: name.into(),
             standing,
             free: none,
@@ -274,47 +277,47 @@
         };
         let all = others.iter().map(other).chain([free.clone()]);
         let machines = all.filter(|d| t.new.home(&d.name) == Some(from)).collect();
-        let d = Digest { seq: (t.new.epoch << 32) + seq, since: 0, rev_seen, machines };
+        let d = MachineStatusDelta { seq: (t.new.epoch << 32) + seq, since: 0, rev_seen, machines };
         o.digest(at(5.0), &t.new, from, d);
     }
 }
 
-fn placed(o: &mut Owner, t: &Two, teams: &Teams, now: f64) -> Vec<u32> {
+fn placed(o: &mut JobShard, t: &Two, teams: &QuotaLedger, now: f64) -> Vec<u32> {
     o.plan(at(now), at(now), &t.new, teams);
-    let mut all: Vec<Wanted> = (0..2).flat_map(|h| o.wanted(h, &t.new).list).collect();
-    all.retain(|w| w.want == Want::Run || w.want == Want::Hold);
+    let mut all: Vec<DesiredTask> = (0..2).flat_map(|h| o.wanted(h, &t.new).list).collect();
+    all.retain(|w| w.want == DesiredAction::Run || w.want == DesiredAction::Hold);
     let mut out: Vec<u32> = all.iter().map(|w| w.key.index).collect();
     out.sort_unstable();
     out.dedup();
     out
 }
 
-fn start(t: &Two, index: u32, stopping: bool) -> HandedStart {
-    HandedStart {
+fn start(t: &Two, index: u32, stopping: bool) -> StartHandoff {
+    StartHandoff {
         index,
         attempt: 77,
         machine: t.machine.clone(),
         zone: "z".into(),
         stopping,
-        phase: Some(Phase::Running),
+        phase: Some(TaskPhase::Running),
     }
 }
 
 #[test]
 fn a_handed_job_starts_at_once_what_is_nowhere_and_waits_for_the_rest() {
     let t = two();
-    let dark = [(t.machine.as_str(), Standing::Unconfirmed), ("i-dark", Standing::Unconfirmed)];
+    let dark = [(t.machine.as_str(), InventoryState::Unconfirmed), ("i-dark", InventoryState::Unconfirmed)];
     let (mut o, teams, free) = owner(&t, "batch", 4);
     hear(&mut o, &t, 1, &free, &dark);
     assert_eq!(placed(&mut o, &t, &teams, 5.0), Vec::<u32>::new(), "any of them may be on two machines");
     let starts = vec![start(&t, 1, false), start(&t, 2, true)];
-    let job = |doubt| HandedJob { id: t.job.clone(), done: "3".into(), starts: starts.clone(), doubt };
+    let job = |doubt| JobHandoff { id: t.job.clone(), done: "3".into(), starts: starts.clone(), doubt };
     assert_eq!(o.handed(at(5.1), vec![job(Some(9))], &[]), 0, "a set that is not there is no evidence");
     assert_eq!(o.handed(at(5.1), vec![job(None)], &[]), 1);
     assert_eq!(placed(&mut o, &t, &teams, 6.0), [0], "one is there, one being stopped, one completed");
     assert_eq!(o.handed(at(6.1), vec![job(None)], &[]), 0, "twice changes nothing");
     // Their machine speaks and has neither.
-    let known = [(t.machine.as_str(), Standing::Known), ("i-dark", Standing::Unconfirmed)];
+    let known = [(t.machine.as_str(), InventoryState::Known), ("i-dark", InventoryState::Unconfirmed)];
     hear(&mut o, &t, 2, &free, &known);
     hear(&mut o, &t, 3, &free, &known);
     assert_eq!(placed(&mut o, &t, &teams, 9.0).len(), 3, "0 as before, and both that were lost");
@@ -323,14 +326,14 @@
 #[test]
 fn a_job_handed_on_in_doubt_waits_for_those_machines_only() {
     let t = two();
-    let dark = [(t.machine.as_str(), Standing::Unconfirmed), ("i-dark", Standing::Unconfirmed)];
+    let dark = [(t.machine.as_str(), InventoryState::Unconfirmed), ("i-dark", InventoryState::Unconfirmed)];
     let (mut o, teams, free) = owner(&t, "batch", 2);
     hear(&mut o, &t, 1, &free, &dark);
-    let job = HandedJob { id: t.job.clone(), done: String::new(), starts: Vec::new(), doubt: Some(0) };
+    let job = JobHandoff { id: t.job.clone(), done: String::new(), starts: Vec::new(), doubt: Some(0) };
     // One that the old owner waited for was never on record, or is gone: it is not waited for.
     o.handed(at(5.1), vec![job], &[vec![t.machine.clone(), "i-gone".into()]]);
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty());
-    let known = [(t.machine.as_str(), Standing::Known), ("i-dark", Standing::Unconfirmed)];
+    let known = [(t.machine.as_str(), InventoryState::Known), ("i-dark", InventoryState::Unconfirmed)];
     hear(&mut o, &t, 2, &free, &known);
     assert_eq!(placed(&mut o, &t, &teams, 7.0), [0, 1]);
     assert_eq!(o.unheard(), 1, "the other machine is as dark as it was");
@@ -341,14 +344,20 @@
 fn a_machine_that_has_spoken_is_not_waited_for_again_in_the_next_epoch() {
     let t = two();
     let (mut o, teams, free) = owner(&t, "batch", 2);
-    hear(&mut o, &t, 1, &free, &[(t.machine.as_str(), Standing::Known), ("i-dark", Standing::Unconfirmed)]);
+    hear(
+        &mut o,
+        &t,
+        1,
+        &free,
+        &[(t.machine.as_str(), InventoryState::Known), ("i-dark", InventoryState::Unconfirmed)],
+    );
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty(), "one of two has spoken");
     let mut after = two();
     assert!(after.new.adopt(at(1100.0), &record(9, &[0, 1]), 3));
     o.adopt(&after.new, true);
     o.load_done([t.machine.clone(), "i-dark".to_owned()].into_iter());
     // Now the other one does, and the first one's new home has yet to hear it.
-    let known = [(t.machine.as_str(), Standing::Unconfirmed), ("i-dark", Standing::Known)];
+    let known = [(t.machine.as_str(), InventoryState::Unconfirmed), ("i-dark", InventoryState::Known)];
     hear(&mut o, &after, 1, &free, &known);
     assert_eq!(placed(&mut o, &after, &teams, 7.0), [0, 1]);
 }
@@ -357,16 +366,22 @@
 #[test]
 fn a_handed_gang_that_is_not_whole_is_ended_before_it_is_tried_again() {
     let t = two();
-    let dark = [(t.machine.as_str(), Standing::Unconfirmed), ("i-dark", Standing::Unconfirmed)];
+    let dark = [(t.machine.as_str(), InventoryState::Unconfirmed), ("i-dark", InventoryState::Unconfirmed)];
     let (mut o, teams, free) = owner(&t, "group", 2);
     hear(&mut o, &t, 1, &free, &dark);
     let starts = vec![start(&t, 1, false)];
-    let job = HandedJob { id: t.job.clone(), done: String::new(), starts, doubt: None };
+    let job = JobHandoff { id: t.job.clone(), done: String::new(), starts, doubt: None };
     o.handed(at(5.1), vec![job], &[]);
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty());
-    let stops: Vec<Want> = (0..2).flat_map(|h| o.wanted(h, &t.new).list).map(|w| w.want).collect();
-    assert_eq!(stops, [Want::Stop(Micros(0))]);
-    hear(&mut o, &t, 2, &free, &[(t.machine.as_str(), Standing::Known), ("i-dark", Standing::Unconfirmed)]);
+    let stops: Vec<DesiredAction> = (0..2).flat_map(|h| o.wanted(h, &t.new).list).map(|w| w.want).collect();
+    assert_eq!(stops, [DesiredAction::Stop(Micros(0))]);
+    hear(
+        &mut o,
+        &t,
+        2,
+        &free,
+        &[(t.machine.as_str(), InventoryState::Known), ("i-dark", InventoryState::Unconfirmed)],
+    );
     o.plan(at(7.0), at(7.0), &t.new, &teams);
     assert_eq!(placed(&mut o, &t, &teams, 8.0), [0, 1], "as a whole, at once: all of it is known");
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,8 +1,8 @@
 //! The edges over real sockets on loopback, against stand-ins for the outside systems.
 
-use hazelsaddle::autoscaler::{CloudAnswer, CloudClient, CloudRequest, Rental};
+use hazelsaddle::autoscaler::{CloudAnswer, CloudClient, CloudRequest, ScaleOut};
 use hazelsaddle::peer::{self, Frame, Message};
-use hazelsaddle::state_store::{Commit, StoreAnswer, StoreClient, StoreRequest};
+use hazelsaddle::state_store::{StoreAnswer, StoreClient, StoreRequest, Transaction};
 use hazelsaddle::units::Micros;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, SocketAddrV4};
@@ -34,7 +34,7 @@
 
 #[test]
 fn the_state_service_is_spoken_to_by_its_protocol() {
-    let commit = StoreRequest::Commit(Commit {
+    let commit = StoreRequest::Transaction(Transaction {
         conditions: vec![("a/b".into(), 0)],
         puts: vec![("a/b".into(), json!({"x": 1}), Some(7))],
         drops: vec!["c/d".into()],
@@ -86,7 +86,7 @@
         (200, json!({})),
     ]);
     let c = CloudClient::new(addr);
-    let rental = Rental { name: "r-17".into(), kind: "g8".into(), zone: "a".into(), spot: true, count: 12 };
+    let rental = ScaleOut { name: "r-17".into(), kind: "g8".into(), zone: "a".into(), spot: true, count: 12 };
     let rent = CloudRequest::Rent(rental);
     assert_eq!(c.call(&rent), CloudAnswer::Rented(vec!["i-000231".into()]));
     assert_eq!(c.call(&rent), CloudAnswer::NoCapacity);
@@ -115,7 +115,7 @@
         echo: Micros(6),
         echo_boot: 9,
         digest_seen: 0,
-        body: Message::Beat,
+        body: Message::KeepAlive,
     };
     peer::enqueue(&peer::dial(addr), frame.clone());
     assert_eq!(rx.recv_timeout(Duration::from_secs(60)), Ok(frame));
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -3,14 +3,14 @@
 
 use hazelsaddle::api::{self, Parsed};
 use hazelsaddle::autoscaler::CloudRequest;
-use hazelsaddle::controller::{Effect, Node};
-use hazelsaddle::machine_shard::{Home, Report};
-use hazelsaddle::machine_view::View;
+use hazelsaddle::controller::{Controller, Effect};
+use hazelsaddle::machine_shard::{Heartbeat, MachineShard};
+use hazelsaddle::machine_view::MachineView;
 use hazelsaddle::membership::{EpochRecord, Membership};
-use hazelsaddle::peer::{Digest, Reply, TaskKey, Want, Wanted, Wishes};
+use hazelsaddle::peer::{DesiredAction, DesiredState, DesiredTask, MachineStatusDelta, Reply, TaskKey};
 use hazelsaddle::settings::Settings;
-use hazelsaddle::spec::Spec;
-use hazelsaddle::units::{Micros, Room};
+use hazelsaddle::spec::JobSpec;
+use hazelsaddle::units::{Micros, Resources};
 use serde_json::json;
 
 const EPOCH: u64 = 3;
@@ -23,13 +23,13 @@
     Settings::parse("test", text).expect("valid")
 }
 
-fn home() -> (Membership, Home) {
+fn home() -> (Membership, MachineShard) {
     let s = settings();
     let mut m = Membership::new(&s, 1);
     m.adopt(Micros(1), &EpochRecord { epoch: EPOCH, members: vec![("c0".into(), 1)] }, 1);
-    let mut home = Home::new(&s);
+    let mut home = MachineShard::new(&s);
     home.adopt(Micros(1), &m, false, |_| None);
-    let report = Report {
+    let report = Heartbeat {
         machine: "i-1".into(),
         addr: String::new(),
         kind: "k".into(),
@@ -49,29 +49,35 @@
 #[test]
 fn a_message_that_builds_on_a_state_not_held_is_dropped() {
     let (m, mut home) = home();
-    let room = |_: &str| Some(Room { cpus: 4000, gpus: 0, memory: 8000 });
+    let room = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
     let first = EPOCH << 32;
-    let wish = Wanted {
+    let wish = DesiredTask {
         key: TaskKey { job: "wk-1".into(), index: 0, attempt: 1 },
         machine: "i-1".into(),
-        room: Room { cpus: 1000, gpus: 0, memory: 1000 },
-        want: Want::Run,
+        room: Resources { cpus: 1000, gpus: 0, memory: 1000 },
+        want: DesiredAction::Run,
         priority: 0,
         image: 0,
     };
-    let ahead = Wishes { rev: first + 5, since: first + 4, list: vec![wish.clone()], dropped: Vec::new() };
+    let ahead =
+        DesiredState { rev: first + 5, since: first + 4, list: vec![wish.clone()], dropped: Vec::new() };
     assert!(!home.wanted(Micros(3), 0, &ahead, &m, room));
     let digest = home.digest(Micros(4), &m, 0, 0, room);
     assert!(digest.machines[0].tasks.is_empty());
     assert!(digest.rev_seen < first, "what was dropped must not count as seen");
-    assert!(home.wanted(Micros(5), 0, &Wishes { since: 0, ..ahead }, &m, room));
+    assert!(home.wanted(Micros(5), 0, &DesiredState { since: 0, ..ahead }, &m, room));
     assert_eq!(home.digest(Micros(6), &m, 0, 0, room).machines[0].tasks[0].key, wish.key);
 
-    let mut view = View::default();
-    let later = Digest { since: digest.seq, seq: digest.seq + 2, ..digest.clone() };
+    let mut view = MachineView::default();
+    let later = MachineStatusDelta { since: digest.seq, seq: digest.seq + 2, ..digest.clone() };
     assert_eq!(view.take(Micros(7), EPOCH, later), None, "nothing of this epoch is held yet");
     assert!(view.take(Micros(8), EPOCH, digest.clone()).is_some());
-    let gap = Digest { since: digest.seq + 1, seq: digest.seq + 2, machines: Vec::new(), ..digest.clone() };
+    let gap = MachineStatusDelta {
+        since: digest.seq + 1,
+        seq: digest.seq + 2,
+        machines: Vec::new(),
+        ..digest.clone()
+    };
     assert_eq!(view.take(Micros(9), EPOCH, gap), None);
     assert_eq!(view.seq(EPOCH), digest.seq, "the sender goes on building on what is held");
 }
@@ -81,7 +87,7 @@
 #[test]
 fn what_rests_on_a_right_that_has_run_out_is_taken_back() {
     let at = |s: u64| Micros(s * 1_000_000);
-    let mut node = Node::new(settings(), 1);
+    let mut node = Controller::new(settings(), 1);
     node.membership.adopt(at(1), &EpochRecord { epoch: EPOCH, members: vec![("c0".into(), 1)] }, 1);
     node.membership.confirmed_by_store(at(1));
     node.reconcile(at(2), at(2), &mut Vec::new());
@@ -110,7 +116,7 @@
         .to_string();
         // It names a job, so its record is looked for before it is turned down, by this status and these words.
         assert!(matches!(api::parse(1, "POST", "/v1/jobs", |_| Ok(body.clone())), Parsed::Event(_)));
-        match Spec::parse(&body) {
+        match JobSpec::parse(&body) {
             Err(e) => (e.status(), e.to_string()),
             Ok(_) => (0, String::new()),
         }
--- a/tests/old_reports.rs
+++ b/tests/old_reports.rs
@@ -1,15 +1,17 @@
 //! One worker and the homes that follow one another, with copies of old reports, answers that are lost while the reports
 //! arrive, direct messages held up, and homes that begin knowing nothing: what a home says is not on the machine is not.
 
-use hazelsaddle::machine_shard::{Home, MachineRecord, Orders, Report, ReportedTask, Verdict};
+use hazelsaddle::machine_shard::{
+    Heartbeat, HeartbeatResponse, HeartbeatTask, MachineRecord, MachineShard, Verdict,
+};
 use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::*;
 use hazelsaddle::settings::Settings;
-use hazelsaddle::units::{Micros, Room};
+use hazelsaddle::units::{Micros, Resources};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-const ROOM: Room = Room { cpus: 4000, gpus: 0, memory: 8000 };
+const ROOM: Resources = Resources { cpus: 4000, gpus: 0, memory: 8000 };
 const LEASE: u64 = 18_000;
 const STEP: u64 = 100;
 
@@ -41,16 +43,16 @@
 }
 
 impl Worker {
-    fn report(&mut self, job: &str) -> Report {
+    fn report(&mut self, job: &str) -> Heartbeat {
         self.seq += 1;
-        let task = |(attempt, ended): (&u64, &bool)| ReportedTask {
+        let task = |(attempt, ended): (&u64, &bool)| HeartbeatTask {
             task: format!("{job}/0"),
             attempt: *attempt,
             state: if *ended { "ended" } else { "running" }.into(),
             why: ended.then(|| "error".into()),
             saved: None,
         };
-        Report {
+        Heartbeat {
             machine: self.machine.clone(),
             addr: "10.0.0.5:1".into(),
             kind: "k".into(),
@@ -101,20 +103,20 @@
     session: u64,
     seq: u64,
     sent: u64,
-    orders: Option<Orders>,
+    orders: Option<HeartbeatResponse>,
 }
 
 enum Mail {
-    Report(Report, Option<u64>),
+    Heartbeat(Heartbeat, Option<u64>),
     Answer(Answer),
-    Greeting(u64, u64),
-    Greeted(Report),
+    FencingProbe(u64, u64),
+    Greeted(Heartbeat),
 }
 
 /// The home of an epoch, with what its owner wants.
 struct Reign {
     m: Membership,
-    home: Home,
+    home: MachineShard,
     began: u64,
     rev: u64,
     starts: u64,
@@ -125,7 +127,7 @@
     seed: u64,
     deaf: &[(u64, u64)],
     until: u64,
-    mut look: impl FnMut(u64, &Reign, &MachineDigest),
+    mut look: impl FnMut(u64, &Reign, &MachineStatus),
 ) -> Worker {
     let mut rng = StdRng::seed_from_u64(seed);
     let s = settings();
@@ -156,7 +158,7 @@
     let begin = |now: u64, epoch: u64, m: &Membership, known: bool| {
         let mut m = m.clone();
         m.adopt(at(now), &record(epoch), epoch);
-        let mut home = Home::new(&settings());
+        let mut home = MachineShard::new(&settings());
         home.adopt(at(now), &m, false, |_| None);
         if known {
             let r =
@@ -194,9 +196,9 @@
             w.in_flight = Some((r.seq, now));
             let late =
                 if rng.random_bool(0.05) { rng.random_range(300..60_000) } else { rng.random_range(1..300) };
-            post(now + late, Mail::Report(r.clone(), Some(now)), &mut mail);
+            post(now + late, Mail::Heartbeat(r.clone(), Some(now)), &mut mail);
             if rng.random_bool(0.3) {
-                post(now + rng.random_range(2_000..50_000), Mail::Report(r, None), &mut mail);
+                post(now + rng.random_range(2_000..50_000), Mail::Heartbeat(r, None), &mut mail);
             }
         }
         if rng.random_bool(0.005)
@@ -210,7 +212,7 @@
         {
             let delay = now + rng.random_range(1..300);
             match e.remove() {
-                Mail::Report(r, sent) => {
+                Mail::Heartbeat(r, sent) => {
                     // An old process still has the worker's connection.
                     let old = last.as_mut().filter(|_| rng.random_bool(0.5)).map(|(old, _)| old);
                     let to = old.unwrap_or(&mut reign);
@@ -225,7 +227,7 @@
                     }
                 }
                 Mail::Answer(a) if hears => w.answered(now, &a),
-                Mail::Greeting(token, session) if hears => {
+                Mail::FencingProbe(token, session) if hears => {
                     if token >= w.token && session == w.session {
                         w.token = token;
                     }
@@ -233,12 +235,12 @@
                     post(delay + if rng.random_bool(0.2) { 9_000 } else { 0 }, Mail::Greeted(r), &mut mail);
                 }
                 Mail::Greeted(r) => _ = reign.home.greeted(at(now), &reign.m, &r),
-                Mail::Answer(_) | Mail::Greeting(..) => {}
+                Mail::Answer(_) | Mail::FencingProbe(..) => {}
             }
         }
         for g in reign.home.to_greet(at(now), 9) {
             let held = if rng.random_bool(0.3) { rng.random_range(1_000..20_000) } else { 1 };
-            post(now + held, Mail::Greeting(reign.m.epoch, g.session), &mut mail);
+            post(now + held, Mail::FencingProbe(reign.m.epoch, g.session), &mut mail);
         }
         for _ in 0..reign.home.to_record().len() {
             reign.home.on_record(&machine);
@@ -248,33 +250,35 @@
         let digest = |r: &Reign| r.home.digest(at(now), &r.m, 0, 0, |_| Some(ROOM)).machines.pop();
         let Some(d) = digest(&reign) else { continue };
         // Its owner: one start at a time, what it does not know is kept, what ended may go.
-        let wish = |attempt, want| Wanted {
+        let wish = |attempt, want| DesiredTask {
             key: TaskKey { job: job.clone(), index: 0, attempt },
             machine: machine.clone(),
-            room: Room { cpus: 1000, gpus: 0, memory: 1000 },
+            room: Resources { cpus: 1000, gpus: 0, memory: 1000 },
             want,
             priority: 0,
             image: 0,
         };
-        let mut list: Vec<Wanted> = Vec::new();
+        let mut list: Vec<DesiredTask> = Vec::new();
         for t in &d.tasks {
             let want = match t.phase {
-                Phase::Exited(_) => Want::Forget,
-                Phase::Held | Phase::Queued | Phase::InDoubt => Want::Run,
-                _ => Want::Keep,
+                TaskPhase::Exited(_) => DesiredAction::Forget,
+                TaskPhase::Held | TaskPhase::Queued | TaskPhase::InDoubt => DesiredAction::Run,
+                _ => DesiredAction::Keep,
             };
             list.push(wish(t.key.attempt, want));
         }
-        if d.standing == Standing::Known && !d.tasks.iter().any(|t| !matches!(t.phase, Phase::Exited(_))) {
+        if d.standing == InventoryState::Known
+            && !d.tasks.iter().any(|t| !matches!(t.phase, TaskPhase::Exited(_)))
+        {
             reign.starts += 1;
-            list.push(wish((reign.m.epoch << 24) + reign.starts, Want::Run));
+            list.push(wish((reign.m.epoch << 24) + reign.starts, DesiredAction::Run));
         }
         reign.rev += 1;
-        let wishes = Wishes { rev: reign.rev, since: 0, list, dropped: Vec::new() };
+        let wishes = DesiredState { rev: reign.rev, since: 0, list, dropped: Vec::new() };
         let m = reign.m.clone();
         reign.home.wanted(at(now), 0, &wishes, &m, |_| Some(ROOM));
         let Some(d) = digest(&reign) else { continue };
-        if d.standing == Standing::Known {
+        if d.standing == InventoryState::Known {
             for (attempt, _) in w.tasks.iter().filter(|(_, ended)| !**ended) {
                 let listed = d.tasks.iter().any(|t| t.key.attempt == *attempt);
                 assert!(
@@ -321,7 +325,7 @@
             // A report that came just before that may have been answered: its lease, once.
             let worst = bound + LEASE;
             if reign.m.epoch > 7 && now > reign.began + worst {
-                assert_eq!(d.standing, Standing::Known, "seed {seed}, {now} ms");
+                assert_eq!(d.standing, InventoryState::Known, "seed {seed}, {now} ms");
                 late += 1;
             }
             // Three reports without the token tell.
--- a/tests/spec.rs
+++ b/tests/spec.rs
@@ -1,11 +1,11 @@
 //! What a submission must say, and which jobs can never run: by PROTOCOL, "POST /v1/jobs".
 
 use hazelsaddle::api::{self, Parsed};
-use hazelsaddle::job_shard::Owner;
+use hazelsaddle::job_shard::JobShard;
 use hazelsaddle::peer::Reply;
 use hazelsaddle::settings::Settings;
-use hazelsaddle::spec::{MachineType, Spec, SpecError, Types};
-use hazelsaddle::units::{Micros, Ranges, Room};
+use hazelsaddle::spec::{JobSpec, MachineType, SpecError, Types};
+use hazelsaddle::units::{Micros, Ranges, Resources};
 use serde_json::{Value, json};
 
 fn body() -> Value {
@@ -29,7 +29,7 @@
     let read = |limit| api::body(&mut text.as_bytes(), limit);
     match api::parse(1, "POST", "/v1/jobs", read) {
         Parsed::Answer(Reply { status, .. }) => Some(status),
-        Parsed::Event(_) => Spec::parse(text).err().map(|e| e.status()),
+        Parsed::Event(_) => JobSpec::parse(text).err().map(|e| e.status()),
     }
 }
 
@@ -46,7 +46,7 @@
             assert_eq!(post(&b.to_string()), (!may).then_some(400), "{key}");
         }
         if may {
-            assert_eq!(Spec::from_value(&without), Spec::from_value(&null), "{key}");
+            assert_eq!(JobSpec::from_value(&without), JobSpec::from_value(&null), "{key}");
         }
     }
     assert_eq!(post(&with(&[("unheardOf", json!({"of": [1]}))]).to_string()), None, "ignored");
@@ -75,7 +75,7 @@
     for (key, v) in wrong {
         let text = with(&[(key, v.clone())]).to_string();
         assert_eq!(post(&text), Some(400), "{key}: {v}");
-        assert!(matches!(Spec::parse(&text), Err(SpecError::Field(k, _)) if k == key), "{key}: {v}");
+        assert!(matches!(JobSpec::parse(&text), Err(SpecError::Field(k, _)) if k == key), "{key}: {v}");
     }
     // Neither is JSON: the amounts of the wire are finite.
     for text in ["NaN", "Infinity", "1e999"] {
@@ -115,7 +115,7 @@
 }
 
 fn impossible(changes: &[(&str, Value)]) -> bool {
-    let spec = Spec::from_value(&with(changes)).expect("well-formed");
+    let spec = JobSpec::from_value(&with(changes)).expect("well-formed");
     match spec.check(&types(), &settings().teams) {
         Ok(()) => false,
         Err(e) => matches!(e, SpecError::Impossible(_)) || panic!("{e}"),
@@ -176,10 +176,10 @@
 /// What a user may well say without meaning it: tasks that take nothing, estimates of centuries.
 #[test]
 fn odd_amounts_overflow_nothing() {
-    let room = Room { cpus: i64::MAX / 4, gpus: i64::MAX / 4, memory: i64::MAX / 4 };
-    let fits = room.count_of(Room::default());
+    let room = Resources { cpus: i64::MAX / 4, gpus: i64::MAX / 4, memory: i64::MAX / 4 };
+    let fits = room.count_of(Resources::default());
     assert!(fits >= 100_000 && fits.checked_mul(100_000).is_some(), "{fits}");
-    let mut owner = Owner::new(&settings());
+    let mut owner = JobShard::new(&settings());
     for (n, tasks) in [(1, 100_000), (2, 100_000), (3, 7)] {
         let raw = with(&[
             ("uid", json!(format!("wk-{n}"))),
@@ -191,7 +191,7 @@
             ("cards", json!(0)),
             ("ramGb", json!(0)),
         ]);
-        let spec = Spec::from_value(&raw).expect("well-formed");
+        let spec = JobSpec::from_value(&raw).expect("well-formed");
         owner.insert(raw, spec, Micros(n), Ranges::default(), 1, true);
     }
     assert_eq!(owner.order().len(), 3);
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -2,15 +2,18 @@
 //! workers, the cloud and the state service are stand-ins that never fail; a digest or a wish of another controller
 //! takes a step or two. Seeds alone decide what is asked.
 
-use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest, Fleet, Listed};
-use hazelsaddle::job_shard::{Owner, RecordWrite};
-use hazelsaddle::machine_view::Seen;
+use hazelsaddle::autoscaler::{Autoscaler, CloudAnswer, CloudRequest, Listed};
+use hazelsaddle::job_shard::{JobShard, RecordWrite};
+use hazelsaddle::machine_view::MachineSnapshot;
 use hazelsaddle::membership::{EpochRecord, Membership};
-use hazelsaddle::peer::{Actual, Digest, Exit, MachineDigest, Phase, Standing, TaskKey, Want, Wishes};
-use hazelsaddle::quota::Teams;
+use hazelsaddle::peer::{
+    DesiredAction, DesiredState, InventoryState, MachineStatus, MachineStatusDelta, ObservedTask, TaskExit,
+    TaskKey, TaskPhase,
+};
+use hazelsaddle::quota::QuotaLedger;
 use hazelsaddle::settings::Settings;
-use hazelsaddle::spec::{Kind, MachineType, Spec};
-use hazelsaddle::units::{Micros, Ranges, Room};
+use hazelsaddle::spec::{JobKind, JobSpec, MachineType};
+use hazelsaddle::units::{Micros, Ranges, Resources};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,10 +22,10 @@
 pub const STEP: Micros = Micros::from_millis(100);
 
 struct Entry {
-    room: Room,
+    room: Resources,
     priority: u8,
-    phase: Phase,
-    want: Want,
+    phase: TaskPhase,
+    want: DesiredAction,
     since: Micros,
 }
 
@@ -31,30 +34,30 @@
     kind: String,
     zone: String,
     spot: bool,
-    total: Room,
+    total: Resources,
     pub alive: bool,
     entries: BTreeMap<TaskKey, Entry>,
 }
 
 impl Machine {
-    fn free(&self) -> Room {
-        let alive = self.entries.values().filter(|e| !matches!(e.phase, Phase::Exited(_)));
+    fn free(&self) -> Resources {
+        let alive = self.entries.values().filter(|e| !matches!(e.phase, TaskPhase::Exited(_)));
         alive.fold(self.total, |a, e| a - e.room)
     }
-    fn digest(&self, m: &Membership, to: usize) -> MachineDigest {
-        let alive = || self.entries.values().filter(|e| !matches!(e.phase, Phase::Exited(_)));
-        let mut sums: BTreeMap<u8, Room> = BTreeMap::new();
-        for e in alive().filter(|e| !matches!(e.want, Want::Stop(_))) {
+    fn digest(&self, m: &Membership, to: usize) -> MachineStatus {
+        let alive = || self.entries.values().filter(|e| !matches!(e.phase, TaskPhase::Exited(_)));
+        let mut sums: BTreeMap<u8, Resources> = BTreeMap::new();
+        for e in alive().filter(|e| !matches!(e.want, DesiredAction::Stop(_))) {
             let sum = sums.entry(e.priority).or_default();
             *sum = *sum + e.room;
         }
         let mine = self.entries.iter().filter(|(k, _)| m.job_owner(&k.job) == Some(to));
-        MachineDigest {
+        MachineStatus {
             name: self.name.clone(),
             kind: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            standing: if self.alive { Standing::Known } else { Standing::Gone },
+            standing: if self.alive { InventoryState::Known } else { InventoryState::Gone },
             open: self.alive,
             notice: None,
             free: self.free(),
@@ -64,13 +67,13 @@
             busy: alive().count() as u32,
             idle: self.entries.is_empty().then_some(Micros(0)),
             silent: None,
-            tasks: mine.map(|(k, e)| Actual { key: k.clone(), phase: e.phase }).collect(),
+            tasks: mine.map(|(k, e)| ObservedTask { key: k.clone(), phase: e.phase }).collect(),
         }
     }
 }
 
 pub struct Asked {
-    pub spec: Spec,
+    pub spec: JobSpec,
     run: Micros,
     pub at: Micros,
     pub begun: Option<Micros>,
@@ -84,15 +87,15 @@
     pub rng: StdRng,
     settings: Vec<Settings>,
     members: Vec<Membership>,
-    owners: Vec<Owner>,
-    teams: Vec<Teams>,
+    owners: Vec<JobShard>,
+    teams: Vec<QuotaLedger>,
     record: BTreeMap<String, (Value, u64)>,
     mark: u64,
-    fleet: Fleet,
+    fleet: Autoscaler,
     pub types: Vec<MachineType>,
     pub machines: Vec<Machine>,
-    wishes: Vec<(Micros, usize, usize, Wishes)>,
-    digests: Vec<(Micros, usize, usize, Digest)>,
+    wishes: Vec<(Micros, usize, usize, DesiredState)>,
+    digests: Vec<(Micros, usize, usize, MachineStatusDelta)>,
     seen: Vec<[u64; 3]>,
     seq: u64,
     epoch: u64,
@@ -123,11 +126,11 @@
             now: Micros(100_000_000),
             rng: StdRng::seed_from_u64(seed),
             members: settings.iter().map(|s| Membership::new(s, 1)).collect(),
-            owners: settings.iter().map(Owner::new).collect(),
-            teams: settings.iter().map(|s| Teams::new(&s.teams)).collect(),
+            owners: settings.iter().map(JobShard::new).collect(),
+            teams: settings.iter().map(|s| QuotaLedger::new(&s.teams)).collect(),
             record: BTreeMap::new(),
             mark: 1,
-            fleet: Fleet::new(1, &settings[0]),
+            fleet: Autoscaler::new(1, &settings[0]),
             settings,
             types,
             machines: Vec::new(),
@@ -183,7 +186,7 @@
     }
 
     pub fn submit(&mut self, raw: Value, run: Micros) {
-        let spec = Spec::from_value(&raw).expect("a valid description");
+        let spec = JobSpec::from_value(&raw).expect("a valid description");
         let id = spec.id.clone();
         let owner = self.members[0].job_owner(&id).expect("owned");
         self.owners[owner].insert(raw.clone(), spec.clone(), self.now, Ranges::default(), 1, true);
@@ -194,17 +197,17 @@
     }
 
     /// What of all machines' room is in use, and all there is.
-    pub fn in_use(&self) -> (Room, Room) {
+    pub fn in_use(&self) -> (Resources, Resources) {
         let alive = || self.machines.iter().filter(|m| m.alive);
-        let all = alive().fold(Room::default(), |a, m| a + m.total);
+        let all = alive().fold(Resources::default(), |a, m| a + m.total);
         (alive().fold(all, |a, m| a - m.free()), all)
     }
 
-    pub fn team_in_use(&self, team: &str) -> Room {
+    pub fn team_in_use(&self, team: &str) -> Resources {
         let of = |k: &TaskKey| self.jobs[&k.job].spec.team == team;
         let entries = self.machines.iter().flat_map(|m| &m.entries);
-        let on = entries.filter(|(k, e)| of(k) && !matches!(e.phase, Phase::Exited(_)));
-        on.fold(Room::default(), |a, (_, e)| a + e.room)
+        let on = entries.filter(|(k, e)| of(k) && !matches!(e.phase, TaskPhase::Exited(_)));
+        on.fold(Resources::default(), |a, (_, e)| a + e.room)
     }
 
     pub fn step(&mut self) {
@@ -259,10 +262,13 @@
             let d = self.owners[i].demands();
             self.fleet.demand(now, i, d);
         }
-        let digests =
-            self.machines.iter().filter(|m| m.alive).map(|x| Seen::new(now, x.digest(&self.members[0], 3)));
-        let seen: Vec<Seen> = digests.collect();
-        let all: Vec<&Seen> = seen.iter().collect();
+        let digests = self
+            .machines
+            .iter()
+            .filter(|m| m.alive)
+            .map(|x| MachineSnapshot::new(now, x.digest(&self.members[0], 3)));
+        let seen: Vec<MachineSnapshot> = digests.collect();
+        let all: Vec<&MachineSnapshot> = seen.iter().collect();
         for _ in 0..4 {
             let Some(r) = self.fleet.next(now, true, &all, true, true, &[0, 1, 2]) else { break };
             let answer = match &r {
@@ -317,22 +323,25 @@
                 if let Some(e) = m.entries.get_mut(&x.key) {
                     e.priority = shown;
                     match (x.want, e.phase) {
-                        (Want::Forget, _) => {
+                        (DesiredAction::Forget, _) => {
                             m.entries.remove(&x.key);
                             continue;
                         }
-                        (Want::Run, Phase::Held) => (e.phase, e.since) = (Phase::Queued, now),
-                        (Want::Stop(_), Phase::Held | Phase::Queued) => {
+                        (DesiredAction::Run, TaskPhase::Held) => {
+                            (e.phase, e.since) = (TaskPhase::Queued, now)
+                        }
+                        (DesiredAction::Stop(_), TaskPhase::Held | TaskPhase::Queued) => {
                             m.entries.remove(&x.key);
                             continue;
                         }
                         _ => {}
                     }
                     e.want = x.want;
-                } else if matches!(x.want, Want::Run | Want::Hold) {
+                } else if matches!(x.want, DesiredAction::Run | DesiredAction::Hold) {
                     self.placed += 1;
                     if m.alive && m.free().holds(x.room) {
-                        let phase = if x.want == Want::Run { Phase::Queued } else { Phase::Held };
+                        let phase =
+                            if x.want == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
                         m.entries.insert(
                             x.key,
                             Entry { room: x.room, priority: shown, phase, want: x.want, since: now },
@@ -344,7 +353,8 @@
             }
             for (machine, key) in w.dropped {
                 let m = self.machines.iter_mut().find(|m| m.name == machine).expect("a machine");
-                if m.entries.get(&key).is_some_and(|e| matches!(e.phase, Phase::Held | Phase::Queued)) {
+                if m.entries.get(&key).is_some_and(|e| matches!(e.phase, TaskPhase::Held | TaskPhase::Queued))
+                {
                     m.entries.remove(&key);
                 }
             }
@@ -364,7 +374,8 @@
                 let here = self.machines.iter().filter(|x| m.home(&x.name) == Some(home));
                 let machines = here.map(|x| x.digest(m, to)).collect();
                 let rev_seen = self.seen[home][to];
-                let d = Digest { seq: (self.epoch << 32) + self.seq, since: 0, rev_seen, machines };
+                let d =
+                    MachineStatusDelta { seq: (self.epoch << 32) + self.seq, since: 0, rev_seen, machines };
                 if home == to {
                     self.owners[to].digest(now, &self.members[to], home, d);
                 } else {
@@ -379,7 +390,7 @@
         let now = self.now;
         let mut going: BTreeMap<(String, u64), u32> = BTreeMap::new();
         for (k, e) in self.machines.iter().flat_map(|m| &m.entries) {
-            if matches!(e.phase, Phase::Waiting | Phase::Running) {
+            if matches!(e.phase, TaskPhase::Waiting | TaskPhase::Running) {
                 *going.entry((k.job.clone(), k.attempt)).or_default() += 1;
             }
         }
@@ -387,29 +398,33 @@
             for (k, e) in &mut m.entries {
                 let a = self.jobs.get_mut(&k.job).expect("asked");
                 let all = going.get(&(k.job.clone(), k.attempt)).copied() == Some(a.spec.tasks);
-                let ready = a.spec.kind != Kind::Gang || all;
+                let ready = a.spec.kind != JobKind::Gang || all;
                 let next = match (e.phase, e.want) {
-                    (Phase::Exited(_) | Phase::Held, _) => continue,
-                    (Phase::Saving, _) if now.since(e.since) >= a.spec.save => {
-                        Phase::Exited(Exit::Stopped(true))
+                    (TaskPhase::Exited(_) | TaskPhase::Held, _) => continue,
+                    (TaskPhase::Saving, _) if now.since(e.since) >= a.spec.save => {
+                        TaskPhase::Exited(TaskExit::Stopped(true))
+                    }
+                    (TaskPhase::Saving, _) => continue,
+                    (TaskPhase::Running, DesiredAction::Stop(grace)) if grace.0 > 0 => TaskPhase::Saving,
+                    (_, DesiredAction::Stop(_)) => TaskPhase::Exited(TaskExit::Stopped(false)),
+                    (TaskPhase::Queued, _) if now.since(e.since) > Micros::from_millis(400) => {
+                        TaskPhase::Waiting
                     }
-                    (Phase::Saving, _) => continue,
-                    (Phase::Running, Want::Stop(grace)) if grace.0 > 0 => Phase::Saving,
-                    (_, Want::Stop(_)) => Phase::Exited(Exit::Stopped(false)),
-                    (Phase::Queued, _) if now.since(e.since) > Micros::from_millis(400) => Phase::Waiting,
-                    (Phase::Waiting, _) if ready => {
+                    (TaskPhase::Waiting, _) if ready => {
                         a.running.insert(k.index);
-                        if a.spec.kind != Kind::Gang || a.running.len() == a.spec.tasks as usize {
+                        if a.spec.kind != JobKind::Gang || a.running.len() == a.spec.tasks as usize {
                             a.begun.get_or_insert(now);
                         }
-                        Phase::Running
+                        TaskPhase::Running
                     }
-                    (Phase::Running, _) if a.spec.kind != Kind::Service && now.since(e.since) >= a.run => {
-                        Phase::Exited(Exit::Done)
+                    (TaskPhase::Running, _)
+                        if a.spec.kind != JobKind::Service && now.since(e.since) >= a.run =>
+                    {
+                        TaskPhase::Exited(TaskExit::Done)
                     }
                     _ => continue,
                 };
-                if matches!(next, Phase::Exited(Exit::Stopped(_))) {
+                if matches!(next, TaskPhase::Exited(TaskExit::Stopped(_))) {
                     a.stopped += 1;
                     a.running.remove(&k.index);
                 }
--- a/tests/world/cancels.rs
+++ b/tests/world/cancels.rs
@@ -136,7 +136,7 @@
     }
 
     /// A change of the state service is carried out: a job is new on record only once.
-    pub(crate) fn note_change(&mut self, c: &Commit, done: bool) {
+    pub(crate) fn note_change(&mut self, c: &Transaction, done: bool) {
         let n = (c.puts.len() + c.drops.len()) as f64;
         let (left, at) = self.cancels.spent;
         let over = (left - (self.now - at) as f64 / 1e6 * self.shape.write_rps).max(0.0) + n;
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -34,7 +34,7 @@
     }
 
     /// A controller sends a direct command, which takes so long if nothing holds it up.
-    pub(crate) fn send_command(&mut self, n: usize, token: u64, g: Greeting, delay: u64) {
+    pub(crate) fn send_command(&mut self, n: usize, token: u64, g: FencingProbe, delay: u64) {
         let boot = self.boots[n];
         let (share, until) = self.commands.late;
         if self.now < until && self.rng.random_bool(share) {
@@ -45,7 +45,7 @@
     }
 
     /// One that was held up arrives. Nobody waits for its answer.
-    pub(crate) fn late_command(&mut self, n: usize, boot: u64, token: u64, g: Greeting) {
+    pub(crate) fn late_command(&mut self, n: usize, boot: u64, token: u64, g: FencingProbe) {
         let Some(i) = self.worker_that_hears(&g) else { return };
         let hung = self.workers[i].hung_until;
         if hung > self.now {
--- a/tests/world/compound.rs
+++ b/tests/world/compound.rs
@@ -169,7 +169,7 @@
         let (its, others) = std::mem::take(&mut self.watches).into_iter().partition(|w| w.0 == n);
         self.watches = others;
         for (n, boot, id, ..) in its {
-            self.later(1000, What::Node(n, boot, Event::Store(id, StoreAnswer::Refused)));
+            self.later(1000, What::Controller(n, boot, Event::Store(id, StoreAnswer::Refused)));
         }
     }
 
@@ -189,15 +189,15 @@
 
     /// One controller loses the state service and its peers, not its workers or users.
     pub(crate) fn cut_from_store_and_peers(&mut self, n: usize, long: u64, hold: bool) {
-        self.cuts.push((End::Node(n), End::Store, self.now + long, hold));
+        self.cuts.push((End::Controller(n), End::Store, self.now + long, hold));
         for p in (0..3).filter(|&p| p != n) {
-            self.cuts.push((End::Node(n), End::Node(p), self.now + long, hold));
+            self.cuts.push((End::Controller(n), End::Controller(p), self.now + long, hold));
         }
     }
 
     /// What is sent from one controller to another is lost, held back or late; the other way all is well.
     pub(crate) fn one_way(&mut self, from: usize, to: usize, long: u64, fate: Fate) {
-        let (from, to) = (End::Node(from), End::Node(to));
+        let (from, to) = (End::Controller(from), End::Controller(to));
         self.compound.ways.push(Way { from, to, until: self.now + long, fate });
     }
 
@@ -219,17 +219,17 @@
         const LIMIT: u64 = 2 * S;
         let boot = self.boots[n];
         let unknown =
-            |w: &mut World| w.later(LIMIT, What::Node(n, boot, Event::Store(id, StoreAnswer::Unknown)));
+            |w: &mut World| w.later(LIMIT, What::Controller(n, boot, Event::Store(id, StoreAnswer::Unknown)));
         let Some(delay) = delay else { return unknown(self) };
         if self.is_refused(n) {
             self.compound.refusals += 1;
-            return self.later(delay, What::Node(n, boot, Event::Store(id, StoreAnswer::Refused)));
+            return self.later(delay, What::Controller(n, boot, Event::Store(id, StoreAnswer::Refused)));
         }
         if self.loses_answer(n, &r, delay) {
             return unknown(self);
         }
         let (share, until) = self.compound.late_writes;
-        if self.now < until && matches!(r, StoreRequest::Commit(_)) && self.rng.random_bool(share) {
+        if self.now < until && matches!(r, StoreRequest::Transaction(_)) && self.rng.random_bool(share) {
             let late = self.rng.random_range(2 * S..12 * S);
             let issued = self.now;
             self.later(late, What::LateWrite(n, issued, r));
@@ -273,7 +273,7 @@
     }
 
     /// Whether a copy of a report arrives again, and when.
-    pub(crate) fn copy_report(&mut self, worker: usize, target: usize, report: &Report) {
+    pub(crate) fn copy_report(&mut self, worker: usize, target: usize, report: &Heartbeat) {
         let (share, until) = self.compound.late_reports;
         if self.now < until && self.rng.random_bool(share) {
             let late = self.rng.random_range(2 * S..(1.6 * LEASE_S * 1e6) as u64);
@@ -281,7 +281,7 @@
         }
     }
 
-    pub(crate) fn late_report(&mut self, i: usize, target: usize, sent: u64, report: Report) {
+    pub(crate) fn late_report(&mut self, i: usize, target: usize, sent: u64, report: Heartbeat) {
         let w = &self.workers[i];
         let newer = (w.session, w.seq) > (report.session, report.seq);
         let old = self.now > sent + (LEASE_S * 1e6) as u64;
@@ -291,7 +291,7 @@
         self.compound.earlier += usize::from(w.session > report.session);
         // Nobody waits for its answer.
         self.serial += 1;
-        self.drive(target, Event::Report(self.serial, report));
+        self.drive(target, Event::Heartbeat(self.serial, report));
     }
 
     /// Looks at what leaves a controller for a user: from a 200 that says that a job is cancelled on, its tasks have
@@ -341,7 +341,7 @@
             Trouble::Restart => self.crash_for(n, S / 20..S / 10),
             Trouble::RestartAll => (0..3).for_each(|n| self.crash_for(n, S / 20..S / 10)),
             Trouble::Leave => {
-                self.later(1, What::Node(n, self.boots[n], Event::Leave));
+                self.later(1, What::Controller(n, self.boots[n], Event::Leave));
                 self.later(5 * S, What::End(n, self.boots[n]));
             }
             Trouble::StandsStill => self.hung[n] = now + long,
@@ -352,9 +352,11 @@
                 let share = self.rng.random_range(0.05..0.6);
                 self.late_writes(share, long);
             }
-            Trouble::CutFromStore => self.cuts.push((End::Node(n), End::Store, now + long, hold)),
-            Trouble::CutFromWorkers => self.cuts.push((End::Node(n), End::Workers, now + long, hold)),
-            Trouble::CutFromPeer => self.cuts.push((End::Node(n), End::Node(p), now + long, hold)),
+            Trouble::CutFromStore => self.cuts.push((End::Controller(n), End::Store, now + long, hold)),
+            Trouble::CutFromWorkers => self.cuts.push((End::Controller(n), End::Workers, now + long, hold)),
+            Trouble::CutFromPeer => {
+                self.cuts.push((End::Controller(n), End::Controller(p), now + long, hold))
+            }
             Trouble::CutOneWay => {
                 let (a, b) = if self.rng.random_bool(0.5) { (n, p) } else { (p, n) };
                 self.one_way(a, b, long, if hold { Fate::Held } else { Fate::Lost });
@@ -368,7 +370,7 @@
             Trouble::CutFromStoreAndPeers => self.cut_from_store_and_peers(n, long, hold),
             Trouble::CutFromAll => {
                 self.cut_from_store_and_peers(n, long, hold);
-                self.cuts.push((End::Node(n), End::Workers, now + long, hold));
+                self.cuts.push((End::Controller(n), End::Workers, now + long, hold));
             }
             Trouble::ZoneCut => self.zone_cut(ZONES[n % 2], long, hold),
             Trouble::LateReports => {
--- a/tests/world/days/cancels.rs
+++ b/tests/world/days/cancels.rs
@@ -58,12 +58,12 @@
             Machines::Hang(long) => at.iter().for_each(|&i| w.workers[i].hung_until = now + long),
             Machines::Deaf(long) => w.machine_deaf(at, long),
             Machines::Cut(long) => {
-                (0..3).for_each(|n| w.cuts.push((End::Node(n), End::Workers, now + long, n == 0)));
+                (0..3).for_each(|n| w.cuts.push((End::Controller(n), End::Workers, now + long, n == 0)));
             }
             Machines::CutFromHome(long) => {
                 let n = at.first().and_then(|&i| home(w, i)).unwrap_or(0);
                 let hold = w.rng.random_bool(0.5);
-                w.cuts.push((End::Node(n), End::Workers, now + long, hold));
+                w.cuts.push((End::Controller(n), End::Workers, now + long, hold));
             }
         }
     }
@@ -184,7 +184,7 @@
     Lost,
     BackAtOnce,
     /// All, one after the other, as in a roll.
-    Roll,
+    MachineRegistry,
     CutFromStoreAndPeers,
     CutFromWorkers,
 }
@@ -232,7 +232,7 @@
                 let before: Vec<(String, Option<usize>)> =
                     ids.iter().map(|id| (id.clone(), owner(w, id))).collect();
                 match hands {
-                    Hands::Leaves | Hands::Roll => w.begin(Trouble::Leave, n, 0),
+                    Hands::Leaves | Hands::MachineRegistry => w.begin(Trouble::Leave, n, 0),
                     Hands::Lost => w.crash_for(n, 8 * S..14 * S),
                     Hands::BackAtOnce => w.crash_for(n, S / 20..S / 10),
                     Hands::CutFromStoreAndPeers => w.begin(Trouble::CutFromStoreAndPeers, n, 12 * S),
@@ -247,7 +247,7 @@
                     owner(w, id) != *o && w.cancels.asked.contains_key(id)
                 };
                 moved += before.iter().filter(other).count();
-                if matches!(hands, Hands::Roll) {
+                if matches!(hands, Hands::MachineRegistry) {
                     for p in [(n + 1) % 3, (n + 2) % 3] {
                         w.begin(Trouble::Leave, p, 0);
                         call_some_off(w, &mut ids, 0.15, 5 * S);
@@ -266,7 +266,7 @@
 fn jobs_are_cancelled_while_a_controller_leaves_or_all_are_rolled() {
     let (moved, _) = while_work_changes_hands(24_400, Hands::Leaves);
     assert!(moved > 40, "{moved} of another owner");
-    while_work_changes_hands(24_410, Hands::Roll);
+    while_work_changes_hands(24_410, Hands::MachineRegistry);
 }
 
 #[test]
--- a/tests/world/days/compound.rs
+++ b/tests/world/days/compound.rs
@@ -94,7 +94,7 @@
                 let n = (seed as usize + i) % 3;
                 match i % 2 {
                     0 => w.crash_for(n, S / 20..S / 10),
-                    _ => w.cuts.push((End::Node(n), End::Store, w.now + 12 * S, true)),
+                    _ => w.cuts.push((End::Controller(n), End::Store, w.now + 12 * S, true)),
                 }
                 let until = w.now + 25 * S;
                 w.run(0, until);
@@ -195,11 +195,11 @@
             for i in 0..4 {
                 let n = (seed as usize + i) % 3;
                 let (p, q) = ((n + 1) % 3, (n + 2) % 3);
-                w.later(1, What::Node(n, 0, Event::Leave));
+                w.later(1, What::Controller(n, 0, Event::Leave));
                 let until = w.now + w.rng.random_range(S / 10..S / 2);
                 w.run(0, until);
                 w.crash_for(n, S / 20..S / 10);
-                w.later(1, What::Node(p, 0, Event::Leave));
+                w.later(1, What::Controller(p, 0, Event::Leave));
                 let until = w.now + w.rng.random_range(S / 10..S / 2);
                 w.run(0, until);
                 w.crash_for(n, S / 20..S / 10);
@@ -227,7 +227,7 @@
             for i in 0..6 {
                 let n = (seed as usize + i) % 3;
                 let (by, long) = (w.rng.random_range(S..4 * S), w.rng.random_range(8 * S..20 * S));
-                let (from, until) = (End::Node(n), w.now + long);
+                let (from, until) = (End::Controller(n), w.now + long);
                 w.compound.ways.push(Way { from, to: End::Workers, until, fate: Fate::Late(by) });
                 let until = w.now + w.rng.random_range(S..5 * S);
                 w.run(0, until);
--- a/tests/world/days/gap.rs
+++ b/tests/world/days/gap.rs
@@ -8,15 +8,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     /// Owner of the cancelled jobs.
-    Owner,
+    JobShard,
     /// Home of machines that run them, and owner of none of them.
-    Home,
+    MachineShard,
     /// Whoever raised the epoch.
     Raiser,
     /// Whoever rents machines.
     Decider,
 }
-const ROLES: [Role; 4] = [Role::Owner, Role::Home, Role::Raiser, Role::Decider];
+const ROLES: [Role; 4] = [Role::JobShard, Role::MachineShard, Role::Raiser, Role::Decider];
 
 /// How the refused one and the others hear one another meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,8 +77,8 @@
         let cancelled: Vec<String> = ids
             .iter()
             .filter(|id| match role {
-                Role::Owner => owned.contains(id),
-                Role::Home => homed.contains(id) && !owned.contains(id),
+                Role::JobShard => owned.contains(id),
+                Role::MachineShard => homed.contains(id) && !owned.contains(id),
                 Role::Raiser | Role::Decider => true,
             })
             .cloned()
@@ -90,7 +90,9 @@
                 Hearing::BothWays => {}
                 Hearing::Unheard => w.one_way(n, p, long, Fate::Lost),
                 Hearing::Hearsless => w.one_way(p, n, long, Fate::Lost),
-                Hearing::NotAtAll => w.cuts.push((End::Node(n), End::Node(p), w.now + long, false)),
+                Hearing::NotAtAll => {
+                    w.cuts.push((End::Controller(n), End::Controller(p), w.now + long, false))
+                }
                 Hearing::Late(by) => {
                     w.one_way(n, p, long, Fate::Late(by));
                     w.one_way(p, n, long, Fate::Late(by));
@@ -118,8 +120,8 @@
             let Some(told) = w.compound.told.get(id) else { continue };
             if told.refused[n] && !told.outage {
                 let shows = match role {
-                    Role::Owner => owned.contains(id),
-                    Role::Home => homed.contains(id) && !owned.contains(id),
+                    Role::JobShard => owned.contains(id),
+                    Role::MachineShard => homed.contains(id) && !owned.contains(id),
                     Role::Raiser | Role::Decider => true,
                 };
                 let counts = [true, told.tasks > 0, told.tasks > 0 && shows && told.by != n];
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -218,9 +218,9 @@
 enum Ends {
     Decider,
     /// The home of a machine that has reported and is not on record.
-    Home,
+    MachineShard,
     /// The owner of a task on a new machine.
-    Owner,
+    JobShard,
     All,
 }
 
@@ -278,8 +278,8 @@
             let of_task = w.workers[i].tasks.first().and_then(|t| owner(w, &t.job));
             let n = match ends {
                 Ends::Decider => w.nodes.iter().flatten().next().and_then(|x| x.membership.decider()),
-                Ends::Home => home(w, i),
-                Ends::Owner => of_task.or(home(w, i)),
+                Ends::MachineShard => home(w, i),
+                Ends::JobShard => of_task.or(home(w, i)),
                 Ends::All => None,
             };
             let pause = if seed.is_multiple_of(2) { S / 20..S / 10 } else { 8 * S..12 * S };
@@ -327,12 +327,12 @@
 
 #[test]
 fn new_machines_get_work_at_once_while_their_pages_lag_and_their_home_ends() {
-    while_pages_lag(Ends::Home, 30_320);
+    while_pages_lag(Ends::MachineShard, 30_320);
 }
 
 #[test]
 fn new_machines_get_work_at_once_while_their_pages_lag_and_the_owner_of_their_tasks_ends() {
-    while_pages_lag(Ends::Owner, 30_340);
+    while_pages_lag(Ends::JobShard, 30_340);
 }
 
 #[test]
@@ -518,7 +518,7 @@
             w.run(0, 60 * S);
             let n = seed as usize % 3;
             let p = (n + 1 + seed as usize / 3 % 2) % 3;
-            w.cuts.push((End::Node(n), End::Workers, 110 * S, seed % 2 == 0));
+            w.cuts.push((End::Controller(n), End::Workers, 110 * S, seed % 2 == 0));
             let until = w.now + w.rng.random_range(S..3 * S);
             w.run(0, until);
             w.crash_for(p, S / 20..S / 10);
--- a/tests/world/days/plain.rs
+++ b/tests/world/days/plain.rs
@@ -43,7 +43,7 @@
         let ran_out = |w: &World| w.workers.iter().map(|w| w.session - 1).sum::<u64>();
         let before = ran_out(&w);
         let epoch = w.epoch();
-        w.cuts.push((End::Node(n), End::Workers, until, hold));
+        w.cuts.push((End::Controller(n), End::Workers, until, hold));
         play_until(&mut w, until);
         let lost = ran_out(&w) - before;
         assert_eq!(w.epoch(), epoch + 1, "seed {seed}: one change on leaving");
--- a/tests/world/days/restarts.rs
+++ b/tests/world/days/restarts.rs
@@ -140,7 +140,7 @@
 #[test]
 fn no_two_processes_ask_peers_under_the_same_number() {
     let asked = [11, 12].map(|boot| {
-        let mut node = Node::new(settings(0, SMALL, false), boot);
+        let mut node = Controller::new(settings(0, SMALL, false), boot);
         let (now, mut out) = (Micros(3600 * S), Vec::new());
         let f = hazelsaddle::peer::Frame {
             from: 1,
@@ -151,13 +151,13 @@
             echo: Micros(0),
             echo_boot: 0,
             digest_seen: 0,
-            body: Message::Beat,
+            body: Message::KeepAlive,
         };
         node.step(now, now, Event::Frame(Box::new(f)), &mut out);
         node.step(now, now, Event::User(1, UserRequest::Query("wk-000001".into())), &mut out);
         let number = |e: &Effect| match e {
             Effect::Send(_, f) => match &f.body {
-                Message::Ask { id, .. } => Some(*id),
+                Message::ForwardRequest { id, .. } => Some(*id),
                 _ => None,
             },
             _ => None,
--- a/tests/world/days/rough.rs
+++ b/tests/world/days/rough.rs
@@ -95,8 +95,8 @@
                 let (n, long) = (w.rng.random_range(0..3usize), w.rng.random_range(S..25 * S));
                 match w.rng.random_range(0..5) {
                     0 => w.outage_until = w.now + long,
-                    1 => w.cuts.push((End::Node(n), End::Store, w.now + long, true)),
-                    2 => w.cuts.push((End::Node(n), End::Workers, w.now + long, true)),
+                    1 => w.cuts.push((End::Controller(n), End::Store, w.now + long, true)),
+                    2 => w.cuts.push((End::Controller(n), End::Workers, w.now + long, true)),
                     3 => w.hung[n] = w.now + long,
                     _ => {}
                 }
--- a/tests/world/days/takeovers.rs
+++ b/tests/world/days/takeovers.rs
@@ -19,9 +19,14 @@
                 match w.rng.random_range(0..8) {
                     0..4 => w.crash(n),
                     4 => w.hung[n] = w.now + long,
-                    5 => w.cuts.push((End::Node(n), End::Store, w.now + long, seed % 2 == 0)),
-                    6 => w.cuts.push((End::Node(n), End::Workers, w.now + long, seed % 2 == 0)),
-                    _ => w.cuts.push((End::Node(n), End::Node((n + 1) % 3), w.now + long, seed % 2 == 0)),
+                    5 => w.cuts.push((End::Controller(n), End::Store, w.now + long, seed % 2 == 0)),
+                    6 => w.cuts.push((End::Controller(n), End::Workers, w.now + long, seed % 2 == 0)),
+                    _ => w.cuts.push((
+                        End::Controller(n),
+                        End::Controller((n + 1) % 3),
+                        w.now + long,
+                        seed % 2 == 0,
+                    )),
                 }
                 let i = w.rng.random_range(0..w.workers.len());
                 match w.rng.random_range(0..3) {
@@ -91,7 +96,7 @@
         let epoch = w.epoch();
         for i in 0..3 {
             let n = (seed as usize + i) % 3;
-            w.later(1, What::Node(n, 0, Event::Leave));
+            w.later(1, What::Controller(n, 0, Event::Leave));
             let told = w.now;
             while !w.nodes[n].as_ref().is_some_and(|node| node.gone(w.clock(n))) {
                 let until = w.now + S / 10;
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -163,9 +163,9 @@
         match w.rng.random_range(0..8) {
             0..4 => w.crash(n),
             4 => w.hung[n] = w.now + long,
-            5 => w.cuts.push((End::Node(n), End::Store, w.now + long, hold)),
-            6 => w.cuts.push((End::Node(n), End::Workers, w.now + long, hold)),
-            _ => w.cuts.push((End::Node(n), End::Node((n + 1) % 3), w.now + long, hold)),
+            5 => w.cuts.push((End::Controller(n), End::Store, w.now + long, hold)),
+            6 => w.cuts.push((End::Controller(n), End::Workers, w.now + long, hold)),
+            _ => w.cuts.push((End::Controller(n), End::Controller((n + 1) % 3), w.now + long, hold)),
         }
         let i = w.rng.random_range(0..w.workers.len());
         w.workers[i].hung_until = w.now + long;
@@ -180,7 +180,7 @@
     w.run(0, 30 * S);
     for i in 0..3 {
         let n = (round as usize + i) % 3;
-        w.later(1, What::Node(n, 0, Event::Leave));
+        w.later(1, What::Controller(n, 0, Event::Leave));
         let end = w.now + 4 * S;
         while w.now < end && !w.nodes[n].as_ref().is_some_and(|node| node.gone(w.clock(n))) {
             let until = w.now + S / 10;
@@ -336,7 +336,7 @@
             0 => {}
             1 => w.one_way(n, p, 50 * S, Fate::Lost),
             2 => w.one_way(p, n, 50 * S, Fate::Late(2 * S)),
-            _ => w.cuts.push((End::Node(n), End::Node(p), w.now + 50 * S, true)),
+            _ => w.cuts.push((End::Controller(n), End::Controller(p), w.now + 50 * S, true)),
         }
     }
     cancel_all(w, &ids[..5], 8 * S);
@@ -417,14 +417,16 @@
 #[test]
 fn lines_tell_effects_apart() {
     let store = |r: StoreRequest| Effect::Store(1, r, false);
-    let commit = |c: Commit| store(StoreRequest::Commit(c));
-    let put = |v: Value, lease| commit(Commit { puts: vec![("a".into(), v, lease)], ..Commit::default() });
+    let commit = |c: Transaction| store(StoreRequest::Transaction(c));
+    let put = |v: Value, lease| {
+        commit(Transaction { puts: vec![("a".into(), v, lease)], ..Transaction::default() })
+    };
     let greet = |token, addr: &str, session| {
-        Effect::Greet(token, vec![Greeting { machine: "i-1".into(), addr: addr.into(), session }])
+        Effect::Greet(token, vec![FencingProbe { machine: "i-1".into(), addr: addr.into(), session }])
     };
     let rent = |count, spot| {
         let (name, kind, zone) = ("r".into(), "large".into(), "a".into());
-        Effect::Cloud(CloudRequest::Rent(hazelsaddle::autoscaler::Rental { name, kind, zone, spot, count }))
+        Effect::Cloud(CloudRequest::Rent(hazelsaddle::autoscaler::ScaleOut { name, kind, zone, spot, count }))
     };
     let all = [
         Effect::Reply(1, Reply::error(503, "later")),
@@ -446,9 +448,9 @@
         put(json!(1), None),
         put(json!(1), Some(1)),
         put(json!(2), None),
-        commit(Commit { conditions: vec![("a".into(), 1)], ..Commit::default() }),
-        commit(Commit { conditions: vec![("a".into(), 2)], ..Commit::default() }),
-        commit(Commit { drops: vec!["a".into()], ..Commit::default() }),
+        commit(Transaction { conditions: vec![("a".into(), 1)], ..Transaction::default() }),
+        commit(Transaction { conditions: vec![("a".into(), 2)], ..Transaction::default() }),
+        commit(Transaction { drops: vec!["a".into()], ..Transaction::default() }),
         Effect::Cloud(CloudRequest::Types),
         Effect::Cloud(CloudRequest::List(String::new())),
         Effect::Cloud(CloudRequest::List("a".into())),
--- a/tests/world/days/zones.rs
+++ b/tests/world/days/zones.rs
@@ -129,7 +129,7 @@
                     0 => w.crash_for(n, S / 20..S / 10),
                     1 => w.begin(Trouble::Leave, n, 0),
                     2 => w.crash_for(n, 7 * S..9 * S),
-                    _ => w.cuts.push((End::Node(n), End::Store, w.now + 9 * S, i % 2 == 0)),
+                    _ => w.cuts.push((End::Controller(n), End::Store, w.now + 9 * S, i % 2 == 0)),
                 }
                 pass(w, 0, 2 * S);
                 let p = w.rng.random_range(0..3);
--- a/tests/world/lost.rs
+++ b/tests/world/lost.rs
@@ -103,9 +103,9 @@
     unread: Vec<Unread>,
     /// Share and end of the reports that are kept; worker, when it was sent, and the report.
     reports: (f64, u64),
-    kept: Vec<(usize, Report)>,
+    kept: Vec<(usize, Heartbeat)>,
     /// Those that wait until the owners of an epoch have begun to start tasks.
-    held: Vec<(u64, usize, Report)>,
+    held: Vec<(u64, usize, Heartbeat)>,
     epoch: u64,
     pub(crate) copies: Copies,
     /// Reports of mute machines, and answers of theirs to direct messages.
@@ -139,7 +139,7 @@
 
 /// The keys that a transaction writes or deletes.
 fn keys_of(r: &StoreRequest) -> Vec<String> {
-    let StoreRequest::Commit(c) = r else { return Vec::new() };
+    let StoreRequest::Transaction(c) = r else { return Vec::new() };
     c.puts.iter().map(|p| &p.0).chain(&c.drops).cloned().collect()
 }
 
@@ -187,7 +187,7 @@
         let c = match r {
             StoreRequest::Grant(_) => return Some(Write::Grant),
             StoreRequest::Renew(_) => return Some(Write::Renewal),
-            StoreRequest::Commit(c) => c,
+            StoreRequest::Transaction(c) => c,
             _ => return None,
         };
         let keys = keys_of(r);
@@ -215,7 +215,7 @@
     }
 
     /// Whether some job has less in a team's record than before.
-    fn shrinks(&self, c: &Commit) -> bool {
+    fn shrinks(&self, c: &Transaction) -> bool {
         let claims = |v: &Value| -> BTreeMap<String, i64> {
             let all = v.as_object().into_iter().flatten();
             all.map(|(job, c)| (job.clone(), c[0].as_i64().unwrap_or(0))).collect()
@@ -335,7 +335,7 @@
     }
 
     /// A report was sent: perhaps a copy is kept. Of each machine a few, old ones too.
-    pub(crate) fn keep_report(&mut self, i: usize, report: &Report) {
+    pub(crate) fn keep_report(&mut self, i: usize, report: &Heartbeat) {
         const KEPT: usize = 4;
         let (share, until) = self.lost.reports;
         if self.now >= until || !self.rng.random_bool(share) {
@@ -380,7 +380,7 @@
         }
     }
 
-    fn deliver_to_everybody(&mut self, i: usize, report: &Report) {
+    fn deliver_to_everybody(&mut self, i: usize, report: &Heartbeat) {
         for n in 0..3 {
             let soon = self.rng.random_range(1..3 * S / 10);
             self.later(soon, What::KeptReport(i, n, report.clone()));
@@ -388,7 +388,7 @@
     }
 
     /// A copy that was kept arrives. Nobody waits for its answer.
-    pub(crate) fn kept_report(&mut self, i: usize, n: usize, report: Report) {
+    pub(crate) fn kept_report(&mut self, i: usize, n: usize, report: Heartbeat) {
         let w = &self.workers[i];
         let c = &mut self.lost.copies;
         c.all += 1;
@@ -401,13 +401,13 @@
         }
         c.earlier += usize::from(w.session > report.session);
         c.gone += usize::from(w.gone || w.dead);
-        let lists = |r: &ReportedTask| {
+        let lists = |r: &HeartbeatTask| {
             w.tasks.iter().any(|t| t.attempt == r.attempt && r.task == format!("{}/{}", t.job, t.index))
         };
         c.forgotten +=
             usize::from(report.tasks.iter().any(|r| r.why.as_deref() == Some("done") && !lists(r)));
         self.serial += 1;
-        self.drive(n, Event::Report(self.serial, report));
+        self.drive(n, Event::Heartbeat(self.serial, report));
     }
 
     /// The cloud's answer to a rental may be lost although it was carried out.
@@ -435,6 +435,6 @@
         self.serial += 1;
         self.tickets.insert(self.serial, Ticket::Poll(id.to_owned(), n, self.now));
         let ask = Event::User(self.serial, UserRequest::Query(id.to_owned()));
-        self.later(1, What::Node(n, self.boots[n], ask));
+        self.later(1, What::Controller(n, self.boots[n], ask));
     }
 }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -2,13 +2,13 @@
 //! that drives the controllers' own code with seeded troubles and checks the rules after each step.
 
 use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest, Listed};
-use hazelsaddle::controller::{Effect, Event, Node};
-use hazelsaddle::machine_shard::{Greeting, Report, ReportedTask};
+use hazelsaddle::controller::{Controller, Effect, Event};
+use hazelsaddle::machine_shard::{FencingProbe, Heartbeat, HeartbeatTask};
 use hazelsaddle::operators::Operators;
 use hazelsaddle::peer::{Message, Reply, UserRequest};
 use hazelsaddle::settings::Settings;
-use hazelsaddle::spec::{MachineType, Spec};
-use hazelsaddle::state_store::{Commit, StoreAnswer, StoreRequest};
+use hazelsaddle::spec::{JobSpec, MachineType};
+use hazelsaddle::state_store::{StoreAnswer, StoreRequest, Transaction};
 use hazelsaddle::units::Micros;
 use hazelsaddle_testbed::state::State;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
--- a/tests/world/net.rs
+++ b/tests/world/net.rs
@@ -4,7 +4,7 @@
 
 impl World {
     pub(crate) fn later(&mut self, delay: u64, what: What) {
-        if let What::Node(n, _, Event::User(ticket, request)) = &what {
+        if let What::Controller(n, _, Event::User(ticket, request)) = &what {
             self.note_sent(*ticket, *n, request);
         }
         self.serial += 1;
@@ -34,7 +34,7 @@
             // A controller that doesn't get to run takes what arrived when it goes on.
             let delay = self.hung[n] - self.now;
             let boot = self.boots[n];
-            return self.later(delay, What::Node(n, boot, event));
+            return self.later(delay, What::Controller(n, boot, event));
         }
         let (now, wall) = (self.clock(n), Micros(self.now + 100_000 * n as u64));
         let boot = self.boots[n];
@@ -115,13 +115,13 @@
             Effect::Send(p, frame) => {
                 if self.limited[p] || self.limited[n] {
                     let new = match &frame.body {
-                        Message::Needed(_)
-                        | Message::HandOver { .. }
-                        | Message::Taken(_)
-                        | Message::Vouch { .. }
-                        | Message::Noted(_)
+                        Message::InheritedPriorities(_)
+                        | Message::Handoff { .. }
+                        | Message::HandoffAck(_)
+                        | Message::ReplicateStarts { .. }
+                        | Message::StartsReplicated(_)
                         | Message::Lending(_) => true,
-                        Message::Ask { request: UserRequest::Submit(_, body), .. } => {
+                        Message::ForwardRequest { request: UserRequest::Submit(_, body), .. } => {
                             let names = body.contains("\"follows\":[\"") || body.contains("\"release\":{");
                             names && !self.limited[n]
                         }
@@ -140,16 +140,16 @@
                 }
                 let bytes = frame.encode().expect("frames can be encoded");
                 let back = hazelsaddle::peer::Frame::decode(&bytes[4..]).expect("and read again");
-                let parcel = matches!(frame.body, Message::HandOver { .. } | Message::Taken(_));
-                self.parcels += usize::from(matches!(frame.body, Message::HandOver { .. }));
+                let parcel = matches!(frame.body, Message::Handoff { .. } | Message::HandoffAck(_));
+                self.parcels += usize::from(matches!(frame.body, Message::Handoff { .. }));
                 let copies = match parcel && self.unruly > 0.0 && self.rng.random_bool(self.unruly) {
                     true => self.rng.random_range(0..3),
                     false => 1,
                 };
                 for _ in 0..copies {
                     let late = if copies == 1 { 0 } else { self.rng.random_range(0..12 * S) };
-                    if let Some(d) = self.travel(End::Node(n), End::Node(p)) {
-                        self.later(d + late, What::Node(p, 0, Event::Frame(Box::new(back.clone()))));
+                    if let Some(d) = self.travel(End::Controller(n), End::Controller(p)) {
+                        self.later(d + late, What::Controller(p, 0, Event::Frame(Box::new(back.clone()))));
                     }
                 }
             }
@@ -157,25 +157,26 @@
                 let until = self.now + wait.0;
                 if self.is_refused(n) {
                     self.compound.refusals += 1;
-                    return self.later(1000, What::Node(n, boot, Event::Store(id, StoreAnswer::Refused)));
+                    return self
+                        .later(1000, What::Controller(n, boot, Event::Store(id, StoreAnswer::Refused)));
                 }
-                if self.now >= self.outage_until && self.travel(End::Node(n), End::Store).is_some() {
+                if self.now >= self.outage_until && self.travel(End::Controller(n), End::Store).is_some() {
                     self.watches.push((n, boot, id, prefix, after, until));
                 } else {
-                    self.later(2 * S, What::Node(n, boot, Event::Store(id, StoreAnswer::Unknown)));
+                    self.later(2 * S, What::Controller(n, boot, Event::Store(id, StoreAnswer::Unknown)));
                 }
             }
             Effect::Store(id, r, ring) => {
                 let line = self.ring_line(n, ring);
-                let delay = self.travel(End::Node(n), End::Store).map(|d| d + line);
+                let delay = self.travel(End::Controller(n), End::Store).map(|d| d + line);
                 let r = self.written_by(n, r);
                 self.ask_store(n, id, r, delay);
             }
             Effect::Cloud(r) => self.ask_cloud(n, r),
             Effect::Probe(names) => {
-                let there = matches!(self.travel(End::Node(n), End::Workers), Some(d) if d < S);
+                let there = matches!(self.travel(End::Controller(n), End::Workers), Some(d) if d < S);
                 let there = there && self.reaches_any(n, &names);
-                self.later(S, What::Node(n, boot, Event::Probed(there)));
+                self.later(S, What::Controller(n, boot, Event::Probed(there)));
             }
             Effect::Greet(token, list) => {
                 for g in list {
@@ -190,7 +191,7 @@
 
     pub(crate) fn happen(&mut self, what: What) {
         match what {
-            What::Node(n, boot, e) => {
+            What::Controller(n, boot, e) => {
                 let Some(n) = self.arrives(n, boot, &e) else { return };
                 if (boot == 0 || boot == self.boots[n])
                     && let Some(e) = self.at_edge(n, e)
@@ -204,11 +205,12 @@
                 let a = self.read_by(n, a);
                 self.run_watches();
                 if let Some(wait) = wait {
-                    match self.travel(End::Store, End::Node(n)) {
+                    match self.travel(End::Store, End::Controller(n)) {
                         Some(d) if d < 2 * S => {
-                            self.later(d + wait, What::Node(n, boot, Event::Store(id, a)))
+                            self.later(d + wait, What::Controller(n, boot, Event::Store(id, a)))
                         }
-                        _ => self.later(2 * S, What::Node(n, boot, Event::Store(id, StoreAnswer::Unknown))),
+                        _ => self
+                            .later(2 * S, What::Controller(n, boot, Event::Store(id, StoreAnswer::Unknown))),
                     }
                 }
             }
@@ -224,7 +226,7 @@
             What::Cloud(n, boot, r) => {
                 let a = self.cloud(&r);
                 let a = self.rental_answer(&r, a);
-                self.later(80_000, What::Node(n, boot, Event::Cloud(r, a)));
+                self.later(80_000, What::Controller(n, boot, Event::Cloud(r, a)));
             }
             What::Effects(n, boot, out) => {
                 if boot == self.boots[n] {
--- a/tests/world/outside.rs
+++ b/tests/world/outside.rs
@@ -5,7 +5,7 @@
 impl World {
     /// A request as a limited controller would write it.
     pub(crate) fn written_by(&self, n: usize, mut r: StoreRequest) -> StoreRequest {
-        if let (true, StoreRequest::Commit(c)) = (self.limited[n], &mut r) {
+        if let (true, StoreRequest::Transaction(c)) = (self.limited[n], &mut r) {
             for (key, value, _) in c.puts.iter_mut().filter(|p| p.0.starts_with("ring/m/")) {
                 assert!(key != "ring/m/*", "an old controller is among them");
                 value.as_object_mut().expect("a member").remove("reads");
@@ -74,9 +74,9 @@
                 None => StoreAnswer::Changes(self.store.revision, Vec::new()),
                 Some(news) => news,
             };
-            match self.travel(End::Store, End::Node(n)) {
-                Some(d) if d < 2 * S => self.later(d, What::Node(n, boot, Event::Store(id, a))),
-                _ => self.later(4 * S, What::Node(n, boot, Event::Store(id, StoreAnswer::Unknown))),
+            match self.travel(End::Store, End::Controller(n)) {
+                Some(d) if d < 2 * S => self.later(d, What::Controller(n, boot, Event::Store(id, a))),
+                _ => self.later(4 * S, What::Controller(n, boot, Event::Store(id, StoreAnswer::Unknown))),
             }
         }
     }
@@ -86,7 +86,7 @@
             return StoreAnswer::Refused;
         }
         self.store.limits = if self.now >= self.limits_fall { NEXT_LIMITS } else { LIMITS };
-        if let StoreRequest::Commit(Commit { conditions, puts, drops }) = &r {
+        if let StoreRequest::Transaction(Transaction { conditions, puts, drops }) = &r {
             // Late or deposed writers are kept out by conditions: on the epoch for everything
             // but the ring's own keys, on the record's version for jobs and teams.
             for key in puts.iter().map(|p| &p.0).chain(drops).filter(|k| !k.starts_with("ring/")) {
@@ -99,7 +99,7 @@
             !matches!(r, StoreRequest::Watch(..)),
             "watches are answered when there is something to tell"
         );
-        let change = if let StoreRequest::Commit(c) = &r { Some(c.clone()) } else { None };
+        let change = if let StoreRequest::Transaction(c) = &r { Some(c.clone()) } else { None };
         let a = self.store.apply(self.now, r);
         if let Some(c) = change {
             let done = matches!(a, StoreAnswer::Committed(_));
--- a/tests/world/parts.rs
+++ b/tests/world/parts.rs
@@ -52,24 +52,24 @@
 
 #[derive(Debug)]
 pub(crate) enum What {
-    Node(usize, u64, Event),
+    Controller(usize, u64, Event),
     Effects(usize, u64, Vec<Effect>),
     /// A request reaches the state service; its answer takes so much longer than usual, or is not waited for.
     StoreApply(usize, u64, u64, StoreRequest, Option<u64>),
     /// A transaction that was sent then and whose answer nobody waits for.
     LateWrite(usize, u64, StoreRequest),
     /// A copy of a worker's report that was sent then, to that controller.
-    LateReport(usize, usize, u64, Report),
+    LateReport(usize, usize, u64, Heartbeat),
     /// A change of the state service whose sender gets no answer.
     Unanswered(Unanswered),
     /// A copy of a worker's report that was kept for the next leader, to that controller.
-    KeptReport(usize, usize, Report),
+    KeptReport(usize, usize, Heartbeat),
     /// A process that was told to leave ends, and is back at once.
     End(usize, u64),
     Cloud(usize, u64, CloudRequest),
     /// A direct command, its token; and one that was held up on its way.
-    Greet(usize, u64, u64, Greeting),
-    LateCommand(usize, u64, u64, Greeting),
+    Greet(usize, u64, u64, FencingProbe),
+    LateCommand(usize, u64, u64, FencingProbe),
     WorkerAnswer(usize, u64, Reply),
     UserAnswer(u64, Reply),
     /// A user who looks closely sends a request.
@@ -90,7 +90,7 @@
 
 pub(crate) struct UserJob {
     pub(crate) body: String,
-    pub(crate) spec: Spec,
+    pub(crate) spec: JobSpec,
     pub(crate) run: u64,
     /// So much longer than its forerunner each task of it runs, unless they are a gang.
     pub(crate) apart: u64,
@@ -128,7 +128,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum End {
-    Node(usize),
+    Controller(usize),
     Store,
     Workers,
 }
@@ -139,7 +139,7 @@
     pub(crate) now: u64,
     pub(crate) serial: u64,
     pub(crate) queue: BTreeMap<(u64, u64), What>,
-    pub(crate) nodes: Vec<Option<Node>>,
+    pub(crate) nodes: Vec<Option<Controller>>,
     pub(crate) boots: Vec<u64>,
     pub(crate) started: Vec<u64>,
     pub(crate) back_at: Vec<u64>,
--- a/tests/world/register.rs
+++ b/tests/world/register.rs
@@ -97,7 +97,7 @@
             let types = types(shape).into_iter().map(|t| (t.name.clone(), t)).collect();
             (types, settings(0, shape, false).teams)
         });
-        Spec::parse(body).is_ok_and(|s| s.check(types, teams).is_ok())
+        JobSpec::parse(body).is_ok_and(|s| s.check(types, teams).is_ok())
     }
 
     /// What comes of a request at the controller's HTTP edge: it goes on, or is answered there.
--- a/tests/world/silence.rs
+++ b/tests/world/silence.rs
@@ -118,7 +118,7 @@
                 self.serial += 1;
                 self.tickets.insert(self.serial, Ticket::Poll(id.clone(), n, now));
                 let ask = Event::User(self.serial, UserRequest::Query(id.clone()));
-                self.later(1000, What::Node(n, self.boots[n], ask));
+                self.later(1000, What::Controller(n, self.boots[n], ask));
             }
         }
         if now >= self.balancer.next {
@@ -136,7 +136,7 @@
                 }
                 self.serial += 1;
                 self.tickets.insert(self.serial, Ticket::Probe(n));
-                self.later(1000, What::Node(n, self.boots[n], Event::Ready(self.serial)));
+                self.later(1000, What::Controller(n, self.boots[n], Event::Ready(self.serial)));
             }
         }
     }
--- a/tests/world/trace.rs
+++ b/tests/world/trace.rs
@@ -6,7 +6,7 @@
 //! these may change: requests are hashed as the clients of `src/store.rs`, `src/fleet.rs` and `src/api.rs` put them into HTTP.
 
 use super::*;
-use hazelsaddle::autoscaler::Rental;
+use hazelsaddle::autoscaler::ScaleOut;
 use std::fmt::Write as _;
 use twox_hash::XxHash64;
 
@@ -63,7 +63,7 @@
         Effect::Cloud(request) => (KINDS[3], cloud_request(request).into_bytes()),
         Effect::Probe(addresses) => (KINDS[4], joined(addresses).into_bytes()),
         Effect::Greet(token, list) => {
-            let one = |g: &Greeting| {
+            let one = |g: &FencingProbe| {
                 let body = json!({"rein": token, "ride": g.session, "calls": []});
                 joined(&[g.machine.clone(), format!("POST http://{}/do\n{body}", g.addr)])
             };
@@ -85,7 +85,7 @@
             format!("GET /store?prefix={prefix}&limit=200\n")
         }
         StoreRequest::List(prefix, after) => format!("GET /store?prefix={prefix}&limit=200&after={after}\n"),
-        StoreRequest::Commit(commit) => format!("POST /commit\n{}", commit_body(commit)),
+        StoreRequest::Transaction(commit) => format!("POST /commit\n{}", commit_body(commit)),
         StoreRequest::Grant(ms) => format!("POST /grants\n{}", json!({ "lifeMs": ms })),
         StoreRequest::Renew(id) => format!("POST /grants/{id}/renew\n{{}}"),
         StoreRequest::Revision => "GET /store?prefix=ring/epoch&limit=1\n".into(),
@@ -97,7 +97,7 @@
 }
 
 /// The body of an atomic change.
-fn commit_body(commit: &Commit) -> String {
+fn commit_body(commit: &Transaction) -> String {
     let conditions: Vec<Value> =
         commit.conditions.iter().map(|(key, mark)| json!({"k": key, "mark": mark})).collect();
     let puts = commit.puts.iter().map(|(key, value, lease)| match lease {
@@ -114,7 +114,7 @@
         CloudRequest::Types => "GET /flavors\n".into(),
         CloudRequest::List(after) if after.is_empty() => "GET /rentals?limit=500\n".into(),
         CloudRequest::List(after) => format!("GET /rentals?after={after}&limit=500\n"),
-        CloudRequest::Rent(Rental { name, kind, zone, spot, count }) => {
+        CloudRequest::Rent(ScaleOut { name, kind, zone, spot, count }) => {
             let body =
                 json!({"hire": name, "stallKind": kind, "paddock": zone, "borrowed": spot, "count": count});
             format!("POST /rentals\n{body}")
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -14,9 +14,9 @@
             0 => self.crash(n),
             1 => (0..3).for_each(|n| self.crash(n)),
             2 => self.outage_until = now + long,
-            3 => self.cuts.push((End::Node(n), End::Store, now + long, hold)),
-            4 => self.cuts.push((End::Node(n), End::Workers, now + long, hold)),
-            5 => self.cuts.push((End::Node(n), End::Node((n + 1) % 3), now + long, hold)),
+            3 => self.cuts.push((End::Controller(n), End::Store, now + long, hold)),
+            4 => self.cuts.push((End::Controller(n), End::Workers, now + long, hold)),
+            5 => self.cuts.push((End::Controller(n), End::Controller((n + 1) % 3), now + long, hold)),
             6 => {
                 let w = self.rng.random_range(0..self.workers.len());
                 self.workers[w].hung_until = now + long;
@@ -29,17 +29,17 @@
             8 => self.hung[n] = now + long,
             // Silent for long, and back; or cut from its workers again and again.
             10 => {
-                self.cuts.push((End::Node(n), End::Store, now + 3 * long, hold));
-                self.cuts.push((End::Node(n), End::Workers, now + 3 * long, hold));
+                self.cuts.push((End::Controller(n), End::Store, now + 3 * long, hold));
+                self.cuts.push((End::Controller(n), End::Workers, now + 3 * long, hold));
                 for p in (0..3).filter(|&p| p != n) {
-                    self.cuts.push((End::Node(n), End::Node(p), now + 3 * long, hold));
+                    self.cuts.push((End::Controller(n), End::Controller(p), now + 3 * long, hold));
                 }
             }
-            11 => self.cuts.push((End::Node(n), End::Workers, now + 2 * long, false)),
+            11 => self.cuts.push((End::Controller(n), End::Workers, now + 2 * long, false)),
             _ => {
-                self.cuts.push((End::Node(n), End::Store, now + long, hold));
+                self.cuts.push((End::Controller(n), End::Store, now + long, hold));
                 for p in (0..3).filter(|&p| p != n) {
-                    self.cuts.push((End::Node(n), End::Node(p), now + long, hold));
+                    self.cuts.push((End::Controller(n), End::Controller(p), now + long, hold));
                 }
             }
         }
@@ -67,7 +67,7 @@
             return None;
         }
         let weight = match e {
-            Effect::Store(_, StoreRequest::Commit(c), _) => {
+            Effect::Store(_, StoreRequest::Transaction(c), _) => {
                 let first = c.puts.first().map_or("", |p| p.0.as_str());
                 match first.split('/').next().unwrap_or("") {
                     "ring" => 10.0,
@@ -75,7 +75,7 @@
                     _ => 1.0,
                 }
             }
-            Effect::Send(_, f) if matches!(f.body, Message::HandOver { .. } | Message::Taken(_)) => 5.0,
+            Effect::Send(_, f) if matches!(f.body, Message::Handoff { .. } | Message::HandoffAck(_)) => 5.0,
             _ => return None,
         };
         self.rng.random_bool((self.brittle * weight).min(1.0)).then(|| self.rng.random_bool(0.5))
@@ -91,7 +91,7 @@
             if let Some(o) = &self.operators {
                 settings.operators = o.clone();
             }
-            self.nodes[n] = Some(Node::new(settings, self.serial));
+            self.nodes[n] = Some(Controller::new(settings, self.serial));
         }
     }
 
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 impl Worker {
-    fn report(&self) -> Report {
-        let task = |t: &Task| ReportedTask {
+    fn report(&self) -> Heartbeat {
+        let task = |t: &Task| HeartbeatTask {
             task: format!("{}/{}", t.job, t.index),
             attempt: t.attempt,
             state: t.state.into(),
             why: t.why.map(str::to_owned),
             saved: Some(t.saved),
         };
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: self.name.clone(),
             kind: self.kind.clone(),
@@ -28,7 +28,7 @@
 
 impl World {
     /// A worker is told a token directly, and answers with its report.
-    pub(crate) fn greet(&mut self, n: usize, boot: u64, token: u64, g: Greeting) {
+    pub(crate) fn greet(&mut self, n: usize, boot: u64, token: u64, g: FencingProbe) {
         let now = self.now;
         let Some(i) = self.worker_that_hears(&g) else { return };
         // One that hangs takes it when it goes on.
@@ -39,12 +39,12 @@
         let report = self.commanded(i, token, &g);
         self.lost.spoken += usize::from(now < self.workers[i].mute_until);
         if let Some(d) = self.worker_heard_in(i, n) {
-            self.later(d, What::Node(n, boot, Event::Greeted(report)));
+            self.later(d, What::Controller(n, boot, Event::Greeted(report)));
         }
     }
 
     /// The worker that a direct command comes to, unless nobody is there or hears it.
-    pub(crate) fn worker_that_hears(&mut self, g: &Greeting) -> Option<usize> {
+    pub(crate) fn worker_that_hears(&mut self, g: &FencingProbe) -> Option<usize> {
         let now = self.now;
         let there = |w: &Worker| w.name == g.machine && !w.gone && !w.dead && now >= w.up_at;
         let i = self.workers.iter().position(there)?;
@@ -56,7 +56,7 @@
     }
 
     /// A worker takes a direct command if token and session match, and answers with its report.
-    pub(crate) fn commanded(&mut self, i: usize, token: u64, g: &Greeting) -> Report {
+    pub(crate) fn commanded(&mut self, i: usize, token: u64, g: &FencingProbe) -> Heartbeat {
         let w = &mut self.workers[i];
         if w.session == g.session && token >= w.token {
             w.changed |= token > w.token;
@@ -213,7 +213,7 @@
                     continue;
                 }
                 let job = &self.jobs[&t.job];
-                let gang = job.spec.kind == hazelsaddle::spec::Kind::Gang;
+                let gang = job.spec.kind == hazelsaddle::spec::JobKind::Gang;
                 let (state, until, why) = match t.state {
                     "pulling" if job.mistaken => ("ended", 0, Some("error")),
                     "pulling" if job.done.contains(&t.index) => ("ended", 0, Some("done")),
@@ -271,7 +271,7 @@
                 self.copy_report(i, target, &report);
                 self.keep_report(i, &report);
                 if let Some(d) = self.worker_heard_in(i, target) {
-                    self.later(d, What::Node(target, 0, Event::Report(ticket, report)));
+                    self.later(d, What::Controller(target, 0, Event::Heartbeat(ticket, report)));
                 }
             }
         }
@@ -298,7 +298,7 @@
         for w in self.workers.iter_mut().filter(|w| !w.gone && !w.dead && now >= w.hung_until) {
             for t in &mut w.tasks {
                 let Some(j) = self.jobs.get_mut(&t.job) else { continue };
-                if j.spec.kind != hazelsaddle::spec::Kind::Gang {
+                if j.spec.kind != hazelsaddle::spec::JobKind::Gang {
                     continue;
                 }
                 let key = (t.job.clone(), t.attempt);
--- a/tests/world/zones.rs
+++ b/tests/world/zones.rs
@@ -71,7 +71,7 @@
     /// The same between two ends. Workers are in many zones: see `worker_reached_in`.
     pub(crate) fn across_zones(&self, a: End, b: End) -> Option<u64> {
         let place = |e: End| match e {
-            End::Node(n) => Some(SEATS[n]),
+            End::Controller(n) => Some(SEATS[n]),
             End::Store | End::Workers => None,
         };
         if a == End::Workers || b == End::Workers { Some(0) } else { self.across(place(a), place(b)) }
@@ -79,13 +79,13 @@
 
     /// When a controller's message to a worker arrives, if it does.
     pub(crate) fn worker_reached_in(&mut self, n: usize, i: usize) -> Option<u64> {
-        let delay = self.travel(End::Node(n), End::Workers)?;
+        let delay = self.travel(End::Controller(n), End::Workers)?;
         Some(delay + self.across(Some(SEATS[n]), Some(&self.workers[i].zone))?)
     }
 
     /// When a worker's message to a controller arrives, if it does.
     pub(crate) fn worker_heard_in(&mut self, i: usize, n: usize) -> Option<u64> {
-        let delay = self.travel(End::Workers, End::Node(n))?;
+        let delay = self.travel(End::Workers, End::Controller(n))?;
         let more = self.across(Some(&self.workers[i].zone), Some(SEATS[n]));
         self.zones.stopped[0] += usize::from(more != Some(0));
         Some(delay + more?)
@@ -141,7 +141,7 @@
         const NOBODY: u64 = u64::MAX;
         let boot = self.boots[n];
         if self.now < self.zones.cloud_out {
-            return self.later(80_000, What::Node(n, boot, Event::Cloud(r, CloudAnswer::Failed)));
+            return self.later(80_000, What::Controller(n, boot, Event::Cloud(r, CloudAnswer::Failed)));
         }
         let more = self.across(Some(SEATS[n]), None);
         if more == Some(0) {
@@ -149,7 +149,7 @@
         }
         self.zones.stopped[2] += 1;
         let failed = Event::Cloud(r.clone(), CloudAnswer::Failed);
-        self.later(CLOUD_PATIENCE, What::Node(n, boot, failed));
+        self.later(CLOUD_PATIENCE, What::Controller(n, boot, failed));
         if let Some(more) = more {
             self.later(more + 80_000, What::Cloud(n, NOBODY, r));
         }
