--- a/crates/coordination/src/record_cache.rs
+++ b/crates/coordination/src/record_cache.rs
@@ -25,7 +25,7 @@
 struct Entry {
     held: Held,
     /// Version of the key in the state service.
-    mark: u64,
+    store_version: u64,
     /// When the question went out whose answer this is.
     as_of: Micros,
     /// When the present question went out, if one is under way.
@@ -50,7 +50,7 @@
     pub fn want(&mut self, key: &Key) {
         self.entries.entry(key.clone()).or_insert_with(|| Entry {
             held: Held::Unread,
-            mark: 0,
+            store_version: 0,
             as_of: Micros(0),
             asked: None,
             next: Micros(0),
@@ -101,8 +101,8 @@
         if e.asked == Some(sent) {
             e.asked = None;
         }
-        let mark = row.map_or(0, |(_, m)| m);
-        if sent < e.as_of || (mark < e.mark && mark != 0) {
+        let store_version = row.map_or(0, |(_, m)| m);
+        if sent < e.as_of || (store_version < e.store_version && store_version != 0) {
             return false;
         }
         e.as_of = sent;
@@ -112,8 +112,8 @@
             Some(Ok(r)) => Held::Is(r),
             Some(Err(why)) => Held::Unreadable(why),
         };
-        let news = held != e.held || mark != e.mark;
-        (e.held, e.mark) = (held, mark);
+        let news = held != e.held || store_version != e.store_version;
+        (e.held, e.store_version) = (held, store_version);
         news
     }
 
@@ -125,11 +125,11 @@
     }
 
     /// Our own change is on record with this mark.
-    pub fn committed(&mut self, key: &Key, sent: Micros, record: CoordinationRecord, mark: u64) {
+    pub fn committed(&mut self, key: &Key, sent: Micros, record: CoordinationRecord, store_version: u64) {
         if let Some(e) = self.entries.get_mut(key)
-            && mark > e.mark
+            && store_version > e.store_version
         {
-            (e.held, e.mark, e.as_of) = (Held::Is(record), mark, e.as_of.max(sent));
+            (e.held, e.store_version, e.as_of) = (Held::Is(record), store_version, e.as_of.max(sent));
         }
     }
 
@@ -147,8 +147,8 @@
 
     /// The mark that a change of it, or a job that joins it, is conditional on; 0: there is no record.
     #[must_use]
-    pub fn mark(&self, key: &Key) -> u64 {
-        self.entries.get(key).map_or(0, |e| e.mark)
+    pub fn store_version(&self, key: &Key) -> u64 {
+        self.entries.get(key).map_or(0, |e| e.store_version)
     }
 
     /// All records held, by key.
@@ -194,7 +194,7 @@
         let key = Key::new(Kind::Loan, "l").expect("valid");
         let mut s = RecordCache::default();
         s.want(&key);
-        assert_eq!((s.get(&key), s.get_since(&key, at(0)), s.mark(&key)), (&Held::Unread, None, 0));
+        assert_eq!((s.get(&key), s.get_since(&key, at(0)), s.store_version(&key)), (&Held::Unread, None, 0));
         s.keep(&BTreeSet::new());
         assert_eq!(s.iter().count(), 0);
     }
--- a/crates/freshness/tests/model.rs
+++ b/crates/freshness/tests/model.rs
@@ -20,7 +20,7 @@
     /// A new owner looks anew.
     anew: bool,
     /// A change of the batch's record is conditional on the mark that was read.
-    mark: bool,
+    store_version: bool,
     /// A question is answered from a reading that began after it came.
     after_question: bool,
     /// Permits end only with their attempts.
@@ -40,7 +40,7 @@
 const ALL: Guards = Guards {
     verdict: true,
     anew: true,
-    mark: true,
+    store_version: true,
     after_question: true,
     with_attempt: true,
     fence: true,
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Change {
     epoch: u8,
-    mark: u8,
+    store_version: u8,
     next: Batch,
     what: For,
 }
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     batch: Batch,
-    mark: u8,
+    store_version: u8,
     /// Run `n` is done on record.
     again: bool,
     epoch: u8,
@@ -148,7 +148,7 @@
         };
         let room = w.changes.len() < 2;
         then(&|n| {
-            n.known = Some((n.batch.clone(), n.mark, n.again));
+            n.known = Some((n.batch.clone(), n.store_version, n.again));
             for q in n.jobs.iter_mut().flat_map(|j| [&mut j.asks, &mut j.late]).flatten() {
                 q.read = true;
             }
@@ -170,7 +170,7 @@
             && !w.changes.iter().any(|c| c.what == For::Put)
             && let Ok(Put::Raised(next)) = w.batch.put(2)
         {
-            let c = Change { epoch: w.epoch, mark: w.mark, next, what: For::Put };
+            let c = Change { epoch: w.epoch, store_version: w.store_version, next, what: For::Put };
             then(&|n| n.changes.push(c.clone()));
         }
         if w.batch.version == 2 {
@@ -194,13 +194,14 @@
     }
 
     fn applied(self, n: &mut World, c: &Change, reached: bool) {
-        let good = reached && c.epoch == n.epoch && (!self.mark || c.mark == n.mark);
+        let good =
+            reached && c.epoch == n.epoch && (!self.store_version || c.store_version == n.store_version);
         if good {
             if c.next.version < n.batch.version {
                 n.broken = Some("a version that goes back");
             }
             n.batch = c.next.clone();
-            n.mark += 1;
+            n.store_version += 1;
         }
         let For::Grant(m, p) = &c.what else { return };
         if good && !Guards::fresh(n) {
@@ -237,7 +238,7 @@
             return;
         }
         let known = w.known.as_ref();
-        let seen = known.map(|(b, mark, again)| (b, *mark, self.look(b, *again)));
+        let seen = known.map(|(b, store_version, again)| (b, *store_version, self.look(b, *again)));
         let may = !self.verdict || seen.as_ref().is_some_and(|(.., (_, v))| v.may_start());
         if !j.runs && j.attempt < w.most && may {
             then(&|n| {
@@ -281,7 +282,7 @@
             }
         }
         for (late, q) in [(false, &j.asks), (true, &j.late)] {
-            let (Some(q), Some((b, mark, (held, v)))) = (q, &seen) else { continue };
+            let (Some(q), Some((b, store_version, (held, v)))) = (q, &seen) else { continue };
             if q.busy || (self.after_question && !q.read) {
                 continue;
             }
@@ -300,7 +301,7 @@
                         next.permits.last_mut().expect("new").fence = p.fence;
                     }
                     let what = For::Grant(m, p.clone());
-                    let c = Change { epoch: w.epoch, mark: *mark, next, what };
+                    let c = Change { epoch: w.epoch, store_version: *store_version, next, what };
                     if room {
                         then(&|n| {
                             n.changes.push(c.clone());
@@ -331,7 +332,7 @@
             }
         }
         // What has ended gives its permit back.
-        if let Some((b, mark, _)) = known
+        if let Some((b, store_version, _)) = known
             && room
         {
             let jobs = &w.jobs;
@@ -340,7 +341,7 @@
                 p.attempt < j.attempt || !j.runs || !self.with_attempt
             };
             if let Some(next) = b.release(over) {
-                let c = Change { epoch: w.epoch, mark: *mark, next, what: For::Release };
+                let c = Change { epoch: w.epoch, store_version: *store_version, next, what: For::Release };
                 if !w.changes.contains(&c) {
                     then(&|n| n.changes.push(c.clone()));
                 }
@@ -379,7 +380,7 @@
 fn explore(g: Guards, most: usize) -> Explored {
     let first = World {
         batch: Batch::first(1),
-        mark: 1,
+        store_version: 1,
         again: false,
         epoch: 0,
         old_since: false,
@@ -451,7 +452,7 @@
     let without = [
         ("verdict", Guards { verdict: false, ..ALL }, "a start on what was old before"),
         ("anew", Guards { anew: false, ..ALL }, "a start on what was old before"),
-        ("mark", Guards { mark: false, ..ALL }, "a version that goes back"),
+        ("mark", Guards { store_version: false, ..ALL }, "a version that goes back"),
         ("after question", Guards { after_question: false, ..ALL }, "refused although all was fresh"),
         ("with attempt", Guards { with_attempt: false, ..ALL }, "a permit that is not on record"),
         ("fence", Guards { fence: false, ..ALL }, "a fence that does not rise"),
--- a/crates/gpu_lending/tests/model.rs
+++ b/crates/gpu_lending/tests/model.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Guards {
     /// A claim is on condition of the mark that was read.
-    mark: bool,
+    store_version: bool,
     /// A claim is on condition of the epoch, as all changes are. For claims alone the mark would do.
     epoch: bool,
     /// What is on record counts against the need.
@@ -26,8 +26,14 @@
     returned: bool,
 }
 
-const ALL: Guards =
-    Guards { mark: true, epoch: true, counted: true, record_first: true, ends: true, returned: true };
+const ALL: Guards = Guards {
+    store_version: true,
+    epoch: true,
+    counted: true,
+    record_first: true,
+    ends: true,
+    returned: true,
+};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Loan {
@@ -40,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Sent {
     Nothing,
-    Claim { task: usize, mark: u8, epoch: u8 },
+    Claim { task: usize, store_version: u8, epoch: u8 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -51,7 +57,7 @@
     /// Which controllers take themselves for the owner still: one that stands still learns late.
     thinks: [bool; 3],
     /// The record: what is lent of each task.
-    mark: u8,
+    store_version: u8,
     loans: [Loan; 2],
     /// What each has read: the mark, and whether anything was claimed.
     read: [Option<(u8, bool)>; 3],
@@ -72,7 +78,7 @@
     epoch: 0,
     lives: [true; 3],
     thinks: [true, false, false],
-    mark: 1,
+    store_version: 1,
     loans: [Loan::None; 2],
     read: [None; 3],
     sent: [Sent::Nothing; 3],
@@ -99,13 +105,13 @@
         for c in 0..3 {
             let acts = s.lives[c] && s.thinks[c];
             if acts && s.sent[c] == Sent::Nothing && missing {
-                then(&|n| n.read[c] = Some((s.mark, claimed)));
-                if let Some((mark, was)) = s.read[c]
+                then(&|n| n.read[c] = Some((s.store_version, claimed)));
+                if let Some((store_version, was)) = s.read[c]
                     && (!was || !self.counted)
                 {
                     for task in [0, 1] {
                         then(&|n| {
-                            n.sent[c] = Sent::Claim { task, mark, epoch: c as u8 };
+                            n.sent[c] = Sent::Claim { task, store_version, epoch: c as u8 };
                             n.read[c] = None;
                             if !self.record_first {
                                 n.stopped[task] = true;
@@ -127,15 +133,16 @@
         // What was sent is applied, late or not, or never.
         for at in 0..4 {
             let sent = if at < 3 { s.sent[at] } else { s.late };
-            let Sent::Claim { task, mark, epoch } = sent else { continue };
+            let Sent::Claim { task, store_version, epoch } = sent else { continue };
             let clear =
                 |n: &mut State| if at < 3 { n.sent[at] = Sent::Nothing } else { n.late = Sent::Nothing };
-            let holds = (!self.mark || mark == s.mark) && (!self.epoch || epoch == s.epoch);
+            let holds = (!self.store_version || store_version == s.store_version)
+                && (!self.epoch || epoch == s.epoch);
             then(&|n| {
                 clear(n);
-                if holds && n.loans[task] == Loan::None && n.mark < LAST {
+                if holds && n.loans[task] == Loan::None && n.store_version < LAST {
                     n.loans[task] = Loan::Taking;
-                    n.mark += 1;
+                    n.store_version += 1;
                 }
             });
             then(&clear);
@@ -153,23 +160,23 @@
                 then(&|n| n.stopped[task] = true);
             }
             // The owner of the job goes by the record, whoever wrote it.
-            let owner = s.lives[s.epoch as usize] && s.mark < LAST;
+            let owner = s.lives[s.epoch as usize] && s.store_version < LAST;
             if s.loans[task] == Loan::Taking && s.stopped[task] && owner && missing {
                 then(&|n| {
                     (n.loans[task], n.stands) = (Loan::Held, true);
-                    n.mark += 1;
+                    n.store_version += 1;
                 });
             }
             if s.loans[task] == Loan::Taking && owner && self.ends && !missing {
                 then(&|n| {
                     n.loans[task] = Loan::None;
-                    n.mark += 1;
+                    n.store_version += 1;
                 });
             }
             if s.loans[task] == Loan::Held && s.over && owner && self.returned {
                 then(&|n| {
                     (n.loans[task], n.stopped[task]) = (Loan::None, false);
-                    n.mark += 1;
+                    n.store_version += 1;
                 });
             }
         }
@@ -207,7 +214,7 @@
             e.unnamed.get_or_insert_with(|| s.clone());
         }
         let next = g.next(&s);
-        if next.is_empty() && s.mark < LAST && s.loans.iter().any(|l| *l != Loan::None) {
+        if next.is_empty() && s.store_version < LAST && s.loans.iter().any(|l| *l != Loan::None) {
             e.kept.get_or_insert_with(|| s.clone());
         }
         queue.extend(next.into_iter().filter(|n| seen.insert(n.clone())));
@@ -227,7 +234,7 @@
 #[test]
 fn without_any_one_guard_some_interleaving_does() {
     let without = [
-        ("mark", Guards { mark: false, ..ALL }),
+        ("mark", Guards { store_version: false, ..ALL }),
         ("counted", Guards { counted: false, ..ALL }),
         ("record first", Guards { record_first: false, ..ALL }),
         ("ends", Guards { ends: false, ..ALL }),
--- a/crates/release/tests/model.rs
+++ b/crates/release/tests/model.rs
@@ -58,7 +58,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Head {
-    mark: u8,
+    store_version: u8,
     version: u8,
     phase: Phase,
     rotated: bool,
@@ -110,7 +110,7 @@
 }
 
 const FIRST: State = State {
-    head: Head { mark: 1, version: 0, phase: Phase::Open, rotated: false },
+    head: Head { store_version: 1, version: 0, phase: Phase::Open, rotated: false },
     pages: [None; 2],
     jobs: [Job::Absent; 2],
     joins: [None; 2],
@@ -128,7 +128,7 @@
         (0..2).filter(|&j| of(self.jobs[j])).map(|j| 1 << j).sum()
     }
     fn put(&mut self, head: Head) {
-        self.head = Head { mark: self.head.mark + 1, ..head };
+        self.head = Head { store_version: self.head.store_version + 1, ..head };
     }
 }
 
@@ -165,10 +165,10 @@
         for j in 0..2 {
             // The controller has just read the record; it may have changed by the time that the write is applied.
             if s.jobs[j] == Job::Absent && s.joins[j].is_none() && s.head.phase == Phase::Open {
-                then(&|n| n.joins[j] = Some(s.head.mark));
+                then(&|n| n.joins[j] = Some(s.head.store_version));
             }
-            if let Some(mark) = s.joins[j]
-                && (mark == s.head.mark || !self.join_on_mark)
+            if let Some(store_version) = s.joins[j]
+                && (store_version == s.head.store_version || !self.join_on_mark)
             {
                 then(&|n| (n.joins[j], n.jobs[j]) = (None, Job::Live));
             }
@@ -197,13 +197,13 @@
                     }
                 });
             }
-            if let Some((mark, head)) = me.head {
+            if let Some((store_version, head)) = me.head {
                 let on_mark = match head.phase {
                     Phase::Closed if head.rotated => self.rotated_on_mark,
                     Phase::Closed => self.closed_on_mark,
                     _ => true,
                 };
-                if mark == s.head.mark || !on_mark {
+                if store_version == s.head.store_version || !on_mark {
                     then(&|n| {
                         n.closers[c].head = None;
                         n.put(head);
@@ -215,7 +215,7 @@
             let Some(held) = me.held else { continue };
             let mut send = |head: Head| {
                 if me.head.is_none() {
-                    then(&|n| n.closers[c].head = Some((held.mark, head)));
+                    then(&|n| n.closers[c].head = Some((held.store_version, head)));
                 }
             };
             match (held.phase, me.census) {
@@ -261,10 +261,10 @@
         // The operator asks once, of a controller that has just read.
         if !s.reopened && s.head.phase == Phase::Closed && (!s.head.rotated || !self.no_reopen_after) {
             let head = Head { version: 1, phase: Phase::Open, rotated: false, ..s.head };
-            then(&|n| (n.reopened, n.reopen) = (true, Some((s.head.mark, head))));
+            then(&|n| (n.reopened, n.reopen) = (true, Some((s.head.store_version, head))));
         }
-        if let Some((mark, head)) = s.reopen
-            && (mark == s.head.mark || !self.reopen_on_mark)
+        if let Some((store_version, head)) = s.reopen
+            && (store_version == s.head.store_version || !self.reopen_on_mark)
         {
             then(&|n| {
                 n.reopen = None;
--- a/crates/release/tests/races.rs
+++ b/crates/release/tests/races.rs
@@ -53,11 +53,11 @@
 }
 
 impl Store {
-    fn mark(&self, key: &str) -> u64 {
+    fn store_version(&self, key: &str) -> u64 {
         self.rows.get(key).map_or(0, |r| r.1)
     }
     fn apply(&mut self, c: &Commit) -> bool {
-        if c.conditions.iter().any(|(k, mark)| self.mark(k) != *mark) {
+        if c.conditions.iter().any(|(k, store_version)| self.store_version(k) != *store_version) {
             return false;
         }
         self.ledger += 1;
@@ -72,7 +72,9 @@
     fn held(&self) -> (Held, u64) {
         match self.rows.get(&key().head()) {
             None => (Held::Absent, 0),
-            Some((v, mark)) => (CoordinationRecord::read(v).map_or_else(Held::Unreadable, Held::Is), *mark),
+            Some((v, store_version)) => {
+                (CoordinationRecord::read(v).map_or_else(Held::Unreadable, Held::Is), *store_version)
+            }
         }
     }
     fn fact(&self, id: &str) -> Fact {
@@ -105,19 +107,19 @@
 /// What one controller holds; all of it is gone in a crash.
 struct Controller {
     held: Held,
-    mark: u64,
+    store_version: u64,
     census: Option<Census>,
     members: Option<Vec<Member>>,
 }
 
 impl Controller {
     fn new() -> Controller {
-        Controller { held: Held::Unread, mark: 0, census: None, members: None }
+        Controller { held: Held::Unread, store_version: 0, census: None, members: None }
     }
     fn read(&mut self, store: &Store) {
-        let (held, mark) = store.held();
-        if mark != self.mark || self.held == Held::Unread {
-            *self = Controller { held, mark, census: None, members: None };
+        let (held, store_version) = store.held();
+        if store_version != self.store_version || self.held == Held::Unread {
+            *self = Controller { held, store_version, census: None, members: None };
         }
     }
 }
@@ -189,7 +191,7 @@
             old.allows(record).expect("no decision goes back");
         }
         let commit = Commit {
-            conditions: vec![(key.clone(), self.controllers[c].mark)],
+            conditions: vec![(key.clone(), self.controllers[c].store_version)],
             writes: vec![(key, Some(record.value()))],
         };
         self.send(c, commit, way)
@@ -202,7 +204,7 @@
         match may_join(&self.controllers[c].held, &self.calendars, &says, "any", self.now) {
             Join::Now => {
                 let conditions = vec![
-                    (key().head(), self.controllers[c].mark),
+                    (key().head(), self.controllers[c].store_version),
                     (format!("{LIVE}{id}"), 0),
                     (format!("{ENDS}{id}"), 0),
                 ];
@@ -280,10 +282,12 @@
             Step::Over => {
                 let found = census.members(&key().head()).expect("all readable");
                 let (pages, head) = set::closed(&key(), record, &found, PAGE).expect("closing");
-                let mark = self.controllers[c].mark;
+                let store_version = self.controllers[c].store_version;
                 for (k, v) in pages {
-                    let commit =
-                        Commit { conditions: vec![(key().head(), mark)], writes: vec![(k, Some(v))] };
+                    let commit = Commit {
+                        conditions: vec![(key().head(), store_version)],
+                        writes: vec![(k, Some(v))],
+                    };
                     // The head counts on its pages: it is written once each is known to be there.
                     if !self.store.rows.contains_key(&commit.writes[0].0) && !self.send(c, commit, way) {
                         return;
--- a/crates/testbed/src/state.rs
+++ b/crates/testbed/src/state.rs
@@ -99,7 +99,7 @@
         let row = |k: &String, v: &(Value, u64, Option<u64>)| KeyValue {
             key: k.clone(),
             value: v.0.clone(),
-            mark: v.1,
+            store_version: v.1,
         };
         match r {
             StoreRequest::Get(k) => StoreAnswer::Got(self.keys.get(&k).map(|v| row(&k, v))),
@@ -231,7 +231,7 @@
         let ledger = self.revision;
         let row = |r: KeyValue| {
             let tether = self.keys.get(&r.key).and_then(|v| v.2);
-            json!({"k": r.key, "v": r.value, "mark": r.mark, "tether": tether})
+            json!({"k": r.key, "v": r.value, "mark": r.store_version, "tether": tether})
         };
         match a {
             StoreAnswer::Got(Some(r)) => (200, row(r)),
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -205,14 +205,14 @@
     /// What it knows of the ring.
     pub membership: Membership,
     /// Its work as an owner.
-    pub owner: JobShard,
+    pub job_shard: JobShard,
     /// Its work as a home.
-    pub home: MachineShard,
+    pub machine_shard: MachineShard,
     /// The teams' records.
-    pub teams: QuotaLedger,
+    pub quota: QuotaLedger,
     /// Its work as the decider.
-    pub fleet: Autoscaler,
-    roll: MachineRegistry,
+    pub autoscaler: Autoscaler,
+    machine_registry: MachineRegistry,
     next_prune: Micros,
     // Ring loop.
     lease: Option<u64>,
@@ -220,8 +220,8 @@
     seen: Option<(EpochRecord, u64, Micros)>,
     ring_busy: bool,
     next_ring: Micros,
-    aside: StepDown,
-    restraint: FlapDamping,
+    step_down: StepDown,
+    flap_damping: FlapDamping,
     /// Other controllers whose store leases lived when last read.
     alive: Vec<usize>,
     /// Per controller: machines of its that turned up here and were sent on to it.
@@ -243,20 +243,20 @@
     next_team_plan: Micros,
     // Users.
     accepting: BTreeMap<String, Accepting>,
-    follow: Dependencies,
-    pacts: RecordSlice,
-    fresh: Freshness,
+    dependencies: Dependencies,
+    coordination: RecordSlice,
+    freshness: Freshness,
     releases: Releases,
-    handover: Handoff,
+    handoff: Handoff,
     /// The version of its own key, if it was read since that was last written, and what was last written there without an
     /// answer.
-    own_mark: Option<u64>,
+    own_key_version: Option<u64>,
     own_sent: Option<Value>,
     loans: Loans,
-    witness: StartReplica,
+    start_replica: StartReplica,
     lookups: BTreeMap<String, Lookup>,
     withdrawing: BTreeMap<String, Vec<Caller>>,
-    asked: BTreeMap<u64, ForwardedRequest>,
+    forwarded: BTreeMap<u64, ForwardedRequest>,
     /// Jobs accepted in place of an owner that did not answer, and when it is next told.
     standing_in: BTreeMap<String, Micros>,
     // Peers.
@@ -286,19 +286,19 @@
         Controller {
             boot,
             membership: Membership::new(&settings, boot),
-            owner: JobShard::new(&settings),
-            home: MachineShard::new(&settings),
-            teams: QuotaLedger::new(&settings.teams),
-            fleet: Autoscaler::new(boot, &settings),
-            roll: MachineRegistry::new(&settings.member, settings.value_bytes),
+            job_shard: JobShard::new(&settings),
+            machine_shard: MachineShard::new(&settings),
+            quota: QuotaLedger::new(&settings.teams),
+            autoscaler: Autoscaler::new(boot, &settings),
+            machine_registry: MachineRegistry::new(&settings.member, settings.value_bytes),
             next_prune: Micros(0),
             lease: None,
             registered: false,
             seen: None,
             ring_busy: false,
             next_ring: Micros(0),
-            aside: StepDown::new(&settings),
-            restraint: FlapDamping::default(),
+            step_down: StepDown::new(&settings),
+            flap_damping: FlapDamping::default(),
             alive: Vec::new(),
             strays: (0..n).map(|_| MisroutedHeartbeats::default()).collect(),
             last_round: Micros(0),
@@ -315,19 +315,19 @@
             store_pause: Micros(0),
             next_team_plan: Micros(0),
             accepting: BTreeMap::new(),
-            follow: Dependencies::default(),
-            pacts: RecordSlice::default(),
-            fresh: Freshness::default(),
+            dependencies: Dependencies::default(),
+            coordination: RecordSlice::default(),
+            freshness: Freshness::default(),
             releases: Releases::default(),
-            handover: Handoff::new(n),
+            handoff: Handoff::new(n),
             loans: Loans::default(),
-            witness: StartReplica::new(n),
+            start_replica: StartReplica::new(n),
             lookups: BTreeMap::new(),
             withdrawing: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            forwarded: BTreeMap::new(),
             standing_in: BTreeMap::new(),
             clocks: vec![(0, Micros(0)); n],
-            own_mark: None,
+            own_key_version: None,
             own_sent: None,
             sent: vec![Micros(0); n],
             sent_seq: vec![0; n],
@@ -362,10 +362,10 @@
                 // would not be through another node either. The load balancer leaves out who fails two probes for 3 s,
                 // and for twice as long each time, up to a minute. While nobody can act, being left out helps no user
                 // either, and when the trouble is over all are missing.
-                let helps = self.membership.may_act(now)
+                let helps = self.membership.is_leader(now)
                     || self.membership.can_pass(now)
                     || self.membership.nobody_acts(now);
-                let reply = if self.handover.leaving().is_some() {
+                let reply = if self.handoff.leaving().is_some() {
                     Reply::later("leaving")
                 } else if helps {
                     Reply::json(200, &json!({"ready": true}))
@@ -382,15 +382,15 @@
                 }
             }
             Event::Cloud(r, a) => {
-                let before = (r == CloudRequest::Types).then(|| self.fleet.types.clone());
-                self.fleet.answer(now, &r, a);
-                if before.is_some_and(|t| t != self.fleet.types) {
-                    self.home.touch_all();
+                let before = (r == CloudRequest::Types).then(|| self.autoscaler.types.clone());
+                self.autoscaler.answer(now, &r, a);
+                if before.is_some_and(|t| t != self.autoscaler.types) {
+                    self.machine_shard.touch_all();
                 }
             }
-            Event::Probed(reached) => self.aside.probed(reached),
+            Event::Probed(reached) => self.step_down.probed(reached),
             Event::Greeted(r) => self.greeted(now, &r),
-            Event::Leave => self.handover.leave(now),
+            Event::Leave => self.handoff.leave(now),
             Event::Tick => {}
         }
     }
@@ -401,8 +401,8 @@
         let pause = now.since(self.last_round);
         if self.last_round > Micros(0) && pause >= PAUSE {
             tracing::info!(epoch = self.membership.epoch, seconds = pause.secs(), "this process stood still");
-            self.home.paused(now, pause);
-            self.aside.paused(now, pause);
+            self.machine_shard.paused(now, pause);
+            self.step_down.paused(now, pause);
             // Its standing may have changed: that comes first.
             self.next_ring = now;
         }
@@ -412,7 +412,7 @@
     /// The last look before an effect goes out. Between a decision and its effect the process may
     /// have stood still and lost its right to act: what rests on that right is taken back.
     pub fn vetted(&mut self, now: Micros, effect: Effect) -> Option<Effect> {
-        if !self.was_acting || self.membership.may_act(now) {
+        if !self.was_acting || self.membership.is_leader(now) {
             return Some(effect);
         }
         match effect {
@@ -421,7 +421,7 @@
                 Some(Effect::Reply(t, Reply::later("not entitled to act any more")))
             }
             Effect::Cloud(r @ (CloudRequest::Rent(_) | CloudRequest::Return(_))) => {
-                self.fleet.answer(now, &r, CloudAnswer::Failed);
+                self.autoscaler.answer(now, &r, CloudAnswer::Failed);
                 None
             }
             other => Some(other),
@@ -436,7 +436,7 @@
         self.step_aside(now, out);
         self.ring_loop(now, out);
         self.load_loop(now, out);
-        let acting = self.membership.may_act(now);
+        let acting = self.membership.is_leader(now);
         if acting != self.was_acting {
             self.was_acting = acting;
             tracing::info!(epoch = self.membership.epoch, acting, "right to act changed");
@@ -444,32 +444,33 @@
         }
         // One that has stepped aside leaves it to the new homes to say what is gone.
         if !self.membership.aside {
-            self.home.tick(now, &self.membership);
+            self.machine_shard.tick(now, &self.membership);
         }
-        self.owner.alone = self.membership.others_have_stopped(now);
-        if acting && self.owner.loaded {
+        self.job_shard.alone = self.membership.others_have_stopped(now);
+        if acting && self.job_shard.loaded {
             if now >= self.next_plan
-                && (self.owner.replan || now >= self.next_plan + Micros::from_millis(400))
+                && (self.job_shard.replan || now >= self.next_plan + Micros::from_millis(400))
             {
                 self.next_plan = now + Micros::from_millis(100);
-                self.owner.replan = false;
-                self.owner.plan(now, self.wall, &self.membership, &self.teams);
-                self.owner.make_room(now, &self.membership);
+                self.job_shard.replan = false;
+                self.job_shard.plan(now, self.wall, &self.membership, &self.quota);
+                self.job_shard.make_room(now, &self.membership);
             }
             self.team_loop(now, out);
             self.loan_loop(now, out);
             self.record_loop(now, out);
-            if self.fleet.due(now) {
+            if self.autoscaler.due(now) {
                 let decider = self.membership.decider() == Some(self.settings.me);
-                let heard = self.owner.all_homes_heard(&self.membership);
+                let heard = self.job_shard.all_homes_heard(&self.membership);
                 let machines: Vec<_> =
-                    self.owner.machines(self.membership.epoch).filter(|_| decider).collect();
-                let rebuilt = self.owner.rebuilt();
-                let r = self.fleet.next(now, decider, &machines, heard, rebuilt, &self.membership.members);
+                    self.job_shard.machines(self.membership.epoch).filter(|_| decider).collect();
+                let rebuilt = self.job_shard.rebuilt();
+                let r =
+                    self.autoscaler.next(now, decider, &machines, heard, rebuilt, &self.membership.members);
                 out.extend(r.map(Effect::Cloud));
             }
-        } else if self.fleet.types.is_empty()
-            && let Some(r) = self.fleet.next(now, false, &[], false, false, &[])
+        } else if self.autoscaler.types.is_empty()
+            && let Some(r) = self.autoscaler.next(now, false, &[], false, false, &[])
         {
             out.push(Effect::Cloud(r));
         }
@@ -493,17 +494,17 @@
     /// How things stand, for operators.
     pub fn status(&mut self, now: Micros) -> Value {
         let m = &self.membership;
-        let (jobs, placed, left) = self.owner.counts();
-        let (bad_jobs, bad_machines) = self.owner.suspects(now);
-        let (known, machines) = self.home.counts();
-        let waiting = self.owner.waiting_jobs();
+        let (jobs, placed, left) = self.job_shard.counts();
+        let (bad_jobs, bad_machines) = self.job_shard.suspects(now);
+        let (known, machines) = self.machine_shard.counts();
+        let waiting = self.job_shard.waiting_jobs();
         let shown = |j: &&crate::job_shard::Job| {
             let on: Vec<&str> = j.waits_for().take(SHOWN).collect();
             json!({"job": j.spec.id, "waits_for": on, "for_s": self.wall.since(j.accepted_wall).secs()})
         };
         let oldest: Vec<Value> = waiting.iter().take(SHOWN).map(shown).collect();
         let teams: BTreeMap<&str, Value> = self
-            .teams
+            .quota
             .list()
             .map(|(n, g, used)| (n, json!({"guaranteed_cpus": g.cpus as f64 / 1000.0, "claimed_cpus": used.cpus as f64 / 1000.0})))
             .collect();
@@ -511,11 +512,11 @@
             "member": self.settings.member,
             "epoch": m.epoch,
             "members": m.members.iter().map(|&i| m.name(i)).collect::<Vec<_>>(),
-            "acting": m.may_act(now),
-            "aside": self.aside.away().map(|a| format!("{a:?}").to_lowercase()),
+            "acting": m.is_leader(now),
+            "aside": self.step_down.away().map(|a| format!("{a:?}").to_lowercase()),
             "decider": m.decider().map(|d| m.name(d)),
-            "records_read": self.owner.loaded,
-            "machines_unheard": self.owner.unheard(),
+            "records_read": self.job_shard.loaded,
+            "machines_unheard": self.job_shard.unheard(),
             "takeover": self.takeover_status(now),
             "home": {"machines": machines, "known": known},
             "jobs": {"live": jobs, "tasks_placed": placed, "tasks_left": left},
@@ -524,7 +525,7 @@
             "pacts": self.pact_status(),
             "batches": self.batch_status(),
             "suspected": {"jobs": bad_jobs, "machines": bad_machines},
-            "overdue": self.fleet.overdue,
+            "overdue": self.autoscaler.overdue,
             "teams": teams,
             "store": {"requests_left": self.requests.level(now), "writes_left": self.writes.level(now), "in_flight": self.in_flight.len()},
         });
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -53,7 +53,7 @@
 pub(super) struct Change {
     key: Key,
     epoch: u64,
-    mark: u64,
+    store_version: u64,
     next: CoordinationRecord,
     /// Pages and their keys, the last first.
     pages: Vec<(String, Value)>,
@@ -151,7 +151,7 @@
     /// A new epoch: what rests on the order of readings within the last one is begun anew. Records stay as read: they
     /// only go forward, and every change is conditional on what is held.
     pub(super) fn pacts_anew(&mut self) {
-        let p = &mut self.pacts;
+        let p = &mut self.coordination;
         (p.census, p.census_busy, p.listing) = (None, false, false);
         (p.listed, p.next_list) = (None, Micros(0));
         p.listed_after.clear();
@@ -170,29 +170,29 @@
     /// Whether pacts are of any concern here.
     fn pacts_on(&self) -> bool {
         self.takes_pacts()
-            && (self.releases_on() || self.batches_on() || self.owner.held_jobs().next().is_some())
+            && (self.releases_on() || self.batches_on() || self.job_shard.held_jobs().next().is_some())
     }
 
     /// What a record says, as far as is known; it is read again while anybody asks.
     pub(super) fn pact(&mut self, now: Micros, key: &Key) -> Held {
-        self.pacts.shelf.want(key);
-        self.pacts.used.insert(key.clone(), now);
-        self.pacts.shelf.get(key).clone()
+        self.coordination.shelf.want(key);
+        self.coordination.used.insert(key.clone(), now);
+        self.coordination.shelf.get(key).clone()
     }
 
     /// What a record says in a reading that began no earlier than `since`; asks for one if there is none.
     pub(super) fn pact_since(&mut self, now: Micros, key: &Key, since: Micros) -> Option<Held> {
-        self.pacts.used.insert(key.clone(), now);
-        let held = self.pacts.shelf.get_since(key, since).cloned();
+        self.coordination.used.insert(key.clone(), now);
+        let held = self.coordination.shelf.get_since(key, since).cloned();
         if held.is_none() {
-            self.pacts.shelf.want_since(key, since);
+            self.coordination.shelf.want_since(key, since);
         }
         held
     }
 
     /// Whether a change of a record is under way here.
     pub(super) fn pact_changing(&self, key: &Key) -> bool {
-        self.pacts.changing.contains(key)
+        self.coordination.changing.contains(key)
     }
 
     /// Changes a record, on condition of the epoch and of the record as last read. Returns whether the change is
@@ -207,15 +207,15 @@
         out: &mut Vec<Effect>,
     ) -> bool {
         // A reading under way may bring what makes the change wrong, but its mark then fails the condition.
-        let allowed = match self.pacts.shelf.get(key) {
+        let allowed = match self.coordination.shelf.get(key) {
             Held::Is(r) => r.allows(&next).is_ok(),
             Held::Absent => true,
             Held::Unread | Held::Unreadable(_) => false,
         };
         if !allowed
-            || !self.membership.may_act(now)
+            || !self.membership.is_leader(now)
             || now < self.store_pause
-            || self.pacts.changing.contains(key)
+            || self.coordination.changing.contains(key)
             || next.value().to_string().len() > self.settings.value_bytes
         {
             return false;
@@ -224,12 +224,12 @@
         if !self.writes.take(now, cost, 0.2) {
             return false;
         }
-        self.pacts.changing.insert(key.clone());
-        self.pacts.replying.extend(then.as_ref().map(|(ticket, _)| *ticket));
-        let mark = self.pacts.shelf.mark(key);
+        self.coordination.changing.insert(key.clone());
+        self.coordination.replying.extend(then.as_ref().map(|(ticket, _)| *ticket));
+        let store_version = self.coordination.shelf.store_version(key);
         let pages = pages.into_iter().rev().collect();
         let epoch = self.membership.epoch;
-        let c = Change { key: key.clone(), epoch, mark, next, pages, sent: now, then };
+        let c = Change { key: key.clone(), epoch, store_version, next, pages, sent: now, then };
         self.change_on(Box::new(c), out);
         true
     }
@@ -237,7 +237,7 @@
     /// Writes the next page of a change, or its head when all pages are on record. Pages are conditional on the head too:
     /// one that is written late changes nothing that was decided.
     fn change_on(&mut self, mut c: Box<Change>, out: &mut Vec<Effect>) {
-        let conditions = vec![self.fence(), (c.key.head(), c.mark)];
+        let conditions = vec![self.fence(), (c.key.head(), c.store_version)];
         let mut commit = Transaction { conditions, ..Transaction::default() };
         match c.pages.pop() {
             Some((key, page)) => {
@@ -261,19 +261,19 @@
 
     fn changed(&mut self, now: Micros, c: Change, a: StoreAnswer, out: &mut Vec<Effect>) {
         if c.epoch == self.membership.epoch {
-            self.pacts.changing.remove(&c.key);
+            self.coordination.changing.remove(&c.key);
         }
-        self.pacts.shelf.want(&c.key);
+        self.coordination.shelf.want(&c.key);
         match a {
-            StoreAnswer::Committed(mark) => {
-                self.pacts.shelf.committed(&c.key, c.sent, c.next, mark);
+            StoreAnswer::Committed(store_version) => {
+                self.coordination.shelf.committed(&c.key, c.sent, c.next, store_version);
                 if let Some((ticket, reply)) = c.then {
                     out.push(Effect::Reply(ticket, reply));
                 }
             }
             a => {
                 // It may have been carried out: the record tells.
-                self.pacts.shelf.want_since(&c.key, now);
+                self.coordination.shelf.want_since(&c.key, now);
                 if let Some((ticket, _)) = c.then {
                     let why = match a {
                         StoreAnswer::Conflict(_) => "the record has changed meanwhile: ask again",
@@ -303,7 +303,7 @@
             match gate(self, now, id, out) {
                 Gate::Open(conditions) => all.extend(conditions),
                 Gate::Wait => {
-                    self.pacts.waiting.insert(id.to_owned());
+                    self.coordination.waiting.insert(id.to_owned());
                     return Gate::Wait;
                 }
                 other => return other,
@@ -314,7 +314,7 @@
 
     /// The condition that a job joins a record under, as it was read.
     pub(super) fn join_of(&self, key: &Key) -> (String, u64) {
-        (key.head(), self.pacts.shelf.mark(key))
+        (key.head(), self.coordination.shelf.store_version(key))
     }
 
     /// A submission met a pact that had changed: that says nothing about the job, so it is looked at anew. Says
@@ -332,7 +332,7 @@
             return false;
         }
         for key in pacts {
-            self.pacts.shelf.want_since(&key, now);
+            self.coordination.shelf.want_since(&key, now);
         }
         self.put_on_record(now, id.to_owned(), out);
         true
@@ -342,20 +342,20 @@
 
     /// Reads what is due, does what records need, and goes on with submissions and operators' requests that wait.
     pub(super) fn pact_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let round = now >= self.pacts.next_round;
+        let round = now >= self.coordination.next_round;
         if round {
-            self.pacts.next_round = now + ROUND;
-            self.pacts.wanted.clear();
+            self.coordination.next_round = now + ROUND;
+            self.coordination.wanted.clear();
         }
-        for id in std::mem::take(&mut self.pacts.waiting) {
+        for id in std::mem::take(&mut self.coordination.waiting) {
             self.put_on_record(now, id, out);
         }
         self.operate(now, out);
-        if !self.membership.may_act(now) || !self.owner.loaded || !self.pacts_on() {
+        if !self.membership.is_leader(now) || !self.job_shard.loaded || !self.pacts_on() {
             return;
         }
         if round {
-            self.pacts.awaited.clear();
+            self.coordination.awaited.clear();
             self.release_loop(now, out);
             self.batch_loop(now, out);
         }
@@ -370,24 +370,26 @@
     }
 
     fn read_due(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if now >= self.pacts.next_keep {
-            self.pacts.next_keep = now + PAUSE_HELD;
-            self.pacts.used.retain(|_, t| now.since(*t) < FORGET);
-            let mut wanted: BTreeSet<Key> = self.pacts.used.keys().cloned().collect();
-            let listed = self.pacts.listed_keys.iter().chain(&self.pacts.listing_keys);
-            wanted.extend(listed.chain(&self.pacts.changing).cloned());
-            self.pacts.shelf.keep(&wanted);
-        }
-        for key in self.pacts.shelf.due(now, 8) {
+        if now >= self.coordination.next_keep {
+            self.coordination.next_keep = now + PAUSE_HELD;
+            self.coordination.used.retain(|_, t| now.since(*t) < FORGET);
+            let mut wanted: BTreeSet<Key> = self.coordination.used.keys().cloned().collect();
+            let listed = self.coordination.listed_keys.iter().chain(&self.coordination.listing_keys);
+            wanted.extend(listed.chain(&self.coordination.changing).cloned());
+            self.coordination.shelf.keep(&wanted);
+        }
+        for key in self.coordination.shelf.due(now, 8) {
             // The list tells of those that nothing here waits for.
-            if !self.pacts.used.contains_key(&key) && *self.pacts.shelf.get(&key) != Held::Unread {
-                self.pacts.shelf.failed(&key, now + PAUSE_LIST);
+            if !self.coordination.used.contains_key(&key)
+                && *self.coordination.shelf.get(&key) != Held::Unread
+            {
+                self.coordination.shelf.failed(&key, now + PAUSE_LIST);
                 continue;
             }
             if self.in_flight.len() >= IN_FLIGHT || !self.requests.take(now, 1.0, 0.2) {
                 break;
             }
-            self.pacts.shelf.asked(&key, now);
+            self.coordination.shelf.asked(&key, now);
             let get = StoreRequest::Get(key.head());
             self.ask_store(PendingStoreRequest::Pact(PendingRecordRequest::Read(key, now)), get, out);
         }
@@ -396,16 +398,19 @@
     /// All heads of releases, so that those are known that nobody here has named: a record that its keeper left in the
     /// middle, or that another opened.
     fn list_heads(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.pacts.listing || now < self.pacts.next_list || !self.requests.take(now, 1.0, 0.2) {
+        if self.coordination.listing
+            || now < self.coordination.next_list
+            || !self.requests.take(now, 1.0, 0.2)
+        {
             return;
         }
-        if self.pacts.listed_after.is_empty() {
-            self.pacts.list_began = now;
-            self.pacts.listing_keys.clear();
+        if self.coordination.listed_after.is_empty() {
+            self.coordination.list_began = now;
+            self.coordination.listing_keys.clear();
         }
-        self.pacts.listing = true;
+        self.coordination.listing = true;
         let prefix = record::Kind::Release.prefix();
-        let r = StoreRequest::List(prefix, self.pacts.listed_after.clone());
+        let r = StoreRequest::List(prefix, self.coordination.listed_after.clone());
         self.ask_store(
             PendingStoreRequest::Pact(PendingRecordRequest::Heads(self.membership.epoch, now)),
             r,
@@ -414,12 +419,12 @@
     }
 
     fn heads(&mut self, now: Micros, sent: Micros, a: StoreAnswer) {
-        self.pacts.listing = false;
+        self.coordination.listing = false;
         let StoreAnswer::Page(rows, more) = a else {
-            self.pacts.next_list = now + PAUSE_FAILED;
+            self.coordination.next_list = now + PAUSE_FAILED;
             return;
         };
-        self.pacts.listed_after = match rows.last() {
+        self.coordination.listed_after = match rows.last() {
             Some(last) if more => last.key.clone(),
             _ => String::new(),
         };
@@ -429,77 +434,77 @@
                 continue;
             };
             if let Some((title, night)) = hazelsaddle_release::release_ref::named(&key) {
-                let latest = self.pacts.latest.entry(title.to_owned()).or_default();
+                let latest = self.coordination.latest.entry(title.to_owned()).or_default();
                 if latest.as_str() < night {
                     *latest = night.to_owned();
                 }
             }
             // What is over for good is of no use here.
             let over = CoordinationRecord::read(&row.value).is_ok_and(|r| self.release_over(&r));
-            if over && *self.pacts.shelf.get(&key) == Held::Unread {
+            if over && *self.coordination.shelf.get(&key) == Held::Unread {
                 continue;
             }
-            self.pacts.shelf.want(&key);
-            self.take_pact(&key, sent, now, Some((&row.value, row.mark)));
+            self.coordination.shelf.want(&key);
+            self.take_pact(&key, sent, now, Some((&row.value, row.store_version)));
             if !over {
-                self.pacts.listing_keys.insert(key);
+                self.coordination.listing_keys.insert(key);
             }
         }
-        self.pacts.next_list = now + if more { Micros::from_millis(200) } else { PAUSE_LIST };
+        self.coordination.next_list = now + if more { Micros::from_millis(200) } else { PAUSE_LIST };
         if !more {
-            self.pacts.listed = Some(self.pacts.list_began);
-            self.pacts.listed_keys = std::mem::take(&mut self.pacts.listing_keys);
+            self.coordination.listed = Some(self.coordination.list_began);
+            self.coordination.listed_keys = std::mem::take(&mut self.coordination.listing_keys);
         }
     }
 
     /// Takes what was read of a record.
     fn take_pact(&mut self, key: &Key, sent: Micros, now: Micros, row: Option<(&Value, u64)>) {
-        if self.pacts.shelf.read(key, sent, now + PAUSE_HELD, row) {
-            if let Held::Unreadable(why) = self.pacts.shelf.get(key) {
+        if self.coordination.shelf.read(key, sent, now + PAUSE_HELD, row) {
+            if let Held::Unreadable(why) = self.coordination.shelf.get(key) {
                 tracing::error!(record = %key.head(), reason = %why, "what rests on this record is held");
             }
-            self.owner.replan = true;
+            self.job_shard.replan = true;
         }
     }
 
     /// The members of a pact by a census that began no earlier than `since`, if there is one; asks for one otherwise.
     pub(super) fn census_since(&mut self, key: &Key, since: Micros) -> Option<&Members> {
         let head = key.head();
-        if self.pacts.found.get(&head).is_none_or(|(began, _)| *began < since) {
-            self.pacts.wanted.insert(head);
+        if self.coordination.found.get(&head).is_none_or(|(began, _)| *began < since) {
+            self.coordination.wanted.insert(head);
             return None;
         }
-        self.pacts.found.get(&head).map(|(_, members)| members)
+        self.coordination.found.get(&head).map(|(_, members)| members)
     }
 
     /// Ends of these jobs matter to a record that is kept here, and none was on record when they were last seen.
     pub(super) fn await_members(&mut self, live: impl Iterator<Item = String>) {
-        self.pacts.awaited.extend(live);
+        self.coordination.awaited.extend(live);
     }
 
     /// Whether the watch on ends must tell of this one.
     pub(super) fn pact_awaits(&self, id: &str) -> bool {
-        self.pacts.awaited.contains(id)
+        self.coordination.awaited.contains(id)
     }
 
     /// Whether any end matters to a pact.
     pub(super) fn pact_watches(&self) -> bool {
-        !self.pacts.awaited.is_empty()
+        !self.coordination.awaited.is_empty()
     }
 
     /// The watch begins only now: what ended before it must be read.
     pub(super) fn pacts_unwatched(&mut self) {
-        self.pacts.unread = self.pacts.awaited.clone();
+        self.coordination.unread = self.coordination.awaited.clone();
     }
 
     /// A member's end is on record.
     pub(super) fn member_ended(&mut self, id: &str, f: JobOutcome) {
-        self.pacts.unread.remove(id);
+        self.coordination.unread.remove(id);
         let stands = if f == JobOutcome::Done { Stands::Done } else { Stands::Cancelled };
-        if self.pacts.awaited.contains(id) {
-            self.pacts.ends.insert(id.to_owned(), stands);
+        if self.coordination.awaited.contains(id) {
+            self.coordination.ends.insert(id.to_owned(), stands);
         }
-        for (_, members) in self.pacts.found.values_mut() {
+        for (_, members) in self.coordination.found.values_mut() {
             if let Some(m) = members.get_mut(id) {
                 m.stands = m.stands.max(stands);
             }
@@ -508,36 +513,36 @@
 
     /// How a member stands that no census has seen.
     pub(super) fn end_of(&self, id: &str) -> Option<Stands> {
-        self.pacts.ends.get(id).copied()
+        self.coordination.ends.get(id).copied()
     }
 
     /// When the latest whole census of a pact began.
     pub(super) fn census_began(&self, key: &Key) -> Option<Micros> {
-        self.pacts.found.get(&key.head()).map(|(began, _)| *began)
+        self.coordination.found.get(&key.head()).map(|(began, _)| *began)
     }
 
     /// What is known of a pact's members so far, from whichever census.
     pub(super) fn members_so_far(&self, key: &Key) -> Option<&Members> {
-        self.pacts.found.get(&key.head()).map(|(_, m)| m)
+        self.coordination.found.get(&key.head()).map(|(_, m)| m)
     }
 
     /// How long the last census took.
     pub(super) fn census_took(&self) -> Micros {
-        self.pacts.census_took
+        self.coordination.census_took
     }
 
     /// A list of heads that begins no earlier than this is wanted.
     pub(super) fn list_since(&mut self, since: Micros) -> bool {
-        let listed = self.pacts.listed.is_some_and(|t| t >= since);
+        let listed = self.coordination.listed.is_some_and(|t| t >= since);
         if !listed {
-            self.pacts.next_list = Micros(0);
+            self.coordination.next_list = Micros(0);
         }
         listed
     }
 
     fn read_members(&mut self, now: Micros, out: &mut Vec<Effect>) {
         while self.in_flight.len() < IN_FLIGHT && self.requests.level(now) >= 0.3 {
-            let Some(id) = self.pacts.unread.pop_first() else { break };
+            let Some(id) = self.coordination.unread.pop_first() else { break };
             self.requests.take(now, 1.0, 0.0);
             let get = StoreRequest::Get(format!("done/{id}"));
             let purpose = PendingRecordRequest::Member(self.membership.epoch, id);
@@ -546,7 +551,7 @@
     }
 
     fn census_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let p = &mut self.pacts;
+        let p = &mut self.coordination;
         if p.census.is_none() && !p.wanted.is_empty() && now >= p.census_retry {
             p.census = Some((Census::begin(p.wanted.clone()), now));
         }
@@ -558,7 +563,7 @@
         if !self.requests.take(now, 1.0, 0.2) {
             return;
         }
-        self.pacts.census_busy = true;
+        self.coordination.census_busy = true;
         let r = StoreRequest::List(prefix.into(), after);
         self.ask_store(
             PendingStoreRequest::Pact(PendingRecordRequest::Census(self.membership.epoch)),
@@ -568,7 +573,7 @@
     }
 
     fn census_page(&mut self, now: Micros, a: StoreAnswer) {
-        let p = &mut self.pacts;
+        let p = &mut self.coordination;
         p.census_busy = false;
         let Some((census, began)) = &mut p.census else { return };
         let StoreAnswer::Page(rows, more) = a else {
@@ -597,7 +602,7 @@
 
     /// Members that a census found live are read once after it, as the watch may have begun later.
     pub(super) fn read_live(&mut self, live: impl Iterator<Item = String>) {
-        self.pacts.unread.extend(live);
+        self.coordination.unread.extend(live);
     }
 
     /// An answer of the state service.
@@ -611,10 +616,10 @@
         match p {
             PendingRecordRequest::Read(key, sent) => match a {
                 StoreAnswer::Got(row) => {
-                    let row = row.as_ref().map(|r| (&r.value, r.mark));
+                    let row = row.as_ref().map(|r| (&r.value, r.store_version));
                     self.take_pact(&key, sent, now, row);
                 }
-                _ => self.pacts.shelf.failed(&key, now + PAUSE_FAILED),
+                _ => self.coordination.shelf.failed(&key, now + PAUSE_FAILED),
             },
             PendingRecordRequest::Heads(epoch, sent) if epoch == self.membership.epoch => {
                 self.heads(now, sent, a)
@@ -627,7 +632,7 @@
                 },
                 StoreAnswer::Got(None) => {}
                 _ => {
-                    self.pacts.unread.insert(id);
+                    self.coordination.unread.insert(id);
                 }
             },
             PendingRecordRequest::Members(key, version, n) => self.members_page(now, key, version, n, a),
@@ -650,10 +655,14 @@
 
     /// How pacts stand, for operators.
     pub(super) fn pact_status(&self) -> Value {
-        let held: Vec<Value> =
-            self.owner.held_jobs().take(SHOWN).map(|(id, _, h)| json!({"job": id, "why": h.why()})).collect();
+        let held: Vec<Value> = self
+            .job_shard
+            .held_jobs()
+            .take(SHOWN)
+            .map(|(id, _, h)| json!({"job": id, "why": h.why()}))
+            .collect();
         let unreadable: Vec<String> = self
-            .pacts
+            .coordination
             .shelf
             .iter()
             .filter(|(_, h)| matches!(h, Held::Unreadable(_)))
@@ -661,13 +670,13 @@
             .collect();
         json!({
             "takes": self.takes_pacts(),
-            "records": self.pacts.shelf.iter().filter(|(_, h)| matches!(h, Held::Is(_))).count(),
-            "jobs_held": self.owner.held_jobs().count(),
+            "records": self.coordination.shelf.iter().filter(|(_, h)| matches!(h, Held::Is(_))).count(),
+            "jobs_held": self.job_shard.held_jobs().count(),
             "held": held,
             "unreadable": unreadable,
-            "jobs_unreadable": self.pacts.unreadable,
-            "census_under_way": self.pacts.census.is_some(),
-            "members_awaited": self.pacts.awaited.len(),
+            "jobs_unreadable": self.coordination.unreadable,
+            "census_under_way": self.coordination.census.is_some(),
+            "members_awaited": self.coordination.awaited.len(),
             "releases": self.release_status(),
         })
     }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -53,20 +53,20 @@
 impl Controller {
     /// Takes note of the forms that controllers read, from the members' values.
     pub(super) fn note_forms(&mut self, rows: &[KeyValue], out: &mut Vec<Effect>) {
-        let f = &mut self.follow;
+        let f = &mut self.dependencies;
         let reads = |r: &KeyValue| r.value.get("reads").and_then(Value::as_u64).unwrap_or(1);
         f.forms = vec![(0, 0); self.settings.members.len()];
-        let mut mark = 0;
+        let mut store_version = 0;
         for r in rows {
             if r.key == FORMS_KEY {
                 f.all_once = f.all_once.max(reads(r));
-                mark = r.mark;
+                store_version = r.store_version;
             }
             let name = r.key.strip_prefix("ring/m/");
             let number = name.and_then(|n| self.settings.members.iter().position(|m| m == n));
             if let (Some(n), Some(boot)) = (number, r.value.get("boot").and_then(Value::as_u64)) {
                 f.forms[n] = (boot, reads(r));
-                self.witness.note_form(boot, reads(r));
+                self.start_replica.note_form(boot, reads(r));
             }
         }
         let all = f.forms.iter().map(|(_, form)| *form).min().unwrap_or(0).min(NEWEST);
@@ -75,7 +75,7 @@
             tracing::info!(form = all, "every controller reads the new form");
             // Guards against one that is carried out late: an older form would stand for a newer one.
             let c = Transaction {
-                conditions: vec![(FORMS_KEY.into(), mark)],
+                conditions: vec![(FORMS_KEY.into(), store_version)],
                 puts: vec![(FORMS_KEY.into(), json!({ "reads": all }), None)],
                 ..Transaction::default()
             };
@@ -84,9 +84,9 @@
     }
 
     pub(super) fn forms_noted(&mut self, form: u64, done: bool) {
-        self.follow.noting = false;
+        self.dependencies.noting = false;
         if done {
-            self.follow.all_once = self.follow.all_once.max(form);
+            self.dependencies.all_once = self.dependencies.all_once.max(form);
         }
     }
 
@@ -102,7 +102,7 @@
     }
 
     fn all_read(&self, least: u64) -> bool {
-        let f = &self.follow;
+        let f = &self.dependencies;
         f.all_once >= least && f.forms.iter().all(|(_, form)| *form == 0 || *form >= least)
     }
 
@@ -119,7 +119,7 @@
     /// come from that process. One that was restarted as an older version has another number.
     pub(super) fn reads(&self, peer: usize, least: u64) -> bool {
         peer == self.settings.me
-            || self.follow.forms.get(peer).is_some_and(|(boot, form)| {
+            || self.dependencies.forms.get(peer).is_some_and(|(boot, form)| {
                 *form >= least && self.clocks.get(peer).is_some_and(|(b, _)| b == boot)
             })
     }
@@ -134,21 +134,21 @@
     pub(super) fn say_needs(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for p in self.membership.members.clone() {
             if !self.reads_new(p) {
-                self.follow.sent.remove(&p);
+                self.dependencies.sent.remove(&p);
                 continue;
             }
-            let list = self.owner.urges(p, &self.membership);
+            let list = self.job_shard.urges(p, &self.membership);
             let said = !list.is_empty();
-            if !said && !self.follow.sent.contains(&p) {
+            if !said && !self.dependencies.sent.contains(&p) {
                 continue;
             }
             if said {
-                self.follow.sent.insert(p);
+                self.dependencies.sent.insert(p);
             } else {
-                self.follow.sent.remove(&p);
+                self.dependencies.sent.remove(&p);
             }
             if p == self.settings.me {
-                self.owner.urged_by(p, list);
+                self.job_shard.urged_by(p, list);
             } else {
                 out.push(Effect::Send(p, self.envelope(now, p, Message::InheritedPriorities(list))));
             }
@@ -156,35 +156,35 @@
     }
 
     fn watches(&self) -> bool {
-        self.owner.watches() || self.pact_watches() || self.batches_watch()
+        self.job_shard.watches() || self.pact_watches() || self.batches_watch()
     }
 
     /// Watches for the ends of jobs that others wait for, and reads those that no watch tells of.
     pub(super) fn follow_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if now < self.follow.retry || now < self.store_pause {
+        if now < self.dependencies.retry || now < self.store_pause {
             return;
         }
-        match self.follow.watch {
+        match self.dependencies.watch {
             Watch::Off if self.watches() && self.requests.take(now, 1.0, 0.1) => {
-                self.follow.watch = Watch::Asking;
+                self.dependencies.watch = Watch::Asking;
                 self.ask_store(PendingStoreRequest::Revision, StoreRequest::Revision, out);
             }
             Watch::At(after, false) => {
                 if !self.watches() {
-                    self.follow.watch = Watch::Off;
+                    self.dependencies.watch = Watch::Off;
                 } else if self.requests.take(now, 1.0, 0.1) {
-                    self.follow.watch = Watch::At(after, true);
+                    self.dependencies.watch = Watch::At(after, true);
                     let r = StoreRequest::Watch("done/".into(), after, WATCH);
                     self.ask_store(PendingStoreRequest::Watch, r, out);
                 }
             }
             _ => {}
         }
-        if !matches!(self.follow.watch, Watch::At(..)) {
+        if !matches!(self.dependencies.watch, Watch::At(..)) {
             return;
         }
         while self.in_flight.len() < IN_FLIGHT && self.requests.level(now) >= 0.2 {
-            let Some(p) = self.owner.next_unread() else { break };
+            let Some(p) = self.job_shard.next_unread() else { break };
             self.requests.take(now, 1.0, 0.0);
             self.ask_store(
                 PendingStoreRequest::ReadEnd(p.clone()),
@@ -196,31 +196,31 @@
 
     /// The watch, or the question that it begins with, is answered.
     pub(super) fn watched(&mut self, now: Micros, a: StoreAnswer) {
-        match (self.follow.watch, a) {
+        match (self.dependencies.watch, a) {
             (Watch::Asking, StoreAnswer::At(revision)) => {
                 // Whatever ended before this must be read; whatever ends later will be told.
-                self.owner.unwatched();
+                self.job_shard.unwatched();
                 self.pacts_unwatched();
                 self.batches_unwatched(now);
-                self.follow.watch = Watch::At(revision, false);
+                self.dependencies.watch = Watch::At(revision, false);
             }
             (Watch::At(after, _), StoreAnswer::Changes(revision, written)) => {
-                self.follow.watch = Watch::At(after.max(revision), false);
+                self.dependencies.watch = Watch::At(after.max(revision), false);
                 for (key, value) in written {
                     let Some(id) = key.strip_prefix("done/") else { continue };
                     self.run_ended(id, &value);
-                    if self.owner.is_awaited(id) || self.pact_awaits(id) {
+                    if self.job_shard.is_awaited(id) || self.pact_awaits(id) {
                         self.end_read(now, id, &value);
                     }
                 }
             }
             (Watch::At(after, _), a) if a != StoreAnswer::TooOld => {
-                self.follow.retry = now + Micros::from_millis(300);
-                self.follow.watch = Watch::At(after, false);
+                self.dependencies.retry = now + Micros::from_millis(300);
+                self.dependencies.watch = Watch::At(after, false);
             }
             _ => {
-                self.follow.retry = now + Micros::from_millis(300);
-                self.follow.watch = Watch::Off;
+                self.dependencies.retry = now + Micros::from_millis(300);
+                self.dependencies.watch = Watch::Off;
             }
         }
     }
@@ -228,14 +228,14 @@
     fn end_read(&mut self, now: Micros, id: &str, value: &Value) {
         match read_end(value) {
             Some((f, _)) => {
-                self.owner.note_time(self.wall);
-                self.owner.prerequisite_ended(id, f);
+                self.job_shard.note_time(self.wall);
+                self.job_shard.prerequisite_ended(id, f);
                 self.member_ended(id, f);
             }
             None => {
                 tracing::error!(job = %id, "unreadable final record");
-                self.owner.read_again(id);
-                self.follow.retry = now + Micros::from_millis(5000);
+                self.job_shard.read_again(id);
+                self.dependencies.retry = now + Micros::from_millis(5000);
             }
         }
     }
@@ -246,8 +246,8 @@
             StoreAnswer::Got(Some(row)) => self.end_read(now, id, &row.value),
             StoreAnswer::Got(None) => {}
             _ => {
-                self.owner.read_again(id);
-                self.follow.retry = now + Micros::from_millis(300);
+                self.job_shard.read_again(id);
+                self.dependencies.retry = now + Micros::from_millis(300);
             }
         }
     }
@@ -256,16 +256,16 @@
 
     fn is_known(&self, id: &str) -> bool {
         let live = |j: &crate::job_shard::Job| j.spec.kind != JobKind::Service;
-        self.owner.jobs.get(id).is_some_and(live)
-            || self.owner.final_of(id).is_some()
-            || self.follow.known.contains(id)
+        self.job_shard.jobs.get(id).is_some_and(live)
+            || self.job_shard.final_of(id).is_some()
+            || self.dependencies.known.contains(id)
     }
 
     fn note_known(&mut self, id: &str) {
-        if self.follow.known.len() >= KNOWN {
-            self.follow.known.clear();
+        if self.dependencies.known.len() >= KNOWN {
+            self.dependencies.known.clear();
         }
-        self.follow.known.insert(id.to_owned());
+        self.dependencies.known.insert(id.to_owned());
     }
 
     /// Begins to look up the jobs that a submission names. Says why it can't be taken, if so.
@@ -375,7 +375,7 @@
         if !a.unknown.is_empty() {
             return;
         }
-        if !self.membership.may_act(now) {
+        if !self.membership.is_leader(now) {
             return self.give_up(now, &id, Reply::later("not able to act"), out);
         }
         let joins = match self.joins(now, &id, out) {
--- a/src/controller/fencing_probe.rs
+++ b/src/controller/fencing_probe.rs
@@ -16,11 +16,11 @@
     pub(super) fn greet(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let since = now.since(self.membership.adopted_at);
         let due = now >= self.next_greeting && since >= PARCELS && since < WHILE;
-        if !due || self.load != Load::Done || !self.membership.may_act(now) {
+        if !due || self.load != Load::Done || !self.membership.is_leader(now) {
             return;
         }
         self.next_greeting = now + EVERY;
-        let list = self.home.to_greet(now, AT_A_TIME);
+        let list = self.machine_shard.to_greet(now, AT_A_TIME);
         if !list.is_empty() {
             out.push(Effect::Greet(self.membership.epoch, list));
         }
@@ -28,7 +28,7 @@
 
     /// A machine has answered.
     pub(super) fn greeted(&mut self, now: Micros, r: &Heartbeat) {
-        if self.home.greeted(now, &self.membership, r) == Verdict::Deposed {
+        if self.machine_shard.greeted(now, &self.membership, r) == Verdict::Deposed {
             self.next_ring = now;
         }
     }
--- a/src/controller/flap_damping.rs
+++ b/src/controller/flap_damping.rs
@@ -22,7 +22,7 @@
     /// Who joined lately, and when by the wall clock of who raised that epoch, in seconds.
     came: Vec<(String, u64)>,
     /// Its key says that it wants no place for now.
-    aside: bool,
+    step_down: bool,
 }
 
 /// For how long joins are held against who joined.
@@ -69,11 +69,11 @@
 
     /// Whether its key says that it wants no place for now.
     pub(super) fn aside(&self) -> bool {
-        self.aside
+        self.step_down
     }
     /// What its key says.
-    pub(super) fn registers(&mut self, aside: bool) {
-        self.aside = aside;
+    pub(super) fn registers(&mut self, step_down: bool) {
+        self.step_down = step_down;
     }
 }
 
@@ -81,8 +81,8 @@
     /// Whether this process keeps out of the ring for now. Never one that has been in it, and not while no member is
     /// heard: then nobody serves whom it could disturb.
     pub(super) fn held_back(&mut self, now: Micros) -> bool {
-        let since = *self.restraint.since.get_or_insert(now);
-        let pause = self.restraint.pause(&self.settings, self.wall);
+        let since = *self.flap_damping.since.get_or_insert(now);
+        let pause = self.flap_damping.pause(&self.settings, self.wall);
         self.membership.epoch == 0
             && now < since + pause
             && (now < since + HEARING || self.membership.can_pass(now))
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -195,12 +195,17 @@
     }
 
     /// A run was put on record with a newer version of its batch.
-    pub(super) fn raised(&mut self, id: &str, with: Option<(Key, CoordinationRecord, Micros)>, mark: u64) {
+    pub(super) fn raised(
+        &mut self,
+        id: &str,
+        with: Option<(Key, CoordinationRecord, Micros)>,
+        store_version: u64,
+    ) {
         let Some((key, record, sent)) = with else { return };
         tracing::info!(batch = %key.name(), version = record.version, by = id, "batch is at a newer version");
-        self.fresh.counts.raised += 1;
-        self.fresh.next = Micros(0);
-        self.pacts.shelf.committed(&key, sent, record, mark);
+        self.freshness.counts.raised += 1;
+        self.freshness.next = Micros(0);
+        self.coordination.shelf.committed(&key, sent, record, store_version);
     }
 
     // ---- What jobs say ----
@@ -208,25 +213,25 @@
     /// What is known of a job. All that a merge follows is done on record before it is looked at here, so whatever is
     /// upstream of it has ended, also where a live record was the last that was read.
     fn known_of(&self, id: &str) -> Known {
-        if let Some(j) = self.owner.jobs.get(id) {
+        if let Some(j) = self.job_shard.jobs.get(id) {
             return Known::Ended(says_of_job(j));
         }
-        match self.fresh.says.get(id) {
+        match self.freshness.says.get(id) {
             Some(s) => Known::Ended(s.clone()),
-            None if self.fresh.unreadable.contains_key(id) => Known::Unreadable,
+            None if self.freshness.unreadable.contains_key(id) => Known::Unreadable,
             None => Known::Unread,
         }
     }
 
     fn read_says(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let due: Vec<String> =
-            self.fresh.unreadable.iter().filter(|(_, t)| now >= **t).map(|(id, _)| id.clone()).collect();
+            self.freshness.unreadable.iter().filter(|(_, t)| now >= **t).map(|(id, _)| id.clone()).collect();
         for id in due {
-            self.fresh.unreadable.remove(&id);
+            self.freshness.unreadable.remove(&id);
         }
         while self.in_flight.len() < IN_FLIGHT && now >= self.store_pause && self.requests.level(now) >= 0.3 {
-            let Some(id) = self.fresh.unread.pop_first() else { break };
-            if self.fresh.says.contains_key(&id) || !self.fresh.reading.insert(id.clone()) {
+            let Some(id) = self.freshness.unread.pop_first() else { break };
+            if self.freshness.says.contains_key(&id) || !self.freshness.reading.insert(id.clone()) {
                 continue;
             }
             self.requests.take(now, 1.0, 0.0);
@@ -249,21 +254,21 @@
         };
         match a {
             StoreAnswer::Got(Some(row)) => {
-                self.fresh.reading.remove(&id);
-                if self.fresh.says.len() >= KNOWN {
-                    self.fresh.says.clear();
+                self.freshness.reading.remove(&id);
+                if self.freshness.says.len() >= KNOWN {
+                    self.freshness.says.clear();
                 }
                 match says_of(&row.value, end) {
                     Some(s) => {
-                        self.fresh.says.insert(id, s);
+                        self.freshness.says.insert(id, s);
                     }
                     None => {
                         tracing::error!(job = %id, "unreadable record: merges that rest on it are held");
-                        self.fresh.unreadable.insert(id, now + AGAIN);
+                        self.freshness.unreadable.insert(id, now + AGAIN);
                     }
                 }
-                if self.fresh.unread.is_empty() && self.fresh.reading.is_empty() {
-                    self.fresh.next = Micros(0);
+                if self.freshness.unread.is_empty() && self.freshness.reading.is_empty() {
+                    self.freshness.next = Micros(0);
                 }
             }
             // It may have ended between the two: in this order it is seen in one of them.
@@ -272,13 +277,13 @@
                 self.ask_store(PendingStoreRequest::Fresh(PendingFreshnessRequest::Says(id, true)), get, out);
             }
             StoreAnswer::Got(None) => {
-                self.fresh.reading.remove(&id);
+                self.freshness.reading.remove(&id);
                 tracing::error!(job = %id, "no record of a job that a merge rests on");
-                self.fresh.unreadable.insert(id, now + AGAIN);
+                self.freshness.unreadable.insert(id, now + AGAIN);
             }
             _ => {
-                self.fresh.reading.remove(&id);
-                self.fresh.unread.insert(id);
+                self.freshness.reading.remove(&id);
+                self.freshness.unread.insert(id);
             }
         }
     }
@@ -287,17 +292,17 @@
 
     /// Whether ends must be watched, since one of them may let a stale merge go on.
     pub(super) fn batches_watch(&self) -> bool {
-        self.fresh.merges.values().any(|s| s.sought)
+        self.freshness.merges.values().any(|s| s.sought)
     }
 
     /// The watch begins only now: what ended before must be found by a census.
     pub(super) fn batches_unwatched(&mut self, now: Micros) {
-        self.fresh.watched = Some(now);
+        self.freshness.watched = Some(now);
     }
 
     /// The watch tells of an end.
     pub(super) fn run_ended(&mut self, id: &str, value: &Value) {
-        if self.fresh.runs.is_empty() || !matches!(read_end(value), Some((JobOutcome::Done, _))) {
+        if self.freshness.runs.is_empty() || !matches!(read_end(value), Some((JobOutcome::Done, _))) {
             return;
         }
         let Some(says) = value.get("says") else { return };
@@ -305,17 +310,17 @@
         let key = b.get("name").and_then(Value::as_str).and_then(|n| Key::new(Sort::Batch, n).ok());
         let mut b = b.clone();
         b["breed"] = says.get("breed").cloned().unwrap_or_default();
-        if let Some(runs) = key.and_then(|k| self.fresh.runs.get_mut(&k.head()))
+        if let Some(runs) = key.and_then(|k| self.freshness.runs.get_mut(&k.head()))
             && let Some(run) = run_of(id, &b)
         {
             runs.1.insert(run);
-            self.fresh.next = Micros(0);
+            self.freshness.next = Micros(0);
         }
     }
 
     /// Done runs under a batch, as far as they are known: a census once a merge was found stale, and then the watch.
     fn runs_of(&mut self, key: &Key) -> BTreeSet<Run> {
-        let mut runs = self.fresh.runs.get(&key.head()).map(|r| r.1.clone()).unwrap_or_default();
+        let mut runs = self.freshness.runs.get(&key.head()).map(|r| r.1.clone()).unwrap_or_default();
         if let Some(members) = self.members_so_far(key) {
             let done = members.iter().filter(|(_, m)| m.stands == Stands::Done);
             runs.extend(done.filter_map(|(id, m)| run_of(id, &m.says)));
@@ -325,9 +330,11 @@
 
     /// Since when a census must have begun so that with what the watch has told since, all done runs are known.
     fn runs_since(&self, key: &Key) -> Option<Micros> {
-        let (since, _) = self.fresh.runs.get(&key.head())?;
-        let watched =
-            self.fresh.watched.filter(|_| matches!(self.follow.watch, dependencies::Watch::At(..)))?;
+        let (since, _) = self.freshness.runs.get(&key.head())?;
+        let watched = self
+            .freshness
+            .watched
+            .filter(|_| matches!(self.dependencies.watch, dependencies::Watch::At(..)))?;
         Some(watched.max(*since))
     }
 
@@ -341,18 +348,18 @@
     /// A merge was found stale: runs that supersede the old ones are looked for.
     fn mark_stale(&mut self, now: Micros, id: &str, key: &Key) {
         let new = SeenRevision { since: now, stale: true, sought: true };
-        self.fresh.merges.entry(id.to_owned()).or_insert(new).sought = true;
-        self.fresh.runs.entry(key.head()).or_insert((now, BTreeSet::new()));
+        self.freshness.merges.entry(id.to_owned()).or_insert(new).sought = true;
+        self.freshness.runs.entry(key.head()).or_insert((now, BTreeSet::new()));
     }
 
     // ---- The guard ----
 
     /// A new epoch: each merge is looked at anew.
     pub(super) fn batches_anew(&mut self) {
-        self.fresh.merges.clear();
-        self.fresh.runs.clear();
-        self.fresh.watched = None;
-        self.fresh.next = Micros(0);
+        self.freshness.merges.clear();
+        self.freshness.runs.clear();
+        self.freshness.watched = None;
+        self.freshness.next = Micros(0);
     }
 
     fn verdict(&mut self, held: &Held, merge: &Merge, key: &Key) -> Verdict {
@@ -364,12 +371,12 @@
         let unread: Vec<String> =
             found.into_iter().filter(|(_, k)| *k == Known::Unread).map(|(id, _)| id).collect();
         let verdict = merge.verdict(classes, held, |id| self.known_of(id), &runs);
-        self.fresh.unread.extend(unread);
+        self.freshness.unread.extend(unread);
         verdict
     }
 
     fn merge_of(&self, id: &str) -> Option<(Key, Merge)> {
-        let j = self.owner.jobs.get(id)?;
+        let j = self.job_shard.jobs.get(id)?;
         let m = j.spec.merges.as_ref()?;
         let of = Of { name: m.name.clone(), version: m.version };
         Some((m.key()?, Merge { of, follows: j.followed() }))
@@ -377,9 +384,9 @@
 
     /// What batches need in each round, which begins with nothing asked for: a census for each stale merge.
     pub(super) fn batch_loop(&mut self, _now: Micros, _out: &mut Vec<Effect>) {
-        let operating = &self.pacts.operating;
-        self.fresh.lists.retain(|ticket, _| operating.iter().any(|o| o.ticket == *ticket));
-        let sought = self.fresh.merges.iter().filter(|(_, s)| s.sought);
+        let operating = &self.coordination.operating;
+        self.freshness.lists.retain(|ticket, _| operating.iter().any(|o| o.ticket == *ticket));
+        let sought = self.freshness.merges.iter().filter(|(_, s)| s.sought);
         let sought: BTreeSet<Key> = sought.filter_map(|(id, _)| self.merge_of(id).map(|m| m.0)).collect();
         for key in sought {
             if let Some(since) = self.runs_since(&key) {
@@ -393,8 +400,8 @@
         if !self.batches_on() {
             return;
         }
-        if now >= self.fresh.next {
-            self.fresh.next = now + PAUSE;
+        if now >= self.freshness.next {
+            self.freshness.next = now + PAUSE;
             self.look_at_merges(now);
             self.release_permits(now, out);
         }
@@ -404,18 +411,18 @@
 
     fn look_at_merges(&mut self, now: Micros) {
         let ids: Vec<String> = self
-            .owner
+            .job_shard
             .jobs
             .iter()
             .filter(|(_, j)| j.spec.merges.is_some() && j.ending.is_none() && j.waits_for().next().is_none())
             .map(|(id, _)| id.clone())
             .collect();
-        self.fresh.merges.retain(|id, _| ids.binary_search(id).is_ok());
+        self.freshness.merges.retain(|id, _| ids.binary_search(id).is_ok());
         let mut heads = BTreeSet::new();
         for id in ids {
             let Some((key, merge)) = self.merge_of(&id) else { continue };
             let mut seen = self
-                .fresh
+                .freshness
                 .merges
                 .get(&id)
                 .cloned()
@@ -423,7 +430,7 @@
             let held = self.pact(now, &key);
             let verdict = self.verdict(&held, &merge, &key);
             let since = seen.since.max(Micros(now.0.saturating_sub(RECENT.0)));
-            let recent = self.pacts.shelf.get_since(&key, since).is_some();
+            let recent = self.coordination.shelf.get_since(&key, since).is_some();
             if !recent {
                 self.pact_since(now, &key, since);
             }
@@ -435,7 +442,7 @@
             }
             seen.sought |= seen.stale;
             let sought = seen.sought;
-            self.fresh.merges.insert(id.clone(), seen);
+            self.freshness.merges.insert(id.clone(), seen);
             if sought {
                 heads.insert(key.head());
                 self.mark_stale(now, &id, &key);
@@ -443,15 +450,15 @@
             let known = self.runs_known(&key);
             self.guard_merge(&id, &held, &verdict, recent, known);
         }
-        self.fresh.runs.retain(|head, _| heads.contains(head));
+        self.freshness.runs.retain(|head, _| heads.contains(head));
     }
 
     /// Lifts a merge's hold, or holds it; what runs of one whose inputs are old is stopped.
     fn guard_merge(&mut self, id: &str, held: &Held, verdict: &Verdict, recent: bool, known: bool) {
-        let Some(j) = self.owner.jobs.get(id) else { return };
+        let Some(j) = self.job_shard.jobs.get(id) else { return };
         if verdict.may_start() && recent {
             if matches!(j.hold(), Some(Hold::Batch(_))) {
-                self.owner.lift(id);
+                self.job_shard.lift(id);
             }
             return;
         }
@@ -461,15 +468,15 @@
         };
         if j.hold().is_none_or(|h| h.why() != why) {
             tracing::info!(job = id, reason = %why, "merge is held");
-            self.owner.hold(id, Hold::Batch(why));
+            self.job_shard.hold(id, Hold::Batch(why));
         }
         if known && matches!(verdict, Verdict::Stale(..)) {
             let writes = |task: Option<u32>, attempt: u64| {
                 !verdict.must_stop(held, &Writer { job: id.to_owned(), attempt, task })
             };
-            let stopped = self.owner.stop_stale(id, writes);
+            let stopped = self.job_shard.stop_stale(id, writes);
             if stopped > 0 {
-                self.fresh.counts.stopped += stopped as u64;
+                self.freshness.counts.stopped += stopped as u64;
                 tracing::info!(job = id, tasks = stopped, "merge on old inputs is stopped, nothing is saved");
             }
         }
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -24,23 +24,23 @@
         if !self.batches_on() {
             return Some(Reply::error(404, "batches are not switched on here"));
         }
-        let j = self.owner.jobs.get(id)?;
+        let j = self.job_shard.jobs.get(id)?;
         if j.spec.merges.is_none() {
             return Some(Reply::error(409, "the job names no batch that it merges"));
         }
         if task >= j.spec.tasks {
             return Some(Reply::error(404, "no such task"));
         }
-        if self.fresh.asking.len() >= ASKING {
+        if self.freshness.asking.len() >= ASKING {
             return Some(Reply::later("overloaded"));
         }
         let job = id.to_owned();
-        self.fresh.asking.push(Asking { from, job, attempt, task, came: now });
+        self.freshness.asking.push(Asking { from, job, attempt, task, came: now });
         None
     }
 
     pub(super) fn answer_writers(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        for a in std::mem::take(&mut self.fresh.asking) {
+        for a in std::mem::take(&mut self.freshness.asking) {
             let reply = if now.since(a.came) >= PATIENCE {
                 Some(Reply::later("the batch's record could not be read or changed in time"))
             } else {
@@ -49,13 +49,13 @@
             match reply {
                 Some(r) => {
                     match r.status {
-                        200 => self.fresh.counts.permits += 1,
-                        409 => self.fresh.counts.refused += 1,
+                        200 => self.freshness.counts.permits += 1,
+                        409 => self.freshness.counts.refused += 1,
                         _ => {}
                     }
                     self.reply(now, a.from, r, out);
                 }
-                None => self.fresh.asking.push(a),
+                None => self.freshness.asking.push(a),
             }
         }
     }
@@ -65,11 +65,11 @@
         if !self.answers_for(now, &a.job) {
             return Some(Reply::later("taking over"));
         }
-        let Some(j) = self.owner.jobs.get(&a.job).filter(|j| j.ending.is_none()) else {
+        let Some(j) = self.job_shard.jobs.get(&a.job).filter(|j| j.ending.is_none()) else {
             return Some(Reply::error(409, "the job has ended"));
         };
         let task = (j.spec.kind != JobKind::Gang).then_some(a.task);
-        let standing = self.owner.attempt(&a.job, task, a.attempt);
+        let standing = self.job_shard.attempt(&a.job, task, a.attempt);
         match standing {
             Attempt::Over => return Some(Reply::error(409, "no such attempt runs")),
             Attempt::Unknown => return Some(Reply::later("taking over")),
@@ -110,7 +110,7 @@
                 body["error"] = verdict.reason().into();
                 body["batch"] = merge.of.name.into();
                 body["version"] = version.into();
-                self.fresh.next = Micros(0);
+                self.freshness.next = Micros(0);
                 Some(Reply::json(409, &body))
             }
             Answer::Overtaken => Some(Reply::error(409, "a newer attempt of the task writes")),
@@ -121,22 +121,22 @@
 
     /// Whether a permit's attempt has certainly ended, as far as its job's owner knows; only that one says so.
     fn permit_over(&self, p: &Permit) -> bool {
-        self.owner.loaded
-            && self.membership.job_owner(&p.job) == Some(self.settings.me)
-            && self.owner.attempt(&p.job, p.task, p.attempt) == Attempt::Over
+        self.job_shard.loaded
+            && self.membership.job_leader(&p.job) == Some(self.settings.me)
+            && self.job_shard.attempt(&p.job, p.task, p.attempt) == Attempt::Over
     }
 
     pub(super) fn release_permits(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if self.writes.level(now) < 0.6 || !self.membership.others_have_stopped(now) {
             return;
         }
-        self.fresh.released.retain(|_, t| now < *t);
+        self.freshness.released.retain(|_, t| now < *t);
         let over = |b: &Batch| b.release(|p| self.permit_over(p));
         let due: Vec<(Key, Batch)> = self
-            .pacts
+            .coordination
             .shelf
             .iter()
-            .filter(|(k, _)| k.kind() == Sort::Batch && !self.fresh.released.contains_key(k))
+            .filter(|(k, _)| k.kind() == Sort::Batch && !self.freshness.released.contains_key(k))
             .filter_map(|(k, h)| match h {
                 Held::Is(r) => Some((k.clone(), over(&Batch::read(r).ok()?)?)),
                 _ => None,
@@ -145,7 +145,7 @@
         for (key, next) in due {
             // Read on until its permits are given back.
             self.pact(now, &key);
-            self.fresh.released.insert(key.clone(), now + RELEASE);
+            self.freshness.released.insert(key.clone(), now + RELEASE);
             if self.change_pact(now, &key, next.record(), Vec::new(), None, out) {
                 tracing::debug!(batch = %key.name(), held = next.permits.len(), "permits given back");
             }
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -55,7 +55,7 @@
         // Once it is on record the next round finds it there; if another change came first it is looked at anew.
         if self.change_pact(now, &key, next.record(), Vec::new(), None, out) {
             tracing::info!(batch = name, version, by = "operator", "batch is to be at a newer version");
-            self.fresh.counts.raised += 1;
+            self.freshness.counts.raised += 1;
         }
         None
     }
@@ -103,9 +103,9 @@
 
     /// All batches with their versions, read anew for each request; None: not there yet.
     fn list_batches(&mut self, now: Micros, ticket: u64, out: &mut Vec<Effect>) -> Option<Vec<Value>> {
-        let (after, rows, over, busy) = self.fresh.lists.entry(ticket).or_default();
+        let (after, rows, over, busy) = self.freshness.lists.entry(ticket).or_default();
         if *over {
-            return self.fresh.lists.remove(&ticket).map(|(_, rows, ..)| rows);
+            return self.freshness.lists.remove(&ticket).map(|(_, rows, ..)| rows);
         }
         if !*busy && rows.len() < LISTED && self.requests.take(now, 1.0, 0.2) {
             *busy = true;
@@ -116,7 +116,7 @@
     }
 
     pub(super) fn listed(&mut self, ticket: u64, a: StoreAnswer) {
-        let Some((after, rows, over, busy)) = self.fresh.lists.get_mut(&ticket) else { return };
+        let Some((after, rows, over, busy)) = self.freshness.lists.get_mut(&ticket) else { return };
         *busy = false;
         let StoreAnswer::Page(page, more) = a else { return };
         for row in page {
@@ -132,7 +132,7 @@
 
     /// How batches stand, for operators.
     pub(in crate::controller) fn batch_status(&self) -> Value {
-        let (f, c) = (&self.fresh, self.fresh.counts);
+        let (f, c) = (&self.freshness, self.freshness.counts);
         json!({
             "on": self.batches_on(),
             "merges": f.merges.len(),
--- a/src/controller/gpu_lending.rs
+++ b/src/controller/gpu_lending.rs
@@ -51,8 +51,8 @@
         let Some(terms) = self.settings.operators.loans.clone() else { return };
         if now >= self.loans.next_told {
             self.loans.next_told = now + READ;
-            self.owner.note_lacks(now);
-            let told = self.owner.lending(now, self.wall);
+            self.job_shard.note_lacks(now);
+            let told = self.job_shard.lending(now, self.wall);
             for p in self.membership.members.clone() {
                 // An older process would drop the link.
                 if p != self.settings.me && self.reads(p, FORM) {
@@ -60,7 +60,7 @@
                 }
             }
         }
-        self.owner.obey_loans(now);
+        self.job_shard.obey_loans(now);
         if now < self.store_pause {
             return;
         }
@@ -91,9 +91,9 @@
     fn next_ledger(&self, now: Micros, terms: &LoanTerms) -> Option<(String, Ledger)> {
         let (wall, m) = (self.wall, &self.membership);
         for (team, (_, ledger, _)) in &self.loans.read {
-            let tidy = ledger.tidy(wall.0, terms.back.0, |l| self.owner.loan_facts(l, m));
+            let tidy = ledger.tidy(wall.0, terms.back.0, |l| self.job_shard.loan_facts(l, m));
             let next = tidy.or_else(|| {
-                let due = self.owner.loans_due(now, wall, team, ledger, m, &self.teams);
+                let due = self.job_shard.loans_due(now, wall, team, ledger, m, &self.quota);
                 ledger.give_back(wall.0, &due)
             });
             if let Some(next) = next {
@@ -103,7 +103,7 @@
         if !self.loans.unreadable.is_empty() {
             return None;
         }
-        let t = self.owner.takings(now, wall, m, &self.teams)?;
+        let t = self.job_shard.takings(now, wall, m, &self.quota)?;
         let none = Ledger::default();
         let mut next = self.loans.read.get(&t.team).map_or(&none, |(_, l, _)| l).clone();
         let others: Vec<&Ledger> =
@@ -125,7 +125,7 @@
 
     fn change_ledger(&mut self, now: Micros, team: &str, next: Ledger, out: &mut Vec<Effect>) {
         let Ok(key) = Key::new(Pact::Loan, team) else { return };
-        if !self.membership.may_act(now) || self.loans.unreadable.contains_key(team) {
+        if !self.membership.is_leader(now) || self.loans.unreadable.contains_key(team) {
             return;
         }
         let body = next.body();
@@ -140,9 +140,9 @@
         if !self.loans.read.contains_key(team) {
             conditions.push((key.head(), 0));
         }
-        for (name, (_, _, mark)) in &self.loans.read {
+        for (name, (_, _, store_version)) in &self.loans.read {
             if let Ok(k) = Key::new(Pact::Loan, name) {
-                conditions.push((k.head(), *mark));
+                conditions.push((k.head(), *store_version));
             }
         }
         let commit =
@@ -170,11 +170,11 @@
                 // Whatever came of it, the next reading tells; one that is under way began too early.
                 (self.loans.asked, self.loans.next_read) = (None, now);
                 match a {
-                    StoreAnswer::Committed(mark) => {
+                    StoreAnswer::Committed(store_version) => {
                         let Ok(next) = Ledger::read(&record.body) else { return };
                         let before = self.loans.read.get(&team).map_or(&[][..], |(_, l, _)| &l.loans);
                         told(&team, before, &next.loans);
-                        self.loans.read.insert(team, (*record, next, mark));
+                        self.loans.read.insert(team, (*record, next, store_version));
                         self.tell_ledgers(now);
                     }
                     // What is held is out of date, or may be.
@@ -195,7 +195,7 @@
             let r = CoordinationRecord::read(&row.value).map_err(|e| e.to_string());
             match r.and_then(|r| Ledger::read(&r.body).map(|l| (r, l)).map_err(|e| e.to_string())) {
                 Ok((r, l)) => {
-                    read.insert(team, (r, l, row.mark));
+                    read.insert(team, (r, l, row.store_version));
                 }
                 Err(why) => {
                     if !self.loans.unreadable.contains_key(&team) {
@@ -211,7 +211,7 @@
 
     fn tell_ledgers(&mut self, sent: Micros) {
         let ledgers = self.loans.read.iter().map(|(t, (_, l, _))| (t.clone(), l.clone())).collect();
-        self.owner.loans_read(sent, ledgers);
+        self.job_shard.loans_read(sent, ledgers);
     }
 
     /// Who lent what to whom, and when it is due back, for operators.
--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -106,7 +106,7 @@
     /// A new epoch has been adopted by the membership, and by nothing else yet. What it gives to others is handed to them
     /// if nobody else can have commanded it in between.
     pub(super) fn hand_over(&mut self, now: Micros, follows: bool) {
-        let h = &mut self.handover;
+        let h = &mut self.handoff;
         h.out.clear();
         h.packed_for = self.membership.epoch;
         h.out_in_doubt = None;
@@ -121,14 +121,17 @@
 
     /// It has left the ring by its own decision, and commands nothing any more. Whoever raised the epoch without it: its
     /// own change may have had no answer, or have come second.
-    pub(super) fn hand_over_on_leaving(&mut self, now: Micros, record: &EpochRecord, mark: u64) {
-        if self.aside.away().is_none() || !self.membership.aside || self.handover.packed_for >= record.epoch {
+    pub(super) fn hand_over_on_leaving(&mut self, now: Micros, record: &EpochRecord, store_version: u64) {
+        if self.step_down.away().is_none()
+            || !self.membership.aside
+            || self.handoff.packed_for >= record.epoch
+        {
             return;
         }
         let mut next = self.membership.clone();
-        self.handover.out.clear();
-        self.handover.packed_for = record.epoch;
-        if next.adopt(now, record, mark) {
+        self.handoff.out.clear();
+        self.handoff.packed_for = record.epoch;
+        if next.adopt(now, record, store_version) {
             self.pack(now, &next);
         }
     }
@@ -137,8 +140,8 @@
     /// command and answer nothing any more.
     pub(super) fn step_out(&mut self, now: Micros) {
         let others = !self.alive.is_empty();
-        if self.aside.away().is_none() && others && self.membership.store_confirms(now) {
-            self.aside.leave(now, Missing::Asked);
+        if self.step_down.away().is_none() && others && self.membership.store_confirms(now) {
+            self.step_down.leave(now, Missing::Asked);
             self.membership.aside = true;
             self.next_ring = now;
         }
@@ -147,22 +150,22 @@
     /// Whether a process that was told to end may: it is out of the ring and what it knew has been taken, or there is
     /// nobody to take it, or its time is up.
     pub fn gone(&self, now: Micros) -> bool {
-        let Some(since) = self.handover.leaving else { return false };
+        let Some(since) = self.handoff.leaving else { return false };
         let m = &self.membership;
         let member = m.epoch > 0 && m.members.contains(&m.me);
         let left = self.seen.as_ref().is_some_and(|(r, ..)| r.epoch > m.epoch && !m.is_in(r));
-        let asked = self.aside.away() == Some(Missing::Asked);
+        let asked = self.step_down.away() == Some(Missing::Asked);
         // That it is out is read before it has packed.
-        let packed = self.seen.as_ref().is_some_and(|(r, ..)| r.epoch <= self.handover.packed_for);
-        let handed = asked && left && packed && self.handover.out.is_empty();
+        let packed = self.seen.as_ref().is_some_and(|(r, ..)| r.epoch <= self.handoff.packed_for);
+        let handed = asked && left && packed && self.handoff.out.is_empty();
         let nobody = self.alive.is_empty() && self.lease.is_some();
-        let out = self.aside.away().is_some() && !asked;
+        let out = self.step_down.away().is_some() && !asked;
         !member || handed || nobody || out || now.since(since) >= LEAVING
     }
 
     fn pack(&mut self, now: Micros, next: &Membership) {
-        let jobs = self.owner.hand_over(next);
-        let machines = self.home.hand_over(now, next);
+        let jobs = self.job_shard.hand_over(next);
+        let machines = self.machine_shard.hand_over(now, next);
         let (of_jobs, of_machines) = (
             jobs.values().map(|p| p.jobs.len()).sum::<usize>(),
             machines.values().map(Vec::len).sum::<usize>(),
@@ -172,13 +175,13 @@
         }
         for (to, list) in machines {
             for machines in pieces(list, |m: &MachineHandoff| m.tasks.len()) {
-                self.handover.out.pack(now, to, HandoffBatch { machines, ..HandoffBatch::default() });
+                self.handoff.out.pack(now, to, HandoffBatch { machines, ..HandoffBatch::default() });
             }
         }
         for (to, HandoffBatch { jobs, doubts, .. }) in jobs {
             for jobs in pieces(jobs, |j: &JobHandoff| j.starts.len()) {
                 let doubts = doubts.clone();
-                self.handover.out.pack(now, to, HandoffBatch { jobs, doubts, ..HandoffBatch::default() });
+                self.handoff.out.pack(now, to, HandoffBatch { jobs, doubts, ..HandoffBatch::default() });
             }
         }
     }
@@ -193,34 +196,34 @@
         let pause = self.settings.digest;
         // Who has left names the newest epoch that it has read. What it packed is as of the one that it acted in, and
         // counts only in the next: in a later one others have commanded what it lists.
-        if self.known_epoch().0 != self.handover.packed_for {
-            self.handover.out.clear();
+        if self.known_epoch().0 != self.handoff.packed_for {
+            self.handoff.out.clear();
         }
         for p in (0..self.settings.members.len()).filter(|&p| p != self.settings.me) {
             if !self.reads(p, FORM) {
                 continue;
             }
-            for (number, parcel) in self.handover.out.due(now, p, pause) {
+            for (number, parcel) in self.handoff.out.due(now, p, pause) {
                 out.push(Effect::Send(p, self.envelope(now, p, Message::Handoff { number, parcel })));
             }
-            let owed = std::mem::take(&mut self.handover.owed[p]);
+            let owed = std::mem::take(&mut self.handoff.owed[p]);
             if !owed.is_empty() {
                 out.push(Effect::Send(p, self.envelope(now, p, Message::HandoffAck(owed))));
             }
         }
-        if let Some(since) = self.handover.since
-            && self.owner.loaded
-            && self.owner.in_doubt() == 0
+        if let Some(since) = self.handoff.since
+            && self.job_shard.loaded
+            && self.job_shard.in_doubt() == 0
         {
-            self.handover.since = None;
-            let h = &self.handover;
+            self.handoff.since = None;
+            let h = &self.handoff;
             tracing::info!(
                 epoch = self.membership.epoch,
                 seconds = now.since(since).secs(),
                 handed_jobs = h.taken_jobs,
                 handed_machines = h.taken_machines,
-                witnessed_jobs = self.witness.taken(),
-                unheard = self.owner.unheard(),
+                witnessed_jobs = self.start_replica.taken(),
+                unheard = self.job_shard.unheard(),
                 "taken over: every job's starts are known"
             );
         }
@@ -228,45 +231,45 @@
 
     /// A parcel of this epoch has come.
     pub(super) fn parcel(&mut self, now: Micros, from: usize, boot: u64, number: u64, parcel: HandoffBatch) {
-        if let Some(owed) = self.handover.owed.get_mut(from) {
+        if let Some(owed) = self.handoff.owed.get_mut(from) {
             owed.push(number);
         }
-        self.home.told_gone(&parcel.gone);
+        self.machine_shard.told_gone(&parcel.gone);
         // One that comes again finds its machines known, and its jobs settled.
         for m in parcel.machines {
-            self.handover.taken_machines += usize::from(self.home.handed(now, &self.membership, m));
+            self.handoff.taken_machines += usize::from(self.machine_shard.handed(now, &self.membership, m));
         }
         for t in parcel.testimony {
-            self.witness.testified(from, t);
+            self.start_replica.testified(from, t);
         }
         if !parcel.jobs.is_empty() {
-            self.handover.jobs.take(from, boot, number, (parcel.jobs, parcel.doubts));
+            self.handoff.jobs.take(from, boot, number, (parcel.jobs, parcel.doubts));
         }
         self.unpack(now);
     }
 
     /// Jobs that were handed to us, once it is known from the records which are live.
     pub(super) fn unpack(&mut self, now: Micros) {
-        if !self.owner.loaded {
+        if !self.job_shard.loaded {
             return;
         }
-        for (_, (jobs, doubts)) in self.handover.jobs.unpack() {
-            self.handover.taken_jobs += self.owner.handed(now, jobs, &doubts);
+        for (_, (jobs, doubts)) in self.handoff.jobs.unpack() {
+            self.handoff.taken_jobs += self.job_shard.handed(now, jobs, &doubts);
         }
         self.hear_witnesses(now);
     }
 
     /// How this epoch's takeover stands, for operators.
     pub(super) fn takeover_status(&self, now: Micros) -> Value {
-        let h = &self.handover;
-        let waits: Vec<&String> = self.owner.unheard_machines(SHOWN).collect();
+        let h = &self.handoff;
+        let waits: Vec<&String> = self.job_shard.unheard_machines(SHOWN).collect();
         json!({
             "under_way_s": h.since.map(|t| now.since(t).secs()),
-            "jobs_in_doubt": self.owner.in_doubt(),
+            "jobs_in_doubt": self.job_shard.in_doubt(),
             "jobs_handed_to_us": h.taken_jobs,
             "machines_handed_to_us": h.taken_machines,
-            "jobs_witnessed": self.witness.taken(),
-            "starts_await_a_witness": self.witness.holds_back(),
+            "jobs_witnessed": self.start_replica.taken(),
+            "starts_await_a_witness": self.start_replica.holds_back(),
             "parcels_not_acknowledged": h.out.len(),
             "waits_for_machines": waits,
         })
--- a/src/controller/handoff/tests.rs
+++ b/src/controller/handoff/tests.rs
@@ -27,8 +27,8 @@
 pub(crate) fn node() -> Controller {
     let mut n = Controller::new(settings(), 1);
     n.membership.adopt(at(1000), &record(7, &[0, 1, 2]), 7);
-    n.home.adopt(at(1000), &n.membership, false, |_| None);
-    n.owner.adopt(&n.membership, false);
+    n.machine_shard.adopt(at(1000), &n.membership, false, |_| None);
+    n.job_shard.adopt(&n.membership, false);
     n.membership.confirmed_by_store(at(1000));
     for p in [1, 2] {
         n.clocks[p] = (1, at(1));
@@ -49,8 +49,8 @@
             notice_s: None,
             tasks: Vec::new(),
         };
-        if n.membership.home(&r.machine) == Some(0) {
-            n.home.report(at(1100), &n.membership, &r);
+        if n.membership.machine_leader(&r.machine) == Some(0) {
+            n.machine_shard.report(at(1100), &n.membership, &r);
         }
     }
     n
@@ -59,19 +59,20 @@
 /// The members' keys, each of which says that it reads the newest form.
 fn members() -> Vec<KeyValue> {
     let key = |i: usize| format!("ring/m/c{i}");
-    let row = |i| KeyValue { key: key(i), value: json!({"boot": 1, "reads": FORM}), mark: 1 };
+    let row = |i| KeyValue { key: key(i), value: json!({"boot": 1, "reads": FORM}), store_version: 1 };
     (0..3).map(row).collect()
 }
 
 /// The node answers and commands nothing any more.
 fn leaves(n: &mut Controller) {
-    n.aside.leave(at(1200), Missing::Peers);
+    n.step_down.leave(at(1200), Missing::Peers);
     n.membership.aside = true;
 }
 
 /// One reading of the ring, by which the epoch record is `r` at version `mark`, and what follows from it.
-fn reads(n: &mut Controller, now: Micros, r: &EpochRecord, mark: u64) -> Vec<Effect> {
-    let epoch = KeyValue { key: EPOCH_KEY.into(), value: serde_json::to_value(r).expect("plain"), mark };
+fn reads(n: &mut Controller, now: Micros, r: &EpochRecord, store_version: u64) -> Vec<Effect> {
+    let epoch =
+        KeyValue { key: EPOCH_KEY.into(), value: serde_json::to_value(r).expect("plain"), store_version };
     let mut out = Vec::new();
     n.ring_answer(now, PendingStoreRequest::ReadEpoch(now), StoreAnswer::Got(Some(epoch)), &mut out);
     out.clear();
@@ -106,7 +107,7 @@
     let first = parcels(&mut n, at(1400));
     assert!(!first.is_empty() && first.iter().all(|e| *e == 8), "{first:?}");
     // Nobody has said that it has them, and the ring moves on.
-    let epoch = KeyValue { key: EPOCH_KEY.into(), value: json!(record(9, &[1])), mark: 9 };
+    let epoch = KeyValue { key: EPOCH_KEY.into(), value: json!(record(9, &[1])), store_version: 9 };
     n.ring_answer(
         at(3000),
         PendingStoreRequest::ReadEpoch(at(3000)),
@@ -134,11 +135,11 @@
     assert!(!said.is_empty() && said.iter().all(|e| *e == 8), "{said:?}");
     // One that was told to end stays until that is taken.
     let mut n = node();
-    n.handover.leave(at(1200));
-    n.aside.leave(at(1200), Missing::Asked);
+    n.handoff.leave(at(1200));
+    n.step_down.leave(at(1200), Missing::Asked);
     n.membership.aside = true;
     n.alive = vec![1, 2];
-    let epoch = KeyValue { key: EPOCH_KEY.into(), value: json!(record(8, &[1, 2])), mark: 8 };
+    let epoch = KeyValue { key: EPOCH_KEY.into(), value: json!(record(8, &[1, 2])), store_version: 8 };
     n.ring_answer(
         at(1700),
         PendingStoreRequest::ReadEpoch(at(1700)),
@@ -149,7 +150,7 @@
     reads(&mut n, at(1702), &record(8, &[1, 2]), 8);
     assert!(!n.gone(at(1703)), "packed, and not taken");
     let numbers: Vec<u64> = (0..100).collect();
-    (1..3).for_each(|p| n.handover.acknowledged(p, &numbers));
+    (1..3).for_each(|p| n.handoff.acknowledged(p, &numbers));
     assert!(n.gone(at(1704)));
     // Not from two epochs back: who raised the one between may have given its machines to others.
     let mut n = node();
@@ -166,7 +167,7 @@
         let mut n = node();
         leaves(&mut n);
         n.ring_answer(at(1300), PendingStoreRequest::Raise(record(8, &[1, 2])), answer, &mut Vec::new());
-        n.aside.back(at(9000));
+        n.step_down.back(at(9000));
         let out = reads(&mut n, at(9100), &record(7, &[0, 1, 2]), 7);
         let raises = out.iter().any(|e| match e {
             Effect::Store(_, StoreRequest::Transaction(Transaction { conditions, puts, .. }), _) => {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -11,27 +11,28 @@
         r: &Heartbeat,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
-        self.aside.worker(now, &r.machine);
+        self.step_down.worker(now, &r.machine);
         if let Some(reply) = self.not_home(now, &r.machine) {
             // A worker that has had its home's answers and comes here doesn't get them any more. Its
             // home is told, since it may hear no worker at all and not know that they live.
-            let home = self.membership.home(&r.machine).filter(|&h| h != self.settings.me);
+            let home = self.membership.machine_leader(&r.machine).filter(|&h| h != self.settings.me);
             if let Some(strays) = home.and_then(|h| self.strays.get_mut(h)) {
                 strays.visit(&r.machine, (r.session, r.seq), r.token == self.membership.epoch);
             }
             return Some(reply);
         }
-        match self.home.report(now, &self.membership, r) {
+        match self.machine_shard.report(now, &self.membership, r) {
             Verdict::Taken => {
                 // The worker has given up on an older report, or it would not have sent this one.
                 if let Some(old) = self.held.remove(&r.machine) {
                     out.push(Effect::Reply(old, Reply::later("out of date")));
                 }
-                let (fleet, w, m, o) = (&self.fleet, &self.witness, &self.membership, &self.owner);
+                let (fleet, w, m, o) =
+                    (&self.autoscaler, &self.start_replica, &self.membership, &self.job_shard);
                 // Out of an owner's reach it waits too: right after a takeover the owner speaks in a moment.
-                if !self.home.in_reach(now, &r.machine) {
+                if !self.machine_shard.in_reach(now, &r.machine) {
                     self.unreached.insert(r.machine.clone());
-                } else if !self.home.may_wait(
+                } else if !self.machine_shard.may_wait(
                     now,
                     &r.machine,
                     |k| fleet.room(k),
@@ -56,7 +57,8 @@
     pub(super) fn not_home(&self, now: Micros, machine: &str) -> Option<Reply> {
         match self.membership.pass_machine_to(machine) {
             Some(h) if h == self.settings.me => {
-                let ours = self.membership.home(machine) == Some(h) && self.membership.may_act(now);
+                let ours =
+                    self.membership.machine_leader(machine) == Some(h) && self.membership.is_leader(now);
                 (!ours).then(|| Reply::later("not entitled to act"))
             }
             Some(h) => Some(Reply::json(421, &json!({"rider": self.membership.name(h)}))),
@@ -70,15 +72,15 @@
             return reply;
         }
         // A 200 keeps its lease alive, and with it tasks of which the owner may have said that they are cancelled.
-        match self.home.in_reach(now, machine) {
+        match self.machine_shard.in_reach(now, machine) {
             true => self.orders(machine),
             false => Reply::later("the owner of one of its tasks is out of reach"),
         }
     }
 
     pub(super) fn orders(&mut self, machine: &str) -> Reply {
-        let (w, m, o) = (&self.witness, &self.membership, &self.owner);
-        match self.home.orders(m, machine, |k| w.may_go(m, o, k, machine)) {
+        let (w, m, o) = (&self.start_replica, &self.membership, &self.job_shard);
+        match self.machine_shard.orders(m, machine, |k| w.may_go(m, o, k, machine)) {
             Some(o) => {
                 Reply { status: 200, body: serde_json::to_string(&o).unwrap_or_default(), retry_after: None }
             }
@@ -101,18 +103,18 @@
             }
             self.held_order.pop_front();
         }
-        let (fleet, w, m, o) = (&self.fleet, &self.witness, &self.membership, &self.owner);
-        for name in self.home.fresh() {
+        let (fleet, w, m, o) = (&self.autoscaler, &self.start_replica, &self.membership, &self.job_shard);
+        for name in self.machine_shard.fresh() {
             let go = |k: &TaskKey| w.may_go(m, o, k, &name);
             if self.held.contains_key(&name)
-                && self.home.in_reach(now, &name)
-                && !self.home.may_wait(now, &name, |k| fleet.room(k), go)
+                && self.machine_shard.in_reach(now, &name)
+                && !self.machine_shard.may_wait(now, &name, |k| fleet.room(k), go)
             {
                 due.push(name);
             }
         }
-        if self.home.heard_owners() {
-            let home = &self.home;
+        if self.machine_shard.heard_owners() {
+            let home = &self.machine_shard;
             let reached = self.unreached.extract_if(.., |name| home.in_reach(now, name));
             due.extend(reached);
         }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -15,21 +15,21 @@
         // How often it joined of late stands in the epoch record: once read, its key may take back that it wants a place.
         if !self.registered {
             let held = self.seen.is_some() && self.held_back(now);
-            if held && !self.restraint.aside() {
+            if held && !self.flap_damping.aside() {
                 tracing::info!("held back: this controller has joined too often of late");
             }
-            let Some(mark) = self.own_mark.take() else {
+            let Some(store_version) = self.own_key_version.take() else {
                 let key = format!("ring/m/{}", self.settings.member);
                 return self.ask_store(PendingStoreRequest::ReadOwn, StoreRequest::Get(key), out);
             };
-            self.restraint.registers(held);
-            let aside = held || self.aside.away().is_some();
+            self.flap_damping.registers(held);
+            let aside = held || self.step_down.away().is_some();
             let own = self.own_key(lease, aside);
             self.own_sent = Some(own.1.clone());
             // Guards against one that is carried out late, after a newer one of this process or the next: the key would
             // say that a controller wants no place, or is another process, and the others would put it out while it acts.
             let c = Transaction {
-                conditions: vec![(own.0.clone(), mark)],
+                conditions: vec![(own.0.clone(), store_version)],
                 puts: vec![own],
                 ..Transaction::default()
             };
@@ -49,35 +49,37 @@
 
     /// Leaves the ring, or comes back, when the evidence says so.
     pub(super) fn step_aside(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.handover.leaving().is_some() {
+        if self.handoff.leaving().is_some() {
             return self.step_out(now);
         }
-        if self.aside.away().is_none() {
+        if self.step_down.away().is_none() {
             // With the store's word only: leaving takes a change of the epoch record.
             if !self.membership.store_confirms(now) || self.membership.aside {
                 return;
             }
             let peers: Vec<usize> = self.membership.others().filter(|p| self.alive.contains(p)).collect();
-            let Some(missing) = self.aside.verdict(now, self.home.live(now), self.settings.me, &peers) else {
+            let Some(missing) =
+                self.step_down.verdict(now, self.machine_shard.live(now), self.settings.me, &peers)
+            else {
                 return;
             };
             tracing::info!(epoch = self.membership.epoch, ?missing, "stepping aside");
-            self.aside.leave(now, missing);
+            self.step_down.leave(now, missing);
             // From here on nothing is commanded or answered, before anybody else may do so.
             self.membership.aside = true;
             self.next_ring = now;
-        } else if self.alive.is_empty() || self.aside.may_return(now, &self.alive) {
+        } else if self.alive.is_empty() || self.step_down.may_return(now, &self.alive) {
             tracing::info!(epoch = self.membership.epoch, "coming back");
-            self.aside.back(now);
+            self.step_down.back(now);
             // The key must say so before the epoch is raised, or others would raise it again. Until
             // the ring has it back this process still doesn't act.
             self.registered = false;
             self.next_ring = now;
-        } else if self.aside.probe(now) {
-            let addresses = self.home.addresses(PROBED, now);
+        } else if self.step_down.probe(now) {
+            let addresses = self.machine_shard.addresses(PROBED, now);
             // Guards against a stay of minutes after those it knew have gone: nobody is left to try, so it tries its place.
             match addresses.is_empty() {
-                true => self.aside.probed(true),
+                true => self.step_down.probed(true),
                 false => out.push(Effect::Probe(addresses)),
             }
         }
@@ -115,7 +117,7 @@
                     self.registered = true;
                     self.own_sent = None;
                 } else {
-                    self.own_mark = Some(row.map_or(0, |r| r.mark));
+                    self.own_key_version = Some(row.map_or(0, |r| r.store_version));
                 }
                 self.ring_again(now, 0);
             }
@@ -125,18 +127,18 @@
                 self.ring_again(now, 0);
             }
             (PendingStoreRequest::ReadEpoch(sent), StoreAnswer::Got(row)) => {
-                self.restraint.read(row.as_ref().map_or(&Value::Null, |r| &r.value));
-                let (record, mark) = match row {
+                self.flap_damping.read(row.as_ref().map_or(&Value::Null, |r| &r.value));
+                let (record, store_version) = match row {
                     None => (EpochRecord::default(), 0),
-                    Some(KeyValue { value, mark, .. }) => match serde_json::from_value(value) {
-                        Ok(r) => (r, mark),
+                    Some(KeyValue { value, store_version, .. }) => match serde_json::from_value(value) {
+                        Ok(r) => (r, store_version),
                         Err(e) => {
                             tracing::error!(reason = %e, "unreadable epoch record");
                             return self.ring_again(now, 1000);
                         }
                     },
                 };
-                self.seen = Some((record, mark, sent));
+                self.seen = Some((record, store_version, sent));
                 self.ask_store(
                     PendingStoreRequest::ReadMembers(sent),
                     StoreRequest::List("ring/m/".into(), String::new()),
@@ -144,7 +146,7 @@
                 );
             }
             (PendingStoreRequest::ReadMembers(sent), StoreAnswer::Page(rows, _)) => {
-                let Some((record, mark, _)) = self.seen.clone() else {
+                let Some((record, store_version, _)) = self.seen.clone() else {
                     return self.ring_again(now, 300);
                 };
                 self.note_forms(&rows, out);
@@ -160,12 +162,12 @@
                     .collect();
                 let own = (self.settings.member.clone(), self.boot);
                 let held = !self.membership.is_in(&record) && self.held_back(now);
-                if self.restraint.aside() != held {
+                if self.flap_damping.aside() != held {
                     // Its key must say so before the epoch is raised.
                     self.registered = false;
                     return self.ring_again(now, 0);
                 }
-                let away = self.aside.away().is_some() || self.restraint.aside();
+                let away = self.step_down.away().is_some() || self.flap_damping.aside();
                 // Whose lease has ended without its knowledge must get a new one before it joins:
                 // the others would put it out again at once, and so on in turns.
                 let key = format!("ring/m/{}", own.0);
@@ -190,20 +192,20 @@
                     return self.ring_again(now, 300);
                 };
                 // One that came back while its own leaving has no answer raises an epoch with itself: then a late one fails.
-                let doubt = !away && self.handover.may_be_out_after(record.epoch);
+                let doubt = !away && self.handoff.may_be_out_after(record.epoch);
                 if (!away && !self.membership.is_in(&record)) || lost || doubt {
                     let next = Membership::next_record(&record, &alive);
                     let Ok(mut value) = serde_json::to_value(&next) else {
                         return self.ring_again(now, 300);
                     };
-                    self.restraint.write(&self.settings, self.wall, &record, &next, &mut value);
-                    let mut conditions = vec![(EPOCH_KEY.into(), mark)];
+                    self.flap_damping.write(&self.settings, self.wall, &record, &next, &mut value);
+                    let mut conditions = vec![(EPOCH_KEY.into(), store_version)];
                     // Guards against a raise that is carried out late: who is left out must not live at that moment. One
                     // whose lease had ended, and who has a new one since, still is a member of the old epoch and acts.
                     conditions.extend(self.settings.members.iter().map(|m| {
                         let key = format!("ring/m/{m}");
-                        let mark = rows.iter().find(|r| r.key == key).map_or(0, |r| r.mark);
-                        (key, mark)
+                        let store_version = rows.iter().find(|r| r.key == key).map_or(0, |r| r.store_version);
+                        (key, store_version)
                     }));
                     let mut c = Transaction {
                         conditions,
@@ -220,34 +222,34 @@
                     );
                 }
                 if away {
-                    self.hand_over_on_leaving(now, &record, mark);
+                    self.hand_over_on_leaving(now, &record, store_version);
                     return self.ask_store(PendingStoreRequest::Renew(sent), StoreRequest::Renew(lease), out);
                 }
                 if record.epoch > self.membership.epoch {
-                    self.adopt(now, &record, mark, out);
+                    self.adopt(now, &record, store_version, out);
                 }
                 if record.epoch == self.membership.epoch {
-                    self.owner.epoch_stands(sent);
+                    self.job_shard.epoch_stands(sent);
                     // It came back before it had left: its place is still its own.
                     self.membership.aside = false;
                     return self.ask_store(PendingStoreRequest::Renew(sent), StoreRequest::Renew(lease), out);
                 }
                 self.ring_again(now, 300);
             }
-            (PendingStoreRequest::Raise(record), StoreAnswer::Committed(mark)) => {
+            (PendingStoreRequest::Raise(record), StoreAnswer::Committed(store_version)) => {
                 if self.membership.is_in(&record) {
-                    self.adopt(now, &record, mark, out);
+                    self.adopt(now, &record, store_version, out);
                 } else {
-                    self.handover.asks_out(None);
-                    self.hand_over_on_leaving(now, &record, mark);
-                    self.seen = Some((record, mark, now));
+                    self.handoff.asks_out(None);
+                    self.hand_over_on_leaving(now, &record, store_version);
+                    self.seen = Some((record, store_version, now));
                 }
                 self.ring_again(now, 0);
             }
             (PendingStoreRequest::Raise(_), StoreAnswer::Conflict(_)) => self.ring_again(now, 20),
             // It may be carried out yet. One that the store refused is not.
             (PendingStoreRequest::Raise(record), StoreAnswer::Unknown) if !self.membership.is_in(&record) => {
-                self.handover.asks_out(Some(record.epoch));
+                self.handoff.asks_out(Some(record.epoch));
                 self.ring_again(now, 300);
             }
             (PendingStoreRequest::Renew(sent), StoreAnswer::Renewed) => {
@@ -258,24 +260,31 @@
         }
     }
 
-    pub(super) fn adopt(&mut self, now: Micros, record: &EpochRecord, mark: u64, out: &mut Vec<Effect>) {
+    pub(super) fn adopt(
+        &mut self,
+        now: Micros,
+        record: &EpochRecord,
+        store_version: u64,
+        out: &mut Vec<Effect>,
+    ) {
         let ring_before = self.membership.ring.clone();
-        self.membership.aside = self.aside.away().is_some();
-        self.aside.epoch(now);
+        self.membership.aside = self.step_down.away().is_some();
+        self.step_down.epoch(now);
         self.strays.fill_with(MisroutedHeartbeats::default);
-        let follows = self.membership.adopt(now, record, mark);
+        let follows = self.membership.adopt(now, record, store_version);
         tracing::info!(epoch = record.epoch, members = ?record.members.iter().map(|(n, _)| n).collect::<Vec<_>>(), follows, "epoch adopted");
         self.hand_over(now, follows);
         self.testify(now, record, follows);
-        self.home.adopt(now, &self.membership, follows, |job| ring_before.owner(&format!("job/{job}")));
-        self.owner.adopt(&self.membership, follows);
+        self.machine_shard
+            .adopt(now, &self.membership, follows, |job| ring_before.owner(&format!("job/{job}")));
+        self.job_shard.adopt(&self.membership, follows);
         self.pacts_anew();
         self.batches_anew();
         self.loans_anew();
         // All records are read again, by everybody.
         self.standing_in.clear();
-        self.teams.unread();
-        self.roll.unread();
+        self.quota.unread();
+        self.machine_registry.unread();
         self.acked.fill(0);
         self.sent_seq.fill(0);
         self.release_held(now, out);
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -13,17 +13,17 @@
 impl Controller {
     /// An operator's request has come.
     pub(super) fn operator(&mut self, now: Micros, ticket: u64, request: OpRequest, out: &mut Vec<Effect>) {
-        if self.pacts.operating.len() >= MOST {
+        if self.coordination.operating.len() >= MOST {
             return out.push(Effect::Reply(ticket, Reply::later("overloaded")));
         }
-        self.pacts.operating.push(Operating { ticket, request, began: now });
+        self.coordination.operating.push(Operating { ticket, request, began: now });
         self.operate(now, out);
     }
 
     /// Goes on with requests that wait for a record.
     pub(super) fn operate(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        for o in std::mem::take(&mut self.pacts.operating) {
-            let reply = if !self.membership.may_act(now) {
+        for o in std::mem::take(&mut self.coordination.operating) {
+            let reply = if !self.membership.is_leader(now) {
                 Some(Reply::later("not able to act"))
             } else if now.since(o.began) >= PATIENCE {
                 Some(Reply::later("the records could not be read or changed in time"))
@@ -38,17 +38,17 @@
             match reply {
                 Some(r) => out.push(Effect::Reply(o.ticket, r)),
                 // A change under way answers when it is on record.
-                None if self.pacts.replying.remove(&o.ticket) => {}
-                None => self.pacts.operating.push(o),
+                None if self.coordination.replying.remove(&o.ticket) => {}
+                None => self.coordination.operating.push(o),
             }
         }
     }
 
     /// Why a job of ours waits.
     pub(super) fn why(&self, id: &str) -> Option<Reply> {
-        let j = self.owner.jobs.get(id)?;
+        let j = self.job_shard.jobs.get(id)?;
         let on: Vec<&str> = j.waits_for().collect();
-        let stance = self.owner.stance(id).map_or("pending", |s| s.0);
+        let stance = self.job_shard.stance(id).map_or("pending", |s| s.0);
         Some(Reply::json(
             200,
             &json!({"uid": id, "stance": stance, "waits_for": on, "held": j.hold().map(|h| h.why())}),
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -7,7 +7,7 @@
     /// The newest epoch that others may take it from us that we know. One that has stepped aside says
     /// so by naming the epoch without it: nobody need wait for its lease to end.
     pub(super) fn known_epoch(&self) -> (u64, Vec<u32>) {
-        let aside = self.membership.aside || self.restraint.aside();
+        let aside = self.membership.aside || self.flap_damping.aside();
         if let (true, Some((record, ..))) = (aside, &self.seen)
             && record.epoch > self.membership.epoch
             && !self.membership.is_in(record)
@@ -42,7 +42,7 @@
             boot: self.boot,
             echo,
             echo_boot,
-            digest_seen: self.owner.digest_seen(to, self.membership.epoch),
+            digest_seen: self.job_shard.digest_seen(to, self.membership.epoch),
             body,
         }
     }
@@ -59,7 +59,7 @@
             self.clocks[from] = (f.boot, f.clock);
             echo = if f.echo_boot == self.boot && f.echo <= now { f.echo } else { Micros(0) };
             self.membership.heard_from(from, f.epoch, echo);
-            self.aside.echo(from, echo);
+            self.step_down.echo(from, echo);
             self.membership.spoke(now, from, f.epoch);
             // By a member's word only: those that keep out of the ring would take one another's for it.
             if f.members.contains(&f.from) {
@@ -76,40 +76,41 @@
         }
         match f.body {
             Message::State(wishes, digest) if same => {
-                let fleet = &self.fleet;
-                if self.home.wanted(now, from, &wishes, &self.membership, |k| fleet.room(k)) {
-                    self.home.said(from, echo, f.digest_seen);
+                let fleet = &self.autoscaler;
+                if self.machine_shard.wanted(now, from, &wishes, &self.membership, |k| fleet.room(k)) {
+                    self.machine_shard.said(from, echo, f.digest_seen);
                 }
-                self.owe_ack[from] |= self.owner.digest(now, &self.membership, from, digest);
+                self.owe_ack[from] |= self.job_shard.digest(now, &self.membership, from, digest);
                 // What we hold of our own machines needs no frame.
                 if from == self.settings.me {
-                    self.acked[from] = self.owner.digest_seen(from, self.membership.epoch);
+                    self.acked[from] = self.job_shard.digest_seen(from, self.membership.epoch);
                 }
             }
-            Message::Demands(d) if same => self.fleet.demand(now, from, d),
+            Message::Demands(d) if same => self.autoscaler.demand(now, from, d),
             Message::Reserve(list) if same && from != self.settings.me => {
-                self.owner.others_reserve(now, from, list);
+                self.job_shard.others_reserve(now, from, list);
             }
             Message::ScalingPlan { drain, gone, kept, kept_machines }
                 if same && self.membership.decider() == Some(from) =>
             {
-                self.owner.keep(kept, kept_machines);
-                self.home.fleet(&drain.into_iter().collect(), &gone);
+                self.job_shard.keep(kept, kept_machines);
+                self.machine_shard.fleet(&drain.into_iter().collect(), &gone);
             }
             Message::MisroutedHeartbeats(list) if same => {
-                let (home, m) = (&self.home, &self.membership);
-                let ours =
-                    list.into_iter().filter(|n| m.home(n) == Some(m.me) && home.is_gone(n) == Some(false));
-                self.aside.stray(now, ours);
+                let (home, m) = (&self.machine_shard, &self.membership);
+                let ours = list
+                    .into_iter()
+                    .filter(|n| m.machine_leader(n) == Some(m.me) && home.is_gone(n) == Some(false));
+                self.step_down.stray(now, ours);
             }
             Message::Lending(told) if same && from != self.settings.me => {
-                self.owner.others_lend(now, from, told)
+                self.job_shard.others_lend(now, from, told)
             }
-            Message::InheritedPriorities(list) if same => self.owner.urged_by(from, list),
+            Message::InheritedPriorities(list) if same => self.job_shard.urged_by(from, list),
             Message::Handoff { number, parcel } if same => self.parcel(now, from, f.boot, number, parcel),
             Message::ReplicateStarts { rev, since, added, dropped } if same && from != self.settings.me => {
                 let c = Changes { rev, since, added, dropped };
-                if let Some(rev) = self.witness.heard(from, f.boot, c)
+                if let Some(rev) = self.start_replica.heard(from, f.boot, c)
                     && self.reads(from, handoff::FORM)
                 {
                     out.push(Effect::Send(from, self.envelope(now, from, Message::StartsReplicated(rev))));
@@ -119,11 +120,11 @@
             // Who leaves the ring hands over in an epoch that it doesn't adopt. An older process of ours had other
             // numbers.
             Message::HandoffAck(numbers) if f.echo_boot == self.boot => {
-                self.handover.acknowledged(from, &numbers);
+                self.handoff.acknowledged(from, &numbers);
             }
             Message::ForwardRequest { id, request } => self.user(now, Caller::Peer(from, id), request, out),
             Message::ForwardResponse { id, reply } => {
-                if let Some(a) = self.asked.remove(&id) {
+                if let Some(a) = self.forwarded.remove(&id) {
                     // One that is in a newer epoch than ours can't have started it in this one: that it is new stays worth
                     // saying.
                     if reply.status == 200 && f.epoch <= self.membership.epoch {
@@ -163,19 +164,20 @@
             // Changes are gathered for a moment: a frame costs more than what it says.
             let soon = if p == self.settings.me { period.0 / 25 } else { period.0 / 5 };
             let gap = now.since(self.sent[p]);
-            let news = self.home.seq() > self.sent_seq[p] || self.owe_ack[p];
-            if gap < period && (gap.0 < soon || !(news || self.owner.has_news(p, &self.membership))) {
+            let news = self.machine_shard.seq() > self.sent_seq[p] || self.owe_ack[p];
+            if gap < period && (gap.0 < soon || !(news || self.job_shard.has_news(p, &self.membership))) {
                 continue;
             }
             self.sent[p] = now;
-            self.sent_seq[p] = self.home.seq();
+            self.sent_seq[p] = self.machine_shard.seq();
             self.owe_ack[p] = false;
             let wishes = match self.membership.members.contains(&p) {
-                true => self.owner.wanted(p, &self.membership),
+                true => self.job_shard.wanted(p, &self.membership),
                 false => DesiredState::default(),
             };
-            let fleet = &self.fleet;
-            let digest = self.home.digest(now, &self.membership, p, self.acked[p], |k| fleet.room(k));
+            let fleet = &self.autoscaler;
+            let digest =
+                self.machine_shard.digest(now, &self.membership, p, self.acked[p], |k| fleet.room(k));
             let f = self.envelope(now, p, Message::State(wishes, digest));
             if p == self.settings.me { own.push(f) } else { out.push(Effect::Send(p, f)) }
         }
@@ -192,22 +194,22 @@
                 }
             }
             for p in (0..n).filter(|&p| p != self.settings.me) {
-                let list = self.owner.reserved().to_vec();
+                let list = self.job_shard.reserved().to_vec();
                 out.push(Effect::Send(p, self.envelope(now, p, Message::Reserve(list))));
             }
             if let Some(d) = self.membership.decider() {
-                let f = self.envelope(now, d, Message::Demands(self.owner.demands()));
+                let f = self.envelope(now, d, Message::Demands(self.job_shard.demands()));
                 if d == self.settings.me {
                     own.push(f)
                 } else {
                     out.push(Effect::Send(d, f))
                 }
-                if d == self.settings.me && self.fleet.steers {
+                if d == self.settings.me && self.autoscaler.steers {
                     for p in 0..n {
-                        let drain = self.fleet.drain.iter().cloned().collect();
-                        let kept = self.fleet.kept.clone();
-                        let gone = self.fleet.gone();
-                        let kept_machines = self.fleet.reserve.clone().into_iter().collect();
+                        let drain = self.autoscaler.drain.iter().cloned().collect();
+                        let kept = self.autoscaler.kept.clone();
+                        let gone = self.autoscaler.gone();
+                        let kept_machines = self.autoscaler.reserve.clone().into_iter().collect();
                         let f =
                             self.envelope(now, p, Message::ScalingPlan { drain, gone, kept, kept_machines });
                         if p == self.settings.me { own.push(f) } else { out.push(Effect::Send(p, f)) }
--- a/src/controller/peer_traffic/tests.rs
+++ b/src/controller/peer_traffic/tests.rs
@@ -10,6 +10,6 @@
     let mut n = node();
     let members = [("c0", 5), ("c1", 1), ("c2", 1)].map(|(m, boot)| (m.to_owned(), boot));
     n.seen = Some((EpochRecord { epoch: 8, members: members.to_vec() }, 9, at(2000)));
-    n.restraint.registers(true);
+    n.flap_damping.registers(true);
     assert_eq!(n.known_epoch(), (8, vec![1, 2]));
 }
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -88,11 +88,11 @@
         }
         let (began, class, wall) = (a.began, a.spec.class.clone(), self.wall.0);
         if says.night.is_none() {
-            if self.pacts.listed.is_none() {
+            if self.coordination.listed.is_none() {
                 return Gate::Wait;
             }
             let sets: Vec<(Phase, Release)> = self
-                .pacts
+                .coordination
                 .shelf
                 .iter()
                 .filter_map(|(_, h)| match h {
@@ -143,7 +143,7 @@
         }
         self.inherit_dues();
         let sets: Vec<(Key, CoordinationRecord)> = self
-            .pacts
+            .coordination
             .shelf
             .iter()
             .filter(|(k, _)| self.keeps_pact(k))
@@ -160,7 +160,7 @@
             }
         }
         let held: Vec<(String, Key, u8)> = self
-            .owner
+            .job_shard
             .held_jobs()
             .filter(|(_, _, h)| matches!(h, Hold::Release(_)))
             .filter_map(|(id, j, _)| {
@@ -178,8 +178,8 @@
                 }
             }
         }
-        self.owner.releases_need(needs);
-        let live: BTreeSet<&Key> = self.pacts.shelf.iter().map(|(k, _)| k).collect();
+        self.job_shard.releases_need(needs);
+        let live: BTreeSet<&Key> = self.coordination.shelf.iter().map(|(k, _)| k).collect();
         self.releases.closed_at.retain(|(k, _), _| live.contains(k));
         self.releases.pages.retain(|(k, _), _| live.contains(k));
         self.releases.checked.retain(|k, _| live.contains(k));
@@ -188,16 +188,16 @@
     /// Rebuilds and renders of ours are due when their release is: of two titles, what is due first goes first.
     fn inherit_dues(&mut self) {
         let mut dues: BTreeMap<Key, Option<Micros>> = BTreeMap::new();
-        let members = self.owner.jobs.iter().filter(|(_, j)| !j.spec.rotates());
+        let members = self.job_shard.jobs.iter().filter(|(_, j)| !j.spec.rotates());
         let members: Vec<(String, Key)> =
             members.filter_map(|(id, j)| Some((id.clone(), j.spec.release.as_ref()?.key()?))).collect();
         for (id, key) in members {
-            let shelf = &self.pacts.shelf;
+            let shelf = &self.coordination.shelf;
             let due = *dues.entry(key).or_insert_with_key(|key| match shelf.get(key) {
                 Held::Is(r) => priority_inheritance::of_set(&Release::read(r).ok()?, [])?.due.map(Micros),
                 _ => None,
             });
-            self.owner.due(&id, due);
+            self.job_shard.due(&id, due);
         }
     }
 
@@ -251,8 +251,8 @@
             // Only what is on record lets a task start: a controller that comes next must find the same.
             Readiness::Open => {
                 tracing::info!(job = id, record = %key.head(), "rotation released");
-                self.owner.note_time(self.wall);
-                self.owner.lift(id);
+                self.job_shard.note_time(self.wall);
+                self.job_shard.lift(id);
             }
             Readiness::Ready(next) => {
                 if self.change_pact(now, key, next, Vec::new(), None, out) {
@@ -264,7 +264,7 @@
                 if why.len() > CAUSES {
                     text.push(format!("and {} more", why.len() - CAUSES));
                 }
-                self.owner.hold(id, Hold::Release(text.join("; ")));
+                self.job_shard.hold(id, Hold::Release(text.join("; ")));
             }
         }
         known
@@ -390,7 +390,7 @@
         let night = match night {
             Some(n) => n.clone(),
             None if !self.list_since(o.began) => return None,
-            None => match self.pacts.latest.get(title) {
+            None => match self.coordination.latest.get(title) {
                 Some(n) => n.clone(),
                 None => return Some(self.no_such_title(title)),
             },
@@ -465,7 +465,7 @@
     }
 
     fn no_such_title(&self, title: &str) -> Reply {
-        let known = self.pacts.latest.keys().map(String::as_str);
+        let known = self.coordination.latest.keys().map(String::as_str);
         let like = nearest(title, known).map(|t| format!("; the nearest is {t}")).unwrap_or_default();
         Reply::error(404, &format!("no release of {title} is on record{like}"))
     }
@@ -474,7 +474,7 @@
     pub(super) fn release_status(&self) -> Vec<Value> {
         let of = |key: &Key| {
             let (title, night) = release_ref::named(key)?;
-            Some(match self.pacts.shelf.get(key) {
+            Some(match self.coordination.shelf.get(key) {
                 Held::Is(r) => match Release::read(r) {
                     Ok(b) => json!({"title": title, "night": night, "phase": r.phase, "version": r.version,
                         "late": b.is_late(self.wall.0), "closed_by": b.closed_by, "waived": b.waived.len(),
@@ -487,6 +487,6 @@
                 Held::Unread | Held::Absent => return None,
             })
         };
-        self.pacts.listed_keys.iter().filter_map(of).collect()
+        self.coordination.listed_keys.iter().filter_map(of).collect()
     }
 }
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -127,7 +127,7 @@
         match self.mode {
             Mode::Off | Mode::Without => true,
             Mode::On | Mode::Asking => {
-                m.job_owner(&key.job) != Some(m.me)
+                m.job_leader(&key.job) != Some(m.me)
                     || owner.vouched(machine, key).is_some_and(|item| self.told.witnessed(&item))
             }
         }
@@ -218,7 +218,7 @@
         let processes: Vec<(usize, u64)> =
             record.members.iter().filter_map(|(n, boot)| Some((number(n)?, *boot))).collect();
         let me = self.settings.me;
-        let w = &mut self.witness;
+        let w = &mut self.start_replica;
         let all_read =
             w.ring.1.iter().all(|(n, boot)| *n == me || w.forms.get(boot).is_some_and(|f| *f >= FORM));
         let (epoch, before) = std::mem::replace(&mut w.ring, (record.epoch, processes));
@@ -251,16 +251,16 @@
         if !follows {
             return;
         }
-        for (to, _) in self.witness.ring.1.clone().into_iter().filter(|p| !before.contains(p)) {
-            let gone = self.home.gone_for(to, &self.membership);
-            self.handover.pack_gone(now, to, gone);
+        for (to, _) in self.start_replica.ring.1.clone().into_iter().filter(|p| !before.contains(p)) {
+            let gone = self.machine_shard.gone_for(to, &self.membership);
+            self.handoff.pack_gone(now, to, gone);
         }
         let members: Vec<u32> = before.iter().map(|(n, _)| *n as u32).collect();
         let none = Stream::default();
         for (of, boot) in gone {
             let s = streams.get(&of).filter(|s| s.boot == boot && s.epoch > 0).unwrap_or(&none);
             for to in self.membership.members.clone() {
-                let theirs = |job: &str| self.membership.job_owner(job) == Some(to);
+                let theirs = |job: &str| self.membership.job_leader(job) == Some(to);
                 let t = ReplicatedStarts {
                     of: of as u32,
                     epoch,
@@ -272,9 +272,9 @@
                     fresh: fresh.iter().filter(|id| theirs(id)).cloned().collect(),
                 };
                 if to == me {
-                    self.witness.testified(me, t);
+                    self.start_replica.testified(me, t);
                 } else {
-                    self.handover.pack_testimony(now, to, t);
+                    self.handoff.pack_testimony(now, to, t);
                 }
             }
         }
@@ -282,14 +282,14 @@
 
     /// Where all witnesses of one that is there no more have spoken, its jobs need not wait for its machines.
     pub(super) fn hear_witnesses(&mut self, now: Micros) {
-        if !self.owner.loaded {
+        if !self.job_shard.loaded {
             return;
         }
-        for of in self.witness.cases.keys().copied().collect::<Vec<_>>() {
-            let Some(word) = self.witness.together(of) else { continue };
-            self.witness.cases.remove(&of);
+        for of in self.start_replica.cases.keys().copied().collect::<Vec<_>>() {
+            let Some(word) = self.start_replica.together(of) else { continue };
+            self.start_replica.cases.remove(&of);
             // It went on without witnesses: they don't know all.
-            if self.witness.without.get(&of).is_some_and(|w| *w >= word.epoch) {
+            if self.start_replica.without.get(&of).is_some_and(|w| *w >= word.epoch) {
                 continue;
             }
             let ring = |members: &Vec<u32>| {
@@ -297,54 +297,54 @@
                 Ring::new(&self.settings.members, &members)
             };
             let rings: Vec<Ring> = word.rings.iter().map(ring).collect();
-            let helped = self.owner.witnessed(now, of, &rings, &word.items);
+            let helped = self.job_shard.witnessed(now, of, &rings, &word.items);
             let (epoch, items) = (word.epoch, word.items.len());
             tracing::info!(epoch, of = %self.settings.members[of], jobs = helped, items, "witnesses heard");
-            self.witness.taken += helped;
+            self.start_replica.taken += helped;
         }
     }
 
     /// Tells the witnesses what has changed, before it may have effect.
     pub(super) fn vouch(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if !self.takes_part() || self.witness.mode == Mode::Without {
+        if !self.takes_part() || self.start_replica.mode == Mode::Without {
             return;
         }
-        if self.witness.is_off(self.settings.me) {
-            self.witness.mode = Mode::Off;
+        if self.start_replica.is_off(self.settings.me) {
+            self.start_replica.mode = Mode::Off;
             return;
         }
         // One witness will do, and costs half of what two do: the next member by number, and all if that one is silent.
         let n = self.settings.members.len();
         let others =
             (1..n).map(|i| (self.settings.me + i) % n).filter(|p| self.membership.members.contains(p));
-        let silent = now.since(self.witness.last_noted) >= SECOND;
+        let silent = now.since(self.start_replica.last_noted) >= SECOND;
         let asked = others.take(if silent { n } else { 1 });
         let asked: Vec<usize> = asked.collect();
         if let (false, [first]) = (silent, &asked[..])
-            && !self.witness.told.waits(*first)
+            && !self.start_replica.told.waits(*first)
         {
-            (0..n).filter(|p| p != first).for_each(|p| self.witness.told.forget(p));
+            (0..n).filter(|p| p != first).for_each(|p| self.start_replica.told.forget(p));
         }
         let due: Vec<usize> =
-            asked.into_iter().filter(|&p| now.since(self.witness.last_told[p]) >= GATHER).collect();
+            asked.into_iter().filter(|&p| now.since(self.start_replica.last_told[p]) >= GATHER).collect();
         if due.is_empty() {
             return;
         }
         // What the homes are to hear is noted here too.
-        self.owner.has_news(self.settings.me, &self.membership);
-        for (item, there) in self.owner.vouch_changes() {
-            self.witness.told.set(item, there);
+        self.job_shard.has_news(self.settings.me, &self.membership);
+        for (item, there) in self.job_shard.vouch_changes() {
+            self.start_replica.told.set(item, there);
         }
         let mut waits = true;
         for p in due {
-            let w = &mut self.witness;
+            let w = &mut self.start_replica;
             waits &= w.told.waits(p);
             let again = w.told.waits(p) && now.since(w.last_told[p]) >= self.settings.digest;
             // It may have been replaced by an older version since the epoch began.
             if !(w.told.has_news(p) || again) || !self.reads(p, FORM) {
                 continue;
             }
-            let w = &mut self.witness;
+            let w = &mut self.start_replica;
             w.last_told[p] = now;
             if let Some(Changes { rev, since, added, dropped }) = w.told.tell(p) {
                 out.push(Effect::Send(
@@ -353,13 +353,13 @@
                 ));
             }
         }
-        let w = &mut self.witness;
+        let w = &mut self.start_replica;
         if !waits {
             w.last_noted = now;
         } else if w.mode == Mode::On
             && now.since(w.last_noted) >= PATIENCE
             && now >= w.next_try
-            && self.membership.may_act(now)
+            && self.membership.is_leader(now)
         {
             tracing::info!(epoch = self.membership.epoch, "no witness answers: going on without");
             w.mode = Mode::Asking;
@@ -382,23 +382,23 @@
 
     /// A witness holds what that message said: starts that waited for it may go out.
     pub(super) fn noted(&mut self, now: Micros, from: usize, rev: u64) {
-        self.witness.last_noted = now;
-        for item in self.witness.told.noted(from, rev) {
+        self.start_replica.last_noted = now;
+        for item in self.start_replica.told.noted(from, rev) {
             if let ReplicatedItem::Start { machine, .. } = item {
-                self.home.freshen(&machine);
+                self.machine_shard.freshen(&machine);
             }
         }
     }
 
     /// It is on record, or not, that we go on without witnesses.
     pub(super) fn unwitnessed(&mut self, now: Micros, epoch: u64, done: bool) {
-        if epoch != self.membership.epoch || self.witness.mode != Mode::Asking {
+        if epoch != self.membership.epoch || self.start_replica.mode != Mode::Asking {
             return;
         }
-        self.witness.mode = if done { Mode::Without } else { Mode::On };
-        self.witness.next_try = now + Micros::from_millis(500);
+        self.start_replica.mode = if done { Mode::Without } else { Mode::On };
+        self.start_replica.next_try = now + Micros::from_millis(500);
         if done {
-            self.home.freshen_all();
+            self.machine_shard.freshen_all();
         }
     }
 
@@ -409,12 +409,12 @@
         let Some(number) = number else { return };
         match row.value.get("epoch").and_then(Value::as_u64) {
             Some(epoch) => {
-                self.witness.without.insert(number, epoch);
+                self.start_replica.without.insert(number, epoch);
             }
             None => {
                 // What can't be read is taken for the worst.
                 tracing::error!(key = %row.key, "unreadable record; its controller's witnesses don't count");
-                self.witness.without.insert(number, self.membership.epoch.saturating_sub(1));
+                self.start_replica.without.insert(number, self.membership.epoch.saturating_sub(1));
             }
         }
     }
--- a/src/controller/state_store_io.rs
+++ b/src/controller/state_store_io.rs
@@ -6,7 +6,7 @@
     /// Every change carries this condition: a controller that has been deposed can't write, not
     /// even by a transaction that is applied late.
     pub(super) fn fence(&self) -> (String, u64) {
-        (EPOCH_KEY.into(), self.membership.mark)
+        (EPOCH_KEY.into(), self.membership.store_version)
     }
 
     pub(super) fn ask_store(&mut self, p: PendingStoreRequest, r: StoreRequest, out: &mut Vec<Effect>) {
@@ -58,17 +58,17 @@
                         tracing::error!(key = %row.key, "unreadable page of machines");
                         continue;
                     };
-                    self.roll.take(&row.key, &list, row.mark);
+                    self.machine_registry.take(&row.key, &list, row.store_version);
                     for (name, r) in list {
-                        if self.membership.home(&name) == Some(self.settings.me) {
-                            self.home.recorded(now, &name, r);
+                        if self.membership.machine_leader(&name) == Some(self.settings.me) {
+                            self.machine_shard.recorded(now, &name, r);
                         }
                         self.machines_on_record.push(name);
                     }
                 }
                 Load::QuotaLedger => {
                     if let Some(team) = row.key.strip_prefix("team/") {
-                        self.teams.take(team, Some((&row.value, row.mark)));
+                        self.quota.take(team, Some((&row.value, row.store_version)));
                     }
                 }
                 _ => self.unwitnessed_on_record(&row),
@@ -86,12 +86,12 @@
         };
         if self.load == Load::Done {
             let names = std::mem::take(&mut self.machines_on_record);
-            self.owner.load_done(names.into_iter());
-            let (jobs, ..) = self.owner.counts();
+            self.job_shard.load_done(names.into_iter());
+            let (jobs, ..) = self.job_shard.counts();
             tracing::info!(
                 epoch = self.membership.epoch,
                 jobs,
-                machines = self.owner.unheard(),
+                machines = self.job_shard.unheard(),
                 "records read"
             );
             self.unpack(now);
@@ -101,16 +101,19 @@
     /// Takes a job's record; false if it can't be read, in which case nothing may be said of the job.
     pub(super) fn take_job_row(&mut self, row: KeyValue) -> bool {
         let Some(id) = row.key.strip_prefix("job/") else { return false };
-        if self.membership.job_owner(id) != Some(self.settings.me) {
+        if self.membership.job_leader(id) != Some(self.settings.me) {
             return true;
         }
         match JobShard::read_record(&row.value) {
             Some((raw, spec, accepted, done)) if spec.id == id => {
                 // Of one that we know the latest write may be our own, and says nothing of what it had before us.
-                let unknown = !self.owner.jobs.contains_key(id);
-                self.owner.insert(raw, spec, accepted, done, row.mark, false);
-                if unknown && self.owner.jobs.contains_key(id) && row.mark > self.membership.mark {
-                    self.owner.maybe_new(self.last_round, id);
+                let unknown = !self.job_shard.jobs.contains_key(id);
+                self.job_shard.insert(raw, spec, accepted, done, row.store_version, false);
+                if unknown
+                    && self.job_shard.jobs.contains_key(id)
+                    && row.store_version > self.membership.store_version
+                {
+                    self.job_shard.maybe_new(self.last_round, id);
                 }
                 true
             }
@@ -187,7 +190,7 @@
             // live again here. Each epoch has what it keeps read anew.
             PendingStoreRequest::Verify(id, epoch) if epoch == self.membership.epoch => match a {
                 StoreAnswer::Got(Some(row)) => {
-                    if let Some(j) = self.owner.jobs.get_mut(&id) {
+                    if let Some(j) = self.job_shard.jobs.get_mut(&id) {
                         j.writing = false;
                         self.take_job_row(row);
                     }
@@ -196,14 +199,14 @@
                     let purpose = PendingStoreRequest::VerifyEnd(id.clone(), epoch);
                     self.ask_store(purpose, StoreRequest::Get(format!("done/{id}")), out);
                 }
-                _ => self.owner.write_failed(now, &id, false),
+                _ => self.job_shard.write_failed(now, &id, false),
             },
             PendingStoreRequest::VerifyEnd(id, epoch) if epoch == self.membership.epoch => match a {
                 StoreAnswer::Got(Some(row)) => match read_end(&row.value) {
                     Some((f, _)) => self.end(now, &id, f, out),
                     None => tracing::error!(job = %id, "unreadable final record"),
                 },
-                _ => self.owner.write_failed(now, &id, false),
+                _ => self.job_shard.write_failed(now, &id, false),
             },
             PendingStoreRequest::Verify(..) | PendingStoreRequest::VerifyEnd(..) => {}
             // Guards against the answer to an earlier reading of the same job, which is older than those who wait now.
@@ -224,7 +227,7 @@
                 StoreAnswer::Got(row) => {
                     if let Some(row) = row {
                         match read_end(&row.value) {
-                            Some((f, done)) => self.owner.remember_final(&id, f, done),
+                            Some((f, done)) => self.job_shard.remember_final(&id, f, done),
                             None => {
                                 tracing::error!(job = %id, "unreadable final record");
                                 return self.looked_up(now, &id, false, out);
@@ -236,41 +239,43 @@
                 _ => self.looked_up(now, &id, false, out),
             },
             PendingStoreRequest::MachineRegistry(epoch, w) if epoch == self.membership.epoch => match a {
-                StoreAnswer::Committed(mark) => {
-                    self.roll.written(&w, mark);
+                StoreAnswer::Committed(store_version) => {
+                    self.machine_registry.written(&w, store_version);
                     for n in &w.names {
-                        self.home.on_record(n);
+                        self.machine_shard.on_record(n);
                     }
                 }
-                a => self.roll.failed(w.page, a == StoreAnswer::Refused),
+                a => self.machine_registry.failed(w.page, a == StoreAnswer::Refused),
             },
             PendingStoreRequest::ReadPage(epoch, page) if epoch == self.membership.epoch => {
                 let read = match &a {
                     StoreAnswer::Got(None) => Some((0, Vec::new())),
                     StoreAnswer::Got(Some(row)) => {
-                        Some((row.mark, machine_registry::read(&row.value).unwrap_or_default()))
+                        Some((row.store_version, machine_registry::read(&row.value).unwrap_or_default()))
                     }
                     _ => None,
                 };
-                let read = read.as_ref().map(|(mark, rows)| (*mark, rows.as_slice()));
+                let read = read.as_ref().map(|(store_version, rows)| (*store_version, rows.as_slice()));
                 // Guards against machines that get no work for as long as no write of their page is answered.
-                for n in self.roll.read_back(page, read) {
-                    self.home.on_record(&n);
+                for n in self.machine_registry.read_back(page, read) {
+                    self.machine_shard.on_record(&n);
                 }
             }
             // Of an epoch that has passed: the page has been read again since.
             PendingStoreRequest::MachineRegistry(..) | PendingStoreRequest::ReadPage(..) => {}
             PendingStoreRequest::Claim(w) => match a {
-                StoreAnswer::Committed(mark) => {
-                    self.teams.committed(w, mark);
-                    self.owner.replan = true;
+                StoreAnswer::Committed(store_version) => {
+                    self.quota.committed(w, store_version);
+                    self.job_shard.replan = true;
                 }
-                StoreAnswer::Conflict(_) | StoreAnswer::Refused => self.teams.failed(&w, true),
-                _ => self.teams.failed(&w, false),
+                StoreAnswer::Conflict(_) | StoreAnswer::Refused => self.quota.failed(&w, true),
+                _ => self.quota.failed(&w, false),
             },
             PendingStoreRequest::ReadTeam(team) => match a {
-                StoreAnswer::Got(row) => self.teams.take(&team, row.as_ref().map(|r| (&r.value, r.mark))),
-                _ => self.teams.reread(&team),
+                StoreAnswer::Got(row) => {
+                    self.quota.take(&team, row.as_ref().map(|r| (&r.value, r.store_version)))
+                }
+                _ => self.quota.reread(&team),
             },
         }
     }
@@ -284,12 +289,12 @@
         out: &mut Vec<Effect>,
     ) {
         match (a, w) {
-            (StoreAnswer::Committed(mark), RecordWrite::Progress(_, kept)) => {
-                self.owner.progress_written(now, id, kept, mark);
+            (StoreAnswer::Committed(store_version), RecordWrite::Progress(_, kept)) => {
+                self.job_shard.progress_written(now, id, kept, store_version);
             }
             (StoreAnswer::Committed(_), RecordWrite::End(f, _)) => self.end(now, id, f, out),
             (a, w) => {
-                self.owner.write_failed(now, id, a == StoreAnswer::Refused);
+                self.job_shard.write_failed(now, id, a == StoreAnswer::Refused);
                 if matches!(w, RecordWrite::End(..)) {
                     for o in self.withdrawing.remove(id).unwrap_or_default() {
                         self.reply(now, o, Reply::later("the job's end could not be put on record"), out);
@@ -304,8 +309,8 @@
             return;
         }
         self.next_team_plan = now + Micros::from_millis(100);
-        let needs = self.owner.needs(&self.teams);
-        for team in self.teams.reads(now, &needs) {
+        let needs = self.job_shard.needs(&self.quota);
+        for team in self.quota.reads(now, &needs) {
             self.ask_store(
                 PendingStoreRequest::ReadTeam(team.clone()),
                 StoreRequest::Get(format!("team/{team}")),
@@ -313,25 +318,25 @@
             );
         }
         let none = Vec::new();
-        for team in self.teams.names() {
+        for team in self.quota.names() {
             let m = &self.membership;
             let me = self.settings.me;
             let list = needs.get(&team).unwrap_or(&none);
-            let w = self.teams.plan(
+            let w = self.quota.plan(
                 now,
                 &team,
                 list,
-                |j| m.job_owner(j) == Some(me),
-                |j| self.owner.released(j),
+                |j| m.job_leader(j) == Some(me),
+                |j| self.job_shard.released(j),
                 self.settings.value_bytes,
             );
             let Some(w) = w else { continue };
             if !self.writes.take(now, 1.0, 0.5) {
                 break;
             }
-            self.teams.sent(now, &w);
+            self.quota.sent(now, &w);
             let c = Transaction {
-                conditions: vec![self.fence(), (format!("team/{team}"), w.mark)],
+                conditions: vec![self.fence(), (format!("team/{team}"), w.store_version)],
                 puts: vec![(format!("team/{team}"), w.value.clone(), None)],
                 drops: Vec::new(),
             };
@@ -343,11 +348,11 @@
         if now < self.store_pause || self.in_flight.len() > IN_FLIGHT {
             return;
         }
-        while let Some(id) = self.owner.next_verify() {
+        while let Some(id) = self.job_shard.next_verify() {
             if !self.requests.take(now, 2.0, 0.2) {
                 break;
             }
-            if let Some(j) = self.owner.jobs.get_mut(&id) {
+            if let Some(j) = self.job_shard.jobs.get_mut(&id) {
                 j.writing = true;
             }
             let purpose = PendingStoreRequest::Verify(id.clone(), self.membership.epoch);
@@ -356,43 +361,43 @@
         // The budget holds a second's worth and no more. It is kept nearly full, which costs no
         // throughput, so that a submission that comes now is not turned away.
         while self.writes.level(now) >= 0.75 && self.in_flight.len() < IN_FLIGHT {
-            let Some((id, w, mark)) = self.owner.next_write(now, true) else { break };
+            let Some((id, w, store_version)) = self.job_shard.next_write(now, true) else { break };
             self.writes.take(now, 2.0, 0.0);
-            self.commit_record(id, w, mark, out);
+            self.commit_record(id, w, store_version, out);
         }
         self.roll_loop(now, out);
         while self.writes.level(now) >= 0.9 && self.in_flight.len() < IN_FLIGHT {
-            let Some((id, w, mark)) = self.owner.next_write(now, false) else { break };
+            let Some((id, w, store_version)) = self.job_shard.next_write(now, false) else { break };
             self.writes.take(now, 1.0, 0.0);
-            self.commit_record(id, w, mark, out);
+            self.commit_record(id, w, store_version, out);
         }
     }
 
     /// Keeps our pages of the roll of machines.
     pub(super) fn roll_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        for (name, r) in self.home.to_record() {
-            self.roll.add(&name, &r);
+        for (name, r) in self.machine_shard.to_record() {
+            self.machine_registry.add(&name, &r);
         }
         if now >= self.next_prune {
             self.next_prune = now + Micros::from_millis(5000);
-            let (home, owner, m) = (&self.home, &self.owner, &self.membership);
-            self.roll.prune(|n| match home.is_gone(n) {
+            let (home, owner, m) = (&self.machine_shard, &self.job_shard, &self.membership);
+            self.machine_registry.prune(|n| match home.is_gone(n) {
                 Some(gone) => gone,
-                None => m.home(n) != Some(m.me) && owner.gone(n, m),
+                None => m.machine_leader(n) != Some(m.me) && owner.gone(n, m),
             });
             let acked: Vec<u64> = self.membership.members.iter().map(|&p| self.acked[p]).collect();
-            self.home.drop_gone(&acked);
+            self.machine_shard.drop_gone(&acked);
         }
         let epoch = self.membership.epoch;
-        while let Some((page, key)) = self.roll.next_read() {
+        while let Some((page, key)) = self.machine_registry.next_read() {
             self.ask_store(PendingStoreRequest::ReadPage(epoch, page), StoreRequest::Get(key), out);
         }
         while self.writes.level(now) >= 0.5 && self.in_flight.len() < IN_FLIGHT {
             let spare = self.writes.level(now) >= 0.9;
-            let Some(w) = self.roll.next_write(spare) else { break };
+            let Some(w) = self.machine_registry.next_write(spare) else { break };
             self.writes.take(now, 1.0, 0.0);
             let mut c = Transaction {
-                conditions: vec![self.fence(), (w.key.clone(), w.mark)],
+                conditions: vec![self.fence(), (w.key.clone(), w.store_version)],
                 ..Transaction::default()
             };
             match &w.value {
@@ -403,10 +408,16 @@
         }
     }
 
-    pub(super) fn commit_record(&mut self, id: String, w: RecordWrite, mark: u64, out: &mut Vec<Effect>) {
+    pub(super) fn commit_record(
+        &mut self,
+        id: String,
+        w: RecordWrite,
+        store_version: u64,
+        out: &mut Vec<Effect>,
+    ) {
         // The record's own version keeps a late transaction from bringing back an older state.
         let mut c = Transaction {
-            conditions: vec![self.fence(), (format!("job/{id}"), mark)],
+            conditions: vec![self.fence(), (format!("job/{id}"), store_version)],
             ..Transaction::default()
         };
         match &w {
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -33,7 +33,7 @@
             Some(o) if o != self.settings.me => match from {
                 // It would take the job without the jobs that it follows, or the pacts that it names.
                 _ if self.beyond(o, &r) => Reply::later("not every controller can run such jobs yet"),
-                Caller::Ticket(t) if self.asked.len() < WAITING_LIMIT => {
+                Caller::Ticket(t) if self.forwarded.len() < WAITING_LIMIT => {
                     return self.pass_on(now, o, Some(t), r, out);
                 }
                 _ => Reply::later("busy, or the job has moved"),
@@ -60,9 +60,9 @@
 
     /// A job's owner answers only while nobody else can be giving answers as its owner.
     pub(super) fn answers_for(&self, now: Micros, job: &str) -> bool {
-        self.membership.may_act(now)
-            && self.membership.job_owner(job) == Some(self.settings.me)
-            && self.owner.loaded
+        self.membership.is_leader(now)
+            && self.membership.job_leader(job) == Some(self.settings.me)
+            && self.job_shard.loaded
             && self.membership.others_have_stopped(now)
     }
 
@@ -79,7 +79,7 @@
             to,
             self.envelope(now, to, Message::ForwardRequest { id, request: request.clone() }),
         ));
-        self.asked.insert(id, ForwardedRequest { ticket, at: now, request });
+        self.forwarded.insert(id, ForwardedRequest { ticket, at: now, request });
     }
 
     /// Accepts a job without having seen whether it is known: its owner does not answer, or may not yet
@@ -98,7 +98,8 @@
             a.join(from);
             return true;
         }
-        if !self.membership.may_act(now) || self.fleet.types.is_empty() || self.writes.level(now) < 0.2 {
+        if !self.membership.is_leader(now) || self.autoscaler.types.is_empty() || self.writes.level(now) < 0.2
+        {
             return false;
         }
         let raw: Value = serde_json::from_str(body).unwrap_or(Value::Null);
@@ -116,7 +117,7 @@
     /// Answers a poll from the record where the job's owner can't: a live record says that nobody has told its end. Returns
     /// whether the record is asked for.
     fn peek(&mut self, now: Micros, from: Caller, id: &str, out: &mut Vec<Effect>) -> bool {
-        if !self.membership.may_act(now)
+        if !self.membership.is_leader(now)
             || now < self.store_pause
             || self.in_flight.len() >= PEEKS
             || !self.requests.take(now, 2.0, 0.3)
@@ -147,7 +148,7 @@
             _ => None,
         };
         let reply = match done {
-            Some(done) if self.membership.may_act(now) => {
+            Some(done) if self.membership.is_leader(now) => {
                 Reply::json(200, &json!({"uid": id, "stance": "pending", "done": done, "running": 0}))
             }
             _ => Reply::later("the job's owner does not answer"),
@@ -156,10 +157,10 @@
     }
 
     pub(super) fn known(&self, id: &str) -> Option<Reply> {
-        let mut body = if let Some((stance, done, running)) = self.owner.stance(id) {
+        let mut body = if let Some((stance, done, running)) = self.job_shard.stance(id) {
             json!({"uid": id, "stance": stance, "done": done, "running": running})
         } else {
-            let (f, done) = self.owner.final_of(id)?;
+            let (f, done) = self.job_shard.final_of(id)?;
             json!({"uid": id, "stance": stance_of(f), "done": done, "running": 0})
         };
         if !self.settings.operators.log_stores.is_empty() {
@@ -177,24 +178,24 @@
     ) -> Option<Reply> {
         let id = r.job().to_owned();
         if let UserRequest::Withdraw(_) = &r
-            && self.owner.jobs.contains_key(&id)
+            && self.job_shard.jobs.contains_key(&id)
         {
-            if self.owner.cancel(&id) {
+            if self.job_shard.cancel(&id) {
                 tracing::info!(job = %id, "cancellation asked for");
             }
             self.withdrawing.entry(id).or_default().push(from);
             return None;
         }
         match &r {
-            UserRequest::Why(_) if self.owner.jobs.contains_key(&id) => return self.why(&id),
-            UserRequest::Permit(_, what) if self.owner.jobs.contains_key(&id) => {
+            UserRequest::Why(_) if self.job_shard.jobs.contains_key(&id) => return self.why(&id),
+            UserRequest::Permit(_, what) if self.job_shard.jobs.contains_key(&id) => {
                 let (attempt, task) = what.split_once('/').unwrap_or_default();
                 return match (attempt.parse(), task.parse()) {
                     (Ok(attempt), Ok(task)) => self.permit(now, from, &id, attempt, task, out),
                     _ => Some(Reply::error(400, "attempt and task must be whole numbers")),
                 };
             }
-            UserRequest::Permit(..) if self.owner.final_of(&id).is_some() => {
+            UserRequest::Permit(..) if self.job_shard.final_of(&id).is_some() => {
                 return Some(Reply::error(409, "the job has ended"));
             }
             _ => {}
@@ -202,7 +203,7 @@
         if let Some(known) = self.known(&id) {
             return Some(match r {
                 UserRequest::Withdraw(_) => {
-                    let f = self.owner.final_of(&id).map_or(JobOutcome::Done, |(f, _)| f);
+                    let f = self.job_shard.final_of(&id).map_or(JobOutcome::Done, |(f, _)| f);
                     Reply::json(200, &json!({"uid": id, "stance": stance_of(f)}))
                 }
                 _ => known,
@@ -216,7 +217,7 @@
             let raw: Value = serde_json::from_str(body).unwrap_or(Value::Null);
             // One that can't be taken may still repeat a job that was: its record is read before it is turned down.
             if let Ok(spec) = JobSpec::from_value(&raw) {
-                if self.fleet.types.is_empty() {
+                if self.autoscaler.types.is_empty() {
                     return Some(Reply::later("machine types are not known yet"));
                 }
                 let raw = trimmed(&raw, &spec);
@@ -262,7 +263,7 @@
     /// Why a job can never run here, if so, by its trimmed description. Nobody is told before its record was looked for: a
     /// repeated submission may have another body than the first, which was taken.
     fn never(&self, raw: &Value, spec: &JobSpec) -> Option<String> {
-        if let Err(e) = spec.check(&self.fleet.types, &self.settings.teams) {
+        if let Err(e) = spec.check(&self.autoscaler.types, &self.settings.teams) {
             return Some(e.to_string());
         }
         let limit = self.settings.value_bytes;
@@ -330,24 +331,31 @@
         }
         let Some(acc) = self.accepting.remove(&id) else { return };
         match a {
-            StoreAnswer::Committed(mark) => {
+            StoreAnswer::Committed(store_version) => {
                 tracing::info!(job = %id, class = %acc.spec.class, team = %acc.spec.team, tasks = acc.spec.tasks, epoch, "job accepted");
-                self.raised(&id, acc.with, mark);
-                if self.membership.job_owner(&id) != Some(self.settings.me) {
+                self.raised(&id, acc.with, store_version);
+                if self.membership.job_leader(&id) != Some(self.settings.me) {
                     // Its owner reads the record when it is asked about the job, or in the next epoch.
                     self.standing_in.insert(id.clone(), now);
                     if epoch == self.membership.epoch {
-                        self.witness.stood_in(&id, &self.standing_in);
+                        self.start_replica.stood_in(&id, &self.standing_in);
                     }
                 } else {
                     // Written under an epoch that has passed, it may have been another's since, and have ended: what lives
                     // is among the records that are read in this one.
                     if epoch == self.membership.epoch {
-                        self.owner.insert(acc.raw.clone(), acc.spec, acc.wall, Ranges::default(), mark, true);
+                        self.job_shard.insert(
+                            acc.raw.clone(),
+                            acc.spec,
+                            acc.wall,
+                            Ranges::default(),
+                            store_version,
+                            true,
+                        );
                     }
                 }
                 // The end may have been told meanwhile: the record can be read before the answer to its write is here.
-                let ended = self.owner.final_of(&id).and_then(|_| self.known(&id));
+                let ended = self.job_shard.final_of(&id).and_then(|_| self.known(&id));
                 let reply =
                     ended.unwrap_or_else(|| Reply::json(201, &json!({"uid": id, "stance": "pending"})));
                 for o in acc.origins {
@@ -400,7 +408,7 @@
         asked: Vec<(Caller, UserRequest)>,
         out: &mut Vec<Effect>,
     ) {
-        if !self.owner.jobs.contains_key(id) && self.owner.final_of(id).is_none() {
+        if !self.job_shard.jobs.contains_key(id) && self.job_shard.final_of(id).is_none() {
             return self.look_up(now, id, asked, out);
         }
         for (o, r) in asked {
@@ -411,7 +419,7 @@
     }
 
     pub(super) fn end(&mut self, now: Micros, id: &str, f: JobOutcome, out: &mut Vec<Effect>) {
-        self.owner.ended(id, f);
+        self.job_shard.ended(id, f);
         for o in self.withdrawing.remove(id).unwrap_or_default() {
             self.reply(now, o, Reply::json(200, &json!({"uid": id, "stance": stance_of(f)})), out);
         }
@@ -423,7 +431,7 @@
         for (o, r) in l.waiting {
             if !read {
                 self.reply(now, o, Reply::later("the job's record could not be read"), out);
-            } else if self.owner.jobs.contains_key(id) || self.owner.final_of(id).is_some() {
+            } else if self.job_shard.jobs.contains_key(id) || self.job_shard.final_of(id).is_some() {
                 if let Some(reply) = self.own_request(now, o, r, out) {
                     self.reply(now, o, reply, out);
                 }
@@ -458,7 +466,7 @@
             now.since(a.at) >= Micros::from_millis(if poll { 600 } else { 1500 })
         };
         let slow: Vec<u64> = self
-            .asked
+            .forwarded
             .iter()
             .filter(|(_, a)| {
                 let new = a.ticket.is_some() && matches!(a.request, UserRequest::Submit(..));
@@ -467,7 +475,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in slow {
-            let Some(a) = self.asked.remove(&id) else { continue };
+            let Some(a) = self.forwarded.remove(&id) else { continue };
             let Some(ticket) = a.ticket else { continue };
             if let UserRequest::Submit(job, body) = &a.request
                 && self.accept_unseen(now, Caller::Ticket(ticket), job, body, out)
@@ -484,14 +492,14 @@
                 tracing::debug!(what, job, "request refused: its owner does not answer");
                 out.push(Effect::Reply(ticket, Reply::later("the job's owner does not answer")));
             } else {
-                self.asked.insert(id, a);
+                self.forwarded.insert(id, a);
             }
         }
         let due: Vec<String> =
             self.standing_in.iter().filter(|(_, t)| now >= **t).map(|(id, _)| id.clone()).collect();
         for job in due {
-            match self.membership.job_owner(&job) {
-                Some(o) if o != self.settings.me && self.asked.len() < WAITING_LIMIT => {
+            match self.membership.job_leader(&job) {
+                Some(o) if o != self.settings.me && self.forwarded.len() < WAITING_LIMIT => {
                     self.standing_in.insert(job.clone(), now + Micros::from_millis(1000));
                     self.pass_on(now, o, None, UserRequest::Query(job), out);
                 }
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -9,7 +9,8 @@
     let mut n = node();
     let mut told = |value: Option<Value>| {
         let mut out = Vec::new();
-        let got = StoreAnswer::Got(value.map(|value| KeyValue { key: String::new(), value, mark: 9 }));
+        let got =
+            StoreAnswer::Got(value.map(|value| KeyValue { key: String::new(), value, store_version: 9 }));
         n.peeked(at(2000), "wk-1".into(), Caller::Ticket(5), got, &mut out);
         match &out[..] {
             [Effect::Reply(5, r)] => (r.status, r.body.contains("\"stance\":\"pending\"")),
@@ -28,12 +29,12 @@
 fn owner(owns: bool) -> (Controller, String) {
     let mut n = node();
     n.membership.confirmed_by_store(NOW);
-    n.owner.load_done(std::iter::empty());
+    n.job_shard.load_done(std::iter::empty());
     n.load = Load::Done;
     let kind = json!({"sku":"k","vcpus":8,"cards":0,"ramGb":64,"cacheGb":10,"fetchGbPerS":1,"rate":1.0,"lowPrice":0.5,
         "startupS":5,"paddocks":["z"]});
     let types = [serde_json::from_value(kind).expect("a machine type")];
-    n.fleet.types = types.into_iter().map(|t: crate::spec::MachineType| (t.name.clone(), t)).collect();
+    n.autoscaler.types = types.into_iter().map(|t: crate::spec::MachineType| (t.name.clone(), t)).collect();
     let team = crate::settings::TeamSettings {
         name: "t".into(),
         cpus: 0.0,
@@ -43,7 +44,7 @@
     };
     n.settings.teams.push(team);
     let ids = (0..).map(|i| format!("wk-{i:06}"));
-    let id = ids.into_iter().find(|id| (n.membership.job_owner(id) == Some(0)) == owns).expect("a job");
+    let id = ids.into_iter().find(|id| (n.membership.job_leader(id) == Some(0)) == owns).expect("a job");
     assert_eq!(n.answers_for(NOW, &id), owns);
     (n, id)
 }
@@ -56,9 +57,9 @@
         "restS":0,"unsaddleS":0})
 }
 
-fn live(id: &str, mark: u64) -> StoreAnswer {
+fn live(id: &str, store_version: u64) -> StoreAnswer {
     let value = JobShard::record(&body(id), Micros(1), "");
-    StoreAnswer::Got(Some(KeyValue { key: format!("job/{id}"), value, mark }))
+    StoreAnswer::Got(Some(KeyValue { key: format!("job/{id}"), value, store_version }))
 }
 
 /// What an event brings about: answers to users as (ticket, status, stance), and requests to the state service.
@@ -146,11 +147,11 @@
     let (accept, _) = Told::asked(&mut n, 2, submit(&id)).commits.remove(0);
     assert_eq!(Told::by(&mut n, Event::Store(read, live(&id, 9))).one(), (1, 200, "pending".into()));
     // The epoch stands, so nobody else can have started it.
-    n.owner.epoch_stands(NOW + Micros(1));
+    n.job_shard.epoch_stands(NOW + Micros(1));
     assert!(Told::asked(&mut n, 3, UserRequest::Withdraw(id.clone())).answers.is_empty());
-    let (_, end, mark) = n.owner.next_write(NOW, true).expect("its end is due");
+    let (_, end, store_version) = n.job_shard.next_write(NOW, true).expect("its end is due");
     let mut out = Vec::new();
-    n.commit_record(id.clone(), end, mark, &mut out);
+    n.commit_record(id.clone(), end, store_version, &mut out);
     let Some(Effect::Store(write, ..)) = out.first() else { panic!("{out:?}") };
     assert_eq!(
         Told::by(&mut n, Event::Store(*write, StoreAnswer::Committed(10))).one(),
@@ -198,7 +199,7 @@
     n.ask_store(PendingStoreRequest::Verify(id.clone(), 6), StoreRequest::Get(format!("job/{id}")), &mut out);
     let Some(Effect::Store(old, ..)) = out.first() else { panic!("{out:?}") };
     Told::by(&mut n, Event::Store(*old, live(&id, 9)));
-    assert!(!n.owner.jobs.contains_key(&id));
+    assert!(!n.job_shard.jobs.contains_key(&id));
     // Nor does an acceptance that was sent in it.
     n.accept(
         NOW,
@@ -208,7 +209,7 @@
         body(&id),
         &mut out,
     );
-    n.owner.loaded = false;
+    n.job_shard.loaded = false;
     n.accepted(NOW, id.clone(), 6, StoreAnswer::Committed(9), &mut out);
-    assert!(!n.owner.jobs.contains_key(&id));
+    assert!(!n.job_shard.jobs.contains_key(&id));
 }
--- a/src/job_shard.rs
+++ b/src/job_shard.rs
@@ -92,7 +92,7 @@
     /// When it was accepted, by the time of day.
     pub accepted_wall: Micros,
     /// Version of its record.
-    pub mark: u64,
+    pub store_version: u64,
     evidence: Evidence,
     done: Ranges,
     durable: Ranges,
@@ -311,7 +311,7 @@
         self.older_silent = m.older_silent_at();
         let blame = &mut self.blame;
         self.jobs.retain(|id, _| {
-            let stays = follows && m.job_owner(id) == Some(m.me);
+            let stays = follows && m.job_leader(id) == Some(m.me);
             if !stays {
                 blame.forget(id);
             }
@@ -319,7 +319,7 @@
         });
         self.keep_waiting();
         self.endings.keep(&self.jobs);
-        self.leftovers.retain(|(id, ..), _| follows && m.job_owner(id) == Some(m.me));
+        self.leftovers.retain(|(id, ..), _| follows && m.job_leader(id) == Some(m.me));
         self.finals.clear();
         self.finals_order.clear();
         for j in self.jobs.values_mut() {
@@ -342,7 +342,7 @@
         }
         self.by_machine.retain(|_, s| !s.is_empty());
         self.left_on.clear();
-        self.open_left.retain(|id, _| follows && m.job_owner(id) == Some(m.me));
+        self.open_left.retain(|id, _| follows && m.job_leader(id) == Some(m.me));
         for ((id, idx, machine, attempt), l) in &self.leftovers {
             self.left_on.entry(machine.clone()).or_default().insert((id.clone(), *idx, *attempt), l.alive);
         }
@@ -406,7 +406,7 @@
         spec: JobSpec,
         accepted_wall: Micros,
         done: Ranges,
-        mark: u64,
+        store_version: u64,
         fresh: bool,
     ) {
         let mut spec = spec;
@@ -419,13 +419,13 @@
             return;
         }
         if let Some(j) = self.jobs.get_mut(&id) {
-            j.mark = j.mark.max(mark);
+            j.store_version = j.store_version.max(store_version);
             j.verify = false;
             return;
         }
         let job = Job {
             accepted_wall,
-            mark,
+            store_version,
             evidence: match (fresh, self.loaded, self.of_epoch) {
                 (true, ..) => Evidence::Complete,
                 (_, false, _) => Evidence::Unread,
@@ -625,12 +625,12 @@
     }
     /// One machine as its home last described it.
     pub fn seen(&self, name: &str, m: &Membership) -> Option<&MachineSnapshot> {
-        self.views.get(m.home(name)?)?.machines(m.epoch)?.get(name)
+        self.views.get(m.machine_leader(name)?)?.machines(m.epoch)?.get(name)
     }
     /// Whether a machine of another home is certainly gone: its home has spoken in this epoch and
     /// says so, or doesn't name it.
     pub fn gone(&self, name: &str, m: &Membership) -> bool {
-        let view = m.home(name).and_then(|h| self.views.get(h)?.machines(m.epoch));
+        let view = m.machine_leader(name).and_then(|h| self.views.get(h)?.machines(m.epoch));
         view.is_some_and(|v| v.get(name).is_none_or(|d| d.standing == InventoryState::Gone))
     }
     /// Whether all homes have spoken in this epoch.
--- a/src/job_shard/dependencies.rs
+++ b/src/job_shard/dependencies.rs
@@ -339,7 +339,7 @@
     /// What our waiting jobs need of one controller's jobs, and how urgent that is. Urgency passes on
     /// through jobs that wait themselves. Guarantees don't pass on: they are a team's own.
     pub fn urges(&self, owner: usize, m: &Membership) -> Vec<(String, u8)> {
-        let theirs = self.waiting.followers.iter().filter(|(p, _)| m.job_owner(p) == Some(owner));
+        let theirs = self.waiting.followers.iter().filter(|(p, _)| m.job_leader(p) == Some(owner));
         let mut list: BTreeMap<String, u8> = theirs
             .map(|(p, jobs)| {
                 let ranks = jobs.iter().filter_map(|id| self.jobs.get(id));
@@ -347,7 +347,7 @@
                 (p.clone(), ranks.max().unwrap_or(0))
             })
             .collect();
-        for (id, rank) in self.waiting.for_releases.iter().filter(|(id, _)| m.job_owner(id) == Some(owner)) {
+        for (id, rank) in self.waiting.for_releases.iter().filter(|(id, _)| m.job_leader(id) == Some(owner)) {
             let r = list.entry(id.clone()).or_default();
             *r = (*r).max(*rank);
         }
--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -401,7 +401,7 @@
         if !self.loaded {
             return f;
         }
-        if m.job_owner(&l.job) == Some(self.me) {
+        if m.job_leader(&l.job) == Some(self.me) {
             let j = self.jobs.get(&l.job);
             f.live = Some(j.is_some_and(|j| j.ending.is_none()));
             // After a takeover not all replicas are known at first.
@@ -410,7 +410,7 @@
                 f.missing = Some(j.spec.tasks - j.placed.len() as u32);
             }
         }
-        if m.job_owner(&l.from) == Some(self.me) {
+        if m.job_leader(&l.from) == Some(self.me) {
             f.refused = self.jobs.get(&l.from).is_some_and(|j| {
                 let safe = matches!(j.footing, QuotaTier::Within | QuotaTier::Unknown);
                 let named = |(idx, attempt): &(u32, u64)| {
@@ -456,17 +456,19 @@
             return Vec::new();
         }
         let (used, guarantee) = (teams.used(team).gpus, self.guaranteed.get(team).map_or(0, |g| g.gpus));
-        let stands =
-            |job: &str, machine: &str| match self.jobs.get(job).filter(|_| m.job_owner(job) == Some(self.me))
-            {
-                Some(j) => LoanStanding {
-                    replicas: j.placed.values().filter(|p| p.machine == machine).count() as u32,
-                    each: j.spec.room.gpus,
-                    within: j.footing == QuotaTier::Within,
-                },
-                // Another owner decides about it.
-                None => LoanStanding { within: true, ..LoanStanding::default() },
-            };
+        let stands = |job: &str, machine: &str| match self
+            .jobs
+            .get(job)
+            .filter(|_| m.job_leader(job) == Some(self.me))
+        {
+            Some(j) => LoanStanding {
+                replicas: j.placed.values().filter(|p| p.machine == machine).count() as u32,
+                each: j.spec.room.gpus,
+                within: j.footing == QuotaTier::Within,
+            },
+            // Another owner decides about it.
+            None => LoanStanding { within: true, ..LoanStanding::default() },
+        };
         let terms = Terms { stay_us: terms.stay.0, burst_us: terms.burst.0 };
         give_back(wall.0, terms, ledger, Borrower { used, guarantee }, &lacks, stands)
     }
--- a/src/job_shard/handoff.rs
+++ b/src/job_shard/handoff.rs
@@ -20,7 +20,7 @@
     pub fn hand_over(&self, next: &Membership) -> BTreeMap<usize, HandoffBatch> {
         let mut out: BTreeMap<usize, (HandoffBatch, BTreeMap<UnresolvedSetId, u32>)> = BTreeMap::new();
         for (id, j) in &self.jobs {
-            let Some(to) = next.job_owner(id).filter(|&o| o != next.me) else { continue };
+            let Some(to) = next.job_leader(id).filter(|&o| o != next.me) else { continue };
             let (parcel, sets) = out.entry(to).or_default();
             let doubt = match j.evidence {
                 // The next owner reads the same records.
--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -66,7 +66,7 @@
     /// Whether a home is to hear something new.
     pub fn has_news(&mut self, home: usize, m: &Membership) -> bool {
         for key in std::mem::take(&mut self.touched) {
-            if let Some(h) = m.home(&key.0) {
+            if let Some(h) = m.machine_leader(&key.0) {
                 if h == self.me {
                     self.vouching.touched.insert(key.clone());
                 }
@@ -137,7 +137,7 @@
         let Some(news) = v.take(now, m.epoch, d) else { return false };
         let mut names = news.names;
         if news.whole {
-            let theirs = |n: &&String| m.home(n) == Some(from);
+            let theirs = |n: &&String| m.machine_leader(n) == Some(from);
             names.extend(self.by_machine.keys().filter(theirs).cloned());
             names.extend(self.unheard.iter().filter(theirs).cloned());
             names.extend(self.left_on.keys().filter(theirs).cloned());
@@ -148,7 +148,7 @@
         let views = std::mem::take(&mut self.views);
         if let Some(view) = views.get(from) {
             // A machine has one home, and only that one can tell about it.
-            for name in names.iter().filter(|n| m.home(n) == Some(from)) {
+            for name in names.iter().filter(|n| m.machine_leader(n) == Some(from)) {
                 self.machine_news(now, m, view, name);
             }
         }
--- a/src/job_shard/records.rs
+++ b/src/job_shard/records.rs
@@ -103,7 +103,7 @@
         if self.keep_class && value.get("says").is_none() {
             value["says"] = json!({"breed": j.spec.class});
         }
-        Some((id, RecordWrite::End(f, value), j.mark))
+        Some((id, RecordWrite::End(f, value), j.store_version))
     }
 
     fn next_progress(&mut self, now: Micros) -> Option<(String, RecordWrite, u64)> {
@@ -124,16 +124,16 @@
             }
             j.writing = true;
             let value = JobShard::record(&raw, j.accepted_wall, &text);
-            return Some((id.clone(), RecordWrite::Progress(value, kept), j.mark));
+            return Some((id.clone(), RecordWrite::Progress(value, kept), j.store_version));
         }
         None
     }
 
     /// Progress is on record: workers may forget those tasks.
-    pub fn progress_written(&mut self, now: Micros, id: &str, kept: Ranges, mark: u64) {
+    pub fn progress_written(&mut self, now: Micros, id: &str, kept: Ranges, store_version: u64) {
         let Some(j) = self.jobs.get_mut(id) else { return };
         j.writing = false;
-        j.mark = j.mark.max(mark);
+        j.store_version = j.store_version.max(store_version);
         j.durable = kept;
         // Its end doesn't wait for that.
         j.next_progress = now + Micros::from_millis(4000);
