--- a/src/job_shard/reservations.rs
+++ b/src/job_shard/reservations.rs
@@ -67,7 +67,7 @@
             if let Some(j) = self.jobs.get(&key.job)
                 && let Some(p) = j.placed.get(&key.index)
                 && (p.attempt == key.attempt && p.machine == *machine)
-                && p.asked > m.home(machine).map_or(0, |h| views[h].rev_seen(m.epoch))
+                && p.asked > m.machine_leader(machine).map_or(0, |h| views[h].rev_seen(m.epoch))
                 && counted.insert((machine, key))
             {
                 let sum = unseen.entry(machine).or_default();
@@ -101,7 +101,7 @@
                 machine: d,
                 free: d.free - unseen,
                 unseen,
-                near: m.home(&d.name) == Some(self.me),
+                near: m.machine_leader(&d.name) == Some(self.me),
                 kept_for: of_type
                     .map(|t| t.2)
                     .max()
@@ -284,7 +284,7 @@
     /// The homes to leave alone now: never our own.
     pub(super) fn current(&mut self, now: Micros, m: &Membership) -> Vec<usize> {
         for (machine, taken) in std::mem::take(&mut self.news) {
-            let Some(home) = m.home(&machine).filter(|h| *h != m.me) else { continue };
+            let Some(home) = m.machine_leader(&machine).filter(|h| *h != m.me) else { continue };
             let (rounds, until) = self.homes.entry(home).or_insert((0, now));
             if taken {
                 *rounds = 0;
--- a/src/machine_registry.rs
+++ b/src/machine_registry.rs
@@ -23,7 +23,7 @@
 struct Page {
     names: BTreeMap<String, MachineRecord>,
     bytes: usize,
-    mark: u64,
+    store_version: u64,
     /// It differs from what the store has. Names that may go don't count: they can wait.
     dirty: bool,
     /// How many names the store's page has that are gone.
@@ -40,7 +40,7 @@
     pub key: String,
     /// The version it builds on. Without this condition a write that is applied late would take
     /// away names that a newer one has added.
-    pub mark: u64,
+    pub store_version: u64,
     /// The page; None if nothing is left on it.
     pub value: Option<Value>,
     /// The names on it.
@@ -82,14 +82,14 @@
     /// A new epoch: all pages are read again.
     pub fn unread(&mut self) {
         for p in self.pages.values_mut() {
-            p.mark = 0;
+            p.store_version = 0;
             p.dirty = true;
             p.state = State::Idle;
         }
     }
 
     /// Takes a page as the store has it, if it is ours.
-    pub fn take(&mut self, key: &str, rows: &[(String, MachineRecord)], mark: u64) {
+    pub fn take(&mut self, key: &str, rows: &[(String, MachineRecord)], store_version: u64) {
         let Some(n) = self.own(key) else { return };
         for (name, r) in rows {
             // A name stands on one page only.
@@ -98,7 +98,7 @@
             }
         }
         let Some(p) = self.pages.get_mut(&n) else { return };
-        p.mark = mark;
+        p.store_version = store_version;
         p.dirty = p.names.len() != rows.len() || rows.iter().any(|(name, _)| !p.names.contains_key(name));
     }
 
@@ -106,7 +106,7 @@
         let p = self.pages.entry(n).or_insert_with(|| Page {
             names: BTreeMap::new(),
             bytes: 2,
-            mark: 0,
+            store_version: 0,
             dirty: true,
             stale: 0,
             state: State::Idle,
@@ -178,7 +178,7 @@
         Some(PageWrite {
             page: n,
             key: format!("{PREFIX}{member}/{n}"),
-            mark: p.mark,
+            store_version: p.store_version,
             value: (!map.is_empty()).then_some(Value::Object(map)),
             names: p.names.keys().cloned().collect(),
         })
@@ -192,10 +192,10 @@
     }
 
     /// A write was applied, with the page's new version.
-    pub fn written(&mut self, w: &PageWrite, mark: u64) {
+    pub fn written(&mut self, w: &PageWrite, store_version: u64) {
         let Some(p) = self.pages.get_mut(&w.page) else { return };
         p.state = State::Idle;
-        p.mark = if w.value.is_some() { mark } else { 0 };
+        p.store_version = if w.value.is_some() { store_version } else { 0 };
         if p.names.is_empty() && w.value.is_none() {
             self.pages.remove(&w.page);
         }
@@ -216,15 +216,15 @@
     /// more. While it has not, a late write may yet take away what is read.
     pub fn read_back(&mut self, page: u32, read: Option<(u64, &[(String, MachineRecord)])>) -> Vec<String> {
         let Some(p) = self.pages.get_mut(&page) else { return Vec::new() };
-        let Some((mark, rows)) = read else {
+        let Some((store_version, rows)) = read else {
             p.state = State::Lost;
             return Vec::new();
         };
         p.state = State::Idle;
-        if mark == p.mark {
+        if store_version == p.store_version {
             return Vec::new();
         }
-        p.mark = mark;
+        p.store_version = store_version;
         let ours = rows.iter().filter(|(name, r)| p.names.get(name) == Some(r));
         let ours: Vec<String> = ours.map(|(name, _)| name.clone()).collect();
         p.stale = rows.len() - ours.len();
--- a/src/machine_registry/tests.rs
+++ b/src/machine_registry/tests.rs
@@ -39,20 +39,20 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut roll = MachineRegistry::new("c0", 300);
         let mut store: BTreeMap<String, (Value, u64)> = BTreeMap::new();
-        let mut mark = 0;
+        let mut store_version = 0;
         let mut late: Vec<PageWrite> = Vec::new();
         let mut sure: BTreeSet<String> = BTreeSet::new();
         let mut next = 0;
         let mut apply = |w: &PageWrite, store: &mut BTreeMap<String, (Value, u64)>| {
-            if store.get(&w.key).map_or(0, |v| v.1) != w.mark {
+            if store.get(&w.key).map_or(0, |v| v.1) != w.store_version {
                 return None;
             }
-            mark += 1;
+            store_version += 1;
             match &w.value {
-                Some(v) => store.insert(w.key.clone(), (v.clone(), mark)),
+                Some(v) => store.insert(w.key.clone(), (v.clone(), store_version)),
                 None => store.remove(&w.key),
             };
-            Some(mark)
+            Some(store_version)
         };
         for _ in 0..300 {
             match rng.random_range(0..5) {
@@ -120,7 +120,7 @@
     // The first was carried out late, which the second can't be any more.
     assert_eq!(roll.read_back(first.page, Some((7, &rows[..]))), ["i-1"]);
     let third = roll.next_write(false).expect("one name is not there yet");
-    assert_eq!((third.mark, third.names.len()), (7, 2));
+    assert_eq!((third.store_version, third.names.len()), (7, 2));
     roll.failed(third.page, false);
     assert!(roll.read_back(first.page, None).is_empty());
     let rows = ["i-1", "i-2"].map(|n| (n.to_owned(), record()));
--- a/src/machine_shard.rs
+++ b/src/machine_shard.rs
@@ -322,7 +322,7 @@
         follows: bool,
         owner_before: impl Fn(&str) -> Option<usize>,
     ) {
-        self.machines.retain(|name, _| m.home(name) == Some(m.me));
+        self.machines.retain(|name, _| m.machine_leader(name) == Some(m.me));
         self.early.clear();
         // Numbers never go back, not even over a restart, since the epoch is their head. Everything
         // counts as changed: whoever holds nothing of this epoch gets all.
@@ -351,9 +351,9 @@
                 x.unanswered = None;
             }
             x.entries
-                .retain(|k, e| e.on_machine() || (follows && owner_before(&k.job) == m.job_owner(&k.job)));
+                .retain(|k, e| e.on_machine() || (follows && owner_before(&k.job) == m.job_leader(&k.job)));
             for (k, e) in &mut x.entries {
-                e.standpoint.adopt(&self.reach, m.job_owner(&k.job), x.version);
+                e.standpoint.adopt(&self.reach, m.job_leader(&k.job), x.version);
             }
         }
         self.reach.adopt();
@@ -429,7 +429,7 @@
             let e = x.entries.entry(key.clone()).or_insert_with(|| {
                 changed = true;
                 let w = early.and_then(|e| e.get(&key));
-                let mut standpoint = OwnerBasis::new(m.job_owner(&key.job), next);
+                let mut standpoint = OwnerBasis::new(m.job_leader(&key.job), next);
                 if w.is_some() {
                     standpoint.named();
                 }
@@ -579,12 +579,12 @@
             if let Some(e) = self.early.get_mut(machine) {
                 e.remove(key);
             }
-            if m.job_owner(&key.job) == Some(from) {
+            if m.job_leader(&key.job) == Some(from) {
                 self.drop_entry(machine, key);
             }
         }
         for w in &w.list {
-            if m.job_owner(&w.key.job) == Some(from) {
+            if m.job_leader(&w.key.job) == Some(from) {
                 self.want(now, from, w, &capacity);
             }
         }
@@ -611,19 +611,19 @@
         for (name, x) in &mut self.machines {
             let before = x.entries.len();
             x.entries.retain(|k, e| {
-                e.on_machine() || m.job_owner(&k.job) != Some(from) || listed.contains(&(name.as_str(), k))
+                e.on_machine() || m.job_leader(&k.job) != Some(from) || listed.contains(&(name.as_str(), k))
             });
             if x.entries.len() != before {
                 self.changes.touch(name, &mut x.version);
             }
             for (k, e) in &mut x.entries {
-                if m.job_owner(&k.job) == Some(from) && !listed.contains(&(name.as_str(), k)) {
+                if m.job_leader(&k.job) == Some(from) && !listed.contains(&(name.as_str(), k)) {
                     e.standpoint.unnamed(x.version);
                 }
             }
         }
         for e in self.early.values_mut() {
-            e.retain(|k, _| m.job_owner(&k.job) != Some(from));
+            e.retain(|k, _| m.job_leader(&k.job) != Some(from));
         }
         let keys: BTreeSet<&TaskKey> = list.iter().map(|w| &w.key).collect();
         self.decided.retain(|k, &mut owner| owner != from || keys.contains(k));
@@ -844,7 +844,7 @@
                     tasks: x
                         .entries
                         .iter()
-                        .filter(|(k, _)| m.job_owner(&k.job) == Some(to))
+                        .filter(|(k, _)| m.job_leader(&k.job) == Some(to))
                         .map(|(k, e)| ObservedTask { key: k.clone(), phase: e.phase })
                         .collect(),
                 }
--- a/src/machine_shard/fencing_probe.rs
+++ b/src/machine_shard/fencing_probe.rs
@@ -54,7 +54,7 @@
         }
         let waits = |x: &Machine| x.standing == InventoryState::Unconfirmed;
         if r.token < m.epoch
-            || m.home(&r.machine) != Some(m.me)
+            || m.machine_leader(&r.machine) != Some(m.me)
             || !self.machines.get(&r.machine).is_some_and(waits)
         {
             return Verdict::Stale;
--- a/src/machine_shard/handoff.rs
+++ b/src/machine_shard/handoff.rs
@@ -13,7 +13,7 @@
     pub fn hand_over(&self, now: Micros, next: &Membership) -> BTreeMap<usize, Vec<MachineHandoff>> {
         let mut out: BTreeMap<usize, Vec<MachineHandoff>> = BTreeMap::new();
         for (name, x) in &self.machines {
-            let Some(to) = next.home(name).filter(|&h| h != next.me) else { continue };
+            let Some(to) = next.machine_leader(name).filter(|&h| h != next.me) else { continue };
             let known = x.standing == InventoryState::Known;
             let last_answer = if known { x.heard_at } else { x.last_answer(self.older_silent) };
             // Of one whose end is not yet certain there is nothing to say that the new home does not know.
@@ -53,7 +53,7 @@
     /// Takes a machine from its home of the epoch directly before. Does nothing to one whose tasks are known already,
     /// or that is another's: the parcel came late, or twice. Returns whether its tasks are known now that were not.
     pub fn handed(&mut self, now: Micros, m: &Membership, h: MachineHandoff) -> bool {
-        if m.home(&h.name) != Some(m.me) || self.returned.contains(&h.name) {
+        if m.machine_leader(&h.name) != Some(m.me) || self.returned.contains(&h.name) {
             return false;
         }
         let epoch = self.epoch;
@@ -92,7 +92,7 @@
                 phase: t.phase,
                 want: t.want,
                 sent_to: t.sent_to,
-                standpoint: OwnerBasis::new(m.job_owner(&t.key.job), next),
+                standpoint: OwnerBasis::new(m.job_leader(&t.key.job), next),
             };
             match x.entries.get_mut(&t.key) {
                 Some(e) if e.room.is_none() => *e = Entry { phase: e.phase, ..handed },
@@ -118,7 +118,7 @@
     /// Machines whose home is `to` in `next` that are certainly gone: one that has just started does not know, and would
     /// wait for the leases of all that pages of the roll still name.
     pub fn gone_for(&self, to: usize, next: &Membership) -> Vec<String> {
-        self.returned.iter().filter(|n| next.home(n) == Some(to)).cloned().collect()
+        self.returned.iter().filter(|n| next.machine_leader(n) == Some(to)).cloned().collect()
     }
 
     /// These are certainly gone.
--- a/src/machine_shard/owner_liveness/tests.rs
+++ b/src/machine_shard/owner_liveness/tests.rs
@@ -42,12 +42,15 @@
 
     /// A machine of ours. It stays so while others come and go.
     fn machine(&self) -> String {
-        (0..).map(|i| format!("i-{i}")).find(|n| self.m.home(n) == Some(0)).expect("some are ours")
+        (0..).map(|i| format!("i-{i}")).find(|n| self.m.machine_leader(n) == Some(0)).expect("some are ours")
     }
 
     /// A job of that owner.
     fn job(&self, owner: usize) -> String {
-        (0..).map(|i| format!("wk-{i}")).find(|j| self.m.job_owner(j) == Some(owner)).expect("each owns some")
+        (0..)
+            .map(|i| format!("wk-{i}"))
+            .find(|j| self.m.job_leader(j) == Some(owner))
+            .expect("each owns some")
     }
 
     fn report(&mut self, now: Micros, machine: &str, tasks: &[(&str, u64, &str)]) -> Verdict {
@@ -74,7 +77,7 @@
     fn adopt(&mut self, now: Micros, epoch: u64, members: &[usize]) {
         let before = self.m.clone();
         let follows = self.m.adopt(now, &record(epoch, members), epoch);
-        self.home.adopt(now, &self.m, follows, |j| before.job_owner(j));
+        self.home.adopt(now, &self.m, follows, |j| before.job_leader(j));
     }
 }
 
@@ -150,7 +153,7 @@
         t.adopt(at(10_000 + 4000 * n as u64), 8 + n as u64, members);
         assert!(t.home.in_reach(Micros(end.0 - 1), &machine) && !t.home.in_reach(end, &machine));
     }
-    let owner = t.m.job_owner(task.split('/').next().expect("a job")).expect("somebody");
+    let owner = t.m.job_leader(task.split('/').next().expect("a job")).expect("somebody");
     t.hears(at(22_000), owner, at(21_900), vec![]);
     assert!(t.home.in_reach(end, &machine), "the new owner has read the records and seen the task");
 }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -42,7 +42,7 @@
     /// The adopted epoch; 0 before the first.
     pub epoch: u64,
     /// Store version of the epoch record; every write carries it as a condition.
-    pub mark: u64,
+    pub store_version: u64,
     /// Members of the adopted epoch.
     pub members: Vec<usize>,
     /// The ring of the adopted epoch.
@@ -76,7 +76,7 @@
             member_lease: s.member_lease,
             confirmation: s.confirmation,
             epoch: 0,
-            mark: 0,
+            store_version: 0,
             members: Vec::new(),
             ring: Ring::default(),
             adopted_at: Micros(0),
@@ -104,10 +104,10 @@
 
     /// Takes up a newer epoch. Returns whether it directly follows the one held, in which case
     /// nobody else can have commanded what stays ours.
-    pub fn adopt(&mut self, now: Micros, r: &EpochRecord, mark: u64) -> bool {
+    pub fn adopt(&mut self, now: Micros, r: &EpochRecord, store_version: u64) -> bool {
         let follows = self.epoch != 0 && r.epoch == self.epoch + 1;
         self.epoch = r.epoch;
-        self.mark = mark;
+        self.store_version = store_version;
         self.members = r.members.iter().filter_map(|(m, _)| self.names.iter().position(|n| n == m)).collect();
         self.ring = Ring::new(&self.names, &self.members);
         self.adopted_at = now;
@@ -237,7 +237,7 @@
     /// Whether this controller may answer and command: by the store's word, or, when the store
     /// is silent, by that of every other controller. A controller can't tell an outage from a
     /// 503 of its own, hence *every* other one.
-    pub fn may_act(&self, now: Micros) -> bool {
+    pub fn is_leader(&self, now: Micros) -> bool {
         if self.epoch == 0 || self.aside || self.gave_way() || !self.members.contains(&self.me) {
             return false;
         }
@@ -277,11 +277,11 @@
     }
 
     /// The owner of a job.
-    pub fn job_owner(&self, id: &str) -> Option<usize> {
+    pub fn job_leader(&self, id: &str) -> Option<usize> {
         self.ring.owner_of("job/", id)
     }
     /// The home of a machine.
-    pub fn home(&self, machine: &str) -> Option<usize> {
+    pub fn machine_leader(&self, machine: &str) -> Option<usize> {
         self.ring.owner_of("machine/", machine)
     }
     /// Who rents and returns machines.
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -19,15 +19,15 @@
 fn the_right_to_act_ends_with_the_lease_or_the_last_confirmation() {
     let at = Micros::from_millis;
     let mut m = member(0);
-    assert!(!m.may_act(at(1000)));
+    assert!(!m.is_leader(at(1000)));
     m.confirmed_by_store(at(1000));
-    assert!(m.may_act(at(6900)) && !m.may_act(at(7000)), "a third of 18 s from sending, shortened");
+    assert!(m.is_leader(at(6900)) && !m.is_leader(at(7000)), "a third of 18 s from sending, shortened");
     m.heard_from(1, 4, at(6500));
-    assert!(!m.may_act(at(7000)), "one of two is not every other");
+    assert!(!m.is_leader(at(7000)), "one of two is not every other");
     m.heard_from(2, 4, at(6600));
-    assert!(m.may_act(at(9000)) && !m.may_act(at(9500)));
+    assert!(m.is_leader(at(9000)) && !m.is_leader(at(9500)));
     m.heard_from(2, 5, at(6700));
-    assert!(!m.may_act(at(7000)), "one knows a newer epoch");
+    assert!(!m.is_leader(at(7000)), "one knows a newer epoch");
 }
 
 #[test]
@@ -38,8 +38,8 @@
     let passed: Vec<_> = (0..50).filter_map(|i| m.pass_job_to(&format!("wk-{i}"))).collect();
     assert!(passed.len() == 50 && passed.iter().all(|&p| p != 0));
     assert!(m.can_pass(at(3000)) && !m.can_pass(at(3600)));
-    assert_eq!((m.epoch, m.may_act(at(2000))), (4, false));
-    assert!((0..50).any(|i| m.job_owner(&format!("wk-{i}")) == Some(0)), "the adopted ring is as it was");
+    assert_eq!((m.epoch, m.is_leader(at(2000))), (4, false));
+    assert!((0..50).any(|i| m.job_leader(&format!("wk-{i}")) == Some(0)), "the adopted ring is as it was");
 }
 
 /// Seen on days of our own: while the state service was away all controllers were restarted, the load balancer took out
@@ -82,23 +82,23 @@
     other.adopt(at(2000), &newer, 2);
     other.confirmed_by_store(at(2000));
     assert_eq!(refused.stands_by().0, 4);
-    assert!(refused.may_act(at(2000)));
+    assert!(refused.is_leader(at(2000)));
     refused.told(at(2000), 5, &[1, 2]);
-    assert!(!refused.may_act(at(2000)), "the store's word of before counts no more");
+    assert!(!refused.is_leader(at(2000)), "the store's word of before counts no more");
     assert_eq!(refused.stands_by(), (5, &[1, 2][..]));
     // Its confirmation, and the third one's, carry the other over the outage.
     other.heard_from(0, refused.stands_by().0, at(9000));
     other.heard_from(2, 5, at(9000));
-    assert!(other.may_act(at(9500)) && other.others_have_stopped(at(9500)));
+    assert!(other.is_leader(at(9500)) && other.others_have_stopped(at(9500)));
     // For good: not even everybody's word for the older epoch brings its right back.
     refused.heard_from(1, 4, at(9000));
     refused.heard_from(2, 4, at(9000));
     refused.confirmed_by_store(at(9000));
-    assert!(!refused.may_act(at(9100)));
+    assert!(!refused.is_leader(at(9100)));
     let back = EpochRecord { epoch: 6, members: (0..3).map(|i| (format!("c{i}"), 1)).collect() };
     refused.adopt(at(10_000), &back, 3);
     refused.confirmed_by_store(at(10_000));
-    assert!(refused.may_act(at(10_100)));
+    assert!(refused.is_leader(at(10_100)));
     assert_eq!(refused.stands_by().0, 6);
 }
 
@@ -109,7 +109,7 @@
     let mut m = member(0);
     m.confirmed_by_store(at(1000));
     m.told(at(2000), 5, &[0, 1]);
-    assert!(m.may_act(at(2000)) && m.stands_by().0 == 4);
+    assert!(m.is_leader(at(2000)) && m.stands_by().0 == 4);
     m.told(at(8000), 5, &[0, 1]);
-    assert_eq!((m.may_act(at(8000)), m.stands_by().0), (false, 5));
+    assert_eq!((m.is_leader(at(8000)), m.stands_by().0), (false, 5));
 }
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -23,7 +23,7 @@
     pub guarantee: Resources,
     claims: BTreeMap<String, Resources>,
     notes: BTreeMap<String, Note>,
-    mark: u64,
+    store_version: u64,
     read: bool,
     busy: bool,
     /// The write under way: the version that it builds on, and what it leaves each job.
@@ -77,7 +77,7 @@
     /// The team.
     pub team: String,
     /// The record's version that it builds on.
-    pub mark: u64,
+    pub store_version: u64,
     /// The new record.
     pub value: Value,
     /// The same, for when it is committed.
@@ -141,9 +141,9 @@
         }
     }
     /// The record is at this version: what builds on an older one has been applied, or never will be.
-    fn moved_on(&mut self, mark: u64) {
+    fn moved_on(&mut self, store_version: u64) {
         for write in [&mut self.sent, &mut self.pending] {
-            if write.as_ref().is_some_and(|(base, _)| mark > *base) {
+            if write.as_ref().is_some_and(|(base, _)| store_version > *base) {
                 *write = None;
             }
         }
@@ -161,7 +161,7 @@
                     guarantee: Resources::need(t.cpus, t.gpus, 0.0),
                     claims: BTreeMap::new(),
                     notes: BTreeMap::new(),
-                    mark: 0,
+                    store_version: 0,
                     read: false,
                     busy: false,
                     sent: None,
@@ -238,10 +238,10 @@
     pub fn take(&mut self, team: &str, value: Option<(&Value, u64)>) {
         let Some(t) = self.teams.get_mut(team) else { return };
         t.busy = false;
-        let mark = value.map_or(0, |(_, m)| m);
+        let store_version = value.map_or(0, |(_, m)| m);
         // Guards against an answer that was overtaken: a record only goes forward and is never taken away. What it says
         // may be more than a job has been left since.
-        if mark < t.mark {
+        if store_version < t.store_version {
             return;
         }
         let empty = Map::new();
@@ -263,9 +263,9 @@
                 _ => tracing::error!(team, job, "unreadable claim"),
             }
         }
-        t.mark = mark;
+        t.store_version = store_version;
         t.read = true;
-        t.moved_on(mark);
+        t.moved_on(store_version);
     }
     /// The record must be read again.
     pub fn reread(&mut self, team: &str) {
@@ -279,7 +279,7 @@
     pub fn failed(&mut self, w: &AllocationWrite, certain: bool) {
         self.reread(&w.team);
         let Some(t) = self.teams.get_mut(&w.team) else { return };
-        if t.sent.as_ref().is_none_or(|(base, claims)| (*base, claims) != (w.mark, &w.claims)) {
+        if t.sent.as_ref().is_none_or(|(base, claims)| (*base, claims) != (w.store_version, &w.claims)) {
             return;
         }
         // Guards against taking one write's end for that of another: an earlier one without an answer may be applied
@@ -291,16 +291,16 @@
         }
     }
     /// A write was committed.
-    pub fn committed(&mut self, w: AllocationWrite, mark: u64) {
+    pub fn committed(&mut self, w: AllocationWrite, store_version: u64) {
         if let Some(t) = self.teams.get_mut(&w.team) {
             t.busy = false;
-            if mark > t.mark {
+            if store_version > t.store_version {
                 t.claims = w.claims;
                 t.notes = w.notes;
-                t.mark = mark;
+                t.store_version = store_version;
             }
-            let mark = t.mark;
-            t.moved_on(mark);
+            let store_version = t.store_version;
+            t.moved_on(store_version);
         }
     }
     /// Teams whose record should be read: not read in this epoch, or short of room that others
@@ -486,7 +486,7 @@
         if value.to_string().len() > value_bytes {
             return None;
         }
-        Some(AllocationWrite { team: team.into(), mark: t.mark, value, claims, notes })
+        Some(AllocationWrite { team: team.into(), store_version: t.store_version, value, claims, notes })
     }
 
     /// Notes that a write goes out.
@@ -494,7 +494,7 @@
         if let Some(t) = self.teams.get_mut(&w.team) {
             t.busy = true;
             t.in_doubt();
-            t.sent = Some((w.mark, w.claims.clone()));
+            t.sent = Some((w.store_version, w.claims.clone()));
             t.sent_at = now;
             if w.notes.values().any(|n| n.want.is_some()) {
                 t.wanted_at = Some(now);
--- a/src/quota/allocation_notes.rs
+++ b/src/quota/allocation_notes.rs
@@ -78,8 +78,8 @@
                 let mine = |j: &str| j.starts_with(["a", "b"][o]);
                 let Some(w) = t.plan(now, "t", needs, mine, |_| true, 4096) else { continue };
                 t.sent(now, &w);
-                if w.mark == self.store.1 {
-                    self.store = (w.value.clone(), w.mark + 1);
+                if w.store_version == self.store.1 {
+                    self.store = (w.value.clone(), w.store_version + 1);
                     t.committed(w, self.store.1);
                 } else {
                     t.failed(&w, true);
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -39,7 +39,7 @@
             let Some(w) = owners[o].plan(now, "t", &needs, |j| j.starts_with(prefix), |_| true, 4096) else {
                 continue;
             };
-            if w.mark == store.1 {
+            if w.store_version == store.1 {
                 store = (w.value.clone(), store.1 + 1);
                 let total: i64 = w.claims.values().map(|c| c.cpus).sum();
                 assert!(total <= 10_000, "seed {seed}: {total}");
@@ -75,14 +75,14 @@
     let writes = |limit: f64| {
         let mut t = QuotaLedger::new(&team(limit));
         t.take("t", Some((&json!({"a": [900_000, 0]}), 4)));
-        let (mut mark, mut n) = (4, 0);
+        let (mut store_version, mut n) = (4, 0);
         for s in 60..120u64 {
             let now = Micros::from_millis(s * 1000);
             let need = need("a", 900 - s as i64, 0, false);
             let Some(w) = t.plan(now, "t", &[need], |_| true, |_| true, 4096) else { continue };
             t.sent(now, &w);
-            (mark, n) = (mark + 1, n + 1);
-            t.committed(w, mark);
+            (store_version, n) = (store_version + 1, n + 1);
+            t.committed(w, store_version);
         }
         n
     };
@@ -137,7 +137,7 @@
         let mut late: Vec<(usize, AllocationWrite)> = Vec::new();
         let mut answers: Vec<(usize, Value, u64)> = Vec::new();
         let apply = |store: &mut (Value, u64), w: &AllocationWrite| {
-            let fits = w.mark == store.1;
+            let fits = w.store_version == store.1;
             if fits {
                 *store = (w.value.clone(), store.1 + 1);
             }
@@ -154,8 +154,8 @@
                     apply(&mut store, &w);
                 }
                 1 | 2 if !answers.is_empty() => {
-                    let (to, value, mark) = answers.swap_remove(rng.random_range(0..answers.len()));
-                    owners[to].take("t", Some((&value, mark)));
+                    let (to, value, store_version) = answers.swap_remove(rng.random_range(0..answers.len()));
+                    owners[to].take("t", Some((&value, store_version)));
                 }
                 // A new epoch fences what was sent before; everybody reads anew.
                 3 if rng.random_bool(0.2) => {
@@ -199,7 +199,7 @@
                             owners[o].failed(&w, false);
                         }
                         _ => match apply(&mut store, &w) {
-                            Some(mark) => owners[o].committed(w, mark),
+                            Some(store_version) => owners[o].committed(w, store_version),
                             None => owners[o].failed(&w, true),
                         },
                     }
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -53,7 +53,7 @@
     pub value: Value,
     /// Its version.
     #[serde(rename = "mark")]
-    pub mark: u64,
+    pub store_version: u64,
 }
 
 /// What became of a request.
--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -391,11 +391,11 @@
     // One of the long page must be written anew: it goes on another page, and stays on the long one.
     roll.add(&rows[0].0, &rows[0].1);
     let w = roll.next_write(true).expect("a page");
-    assert!(w.key != key && w.names.len() == 2 && w.mark == 0);
+    assert!(w.key != key && w.names.len() == 2 && w.store_version == 0);
     assert!(roll.next_write(true).is_none(), "the long page is left alone");
     roll.written(&w, 10);
     roll.prune(|n| rows[10..].iter().any(|(name, _)| name == n));
     let w = roll.next_write(true).expect("it fits again");
-    assert_eq!((w.key.as_str(), w.mark, w.names.len()), (key, 9, 10));
+    assert_eq!((w.key.as_str(), w.store_version, w.names.len()), (key, 9, 10));
     assert!(w.value.expect("a page").to_string().len() <= 2048);
 }
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -32,7 +32,7 @@
 struct Stored {
     done: Ranges,
     end: bool,
-    mark: u64,
+    store_version: u64,
 }
 
 struct Play {
@@ -73,7 +73,7 @@
             return o.ended(JOB, JobOutcome::Done);
         }
         let (raw, spec) = self.spec();
-        o.insert(raw, spec, Micros(1), self.store.done.clone(), self.store.mark, false);
+        o.insert(raw, spec, Micros(1), self.store.done.clone(), self.store.store_version, false);
     }
 
     /// A home's word: the machines that it has heard, and what it has on record of the others.
@@ -161,20 +161,20 @@
     /// One write that is due: carried out and told, carried out without an answer, or lost.
     fn write(&mut self, o: &mut JobShard, now: Micros) {
         let ends = self.rng.random_bool(0.5);
-        let Some((id, write, mark)) = o.next_write(now, ends) else { return };
-        assert!(mark <= self.store.mark);
+        let Some((id, write, store_version)) = o.next_write(now, ends) else { return };
+        assert!(store_version <= self.store.store_version);
         let fate = self.rng.random_range(0..4);
         if fate == 3 {
             return o.write_failed(now, &id, false);
         }
-        self.store.mark += 1;
+        self.store.store_version += 1;
         match write {
             RecordWrite::Progress(_, kept) => {
                 let truly = (0..self.tasks).all(|i| !kept.contains(i) || self.completed[i as usize]);
                 assert!(truly, "seed {}: on record and not done", self.seed);
                 self.store.done = kept.clone();
                 match fate {
-                    0 | 1 => o.progress_written(now, &id, kept, self.store.mark),
+                    0 | 1 => o.progress_written(now, &id, kept, self.store.store_version),
                     _ => o.write_failed(now, &id, false),
                 }
             }
@@ -290,7 +290,7 @@
             seed,
             tasks,
             kind: if seed % 4 == 3 { "group" } else { "batch" },
-            store: Stored { mark: 1, ..Stored::default() },
+            store: Stored { store_version: 1, ..Stored::default() },
             on: vec![BTreeMap::new(); MACHINES],
             decided: BTreeSet::new(),
             completed: vec![false; tasks as usize],
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -515,14 +515,14 @@
 
 impl Service {
     fn row(&self, key: &str) -> Option<KeyValue> {
-        let (value, mark) = self.rows.get(key)?;
-        Some(KeyValue { key: key.into(), value: value.clone(), mark: *mark })
+        let (value, store_version) = self.rows.get(key)?;
+        Some(KeyValue { key: key.into(), value: value.clone(), store_version: *store_version })
     }
 
     fn commit(&mut self, c: Transaction) -> StoreAnswer {
-        let mark = |key: &str| self.rows.get(key).map_or(0, |r| r.1);
+        let store_version = |key: &str| self.rows.get(key).map_or(0, |r| r.1);
         let failed: Vec<String> =
-            c.conditions.iter().filter(|(k, m)| mark(k) != *m).map(|(k, _)| k.clone()).collect();
+            c.conditions.iter().filter(|(k, m)| store_version(k) != *m).map(|(k, _)| k.clone()).collect();
         if !failed.is_empty() {
             return StoreAnswer::Conflict(failed);
         }
@@ -570,7 +570,7 @@
         let now = Micros(1_000_000);
         let mut play = Play { node, service, now, out: Vec::new(), answers: Vec::new(), ticket: 0 };
         play.rounds(200);
-        assert!(play.node.membership.may_act(play.now), "it acts");
+        assert!(play.node.membership.is_leader(play.now), "it acts");
         play
     }
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -53,8 +53,8 @@
     let moves = |p: &str, owner: &dyn Fn(&str) -> Option<usize>| {
         (0..).map(|i| format!("{p}-{i:06}")).find(|n| owner(n) == Some(1)).expect("one of many")
     };
-    let machine = moves("i", &|n| new.home(n));
-    let job = moves("wk", &|n| new.job_owner(n));
+    let machine = moves("i", &|n| new.machine_leader(n));
+    let job = moves("wk", &|n| new.job_leader(n));
     Two { before, next, new, machine, job }
 }
 
@@ -207,7 +207,10 @@
 #[test]
 fn the_clock_of_a_machine_that_stays_goes_on() {
     let t = two();
-    let stays = (0..).map(|i| format!("i-{i:06}")).find(|n| t.next.home(n) == Some(0)).expect("one of many");
+    let stays = (0..)
+        .map(|i| format!("i-{i:06}"))
+        .find(|n| t.next.machine_leader(n) == Some(0))
+        .expect("one of many");
     let r = hazelsaddle::machine_shard::MachineRecord {
         kind: "k".into(),
         zone: "z".into(),
@@ -276,7 +279,7 @@
             ..free.clone()
         };
         let all = others.iter().map(other).chain([free.clone()]);
-        let machines = all.filter(|d| t.new.home(&d.name) == Some(from)).collect();
+        let machines = all.filter(|d| t.new.machine_leader(&d.name) == Some(from)).collect();
         let d = MachineStatusDelta { seq: (t.new.epoch << 32) + seq, since: 0, rev_seen, machines };
         o.digest(at(5.0), &t.new, from, d);
     }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -54,7 +54,9 @@
     ]);
     let c = StoreClient::new(addr, Duration::from_secs(5));
     let get = StoreRequest::Get("a/b".into());
-    assert!(matches!(c.call(&get), StoreAnswer::Got(Some(r)) if r.mark == 412 && r.value == json!({"x": 1})));
+    assert!(
+        matches!(c.call(&get), StoreAnswer::Got(Some(r)) if r.store_version == 412 && r.value == json!({"x": 1}))
+    );
     assert_eq!(c.call(&get), StoreAnswer::Got(None));
     let page = c.call(&StoreRequest::List("a/".into(), "a/a".into()));
     assert!(matches!(page, StoreAnswer::Page(rows, true) if rows.len() == 1));
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -23,7 +23,7 @@
     Settings::parse("test", text).expect("valid")
 }
 
-fn home() -> (Membership, MachineShard) {
+fn machine_leader() -> (Membership, MachineShard) {
     let s = settings();
     let mut m = Membership::new(&s, 1);
     m.adopt(Micros(1), &EpochRecord { epoch: EPOCH, members: vec![("c0".into(), 1)] }, 1);
@@ -48,7 +48,7 @@
 /// What lies between would be taken for "not wanted" or "not there".
 #[test]
 fn a_message_that_builds_on_a_state_not_held_is_dropped() {
-    let (m, mut home) = home();
+    let (m, mut home) = machine_leader();
     let room = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
     let first = EPOCH << 32;
     let wish = DesiredTask {
--- a/tests/old_reports.rs
+++ b/tests/old_reports.rs
@@ -137,7 +137,7 @@
     let own = |p: &str, of: &dyn Fn(&str) -> Option<usize>| {
         (0..).map(|i| format!("{p}-{i:06}")).find(|n| of(n) == Some(0)).expect("one of many")
     };
-    let (machine, job) = (own("i", &|n| m.home(n)), own("wk", &|n| m.job_owner(n)));
+    let (machine, job) = (own("i", &|n| m.machine_leader(n)), own("wk", &|n| m.job_leader(n)));
     let mut w = Worker {
         machine: machine.clone(),
         session: 1,
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -51,7 +51,7 @@
             let sum = sums.entry(e.priority).or_default();
             *sum = *sum + e.room;
         }
-        let mine = self.entries.iter().filter(|(k, _)| m.job_owner(&k.job) == Some(to));
+        let mine = self.entries.iter().filter(|(k, _)| m.job_leader(&k.job) == Some(to));
         MachineStatus {
             name: self.name.clone(),
             kind: self.kind.clone(),
@@ -88,10 +88,10 @@
     settings: Vec<Settings>,
     members: Vec<Membership>,
     owners: Vec<JobShard>,
-    teams: Vec<QuotaLedger>,
+    quota: Vec<QuotaLedger>,
     record: BTreeMap<String, (Value, u64)>,
-    mark: u64,
-    fleet: Autoscaler,
+    store_version: u64,
+    autoscaler: Autoscaler,
     pub types: Vec<MachineType>,
     pub machines: Vec<Machine>,
     wishes: Vec<(Micros, usize, usize, DesiredState)>,
@@ -127,10 +127,10 @@
             rng: StdRng::seed_from_u64(seed),
             members: settings.iter().map(|s| Membership::new(s, 1)).collect(),
             owners: settings.iter().map(JobShard::new).collect(),
-            teams: settings.iter().map(|s| QuotaLedger::new(&s.teams)).collect(),
+            quota: settings.iter().map(|s| QuotaLedger::new(&s.teams)).collect(),
             record: BTreeMap::new(),
-            mark: 1,
-            fleet: Autoscaler::new(1, &settings[0]),
+            store_version: 1,
+            autoscaler: Autoscaler::new(1, &settings[0]),
             settings,
             types,
             machines: Vec::new(),
@@ -167,13 +167,13 @@
         self.wishes.clear();
         self.digests.clear();
         for i in 0..3 {
-            let follows = self.members[i].adopt(self.now, &record, self.mark);
+            let follows = self.members[i].adopt(self.now, &record, self.store_version);
             self.owners[i].adopt(&self.members[i], follows);
-            self.teams[i].unread();
+            self.quota[i].unread();
             self.seen[i] = [0; 3];
             for (id, raw) in &self.raws {
                 let a = &self.jobs[id];
-                if self.members[i].job_owner(id) == Some(i) && a.done.is_none() {
+                if self.members[i].job_leader(id) == Some(i) && a.done.is_none() {
                     let spec = a.spec.clone();
                     self.owners[i].insert(raw.clone(), spec, a.at, Ranges::default(), 1, false);
                 }
@@ -188,7 +188,7 @@
     pub fn submit(&mut self, raw: Value, run: Micros) {
         let spec = JobSpec::from_value(&raw).expect("a valid description");
         let id = spec.id.clone();
-        let owner = self.members[0].job_owner(&id).expect("owned");
+        let owner = self.members[0].job_leader(&id).expect("owned");
         self.owners[owner].insert(raw.clone(), spec.clone(), self.now, Ranges::default(), 1, true);
         let asked =
             Asked { spec, run, at: self.now, begun: None, done: None, stopped: 0, running: BTreeSet::new() };
@@ -218,7 +218,7 @@
         for i in 0..3 {
             self.claims(i);
             let m = &self.members[i];
-            self.owners[i].plan(now, now, m, &self.teams[i]);
+            self.owners[i].plan(now, now, m, &self.quota[i]);
             self.make_room(i);
             while let Some((id, w, _)) = self.owners[i].next_write(now, true) {
                 if let RecordWrite::End(f, _) = w {
@@ -227,9 +227,9 @@
                     a.done = Some(now);
                 }
             }
-            while let Some((id, w, mark)) = self.owners[i].next_write(now, false) {
+            while let Some((id, w, store_version)) = self.owners[i].next_write(now, false) {
                 if let RecordWrite::Progress(_, kept) = w {
-                    self.owners[i].progress_written(now, &id, kept, mark);
+                    self.owners[i].progress_written(now, &id, kept, store_version);
                 }
             }
         }
@@ -260,7 +260,7 @@
                 self.owners[j].others_reserve(now, i, list.clone());
             }
             let d = self.owners[i].demands();
-            self.fleet.demand(now, i, d);
+            self.autoscaler.demand(now, i, d);
         }
         let digests = self
             .machines
@@ -270,42 +270,42 @@
         let seen: Vec<MachineSnapshot> = digests.collect();
         let all: Vec<&MachineSnapshot> = seen.iter().collect();
         for _ in 0..4 {
-            let Some(r) = self.fleet.next(now, true, &all, true, true, &[0, 1, 2]) else { break };
+            let Some(r) = self.autoscaler.next(now, true, &all, true, true, &[0, 1, 2]) else { break };
             let answer = match &r {
                 CloudRequest::Types => CloudAnswer::Types(self.types.clone()),
                 CloudRequest::List(_) => CloudAnswer::Page(Vec::<Listed>::new(), false),
                 CloudRequest::Rent(_) => CloudAnswer::NoCapacity,
                 CloudRequest::Return(_) => CloudAnswer::Failed,
             };
-            self.fleet.answer(now, &r, answer);
+            self.autoscaler.answer(now, &r, answer);
         }
         for o in &mut self.owners {
-            o.keep(self.fleet.kept.clone(), self.fleet.reserve.clone().into_iter().collect());
+            o.keep(self.autoscaler.kept.clone(), self.autoscaler.reserve.clone().into_iter().collect());
         }
     }
 
     fn claims(&mut self, i: usize) {
         let now = self.now;
-        let needs = self.owners[i].needs(&self.teams[i]);
-        for team in self.teams[i].reads(now, &needs) {
+        let needs = self.owners[i].needs(&self.quota[i]);
+        for team in self.quota[i].reads(now, &needs) {
             let row = self.record.get(&team);
-            self.teams[i].take(&team, row.map(|(v, m)| (v, *m)));
+            self.quota[i].take(&team, row.map(|(v, m)| (v, *m)));
         }
-        for team in self.teams[i].names() {
+        for team in self.quota[i].names() {
             let list = needs.get(&team).cloned().unwrap_or_default();
             let m = &self.members[i];
             let owner = &self.owners[i];
-            let mine = |j: &str| m.job_owner(j) == Some(i);
-            let w = self.teams[i].plan(now, &team, &list, mine, |j| owner.released(j), 4096);
+            let mine = |j: &str| m.job_leader(j) == Some(i);
+            let w = self.quota[i].plan(now, &team, &list, mine, |j| owner.released(j), 4096);
             let Some(w) = w else { continue };
-            self.teams[i].sent(now, &w);
-            if self.record.get(&team).map_or(0, |r| r.1) != w.mark {
-                self.teams[i].failed(&w, true);
+            self.quota[i].sent(now, &w);
+            if self.record.get(&team).map_or(0, |r| r.1) != w.store_version {
+                self.quota[i].failed(&w, true);
                 continue;
             }
-            self.mark += 1;
-            self.record.insert(team.clone(), (w.value.clone(), self.mark));
-            self.teams[i].committed(w, self.mark);
+            self.store_version += 1;
+            self.record.insert(team.clone(), (w.value.clone(), self.store_version));
+            self.quota[i].committed(w, self.store_version);
         }
     }
 
@@ -371,7 +371,7 @@
         for home in 0..3 {
             for to in 0..3 {
                 let m = &self.members[to];
-                let here = self.machines.iter().filter(|x| m.home(&x.name) == Some(home));
+                let here = self.machines.iter().filter(|x| m.machine_leader(&x.name) == Some(home));
                 let machines = here.map(|x| x.digest(m, to)).collect();
                 let rev_seen = self.seen[home][to];
                 let d =
--- a/tests/world/batches.rs
+++ b/tests/world/batches.rs
@@ -26,7 +26,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Record {
-    mark: u64,
+    store_version: u64,
     version: u64,
     fence: u64,
     raised_at: u64,
@@ -108,13 +108,13 @@
             .store
             .keys
             .range("pact/b/".to_owned().."pact/b0".to_owned())
-            .filter(|(k, v)| self.batches.records.get(&k[7..]).is_none_or(|r| r.mark != v.1))
+            .filter(|(k, v)| self.batches.records.get(&k[7..]).is_none_or(|r| r.store_version != v.1))
             .map(|(k, v)| (k[7..].to_owned(), v.0.clone(), v.1))
             .collect();
-        for (name, v, mark) in changed {
+        for (name, v, store_version) in changed {
             let before = self.batches.records.get(&name).cloned().unwrap_or_default();
             let number = |v: &Value| v.as_u64().expect("a number");
-            let mut r = Record { mark, ..before.clone() };
+            let mut r = Record { store_version, ..before.clone() };
             (r.version, r.fence) = (number(&v["version"]), number(&v["body"]["fence"]));
             assert!(
                 r.version >= before.version && r.fence >= before.fence,
--- a/tests/world/cancels.rs
+++ b/tests/world/cancels.rs
@@ -151,7 +151,7 @@
         }
         for (key, ..) in &c.puts {
             if let Some(id) = key.strip_prefix("job/")
-                && c.conditions.iter().any(|(k, mark)| k == key && *mark == 0)
+                && c.conditions.iter().any(|(k, store_version)| k == key && *store_version == 0)
             {
                 let before = self.cancels.records.insert(id.to_owned(), self.now);
                 assert_eq!(before, None, "put on record again: {id} at {}", self.now);
--- a/tests/world/days/cancels.rs
+++ b/tests/world/days/cancels.rs
@@ -61,7 +61,7 @@
                 (0..3).for_each(|n| w.cuts.push((End::Controller(n), End::Workers, now + long, n == 0)));
             }
             Machines::CutFromHome(long) => {
-                let n = at.first().and_then(|&i| home(w, i)).unwrap_or(0);
+                let n = at.first().and_then(|&i| machine_leader(w, i)).unwrap_or(0);
                 let hold = w.rng.random_bool(0.5);
                 w.cuts.push((End::Controller(n), End::Workers, now + long, hold));
             }
@@ -371,8 +371,8 @@
         let until = w.now + 15 * S;
         w.run(0, until);
         for n in w.nodes.iter().flatten() {
-            let tasks: usize = n.owner.machines(n.membership.epoch).map(|d| d.tasks.len()).sum();
-            assert_eq!((n.owner.counts().0, tasks), (0, 0), "jobs and tasks that are left");
+            let tasks: usize = n.job_shard.machines(n.membership.epoch).map(|d| d.tasks.len()).sum();
+            assert_eq!((n.job_shard.counts().0, tasks), (0, 0), "jobs and tasks that are left");
         }
         // Whoever asks later is told what became of it, by whichever controller.
         let some: Vec<String> = w.jobs.keys().step_by(17).cloned().collect();
@@ -419,8 +419,11 @@
     let mut w = World::new(25_000, Shape { jobs: 0, ..SMALL });
     play_until(&mut w, 20 * S);
     let m = w.nodes[0].as_ref().expect("it lives").membership.clone();
-    let ids: Vec<String> =
-        (0..).map(|i| format!("wk-{i:06}")).filter(|id| m.job_owner(id) == Some(0)).take(KEPT + 60).collect();
+    let ids: Vec<String> = (0..)
+        .map(|i| format!("wk-{i:06}"))
+        .filter(|id| m.job_leader(id) == Some(0))
+        .take(KEPT + 60)
+        .collect();
     let end = |i: usize| if i.is_multiple_of(4) { "cancelled" } else { "done" };
     for (i, id) in ids.iter().enumerate() {
         w.store.keys.insert(format!("done/{id}"), (json!({"end": end(i), "done": 1}), 1, None));
@@ -432,7 +435,7 @@
         assert!(r.status == 200 && r.body.contains(says), "{}: {r:?}", ids[i]);
     };
     let kept = |w: &World| -> Vec<usize> {
-        let owner = &w.nodes[0].as_ref().expect("it lives").owner;
+        let owner = &w.nodes[0].as_ref().expect("it lives").job_shard;
         (0..ids.len()).filter(|&i| owner.final_of(&ids[i]).is_some()).collect()
     };
     (0..ids.len()).for_each(|i| asked(&mut w, i));
--- a/tests/world/days/compound.rs
+++ b/tests/world/days/compound.rs
@@ -52,13 +52,13 @@
 /// What a controller is to a job: its owner.
 pub(super) fn owner(w: &World, id: &str) -> Option<usize> {
     let newest = w.nodes.iter().flatten().max_by_key(|x| x.membership.epoch)?;
-    newest.membership.job_owner(id)
+    newest.membership.job_leader(id)
 }
 
 /// The home of a machine, by the newest epoch that anybody has taken up.
-pub(super) fn home(w: &World, machine: usize) -> Option<usize> {
+pub(super) fn machine_leader(w: &World, machine: usize) -> Option<usize> {
     let newest = w.nodes.iter().flatten().max_by_key(|x| x.membership.epoch)?;
-    newest.membership.home(&w.workers[machine].name)
+    newest.membership.machine_leader(&w.workers[machine].name)
 }
 
 /// Users ask any controller to cancel these until they are told that they are cancelled, or so long.
@@ -120,7 +120,7 @@
             let ids = long_jobs(w, 12, 120 * S);
             w.run(0, 50 * S);
             let n = seed as usize % 3;
-            let of: Vec<usize> = (0..w.workers.len()).filter(|&i| home(w, i) == Some(n)).collect();
+            let of: Vec<usize> = (0..w.workers.len()).filter(|&i| machine_leader(w, i) == Some(n)).collect();
             let long = w.rng.random_range(8 * S..60 * S);
             w.machine_deaf(&of[..of.len().div_ceil(2)], long);
             for &i in &of[of.len().div_ceil(2)..] {
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -278,8 +278,8 @@
             let of_task = w.workers[i].tasks.first().and_then(|t| owner(w, &t.job));
             let n = match ends {
                 Ends::Decider => w.nodes.iter().flatten().next().and_then(|x| x.membership.decider()),
-                Ends::MachineShard => home(w, i),
-                Ends::JobShard => of_task.or(home(w, i)),
+                Ends::MachineShard => machine_leader(w, i),
+                Ends::JobShard => of_task.or(machine_leader(w, i)),
                 Ends::All => None,
             };
             let pause = if seed.is_multiple_of(2) { S / 20..S / 10 } else { 8 * S..12 * S };
@@ -398,7 +398,7 @@
         w.run(0, until);
         if ends {
             let n = match seed % 3 {
-                0 => home(w, some[0]),
+                0 => machine_leader(w, some[0]),
                 1 => w.workers[some[0]].tasks.first().and_then(|t| owner(w, &t.job)),
                 _ => None,
             };
@@ -482,7 +482,7 @@
                 w.run(0, next);
                 for n in 0..3 {
                     let Some(node) = &w.nodes[n] else { continue };
-                    let d = node.home.digest(w.clock(n), &node.membership, n, 0, |_| None);
+                    let d = node.machine_shard.digest(w.clock(n), &node.membership, n, 0, |_| None);
                     for d in d.machines.iter().filter(|d| names.contains(&d.name)) {
                         assert!(
                             !d.open && d.tasks.iter().all(|t| t.key.attempt >> 24 < node.membership.epoch),
@@ -569,8 +569,8 @@
             while w.now < back + 9 * S {
                 // Two that act as the owner of a job whose task has ended, and its user has not been told.
                 let acts = |x: usize, id: &str| {
-                    let node = w.nodes[x].as_ref().filter(|node| node.membership.may_act(w.clock(x)));
-                    node.is_some_and(|node| node.membership.job_owner(id) == Some(x))
+                    let node = w.nodes[x].as_ref().filter(|node| node.membership.is_leader(w.clock(x)));
+                    node.is_some_and(|node| node.membership.job_leader(id) == Some(x))
                 };
                 let over = |(id, j): (&String, &UserJob)| {
                     (j.known == Known::Accepted && !j.done.is_empty()).then(|| id.clone())
@@ -627,8 +627,8 @@
             ids.iter().for_each(|id| w.submit_to(q, id));
             for _ in 0..12 {
                 let acts = |x: usize, id: &str| {
-                    let node = w.nodes[x].as_ref().filter(|node| node.membership.may_act(w.clock(x)));
-                    node.is_some_and(|node| node.membership.job_owner(id) == Some(x))
+                    let node = w.nodes[x].as_ref().filter(|node| node.membership.is_leader(w.clock(x)));
+                    node.is_some_and(|node| node.membership.job_leader(id) == Some(x))
                 };
                 let both = |id: &&String| w.jobs[*id].known == Known::Accepted && acts(n, id) && acts(q, id);
                 let ids: Vec<String> = ids.iter().filter(both).cloned().collect();
@@ -658,7 +658,7 @@
             w.crash_for(n, S / 20..S / 10);
             let until = w.now + 8 * S;
             w.run(0, until);
-            let acts = |w: &World| w.nodes[n].as_ref().is_some_and(|x| x.membership.may_act(w.clock(n)));
+            let acts = |w: &World| w.nodes[n].as_ref().is_some_and(|x| x.membership.is_leader(w.clock(n)));
             assert!(acts(w), "seed {seed}: {n} has not joined");
             let until = w.now + 40 * S;
             w.run(0, until);
--- a/tests/world/days/pairs.rs
+++ b/tests/world/days/pairs.rs
@@ -73,7 +73,7 @@
         let id = ids.iter().max_by_key(|id| w.alive(id).count()).expect("jobs");
         let n = match w.rng.random_range(0..3) {
             0 => owner(w, id).unwrap_or(n),
-            1 => w.alive(id).next().and_then(|m| home(w, m)).unwrap_or(n),
+            1 => w.alive(id).next().and_then(|m| machine_leader(w, m)).unwrap_or(n),
             _ => n,
         };
         let until = w.now + 30 * S;
--- a/tests/world/days/plain.rs
+++ b/tests/world/days/plain.rs
@@ -59,7 +59,7 @@
 fn a_new_job_is_accepted_while_its_owner_stands_still() {
     let mut w = World::new(800, Shape { jobs: 0, ..SMALL });
     play_until(&mut w, 30 * S);
-    let owner = |w: &World, id: &str| w.nodes[0].as_ref().and_then(|n| n.membership.job_owner(id));
+    let owner = |w: &World, id: &str| w.nodes[0].as_ref().and_then(|n| n.membership.job_leader(id));
     let mut n = 1000;
     let id = loop {
         w.add_job(n);
--- a/tests/world/days/refused.rs
+++ b/tests/world/days/refused.rs
@@ -63,7 +63,7 @@
 }
 
 fn owner(w: &World, id: &str) -> Option<usize> {
-    w.nodes.iter().flatten().max_by_key(|x| x.membership.epoch)?.membership.job_owner(id)
+    w.nodes.iter().flatten().max_by_key(|x| x.membership.epoch)?.membership.job_leader(id)
 }
 
 #[test]
--- a/tests/world/days/releases.rs
+++ b/tests/world/days/releases.rs
@@ -200,7 +200,7 @@
     // Opened again by one controller, it takes renders through all of them at once: a refusal must not rest on what
     // one of them read before.
     assert_eq!(w.operate(0, &OpRequest::Reopen(title(), None)).status, 200);
-    let owner = |w: &World, id: &str| w.nodes[0].as_ref().and_then(|n| n.membership.job_owner(id));
+    let owner = |w: &World, id: &str| w.nodes[0].as_ref().and_then(|n| n.membership.job_leader(id));
     let of = |w: &World, n: usize| {
         (10..).map(|i| format!("wk-{i:06}")).filter(|id| owner(w, id) == Some(n)).take(3).collect::<Vec<_>>()
     };
--- a/tests/world/days/restarts.rs
+++ b/tests/world/days/restarts.rs
@@ -82,7 +82,7 @@
             w.prompt = false;
             w.run(0, 190 * S);
             let at = w.clock(n);
-            assert!(w.nodes[n].as_ref().is_some_and(|x| x.membership.may_act(at)), "held back for ever");
+            assert!(w.nodes[n].as_ref().is_some_and(|x| x.membership.is_leader(at)), "held back for ever");
             w.run(0, 420 * S);
         });
         ended(&mut w, seed);
@@ -106,7 +106,7 @@
                 let until = w.back_at[n] + S;
                 w.run(0, until);
                 let at = w.clock(n);
-                let acts = w.nodes[n].as_ref().is_some_and(|x| x.membership.may_act(at));
+                let acts = w.nodes[n].as_ref().is_some_and(|x| x.membership.is_leader(at));
                 assert!(acts, "restart {i} is held back");
                 let until = w.now + 10 * S;
                 w.run(0, until);
--- a/tests/world/days/takeovers.rs
+++ b/tests/world/days/takeovers.rs
@@ -66,7 +66,7 @@
         w.workers[0].hung_until = NEVER;
         let first = w.now;
         // What its home knows is lost with its home; any other controller's crash must not touch it.
-        let home = w.nodes[0].as_ref().and_then(|n| n.membership.home("i-000000")).expect("a home");
+        let home = w.nodes[0].as_ref().and_then(|n| n.membership.machine_leader("i-000000")).expect("a home");
         for _ in 0..2 {
             w.crash((home + 1 + seed as usize % 2) % 3);
             let until = w.now + 16 * S;
@@ -136,7 +136,7 @@
         let n = seed as usize % 3;
         let homes: Vec<Option<usize>> = {
             let m = &w.nodes[0].as_ref().expect("it lives").membership;
-            w.workers.iter().map(|x| m.home(&x.name)).collect()
+            w.workers.iter().map(|x| m.machine_leader(&x.name)).collect()
         };
         for (i, home) in homes.into_iter().enumerate() {
             if home == Some(n) && i % 3 == 0 {
--- a/tests/world/lost.rs
+++ b/tests/world/lost.rs
@@ -192,7 +192,8 @@
         };
         let keys = keys_of(r);
         let has = |prefix: &str| keys.iter().any(|k| k.starts_with(prefix));
-        let new = || c.conditions.iter().any(|(k, mark)| k.starts_with("job/") && *mark == 0);
+        let new =
+            || c.conditions.iter().any(|(k, store_version)| k.starts_with("job/") && *store_version == 0);
         const PLAIN: [(&str, Write); 8] = [
             ("ring/epoch", Write::Raise),
             ("ring/m/", Write::Member),
@@ -393,7 +394,7 @@
         let c = &mut self.lost.copies;
         c.all += 1;
         if let Some(node) = &self.nodes[n]
-            && node.membership.home(&w.name) == Some(n)
+            && node.membership.machine_leader(&w.name) == Some(n)
         {
             let epoch = node.membership.epoch;
             c.first += usize::from(w.token < epoch);
--- a/tests/world/rules.rs
+++ b/tests/world/rules.rs
@@ -48,7 +48,7 @@
                 let now = self.clock(n);
                 self.nodes[n].as_mut().map(|node| {
                     let status = node.status(now);
-                    let machines: Vec<_> = node.owner.machines(node.membership.epoch).collect();
+                    let machines: Vec<_> = node.job_shard.machines(node.membership.epoch).collect();
                     format!("{status} {machines:?}")
                 })
             })
--- a/tests/world/trace.rs
+++ b/tests/world/trace.rs
@@ -98,8 +98,11 @@
 
 /// The body of an atomic change.
 fn commit_body(commit: &Transaction) -> String {
-    let conditions: Vec<Value> =
-        commit.conditions.iter().map(|(key, mark)| json!({"k": key, "mark": mark})).collect();
+    let conditions: Vec<Value> = commit
+        .conditions
+        .iter()
+        .map(|(key, store_version)| json!({"k": key, "mark": store_version}))
+        .collect();
     let puts = commit.puts.iter().map(|(key, value, lease)| match lease {
         Some(lease) => json!({"write": key, "v": value, "tether": lease}),
         None => json!({"write": key, "v": value}),
