--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,7 +1,9 @@
 //! The laboratory's command line.
 
 use clap::{Parser, Subcommand};
-use hazelsaddle::{daemon, operators::Operators, settings::Settings};
+use hazelsaddle::config::operators::Operators;
+use hazelsaddle::config::settings::Settings;
+use hazelsaddle::server;
 use hazelsaddle_logs::{cli, spool::Policy};
 use hazelsaddle_testbed::experiment::{self, Plan};
 use hazelsaddle_testbed::local_cluster::{LocalCluster, Size};
@@ -277,7 +279,7 @@
                 Ok(s)
             };
             match load() {
-                Ok(s) => daemon::run(s).map_or_else(|e| failed(e.into()), |()| ExitCode::SUCCESS),
+                Ok(s) => server::run(s).map_or_else(|e| failed(e.into()), |()| ExitCode::SUCCESS),
                 Err(e) => failed(e),
             }
         }
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -4,9 +4,9 @@
 mod headroom;
 
 use self::headroom::headroom;
+use crate::config::settings::Settings;
 use crate::machine_view::MachineSnapshot;
 use crate::peer::{Demand, InventoryState};
-use crate::settings::Settings;
 use crate::spec::{MachineType, Types};
 use crate::state_store::{RateLimiter, call};
 use crate::units::{Micros, Resources};
--- a/src/commands.rs
+++ b/src/cli.rs
@@ -1,11 +1,12 @@
 //! Thin verbs of the command line: what a controller answers, in words or as it is.
 
-use crate::api::ops::encoded;
+use crate::server::operator_api::encoded;
 use clap::{Args, Subcommand};
 use serde_json::{Value, json};
 use std::time::Duration;
 
 mod batches;
+pub mod loans;
 
 pub use batches::{BatchCommand, batch};
 
--- a/src/lending.rs
+++ b/src/cli/loans.rs
@@ -1,6 +1,6 @@
 //! The verb `loans`: who lent what to whom and when it is due back, as a controller's status has it.
 
-use crate::commands::Asked;
+use crate::cli::Asked;
 use serde_json::Value;
 use std::fmt::Write;
 use std::time::Duration;
--- a/src/operators.rs
+++ b/src/config/operators.rs
@@ -126,7 +126,7 @@
 
     #[test]
     fn the_file_in_deploy_is_valid_and_wrong_keys_are_named() {
-        let all = Operators::parse("f.ini", include_str!("../deploy/operators.ini")).expect("valid");
+        let all = Operators::parse("f.ini", include_str!("../../deploy/operators.ini")).expect("valid");
         assert_eq!(all, Operators::default(), "everything in it is commented out");
         let on = Operators::parse("f.ini", "[logs]\nstores = 10.3.0.1:7103, 10.3.0.2:7103\n").expect("valid");
         assert_eq!(on.log_stores.len(), 2);
--- a/src/settings.rs
+++ b/src/config/settings.rs
@@ -4,7 +4,7 @@
 
 pub use cancellation_budget::{CancellationBudget, CancellationBudgetError};
 
-use crate::operators::Operators;
+use crate::config::operators::Operators;
 use crate::units::Micros;
 use serde::Deserialize;
 use std::net::SocketAddrV4;
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -28,6 +28,7 @@
 use self::release::Releases;
 use self::start_replica::StartReplica;
 use crate::autoscaler::{Autoscaler, CloudAnswer, CloudRequest};
+use crate::config::settings::Settings;
 use crate::job_shard::{JobOutcome, JobShard, RecordWrite};
 use crate::machine_registry::{self, MachineRegistry, PageWrite};
 use crate::machine_shard::{FencingProbe, Heartbeat, MachineShard, Verdict};
@@ -35,7 +36,6 @@
 use crate::membership::{EpochRecord, Membership};
 use crate::peer::{DesiredState, Frame, Message, Reply, UserRequest};
 use crate::quota::{AllocationWrite, QuotaLedger};
-use crate::settings::Settings;
 use crate::spec::{JobKind, JobSpec};
 use crate::state_store::{KeyValue, RateLimiter, StoreAnswer, StoreRequest, Transaction};
 use crate::units::{Micros, Ranges};
@@ -67,7 +67,7 @@
     /// A user's request, its syntax checked.
     User(u64, UserRequest),
     /// An operator's request about releases or batches.
-    Operator(u64, crate::api::ops::OpRequest),
+    Operator(u64, crate::server::operator_api::OpRequest),
     /// A health probe.
     Ready(u64),
     /// An operator asks how things stand.
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -68,7 +68,7 @@
 /// An operator's request that is under way.
 pub(super) struct Operating {
     pub(super) ticket: u64,
-    pub(super) request: crate::api::ops::OpRequest,
+    pub(super) request: crate::server::operator_api::OpRequest,
     pub(super) began: Micros,
 }
 
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -6,9 +6,9 @@
 
 use super::coordination::{Gate, Operating};
 use super::*;
-use crate::api::ops::OpRequest;
 use crate::job_shard::dependencies::unpacked;
 use crate::job_shard::{Attempt, Hold, Job};
+use crate::server::operator_api::OpRequest;
 use hazelsaddle_coordination::census::Stands;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Sort};
 use hazelsaddle_coordination::record_cache::Held;
--- a/src/controller/gpu_lending.rs
+++ b/src/controller/gpu_lending.rs
@@ -4,7 +4,7 @@
 //! record, of its own ledger's mark and of all the others', and a claim is on record before anything is stopped for it.
 
 use super::*;
-use crate::operators::LoanTerms;
+use crate::config::operators::LoanTerms;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Pact};
 use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, State};
 
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -3,7 +3,7 @@
 
 use super::coordination::Operating;
 use super::*;
-use crate::api::ops::OpRequest;
+use crate::server::operator_api::OpRequest;
 
 /// A request that can't be answered for so long is given up.
 const PATIENCE: Micros = Micros::from_millis(8000);
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -3,8 +3,8 @@
 
 use super::coordination::{Gate, Members, Operating};
 use super::*;
-use crate::api::ops::OpRequest;
 use crate::job_shard::Hold;
+use crate::server::operator_api::OpRequest;
 use hazelsaddle_coordination::census::Stands;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
 use hazelsaddle_coordination::record_cache::Held;
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -35,7 +35,7 @@
         "startupS":5,"paddocks":["z"]});
     let types = [serde_json::from_value(kind).expect("a machine type")];
     n.autoscaler.types = types.into_iter().map(|t: crate::spec::MachineType| (t.name.clone(), t)).collect();
-    let team = crate::settings::TeamSettings {
+    let team = crate::config::settings::TeamSettings {
         name: "t".into(),
         cpus: 0.0,
         cpus_max: 0.0,
--- a/src/job_shard.rs
+++ b/src/job_shard.rs
@@ -22,11 +22,11 @@
 
 use self::dependencies::Waiting;
 use self::failure_attribution::FailureAttribution;
+use crate::config::settings::{Objective, Settings};
 use crate::machine_view::{MachineSnapshot, MachineView};
 use crate::membership::Membership;
 use crate::peer::{Demand, DesiredAction, InventoryState, Reservation, TaskKey, TaskPhase};
 use crate::quota::tier::QuotaTier;
-use crate::settings::{Objective, Settings};
 use crate::spec::{GUARANTEED, JobKind, JobSpec};
 use crate::units::{Micros, Ranges, Resources};
 use hazelsaddle_failover::unresolved::{UnresolvedSetId, UnresolvedSets};
--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -4,7 +4,7 @@
 
 use super::scheduling_pass::likely;
 use super::*;
-use crate::operators::LoanTerms;
+use crate::config::operators::LoanTerms;
 use crate::peer::{Lendable, LendableTask, Lending as Told};
 use crate::quota::QuotaLedger;
 use crate::quota::tier::QuotaTier;
--- a/src/machine_shard.rs
+++ b/src/machine_shard.rs
@@ -1,12 +1,12 @@
 //! The home side of machines: their reports, sessions and leases, what may be started on them,
 //! and the commands they are given.
 
+use crate::config::settings::Settings;
 use crate::membership::Membership;
 use crate::peer::{
     DesiredAction, DesiredState, DesiredTask, InventoryState, MachineStatus, MachineStatusDelta,
     ObservedTask, TaskExit, TaskKey, TaskPhase,
 };
-use crate::settings::Settings;
 use crate::units::{Micros, Resources};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/machine_shard/owner_liveness.rs
+++ b/src/machine_shard/owner_liveness.rs
@@ -14,8 +14,8 @@
 //! The way to do without the state service is part of it: nothing here asks for it.
 
 use super::{Entry, Machine};
+use crate::config::settings::Settings;
 use crate::peer::{DesiredAction, TaskPhase};
-use crate::settings::Settings;
 use crate::units::Micros;
 
 /// What an owner's latest message of this epoch said.
--- a/src/machine_shard/owner_liveness/tests.rs
+++ b/src/machine_shard/owner_liveness/tests.rs
@@ -1,8 +1,8 @@
 use super::super::tests::{ROOM, report, want};
 use super::super::{MachineShard, Verdict};
+use crate::config::settings::Settings;
 use crate::membership::{EpochRecord, Membership};
 use crate::peer::{DesiredAction, DesiredState, DesiredTask, TaskKey};
-use crate::settings::Settings;
 use crate::units::Micros;
 
 /// One home (c0) beside two other controllers; a task of each.
--- a/src/machine_view.rs
+++ b/src/machine_view.rs
@@ -126,10 +126,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::config::settings::Settings;
     use crate::machine_shard::{Heartbeat, HeartbeatTask, MachineShard};
     use crate::membership::{EpochRecord, Membership};
     use crate::peer::{DesiredAction, DesiredState, DesiredTask, TaskKey};
-    use crate::settings::Settings;
     use crate::units::Resources;
     use rand::{RngExt, SeedableRng, rngs::StdRng};
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,13 +1,11 @@
 //! The command line.
 
 use clap::{Parser, Subcommand};
-use hazelsaddle::commands::{self, Asked, BatchCommand, ReleaseCommand};
-use hazelsaddle::lending;
-use hazelsaddle::{
-    daemon,
-    operators::Operators,
-    settings::{CancellationBudget, Settings},
-};
+use hazelsaddle::cli::loans;
+use hazelsaddle::cli::{self, Asked, BatchCommand, ReleaseCommand};
+use hazelsaddle::config::operators::Operators;
+use hazelsaddle::config::settings::{CancellationBudget, Settings};
+use hazelsaddle::server;
 use hazelsaddle_logs::cli as logs_cli;
 use std::process::ExitCode;
 
@@ -101,21 +99,21 @@
             ExitCode::from(code)
         }
     };
-    let said = |answer: Result<String, commands::Failed>| match answer {
+    let said = |answer: Result<String, cli::Failed>| match answer {
         Ok(text) => {
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(commands::Failed(code, why)) => {
+        Err(cli::Failed(code, why)) => {
             eprintln!("hazelsaddle: {why}");
             ExitCode::from(code)
         }
     };
     match Cli::parse().command {
-        Action::Release(command) => said(commands::release(&command)),
-        Action::Batch(command) => said(commands::batch(&command)),
-        Action::Why { job, asked } => said(commands::why(&asked, &job)),
-        Action::Loans(args) => match lending::loans(&args) {
+        Action::Release(command) => said(cli::release(&command)),
+        Action::Batch(command) => said(cli::batch(&command)),
+        Action::Why { job, asked } => said(cli::why(&asked, &job)),
+        Action::Loans(args) => match loans::loans(&args) {
             Ok(text) => {
                 print!("{text}");
                 ExitCode::SUCCESS
@@ -142,7 +140,7 @@
                 // What it does serve is worth more than a refusal to start.
                 tracing::error!(reason = %e, "cancellations can't be kept to on these settings");
             }
-            if let Err(e) = daemon::run(settings) {
+            if let Err(e) = server::run(settings) {
                 eprintln!("hazelsaddle: {e}");
                 return ExitCode::from(1);
             }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -2,7 +2,7 @@
 
 pub mod step_down;
 
-use crate::settings::Settings;
+use crate::config::settings::Settings;
 use crate::units::Micros;
 pub use hazelsaddle_cluster::hash_ring::Ring;
 use serde::{Deserialize, Serialize};
--- a/src/membership/step_down.rs
+++ b/src/membership/step_down.rs
@@ -3,7 +3,7 @@
 //! by itself: it stops acting, raises the epoch without itself, and comes back once it reaches what
 //! it missed. The epoch decides, as always; what is weighed here only says when to raise it.
 
-use crate::settings::Settings;
+use crate::config::settings::Settings;
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -9,7 +9,7 @@
 pub mod tier;
 
 use self::tier::QuotaTier;
-use crate::settings::TeamSettings;
+use crate::config::settings::TeamSettings;
 use crate::units::{Micros, Resources};
 use allocation_notes::{Note, RoomRequest};
 use serde_json::{Map, Value};
--- a/src/daemon.rs
+++ b/src/server.rs
@@ -1,11 +1,14 @@
 //! The running daemon: threads at the edges, one thread for the controller itself.
 
-use crate::api::{self, Parsed};
+pub mod http_api;
+pub mod operator_api;
+
+use self::http_api::Parsed;
 use crate::autoscaler::{CloudClient, CloudRequest};
+use crate::config::settings::Settings;
 use crate::controller::{Controller, Effect, Event};
 use crate::machine_shard::FencingProbe;
 use crate::peer::{self, Frame, Reply};
-use crate::settings::Settings;
 use crate::state_store::{StoreClient, StoreRequest};
 use crate::units::Micros;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
@@ -76,7 +79,7 @@
         let ticket = tickets.fetch_add(1, Ordering::Relaxed);
         let method = request.method().as_str().to_owned();
         let url = request.url().to_owned();
-        match api::parse(ticket, &method, &url, |limit| api::body(request.as_reader(), limit)) {
+        match http_api::parse(ticket, &method, &url, |limit| http_api::body(request.as_reader(), limit)) {
             Parsed::Answer(r) => answer(request, r),
             Parsed::Event(e) => {
                 let tx = if matches!(e, Event::Heartbeat(..)) { &tx } else { &first };
@@ -158,7 +161,7 @@
     let back = tx.clone();
     std::thread::spawn(move || {
         while let Ok(addresses) = probe_rx.recv() {
-            let reached = addresses.iter().any(|a| api::reachable(a));
+            let reached = addresses.iter().any(|a| http_api::reachable(a));
             if back.send(Inbound::Event(Event::Probed(reached))).is_err() {
                 return;
             }
@@ -171,13 +174,13 @@
     for _ in 0..GREETERS {
         let (tx, line, newest) = (tx.clone(), greet_rx.clone(), newest.clone());
         std::thread::spawn(move || {
-            let agent = api::greeter();
+            let agent = http_api::greeter();
             while let Ok((epoch, g)) = line.recv() {
                 // What was asked for an older epoch would say nothing.
                 if epoch < newest.load(Ordering::Relaxed) {
                     continue;
                 }
-                if let Some(r) = api::greet(&agent, epoch, &g)
+                if let Some(r) = http_api::greet(&agent, epoch, &g)
                     && tx.send(Inbound::Event(Event::Greeted(r))).is_err()
                 {
                     return;
--- a/src/api.rs
+++ b/src/server/http_api.rs
@@ -1,8 +1,7 @@
 //! The HTTP edge: what users, workers, health probes and operators send, checked before it reaches
 //! the controller's own thread.
 
-pub mod ops;
-
+use super::operator_api;
 use crate::controller::Event;
 use crate::machine_shard::{FencingProbe, Heartbeat};
 use crate::peer::{Reply, UserRequest};
@@ -70,7 +69,7 @@
         if let Some(id) = path.strip_prefix("/ops/why/").filter(|id| get && is_job_id(id)) {
             return Parsed::Event(Event::User(ticket, UserRequest::Why(id.into())));
         }
-        return match ops::parse(method, url, read_body) {
+        return match operator_api::parse(method, url, read_body) {
             Ok(r) => Parsed::Event(Event::Operator(ticket, r)),
             Err(r) => Parsed::Answer(r),
         };
@@ -79,7 +78,7 @@
         return Parsed::Answer(Reply::error(404, "no such path"));
     };
     if let Some(id) = rest.strip_suffix("/permit").filter(|id| get && is_job_id(id)) {
-        return match ops::permit(url) {
+        return match operator_api::permit(url) {
             Some((attempt, task)) => {
                 let what = format!("{attempt}/{task}");
                 Parsed::Event(Event::User(ticket, UserRequest::Permit(id.into(), what)))
--- a/src/spec.rs
+++ b/src/spec.rs
@@ -1,6 +1,6 @@
 //! A job as its user describes it: the wire's form, the checks, and the form used inside.
 
-use crate::settings::TeamSettings;
+use crate::config::settings::TeamSettings;
 use crate::units::{Micros, Resources};
 use hazelsaddle_coordination::record::{self, Key};
 use hazelsaddle_release::calendar::Stage;
--- /dev/null
+++ b/src/wire/cloud.rs
@@ -0,0 +1,1 @@
+//! Forms of the cloud API: machine types, inventory, scale out and in.
--- /dev/null
+++ b/src/wire/users.rs
@@ -0,0 +1,1 @@
+//! Forms of the user API: submissions, job states, errors.
--- /dev/null
+++ b/src/wire/workers.rs
@@ -0,0 +1,1 @@
+//! Forms that workers send and receive: heartbeats, commands, probes.
--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -2,13 +2,13 @@
 //! (`fixtures/README.md`) are read, and what is written for it is what it would have written. A change of
 //! layout fails here.
 
+use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::{JobOutcome, JobShard, RecordWrite};
 use hazelsaddle::machine_registry::{self, MachineRegistry};
 use hazelsaddle::machine_shard::MachineRecord;
 use hazelsaddle::membership::EpochRecord;
 use hazelsaddle::peer::*;
 use hazelsaddle::quota::{Need, QuotaLedger};
-use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::JobSpec;
 use hazelsaddle::units::{Micros, Ranges, Resources};
 use serde_json::{Map, Value, json};
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -1,11 +1,11 @@
 //! Jobs of two or three tasks that end far apart while their owners change: one task's end is known to its machine alone,
 //! or to a home, or to a record that was cut short or whose write had no answer.
 
+use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::{JobOutcome, JobShard, RecordWrite};
 use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::*;
 use hazelsaddle::quota::QuotaLedger;
-use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::JobSpec;
 use hazelsaddle::units::{Micros, Ranges, Resources};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
--- a/tests/follow.rs
+++ b/tests/follow.rs
@@ -1,9 +1,9 @@
 //! Who waits for whom, apart from the rest: ends that come in any order, twice or not at all at first,
 //! urgency that passes on, and the work that one end costs.
 
+use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::{JobOutcome, JobShard};
 use hazelsaddle::membership::{EpochRecord, Membership};
-use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::JobSpec;
 use hazelsaddle::units::{Micros, Ranges};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -6,15 +6,15 @@
 //! code writes now to standard output, one line for each form, and changes nothing else.
 
 use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest};
+use hazelsaddle::config::operators::Operators;
+use hazelsaddle::config::settings::Settings;
 use hazelsaddle::controller::{Controller, Effect, Event, read_end};
 use hazelsaddle::job_shard::{JobOutcome, JobShard, RecordWrite};
 use hazelsaddle::machine_registry::{self, MachineRegistry};
 use hazelsaddle::machine_shard::{Heartbeat, HeartbeatTask, MachineRecord};
 use hazelsaddle::membership::EpochRecord;
-use hazelsaddle::operators::Operators;
 use hazelsaddle::peer::*;
 use hazelsaddle::quota::{Need, QuotaLedger};
-use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::JobSpec;
 use hazelsaddle::state_store::{KeyValue, StoreAnswer, StoreRequest, Transaction};
 use hazelsaddle::units::{Micros, Ranges, Resources};
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,12 +1,12 @@
 //! What a home and an owner hand to the next: taken for complete where it is, never for more, and without harm when it
 //! comes late or twice.
 
+use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::JobShard;
 use hazelsaddle::machine_shard::{Heartbeat, HeartbeatTask, MachineShard, Verdict};
 use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::*;
 use hazelsaddle::quota::QuotaLedger;
-use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::JobSpec;
 use hazelsaddle::units::{Micros, Ranges, Resources};
 use serde_json::{Value, json};
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -1,14 +1,14 @@
 //! What must not count: messages that build on something their receiver does not hold, and decisions
 //! that rest on a right which has run out.
 
-use hazelsaddle::api::{self, Parsed};
 use hazelsaddle::autoscaler::CloudRequest;
+use hazelsaddle::config::settings::Settings;
 use hazelsaddle::controller::{Controller, Effect};
 use hazelsaddle::machine_shard::{Heartbeat, MachineShard};
 use hazelsaddle::machine_view::MachineView;
 use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::{DesiredAction, DesiredState, DesiredTask, MachineStatusDelta, Reply, TaskKey};
-use hazelsaddle::settings::Settings;
+use hazelsaddle::server::http_api::{self, Parsed};
 use hazelsaddle::spec::JobSpec;
 use hazelsaddle::units::{Micros, Resources};
 use serde_json::json;
@@ -115,7 +115,7 @@
             "borrowed": false, "rideS": 1, "restS": 0, "unsaddleS": 0, "follows": follows})
         .to_string();
         // It names a job, so its record is looked for before it is turned down, by this status and these words.
-        assert!(matches!(api::parse(1, "POST", "/v1/jobs", |_| Ok(body.clone())), Parsed::Event(_)));
+        assert!(matches!(http_api::parse(1, "POST", "/v1/jobs", |_| Ok(body.clone())), Parsed::Event(_)));
         match JobSpec::parse(&body) {
             Err(e) => (e.status(), e.to_string()),
             Ok(_) => (0, String::new()),
--- a/tests/old_reports.rs
+++ b/tests/old_reports.rs
@@ -1,12 +1,12 @@
 //! One worker and the homes that follow one another, with copies of old reports, answers that are lost while the reports
 //! arrive, direct messages held up, and homes that begin knowing nothing: what a home says is not on the machine is not.
 
+use hazelsaddle::config::settings::Settings;
 use hazelsaddle::machine_shard::{
     Heartbeat, HeartbeatResponse, HeartbeatTask, MachineRecord, MachineShard, Verdict,
 };
 use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::*;
-use hazelsaddle::settings::Settings;
 use hazelsaddle::units::{Micros, Resources};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/spec.rs
+++ b/tests/spec.rs
@@ -1,9 +1,9 @@
 //! What a submission must say, and which jobs can never run: by PROTOCOL, "POST /v1/jobs".
 
-use hazelsaddle::api::{self, Parsed};
+use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::JobShard;
 use hazelsaddle::peer::Reply;
-use hazelsaddle::settings::Settings;
+use hazelsaddle::server::http_api::{self, Parsed};
 use hazelsaddle::spec::{JobSpec, MachineType, SpecError, Types};
 use hazelsaddle::units::{Micros, Ranges, Resources};
 use serde_json::{Value, json};
@@ -26,8 +26,8 @@
 /// The status that a submission is turned down with, if it is: by the edge, or, where it names a job, which may have been
 /// accepted with another body, by the job's owner once there is no record of it.
 fn post(text: &str) -> Option<u16> {
-    let read = |limit| api::body(&mut text.as_bytes(), limit);
-    match api::parse(1, "POST", "/v1/jobs", read) {
+    let read = |limit| http_api::body(&mut text.as_bytes(), limit);
+    match http_api::parse(1, "POST", "/v1/jobs", read) {
         Parsed::Answer(Reply { status, .. }) => Some(status),
         Parsed::Event(_) => JobSpec::parse(text).err().map(|e| e.status()),
     }
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -3,6 +3,7 @@
 //! takes a step or two. Seeds alone decide what is asked.
 
 use hazelsaddle::autoscaler::{Autoscaler, CloudAnswer, CloudRequest, Listed};
+use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::{JobShard, RecordWrite};
 use hazelsaddle::machine_view::MachineSnapshot;
 use hazelsaddle::membership::{EpochRecord, Membership};
@@ -11,7 +12,6 @@
     TaskKey, TaskPhase,
 };
 use hazelsaddle::quota::QuotaLedger;
-use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::{JobKind, JobSpec, MachineType};
 use hazelsaddle::units::{Micros, Ranges, Resources};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
--- a/tests/world/batches.rs
+++ b/tests/world/batches.rs
@@ -2,7 +2,7 @@
 //! keys and the users' descriptions, and the rules that no merge starts and no permit is given on an old run.
 
 use super::*;
-use hazelsaddle::api::ops::OpRequest;
+use hazelsaddle::server::operator_api::OpRequest;
 
 /// Classes that read inputs, as the operators' file of these days has them.
 pub(crate) const SOURCES: [&str; 2] = ["split", "read"];
--- a/tests/world/days/batches.rs
+++ b/tests/world/days/batches.rs
@@ -2,7 +2,7 @@
 
 use crate::batches::INI;
 use crate::*;
-use hazelsaddle::api::ops::OpRequest;
+use hazelsaddle::server::operator_api::OpRequest;
 
 pub(super) fn world(seed: u64, shape: Shape) -> World {
     let mut w = World::new(seed, shape);
--- a/tests/world/days/releases.rs
+++ b/tests/world/days/releases.rs
@@ -1,7 +1,7 @@
 //! Releases: rotations wait for all that was accepted before the close, whatever fails.
 
 use crate::*;
-use hazelsaddle::api::ops::OpRequest;
+use hazelsaddle::server::operator_api::OpRequest;
 
 const TITLES: [&str; 2] = ["shop-a", "shop-b"];
 
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -4,7 +4,7 @@
 use super::compound::{cancel_all, guarded, long_jobs};
 use super::{batches, loans, releases, zones};
 use crate::*;
-use hazelsaddle::api::ops::OpRequest;
+use hazelsaddle::server::operator_api::OpRequest;
 use std::path::PathBuf;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -2,11 +2,11 @@
 //! that drives the controllers' own code with seeded troubles and checks the rules after each step.
 
 use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest, Listed};
+use hazelsaddle::config::operators::Operators;
+use hazelsaddle::config::settings::Settings;
 use hazelsaddle::controller::{Controller, Effect, Event};
 use hazelsaddle::machine_shard::{FencingProbe, Heartbeat, HeartbeatTask};
-use hazelsaddle::operators::Operators;
 use hazelsaddle::peer::{Message, Reply, UserRequest};
-use hazelsaddle::settings::Settings;
 use hazelsaddle::spec::{JobSpec, MachineType};
 use hazelsaddle::state_store::{StoreAnswer, StoreRequest, Transaction};
 use hazelsaddle::units::Micros;
--- a/tests/world/register.rs
+++ b/tests/world/register.rs
@@ -3,8 +3,8 @@
 //! "later", say nothing of a job.
 
 use super::*;
-use hazelsaddle::api::{self, Parsed};
-use hazelsaddle::settings::TeamSettings;
+use hazelsaddle::config::settings::TeamSettings;
+use hazelsaddle::server::http_api::{self, Parsed};
 use hazelsaddle::spec::Types;
 
 /// A request under way.
@@ -109,7 +109,7 @@
         if self.nodes[n].is_none() || self.now < self.hung[n] {
             return Some(event);
         }
-        match api::parse(ticket, "POST", "/v1/jobs", |_| Ok(body)) {
+        match http_api::parse(ticket, "POST", "/v1/jobs", |_| Ok(body)) {
             Parsed::Event(e) => Some(e),
             Parsed::Answer(reply) => {
                 self.effect(n, Effect::Reply(ticket, reply));
