--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -6,63 +6,6 @@
 use crate::quota::tier;
 
 impl JobShard {
-    pub(super) fn unindex(&mut self, machine: &str, id: &str, idx: u32) {
-        if let Some(s) = self.by_machine.get_mut(machine) {
-            s.remove(&(id.to_owned(), idx));
-            if s.is_empty() {
-                self.by_machine.remove(machine);
-            }
-        }
-    }
-
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn leave(
-        &mut self,
-        id: &str,
-        idx: u32,
-        p: &Assignment,
-        room: Resources,
-        want: DesiredAction,
-        alive: bool,
-        done: bool,
-    ) {
-        let key = (id.to_owned(), idx, p.machine.clone(), p.attempt);
-        let priority = self.jobs.get(id).map_or(0, |j| j.spec.priority);
-        let arrived = p.phase.is_some_and(TaskPhase::arrived);
-        let left = RetiredStart { room, priority, want, alive, arrived, done, asked: UNSENT };
-        self.leftovers.insert(key, left);
-        if alive || !done {
-            let open = self.open_left.entry(id.to_owned()).or_default();
-            open.insert((idx, p.machine.clone(), p.attempt), (alive, p.zone.clone()));
-        }
-        self.left_on.entry(p.machine.clone()).or_default().insert((id.to_owned(), idx, p.attempt), alive);
-        touch(&mut self.touched, &p.machine, id, idx, p.attempt);
-    }
-
-    pub(super) fn clear_leftover(&mut self, k: &(String, u32, String, u64)) {
-        if self.leftovers.remove(k).is_none() {
-            return;
-        }
-        if let Some(s) = self.left_on.get_mut(&k.2) {
-            s.remove(&(k.0.clone(), k.1, k.3));
-            if s.is_empty() {
-                self.left_on.remove(&k.2);
-            }
-        }
-        self.close_leftover(k);
-        touch(&mut self.touched, &k.2, &k.0, k.1, k.3);
-        self.replan = true;
-    }
-
-    pub(super) fn close_leftover(&mut self, k: &(String, u32, String, u64)) {
-        if let Some(open) = self.open_left.get_mut(&k.0) {
-            open.remove(&(k.1, k.2.clone(), k.3));
-            if open.is_empty() {
-                self.open_left.remove(&k.0);
-            }
-        }
-    }
-
     /// Whether a home is to hear something new.
     pub fn has_news(&mut self, home: usize, m: &Membership) -> bool {
         for key in std::mem::take(&mut self.touched) {
--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -351,59 +351,6 @@
         self.views = views;
     }
 
-    pub(super) fn move_gangs(&mut self, now: Micros) {
-        let mut end = Vec::new();
-        for (id, j) in &mut self.jobs {
-            match j.gang {
-                Some(Gang::Holding(since)) => {
-                    let held = j.placed.values().filter(|p| p.phase == Some(TaskPhase::Held)).count();
-                    if held == j.spec.tasks as usize {
-                        j.gang = Some(Gang::Going);
-                        for (&idx, p) in &mut j.placed {
-                            p.want = DesiredAction::Run;
-                            touch(&mut self.touched, &p.machine, id, idx, p.attempt);
-                        }
-                    } else if now.since(since) > Micros::from_millis(4000) {
-                        end.push((id.clone(), true));
-                    }
-                }
-                Some(Gang::Going) => {
-                    // A member that never gets as far as waiting holds up the rest; theirs run
-                    // out by themselves after a while, ours is to notice the odd one.
-                    let short = j.placed.len() < j.spec.tasks as usize;
-                    let stuck = j.placed.values().any(|p| {
-                        matches!(p.phase, Some(TaskPhase::Queued | TaskPhase::InDoubt) | None)
-                            && now.since(p.since) > self.gang_wait
-                    });
-                    if short || stuck {
-                        end.push((id.clone(), false));
-                    }
-                }
-                Some(Gang::Ending) if j.placed.is_empty() => j.gang = None,
-                _ => {}
-            }
-        }
-        for (id, held) in end {
-            let Some(j) = self.jobs.get_mut(&id) else { continue };
-            if !held {
-                // A gang taken over is complete only when every machine has been heard.
-                if !j.settled() {
-                    continue;
-                }
-                self.end_gang(&id);
-                continue;
-            }
-            // Nothing of it was started: what is no longer asked for is dropped by the homes.
-            j.gang = None;
-            j.not_before = now + Micros::from_millis(300);
-            let dropped = std::mem::take(&mut j.placed);
-            for (idx, p) in dropped {
-                self.unindex(&p.machine, &id, idx);
-                touch(&mut self.touched, &p.machine, &id, idx, p.attempt);
-            }
-        }
-    }
-
     /// What finds no room, for the decider.
     pub fn demands(&self) -> Vec<Demand> {
         let waiting = self.demands.iter().chain(&self.doubted.demands);
