--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -65,7 +65,7 @@
         if !self.answers_for(now, &a.job) {
             return Some(Reply::later("taking over"));
         }
-        let Some(j) = self.job_shard.jobs.get(&a.job).filter(|j| j.ending.is_none()) else {
+        let Some(j) = self.job_shard.jobs.get(&a.job).filter(|j| j.pending_outcome.is_none()) else {
             return Some(Reply::error(409, "the job has ended"));
         };
         let task = (j.spec.kind != JobKind::Gang).then_some(a.task);
--- a/src/controller/state_store_io.rs
+++ b/src/controller/state_store_io.rs
@@ -191,7 +191,7 @@
             PendingStoreRequest::Verify(id, epoch) if epoch == self.membership.epoch => match a {
                 StoreAnswer::Got(Some(row)) => {
                     if let Some(j) = self.job_shard.jobs.get_mut(&id) {
-                        j.writing = false;
+                        j.write_in_flight = false;
                         self.take_job_row(row);
                     }
                 }
@@ -353,7 +353,7 @@
                 break;
             }
             if let Some(j) = self.job_shard.jobs.get_mut(&id) {
-                j.writing = true;
+                j.write_in_flight = true;
             }
             let purpose = PendingStoreRequest::Verify(id.clone(), self.membership.epoch);
             self.ask_store(purpose, StoreRequest::Get(format!("job/{id}")), out);
--- a/src/job_shard.rs
+++ b/src/job_shard.rs
@@ -27,11 +27,11 @@
 mod start_replication;
 mod unresolved_starts;
 
-use self::assignments::{Assignment, Key, OpenRetiredStarts, RetiredStart, UNSENT, touch};
-use self::dependencies::Waiting;
+use self::assignments::{Assignment, Key, OpenRetiredStarts, RetiredStart, UNSENT, mark_changed};
+use self::dependencies::Dependents;
 use self::failure_attribution::FailureAttribution;
 use self::gang::Gang;
-use self::job::Evidence;
+use self::job::StartKnowledge;
 use crate::config::settings::{Objective, Settings};
 use crate::machine_view::{MachineSnapshot, MachineView};
 use crate::membership::Membership;
@@ -58,82 +58,82 @@
     value_bytes: usize,
     /// Live jobs.
     pub jobs: BTreeMap<String, Job>,
-    finals: BTreeMap<String, (JobOutcome, u32)>,
-    finals_order: VecDeque<String>,
-    leftovers: BTreeMap<(String, u32, String, u64), RetiredStart>,
+    outcomes: BTreeMap<String, (JobOutcome, u32)>,
+    outcome_order: VecDeque<String>,
+    retired_starts: BTreeMap<(String, u32, String, u64), RetiredStart>,
     /// Per job, the leftovers that still matter to placing: those alive, with their zone, and those
     /// that ended without completing. Completed ones wait in hundreds for their record.
-    open_left: BTreeMap<String, OpenRetiredStarts>,
+    open_retired_starts: BTreeMap<String, OpenRetiredStarts>,
     /// The leftovers of each machine, by job, task and attempt, and whether each is alive.
-    left_on: BTreeMap<String, BTreeMap<(String, u32, u64), bool>>,
-    by_machine: BTreeMap<String, BTreeSet<(String, u32)>>,
+    retired_by_machine: BTreeMap<String, BTreeMap<(String, u32, u64), bool>>,
+    assigned_by_machine: BTreeMap<String, BTreeSet<(String, u32)>>,
     views: Vec<MachineView>,
     /// Machines that may hold tasks we don't know of.
-    unheard: BTreeSet<String>,
+    unconfirmed_machines: BTreeSet<String>,
     /// Those that jobs taken over wait for; a job keeps its own over epochs.
-    doubts: UnresolvedSets,
+    unresolved_sets: UnresolvedSets,
     /// The set that jobs read in this epoch wait for.
-    of_epoch: Option<UnresolvedSetId>,
+    set_of_epoch: Option<UnresolvedSetId>,
     /// Some set has become empty: jobs may be settled.
-    ends_doubt: bool,
-    vouching: start_replication::StartReplication,
+    some_set_resolved: bool,
+    start_replication: start_replication::StartReplication,
     /// Jobs whose record was written after this epoch was raised, which may not have been in it, and when we read it.
-    maybe_new: BTreeMap<String, Micros>,
-    revs: Vec<u64>,
+    awaiting_epoch_check: BTreeMap<String, Micros>,
+    revisions: Vec<u64>,
     /// Starts of which the homes are to hear.
-    touched: BTreeSet<Key>,
+    changed_starts: BTreeSet<Key>,
     /// Per home, the starts that changed, and the latest message that named them. They are named
     /// again until the home says that it has seen it, so that a lost message heals.
-    unacked: Vec<BTreeMap<Key, u64>>,
+    unacknowledged: Vec<BTreeMap<Key, u64>>,
     /// Homes to which something new is to be said.
-    dirty: Vec<bool>,
+    has_changes: Vec<bool>,
     /// Records have been read in this epoch.
     pub loaded: bool,
     /// Nobody else can be answering as the owner of our jobs.
     pub alone: bool,
     /// Something changed that may let a task be placed.
     pub replan: bool,
-    endings: cancellation::EndQueue,
-    blame: FailureAttribution,
-    waiting: Waiting,
+    end_queue: cancellation::EndQueue,
+    failures: FailureAttribution,
+    dependents: Dependents,
     /// Every end says its job's class: what is upstream of a merge must be known by it.
-    keep_class: bool,
+    class_in_end_records: bool,
     demands: Vec<Demand>,
-    doubted: unresolved_starts::UnresolvedStarts,
+    unresolved_demand: unresolved_starts::UnresolvedDemand,
     loans: gpu_lending::Loans,
     gang_wait: Micros,
     /// How long a home answers a machine without our word.
-    reach: Micros,
+    leader_silence_limit: Micros,
     /// From when on nobody else can be answering workers, by what this epoch says.
-    older_silent: Micros,
+    older_epochs_silent_at: Micros,
     objectives: Vec<Objective>,
     /// What each team is guaranteed, of those that are guaranteed anything.
-    guaranteed: BTreeMap<String, Resources>,
+    guarantees: BTreeMap<String, Resources>,
     /// Machines kept for our waiting work.
-    reserved: Vec<Reservation>,
+    reservations: Vec<Reservation>,
     /// The same of other owners.
-    others: reservations::OtherReservations,
+    peer_reservations: reservations::PeerReservations,
     /// When tasks were last stopped on a machine to make room.
-    evicted: BTreeMap<String, Micros>,
+    last_preemption: BTreeMap<String, Micros>,
     /// Machines on which room is being asked back, and since when.
-    reclaiming: BTreeMap<String, Micros>,
-    asked: preemption::PreemptionRequests,
-    refusals: reservations::PlacementRefusals,
+    reclaim_since: BTreeMap<String, Micros>,
+    preemption_requests: preemption::PreemptionRequests,
+    placement_refusals: reservations::PlacementRefusals,
     /// Types that the decider leaves to urgent work.
-    kept_types: Vec<(String, bool, u8)>,
+    autoscaler_reserved_types: Vec<(String, bool, u8)>,
     /// The same for single machines.
-    kept_machines: BTreeMap<String, u8>,
+    autoscaler_reserved_machines: BTreeMap<String, u8>,
     /// Whether this process has had the decider's word on that. Until then nothing is placed: after
     /// a restart queued work would take the machines that urgent work needs.
-    steered: bool,
+    has_autoscaler_reservations: bool,
     loaded_at: Option<Micros>,
     /// Shapes of jobs seen of late, and when.
-    shapes: Vec<(Demand, Micros)>,
+    recent_shapes: Vec<(Demand, Micros)>,
     /// The time of day at the last placing pass.
-    wall: Micros,
+    wall_clock: Micros,
     /// Per class, how long completed tasks ran and how long they were expected to. Users' guesses
     /// are off by half, on some days all to one side.
-    ran: BTreeMap<String, (Micros, Micros)>,
+    run_times: BTreeMap<String, (Micros, Micros)>,
 }
 
 impl JobShard {
@@ -144,69 +144,69 @@
             me: s.me,
             value_bytes: s.value_bytes,
             jobs: BTreeMap::new(),
-            finals: BTreeMap::new(),
-            finals_order: VecDeque::new(),
-            leftovers: BTreeMap::new(),
-            open_left: BTreeMap::new(),
-            left_on: BTreeMap::new(),
-            by_machine: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
+            outcome_order: VecDeque::new(),
+            retired_starts: BTreeMap::new(),
+            open_retired_starts: BTreeMap::new(),
+            retired_by_machine: BTreeMap::new(),
+            assigned_by_machine: BTreeMap::new(),
             views: (0..n).map(|_| MachineView::default()).collect(),
-            unheard: BTreeSet::new(),
-            doubts: UnresolvedSets::default(),
-            of_epoch: None,
-            ends_doubt: false,
-            vouching: start_replication::StartReplication::default(),
-            maybe_new: BTreeMap::new(),
-            revs: vec![0; n],
-            touched: BTreeSet::new(),
-            unacked: vec![BTreeMap::new(); n],
-            dirty: vec![true; n],
+            unconfirmed_machines: BTreeSet::new(),
+            unresolved_sets: UnresolvedSets::default(),
+            set_of_epoch: None,
+            some_set_resolved: false,
+            start_replication: start_replication::StartReplication::default(),
+            awaiting_epoch_check: BTreeMap::new(),
+            revisions: vec![0; n],
+            changed_starts: BTreeSet::new(),
+            unacknowledged: vec![BTreeMap::new(); n],
+            has_changes: vec![true; n],
             loaded: false,
             alone: true,
             replan: true,
-            endings: cancellation::EndQueue::default(),
-            blame: FailureAttribution::default(),
-            waiting: Waiting::default(),
-            keep_class: s.operators.freshness.is_some(),
+            end_queue: cancellation::EndQueue::default(),
+            failures: FailureAttribution::default(),
+            dependents: Dependents::default(),
+            class_in_end_records: s.operators.freshness.is_some(),
             demands: Vec::new(),
-            doubted: unresolved_starts::UnresolvedStarts::default(),
+            unresolved_demand: unresolved_starts::UnresolvedDemand::default(),
             loans: gpu_lending::Loans::new(s.operators.loans.clone()),
             gang_wait: s.gang_wait,
-            reach: s.reach,
-            older_silent: Micros(0),
+            leader_silence_limit: s.reach,
+            older_epochs_silent_at: Micros(0),
             objectives: s.objectives.clone(),
-            guaranteed: s
+            guarantees: s
                 .teams
                 .iter()
                 .filter(|t| t.cpus > 0.0 || t.gpus > 0.0)
                 .map(|t| (t.name.clone(), Resources::need(t.cpus, t.gpus, 0.0)))
                 .collect(),
-            reserved: Vec::new(),
-            others: reservations::OtherReservations::default(),
-            evicted: BTreeMap::new(),
-            reclaiming: BTreeMap::new(),
-            asked: preemption::PreemptionRequests::default(),
-            refusals: reservations::PlacementRefusals::default(),
-            kept_types: Vec::new(),
-            kept_machines: BTreeMap::new(),
-            steered: false,
+            reservations: Vec::new(),
+            peer_reservations: reservations::PeerReservations::default(),
+            last_preemption: BTreeMap::new(),
+            reclaim_since: BTreeMap::new(),
+            preemption_requests: preemption::PreemptionRequests::default(),
+            placement_refusals: reservations::PlacementRefusals::default(),
+            autoscaler_reserved_types: Vec::new(),
+            autoscaler_reserved_machines: BTreeMap::new(),
+            has_autoscaler_reservations: false,
             loaded_at: None,
-            shapes: Vec::new(),
-            wall: Micros(0),
-            ran: BTreeMap::new(),
+            recent_shapes: Vec::new(),
+            wall_clock: Micros(0),
+            run_times: BTreeMap::new(),
         }
     }
 
     /// The time of day, for what happens between placing passes.
     pub fn note_time(&mut self, wall: Micros) {
-        self.wall = self.wall.max(wall);
+        self.wall_clock = self.wall_clock.max(wall);
     }
 
     /// What a user sees of a live job: whether a task runs, and how many are done and run.
     pub fn stance(&self, id: &str) -> Option<(&'static str, u32, u32)> {
         let j = self.jobs.get(id)?;
         let running = j
-            .placed
+            .assignments
             .values()
             .filter(|p| matches!(p.phase, Some(TaskPhase::Running | TaskPhase::Saving)))
             .count() as u32;
@@ -216,7 +216,7 @@
     /// Whether all that an ended job's tasks used is free again: every machine has been heard, and
     /// no start of the job is left alive.
     pub fn released(&self, id: &str) -> bool {
-        self.loaded && self.unheard.is_empty() && !self.jobs.contains_key(id) && !self.alive_leftover(id)
+        self.loaded && self.unconfirmed_machines.is_empty() && !self.jobs.contains_key(id) && !self.alive_leftover(id)
     }
 
     fn alive_leftover(&self, id: &str) -> bool {
@@ -224,17 +224,17 @@
     }
 
     fn open_of(&self, id: &str) -> impl Iterator<Item = (&(u32, String, u64), &(bool, String))> {
-        self.open_left.get(id).into_iter().flatten()
+        self.open_retired_starts.get(id).into_iter().flatten()
     }
 
     fn in_use(&self, id: &str, j: &Job) -> Resources {
         let left = self.open_of(id).filter(|(_, (alive, _))| *alive).count();
-        Resources { memory: 0, ..j.spec.room.times((j.placed.len() + left) as i64) }
+        Resources { memory: 0, ..j.spec.room.times((j.assignments.len() + left) as i64) }
     }
 
     /// Some of the machines that have not been heard since the epoch began.
     pub fn unheard_machines(&self, most: usize) -> impl Iterator<Item = &String> {
-        self.unheard.iter().take(most)
+        self.unconfirmed_machines.iter().take(most)
     }
 
     /// How many jobs wait for evidence of starts that they may have had under another owner.
@@ -248,11 +248,11 @@
     }
     /// Whether everything that could be running is known.
     pub fn rebuilt(&self) -> bool {
-        self.loaded && self.unheard.is_empty()
+        self.loaded && self.unconfirmed_machines.is_empty()
     }
     /// How many machines have not been heard since the epoch began.
     pub fn unheard(&self) -> usize {
-        self.unheard.len()
+        self.unconfirmed_machines.len()
     }
     /// Machines of all homes as last seen.
     pub fn machines(&self, epoch: u64) -> impl Iterator<Item = &MachineSnapshot> {
@@ -274,11 +274,11 @@
     }
     /// Jobs and machines that are suspected of failing everything.
     pub fn suspects(&self, now: Micros) -> (Vec<&str>, Vec<&str>) {
-        self.blame.suspects(now)
+        self.failures.suspects(now)
     }
     /// Started, waiting and total tasks of live jobs.
     pub fn counts(&self) -> (usize, usize, usize) {
-        let placed = self.jobs.values().map(|j| j.placed.len()).sum();
+        let placed = self.jobs.values().map(|j| j.assignments.len()).sum();
         let left: usize = self.jobs.values().map(|j| (j.spec.tasks - j.done.len()) as usize).sum();
         (self.jobs.len(), placed, left)
     }
--- a/src/job_shard/adoption.rs
+++ b/src/job_shard/adoption.rs
@@ -13,26 +13,26 @@
         let Some(j) = self.jobs.get_mut(id) else { return };
         // Guards against a start by the owners of two epochs: while we act on in the older one, the job's owner in the newer
         // one may have accepted it there, and starts it at once. Whether our machines have been heard says nothing of that.
-        j.evidence = Evidence::IfEpochStands;
-        self.vouching.jobs_changed = true;
-        self.maybe_new.entry(id.to_owned()).or_insert(now);
+        j.start_knowledge = StartKnowledge::AwaitsEpochCheck;
+        self.start_replication.jobs_changed = true;
+        self.awaiting_epoch_check.entry(id.to_owned()).or_insert(now);
     }
 
     /// The store said that this epoch is the newest; it was asked at `sent`.
     pub fn epoch_stands(&mut self, sent: Micros) {
         let jobs = &mut self.jobs;
-        let before = self.maybe_new.len();
-        self.maybe_new.retain(|id, read| {
+        let before = self.awaiting_epoch_check.len();
+        self.awaiting_epoch_check.retain(|id, read| {
             if *read >= sent {
                 return true;
             }
-            if let Some(j) = jobs.get_mut(id).filter(|j| j.evidence == Evidence::IfEpochStands) {
-                j.evidence = Evidence::Complete;
+            if let Some(j) = jobs.get_mut(id).filter(|j| j.start_knowledge == StartKnowledge::AwaitsEpochCheck) {
+                j.start_knowledge = StartKnowledge::Complete;
             }
             false
         });
-        if self.maybe_new.len() < before {
-            self.vouching.jobs_changed = true;
+        if self.awaiting_epoch_check.len() < before {
+            self.start_replication.jobs_changed = true;
             self.replan = true;
         }
     }
--- a/src/job_shard/assignments.rs
+++ b/src/job_shard/assignments.rs
@@ -8,13 +8,13 @@
     pub(super) machine: String,
     pub(super) zone: String,
     pub(super) attempt: u64,
-    pub(super) want: DesiredAction,
+    pub(super) action: DesiredAction,
     /// The first message to its home that named it; `u64::MAX` before that.
-    pub(super) asked: u64,
+    pub(super) first_revision: u64,
     pub(super) phase: Option<TaskPhase>,
-    pub(super) since: Micros,
+    pub(super) phase_since: Micros,
     /// Taken over while under way: how long it has run is not known.
-    pub(super) taken_over: bool,
+    pub(super) adopted: bool,
 }
 
 /// An old start that is stopping or waits to be forgotten.
@@ -22,13 +22,13 @@
 pub(super) struct RetiredStart {
     pub(super) room: Resources,
     pub(super) priority: u8,
-    pub(super) want: DesiredAction,
+    pub(super) action: DesiredAction,
     pub(super) alive: bool,
     /// The worker is known to have had it.
-    pub(super) arrived: bool,
+    pub(super) reached_agent: bool,
     /// It completed: the worker may forget it once that is on record.
     pub(super) done: bool,
-    pub(super) asked: u64,
+    pub(super) first_revision: u64,
 }
 
 /// A job's leftovers by task, machine and attempt: whether each is alive, and its zone.
@@ -38,16 +38,16 @@
 /// Stands for the number of a message that has not gone out yet.
 pub(super) const UNSENT: u64 = u64::MAX;
 
-pub(super) fn touch(touched: &mut BTreeSet<Key>, machine: &str, job: &str, index: u32, attempt: u64) {
+pub(super) fn mark_changed(touched: &mut BTreeSet<Key>, machine: &str, job: &str, index: u32, attempt: u64) {
     touched.insert((machine.to_owned(), TaskKey { job: job.to_owned(), index, attempt }));
 }
 
 impl JobShard {
     pub(super) fn unindex(&mut self, machine: &str, id: &str, idx: u32) {
-        if let Some(s) = self.by_machine.get_mut(machine) {
+        if let Some(s) = self.assigned_by_machine.get_mut(machine) {
             s.remove(&(id.to_owned(), idx));
             if s.is_empty() {
-                self.by_machine.remove(machine);
+                self.assigned_by_machine.remove(machine);
             }
         }
     }
@@ -66,36 +66,36 @@
         let key = (id.to_owned(), idx, p.machine.clone(), p.attempt);
         let priority = self.jobs.get(id).map_or(0, |j| j.spec.priority);
         let arrived = p.phase.is_some_and(TaskPhase::arrived);
-        let left = RetiredStart { room, priority, want, alive, arrived, done, asked: UNSENT };
-        self.leftovers.insert(key, left);
+        let left = RetiredStart { room, priority, action: want, alive, reached_agent: arrived, done, first_revision: UNSENT };
+        self.retired_starts.insert(key, left);
         if alive || !done {
-            let open = self.open_left.entry(id.to_owned()).or_default();
+            let open = self.open_retired_starts.entry(id.to_owned()).or_default();
             open.insert((idx, p.machine.clone(), p.attempt), (alive, p.zone.clone()));
         }
-        self.left_on.entry(p.machine.clone()).or_default().insert((id.to_owned(), idx, p.attempt), alive);
-        touch(&mut self.touched, &p.machine, id, idx, p.attempt);
+        self.retired_by_machine.entry(p.machine.clone()).or_default().insert((id.to_owned(), idx, p.attempt), alive);
+        mark_changed(&mut self.changed_starts, &p.machine, id, idx, p.attempt);
     }
 
     pub(super) fn clear_leftover(&mut self, k: &(String, u32, String, u64)) {
-        if self.leftovers.remove(k).is_none() {
+        if self.retired_starts.remove(k).is_none() {
             return;
         }
-        if let Some(s) = self.left_on.get_mut(&k.2) {
+        if let Some(s) = self.retired_by_machine.get_mut(&k.2) {
             s.remove(&(k.0.clone(), k.1, k.3));
             if s.is_empty() {
-                self.left_on.remove(&k.2);
+                self.retired_by_machine.remove(&k.2);
             }
         }
         self.close_leftover(k);
-        touch(&mut self.touched, &k.2, &k.0, k.1, k.3);
+        mark_changed(&mut self.changed_starts, &k.2, &k.0, k.1, k.3);
         self.replan = true;
     }
 
     pub(super) fn close_leftover(&mut self, k: &(String, u32, String, u64)) {
-        if let Some(open) = self.open_left.get_mut(&k.0) {
+        if let Some(open) = self.open_retired_starts.get_mut(&k.0) {
             open.remove(&(k.1, k.2.clone(), k.3));
             if open.is_empty() {
-                self.open_left.remove(&k.0);
+                self.open_retired_starts.remove(&k.0);
             }
         }
     }
--- a/src/job_shard/cancellation.rs
+++ b/src/job_shard/cancellation.rs
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn ended(&mut self, id: &str, j: &Job) {
-        if let (Some(f), Some(since)) = (j.ending, j.withdrawal.since) {
+        if let (Some(f), Some(since)) = (j.pending_outcome, j.cancellation.since) {
             self.queue.remove(&(f != JobOutcome::Cancelled, since, id.to_owned()));
         }
     }
@@ -58,29 +58,29 @@
 impl JobShard {
     /// A live job is to end as cancelled, unless it is to end already. Says whether that is new.
     pub fn cancel(&mut self, id: &str) -> bool {
-        let Some(j) = self.jobs.get_mut(id).filter(|j| j.ending.is_none()) else { return false };
-        j.ending = Some(JobOutcome::Cancelled);
-        self.endings.changed(id);
+        let Some(j) = self.jobs.get_mut(id).filter(|j| j.pending_outcome.is_none()) else { return false };
+        j.pending_outcome = Some(JobOutcome::Cancelled);
+        self.end_queue.changed(id);
         true
     }
 
     /// Takes note of jobs that are to end, and withdraws what cancelled ones have on their way.
     pub(super) fn note_endings(&mut self, now: Micros) {
-        for id in std::mem::take(&mut self.endings.changed) {
+        for id in std::mem::take(&mut self.end_queue.changed) {
             let Some(j) = self.jobs.get_mut(&id) else { continue };
             let complete = j.spec.kind != JobKind::Service && j.done.len() == j.spec.tasks;
-            if j.ending.is_none() && complete {
+            if j.pending_outcome.is_none() && complete {
                 // While its record is written or read it is looked at again.
-                if j.writing || j.verify {
-                    self.endings.changed.insert(id);
+                if j.write_in_flight || j.needs_reread {
+                    self.end_queue.changed.insert(id);
                     continue;
                 }
-                j.ending = Some(JobOutcome::Done);
+                j.pending_outcome = Some(JobOutcome::Done);
             }
-            let Some(f) = j.ending else { continue };
-            if j.withdrawal.since.is_none() {
-                j.withdrawal.since = Some(now);
-                self.endings.queue.insert((f != JobOutcome::Cancelled, now, id.clone()));
+            let Some(f) = j.pending_outcome else { continue };
+            if j.cancellation.since.is_none() {
+                j.cancellation.since = Some(now);
+                self.end_queue.queue.insert((f != JobOutcome::Cancelled, now, id.clone()));
                 if f == JobOutcome::Cancelled {
                     self.withdraw(&id);
                 }
@@ -93,11 +93,11 @@
         let key = |machine: &str, index, attempt| {
             (machine.to_owned(), TaskKey { job: id.to_owned(), index, attempt })
         };
-        let placed = j.placed.iter().filter(|(_, p)| !p.phase.is_some_and(TaskPhase::arrived));
+        let placed = j.assignments.iter().filter(|(_, p)| !p.phase.is_some_and(TaskPhase::arrived));
         let mut out: Vec<Key> = placed.map(|(&index, p)| key(&p.machine, index, p.attempt)).collect();
-        let left = self.leftovers.range((id.to_owned(), 0, String::new(), 0)..);
+        let left = self.retired_starts.range((id.to_owned(), 0, String::new(), 0)..);
         for ((_, index, machine, attempt), l) in left.take_while(|(k, _)| k.0 == id) {
-            if l.alive && !l.arrived {
+            if l.alive && !l.reached_agent {
                 out.push(key(machine, *index, *attempt));
             }
         }
@@ -107,10 +107,10 @@
     fn withdraw(&mut self, id: &str) {
         let Some(j) = self.jobs.get_mut(id) else { return };
         let mut any = false;
-        for (&index, p) in &mut j.placed {
-            if !p.phase.is_some_and(TaskPhase::arrived) && !matches!(p.want, DesiredAction::Stop(_)) {
-                p.want = DesiredAction::Stop(Micros(0));
-                touch(&mut self.touched, &p.machine, id, index, p.attempt);
+        for (&index, p) in &mut j.assignments {
+            if !p.phase.is_some_and(TaskPhase::arrived) && !matches!(p.action, DesiredAction::Stop(_)) {
+                p.action = DesiredAction::Stop(Micros(0));
+                mark_changed(&mut self.changed_starts, &p.machine, id, index, p.attempt);
                 any = true;
             }
         }
@@ -127,14 +127,14 @@
         if on_way.is_empty() && j.settled() {
             return true;
         }
-        let told = |k: &Key| !self.touched.contains(k) && !self.unacked.iter().any(|u| u.contains_key(k));
+        let told = |k: &Key| !self.changed_starts.contains(k) && !self.unacknowledged.iter().any(|u| u.contains_key(k));
         let all_told = on_way.iter().all(told);
-        let (silent, reach) = (self.older_silent, self.reach);
+        let (silent, reach) = (self.older_epochs_silent_at, self.leader_silence_limit);
         let Some(j) = self.jobs.get_mut(id) else { return true };
-        let since = *j.withdrawal.since.get_or_insert(now);
-        j.withdrawal.heard = all_told.then(|| j.withdrawal.heard.unwrap_or(now));
+        let since = *j.cancellation.since.get_or_insert(now);
+        j.cancellation.heard = all_told.then(|| j.cancellation.heard.unwrap_or(now));
         let late = ANSWER.stretched();
-        let heard = j.withdrawal.heard.is_some_and(|t| now >= t.max(silent) + late);
+        let heard = j.cancellation.heard.is_some_and(|t| now >= t.max(silent) + late);
         heard || now >= since + reach.stretched() + late
     }
 }
--- a/src/job_shard/cancellation/tests.rs
+++ b/src/job_shard/cancellation/tests.rs
@@ -127,7 +127,7 @@
     assert!(ends(&mut heard, silent + at(4_100)));
     // Its machine has shown this epoch's token: it takes no older answer.
     heard.write_failed(at(15_000), "wk-1", true);
-    heard.jobs.get_mut("wk-1").expect("live").withdrawal = Cancellation::default();
+    heard.jobs.get_mut("wk-1").expect("live").cancellation = Cancellation::default();
     assert!(!ends(&mut heard, at(15_600)));
     heard.digest(at(15_700), &m, 0, whole(&m, 1, 0, vec![machine]));
     assert!(ends(&mut heard, at(15_700)));
--- a/src/job_shard/dependencies.rs
+++ b/src/job_shard/dependencies.rs
@@ -55,7 +55,7 @@
 
 /// Who waits for whom.
 #[derive(Debug, Default)]
-pub(super) struct Waiting {
+pub(super) struct Dependents {
     /// Per prerequisite whose end is not known, the jobs that wait for it: an end touches only those.
     followers: BTreeMap<String, BTreeSet<String>>,
     /// Prerequisites whose end must be read, since no watch would tell of it.
@@ -66,7 +66,7 @@
     for_releases: BTreeMap<String, u8>,
 }
 
-impl Waiting {
+impl Dependents {
     fn add(&mut self, job: &str, prerequisites: &BTreeSet<String>) {
         for p in prerequisites {
             let jobs = self.followers.entry(p.clone()).or_insert_with(|| {
@@ -98,7 +98,7 @@
     /// Whether a job that it needs is not known to be done, or a hold is not lifted: nothing of it may start, and
     /// it holds no place in any queue. The one place that decides this.
     pub fn waits(&self) -> bool {
-        !self.waits_for.is_empty() || self.hold.is_some()
+        !self.prerequisites.is_empty() || self.hold.is_some()
     }
     /// What holds it beside the jobs that it follows.
     pub fn hold(&self) -> Option<&Hold> {
@@ -117,7 +117,7 @@
     }
     /// The jobs that it waits for.
     pub fn waits_for(&self) -> impl Iterator<Item = &str> {
-        self.waits_for.iter().map(String::as_str)
+        self.prerequisites.iter().map(String::as_str)
     }
     /// From when the times promised for its class count, its deadline aside.
     pub(super) fn ready_wall(&self) -> Micros {
@@ -235,27 +235,27 @@
     /// A job has come: notes what it waits for, and how urgent others make it.
     pub(super) fn note_waiting(&mut self, id: &str) {
         if let Some(j) = self.jobs.get(id) {
-            self.waiting.add(id, &j.waits_for);
+            self.dependents.add(id, &j.prerequisites);
         }
         self.set_urgency(id);
     }
 
     /// A job has ended or is another's now.
     pub(super) fn forget_waiting(&mut self, id: &str, j: &Job) {
-        self.waiting.remove(id, &j.waits_for);
+        self.dependents.remove(id, &j.prerequisites);
     }
 
     /// A new epoch: what others said of urgency is said anew.
     pub(super) fn keep_waiting(&mut self) {
         let jobs = &self.jobs;
-        self.waiting.followers.retain(|_, f| {
+        self.dependents.followers.retain(|_, f| {
             f.retain(|id| jobs.contains_key(id));
             !f.is_empty()
         });
-        let followers = &self.waiting.followers;
-        self.waiting.unread.retain(|p| followers.contains_key(p));
+        let followers = &self.dependents.followers;
+        self.dependents.unread.retain(|p| followers.contains_key(p));
         let urged: Vec<String> =
-            std::mem::take(&mut self.waiting.urged).into_values().flat_map(BTreeMap::into_keys).collect();
+            std::mem::take(&mut self.dependents.urged).into_values().flat_map(BTreeMap::into_keys).collect();
         for id in urged {
             self.set_urgency(&id);
         }
@@ -263,38 +263,38 @@
 
     /// Whether any job waits, so that ends must be watched.
     pub fn watches(&self) -> bool {
-        !self.waiting.followers.is_empty()
+        !self.dependents.followers.is_empty()
     }
     /// Whether a job waits for this one.
     pub fn is_awaited(&self, prerequisite: &str) -> bool {
-        self.waiting.followers.contains_key(prerequisite)
+        self.dependents.followers.contains_key(prerequisite)
     }
     /// Nobody has watched ends for a while: all that matter must be read.
     pub fn unwatched(&mut self) {
-        self.waiting.unread = self.waiting.followers.keys().cloned().collect();
+        self.dependents.unread = self.dependents.followers.keys().cloned().collect();
     }
     /// The next prerequisite whose end must be read. From then on a watch that began before tells of it.
     pub fn next_unread(&mut self) -> Option<String> {
-        self.waiting.unread.pop_first()
+        self.dependents.unread.pop_first()
     }
     /// It could not be read.
     pub fn read_again(&mut self, prerequisite: &str) {
         if self.is_awaited(prerequisite) {
-            self.waiting.unread.insert(prerequisite.to_owned());
+            self.dependents.unread.insert(prerequisite.to_owned());
         }
     }
 
     /// The store has the end of a job on record: those that wait for it go on, or end with it.
     pub fn prerequisite_ended(&mut self, prerequisite: &str, end: JobOutcome) {
-        self.waiting.unread.remove(prerequisite);
-        for id in self.waiting.followers.remove(prerequisite).unwrap_or_default() {
+        self.dependents.unread.remove(prerequisite);
+        for id in self.dependents.followers.remove(prerequisite).unwrap_or_default() {
             let Some(j) = self.jobs.get_mut(&id) else { continue };
             match end {
                 JobOutcome::Done => {
-                    j.waits_for.remove(prerequisite);
+                    j.prerequisites.remove(prerequisite);
                     if !j.waits() {
-                        j.released_wall = Some(self.wall.max(j.accepted_wall));
-                        let waited = self.wall.since(j.accepted_wall).secs();
+                        j.released_wall = Some(self.wall_clock.max(j.accepted_wall));
+                        let waited = self.wall_clock.since(j.accepted_wall).secs();
                         tracing::info!(job = %id, last = prerequisite, waited, "job waits no more");
                     }
                 }
@@ -314,9 +314,9 @@
         let Some(j) = self.jobs.get_mut(id) else { return };
         let Some(hold) = j.hold.take() else { return };
         if !j.waits() {
-            j.released_wall = Some(self.wall.max(j.accepted_wall));
+            j.released_wall = Some(self.wall_clock.max(j.accepted_wall));
         }
-        let waited = self.wall.since(j.accepted_wall).secs();
+        let waited = self.wall_clock.since(j.accepted_wall).secs();
         tracing::info!(job = id, was = hold.why(), waited, "job is held no more");
         self.replan = true;
     }
@@ -332,22 +332,22 @@
     pub fn held_jobs(&self) -> impl Iterator<Item = (&String, &Job, &Hold)> {
         self.jobs
             .iter()
-            .filter(|(_, j)| j.ending.is_none())
+            .filter(|(_, j)| j.pending_outcome.is_none())
             .filter_map(|(id, j)| j.hold.as_ref().map(|h| (id, j, h)))
     }
 
     /// What our waiting jobs need of one controller's jobs, and how urgent that is. Urgency passes on
     /// through jobs that wait themselves. Guarantees don't pass on: they are a team's own.
     pub fn urges(&self, owner: usize, m: &Membership) -> Vec<(String, u8)> {
-        let theirs = self.waiting.followers.iter().filter(|(p, _)| m.job_leader(p) == Some(owner));
+        let theirs = self.dependents.followers.iter().filter(|(p, _)| m.job_leader(p) == Some(owner));
         let mut list: BTreeMap<String, u8> = theirs
             .map(|(p, jobs)| {
                 let ranks = jobs.iter().filter_map(|id| self.jobs.get(id));
-                let ranks = ranks.filter(|j| j.ending.is_none()).map(|j| j.spec.priority % GUARANTEED);
+                let ranks = ranks.filter(|j| j.pending_outcome.is_none()).map(|j| j.spec.priority % GUARANTEED);
                 (p.clone(), ranks.max().unwrap_or(0))
             })
             .collect();
-        for (id, rank) in self.waiting.for_releases.iter().filter(|(id, _)| m.job_leader(id) == Some(owner)) {
+        for (id, rank) in self.dependents.for_releases.iter().filter(|(id, _)| m.job_leader(id) == Some(owner)) {
             let r = list.entry(id.clone()).or_default();
             *r = (*r).max(*rank);
         }
@@ -357,19 +357,19 @@
     /// When a job's release needs it, by the time of day.
     pub fn due(&mut self, id: &str, at: Option<Micros>) {
         if let Some(j) = self.jobs.get_mut(id) {
-            j.due = at;
+            j.release_due = at;
         }
     }
 
     /// What our held rotations wait for, and how urgent those are: the whole list.
     pub fn releases_need(&mut self, list: BTreeMap<String, u8>) {
-        self.waiting.for_releases = list;
+        self.dependents.for_releases = list;
     }
 
     /// Takes what another controller's waiting jobs need of ours: the whole list.
     pub fn urged_by(&mut self, from: usize, list: Vec<(String, u8)>) {
         let list: BTreeMap<String, u8> = list.into_iter().collect();
-        let before = self.waiting.urged.insert(from, list.clone()).unwrap_or_default();
+        let before = self.dependents.urged.insert(from, list.clone()).unwrap_or_default();
         let changed = before.keys().chain(list.keys()).filter(|id| before.get(*id) != list.get(*id));
         for id in changed.cloned().collect::<BTreeSet<_>>() {
             self.set_urgency(&id);
@@ -377,10 +377,10 @@
     }
 
     fn set_urgency(&mut self, id: &str) {
-        let urgency = self.waiting.urgency(id);
+        let urgency = self.dependents.urgency(id);
         let Some(j) = self.jobs.get_mut(id) else { return };
-        let guaranteed = j.rank / GUARANTEED * GUARANTEED;
-        let priority = guaranteed + (j.rank % GUARANTEED).max(urgency.min(GUARANTEED - 1));
+        let guaranteed = j.own_priority / GUARANTEED * GUARANTEED;
+        let priority = guaranteed + (j.own_priority % GUARANTEED).max(urgency.min(GUARANTEED - 1));
         if j.spec.priority != priority {
             tracing::debug!(
                 job = id,
--- a/src/job_shard/gang.rs
+++ b/src/job_shard/gang.rs
@@ -26,12 +26,12 @@
 
     pub(super) fn stop_gang(&mut self, id: &str, grace: Micros) {
         let Some(j) = self.jobs.get_mut(id) else { return };
-        j.gang = if j.placed.is_empty() { None } else { Some(Gang::Ending) };
-        for (&idx, p) in &mut j.placed {
+        j.gang = if j.assignments.is_empty() { None } else { Some(Gang::Ending) };
+        for (&idx, p) in &mut j.assignments {
             // One that is saving already keeps its time.
-            if !matches!(p.want, DesiredAction::Stop(_)) {
-                p.want = DesiredAction::Stop(grace);
-                touch(&mut self.touched, &p.machine, id, idx, p.attempt);
+            if !matches!(p.action, DesiredAction::Stop(_)) {
+                p.action = DesiredAction::Stop(grace);
+                mark_changed(&mut self.changed_starts, &p.machine, id, idx, p.attempt);
             }
         }
     }
@@ -41,12 +41,12 @@
         for (id, j) in &mut self.jobs {
             match j.gang {
                 Some(Gang::Holding(since)) => {
-                    let held = j.placed.values().filter(|p| p.phase == Some(TaskPhase::Held)).count();
+                    let held = j.assignments.values().filter(|p| p.phase == Some(TaskPhase::Held)).count();
                     if held == j.spec.tasks as usize {
                         j.gang = Some(Gang::Going);
-                        for (&idx, p) in &mut j.placed {
-                            p.want = DesiredAction::Run;
-                            touch(&mut self.touched, &p.machine, id, idx, p.attempt);
+                        for (&idx, p) in &mut j.assignments {
+                            p.action = DesiredAction::Run;
+                            mark_changed(&mut self.changed_starts, &p.machine, id, idx, p.attempt);
                         }
                     } else if now.since(since) > Micros::from_millis(4000) {
                         end.push((id.clone(), true));
@@ -55,16 +55,16 @@
                 Some(Gang::Going) => {
                     // A member that never gets as far as waiting holds up the rest; theirs run
                     // out by themselves after a while, ours is to notice the odd one.
-                    let short = j.placed.len() < j.spec.tasks as usize;
-                    let stuck = j.placed.values().any(|p| {
+                    let short = j.assignments.len() < j.spec.tasks as usize;
+                    let stuck = j.assignments.values().any(|p| {
                         matches!(p.phase, Some(TaskPhase::Queued | TaskPhase::InDoubt) | None)
-                            && now.since(p.since) > self.gang_wait
+                            && now.since(p.phase_since) > self.gang_wait
                     });
                     if short || stuck {
                         end.push((id.clone(), false));
                     }
                 }
-                Some(Gang::Ending) if j.placed.is_empty() => j.gang = None,
+                Some(Gang::Ending) if j.assignments.is_empty() => j.gang = None,
                 _ => {}
             }
         }
@@ -81,10 +81,10 @@
             // Nothing of it was started: what is no longer asked for is dropped by the homes.
             j.gang = None;
             j.not_before = now + Micros::from_millis(300);
-            let dropped = std::mem::take(&mut j.placed);
+            let dropped = std::mem::take(&mut j.assignments);
             for (idx, p) in dropped {
                 self.unindex(&p.machine, &id, idx);
-                touch(&mut self.touched, &p.machine, &id, idx, p.attempt);
+                mark_changed(&mut self.changed_starts, &p.machine, &id, idx, p.attempt);
             }
         }
     }
--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -59,7 +59,7 @@
 
     /// A new epoch: what others said was said by other owners.
     pub(super) fn anew(&mut self) {
-        self.others.clear();
+        self.peer_reservations.clear();
         self.as_of = None;
     }
 
@@ -110,7 +110,7 @@
     /// Gives a job the room that is kept for it: which places, and how much.
     pub(super) fn lend(&self, places: &mut [Place], id: &str, j: &Job) -> Vec<(usize, Resources)> {
         let mut by: BTreeMap<&str, Resources> = BTreeMap::new();
-        let (team, within) = (j.spec.team.as_str(), j.footing == QuotaTier::Within);
+        let (team, within) = (j.spec.team.as_str(), j.quota_tier == QuotaTier::Within);
         for (l, room) in self.kept().filter(|(l, _)| Loans::is_for(l, id, team, within)) {
             let sum = by.entry(&l.machine).or_default();
             *sum = *sum + room;
@@ -179,14 +179,14 @@
         let mut lacking: BTreeMap<String, Micros> = BTreeMap::new();
         let mut short: BTreeMap<String, (Resources, Micros)> = BTreeMap::new();
         for (id, j) in &self.jobs {
-            let lacks = (j.spec.tasks as usize).saturating_sub(j.done.len() as usize + j.placed.len());
-            if j.spec.room.gpus <= 0 || lacks == 0 || j.ending.is_some() || j.waits() || !j.settled() {
+            let lacks = (j.spec.tasks as usize).saturating_sub(j.done.len() as usize + j.assignments.len());
+            if j.spec.room.gpus <= 0 || lacks == 0 || j.pending_outcome.is_some() || j.waits() || !j.settled() {
                 continue;
             }
             if self.borrows(&j.spec) {
                 lacking.insert(id.clone(), self.loans.lacking.get(id).copied().unwrap_or(now));
             }
-            if j.footing == QuotaTier::Within && !self.blame.suspected(id) {
+            if j.quota_tier == QuotaTier::Within && !self.failures.suspected(id) {
                 let since = self.loans.short.get(&j.spec.team).map_or(now, |(_, t)| *t);
                 let sum = short.entry(j.spec.team.clone()).or_insert((Resources::default(), since));
                 sum.0 = sum.0 + j.spec.room.times(lacks as i64);
@@ -202,8 +202,8 @@
         let Some(terms) = &self.loans.terms else { return out };
         for (id, j) in &self.jobs {
             // Work within its team's guarantee, or of which that is not known, is never offered.
-            let lent = matches!(j.footing, QuotaTier::Beyond | QuotaTier::Unpromised);
-            if !lent || j.spec.room.gpus <= 0 || j.ending.is_some() || j.placed.is_empty() {
+            let lent = matches!(j.quota_tier, QuotaTier::Beyond | QuotaTier::Unpromised);
+            if !lent || j.spec.room.gpus <= 0 || j.pending_outcome.is_some() || j.assignments.is_empty() {
                 continue;
             }
             let gang = j.spec.kind == JobKind::Gang;
@@ -217,15 +217,15 @@
                     l.job == *id && l.machine == p.machine && l.state == State::Held && age < terms.stay.0
                 });
                 let claimed = self.loans.ledgers.values().any(|l| l.lent(id, (index, p.attempt)));
-                let ran = if p.phase == Some(TaskPhase::Running) { now.since(p.since).0 / 1000 } else { 0 };
-                let left = (likely(&self.ran, &j.spec).0 / 1000).saturating_sub(ran);
+                let ran = if p.phase == Some(TaskPhase::Running) { now.since(p.phase_since).0 / 1000 } else { 0 };
+                let left = (likely(&self.run_times, &j.spec).0 / 1000).saturating_sub(ran);
                 let lost_ms = match j.spec.checkpoint.0 > 0 {
                     true => j.spec.save.0 / 1000,
                     // What never saves and is nearly done goes last.
                     false if left < ran / 4 => ran * 2,
                     false => ran,
                 };
-                let fixed = moving || !there || matches!(p.want, DesiredAction::Stop(_)) || young || claimed;
+                let fixed = moving || !there || matches!(p.action, DesiredAction::Stop(_)) || young || claimed;
                 LendableTask { index, attempt: p.attempt, machine: p.machine.clone(), lost_ms, fixed }
             };
             out.jobs.push(Lendable {
@@ -234,7 +234,7 @@
                 rank: j.spec.priority % GUARANTEED,
                 gang,
                 room: j.spec.room,
-                tasks: j.placed.iter().map(task).collect(),
+                tasks: j.assignments.iter().map(task).collect(),
             });
         }
         out
@@ -256,19 +256,19 @@
         self.loans.hold_back(&mut places);
         for id in self.order().iter().filter(wait) {
             let Some(j) = self.jobs.get(id) else { continue };
-            if self.blame.suspected(id) || self.blame.waits(now, id) || now < j.not_before {
+            if self.failures.suspected(id) || self.failures.waits(now, id) || now < j.not_before {
                 continue;
             }
             let claimed = teams.claim(&j.spec.team, id) - self.in_use(id, j);
             let may =
                 Resources { memory: i64::MAX / 4, ..claimed }.count_of(j.spec.room).clamp(0, 10_000) as u32;
-            let missing = (j.spec.tasks - j.placed.len() as u32).min(may);
+            let missing = (j.spec.tasks - j.assignments.len() as u32).min(may);
             let open: u32 = self.loans.ledgers.values().map(|l| l.claimed(id)).sum();
             if missing <= open {
                 continue;
             }
             let mut counts: BTreeMap<String, u32> = BTreeMap::new();
-            for p in j.placed.values() {
+            for p in j.assignments.values() {
                 *counts.entry(p.zone.clone()).or_default() += 1;
             }
             let zone_of = |name: &String| self.seen(name, m).map(|d| d.zone.clone());
@@ -292,13 +292,13 @@
             let need = Need {
                 team: j.spec.team.clone(),
                 rank: j.spec.priority % GUARANTEED,
-                within: j.footing == QuotaTier::Within,
+                within: j.quota_tier == QuotaTier::Within,
                 each: amount(j.spec.room),
                 replicas: missing - open,
                 zones,
                 one_zone: j.spec.one_zone,
             };
-            let avoided = self.blame.avoided(now, id);
+            let avoided = self.failures.avoided(now, id);
             let leaving: BTreeSet<&str> = self.loans.left_by(id).collect();
             let usable = |p: &&Place| {
                 let name = p.machine.name.as_str();
@@ -359,11 +359,11 @@
             if l.state == State::Taking {
                 self.give(&l);
             } else if let Some(j) = self.jobs.get_mut(&l.job) {
-                for (&idx, p) in &mut j.placed {
-                    if p.machine == l.machine && !matches!(p.want, DesiredAction::Stop(_)) {
+                for (&idx, p) in &mut j.assignments {
+                    if p.machine == l.machine && !matches!(p.action, DesiredAction::Stop(_)) {
                         tracing::info!(job = %l.job, task = idx, machine = %l.machine, lender = %l.lender, loan = l.id, "replica goes back");
-                        p.want = DesiredAction::Stop(j.spec.save);
-                        touch(&mut self.touched, &p.machine, &l.job, idx, p.attempt);
+                        p.action = DesiredAction::Stop(j.spec.save);
+                        mark_changed(&mut self.changed_starts, &p.machine, &l.job, idx, p.attempt);
                     }
                 }
             }
@@ -373,24 +373,24 @@
     fn give(&mut self, l: &Loan) {
         let Some(j) = self.jobs.get_mut(&l.from) else { return };
         // Guards work that has come to lie within its guarantee since it was offered.
-        if !matches!(j.footing, QuotaTier::Beyond | QuotaTier::Unpromised) || j.ending.is_some() {
+        if !matches!(j.quota_tier, QuotaTier::Beyond | QuotaTier::Unpromised) || j.pending_outcome.is_some() {
             return;
         }
         let grace = if j.spec.checkpoint.0 > 0 { j.spec.save } else { Micros(0) };
         let named =
             |idx: &u32, p: &Assignment| l.tasks.contains(&(*idx, p.attempt)) && p.machine == l.machine;
         if j.spec.kind == JobKind::Gang {
-            if j.gang == Some(Gang::Going) && j.placed.iter().any(|(i, p)| named(i, p)) {
+            if j.gang == Some(Gang::Going) && j.assignments.iter().any(|(i, p)| named(i, p)) {
                 tracing::info!(job = %l.from, machine = %l.machine, borrower = %l.job, loan = l.id, "gang stops for a loan");
                 self.stop_gang(&l.from, grace);
             }
             return;
         }
-        for (&idx, p) in &mut j.placed {
-            if named(&idx, p) && !matches!(p.want, DesiredAction::Stop(_)) {
+        for (&idx, p) in &mut j.assignments {
+            if named(&idx, p) && !matches!(p.action, DesiredAction::Stop(_)) {
                 tracing::info!(job = %l.from, task = idx, machine = %l.machine, borrower = %l.job, loan = l.id, "task stops for a loan");
-                p.want = DesiredAction::Stop(grace);
-                touch(&mut self.touched, &p.machine, &l.from, idx, p.attempt);
+                p.action = DesiredAction::Stop(grace);
+                mark_changed(&mut self.changed_starts, &p.machine, &l.from, idx, p.attempt);
             }
         }
     }
@@ -403,19 +403,19 @@
         }
         if m.job_leader(&l.job) == Some(self.me) {
             let j = self.jobs.get(&l.job);
-            f.live = Some(j.is_some_and(|j| j.ending.is_none()));
+            f.live = Some(j.is_some_and(|j| j.pending_outcome.is_none()));
             // After a takeover not all replicas are known at first.
             if let Some(j) = j.filter(|j| j.settled()) {
-                f.there = Some(j.placed.values().filter(|p| p.machine == l.machine).count() as u32);
-                f.missing = Some(j.spec.tasks - j.placed.len() as u32);
+                f.there = Some(j.assignments.values().filter(|p| p.machine == l.machine).count() as u32);
+                f.missing = Some(j.spec.tasks - j.assignments.len() as u32);
             }
         }
         if m.job_leader(&l.from) == Some(self.me) {
             f.refused = self.jobs.get(&l.from).is_some_and(|j| {
-                let safe = matches!(j.footing, QuotaTier::Within | QuotaTier::Unknown);
+                let safe = matches!(j.quota_tier, QuotaTier::Within | QuotaTier::Unknown);
                 let named = |(idx, attempt): &(u32, u64)| {
-                    let p = j.placed.get(idx).filter(|p| p.attempt == *attempt);
-                    p.is_some_and(|p| !matches!(p.want, DesiredAction::Stop(_)))
+                    let p = j.assignments.get(idx).filter(|p| p.attempt == *attempt);
+                    p.is_some_and(|p| !matches!(p.action, DesiredAction::Stop(_)))
                 };
                 safe && l.tasks.iter().all(named)
             });
@@ -423,8 +423,8 @@
                 None => Some(false),
                 Some(j) if !j.settled() => None,
                 Some(j) => {
-                    let lacks = j.placed.len() < (j.spec.tasks - j.done.len()) as usize;
-                    Some(j.ending.is_none() && (lacks || self.loans.short.contains_key(&l.lender)))
+                    let lacks = j.assignments.len() < (j.spec.tasks - j.done.len()) as usize;
+                    Some(j.pending_outcome.is_none() && (lacks || self.loans.short.contains_key(&l.lender)))
                 }
             };
         }
@@ -435,7 +435,7 @@
     pub fn loans_due(
         &self,
         now: Micros,
-        wall: Micros,
+        wall_clock: Micros,
         team: &str,
         ledger: &Ledger,
         m: &Membership,
@@ -455,16 +455,16 @@
         if lacks.is_empty() {
             return Vec::new();
         }
-        let (used, guarantee) = (teams.used(team).gpus, self.guaranteed.get(team).map_or(0, |g| g.gpus));
+        let (used, guarantee) = (teams.used(team).gpus, self.guarantees.get(team).map_or(0, |g| g.gpus));
         let stands = |job: &str, machine: &str| match self
             .jobs
             .get(job)
             .filter(|_| m.job_leader(job) == Some(self.me))
         {
             Some(j) => LoanStanding {
-                replicas: j.placed.values().filter(|p| p.machine == machine).count() as u32,
+                replicas: j.assignments.values().filter(|p| p.machine == machine).count() as u32,
                 each: j.spec.room.gpus,
-                within: j.footing == QuotaTier::Within,
+                within: j.quota_tier == QuotaTier::Within,
             },
             // Another owner decides about it.
             None => LoanStanding { within: true, ..LoanStanding::default() },
--- a/src/job_shard/handoff.rs
+++ b/src/job_shard/handoff.rs
@@ -10,7 +10,7 @@
 impl Job {
     /// Whether every start that it may ever have had is known.
     pub(super) fn settled(&self) -> bool {
-        self.evidence == Evidence::Complete
+        self.start_knowledge == StartKnowledge::Complete
     }
 }
 
@@ -22,21 +22,21 @@
         for (id, j) in &self.jobs {
             let Some(to) = next.job_leader(id).filter(|&o| o != next.me) else { continue };
             let (parcel, sets) = out.entry(to).or_default();
-            let doubt = match j.evidence {
+            let doubt = match j.start_knowledge {
                 // The next owner reads the same records.
-                Evidence::Unread | Evidence::IfEpochStands => continue,
-                Evidence::Complete => None,
-                Evidence::Waits(d) => Some(*sets.entry(d).or_insert_with(|| {
-                    parcel.doubts.push(self.doubts.machines(d).cloned().collect());
+                StartKnowledge::RecordsUnread | StartKnowledge::AwaitsEpochCheck => continue,
+                StartKnowledge::Complete => None,
+                StartKnowledge::AwaitsMachines(d) => Some(*sets.entry(d).or_insert_with(|| {
+                    parcel.doubts.push(self.unresolved_sets.machines(d).cloned().collect());
                     parcel.doubts.len() as u32 - 1
                 })),
             };
-            let placed = j.placed.iter().map(|(&index, p)| StartHandoff {
+            let placed = j.assignments.iter().map(|(&index, p)| StartHandoff {
                 index,
                 attempt: p.attempt,
                 machine: p.machine.clone(),
                 zone: p.zone.clone(),
-                stopping: matches!(p.want, DesiredAction::Stop(_)),
+                stopping: matches!(p.action, DesiredAction::Stop(_)),
                 phase: p.phase,
             });
             let left = self.open_of(id).filter(|(_, (alive, _))| *alive).map(|(k, (_, zone))| StartHandoff {
@@ -66,14 +66,14 @@
         let open: Vec<Option<UnresolvedSetId>> = doubts
             .iter()
             .map(|set| {
-                let left = set.iter().filter(|m| self.unheard.contains(*m)).cloned().collect();
-                self.doubts.open(left)
+                let left = set.iter().filter(|m| self.unconfirmed_machines.contains(*m)).cloned().collect();
+                self.unresolved_sets.open(left)
             })
             .collect();
         for h in jobs {
             let evidence = match h.doubt.map(|d| open.get(d as usize)) {
-                None => Evidence::Complete,
-                Some(Some(left)) => left.map_or(Evidence::Complete, Evidence::Waits),
+                None => StartKnowledge::Complete,
+                Some(Some(left)) => left.map_or(StartKnowledge::Complete, StartKnowledge::AwaitsMachines),
                 // It names a set that is not there: no evidence at all.
                 Some(None) => continue,
             };
@@ -82,8 +82,8 @@
                 tracing::error!(job = %h.id, "unreadable job in a parcel");
                 continue;
             };
-            j.evidence = evidence;
-            self.vouching.jobs_changed = true;
+            j.start_knowledge = evidence;
+            self.start_replication.jobs_changed = true;
             taken += 1;
             let (tasks, gang) = (j.spec.tasks, j.spec.kind == JobKind::Gang);
             let completed: Vec<u32> =
@@ -104,7 +104,7 @@
     pub(super) fn take_start(&mut self, now: Micros, id: &str, s: StartHandoff, gang: bool) {
         let key = (id.to_owned(), s.index, s.attempt);
         let Some(j) = self.jobs.get_mut(id) else { return };
-        if self.left_on.get(&s.machine).is_some_and(|l| l.contains_key(&key)) {
+        if self.retired_by_machine.get(&s.machine).is_some_and(|l| l.contains_key(&key)) {
             return;
         }
         let room = j.spec.room;
@@ -112,33 +112,33 @@
             machine: s.machine.clone(),
             zone: s.zone,
             attempt: s.attempt,
-            want: DesiredAction::Keep,
-            asked: UNSENT,
+            action: DesiredAction::Keep,
+            first_revision: UNSENT,
             phase: s.phase,
-            since: now,
-            taken_over: true,
+            phase_since: now,
+            adopted: true,
         };
-        if let Some(q) = j.placed.get_mut(&s.index)
+        if let Some(q) = j.assignments.get_mut(&s.index)
             && (q.attempt == s.attempt && q.machine == s.machine)
         {
             // Its machine was heard first.
             if s.stopping {
-                q.want = DesiredAction::Stop(Micros(0));
-                touch(&mut self.touched, &s.machine, id, s.index, s.attempt);
+                q.action = DesiredAction::Stop(Micros(0));
+                mark_changed(&mut self.changed_starts, &s.machine, id, s.index, s.attempt);
             }
             return;
         }
         // Members of two attempts of one gang can't be told to run together.
-        let alike = !gang || j.placed.values().all(|q| q.attempt == s.attempt);
-        let keep = !s.stopping && alike && !j.done.contains(s.index) && !j.placed.contains_key(&s.index);
+        let alike = !gang || j.assignments.values().all(|q| q.attempt == s.attempt);
+        let keep = !s.stopping && alike && !j.done.contains(s.index) && !j.assignments.contains_key(&s.index);
         if !keep {
             return self.leave(id, s.index, &p, room, DesiredAction::Stop(Micros(0)), true, false);
         }
         if gang && j.gang.is_none() {
             j.gang = Some(Gang::Going);
         }
-        j.placed.insert(s.index, p);
-        self.by_machine.entry(s.machine.clone()).or_default().insert((id.to_owned(), s.index));
-        touch(&mut self.touched, &s.machine, id, s.index, s.attempt);
+        j.assignments.insert(s.index, p);
+        self.assigned_by_machine.entry(s.machine.clone()).or_default().insert((id.to_owned(), s.index));
+        mark_changed(&mut self.changed_starts, &s.machine, id, s.index, s.attempt);
     }
 }
--- a/src/job_shard/outcomes.rs
+++ b/src/job_shard/outcomes.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Finals kept in memory; older ones are read from the store.
-const FINALS: usize = 2000;
+const REMEMBERED_OUTCOMES: usize = 2000;
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,16 +17,16 @@
 impl JobShard {
     /// The end of a job, if it is remembered.
     pub fn final_of(&self, id: &str) -> Option<(JobOutcome, u32)> {
-        self.finals.get(id).copied()
+        self.outcomes.get(id).copied()
     }
     /// Remembers the end of a job that the store has on record.
     pub fn remember_final(&mut self, id: &str, f: JobOutcome, done: u32) {
-        if self.finals.insert(id.into(), (f, done)).is_none() {
-            self.finals_order.push_back(id.into());
-            if self.finals_order.len() > FINALS
-                && let Some(old) = self.finals_order.pop_front()
+        if self.outcomes.insert(id.into(), (f, done)).is_none() {
+            self.outcome_order.push_back(id.into());
+            if self.outcome_order.len() > REMEMBERED_OUTCOMES
+                && let Some(old) = self.outcome_order.pop_front()
             {
-                self.finals.remove(&old);
+                self.outcomes.remove(&old);
             }
         }
     }
@@ -36,24 +36,24 @@
         // Whoever waits for it must hear even if it was not ours any more: the store has its end.
         self.prerequisite_ended(id, f);
         let Some(j) = self.jobs.remove(id) else { return };
-        self.vouching.jobs_changed = true;
-        self.endings.ended(id, &j);
+        self.start_replication.jobs_changed = true;
+        self.end_queue.ended(id, &j);
         self.forget_waiting(id, &j);
-        self.blame.forget(id);
+        self.failures.forget(id);
         tracing::info!(job = id, end = ?f, tasks = j.spec.tasks, "job ended");
         self.remember_final(id, f, j.done.len());
-        for (idx, p) in j.placed {
+        for (idx, p) in j.assignments {
             self.unindex(&p.machine, id, idx);
             self.leave(id, idx, &p, j.spec.room, DesiredAction::Stop(Micros(0)), true, false);
         }
-        let left = self.leftovers.range_mut((id.to_owned(), 0, String::new(), 0)..);
+        let left = self.retired_starts.range_mut((id.to_owned(), 0, String::new(), 0)..);
         for ((job, idx, machine, attempt), l) in left {
             if job != id {
                 break;
             }
-            if !l.alive && l.want != DesiredAction::Forget {
-                l.want = DesiredAction::Forget;
-                touch(&mut self.touched, machine, job, *idx, *attempt);
+            if !l.alive && l.action != DesiredAction::Forget {
+                l.action = DesiredAction::Forget;
+                mark_changed(&mut self.changed_starts, machine, job, *idx, *attempt);
             }
         }
         self.replan = true;
@@ -75,7 +75,7 @@
             }
             JobKind::Service => {}
         }
-        self.endings.changed(id);
+        self.end_queue.changed(id);
         self.replan = true;
     }
 }
--- a/src/job_shard/preemption.rs
+++ b/src/job_shard/preemption.rs
@@ -50,24 +50,24 @@
     /// Sees which of our jobs lie within their team's guarantee. Others are told what is borrowed by the priority
     /// that its tasks are shown with.
     pub(super) fn judge(&mut self, now: Micros, teams: &QuotaLedger) {
-        if self.guaranteed.is_empty() {
+        if self.guarantees.is_empty() {
             return;
         }
-        let all = now >= self.asked.next_judged;
+        let all = now >= self.preemption_requests.next_judged;
         if all {
-            self.asked.next_judged = now + JUDGED;
+            self.preemption_requests.next_judged = now + JUDGED;
         }
         for (id, j) in &mut self.jobs {
-            if !(all || j.footing == QuotaTier::Unknown) || !self.guaranteed.contains_key(&j.spec.team) {
+            if !(all || j.quota_tier == QuotaTier::Unknown) || !self.guarantees.contains_key(&j.spec.team) {
                 continue;
             }
             let left = i64::from(j.spec.tasks - j.done.len());
             let need = Resources { memory: 0, ..j.spec.room.times(left) };
             let was =
-                std::mem::replace(&mut j.footing, teams.footing(&j.spec.team, id, j.accepted_wall, need));
-            if tier::shown(j.spec.priority, was) != tier::shown(j.spec.priority, j.footing) {
-                for (&idx, p) in &j.placed {
-                    touch(&mut self.touched, &p.machine, id, idx, p.attempt);
+                std::mem::replace(&mut j.quota_tier, teams.footing(&j.spec.team, id, j.accepted_wall, need));
+            if tier::shown(j.spec.priority, was) != tier::shown(j.spec.priority, j.quota_tier) {
+                for (&idx, p) in &j.assignments {
+                    mark_changed(&mut self.changed_starts, &p.machine, id, idx, p.attempt);
                 }
             }
         }
@@ -77,23 +77,23 @@
     /// would take the room that it was stopped for.
     pub(super) fn promised(&self, now: Micros) -> BTreeSet<String> {
         let asked = self.foreign(now).filter(|r| r.evict && r.priority >= GUARANTEED);
-        asked.map(|r| &r.machine).chain(&self.asked.ours).cloned().collect()
+        asked.map(|r| &r.machine).chain(&self.preemption_requests.ours).cloned().collect()
     }
 
     /// Stops our tasks of lower priority where waiting work needs the room, those that have run
     /// the shortest first, and no more than the machine's own room falls short.
     pub(super) fn evict(&mut self, now: Micros, m: &Membership) {
         let list: Vec<Reservation> =
-            self.foreign(now).chain(&self.reserved).filter(|r| r.evict).cloned().collect();
-        self.asked.since.retain(|_, (_, last)| now.since(*last) < UNNAMED);
+            self.foreign(now).chain(&self.reservations).filter(|r| r.evict).cloned().collect();
+        self.preemption_requests.since.retain(|_, (_, last)| now.since(*last) < UNNAMED);
         for r in list.iter().filter(|r| r.priority >= GUARANTEED) {
-            self.asked.since.entry(r.machine.clone()).or_insert((now, now)).1 = now;
+            self.preemption_requests.since.entry(r.machine.clone()).or_insert((now, now)).1 = now;
         }
         for r in list {
-            let stood = self.asked.since.get(&r.machine).map_or(Micros(0), |(t, _)| now.since(*t));
+            let stood = self.preemption_requests.since.get(&r.machine).map_or(Micros(0), |(t, _)| now.since(*t));
             // The digest must have caught up with the last stops before there are more.
             let pause = Micros::from_millis(1500);
-            if self.evicted.get(&r.machine).is_some_and(|t| now.since(*t) < pause) {
+            if self.last_preemption.get(&r.machine).is_some_and(|t| now.since(*t) < pause) {
                 continue;
             }
             let Some(d) = self.seen(&r.machine, m) else { continue };
@@ -102,19 +102,19 @@
             if free.holds(r.need) {
                 continue;
             }
-            self.evicted.insert(r.machine.clone(), now);
+            self.last_preemption.insert(r.machine.clone(), now);
             let mut ours: Vec<(Micros, String, u32)> = Vec::new();
-            for (id, idx) in self.by_machine.get(&r.machine).into_iter().flatten() {
+            for (id, idx) in self.assigned_by_machine.get(&r.machine).into_iter().flatten() {
                 let Some(j) = self.jobs.get(id) else { continue };
-                let Some(p) = j.placed.get(idx) else { continue };
+                let Some(p) = j.assignments.get(idx) else { continue };
                 // Where teams have guarantees the fleet is kept large, and waiting for a machine costs
                 // less than what is lost by stopping tasks that never save: of what has one, only borrowed
                 // work is stopped, and not at once.
                 let saves = j.spec.checkpoint.0 > 0;
-                if !matches!(p.want, DesiredAction::Stop(_))
-                    && tier::may_stop(j.spec.priority, j.footing, saves, r.priority, stood)
+                if !matches!(p.action, DesiredAction::Stop(_))
+                    && tier::may_stop(j.spec.priority, j.quota_tier, saves, r.priority, stood)
                 {
-                    ours.push((p.since, id.clone(), *idx));
+                    ours.push((p.phase_since, id.clone(), *idx));
                 }
             }
             ours.sort_by(|a, b| b.cmp(a));
@@ -128,9 +128,9 @@
                 tracing::debug!(job = %id, task = idx, machine = %r.machine, priority = r.priority, "task makes room");
                 if j.spec.kind == JobKind::Gang {
                     self.stop_gang(&id, grace);
-                } else if let Some(p) = j.placed.get_mut(&idx) {
-                    p.want = DesiredAction::Stop(grace);
-                    touch(&mut self.touched, &p.machine, &id, idx, p.attempt);
+                } else if let Some(p) = j.assignments.get_mut(&idx) {
+                    p.action = DesiredAction::Stop(grace);
+                    mark_changed(&mut self.changed_starts, &p.machine, &id, idx, p.attempt);
                 }
             }
         }
@@ -142,9 +142,9 @@
         let waits = |j: &Job| {
             j.spec.priority < GUARANTEED
                 && !j.waits()
-                && (j.placed.len() as u32) < j.spec.tasks - j.done.len()
+                && (j.assignments.len() as u32) < j.spec.tasks - j.done.len()
         };
-        if self.guaranteed.is_empty() || !self.jobs.values().any(waits) {
+        if self.guarantees.is_empty() || !self.jobs.values().any(waits) {
             return;
         }
         // Processors of machines with GPUs are left to work that needs those, unless there are no others.
@@ -155,7 +155,7 @@
             let of_these = |p: &&Place| with_gpus(p) == gpus;
             let used: i64 =
                 places.iter().filter(of_these).map(|p| part(p.machine.total) - part(p.free)).sum();
-            let all: i64 = self.guaranteed.values().map(|g| part(*g)).sum();
+            let all: i64 = self.guarantees.values().map(|g| part(*g)).sum();
             let mut lacking = headroom(all, used);
             let mut at: Vec<usize> = (0..places.len())
                 .filter(|&i| !places[i].machine.spot && with_gpus(&places[i]) == gpus)
@@ -175,8 +175,8 @@
     pub(super) fn reclaim(&mut self, now: Micros, places: &[Place], short: Vec<Shortfall>) {
         // Room that was asked for takes a report or two to come free. Without a memory of that, each
         // pass would empty other machines.
-        self.reclaiming.retain(|_, t| now.since(*t) < RECLAIM_TIME);
-        self.asked.ours.clear();
+        self.reclaim_since.retain(|_, t| now.since(*t) < RECLAIM_TIME);
+        self.preemption_requests.ours.clear();
         if short.is_empty() {
             return;
         }
@@ -190,7 +190,7 @@
                 .enumerate()
                 .filter(|(i, p)| !used.contains(i) && p.allowed(&s.spec))
                 .map(|(i, p)| {
-                    let new = !self.reclaiming.contains_key(&p.machine.name);
+                    let new = !self.reclaim_since.contains_key(&p.machine.name);
                     (new, part(p.free) - part(p.free_for(GUARANTEED)), i)
                 })
                 .filter(|(new, taken, _)| !new || *taken < 0)
@@ -212,9 +212,9 @@
                 room -= 1;
                 used.insert(i);
                 left -= n;
-                self.reclaiming.entry(p.machine.name.clone()).or_insert(now);
-                self.asked.ours.push(p.machine.name.clone());
-                self.reserved.push(Reservation {
+                self.reclaim_since.entry(p.machine.name.clone()).or_insert(now);
+                self.preemption_requests.ours.push(p.machine.name.clone());
+                self.reservations.push(Reservation {
                     machine: p.machine.name.clone(),
                     priority: s.spec.priority,
                     need: s.spec.room.times(n),
@@ -230,7 +230,7 @@
         let ending: Vec<(String, Micros)> =
             self.machines(m.epoch).filter_map(|d| Some((d.name.clone(), d.notice_at?.since(now)))).collect();
         for (name, left) in ending {
-            let on: Vec<(String, u32)> = self.by_machine.get(&name).into_iter().flatten().cloned().collect();
+            let on: Vec<(String, u32)> = self.assigned_by_machine.get(&name).into_iter().flatten().cloned().collect();
             for (id, idx) in on {
                 let Some(j) = self.jobs.get_mut(&id) else { continue };
                 let save = j.spec.save;
@@ -242,13 +242,13 @@
                         tracing::info!(job = %id, machine = %name, reason = "notice", "gang saves and stops");
                         self.stop_gang(&id, save);
                     }
-                } else if let Some(p) = j.placed.get_mut(&idx)
+                } else if let Some(p) = j.assignments.get_mut(&idx)
                     && p.phase == Some(TaskPhase::Running)
-                    && !matches!(p.want, DesiredAction::Stop(_))
+                    && !matches!(p.action, DesiredAction::Stop(_))
                 {
                     tracing::info!(job = %id, task = idx, machine = %name, reason = "notice", "task saves and stops");
-                    p.want = DesiredAction::Stop(save);
-                    touch(&mut self.touched, &p.machine, &id, idx, p.attempt);
+                    p.action = DesiredAction::Stop(save);
+                    mark_changed(&mut self.changed_starts, &p.machine, &id, idx, p.attempt);
                 }
             }
         }
--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -8,29 +8,29 @@
 impl JobShard {
     /// Whether a home is to hear something new.
     pub fn has_news(&mut self, home: usize, m: &Membership) -> bool {
-        for key in std::mem::take(&mut self.touched) {
+        for key in std::mem::take(&mut self.changed_starts) {
             if let Some(h) = m.machine_leader(&key.0) {
                 if h == self.me {
-                    self.vouching.touched.insert(key.clone());
+                    self.start_replication.changed_starts.insert(key.clone());
                 }
-                self.unacked[h].insert(key, UNSENT);
-                self.dirty[h] = true;
+                self.unacknowledged[h].insert(key, UNSENT);
+                self.has_changes[h] = true;
             }
         }
-        self.dirty[home]
+        self.has_changes[home]
     }
 
     /// What one home is to hear: all that changed since the last message that it says it has seen.
     pub fn wanted(&mut self, home: usize, m: &Membership) -> DesiredState {
         self.has_news(home, m);
-        let rev = self.revs[home] + 1;
-        self.revs[home] = rev;
-        self.dirty[home] = false;
+        let rev = self.revisions[home] + 1;
+        self.revisions[home] = rev;
+        self.has_changes[home] = false;
         let seen = self.views[home].rev_seen(m.epoch);
         let since = if seen > m.epoch << 32 { seen } else { 0 };
         let mut out = DesiredState { rev, since, ..DesiredState::default() };
         let mut first = Vec::new();
-        let mut unacked = std::mem::take(&mut self.unacked[home]);
+        let mut unacked = std::mem::take(&mut self.unacknowledged[home]);
         unacked.retain(|_, r| *r > since);
         for ((machine, key), at) in &mut unacked {
             if *at == UNSENT {
@@ -39,14 +39,14 @@
             }
             let left = (key.job.clone(), key.index, machine.clone(), key.attempt);
             let job = self.jobs.get_mut(&key.job);
-            let placed = job.and_then(|j| Some((j.placed.get_mut(&key.index)?, (&j.spec, j.footing))));
+            let placed = job.and_then(|j| Some((j.assignments.get_mut(&key.index)?, (&j.spec, j.quota_tier))));
             let placed = placed.filter(|(p, _)| p.attempt == key.attempt && p.machine == *machine);
             let (room, want, priority, image) = if let Some((p, (spec, footing))) = placed {
-                p.asked = p.asked.min(rev);
-                (spec.room, p.want, tier::shown(spec.priority, footing), spec.image_hash)
-            } else if let Some(l) = self.leftovers.get_mut(&left) {
-                l.asked = l.asked.min(rev);
-                (l.room, l.want, l.priority, 0)
+                p.first_revision = p.first_revision.min(rev);
+                (spec.room, p.action, tier::shown(spec.priority, footing), spec.image_hash)
+            } else if let Some(l) = self.retired_starts.get_mut(&left) {
+                l.first_revision = l.first_revision.min(rev);
+                (l.room, l.action, l.priority, 0)
             } else {
                 out.dropped.push((machine.clone(), key.clone()));
                 continue;
@@ -60,7 +60,7 @@
                 image,
             });
         }
-        self.unacked[home] = unacked;
+        self.unacknowledged[home] = unacked;
         self.views[home].await_answer(rev, first);
         out
     }
@@ -81,9 +81,9 @@
         let mut names = news.names;
         if news.whole {
             let theirs = |n: &&String| m.machine_leader(n) == Some(from);
-            names.extend(self.by_machine.keys().filter(theirs).cloned());
-            names.extend(self.unheard.iter().filter(theirs).cloned());
-            names.extend(self.left_on.keys().filter(theirs).cloned());
+            names.extend(self.assigned_by_machine.keys().filter(theirs).cloned());
+            names.extend(self.unconfirmed_machines.iter().filter(theirs).cloned());
+            names.extend(self.retired_by_machine.keys().filter(theirs).cloned());
         }
         if names.is_empty() {
             return false;
@@ -96,7 +96,7 @@
             }
         }
         self.views = views;
-        if std::mem::take(&mut self.ends_doubt) {
+        if std::mem::take(&mut self.some_set_resolved) {
             self.settle();
         }
         self.replan = true;
@@ -117,19 +117,19 @@
         };
         // Most tasks are where they were: only the others are worth a copy of their names.
         let news = |id: &str, idx: u32| {
-            let p = self.jobs.get(id)?.placed.get(&idx)?;
+            let p = self.jobs.get(id)?.assignments.get(&idx)?;
             match listed(id, idx, p.attempt) {
                 Some(phase) if p.phase == Some(phase) => None,
                 Some(phase) => Some(Ok(phase)),
                 None if standing == InventoryState::Gone => Some(Err("machine gone")),
-                None if standing == InventoryState::Known && p.asked <= rev_seen => {
+                None if standing == InventoryState::Known && p.first_revision <= rev_seen => {
                     let was = p.phase.is_some_and(|x| x != TaskPhase::Held);
                     Some(Err(if was { "no longer there" } else { "refused" }))
                 }
                 None => None,
             }
         };
-        let current = self.by_machine.get(name).into_iter().flatten();
+        let current = self.assigned_by_machine.get(name).into_iter().flatten();
         let current: Vec<(String, u32, Result<TaskPhase, &str>)> =
             current.filter_map(|(id, idx)| Some((id.clone(), *idx, news(id, *idx)?))).collect();
         for (id, idx, what) in current {
@@ -140,7 +140,7 @@
         }
         // Those that ended and are still listed wait for their record, which is no news.
         let old: Vec<(String, u32, String, u64)> = self
-            .left_on
+            .retired_by_machine
             .get(name)
             .into_iter()
             .flatten()
@@ -150,26 +150,26 @@
             })
             .map(|((id, idx, attempt), _)| (id.clone(), *idx, name.to_owned(), *attempt))
             .collect();
-        for ((id, idx, attempt), alive) in self.left_on.get(name).into_iter().flatten() {
+        for ((id, idx, attempt), alive) in self.retired_by_machine.get(name).into_iter().flatten() {
             let key = || (id.clone(), *idx, name.to_owned(), *attempt);
             if *alive
                 && listed(id, *idx, *attempt).is_some_and(TaskPhase::arrived)
-                && let Some(l) = self.leftovers.get_mut(&key())
+                && let Some(l) = self.retired_starts.get_mut(&key())
             {
-                l.arrived = true;
+                l.reached_agent = true;
             }
         }
         for k in old {
             match listed(&k.0, k.1, k.3) {
                 Some(phase) => {
                     let ended = !self.jobs.contains_key(&k.0);
-                    let durable = ended || self.jobs.get(&k.0).is_some_and(|j| j.durable.contains(k.1));
+                    let durable = ended || self.jobs.get(&k.0).is_some_and(|j| j.recorded.contains(k.1));
                     let mut finished = false;
-                    if let Some(l) = self.leftovers.get_mut(&k)
+                    if let Some(l) = self.retired_starts.get_mut(&k)
                         && let TaskPhase::Exited(exit) = phase
                     {
                         if l.alive {
-                            if let Some(on) = self.left_on.get_mut(name) {
+                            if let Some(on) = self.retired_by_machine.get_mut(name) {
                                 on.insert((k.0.clone(), k.1, k.3), false);
                             }
                             l.alive = false;
@@ -179,16 +179,16 @@
                         }
                         let want =
                             if !l.done || durable { DesiredAction::Forget } else { DesiredAction::Keep };
-                        if l.want != want {
-                            l.want = want;
-                            touch(&mut self.touched, name, &k.0, k.1, k.3);
+                        if l.action != want {
+                            l.action = want;
+                            mark_changed(&mut self.changed_starts, name, &k.0, k.1, k.3);
                         }
                     }
                     if finished {
                         self.close_leftover(&k);
                         self.complete(&k.0, k.1);
                     } else if let TaskPhase::Exited(_) = phase
-                        && let Some(open) = self.open_left.get_mut(&k.0)
+                        && let Some(open) = self.open_retired_starts.get_mut(&k.0)
                         && let Some((alive, _)) = open.get_mut(&(k.1, k.2.clone(), k.3))
                     {
                         *alive = false;
@@ -196,7 +196,7 @@
                 }
                 None if standing == InventoryState::Gone
                     || (standing == InventoryState::Known
-                        && self.leftovers.get(&k).is_some_and(|l| l.asked <= rev_seen)) =>
+                        && self.retired_starts.get(&k).is_some_and(|l| l.first_revision <= rev_seen)) =>
                 {
                     self.clear_leftover(&k);
                 }
@@ -209,35 +209,35 @@
             let known = self
                 .jobs
                 .get(&k.job)
-                .and_then(|j| j.placed.get(&k.index))
+                .and_then(|j| j.assignments.get(&k.index))
                 .is_some_and(|p| p.attempt == k.attempt && p.machine == name);
             let key = (k.job.clone(), k.index, k.attempt);
-            if known || self.left_on.get(name).is_some_and(|s| s.contains_key(&key)) {
+            if known || self.retired_by_machine.get(name).is_some_and(|s| s.contains_key(&key)) {
                 continue;
             }
             let p = Assignment {
                 machine: name.to_owned(),
                 zone: seen.map(|d| d.zone.clone()).unwrap_or_default(),
                 attempt: k.attempt,
-                want: DesiredAction::Keep,
-                asked: UNSENT,
+                action: DesiredAction::Keep,
+                first_revision: UNSENT,
                 phase: Some(a.phase),
-                since: now,
-                taken_over: true,
+                phase_since: now,
+                adopted: true,
             };
             let exited = matches!(a.phase, TaskPhase::Exited(_));
             let adopt = self.jobs.get(&k.job).is_some_and(|j| {
-                !exited && k.index < j.spec.tasks && j.ending.is_none() && !j.done.contains(k.index) && !j.placed.contains_key(&k.index)
+                !exited && k.index < j.spec.tasks && j.pending_outcome.is_none() && !j.done.contains(k.index) && !j.assignments.contains_key(&k.index)
                     // Members of two attempts of one gang can't be told to run together.
-                    && (j.spec.kind != JobKind::Gang || j.placed.values().all(|q| q.attempt == k.attempt))
+                    && (j.spec.kind != JobKind::Gang || j.assignments.values().all(|q| q.attempt == k.attempt))
                     && !matches!(a.phase, TaskPhase::Held | TaskPhase::Queued)
             });
             if adopt {
-                touch(&mut self.touched, name, &k.job, k.index, k.attempt);
+                mark_changed(&mut self.changed_starts, name, &k.job, k.index, k.attempt);
                 tracing::info!(job = %k.job, task = k.index, machine = name, epoch = m.epoch, "task taken over");
-                self.by_machine.entry(name.into()).or_default().insert((k.job.clone(), k.index));
+                self.assigned_by_machine.entry(name.into()).or_default().insert((k.job.clone(), k.index));
                 if let Some(j) = self.jobs.get_mut(&k.job) {
-                    j.placed.insert(k.index, p);
+                    j.assignments.insert(k.index, p);
                     if j.spec.kind == JobKind::Gang && j.gang.is_none() {
                         j.gang = Some(Gang::Going);
                     }
@@ -246,7 +246,7 @@
             } else {
                 let room = self.jobs.get(&k.job).map(|j| j.spec.room).unwrap_or_default();
                 let done = a.phase == TaskPhase::Exited(TaskExit::Done);
-                let durable = self.jobs.get(&k.job).is_none_or(|j| j.durable.contains(k.index));
+                let durable = self.jobs.get(&k.job).is_none_or(|j| j.recorded.contains(k.index));
                 let want = match (exited, done && !durable) {
                     (false, _) => DesiredAction::Stop(Micros(0)),
                     (true, true) => DesiredAction::Keep,
@@ -259,33 +259,33 @@
             }
         }
         if standing != InventoryState::Unconfirmed {
-            self.unheard.remove(name);
-            self.ends_doubt |= self.doubts.heard(name);
+            self.unconfirmed_machines.remove(name);
+            self.some_set_resolved |= self.unresolved_sets.heard(name);
         }
     }
 
     pub(super) fn task_news(&mut self, now: Micros, id: &str, idx: u32, phase: TaskPhase) {
         let Some(j) = self.jobs.get_mut(id) else { return };
         let room = j.spec.room;
-        let Some(p) = j.placed.get_mut(&idx) else { return };
-        if !p.taken_over && p.phase == Some(TaskPhase::Running) && phase == TaskPhase::Exited(TaskExit::Done)
+        let Some(p) = j.assignments.get_mut(&idx) else { return };
+        if !p.adopted && p.phase == Some(TaskPhase::Running) && phase == TaskPhase::Exited(TaskExit::Done)
         {
-            note_run(&mut self.ran, &j.spec, now.since(p.since));
+            note_run(&mut self.run_times, &j.spec, now.since(p.phase_since));
         }
-        if p.phase.is_none() && !p.taken_over {
-            self.refusals.note(&p.machine, true);
+        if p.phase.is_none() && !p.adopted {
+            self.placement_refusals.note(&p.machine, true);
         }
         if p.phase != Some(phase) {
-            p.since = now;
+            p.phase_since = now;
         }
         p.phase = Some(phase);
         if matches!(phase, TaskPhase::Fetching | TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Saving)
-            && p.want == DesiredAction::Run
+            && p.action == DesiredAction::Run
         {
-            p.want = DesiredAction::Keep;
+            p.action = DesiredAction::Keep;
         }
         let TaskPhase::Exited(exit) = phase else { return };
-        let Some(p) = j.placed.remove(&idx) else { return };
+        let Some(p) = j.assignments.remove(&idx) else { return };
         let gang = j.spec.kind == JobKind::Gang;
         let machine = p.machine.clone();
         if exit != TaskExit::Done {
@@ -298,8 +298,8 @@
             tracing::debug!(job = id, task = idx, machine = %machine, why = ?exit, "task ended");
         }
         match exit {
-            TaskExit::Error => self.blame.error(now, id, &machine),
-            TaskExit::Done => self.blame.success(id, &machine),
+            TaskExit::Error => self.failures.error(now, id, &machine),
+            TaskExit::Done => self.failures.success(id, &machine),
             _ => {}
         }
         self.unindex(&machine, id, idx);
@@ -317,20 +317,20 @@
     /// A placed start is certainly not on its machine, and never will be.
     pub(super) fn lost(&mut self, now: Micros, id: &str, idx: u32, why: &str) {
         let Some(j) = self.jobs.get_mut(id) else { return };
-        let Some(p) = j.placed.remove(&idx) else { return };
+        let Some(p) = j.assignments.remove(&idx) else { return };
         let gang = j.spec.kind == JobKind::Gang;
         // What was withdrawn from a home, since its job is to end, was not refused by it.
-        if j.ending.is_some() {
+        if j.pending_outcome.is_some() {
             tracing::debug!(job = id, task = idx, machine = %p.machine, reason = why, "withdrawn");
         } else if why == "refused" {
             j.not_before = j.not_before.max(now + Micros::from_millis(200));
-            self.refusals.note(&p.machine, false);
+            self.placement_refusals.note(&p.machine, false);
             tracing::debug!(job = id, task = idx, machine = %p.machine, "start refused");
         } else {
             tracing::info!(job = id, task = idx, machine = %p.machine, reason = why, "task lost");
         }
         self.unindex(&p.machine, id, idx);
-        touch(&mut self.touched, &p.machine, id, idx, p.attempt);
+        mark_changed(&mut self.changed_starts, &p.machine, id, idx, p.attempt);
         if gang {
             self.end_gang(id);
         }
--- a/src/job_shard/records.rs
+++ b/src/job_shard/records.rs
@@ -77,7 +77,7 @@
             return None;
         }
         let (mut next, mut over) = (None, Vec::new());
-        let queue = std::mem::take(&mut self.endings.queue);
+        let queue = std::mem::take(&mut self.end_queue.queue);
         for entry @ (done, _, id) in &queue {
             let Some(j) = self.jobs.get(id) else {
                 over.push(entry.clone());
@@ -85,22 +85,22 @@
             };
             // Guards against a start after the user was told that the job is cancelled: one that waits at a home, or is on
             // its way to a worker.
-            let due = !j.writing && !j.verify && now >= j.next_write && (*done || self.withdrawn(now, id));
+            let due = !j.write_in_flight && !j.needs_reread && now >= j.next_write && (*done || self.withdrawn(now, id));
             if due {
                 next = Some(id.clone());
                 break;
             }
         }
-        self.endings.queue = queue;
+        self.end_queue.queue = queue;
         over.iter().for_each(|entry| {
-            self.endings.queue.remove(entry);
+            self.end_queue.queue.remove(entry);
         });
         let id = next?;
         let j = self.jobs.get_mut(&id)?;
-        let f = j.ending?;
-        j.writing = true;
+        let f = j.pending_outcome?;
+        j.write_in_flight = true;
         let mut value = JobShard::end_record(&j.raw, f, j.done.len());
-        if self.keep_class && value.get("says").is_none() {
+        if self.class_in_end_records && value.get("says").is_none() {
             value["says"] = json!({"breed": j.spec.class});
         }
         Some((id, RecordWrite::End(f, value), j.store_version))
@@ -108,8 +108,8 @@
 
     fn next_progress(&mut self, now: Micros) -> Option<(String, RecordWrite, u64)> {
         for (id, j) in &mut self.jobs {
-            let due = !j.writing && !j.verify && now >= j.next_write.max(j.next_progress);
-            if !due || j.ending.is_some() || j.done.len() <= j.durable.len() {
+            let due = !j.write_in_flight && !j.needs_reread && now >= j.next_write.max(j.next_progress);
+            if !due || j.pending_outcome.is_some() || j.done.len() <= j.recorded.len() {
                 continue;
             }
             let raw = JobShard::stored_raw(j);
@@ -118,11 +118,11 @@
             let kept = Ranges::decode(&text, j.spec.tasks).unwrap_or_default();
             // A description from before the limits fell may fill a value by itself: its progress stays
             // with the workers until its end, which is short, is on record.
-            if kept == j.durable || raw_len + 60 > self.value_bytes {
+            if kept == j.recorded || raw_len + 60 > self.value_bytes {
                 j.next_progress = now + Micros::from_millis(5000);
                 continue;
             }
-            j.writing = true;
+            j.write_in_flight = true;
             let value = JobShard::record(&raw, j.accepted_wall, &text);
             return Some((id.clone(), RecordWrite::Progress(value, kept), j.store_version));
         }
@@ -132,19 +132,19 @@
     /// Progress is on record: workers may forget those tasks.
     pub fn progress_written(&mut self, now: Micros, id: &str, kept: Ranges, store_version: u64) {
         let Some(j) = self.jobs.get_mut(id) else { return };
-        j.writing = false;
+        j.write_in_flight = false;
         j.store_version = j.store_version.max(store_version);
-        j.durable = kept;
+        j.recorded = kept;
         // Its end doesn't wait for that.
         j.next_progress = now + Micros::from_millis(4000);
-        let durable = j.durable.clone();
-        for (k, l) in self.leftovers.range_mut((id.to_owned(), 0, String::new(), 0)..) {
+        let durable = j.recorded.clone();
+        for (k, l) in self.retired_starts.range_mut((id.to_owned(), 0, String::new(), 0)..) {
             if k.0 != id {
                 break;
             }
-            if !l.alive && durable.contains(k.1) && l.want != DesiredAction::Forget {
-                l.want = DesiredAction::Forget;
-                touch(&mut self.touched, &k.2, &k.0, k.1, k.3);
+            if !l.alive && durable.contains(k.1) && l.action != DesiredAction::Forget {
+                l.action = DesiredAction::Forget;
+                mark_changed(&mut self.changed_starts, &k.2, &k.0, k.1, k.3);
             }
         }
     }
@@ -152,14 +152,14 @@
     /// A change of a record failed; if it may have been applied, its version is read first.
     pub fn write_failed(&mut self, now: Micros, id: &str, certain: bool) {
         if let Some(j) = self.jobs.get_mut(id) {
-            j.writing = false;
-            j.verify = !certain;
+            j.write_in_flight = false;
+            j.needs_reread = !certain;
             j.next_write = now + Micros::from_millis(500);
         }
     }
 
     /// A job whose record's version must be read.
     pub fn next_verify(&self) -> Option<String> {
-        self.jobs.iter().find(|(_, j)| j.verify && !j.writing).map(|(id, _)| id.clone())
+        self.jobs.iter().find(|(_, j)| j.needs_reread && !j.write_in_flight).map(|(id, _)| id.clone())
     }
 }
--- a/src/job_shard/reservations.rs
+++ b/src/job_shard/reservations.rs
@@ -20,7 +20,7 @@
 
 /// What other owners keep.
 #[derive(Debug, Default)]
-pub(super) struct OtherReservations {
+pub(super) struct PeerReservations {
     /// By owner, and when it said so.
     said: BTreeMap<usize, (Micros, Vec<Reservation>)>,
     /// Of the epoch before: machines, the priority and the room of a task, until when.
@@ -28,7 +28,7 @@
     until: Option<Micros>,
 }
 
-impl OtherReservations {
+impl PeerReservations {
     fn fresh(&self, now: Micros) -> impl Iterator<Item = (usize, &Reservation)> {
         let fresh = self.said.iter().filter(move |(_, (t, _))| now.since(*t) < WORD);
         fresh.flat_map(|(o, (_, l))| l.iter().map(move |r| (*o, r)))
@@ -61,22 +61,22 @@
         let mut out = Vec::new();
         // What a home hasn't seen yet is not in its digest.
         let mut unseen: BTreeMap<&str, Resources> = BTreeMap::new();
-        let news = self.unacked.iter().flat_map(BTreeMap::keys).chain(&self.touched);
+        let news = self.unacknowledged.iter().flat_map(BTreeMap::keys).chain(&self.changed_starts);
         let mut counted = BTreeSet::new();
         for (machine, key) in news {
             if let Some(j) = self.jobs.get(&key.job)
-                && let Some(p) = j.placed.get(&key.index)
+                && let Some(p) = j.assignments.get(&key.index)
                 && (p.attempt == key.attempt && p.machine == *machine)
-                && p.asked > m.machine_leader(machine).map_or(0, |h| views[h].rev_seen(m.epoch))
+                && p.first_revision > m.machine_leader(machine).map_or(0, |h| views[h].rev_seen(m.epoch))
                 && counted.insert((machine, key))
             {
                 let sum = unseen.entry(machine).or_default();
                 *sum = *sum + j.spec.room;
             }
         }
-        let ours: BTreeSet<&str> = self.jobs.values().flat_map(|j| &j.keeps).map(String::as_str).collect();
+        let ours: BTreeSet<&str> = self.jobs.values().flat_map(|j| &j.reserved_machines).map(String::as_str).collect();
         let mut foreign: BTreeMap<&str, u8> = BTreeMap::new();
-        for (owner, r) in self.others.fresh(now) {
+        for (owner, r) in self.peer_reservations.fresh(now) {
             // Two that chose the same machine before they heard of each other: the first by name has it, or
             // neither gang would ever get it.
             if owner > self.me && ours.contains(r.machine.as_str()) {
@@ -85,17 +85,17 @@
             let p = foreign.entry(&r.machine).or_default();
             *p = (*p).max(r.priority);
         }
-        if self.others.until.is_some_and(|t| now < t) {
-            for (machine, (priority, _)) in &self.others.inherited {
+        if self.peer_reservations.until.is_some_and(|t| now < t) {
+            for (machine, (priority, _)) in &self.peer_reservations.inherited {
                 let p = foreign.entry(machine).or_default();
                 *p = (*p).max(*priority);
             }
         }
         for d in views.iter().filter_map(|v| v.machines(m.epoch)).flat_map(BTreeMap::values) {
-            if !d.open || d.standing != InventoryState::Known || self.blame.shunned(now, &d.name) {
+            if !d.open || d.standing != InventoryState::Known || self.failures.shunned(now, &d.name) {
                 continue;
             }
-            let of_type = self.kept_types.iter().filter(|(k, spot, _)| *k == d.kind && *spot == d.spot);
+            let of_type = self.autoscaler_reserved_types.iter().filter(|(k, spot, _)| *k == d.kind && *spot == d.spot);
             let unseen = unseen.get(d.name.as_str()).copied().unwrap_or_default();
             out.push(Place {
                 machine: d,
@@ -106,37 +106,37 @@
                     .map(|t| t.2)
                     .max()
                     .max(foreign.get(d.name.as_str()).copied())
-                    .max(self.kept_machines.get(&d.name).copied()),
+                    .max(self.autoscaler_reserved_machines.get(&d.name).copied()),
             });
         }
         out
     }
 
     pub(super) fn foreign(&self, now: Micros) -> impl Iterator<Item = &Reservation> {
-        self.others.fresh(now).map(|(_, r)| r)
+        self.peer_reservations.fresh(now).map(|(_, r)| r)
     }
 
     /// Takes another owner's reservations.
     pub fn others_reserve(&mut self, now: Micros, from: usize, list: Vec<Reservation>) {
-        self.others.said.insert(from, (now, list));
+        self.peer_reservations.said.insert(from, (now, list));
     }
 
     /// Our reservations.
     pub fn reserved(&self) -> &[Reservation] {
-        &self.reserved
+        &self.reservations
     }
 
     /// The decider's word on types and machines left to urgent work.
     pub fn keep(&mut self, types: Vec<(String, bool, u8)>, machines: Vec<(String, u8)>) {
-        self.kept_types = types;
-        self.kept_machines = machines.into_iter().collect();
-        self.steered = true;
+        self.autoscaler_reserved_types = types;
+        self.autoscaler_reserved_machines = machines.into_iter().collect();
+        self.has_autoscaler_reservations = true;
     }
 
     /// What this pass may keep, and for whom.
     pub(super) fn keeping(&mut self, now: Micros) -> ReservationPlan {
-        if self.others.until.is_none() && !self.others.inherited.is_empty() {
-            self.others.until = Some(now + INHERITED);
+        if self.peer_reservations.until.is_none() && !self.peer_reservations.inherited.is_empty() {
+            self.peer_reservations.until = Some(now + INHERITED);
         }
         ReservationPlan { taken: self.foreign(now).map(|r| r.machine.clone()).collect(), kept: 0 }
     }
@@ -157,7 +157,7 @@
         // nowhere and keep all others out. On a large fleet several may, where what is in their way can be stopped,
         // or where they have waited for long: one after the other the last would wait for ever. Machines that
         // nothing less urgent may use anyway don't count.
-        let several = due || j.footing == QuotaTier::Unpromised;
+        let several = due || j.quota_tier == QuotaTier::Unpromised;
         let most = || {
             let would_do = places.iter().filter(|p| p.allowed(s)).count();
             if due { would_do / 8 } else { (would_do / 2).min(places.len() / 6) }
@@ -165,13 +165,13 @@
         if k.kept > 0 && !(several && k.kept + s.tasks as usize <= most()) {
             return Default::default();
         }
-        let inherited = if j.keeps.is_empty() { self.others.kept_before(now, s.room) } else { Vec::new() };
-        let before = if j.keeps.is_empty() { &inherited } else { &j.keeps };
-        let (names, open) = keep_places(places, s, j.footing, due, before, &k.taken);
+        let inherited = if j.reserved_machines.is_empty() { self.peer_reservations.kept_before(now, s.room) } else { Vec::new() };
+        let before = if j.reserved_machines.is_empty() { &inherited } else { &j.reserved_machines };
+        let (names, open) = keep_places(places, s, j.quota_tier, due, before, &k.taken);
         k.kept += open;
         let mut out = Vec::new();
         if age >= self.patience(s) {
-            let asks = tier::asks(s.priority, j.footing);
+            let asks = tier::asks(s.priority, j.quota_tier);
             for machine in &names {
                 let r =
                     |priority, evict| Reservation { machine: machine.clone(), priority, need: s.room, evict };
@@ -204,7 +204,7 @@
 pub(super) fn keep_places(
     places: &mut [Place],
     s: &JobSpec,
-    footing: QuotaTier,
+    quota_tier: QuotaTier,
     due: bool,
     before: &[String],
     taken: &BTreeSet<String>,
--- a/src/job_shard/reservations/tests.rs
+++ b/src/job_shard/reservations/tests.rs
@@ -84,7 +84,7 @@
 /// While a gang's new owner learns what the gang had running, small work would fill its machines.
 #[test]
 fn what_was_kept_before_a_takeover_stays_kept_for_a_while() {
-    let mut o = OtherReservations::default();
+    let mut o = PeerReservations::default();
     let now = Micros::from_millis(50_000);
     o.said.insert(1, (now, vec![reservation("i-1", 11, true), reservation("i-1", 12, false)]));
     o.inherit(&[reservation("i-2", 10, true)]);
--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -44,7 +44,7 @@
             one_zone: s.one_zone,
             spot: s.spot,
             count: 0,
-            estimate: likely(&self.ran, s),
+            estimate: likely(&self.run_times, s),
             priority: s.priority,
             horizon,
             together: if s.kind == JobKind::Gang { s.tasks } else { 1 },
@@ -61,14 +61,14 @@
                 && x.kinds == d.kinds
                 && x.zone == d.zone
         };
-        if let Some((x, t)) = self.shapes.iter_mut().find(|(x, _)| alike(x)) {
+        if let Some((x, t)) = self.recent_shapes.iter_mut().find(|(x, _)| alike(x)) {
             *t = now;
             x.room = x.room.max(d.room);
             x.together = x.together.max(d.together);
             x.estimate = Micros((x.estimate.0 * 7 + d.estimate.0) / 8);
             x.horizon = x.horizon.max(d.horizon);
-        } else if self.shapes.len() < 100 {
-            self.shapes.push((d, now));
+        } else if self.recent_shapes.len() < 100 {
+            self.recent_shapes.push((d, now));
         }
     }
 
@@ -88,7 +88,7 @@
             let first = j.spec.kind == JobKind::Array
                 && j.settled()
                 && self.waits_too_long(j)
-                && !self.blame.suspected(&id)
+                && !self.failures.suspected(&id)
                 && list.first().is_none_or(|n| n.priority < u8::MAX);
             if first {
                 left = left.min(1);
@@ -99,9 +99,9 @@
                 Need {
                     in_use: self.in_use(&id, j),
                     one: Resources { memory: 0, ..j.spec.room },
-                    more: match self.blame.suspected(&id) && j.spec.kind == JobKind::Array {
-                        true => i64::from(j.placed.is_empty()),
-                        false => left.saturating_sub(j.placed.len()) as i64,
+                    more: match self.failures.suspected(&id) && j.spec.kind == JobKind::Array {
+                        true => i64::from(j.assignments.is_empty()),
+                        false => left.saturating_sub(j.assignments.len()) as i64,
                     },
                     whole: j.spec.kind != JobKind::Array,
                     settled: j.settled(),
@@ -115,7 +115,7 @@
         // be known first: a claim that shrinks while a machine is unheard would make room for others too soon.
         // One that waits uses nothing, but an old controller may have claimed room for it: left to it, that
         // would be missing to the very job that it waits for.
-        for (id, j) in self.jobs.iter().filter(|(_, j)| (j.ending.is_some() || j.waits()) && j.settled()) {
+        for (id, j) in self.jobs.iter().filter(|(_, j)| (j.pending_outcome.is_some() || j.waits()) && j.settled()) {
             if teams.limited(&j.spec.team) {
                 out.entry(j.spec.team.clone()).or_default().push(Need {
                     job: id.clone(),
@@ -137,13 +137,13 @@
         if !self.loaded {
             return;
         }
-        self.wall = wall;
-        self.older_silent = m.older_silent_at();
+        self.wall_clock = wall;
+        self.older_epochs_silent_at = m.older_silent_at();
         self.note_endings(now);
         self.judge(now, teams);
         self.move_gangs(now);
         let since = *self.loaded_at.get_or_insert(now);
-        if !self.steered && now.since(since) < Micros::from_millis(3000) {
+        if !self.has_autoscaler_reservations && now.since(since) < Micros::from_millis(3000) {
             return;
         }
         let views = std::mem::take(&mut self.views);
@@ -155,14 +155,14 @@
         let mut full: Vec<JobSpec> = Vec::new();
         let mut budget = STARTS_A_PASS;
         self.demands.clear();
-        self.reserved.clear();
+        self.reservations.clear();
         let asks_after = short_after(teams);
         let mut keeping = self.keeping(now);
         let promised = self.promised(now);
-        let left_alone = self.refusals.current(now, m);
+        let left_alone = self.placement_refusals.current(now, m);
         let left_alone = left_alone.iter().filter_map(|h| views[*h].machines(m.epoch));
         let left_alone: BTreeSet<&str> = left_alone.flat_map(BTreeMap::keys).map(String::as_str).collect();
-        self.shapes.retain(|(_, t)| now.since(*t) < Micros::from_millis(300_000));
+        self.recent_shapes.retain(|(_, t)| now.since(*t) < Micros::from_millis(300_000));
         for id in self.order() {
             let Some(j) = self.jobs.get(&id) else { continue };
             // Guards against a start before all that the job needs is done: whatever else may have
@@ -171,8 +171,8 @@
                 continue;
             }
             // Most jobs have all their tasks placed: they cost a look.
-            let placed = j.done.len() as usize + j.placed.len();
-            let waits = now < j.not_before || self.blame.waits(now, &id);
+            let placed = j.done.len() as usize + j.assignments.len();
+            let waits = now < j.not_before || self.failures.waits(now, &id);
             if !j.settled() || waits || placed >= j.spec.tasks as usize {
                 continue;
             }
@@ -186,7 +186,7 @@
             let in_use = self.in_use(&id, j);
             let claim_left = Resources { memory: i64::MAX / 4, ..claim - in_use };
             let mut counts = ZoneCounts::new();
-            for p in j.placed.values() {
+            for p in j.assignments.values() {
                 *counts.entry(p.zone.clone()).or_default() += 1;
             }
             let mut still_there = BTreeSet::new();
@@ -197,18 +197,18 @@
             // A machine that still has an old start of the job would refuse the task.
             let mut old: BTreeSet<&str> =
                 self.open_of(&id).filter(|(k, _)| !j.done.contains(k.0)).map(|(k, _)| k.1.as_str()).collect();
-            old.append(&mut self.blame.avoided(now, &id));
+            old.append(&mut self.failures.avoided(now, &id));
             old.extend(self.loans.left_by(&id));
-            let suspected = self.blame.suspected(&id);
+            let suspected = self.failures.suspected(&id);
             // What is borrowed keeps away from machines where room is being made for a guarantee; that it finds none
             // says nothing about other work.
-            let kept_out = j.footing == QuotaTier::Beyond && !promised.is_empty() && !self.waits_too_long(j);
+            let kept_out = j.quota_tier == QuotaTier::Beyond && !promised.is_empty() && !self.waits_too_long(j);
             let apart = |d: &MachineStatus| kept_out && promised.contains(&d.name);
             let mut starts: Vec<(u32, usize)> = Vec::new();
             let mut unplaced = 0u32;
             let mut keeps = Vec::new();
             if j.spec.kind == JobKind::Gang {
-                if j.gang.is_some() || !j.placed.is_empty() || !still_there.is_empty() {
+                if j.gang.is_some() || !j.assignments.is_empty() || !still_there.is_empty() {
                     continue;
                 }
                 if claim_left.count_of(one) < i64::from(j.spec.tasks) {
@@ -241,20 +241,20 @@
                         }
                         let reserve;
                         (keeps, reserve) = self.keep_for(now, &mut keeping, &mut places, j, age);
-                        self.reserved.extend(reserve);
+                        self.reservations.extend(reserve);
                     }
                 }
             } else {
                 let mut allowed = claim_left.count_of(one).clamp(0, i64::from(u32::MAX)) as usize;
                 // A job that fails everywhere is tried with one task at a time.
                 if suspected {
-                    allowed = usize::from(j.placed.is_empty() && allowed > 0);
+                    allowed = usize::from(j.assignments.is_empty() && allowed > 0);
                 }
-                let left = (j.spec.tasks as usize).saturating_sub(j.done.len() as usize + j.placed.len());
+                let left = (j.spec.tasks as usize).saturating_sub(j.done.len() as usize + j.assignments.len());
                 let next: Vec<u32> = j
                     .done
                     .gaps(j.spec.tasks)
-                    .filter(|idx| !j.placed.contains_key(idx) && !still_there.contains(idx))
+                    .filter(|idx| !j.assignments.contains_key(idx) && !still_there.contains(idx))
                     .take(if self.waits_too_long(j) { allowed.min(FIRST_LOT) } else { allowed }.min(budget))
                     .collect();
                 let hopeless =
@@ -288,7 +288,7 @@
                 }
                 budget -= at.len();
                 // What a borrower lacks is claimed in its team's ledger first; asked back here too, it would be taken twice.
-                let asks = j.footing == QuotaTier::Within && age >= asks_after && !self.borrows(&j.spec);
+                let asks = j.quota_tier == QuotaTier::Within && age >= asks_after && !self.borrows(&j.spec);
                 if unplaced > 0 && !suspected && asks {
                     short.push(Shortfall { spec: j.spec.clone(), count: unplaced });
                 }
@@ -305,14 +305,14 @@
                     one_zone: s.one_zone,
                     spot: s.spot,
                     count: unplaced,
-                    estimate: likely(&self.ran, s),
+                    estimate: likely(&self.run_times, s),
                     priority: s.priority,
                     horizon: self.horizon(j, teams.guaranteed(&s.team), age),
                     together: if s.kind == JobKind::Gang { s.tasks } else { 1 },
                 });
             }
             let Some(j) = self.jobs.get_mut(&id) else { continue };
-            j.keeps = keeps;
+            j.reserved_machines = keeps;
             // A gang without places is not under way: it must go on asking for room.
             if starts.is_empty() {
                 continue;
@@ -320,11 +320,11 @@
             let gang = j.spec.kind == JobKind::Gang;
             if gang {
                 j.gang = Some(Gang::Holding(now));
-                j.starts += 1;
+                j.start_count += 1;
             }
             for (idx, pl) in starts {
                 if !gang {
-                    j.starts += 1;
+                    j.start_count += 1;
                 }
                 let place = places[pl].machine;
                 // The epoch in front makes attempts unique across owners without a counter on
@@ -332,17 +332,17 @@
                 let p = Assignment {
                     machine: place.name.clone(),
                     zone: place.zone.clone(),
-                    attempt: (m.epoch << 24) + j.starts,
-                    want: if gang { DesiredAction::Hold } else { DesiredAction::Run },
-                    asked: UNSENT,
+                    attempt: (m.epoch << 24) + j.start_count,
+                    action: if gang { DesiredAction::Hold } else { DesiredAction::Run },
+                    first_revision: UNSENT,
                     phase: None,
-                    since: now,
-                    taken_over: false,
+                    phase_since: now,
+                    adopted: false,
                 };
                 tracing::debug!(job = %id, task = idx, machine = %p.machine, attempt = p.attempt, "task placed");
-                touch(&mut self.touched, &p.machine, &id, idx, p.attempt);
-                self.by_machine.entry(p.machine.clone()).or_default().insert((id.clone(), idx));
-                j.placed.insert(idx, p);
+                mark_changed(&mut self.changed_starts, &p.machine, &id, idx, p.attempt);
+                self.assigned_by_machine.entry(p.machine.clone()).or_default().insert((id.clone(), idx));
+                j.assignments.insert(idx, p);
             }
         }
         self.reclaim(now, &places, short);
@@ -353,8 +353,8 @@
 
     /// What finds no room, for the decider.
     pub fn demands(&self) -> Vec<Demand> {
-        let waiting = self.demands.iter().chain(&self.doubted.demands);
-        waiting.chain(self.shapes.iter().map(|(d, _)| d)).cloned().collect()
+        let waiting = self.demands.iter().chain(&self.unresolved_demand.demands);
+        waiting.chain(self.recent_shapes.iter().map(|(d, _)| d)).cloned().collect()
     }
 }
 
--- a/src/job_shard/stale_inputs.rs
+++ b/src/job_shard/stale_inputs.rs
@@ -20,9 +20,9 @@
     pub fn attempt(&self, id: &str, task: Option<u32>, attempt: u64) -> Attempt {
         let Some(j) = self.jobs.get(id) else { return Attempt::Over };
         let mine = |t: u32| task.is_none_or(|task| task == t);
-        let placed = j.placed.iter().find(|(t, p)| mine(**t) && p.attempt == attempt);
+        let placed = j.assignments.iter().find(|(t, p)| mine(**t) && p.attempt == attempt);
         if let Some((_, p)) = placed {
-            return if matches!(p.want, DesiredAction::Stop(_)) {
+            return if matches!(p.action, DesiredAction::Stop(_)) {
                 Attempt::Stopping
             } else {
                 Attempt::Stands
@@ -41,9 +41,9 @@
     pub fn stop_stale(&mut self, id: &str, writes: impl Fn(Option<u32>, u64) -> bool) -> usize {
         let Some(j) = self.jobs.get_mut(id) else { return 0 };
         let gang = j.spec.kind == JobKind::Gang;
-        let running = |p: &Assignment| !matches!(p.want, DesiredAction::Stop(_));
+        let running = |p: &Assignment| !matches!(p.action, DesiredAction::Stop(_));
         let stops: Vec<u32> = j
-            .placed
+            .assignments
             .iter()
             .filter(|(t, p)| running(p) && !writes((!gang).then_some(**t), p.attempt))
             .map(|(t, _)| *t)
@@ -56,9 +56,9 @@
             return stops.len();
         }
         for t in &stops {
-            if let Some(p) = j.placed.get_mut(t) {
-                p.want = DesiredAction::Stop(Micros(0));
-                touch(&mut self.touched, &p.machine, id, *t, p.attempt);
+            if let Some(p) = j.assignments.get_mut(t) {
+                p.action = DesiredAction::Stop(Micros(0));
+                mark_changed(&mut self.changed_starts, &p.machine, id, *t, p.attempt);
             }
         }
         stops.len()
@@ -66,6 +66,6 @@
 
     /// Whether anything of a job is placed, or may be.
     pub fn has_placed(&self, id: &str) -> bool {
-        self.jobs.get(id).is_some_and(|j| !j.placed.is_empty())
+        self.jobs.get(id).is_some_and(|j| !j.assignments.is_empty())
     }
 }
--- a/src/job_shard/start_replication.rs
+++ b/src/job_shard/start_replication.rs
@@ -11,7 +11,7 @@
 /// What the witnesses are told.
 pub(super) struct StartReplication {
     /// Starts on machines of our own that may have changed.
-    pub(super) touched: BTreeSet<Key>,
+    pub(super) changed_starts: BTreeSet<Key>,
     /// Those that were last told of, with their zones, and the jobs that we last vouched for.
     starts: BTreeMap<Key, String>,
     jobs: BTreeSet<String>,
@@ -22,7 +22,7 @@
 impl Default for StartReplication {
     fn default() -> Self {
         StartReplication {
-            touched: BTreeSet::new(),
+            changed_starts: BTreeSet::new(),
             starts: BTreeMap::new(),
             jobs: BTreeSet::new(),
             jobs_changed: true,
@@ -35,42 +35,42 @@
     /// starts are all known: each item, and whether it is there.
     pub fn vouch_changes(&mut self) -> Vec<(ReplicatedItem, bool)> {
         let mut out = Vec::new();
-        for key in std::mem::take(&mut self.vouching.touched) {
+        for key in std::mem::take(&mut self.start_replication.changed_starts) {
             let (machine, k) = &key;
-            let placed = self.jobs.get(&k.job).and_then(|j| j.placed.get(&k.index));
+            let placed = self.jobs.get(&k.job).and_then(|j| j.assignments.get(&k.index));
             let placed = placed.filter(|p| p.attempt == k.attempt && p.machine == *machine);
             let left = (k.index, machine.clone(), k.attempt);
-            let open = self.open_left.get(&k.job).and_then(|o| o.get(&left));
+            let open = self.open_retired_starts.get(&k.job).and_then(|o| o.get(&left));
             let zone = placed.map(|p| &p.zone).or(open.filter(|(alive, _)| *alive).map(|(_, zone)| zone));
             let item = |zone: &String| ReplicatedItem::Start {
                 key: k.clone(),
                 machine: machine.clone(),
                 zone: zone.clone(),
             };
-            match (zone, self.vouching.starts.get(&key)) {
+            match (zone, self.start_replication.starts.get(&key)) {
                 (Some(zone), None) => {
                     out.push((item(zone), true));
-                    self.vouching.starts.insert(key.clone(), zone.clone());
+                    self.start_replication.starts.insert(key.clone(), zone.clone());
                 }
                 (None, Some(zone)) => {
                     out.push((item(zone), false));
-                    self.vouching.starts.remove(&key);
+                    self.start_replication.starts.remove(&key);
                 }
                 _ => {}
             }
         }
-        if !std::mem::take(&mut self.vouching.jobs_changed) {
+        if !std::mem::take(&mut self.start_replication.jobs_changed) {
             return out;
         }
         let settled = |id: &String| self.jobs.get(id).is_some_and(Job::settled);
-        let gone: Vec<String> = self.vouching.jobs.iter().filter(|id| !settled(id)).cloned().collect();
+        let gone: Vec<String> = self.start_replication.jobs.iter().filter(|id| !settled(id)).cloned().collect();
         for id in gone {
-            self.vouching.jobs.remove(&id);
+            self.start_replication.jobs.remove(&id);
             out.push((ReplicatedItem::Job(id), false));
         }
         for (id, _) in self.jobs.iter().filter(|(_, j)| j.settled()) {
-            if !self.vouching.jobs.contains(id) {
-                self.vouching.jobs.insert(id.clone());
+            if !self.start_replication.jobs.contains(id) {
+                self.start_replication.jobs.insert(id.clone());
                 out.push((ReplicatedItem::Job(id.clone()), true));
             }
         }
@@ -80,7 +80,7 @@
     /// The item for a start on one of our own machines, if it was told of.
     pub fn vouched(&self, machine: &str, key: &crate::peer::TaskKey) -> Option<ReplicatedItem> {
         let key = (machine.to_owned(), key.clone());
-        let zone = self.vouching.starts.get(&key)?.clone();
+        let zone = self.start_replication.starts.get(&key)?.clone();
         Some(ReplicatedItem::Start { key: key.1, machine: key.0, zone })
     }
 
@@ -108,7 +108,7 @@
                 });
             }
         }
-        let mut narrowed: BTreeMap<UnresolvedSetId, Evidence> = BTreeMap::new();
+        let mut narrowed: BTreeMap<UnresolvedSetId, StartKnowledge> = BTreeMap::new();
         let mut helped = 0;
         let theirs: Vec<String> = items
             .iter()
@@ -119,15 +119,15 @@
             .collect();
         for id in theirs {
             let Some(j) = self.jobs.get_mut(&id) else { continue };
-            let Evidence::Waits(d) = j.evidence else { continue };
-            let doubts = &mut self.doubts;
+            let StartKnowledge::AwaitsMachines(d) = j.start_knowledge else { continue };
+            let doubts = &mut self.unresolved_sets;
             let evidence = *narrowed.entry(d).or_insert_with(|| {
                 let others = doubts.machines(d).filter(|m| !its("machine/", m));
                 let others: BTreeSet<String> = others.cloned().collect();
-                doubts.open(others).map_or(Evidence::Complete, Evidence::Waits)
+                doubts.open(others).map_or(StartKnowledge::Complete, StartKnowledge::AwaitsMachines)
             });
-            j.evidence = evidence;
-            self.vouching.jobs_changed = true;
+            j.start_knowledge = evidence;
+            self.start_replication.jobs_changed = true;
             helped += 1;
             let (tasks, gang) = (j.spec.tasks, j.spec.kind == JobKind::Gang);
             for s in starts.remove(id.as_str()).unwrap_or_default() {
--- a/src/job_shard/unresolved_starts.rs
+++ b/src/job_shard/unresolved_starts.rs
@@ -15,7 +15,7 @@
 
 /// The latest count.
 #[derive(Default)]
-pub(super) struct UnresolvedStarts {
+pub(super) struct UnresolvedDemand {
     next: Micros,
     pub(super) demands: Vec<Demand>,
 }
@@ -25,33 +25,33 @@
     pub(super) fn count_doubted(
         &mut self,
         now: Micros,
-        wall: Micros,
+        wall_clock: Micros,
         teams: &QuotaLedger,
         m: &Membership,
         views: &[MachineView],
         places: &mut [Place],
     ) {
         if self.jobs.values().all(Job::settled) {
-            self.doubted = UnresolvedStarts::default();
+            self.unresolved_demand = UnresolvedDemand::default();
             return;
         }
-        if now < self.doubted.next {
+        if now < self.unresolved_demand.next {
             return;
         }
-        self.doubted = UnresolvedStarts { next: now + EVERY, demands: Vec::new() };
+        self.unresolved_demand = UnresolvedDemand { next: now + EVERY, demands: Vec::new() };
         let all: usize = views.iter().filter_map(|v| v.machines(m.epoch)).map(BTreeMap::len).sum();
         let mut full: Vec<JobSpec> = Vec::new();
         for id in self.order() {
             let Some(j) = self.jobs.get(&id) else { continue };
-            let Evidence::Waits(d) = j.evidence else { continue };
-            let hidden = self.doubts.machines(d).count();
-            if j.waits() || self.blame.suspected(&id) || hidden * 10 > all * (10 - HEARD_OF_TEN) {
+            let StartKnowledge::AwaitsMachines(d) = j.start_knowledge else { continue };
+            let hidden = self.unresolved_sets.machines(d).count();
+            if j.waits() || self.failures.suspected(&id) || hidden * 10 > all * (10 - HEARD_OF_TEN) {
                 continue;
             }
             let spec = j.spec.clone();
             let gang = spec.kind == JobKind::Gang;
             let left_alive = self.open_of(&id).filter(|(_, (alive, _))| *alive).count();
-            let there = j.placed.len() + left_alive;
+            let there = j.assignments.len() + left_alive;
             let lacking = (spec.tasks as usize).saturating_sub(j.done.len() as usize + there);
             // As many of its tasks are likely to be on a machine that is not heard as on one that is. A gang is there or
             // is not.
@@ -80,14 +80,14 @@
             }
             self.note_shape(now, &spec, whole);
             if lacks > 0 {
-                self.doubted.demands.push(Demand {
+                self.unresolved_demand.demands.push(Demand {
                     room: spec.room,
                     kinds: spec.kinds.clone(),
                     zone: spec.zone.clone(),
                     one_zone: spec.one_zone,
                     spot: spec.spot,
                     count: if gang { spec.tasks } else { lacks as u32 },
-                    estimate: scheduling_pass::likely(&self.ran, &spec),
+                    estimate: scheduling_pass::likely(&self.run_times, &spec),
                     priority: spec.priority,
                     horizon,
                     together: if gang { spec.tasks } else { 1 },
--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -269,7 +269,7 @@
 
     let mut owner = JobShard::new(&settings(4.0));
     owner.insert(raw, spec, accepted, Ranges::default(), 1, true);
-    owner.jobs.get_mut("wk-000412").expect("live").ending = Some(JobOutcome::Cancelled);
+    owner.jobs.get_mut("wk-000412").expect("live").pending_outcome = Some(JobOutcome::Cancelled);
     let Some((_, RecordWrite::End(_, end), _)) = owner.next_write(Micros(1), true) else { panic!("no end") };
     assert_eq!(end, stored["done/wk-000413"]);
     assert_eq!(hazelsaddle::controller::read_end(&end), Some((JobOutcome::Cancelled, 0)));
@@ -335,7 +335,7 @@
         assert!(owner.jobs["wk-000412"].waits(), "the release holds it still");
         owner.lift("wk-000412");
         assert!(!owner.jobs["wk-000412"].waits());
-        owner.jobs.get_mut("wk-000412").expect("live").ending = Some(JobOutcome::Done);
+        owner.jobs.get_mut("wk-000412").expect("live").pending_outcome = Some(JobOutcome::Done);
         let Some((_, RecordWrite::End(_, end), _)) = owner.next_write(Micros(1), true) else {
             panic!("no end")
         };
--- a/tests/follow.rs
+++ b/tests/follow.rs
@@ -80,7 +80,7 @@
                 let all = on.iter().all(|p| told.contains(p) && ends[*p] == JobOutcome::Done);
                 assert!(j.waits() || all, "seed {seed}: {job} is released too early");
                 let gone = on.iter().any(|p| told.contains(p) && ends[*p] == JobOutcome::Cancelled);
-                assert!(j.ending.is_none() || gone, "seed {seed}: {job} ends for nothing");
+                assert!(j.pending_outcome.is_none() || gone, "seed {seed}: {job} ends for nothing");
             }
         }
         // All has ended, and all that is not known is read.
@@ -92,7 +92,7 @@
         for (job, on) in &needs {
             let j = &owner.jobs[job];
             let gone = on.iter().any(|p| ends[*p] == JobOutcome::Cancelled);
-            assert_eq!(j.ending, gone.then_some(JobOutcome::Cancelled), "seed {seed}: {job}");
+            assert_eq!(j.pending_outcome, gone.then_some(JobOutcome::Cancelled), "seed {seed}: {job}");
             assert_eq!(j.waits(), gone, "seed {seed}: {job}");
         }
     }
@@ -113,7 +113,7 @@
     assert!(!owner.replan, "nobody waits for this one");
     owner.prerequisite_ended(&id(7), JobOutcome::Cancelled);
     let touched: Vec<&String> =
-        owner.jobs.iter().filter(|(_, j)| j.ending.is_some()).map(|(id, _)| id).collect();
+        owner.jobs.iter().filter(|(_, j)| j.pending_outcome.is_some()).map(|(id, _)| id).collect();
     assert_eq!(touched, (1070..1080).map(id).collect::<Vec<_>>().iter().collect::<Vec<_>>());
     assert!(owner.replan && !owner.is_awaited(&id(7)) && owner.is_awaited(&id(8)));
 }
@@ -151,7 +151,7 @@
         owner.urged_by(0, list);
     }
     assert_eq!((priority(&owner, 1), priority(&owner, 2), priority(&owner, 3)), (2, 2, 2));
-    owner.jobs.get_mut(&id(3)).expect("live").ending = Some(JobOutcome::Cancelled);
+    owner.jobs.get_mut(&id(3)).expect("live").pending_outcome = Some(JobOutcome::Cancelled);
     for _ in 0..2 {
         let list = owner.urges(0, &m);
         owner.urged_by(0, list);
