--- a/src/controller.rs
+++ b/src/controller.rs
@@ -453,18 +453,18 @@
             {
                 self.next_plan = now + Micros::from_millis(100);
                 self.job_shard.replan = false;
-                self.job_shard.plan(now, self.wall, &self.membership, &self.quota);
-                self.job_shard.make_room(now, &self.membership);
+                self.job_shard.run_scheduling_pass(now, self.wall, &self.membership, &self.quota);
+                self.job_shard.preempt_tasks(now, &self.membership);
             }
             self.team_loop(now, out);
             self.loan_loop(now, out);
             self.record_loop(now, out);
             if self.autoscaler.due(now) {
                 let decider = self.membership.decider() == Some(self.settings.me);
-                let heard = self.job_shard.all_homes_heard(&self.membership);
+                let heard = self.job_shard.has_heard_all_machine_shards(&self.membership);
                 let machines: Vec<_> =
                     self.job_shard.machines(self.membership.epoch).filter(|_| decider).collect();
-                let rebuilt = self.job_shard.rebuilt();
+                let rebuilt = self.job_shard.is_rebuilt();
                 let r =
                     self.autoscaler.next(now, decider, &machines, heard, rebuilt, &self.membership.members);
                 out.extend(r.map(Effect::Cloud));
@@ -494,12 +494,12 @@
     /// How things stand, for operators.
     pub fn status(&mut self, now: Micros) -> Value {
         let m = &self.membership;
-        let (jobs, placed, left) = self.job_shard.counts();
-        let (bad_jobs, bad_machines) = self.job_shard.suspects(now);
+        let (jobs, placed, left) = self.job_shard.task_counts();
+        let (bad_jobs, bad_machines) = self.job_shard.quarantined(now);
         let (known, machines) = self.machine_shard.counts();
         let waiting = self.job_shard.waiting_jobs();
         let shown = |j: &&crate::job_shard::Job| {
-            let on: Vec<&str> = j.waits_for().take(SHOWN).collect();
+            let on: Vec<&str> = j.unfinished_prerequisites().take(SHOWN).collect();
             json!({"job": j.spec.id, "waits_for": on, "for_s": self.wall.since(j.accepted_wall).secs()})
         };
         let oldest: Vec<Value> = waiting.iter().take(SHOWN).map(shown).collect();
@@ -516,7 +516,7 @@
             "aside": self.step_down.away().map(|a| format!("{a:?}").to_lowercase()),
             "decider": m.decider().map(|d| m.name(d)),
             "records_read": self.job_shard.loaded,
-            "machines_unheard": self.job_shard.unheard(),
+            "machines_unheard": self.job_shard.unconfirmed_machine_count(),
             "takeover": self.takeover_status(now),
             "home": {"machines": machines, "known": known},
             "jobs": {"live": jobs, "tasks_placed": placed, "tasks_left": left},
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -137,7 +137,7 @@
                 self.dependencies.sent.remove(&p);
                 continue;
             }
-            let list = self.job_shard.urges(p, &self.membership);
+            let list = self.job_shard.priorities_needed_of(p, &self.membership);
             let said = !list.is_empty();
             if !said && !self.dependencies.sent.contains(&p) {
                 continue;
@@ -148,7 +148,7 @@
                 self.dependencies.sent.remove(&p);
             }
             if p == self.settings.me {
-                self.job_shard.urged_by(p, list);
+                self.job_shard.apply_needed_priorities(p, list);
             } else {
                 out.push(Effect::Send(p, self.envelope(now, p, Message::InheritedPriorities(list))));
             }
@@ -156,7 +156,7 @@
     }
 
     fn watches(&self) -> bool {
-        self.job_shard.watches() || self.pact_watches() || self.batches_watch()
+        self.job_shard.awaits_ends() || self.pact_watches() || self.batches_watch()
     }
 
     /// Watches for the ends of jobs that others wait for, and reads those that no watch tells of.
@@ -184,7 +184,7 @@
             return;
         }
         while self.in_flight.len() < IN_FLIGHT && self.requests.level(now) >= 0.2 {
-            let Some(p) = self.job_shard.next_unread() else { break };
+            let Some(p) = self.job_shard.next_unread_prerequisite() else { break };
             self.requests.take(now, 1.0, 0.0);
             self.ask_store(
                 PendingStoreRequest::ReadEnd(p.clone()),
@@ -199,7 +199,7 @@
         match (self.dependencies.watch, a) {
             (Watch::Asking, StoreAnswer::At(revision)) => {
                 // Whatever ended before this must be read; whatever ends later will be told.
-                self.job_shard.unwatched();
+                self.job_shard.reread_prerequisites();
                 self.pacts_unwatched();
                 self.batches_unwatched(now);
                 self.dependencies.watch = Watch::At(revision, false);
@@ -229,12 +229,12 @@
         match read_end(value) {
             Some((f, _)) => {
                 self.job_shard.note_time(self.wall);
-                self.job_shard.prerequisite_ended(id, f);
+                self.job_shard.apply_prerequisite_end(id, f);
                 self.member_ended(id, f);
             }
             None => {
                 tracing::error!(job = %id, "unreadable final record");
-                self.job_shard.read_again(id);
+                self.job_shard.retry_prerequisite_read(id);
                 self.dependencies.retry = now + Micros::from_millis(5000);
             }
         }
@@ -246,7 +246,7 @@
             StoreAnswer::Got(Some(row)) => self.end_read(now, id, &row.value),
             StoreAnswer::Got(None) => {}
             _ => {
-                self.job_shard.read_again(id);
+                self.job_shard.retry_prerequisite_read(id);
                 self.dependencies.retry = now + Micros::from_millis(300);
             }
         }
@@ -257,7 +257,7 @@
     fn is_known(&self, id: &str) -> bool {
         let live = |j: &crate::job_shard::Job| j.spec.kind != JobKind::Service;
         self.job_shard.jobs.get(id).is_some_and(live)
-            || self.job_shard.final_of(id).is_some()
+            || self.job_shard.outcome_of(id).is_some()
             || self.dependencies.known.contains(id)
     }
 
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -7,7 +7,7 @@
 use super::coordination::{Gate, Operating};
 use super::*;
 use crate::job_shard::dependencies::unpacked;
-use crate::job_shard::{Attempt, Hold, Job};
+use crate::job_shard::{AttemptStatus, Hold, Job};
 use crate::server::operator_api::OpRequest;
 use hazelsaddle_coordination::census::Stands;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Sort};
@@ -414,7 +414,7 @@
             .job_shard
             .jobs
             .iter()
-            .filter(|(_, j)| j.spec.merges.is_some() && j.pending_outcome.is_none() && j.waits_for().next().is_none())
+            .filter(|(_, j)| j.spec.merges.is_some() && j.pending_outcome.is_none() && j.unfinished_prerequisites().next().is_none())
             .map(|(id, _)| id.clone())
             .collect();
         self.freshness.merges.retain(|id, _| ids.binary_search(id).is_ok());
@@ -458,7 +458,7 @@
         let Some(j) = self.job_shard.jobs.get(id) else { return };
         if verdict.may_start() && recent {
             if matches!(j.hold(), Some(Hold::Batch(_))) {
-                self.job_shard.lift(id);
+                self.job_shard.lift_hold(id);
             }
             return;
         }
@@ -468,7 +468,7 @@
         };
         if j.hold().is_none_or(|h| h.why() != why) {
             tracing::info!(job = id, reason = %why, "merge is held");
-            self.job_shard.hold(id, Hold::Batch(why));
+            self.job_shard.hold_job(id, Hold::Batch(why));
         }
         if known && matches!(verdict, Verdict::Stale(..)) {
             let writes = |task: Option<u32>, attempt: u64| {
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -69,11 +69,11 @@
             return Some(Reply::error(409, "the job has ended"));
         };
         let task = (j.spec.kind != JobKind::Gang).then_some(a.task);
-        let standing = self.job_shard.attempt(&a.job, task, a.attempt);
+        let standing = self.job_shard.attempt_status(&a.job, task, a.attempt);
         match standing {
-            Attempt::Over => return Some(Reply::error(409, "no such attempt runs")),
-            Attempt::Unknown => return Some(Reply::later("taking over")),
-            Attempt::Stands | Attempt::Stopping => {}
+            AttemptStatus::Over => return Some(Reply::error(409, "no such attempt runs")),
+            AttemptStatus::Unknown => return Some(Reply::later("taking over")),
+            AttemptStatus::Stands | AttemptStatus::Stopping => {}
         }
         let (key, merge) = self.merge_of(&a.job)?;
         let held = self.pact_since(now, &key, a.came)?;
@@ -90,7 +90,7 @@
                 let batch = merge.of.name;
                 Some(Reply::json(200, &json!({"batch": batch, "version": p.version, "fence": p.fence})))
             }
-            Answer::Write(..) if standing == Attempt::Stopping => {
+            Answer::Write(..) if standing == AttemptStatus::Stopping => {
                 Some(Reply::error(409, "the attempt is being stopped"))
             }
             Answer::Write(next, p) => {
@@ -123,7 +123,7 @@
     fn permit_over(&self, p: &Permit) -> bool {
         self.job_shard.loaded
             && self.membership.job_leader(&p.job) == Some(self.settings.me)
-            && self.job_shard.attempt(&p.job, p.task, p.attempt) == Attempt::Over
+            && self.job_shard.attempt_status(&p.job, p.task, p.attempt) == AttemptStatus::Over
     }
 
     pub(super) fn release_permits(&mut self, now: Micros, out: &mut Vec<Effect>) {
--- a/src/controller/gpu_lending.rs
+++ b/src/controller/gpu_lending.rs
@@ -51,8 +51,8 @@
         let Some(terms) = self.settings.operators.loans.clone() else { return };
         if now >= self.loans.next_told {
             self.loans.next_told = now + READ;
-            self.job_shard.note_lacks(now);
-            let told = self.job_shard.lending(now, self.wall);
+            self.job_shard.note_gpu_shortfalls(now);
+            let told = self.job_shard.lending_offer(now, self.wall);
             for p in self.membership.members.clone() {
                 // An older process would drop the link.
                 if p != self.settings.me && self.reads(p, FORM) {
@@ -60,7 +60,7 @@
                 }
             }
         }
-        self.job_shard.obey_loans(now);
+        self.job_shard.enforce_loans(now);
         if now < self.store_pause {
             return;
         }
@@ -103,7 +103,7 @@
         if !self.loans.unreadable.is_empty() {
             return None;
         }
-        let t = self.job_shard.takings(now, wall, m, &self.quota)?;
+        let t = self.job_shard.next_taking(now, wall, m, &self.quota)?;
         let none = Ledger::default();
         let mut next = self.loans.read.get(&t.team).map_or(&none, |(_, l, _)| l).clone();
         let others: Vec<&Ledger> =
@@ -211,7 +211,7 @@
 
     fn tell_ledgers(&mut self, sent: Micros) {
         let ledgers = self.loans.read.iter().map(|(t, (_, l, _))| (t.clone(), l.clone())).collect();
-        self.job_shard.loans_read(sent, ledgers);
+        self.job_shard.apply_ledgers(sent, ledgers);
     }
 
     /// Who lent what to whom, and when it is due back, for operators.
--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -164,7 +164,7 @@
     }
 
     fn pack(&mut self, now: Micros, next: &Membership) {
-        let jobs = self.job_shard.hand_over(next);
+        let jobs = self.job_shard.handoff_batches(next);
         let machines = self.machine_shard.hand_over(now, next);
         let (of_jobs, of_machines) = (
             jobs.values().map(|p| p.jobs.len()).sum::<usize>(),
@@ -213,7 +213,7 @@
         }
         if let Some(since) = self.handoff.since
             && self.job_shard.loaded
-            && self.job_shard.in_doubt() == 0
+            && self.job_shard.unresolved_job_count() == 0
         {
             self.handoff.since = None;
             let h = &self.handoff;
@@ -223,7 +223,7 @@
                 handed_jobs = h.taken_jobs,
                 handed_machines = h.taken_machines,
                 witnessed_jobs = self.start_replica.taken(),
-                unheard = self.job_shard.unheard(),
+                unheard = self.job_shard.unconfirmed_machine_count(),
                 "taken over: every job's starts are known"
             );
         }
@@ -254,7 +254,7 @@
             return;
         }
         for (_, (jobs, doubts)) in self.handoff.jobs.unpack() {
-            self.handoff.taken_jobs += self.job_shard.handed(now, jobs, &doubts);
+            self.handoff.taken_jobs += self.job_shard.accept_handoff(now, jobs, &doubts);
         }
         self.hear_witnesses(now);
     }
@@ -262,10 +262,10 @@
     /// How this epoch's takeover stands, for operators.
     pub(super) fn takeover_status(&self, now: Micros) -> Value {
         let h = &self.handoff;
-        let waits: Vec<&String> = self.job_shard.unheard_machines(SHOWN).collect();
+        let waits: Vec<&String> = self.job_shard.unconfirmed_machines(SHOWN).collect();
         json!({
             "under_way_s": h.since.map(|t| now.since(t).secs()),
-            "jobs_in_doubt": self.job_shard.in_doubt(),
+            "jobs_in_doubt": self.job_shard.unresolved_job_count(),
             "jobs_handed_to_us": h.taken_jobs,
             "machines_handed_to_us": h.taken_machines,
             "jobs_witnessed": self.start_replica.taken(),
--- a/src/controller/handoff/tests.rs
+++ b/src/controller/handoff/tests.rs
@@ -28,7 +28,7 @@
     let mut n = Controller::new(settings(), 1);
     n.membership.adopt(at(1000), &record(7, &[0, 1, 2]), 7);
     n.machine_shard.adopt(at(1000), &n.membership, false, |_| None);
-    n.job_shard.adopt(&n.membership, false);
+    n.job_shard.adopt_epoch(&n.membership, false);
     n.membership.confirmed_by_store(at(1000));
     for p in [1, 2] {
         n.clocks[p] = (1, at(1));
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -229,7 +229,7 @@
                     self.adopt(now, &record, store_version, out);
                 }
                 if record.epoch == self.membership.epoch {
-                    self.job_shard.epoch_stands(sent);
+                    self.job_shard.confirm_epoch(sent);
                     // It came back before it had left: its place is still its own.
                     self.membership.aside = false;
                     return self.ask_store(PendingStoreRequest::Renew(sent), StoreRequest::Renew(lease), out);
@@ -277,7 +277,7 @@
         self.testify(now, record, follows);
         self.machine_shard
             .adopt(now, &self.membership, follows, |job| ring_before.owner(&format!("job/{job}")));
-        self.job_shard.adopt(&self.membership, follows);
+        self.job_shard.adopt_epoch(&self.membership, follows);
         self.pacts_anew();
         self.batches_anew();
         self.loans_anew();
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -47,8 +47,8 @@
     /// Why a job of ours waits.
     pub(super) fn why(&self, id: &str) -> Option<Reply> {
         let j = self.job_shard.jobs.get(id)?;
-        let on: Vec<&str> = j.waits_for().collect();
-        let stance = self.job_shard.stance(id).map_or("pending", |s| s.0);
+        let on: Vec<&str> = j.unfinished_prerequisites().collect();
+        let stance = self.job_shard.user_status(id).map_or("pending", |s| s.0);
         Some(Reply::json(
             200,
             &json!({"uid": id, "stance": stance, "waits_for": on, "held": j.hold().map(|h| h.why())}),
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -42,7 +42,7 @@
             boot: self.boot,
             echo,
             echo_boot,
-            digest_seen: self.job_shard.digest_seen(to, self.membership.epoch),
+            digest_seen: self.job_shard.applied_status_sequence(to, self.membership.epoch),
             body,
         }
     }
@@ -80,20 +80,20 @@
                 if self.machine_shard.wanted(now, from, &wishes, &self.membership, |k| fleet.room(k)) {
                     self.machine_shard.said(from, echo, f.digest_seen);
                 }
-                self.owe_ack[from] |= self.job_shard.digest(now, &self.membership, from, digest);
+                self.owe_ack[from] |= self.job_shard.apply_machine_status(now, &self.membership, from, digest);
                 // What we hold of our own machines needs no frame.
                 if from == self.settings.me {
-                    self.acked[from] = self.job_shard.digest_seen(from, self.membership.epoch);
+                    self.acked[from] = self.job_shard.applied_status_sequence(from, self.membership.epoch);
                 }
             }
             Message::Demands(d) if same => self.autoscaler.demand(now, from, d),
             Message::Reserve(list) if same && from != self.settings.me => {
-                self.job_shard.others_reserve(now, from, list);
+                self.job_shard.apply_peer_reservations(now, from, list);
             }
             Message::ScalingPlan { drain, gone, kept, kept_machines }
                 if same && self.membership.decider() == Some(from) =>
             {
-                self.job_shard.keep(kept, kept_machines);
+                self.job_shard.apply_autoscaler_reservations(kept, kept_machines);
                 self.machine_shard.fleet(&drain.into_iter().collect(), &gone);
             }
             Message::MisroutedHeartbeats(list) if same => {
@@ -104,9 +104,9 @@
                 self.step_down.stray(now, ours);
             }
             Message::Lending(told) if same && from != self.settings.me => {
-                self.job_shard.others_lend(now, from, told)
+                self.job_shard.apply_peer_lending(now, from, told)
             }
-            Message::InheritedPriorities(list) if same => self.job_shard.urged_by(from, list),
+            Message::InheritedPriorities(list) if same => self.job_shard.apply_needed_priorities(from, list),
             Message::Handoff { number, parcel } if same => self.parcel(now, from, f.boot, number, parcel),
             Message::ReplicateStarts { rev, since, added, dropped } if same && from != self.settings.me => {
                 let c = Changes { rev, since, added, dropped };
@@ -165,14 +165,14 @@
             let soon = if p == self.settings.me { period.0 / 25 } else { period.0 / 5 };
             let gap = now.since(self.sent[p]);
             let news = self.machine_shard.seq() > self.sent_seq[p] || self.owe_ack[p];
-            if gap < period && (gap.0 < soon || !(news || self.job_shard.has_news(p, &self.membership))) {
+            if gap < period && (gap.0 < soon || !(news || self.job_shard.has_changes_for(p, &self.membership))) {
                 continue;
             }
             self.sent[p] = now;
             self.sent_seq[p] = self.machine_shard.seq();
             self.owe_ack[p] = false;
             let wishes = match self.membership.members.contains(&p) {
-                true => self.job_shard.wanted(p, &self.membership),
+                true => self.job_shard.next_desired_state(p, &self.membership),
                 false => DesiredState::default(),
             };
             let fleet = &self.autoscaler;
@@ -194,7 +194,7 @@
                 }
             }
             for p in (0..n).filter(|&p| p != self.settings.me) {
-                let list = self.job_shard.reserved().to_vec();
+                let list = self.job_shard.reservations().to_vec();
                 out.push(Effect::Send(p, self.envelope(now, p, Message::Reserve(list))));
             }
             if let Some(d) = self.membership.decider() {
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -178,7 +178,7 @@
                 }
             }
         }
-        self.job_shard.releases_need(needs);
+        self.job_shard.set_release_priorities(needs);
         let live: BTreeSet<&Key> = self.coordination.shelf.iter().map(|(k, _)| k).collect();
         self.releases.closed_at.retain(|(k, _), _| live.contains(k));
         self.releases.pages.retain(|(k, _), _| live.contains(k));
@@ -197,7 +197,7 @@
                 Held::Is(r) => priority_inheritance::of_set(&Release::read(r).ok()?, [])?.due.map(Micros),
                 _ => None,
             });
-            self.job_shard.due(&id, due);
+            self.job_shard.set_release_due(&id, due);
         }
     }
 
@@ -252,7 +252,7 @@
             Readiness::Open => {
                 tracing::info!(job = id, record = %key.head(), "rotation released");
                 self.job_shard.note_time(self.wall);
-                self.job_shard.lift(id);
+                self.job_shard.lift_hold(id);
             }
             Readiness::Ready(next) => {
                 if self.change_pact(now, key, next, Vec::new(), None, out) {
@@ -264,7 +264,7 @@
                 if why.len() > CAUSES {
                     text.push(format!("and {} more", why.len() - CAUSES));
                 }
-                self.job_shard.hold(id, Hold::Release(text.join("; ")));
+                self.job_shard.hold_job(id, Hold::Release(text.join("; ")));
             }
         }
         known
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -128,7 +128,7 @@
             Mode::Off | Mode::Without => true,
             Mode::On | Mode::Asking => {
                 m.job_leader(&key.job) != Some(m.me)
-                    || owner.vouched(machine, key).is_some_and(|item| self.told.witnessed(&item))
+                    || owner.replicated_start(machine, key).is_some_and(|item| self.told.witnessed(&item))
             }
         }
     }
@@ -297,7 +297,7 @@
                 Ring::new(&self.settings.members, &members)
             };
             let rings: Vec<Ring> = word.rings.iter().map(ring).collect();
-            let helped = self.job_shard.witnessed(now, of, &rings, &word.items);
+            let helped = self.job_shard.apply_start_replicas(now, of, &rings, &word.items);
             let (epoch, items) = (word.epoch, word.items.len());
             tracing::info!(epoch, of = %self.settings.members[of], jobs = helped, items, "witnesses heard");
             self.start_replica.taken += helped;
@@ -331,8 +331,8 @@
             return;
         }
         // What the homes are to hear is noted here too.
-        self.job_shard.has_news(self.settings.me, &self.membership);
-        for (item, there) in self.job_shard.vouch_changes() {
+        self.job_shard.has_changes_for(self.settings.me, &self.membership);
+        for (item, there) in self.job_shard.take_replication_changes() {
             self.start_replica.told.set(item, there);
         }
         let mut waits = true;
--- a/src/controller/state_store_io.rs
+++ b/src/controller/state_store_io.rs
@@ -86,12 +86,12 @@
         };
         if self.load == Load::Done {
             let names = std::mem::take(&mut self.machines_on_record);
-            self.job_shard.load_done(names.into_iter());
-            let (jobs, ..) = self.job_shard.counts();
+            self.job_shard.finish_loading(names.into_iter());
+            let (jobs, ..) = self.job_shard.task_counts();
             tracing::info!(
                 epoch = self.membership.epoch,
                 jobs,
-                machines = self.job_shard.unheard(),
+                machines = self.job_shard.unconfirmed_machine_count(),
                 "records read"
             );
             self.unpack(now);
@@ -108,12 +108,12 @@
             Some((raw, spec, accepted, done)) if spec.id == id => {
                 // Of one that we know the latest write may be our own, and says nothing of what it had before us.
                 let unknown = !self.job_shard.jobs.contains_key(id);
-                self.job_shard.insert(raw, spec, accepted, done, row.store_version, false);
+                self.job_shard.insert_job(raw, spec, accepted, done, row.store_version, false);
                 if unknown
                     && self.job_shard.jobs.contains_key(id)
                     && row.store_version > self.membership.store_version
                 {
-                    self.job_shard.maybe_new(self.last_round, id);
+                    self.job_shard.await_epoch_check(self.last_round, id);
                 }
                 true
             }
@@ -199,14 +199,14 @@
                     let purpose = PendingStoreRequest::VerifyEnd(id.clone(), epoch);
                     self.ask_store(purpose, StoreRequest::Get(format!("done/{id}")), out);
                 }
-                _ => self.job_shard.write_failed(now, &id, false),
+                _ => self.job_shard.fail_write(now, &id, false),
             },
             PendingStoreRequest::VerifyEnd(id, epoch) if epoch == self.membership.epoch => match a {
                 StoreAnswer::Got(Some(row)) => match read_end(&row.value) {
                     Some((f, _)) => self.end(now, &id, f, out),
                     None => tracing::error!(job = %id, "unreadable final record"),
                 },
-                _ => self.job_shard.write_failed(now, &id, false),
+                _ => self.job_shard.fail_write(now, &id, false),
             },
             PendingStoreRequest::Verify(..) | PendingStoreRequest::VerifyEnd(..) => {}
             // Guards against the answer to an earlier reading of the same job, which is older than those who wait now.
@@ -227,7 +227,7 @@
                 StoreAnswer::Got(row) => {
                     if let Some(row) = row {
                         match read_end(&row.value) {
-                            Some((f, done)) => self.job_shard.remember_final(&id, f, done),
+                            Some((f, done)) => self.job_shard.remember_outcome(&id, f, done),
                             None => {
                                 tracing::error!(job = %id, "unreadable final record");
                                 return self.looked_up(now, &id, false, out);
@@ -290,11 +290,11 @@
     ) {
         match (a, w) {
             (StoreAnswer::Committed(store_version), RecordWrite::Progress(_, kept)) => {
-                self.job_shard.progress_written(now, id, kept, store_version);
+                self.job_shard.confirm_progress(now, id, kept, store_version);
             }
             (StoreAnswer::Committed(_), RecordWrite::End(f, _)) => self.end(now, id, f, out),
             (a, w) => {
-                self.job_shard.write_failed(now, id, a == StoreAnswer::Refused);
+                self.job_shard.fail_write(now, id, a == StoreAnswer::Refused);
                 if matches!(w, RecordWrite::End(..)) {
                     for o in self.withdrawing.remove(id).unwrap_or_default() {
                         self.reply(now, o, Reply::later("the job's end could not be put on record"), out);
@@ -309,7 +309,7 @@
             return;
         }
         self.next_team_plan = now + Micros::from_millis(100);
-        let needs = self.job_shard.needs(&self.quota);
+        let needs = self.job_shard.quota_needs(&self.quota);
         for team in self.quota.reads(now, &needs) {
             self.ask_store(
                 PendingStoreRequest::ReadTeam(team.clone()),
@@ -327,7 +327,7 @@
                 &team,
                 list,
                 |j| m.job_leader(j) == Some(me),
-                |j| self.job_shard.released(j),
+                |j| self.job_shard.has_released_resources(j),
                 self.settings.value_bytes,
             );
             let Some(w) = w else { continue };
@@ -348,7 +348,7 @@
         if now < self.store_pause || self.in_flight.len() > IN_FLIGHT {
             return;
         }
-        while let Some(id) = self.job_shard.next_verify() {
+        while let Some(id) = self.job_shard.next_reread() {
             if !self.requests.take(now, 2.0, 0.2) {
                 break;
             }
@@ -383,7 +383,7 @@
             let (home, owner, m) = (&self.machine_shard, &self.job_shard, &self.membership);
             self.machine_registry.prune(|n| match home.is_gone(n) {
                 Some(gone) => gone,
-                None => m.machine_leader(n) != Some(m.me) && owner.gone(n, m),
+                None => m.machine_leader(n) != Some(m.me) && owner.is_machine_gone(n, m),
             });
             let acked: Vec<u64> = self.membership.members.iter().map(|&p| self.acked[p]).collect();
             self.machine_shard.drop_gone(&acked);
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -157,10 +157,10 @@
     }
 
     pub(super) fn known(&self, id: &str) -> Option<Reply> {
-        let mut body = if let Some((stance, done, running)) = self.job_shard.stance(id) {
+        let mut body = if let Some((stance, done, running)) = self.job_shard.user_status(id) {
             json!({"uid": id, "stance": stance, "done": done, "running": running})
         } else {
-            let (f, done) = self.job_shard.final_of(id)?;
+            let (f, done) = self.job_shard.outcome_of(id)?;
             json!({"uid": id, "stance": stance_of(f), "done": done, "running": 0})
         };
         if !self.settings.operators.log_stores.is_empty() {
@@ -195,7 +195,7 @@
                     _ => Some(Reply::error(400, "attempt and task must be whole numbers")),
                 };
             }
-            UserRequest::Permit(..) if self.job_shard.final_of(&id).is_some() => {
+            UserRequest::Permit(..) if self.job_shard.outcome_of(&id).is_some() => {
                 return Some(Reply::error(409, "the job has ended"));
             }
             _ => {}
@@ -203,7 +203,7 @@
         if let Some(known) = self.known(&id) {
             return Some(match r {
                 UserRequest::Withdraw(_) => {
-                    let f = self.job_shard.final_of(&id).map_or(JobOutcome::Done, |(f, _)| f);
+                    let f = self.job_shard.outcome_of(&id).map_or(JobOutcome::Done, |(f, _)| f);
                     Reply::json(200, &json!({"uid": id, "stance": stance_of(f)}))
                 }
                 _ => known,
@@ -344,7 +344,7 @@
                     // Written under an epoch that has passed, it may have been another's since, and have ended: what lives
                     // is among the records that are read in this one.
                     if epoch == self.membership.epoch {
-                        self.job_shard.insert(
+                        self.job_shard.insert_job(
                             acc.raw.clone(),
                             acc.spec,
                             acc.wall,
@@ -355,7 +355,7 @@
                     }
                 }
                 // The end may have been told meanwhile: the record can be read before the answer to its write is here.
-                let ended = self.job_shard.final_of(&id).and_then(|_| self.known(&id));
+                let ended = self.job_shard.outcome_of(&id).and_then(|_| self.known(&id));
                 let reply =
                     ended.unwrap_or_else(|| Reply::json(201, &json!({"uid": id, "stance": "pending"})));
                 for o in acc.origins {
@@ -408,7 +408,7 @@
         asked: Vec<(Caller, UserRequest)>,
         out: &mut Vec<Effect>,
     ) {
-        if !self.job_shard.jobs.contains_key(id) && self.job_shard.final_of(id).is_none() {
+        if !self.job_shard.jobs.contains_key(id) && self.job_shard.outcome_of(id).is_none() {
             return self.look_up(now, id, asked, out);
         }
         for (o, r) in asked {
@@ -419,7 +419,7 @@
     }
 
     pub(super) fn end(&mut self, now: Micros, id: &str, f: JobOutcome, out: &mut Vec<Effect>) {
-        self.job_shard.ended(id, f);
+        self.job_shard.end_job(id, f);
         for o in self.withdrawing.remove(id).unwrap_or_default() {
             self.reply(now, o, Reply::json(200, &json!({"uid": id, "stance": stance_of(f)})), out);
         }
@@ -431,7 +431,7 @@
         for (o, r) in l.waiting {
             if !read {
                 self.reply(now, o, Reply::later("the job's record could not be read"), out);
-            } else if self.job_shard.jobs.contains_key(id) || self.job_shard.final_of(id).is_some() {
+            } else if self.job_shard.jobs.contains_key(id) || self.job_shard.outcome_of(id).is_some() {
                 if let Some(reply) = self.own_request(now, o, r, out) {
                     self.reply(now, o, reply, out);
                 }
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -29,7 +29,7 @@
 fn owner(owns: bool) -> (Controller, String) {
     let mut n = node();
     n.membership.confirmed_by_store(NOW);
-    n.job_shard.load_done(std::iter::empty());
+    n.job_shard.finish_loading(std::iter::empty());
     n.load = Load::Done;
     let kind = json!({"sku":"k","vcpus":8,"cards":0,"ramGb":64,"cacheGb":10,"fetchGbPerS":1,"rate":1.0,"lowPrice":0.5,
         "startupS":5,"paddocks":["z"]});
@@ -147,7 +147,7 @@
     let (accept, _) = Told::asked(&mut n, 2, submit(&id)).commits.remove(0);
     assert_eq!(Told::by(&mut n, Event::Store(read, live(&id, 9))).one(), (1, 200, "pending".into()));
     // The epoch stands, so nobody else can have started it.
-    n.job_shard.epoch_stands(NOW + Micros(1));
+    n.job_shard.confirm_epoch(NOW + Micros(1));
     assert!(Told::asked(&mut n, 3, UserRequest::Withdraw(id.clone())).answers.is_empty());
     let (_, end, store_version) = n.job_shard.next_write(NOW, true).expect("its end is due");
     let mut out = Vec::new();
--- a/src/job_shard/adoption/tests.rs
+++ b/src/job_shard/adoption/tests.rs
@@ -1,74 +1,90 @@
-use super::super::tests::{owner_of, raw, whole};
+use super::super::tests::{raw, shard_with_job, whole_status};
 use super::*;
+use crate::membership::Membership;
+use crate::spec::JobSpec;
 use crate::units::Ranges;
+use serde_json::json;
 
-/// Found by the seeded sweep of overlapping pairs: `ran_twice`, by the owners of two epochs.
+/// Guards against a task that runs twice, started by the leaders of two epochs.
 #[test]
 fn what_was_written_since_the_epoch_began_is_not_started_before_that_is_seen_to_stand() {
     for (machines, late) in [(&[][..], false), (&["i-1"][..], false), (&["i-1"][..], true)] {
-        let (mut m, _, mut owner, machine) = owner_of(raw("batch", 1, 0.0));
-        owner.adopt(&m, false);
+        let (mut membership, _, mut shard, machine) = shard_with_job(raw("batch", 1, 0.0));
+        shard.adopt_epoch(&membership, false);
         let at = Micros::from_millis;
-        let read = |owner: &mut JobShard| {
+        let read = |shard: &mut JobShard| {
             let mut r = raw("batch", 4, 0.0);
             r["uid"] = json!("wk-2");
             let spec = JobSpec::from_value(&r).expect("valid");
-            owner.insert(r, spec, Micros(1), Ranges::default(), 9, false);
-            owner.maybe_new(at(1000), "wk-2");
+            shard.insert_job(r, spec, Micros(1), Ranges::default(), 9, false);
+            shard.await_epoch_check(at(1000), "wk-2");
         };
         // With the other records, or when somebody asks about it.
         if !late {
-            read(&mut owner);
+            read(&mut shard);
         }
-        owner.load_done(machines.iter().map(|m| (*m).to_owned()));
-        owner.digest(at(900), &m, 0, whole(&m, 1, 0, vec![machine.clone()]));
+        shard.finish_loading(machines.iter().map(|membership| (*membership).to_owned()));
+        shard.apply_machine_status(
+            at(900),
+            &membership,
+            0,
+            whole_status(&membership, 1, 0, vec![machine.clone()]),
+        );
         if late {
-            read(&mut owner);
+            read(&mut shard);
         }
-        assert_eq!((owner.unheard(), owner.in_doubt()), (0, 1), "all machines have been heard");
-        m.adopt(
+        assert_eq!(
+            (shard.unconfirmed_machine_count(), shard.unresolved_job_count()),
+            (0, 1),
+            "all machines have been heard"
+        );
+        membership.adopt(
             at(1100),
             &crate::membership::EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] },
             2,
         );
-        let next = owner_in_next(&mut owner, &m);
-        assert_eq!(next.in_doubt(), 1, "in the next epoch it waits like any other");
-        next.digest(at(1200), &m, 0, whole(&m, 1, 0, vec![machine]));
-        assert_eq!(next.in_doubt(), 0);
+        let next = adopt_next_epoch(&mut shard, &membership);
+        assert_eq!(next.unresolved_job_count(), 1, "in the next epoch it waits like any other");
+        next.apply_machine_status(at(1200), &membership, 0, whole_status(&membership, 1, 0, vec![machine]));
+        assert_eq!(next.unresolved_job_count(), 0);
     }
 }
 
 /// Adopts the next epoch, in which a machine is on record.
-fn owner_in_next<'a>(owner: &'a mut JobShard, m: &Membership) -> &'a mut JobShard {
-    owner.adopt(m, true);
-    owner.load_done(["i-1".to_owned()].into_iter());
-    owner
+fn adopt_next_epoch<'a>(shard: &'a mut JobShard, membership: &Membership) -> &'a mut JobShard {
+    shard.adopt_epoch(membership, true);
+    shard.finish_loading(["i-1".to_owned()].into_iter());
+    shard
 }
 
 #[test]
 fn a_job_accepted_in_this_epoch_waits_for_nobody_once_the_epoch_is_seen_to_stand() {
-    let (mut m, _, mut owner, _) = owner_of(raw("batch", 1, 0.0));
-    owner.adopt(&m, false);
-    owner.load_done(["i-1".to_owned()].into_iter());
+    let (mut membership, _, mut shard, _) = shard_with_job(raw("batch", 1, 0.0));
+    shard.adopt_epoch(&membership, false);
+    shard.finish_loading(["i-1".to_owned()].into_iter());
     let at = Micros::from_millis;
-    let read = |owner: &mut JobShard, id: &str| {
+    let read = |shard: &mut JobShard, id: &str| {
         let mut r = raw("batch", 4, 0.0);
         r["uid"] = json!(id);
         let spec = JobSpec::from_value(&r).expect("valid");
-        owner.insert(r, spec, Micros(1), Ranges::default(), 9, false);
+        shard.insert_job(r, spec, Micros(1), Ranges::default(), 9, false);
     };
-    read(&mut owner, "wk-2");
-    read(&mut owner, "wk-3");
-    owner.maybe_new(at(1000), "wk-3");
-    owner.epoch_stands(at(1000));
-    assert_eq!(owner.in_doubt(), 2, "asked before the record was read");
-    owner.epoch_stands(at(1001));
-    assert!(owner.jobs["wk-3"].settled() && !owner.jobs["wk-2"].settled());
+    read(&mut shard, "wk-2");
+    read(&mut shard, "wk-3");
+    shard.await_epoch_check(at(1000), "wk-3");
+    shard.confirm_epoch(at(1000));
+    assert_eq!(shard.unresolved_job_count(), 2, "asked before the record was read");
+    shard.confirm_epoch(at(1001));
+    assert!(shard.jobs["wk-3"].has_known_starts() && !shard.jobs["wk-2"].has_known_starts());
     // What was read in one epoch says nothing in the next.
-    read(&mut owner, "wk-4");
-    owner.maybe_new(at(2000), "wk-4");
-    m.adopt(at(2001), &crate::membership::EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
-    owner.adopt(&m, true);
-    owner.epoch_stands(at(3000));
-    assert!(!owner.jobs["wk-4"].settled());
+    read(&mut shard, "wk-4");
+    shard.await_epoch_check(at(2000), "wk-4");
+    membership.adopt(
+        at(2001),
+        &crate::membership::EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] },
+        2,
+    );
+    shard.adopt_epoch(&membership, true);
+    shard.confirm_epoch(at(3000));
+    assert!(!shard.jobs["wk-4"].has_known_starts());
 }
--- a/src/job_shard/assignments.rs
+++ b/src/job_shard/assignments.rs
@@ -1,101 +1,71 @@
-//! Starts that were decided on: those that stand, and old ones that are stopping or wait to be forgotten.
+//! Starts that were decided on and have not ended.
 
-use super::*;
+use super::JobShard;
+use crate::peer::{DesiredAction, TaskKey, TaskPhase};
+use crate::units::Micros;
 
-/// A start that has been placed.
+/// Stands for the revision of a message that has not been sent yet.
+pub(super) const UNSENT: u64 = u64::MAX;
+
+/// A start of a task on a machine. It stands until the machine's leader says that it ended or is not there.
 #[derive(Clone, Debug)]
 pub(super) struct Assignment {
     pub(super) machine: String,
     pub(super) zone: String,
     pub(super) attempt: u64,
+    /// What the machine is to do with it.
     pub(super) action: DesiredAction,
-    /// The first message to its home that named it; `u64::MAX` before that.
+    /// The first message to the machine's leader that named it; `UNSENT` before that.
     pub(super) first_revision: u64,
+    /// As last reported; None before the first report.
     pub(super) phase: Option<TaskPhase>,
     pub(super) phase_since: Micros,
-    /// Taken over while under way: how long it has run is not known.
+    /// Started by an earlier leader: how long it has run is not known.
     pub(super) adopted: bool,
 }
 
-/// An old start that is stopping or waits to be forgotten.
-#[derive(Clone, Debug)]
-pub(super) struct RetiredStart {
-    pub(super) room: Resources,
-    pub(super) priority: u8,
-    pub(super) action: DesiredAction,
-    pub(super) alive: bool,
-    /// The worker is known to have had it.
-    pub(super) reached_agent: bool,
-    /// It completed: the worker may forget it once that is on record.
-    pub(super) done: bool,
-    pub(super) first_revision: u64,
-}
+impl Assignment {
+    /// Whether it is to stop.
+    pub(super) fn is_stopping(&self) -> bool {
+        matches!(self.action, DesiredAction::Stop(_))
+    }
 
-/// A job's leftovers by task, machine and attempt: whether each is alive, and its zone.
-pub(super) type OpenRetiredStarts = BTreeMap<(u32, String, u64), (bool, String)>;
-/// A start on a machine.
-pub(super) type Key = (String, TaskKey);
-/// Stands for the number of a message that has not gone out yet.
-pub(super) const UNSENT: u64 = u64::MAX;
+    /// Whether the agent is known to have had the command to start it.
+    pub(super) fn has_arrived(&self) -> bool {
+        self.phase.is_some_and(TaskPhase::arrived)
+    }
 
-pub(super) fn mark_changed(touched: &mut BTreeSet<Key>, machine: &str, job: &str, index: u32, attempt: u64) {
-    touched.insert((machine.to_owned(), TaskKey { job: job.to_owned(), index, attempt }));
+    /// Whether it is this attempt on this machine.
+    pub(super) fn is_start(&self, machine: &str, attempt: u64) -> bool {
+        self.attempt == attempt && self.machine == machine
+    }
 }
 
-impl JobShard {
-    pub(super) fn unindex(&mut self, machine: &str, id: &str, idx: u32) {
-        if let Some(s) = self.assigned_by_machine.get_mut(machine) {
-            s.remove(&(id.to_owned(), idx));
-            if s.is_empty() {
-                self.assigned_by_machine.remove(machine);
-            }
-        }
-    }
+/// A start on a machine. Ordered by machine, then by job, task and attempt.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct MachineStart {
+    pub(super) machine: String,
+    pub(super) task: TaskKey,
+}
 
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn leave(
-        &mut self,
-        id: &str,
-        idx: u32,
-        p: &Assignment,
-        room: Resources,
-        want: DesiredAction,
-        alive: bool,
-        done: bool,
-    ) {
-        let key = (id.to_owned(), idx, p.machine.clone(), p.attempt);
-        let priority = self.jobs.get(id).map_or(0, |j| j.spec.priority);
-        let arrived = p.phase.is_some_and(TaskPhase::arrived);
-        let left = RetiredStart { room, priority, action: want, alive, reached_agent: arrived, done, first_revision: UNSENT };
-        self.retired_starts.insert(key, left);
-        if alive || !done {
-            let open = self.open_retired_starts.entry(id.to_owned()).or_default();
-            open.insert((idx, p.machine.clone(), p.attempt), (alive, p.zone.clone()));
-        }
-        self.retired_by_machine.entry(p.machine.clone()).or_default().insert((id.to_owned(), idx, p.attempt), alive);
-        mark_changed(&mut self.changed_starts, &p.machine, id, idx, p.attempt);
+impl MachineStart {
+    pub(super) fn new(machine: &str, job: &str, index: u32, attempt: u64) -> MachineStart {
+        MachineStart { machine: machine.to_owned(), task: TaskKey { job: job.to_owned(), index, attempt } }
     }
+}
 
-    pub(super) fn clear_leftover(&mut self, k: &(String, u32, String, u64)) {
-        if self.retired_starts.remove(k).is_none() {
-            return;
-        }
-        if let Some(s) = self.retired_by_machine.get_mut(&k.2) {
-            s.remove(&(k.0.clone(), k.1, k.3));
-            if s.is_empty() {
-                self.retired_by_machine.remove(&k.2);
-            }
-        }
-        self.close_leftover(k);
-        mark_changed(&mut self.changed_starts, &k.2, &k.0, k.1, k.3);
-        self.replan = true;
+impl JobShard {
+    /// Records which machine a task is assigned to.
+    pub(super) fn index_assignment(&mut self, machine: &str, id: &str, index: u32) {
+        self.assigned_by_machine.entry(machine.to_owned()).or_default().insert((id.to_owned(), index));
     }
 
-    pub(super) fn close_leftover(&mut self, k: &(String, u32, String, u64)) {
-        if let Some(open) = self.open_retired_starts.get_mut(&k.0) {
-            open.remove(&(k.1, k.2.clone(), k.3));
-            if open.is_empty() {
-                self.open_retired_starts.remove(&k.0);
+    /// The reverse of `index_assignment`.
+    pub(super) fn unindex_assignment(&mut self, machine: &str, id: &str, index: u32) {
+        if let Some(tasks) = self.assigned_by_machine.get_mut(machine) {
+            tasks.remove(&(id.to_owned(), index));
+            if tasks.is_empty() {
+                self.assigned_by_machine.remove(machine);
             }
         }
     }
--- a/src/job_shard/cancellation/tests.rs
+++ b/src/job_shard/cancellation/tests.rs
@@ -1,30 +1,42 @@
-use super::super::tests::{owner_of, raw, running, whole};
+use super::super::RecordWrite;
+use super::super::tests::{raw, running, shard_with_job, whole_status};
 use super::*;
 use crate::membership::EpochRecord;
-use crate::peer::{DesiredState, MachineStatus, MachineStatusDelta, ObservedTask, TaskExit};
+use crate::membership::Membership;
+use crate::peer::{
+    DesiredState, MachineStatus, MachineStatusDelta, ObservedTask, TaskExit, TaskKey, TaskPhase,
+};
 use crate::quota::QuotaLedger;
+use crate::spec::JobSpec;
+use crate::units::Ranges;
+use serde_json::{Value, json};
 
 fn at(ms: u64) -> Micros {
     Micros::from_millis(ms)
 }
 
-/// An owner whose job's starts have been asked for, of which its home has not yet said anything, and that message.
-fn asked(raw: Value) -> (Membership, QuotaLedger, JobShard, MachineStatus, DesiredState) {
-    let (mut m, teams, mut owner, machine) = owner_of(raw);
-    m.note_stopped(at(500));
-    owner.digest(at(900), &m, 0, whole(&m, 1, 0, vec![machine.clone()]));
-    owner.plan(at(1000), at(1000), &m, &teams);
-    let wishes = owner.wanted(0, &m);
-    assert!(!wishes.list.is_empty());
-    (m, teams, owner, machine, wishes)
+/// A shard whose job's starts have been named to the machine's leader, which has not yet answered, and that message.
+fn started(raw: Value) -> (Membership, QuotaLedger, JobShard, MachineStatus, DesiredState) {
+    let (mut membership, quota, mut shard, machine) = shard_with_job(raw);
+    membership.note_stopped(at(500));
+    shard.apply_machine_status(
+        at(900),
+        &membership,
+        0,
+        whole_status(&membership, 1, 0, vec![machine.clone()]),
+    );
+    shard.run_scheduling_pass(at(1000), at(1000), &membership, &quota);
+    let desired = shard.next_desired_state(0, &membership);
+    assert!(!desired.list.is_empty());
+    (membership, quota, shard, machine, desired)
 }
 
-fn cancel(owner: &mut JobShard) {
-    assert!(owner.cancel("wk-1"));
+fn cancel(shard: &mut JobShard) {
+    assert!(shard.cancel("wk-1"));
 }
 
-fn ends(owner: &mut JobShard, now: Micros) -> bool {
-    match owner.next_write(now, true) {
+fn ends(shard: &mut JobShard, now: Micros) -> bool {
+    match shard.next_write(now, true) {
         Some((_, RecordWrite::End(JobOutcome::Cancelled, _), _)) => true,
         None => false,
         other => panic!("{other:?}"),
@@ -37,82 +49,116 @@
 
 #[test]
 fn what_runs_does_not_hold_up_the_end() {
-    let (m, _, mut owner, machine, w) = asked(raw("batch", 2, 0.0));
+    let (membership, _, mut shard, machine, w) = started(raw("batch", 2, 0.0));
     let tasks = w.list.iter().map(|w| running(&w.key)).collect();
-    owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, listed(&machine, tasks)));
-    cancel(&mut owner);
-    assert!(ends(&mut owner, at(1200)));
+    shard.apply_machine_status(
+        at(1100),
+        &membership,
+        0,
+        whole_status(&membership, 2, w.rev, listed(&machine, tasks)),
+    );
+    cancel(&mut shard);
+    assert!(ends(&mut shard, at(1200)));
     assert!(
-        owner.wanted(0, &m).list.iter().all(|w| w.want != DesiredAction::Stop(Micros(0))),
+        shard
+            .next_desired_state(0, &membership)
+            .list
+            .iter()
+            .all(|w| w.want != DesiredAction::Stop(Micros(0))),
         "not before it is on record"
     );
 }
 
-/// It waits at its home, and would go out with the next answer to its machine.
+/// It waits at its leader, and would go out with the next answer to its machine.
 #[test]
 fn a_start_that_has_not_gone_out_is_withdrawn_before_the_end() {
-    let (m, _, mut owner, machine, w) = asked(raw("batch", 2, 0.0));
+    let (membership, _, mut shard, machine, w) = started(raw("batch", 2, 0.0));
     let queued =
         w.list.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Queued }).collect();
-    owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, listed(&machine, queued)));
-    cancel(&mut owner);
-    assert!(!ends(&mut owner, at(1200)));
-    let stops = owner.wanted(0, &m);
+    shard.apply_machine_status(
+        at(1100),
+        &membership,
+        0,
+        whole_status(&membership, 2, w.rev, listed(&machine, queued)),
+    );
+    cancel(&mut shard);
+    assert!(!ends(&mut shard, at(1200)));
+    let stops = shard.next_desired_state(0, &membership);
     assert!(
         stops.list.len() == 2 && stops.list.iter().all(|w| w.want == DesiredAction::Stop(Micros(0))),
         "{stops:?}"
     );
-    assert!(!ends(&mut owner, at(1300)), "its home has yet to say so");
-    owner.digest(at(1400), &m, 0, whole(&m, 3, stops.rev, listed(&machine, Vec::new())));
-    assert!(ends(&mut owner, at(1400)));
+    assert!(!ends(&mut shard, at(1300)), "its leader has yet to say so");
+    shard.apply_machine_status(
+        at(1400),
+        &membership,
+        0,
+        whole_status(&membership, 3, stops.rev, listed(&machine, Vec::new())),
+    );
+    assert!(ends(&mut shard, at(1400)));
 }
 
-/// It went out just before. The worker drops an answer that is four seconds late.
+/// It went out just before. The agent drops an answer that is four seconds late.
 #[test]
 fn a_start_in_doubt_holds_up_the_end_until_it_has_arrived_or_can_not_arrive() {
     for arrives in [true, false] {
-        let (m, _, mut owner, machine, w) = asked(raw("batch", 1, 0.0));
+        let (membership, _, mut shard, machine, w) = started(raw("batch", 1, 0.0));
         let as_ = |phase| listed(&machine, vec![ObservedTask { key: w.list[0].key.clone(), phase }]);
-        owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, as_(TaskPhase::Queued)));
-        cancel(&mut owner);
-        assert!(!ends(&mut owner, at(1200)));
-        let rev = owner.wanted(0, &m).rev;
-        owner.digest(at(1300), &m, 0, whole(&m, 3, rev, as_(TaskPhase::InDoubt)));
-        owner.wanted(0, &m);
-        assert!(!ends(&mut owner, at(1300)));
+        shard.apply_machine_status(
+            at(1100),
+            &membership,
+            0,
+            whole_status(&membership, 2, w.rev, as_(TaskPhase::Queued)),
+        );
+        cancel(&mut shard);
+        assert!(!ends(&mut shard, at(1200)));
+        let rev = shard.next_desired_state(0, &membership).rev;
+        shard.apply_machine_status(
+            at(1300),
+            &membership,
+            0,
+            whole_status(&membership, 3, rev, as_(TaskPhase::InDoubt)),
+        );
+        shard.next_desired_state(0, &membership);
+        assert!(!ends(&mut shard, at(1300)));
         if arrives {
-            owner.digest(at(1800), &m, 0, whole(&m, 4, rev, as_(TaskPhase::Fetching)));
-            assert!(ends(&mut owner, at(1800)));
+            shard.apply_machine_status(
+                at(1800),
+                &membership,
+                0,
+                whole_status(&membership, 4, rev, as_(TaskPhase::Fetching)),
+            );
+            assert!(ends(&mut shard, at(1800)));
         } else {
-            assert!(!ends(&mut owner, at(5290)));
-            assert!(ends(&mut owner, at(5400)));
+            assert!(!ends(&mut shard, at(5290)));
+            assert!(ends(&mut shard, at(5400)));
         }
     }
 }
 
-/// While it hears nothing of us it answers the machine for no longer than `reach`.
+/// While it hears nothing of us it answers the machine for no longer than `leader_silence_limit`.
 #[test]
-fn a_home_that_says_nothing_holds_up_the_end_for_a_bounded_time() {
-    let (m, _, mut owner, ..) = asked(raw("batch", 1, 0.0));
-    cancel(&mut owner);
-    assert!(!ends(&mut owner, at(2000)));
+fn a_machines_leader_that_says_nothing_holds_up_the_end_for_a_bounded_time() {
+    let (membership, _, mut shard, ..) = started(raw("batch", 1, 0.0));
+    cancel(&mut shard);
+    assert!(!ends(&mut shard, at(2000)));
     for s in 3..29 {
-        owner.wanted(0, &m);
-        assert!(!ends(&mut owner, at(s * 1000)), "{s}");
+        shard.next_desired_state(0, &membership);
+        assert!(!ends(&mut shard, at(s * 1000)), "{s}");
     }
-    assert!(ends(&mut owner, at(30_100)), "{:?}", owner.reach);
+    assert!(ends(&mut shard, at(30_100)), "{:?}", shard.leader_silence_limit);
 }
 
 /// Another controller may have answered the machine under the older epoch until a moment ago.
 #[test]
 fn starts_of_an_older_epoch_hold_up_the_end_until_they_can_not_arrive() {
-    let (mut m, _, mut owner, machine) = owner_of(raw("batch", 1, 0.0));
-    owner.jobs.clear();
-    m.adopt(at(10_000), &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
-    owner.adopt(&m, false);
-    owner.load_done(std::iter::once("i-1".to_owned()));
+    let (mut membership, _, mut shard, machine) = shard_with_job(raw("batch", 1, 0.0));
+    shard.jobs.clear();
+    membership.adopt(at(10_000), &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
+    shard.adopt_epoch(&membership, false);
+    shard.finish_loading(std::iter::once("i-1".to_owned()));
     let raw = raw("batch", 1, 0.0);
-    owner.insert(
+    shard.insert_job(
         raw.clone(),
         JobSpec::from_value(&raw).expect("valid"),
         Micros(1),
@@ -120,55 +166,65 @@
         1,
         false,
     );
-    cancel(&mut owner);
-    let silent = m.older_silent_at();
-    assert!(!ends(&mut owner, at(10_100)) && !ends(&mut owner, silent + at(3_900)));
-    let mut heard = owner;
+    cancel(&mut shard);
+    let silent = membership.older_silent_at();
+    assert!(!ends(&mut shard, at(10_100)) && !ends(&mut shard, silent + at(3_900)));
+    let mut heard = shard;
     assert!(ends(&mut heard, silent + at(4_100)));
     // Its machine has shown this epoch's token: it takes no older answer.
-    heard.write_failed(at(15_000), "wk-1", true);
+    heard.fail_write(at(15_000), "wk-1", true);
     heard.jobs.get_mut("wk-1").expect("live").cancellation = Cancellation::default();
     assert!(!ends(&mut heard, at(15_600)));
-    heard.digest(at(15_700), &m, 0, whole(&m, 1, 0, vec![machine]));
+    heard.apply_machine_status(at(15_700), &membership, 0, whole_status(&membership, 1, 0, vec![machine]));
     assert!(ends(&mut heard, at(15_700)));
 }
 
 /// All of a gang were accepted, and it is cancelled before they are told to start.
 #[test]
 fn a_gang_that_is_cancelled_while_it_is_held_does_not_begin() {
-    let (m, teams, mut owner, machine, w) = asked(raw("group", 2, 0.0));
+    let (membership, quota, mut shard, machine, w) = started(raw("group", 2, 0.0));
     assert!(w.list.iter().all(|w| w.want == DesiredAction::Hold));
-    cancel(&mut owner);
+    cancel(&mut shard);
     let held = w.list.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Held }).collect();
-    owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, listed(&machine, held)));
-    owner.plan(at(1200), at(1200), &m, &teams);
-    let stops = owner.wanted(0, &m);
+    shard.apply_machine_status(
+        at(1100),
+        &membership,
+        0,
+        whole_status(&membership, 2, w.rev, listed(&machine, held)),
+    );
+    shard.run_scheduling_pass(at(1200), at(1200), &membership, &quota);
+    let stops = shard.next_desired_state(0, &membership);
     assert!(
         stops.list.len() == 2 && stops.list.iter().all(|w| w.want == DesiredAction::Stop(Micros(0))),
         "{stops:?}"
     );
 }
 
-/// Nor do starts that are there no more because they were withdrawn count against their home.
+/// Nor do starts that are there no more because they were withdrawn count against its leader.
 #[test]
 fn a_withdrawn_start_is_no_refusal() {
-    let (m, _, mut owner, machine, w) = asked(raw("batch", 1, 0.0));
-    let left_alone = |owner: &mut JobShard| owner.refusals.current(at(1500), &m);
-    cancel(&mut owner);
-    assert!(!ends(&mut owner, at(1200)));
-    let rev = owner.wanted(0, &m).rev.max(w.rev);
-    owner.digest(at(1400), &m, 0, whole(&m, 3, rev, listed(&machine, Vec::new())));
-    assert!(ends(&mut owner, at(1400)) && left_alone(&mut owner).is_empty());
+    let (membership, _, mut shard, machine, w) = started(raw("batch", 1, 0.0));
+    let left_alone = |shard: &mut JobShard| shard.refusals.current(at(1500), &membership);
+    cancel(&mut shard);
+    assert!(!ends(&mut shard, at(1200)));
+    let rev = shard.next_desired_state(0, &membership).rev.max(w.rev);
+    shard.apply_machine_status(
+        at(1400),
+        &membership,
+        0,
+        whole_status(&membership, 3, rev, listed(&machine, Vec::new())),
+    );
+    assert!(ends(&mut shard, at(1400)) && left_alone(&mut shard).is_empty());
 }
 
 /// Found by the seeded world: with more ends than the state service takes, the same few waited for minutes.
 #[test]
 fn cancellations_go_first_and_then_ends_by_age() {
-    let (.., mut owner, _) = owner_of(raw("batch", 1, 0.0));
+    let (.., mut shard, _) = shard_with_job(raw("batch", 1, 0.0));
     let mut add = |id: &str| {
         let mut r = raw("batch", 1, 0.0);
         r["uid"] = json!(id);
-        owner.insert(
+        shard.insert_job(
             r.clone(),
             JobSpec::from_value(&r).expect("valid"),
             Micros(1),
@@ -179,11 +235,11 @@
     };
     ["wk-2", "wk-3", "wk-4"].into_iter().for_each(&mut add);
     let mut next = |done: &[&str], cancelled: &[&str], now: u64| {
-        done.iter().for_each(|id| owner.complete(id, 0));
-        cancelled.iter().for_each(|id| assert!(owner.cancel(id)));
-        let next = owner.next_write(at(now), true);
+        done.iter().for_each(|id| shard.complete_task(id, 0));
+        cancelled.iter().for_each(|id| assert!(shard.cancel(id)));
+        let next = shard.next_write(at(now), true);
         next.map(|(id, ..)| {
-            owner.ended(&id, JobOutcome::Done);
+            shard.end_job(&id, JobOutcome::Done);
             id
         })
     };
@@ -197,28 +253,34 @@
 /// An end that was noted stands: a cancellation that comes later doesn't change what its user is told.
 #[test]
 fn a_job_that_is_to_end_as_done_is_not_cancelled_any_more() {
-    let (.., mut owner, _) = owner_of(raw("batch", 1, 0.0));
-    owner.complete("wk-1", 0);
-    owner.note_endings(at(1000));
-    assert!(!owner.cancel("wk-1"));
-    let next = owner.next_write(at(1000), true);
+    let (.., mut shard, _) = shard_with_job(raw("batch", 1, 0.0));
+    shard.complete_task("wk-1", 0);
+    shard.note_ends(at(1000));
+    assert!(!shard.cancel("wk-1"));
+    let next = shard.next_write(at(1000), true);
     assert!(matches!(next, Some((_, RecordWrite::End(JobOutcome::Done, _), _))));
 }
 
 /// Progress is put on record now and then only; who has ended, or is cancelled right after, doesn't wait for the next time.
 #[test]
 fn an_end_does_not_wait_for_the_pause_between_two_writes_of_progress() {
-    let (m, _, mut owner, machine, w) = asked(raw("batch", 2, 0.0));
+    let (membership, _, mut shard, machine, w) = started(raw("batch", 2, 0.0));
     let exited = |w: &crate::peer::DesiredTask| ObservedTask {
         key: w.key.clone(),
         phase: TaskPhase::Exited(TaskExit::Done),
     };
     let one = vec![exited(&w.list[0]), running(&w.list[1].key)];
-    owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, listed(&machine, one)));
-    let (id, write, _) = owner.next_write(at(1200), false).expect("progress is due");
+    shard.apply_machine_status(
+        at(1100),
+        &membership,
+        0,
+        whole_status(&membership, 2, w.rev, listed(&machine, one)),
+    );
+    let (id, write, _) = shard.next_write(at(1200), false).expect("progress is due");
     let RecordWrite::Progress(_, kept) = write else { panic!("not an end") };
-    owner.progress_written(at(1210), &id, kept, 9);
-    let all: MachineStatusDelta = whole(&m, 3, w.rev, listed(&machine, w.list.iter().map(exited).collect()));
-    owner.digest(at(1300), &m, 0, all);
-    assert!(matches!(owner.next_write(at(1400), true), Some((_, RecordWrite::End(JobOutcome::Done, _), _))));
+    shard.confirm_progress(at(1210), &id, kept, 9);
+    let all: MachineStatusDelta =
+        whole_status(&membership, 3, w.rev, listed(&machine, w.list.iter().map(exited).collect()));
+    shard.apply_machine_status(at(1300), &membership, 0, all);
+    assert!(matches!(shard.next_write(at(1400), true), Some((_, RecordWrite::End(JobOutcome::Done, _), _))));
 }
--- a/src/job_shard/dependencies.rs
+++ b/src/job_shard/dependencies.rs
@@ -1,31 +1,26 @@
-//! Jobs that wait for others: which job waits for which, what is known of their ends, and the
-//! urgency that a job has from those that need it.
+//! Jobs that depend on others: which job waits for which, what is known of their ends, and the
+//! priority that a job inherits from those that need it.
 //!
-//! The evidence for a start is a prerequisite's end in the state service. An end never changes, so
+//! What allows a start is a prerequisite's end in the state store. An end never changes, so
 //! whoever has seen it may rely on it for ever, whatever becomes of epochs, leases and messages: a
 //! controller that is late, frozen or deposed can be slow to release a job, but not early.
 
-use super::*;
-use serde_json::Map;
+use super::JobShard;
+use super::job::Job;
+use super::outcomes::JobOutcome;
+use crate::membership::Membership;
+use crate::spec::{GUARANTEED, JobSpec};
+use crate::units::Micros;
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Stands in the stored description of a job that waits, in place of the machine types it allows.
-/// A controller of the first version doesn't know of prerequisites: it takes the job for one that no
-/// machine suits, so it keeps, shows and cancels it, and starts nothing.
-const HELD: &str = "(waits for other jobs)";
-/// The same for a job that is held for a pact, whether it follows others or not. Versions before form 4 would start
-/// one of the other sort as soon as all that it follows is done; this one suits no machine of theirs either.
-const HELD_FOR: &str = "(held for a pact)";
-const FOLLOWS_AFTER: &str = "followsAfter";
-/// What of a stored description is ours alone, inside the description, which the first version hands
-/// on untouched when it rewrites a record.
-const TYPES: &str = "breedsOfStall";
-const TYPES_AFTER: &str = "typesAfter";
-const FOLLOWS: &str = "follows";
-const RELEASED: &str = "releasedUs";
-/// What a released job followed, packed: its end says so too.
-const FOLLOWED: &str = "followed";
+mod stored_form;
 
-/// Why nothing of a job may start, beside the jobs that it follows. Only whoever has the evidence lifts it.
+pub use stored_form::says_of_record;
+pub(crate) use stored_form::unpacked;
+pub(super) use stored_form::{held, released, released_at, restored, says};
+
+/// Why nothing of a job may start, beside the jobs that it follows. Only whoever has seen that the reason is gone lifts it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Hold {
     /// A rotation whose release is not on record as complete; what it waits for.
@@ -38,7 +33,7 @@
     /// The hold that a job begins with.
     pub(super) fn of(spec: &JobSpec, raw: &Value) -> Option<Hold> {
         if spec.merges.is_some() {
-            // Fresh inputs must be seen anew by each owner: a newer version may have come.
+            // Fresh inputs must be seen anew by each leader: a newer version may have come.
             return Some(Hold::Batch("its inputs have not been looked at yet".into()));
         }
         // What let a rotation go is on record for ever, so a released one needs no second look.
@@ -53,24 +48,24 @@
     }
 }
 
-/// Who waits for whom.
+/// Which jobs depend on which.
 #[derive(Debug, Default)]
 pub(super) struct Dependents {
-    /// Per prerequisite whose end is not known, the jobs that wait for it: an end touches only those.
+    /// By prerequisite whose end is not known, the jobs that wait for it: an end touches only those.
     followers: BTreeMap<String, BTreeSet<String>>,
     /// Prerequisites whose end must be read, since no watch would tell of it.
     unread: BTreeSet<String>,
-    /// Per controller, the jobs of ours that its waiting jobs need, and how urgent those are.
-    urged: BTreeMap<usize, BTreeMap<String, u8>>,
-    /// Jobs that our held rotations wait for, and how urgent those are.
+    /// By controller, the jobs of ours that its waiting jobs need, and the highest priority of those.
+    needed_by: BTreeMap<usize, BTreeMap<String, u8>>,
+    /// Jobs that our held rotations wait for, and the highest priority of those.
     for_releases: BTreeMap<String, u8>,
 }
 
 impl Dependents {
     fn add(&mut self, job: &str, prerequisites: &BTreeSet<String>) {
-        for p in prerequisites {
-            let jobs = self.followers.entry(p.clone()).or_insert_with(|| {
-                self.unread.insert(p.clone());
+        for prerequisite in prerequisites {
+            let jobs = self.followers.entry(prerequisite.clone()).or_insert_with(|| {
+                self.unread.insert(prerequisite.clone());
                 BTreeSet::new()
             });
             jobs.insert(job.to_owned());
@@ -78,26 +73,26 @@
     }
 
     fn remove(&mut self, job: &str, prerequisites: &BTreeSet<String>) {
-        for p in prerequisites {
-            if let Some(jobs) = self.followers.get_mut(p) {
+        for prerequisite in prerequisites {
+            if let Some(jobs) = self.followers.get_mut(prerequisite) {
                 jobs.remove(job);
                 if jobs.is_empty() {
-                    self.followers.remove(p);
-                    self.unread.remove(p);
+                    self.followers.remove(prerequisite);
+                    self.unread.remove(prerequisite);
                 }
             }
         }
     }
 
-    fn urgency(&self, job: &str) -> u8 {
-        self.urged.values().filter_map(|l| l.get(job)).copied().max().unwrap_or(0)
+    fn inherited_priority(&self, job: &str) -> u8 {
+        self.needed_by.values().filter_map(|needed| needed.get(job)).copied().max().unwrap_or(0)
     }
 }
 
 impl Job {
     /// Whether a job that it needs is not known to be done, or a hold is not lifted: nothing of it may start, and
     /// it holds no place in any queue. The one place that decides this.
-    pub fn waits(&self) -> bool {
+    pub fn is_waiting(&self) -> bool {
         !self.prerequisites.is_empty() || self.hold.is_some()
     }
     /// What holds it beside the jobs that it follows.
@@ -108,15 +103,15 @@
     pub fn followed(&self) -> Vec<String> {
         match self.spec.follows.is_empty() {
             false => self.spec.follows.clone(),
-            true => self.raw.get(FOLLOWED).and_then(Value::as_str).map(unpacked).unwrap_or_default(),
+            true => stored_form::followed(&self.raw),
         }
     }
     /// Its description as stored: with all that it says of pacts.
     pub fn raw(&self) -> &Value {
         &self.raw
     }
-    /// The jobs that it waits for.
-    pub fn waits_for(&self) -> impl Iterator<Item = &str> {
+    /// The jobs that it needs and that are not known to be done.
+    pub fn unfinished_prerequisites(&self) -> impl Iterator<Item = &str> {
         self.prerequisites.iter().map(String::as_str)
     }
     /// From when the times promised for its class count, its deadline aside.
@@ -125,144 +120,37 @@
     }
 }
 
-/// Ids without what all have in common, in one text: hundreds must fit into a value.
-fn packed(ids: &Value) -> Option<String> {
-    let numbers = ids.as_array()?.iter().map(|v| v.as_str()?.strip_prefix("wk-"));
-    Some(numbers.collect::<Option<Vec<_>>>()?.join(","))
-}
-
-/// Ids again from a packed text.
-pub(crate) fn unpacked(text: &str) -> Vec<String> {
-    text.split(',').filter(|n| !n.is_empty()).map(|n| format!("wk-{n}")).collect()
-}
-
-/// What a final record says of a job beside its end: what others may have to know of it for ever. None for jobs that
-/// name no pact and followed nobody.
-pub(super) fn says(raw: &Value) -> Option<Value> {
-    let mut says = Map::new();
-    for key in ["release", "batch", "merges"] {
-        if let Some(v) = raw.get(key) {
-            says.insert(key.into(), v.clone());
-        }
-    }
-    let followed = match raw.get(FOLLOWS) {
-        Some(ids) => packed(ids),
-        None => raw.get(FOLLOWED).and_then(Value::as_str).map(str::to_owned),
-    };
-    if let Some(text) = followed {
-        says.insert(FOLLOWS.into(), text.into());
-    }
-    if says.is_empty() {
-        return None;
-    }
-    says.insert("breed".into(), raw.get("breed").cloned().unwrap_or_default());
-    Some(Value::Object(says))
-}
-
-/// What a live job's record says of pacts, in the form of a final one's `says`; None if it says nothing.
-pub fn says_of_record(record: &Value) -> Option<Value> {
-    let spec = record.get("spec")?;
-    let mut plain = spec.clone();
-    // A waiting one is packed already.
-    for key in [FOLLOWS, FOLLOWS_AFTER] {
-        if let Some(text) = spec.get(key).and_then(Value::as_str) {
-            let map = plain.as_object_mut()?;
-            map.remove(key);
-            map.insert(FOLLOWED.into(), text.into());
-        }
-    }
-    says(&plain)
-}
-
-/// The description to be stored for a job that waits.
-pub(super) fn held(raw: &Value, pact: bool) -> Value {
-    let Some(map) = raw.as_object() else { return raw.clone() };
-    let mut map = map.clone();
-    if let Some(types) = map.insert(TYPES.into(), json!([if pact { HELD_FOR } else { HELD }]))
-        && !types.is_null()
-    {
-        map.insert(TYPES_AFTER.into(), types);
-    }
-    if let Some(text) = map.get(FOLLOWS).and_then(packed) {
-        if pact {
-            map.remove(FOLLOWS);
-        }
-        map.insert(if pact { FOLLOWS_AFTER } else { FOLLOWS }.into(), text.into());
-    }
-    Value::Object(map)
-}
-
-/// The description to be stored for a job that waits no more: a plain one, which every version runs.
-pub(super) fn released(raw: &Value, at: Micros) -> Value {
-    let Some(map) = raw.as_object() else { return raw.clone() };
-    let mut map = map.clone();
-    if let Some(text) = map.remove(FOLLOWS).as_ref().and_then(packed) {
-        map.insert(FOLLOWED.into(), text.into());
-    }
-    map.insert(RELEASED.into(), at.0.into());
-    Value::Object(map)
-}
-
-/// The user's description again, from the stored one; None if that is of an unknown form.
-pub(super) fn restored(stored: &Value) -> Option<Value> {
-    let map = stored.as_object()?;
-    let held = map.get(TYPES).and_then(|t| t.get(0)).and_then(Value::as_str);
-    let pact = held == Some(HELD_FOR);
-    if !pact && held != Some(HELD) {
-        return Some(stored.clone());
-    }
-    let mut map: Map<String, Value> = map.clone();
-    match map.remove(TYPES_AFTER) {
-        Some(types) => map.insert(TYPES.into(), types),
-        None => map.remove(TYPES),
-    };
-    let ids = match pact {
-        true => map.remove(FOLLOWS_AFTER),
-        false => Some(map.remove(FOLLOWS)?),
-    };
-    if let Some(ids) = ids {
-        map.insert(FOLLOWS.into(), unpacked(ids.as_str()?).into());
-    }
-    Some(Value::Object(map))
-}
-
-/// When a stored job was released, if it ever waited.
-pub(super) fn released_at(raw: &Value) -> Option<Micros> {
-    raw.get(RELEASED)?.as_u64().map(Micros)
-}
-
 impl JobShard {
-    /// A job has come: notes what it waits for, and how urgent others make it.
-    pub(super) fn note_waiting(&mut self, id: &str) {
-        if let Some(j) = self.jobs.get(id) {
-            self.dependents.add(id, &j.prerequisites);
+    /// A job has come: notes what it waits for, and what priority it inherits.
+    pub(super) fn note_prerequisites(&mut self, id: &str) {
+        if let Some(job) = self.jobs.get(id) {
+            self.dependents.add(id, &job.prerequisites);
         }
-        self.set_urgency(id);
+        self.inherit_priority(id);
     }
 
-    /// A job has ended or is another's now.
-    pub(super) fn forget_waiting(&mut self, id: &str, j: &Job) {
-        self.dependents.remove(id, &j.prerequisites);
+    /// A job has ended, or has another leader now.
+    pub(super) fn forget_prerequisites(&mut self, id: &str, job: &Job) {
+        self.dependents.remove(id, &job.prerequisites);
     }
 
-    /// A new epoch: what others said of urgency is said anew.
-    pub(super) fn keep_waiting(&mut self) {
+    /// A new epoch: what others said of the priorities of their waiting jobs is said anew.
+    pub(super) fn keep_dependents(&mut self) {
         let jobs = &self.jobs;
-        self.dependents.followers.retain(|_, f| {
-            f.retain(|id| jobs.contains_key(id));
-            !f.is_empty()
+        self.dependents.followers.retain(|_, followers| {
+            followers.retain(|id| jobs.contains_key(id));
+            !followers.is_empty()
         });
         let followers = &self.dependents.followers;
-        self.dependents.unread.retain(|p| followers.contains_key(p));
-        let urged: Vec<String> =
-            std::mem::take(&mut self.dependents.urged).into_values().flat_map(BTreeMap::into_keys).collect();
-        for id in urged {
-            self.set_urgency(&id);
+        self.dependents.unread.retain(|prerequisite| followers.contains_key(prerequisite));
+        let needed_by = std::mem::take(&mut self.dependents.needed_by);
+        for id in needed_by.into_values().flat_map(BTreeMap::into_keys) {
+            self.inherit_priority(&id);
         }
     }
 
     /// Whether any job waits, so that ends must be watched.
-    pub fn watches(&self) -> bool {
+    pub fn awaits_ends(&self) -> bool {
         !self.dependents.followers.is_empty()
     }
     /// Whether a job waits for this one.
@@ -270,38 +158,38 @@
         self.dependents.followers.contains_key(prerequisite)
     }
     /// Nobody has watched ends for a while: all that matter must be read.
-    pub fn unwatched(&mut self) {
+    pub fn reread_prerequisites(&mut self) {
         self.dependents.unread = self.dependents.followers.keys().cloned().collect();
     }
     /// The next prerequisite whose end must be read. From then on a watch that began before tells of it.
-    pub fn next_unread(&mut self) -> Option<String> {
+    pub fn next_unread_prerequisite(&mut self) -> Option<String> {
         self.dependents.unread.pop_first()
     }
-    /// It could not be read.
-    pub fn read_again(&mut self, prerequisite: &str) {
+    /// A prerequisite's end could not be read: it is read again if a job still waits for it.
+    pub fn retry_prerequisite_read(&mut self, prerequisite: &str) {
         if self.is_awaited(prerequisite) {
             self.dependents.unread.insert(prerequisite.to_owned());
         }
     }
 
     /// The store has the end of a job on record: those that wait for it go on, or end with it.
-    pub fn prerequisite_ended(&mut self, prerequisite: &str, end: JobOutcome) {
+    pub fn apply_prerequisite_end(&mut self, prerequisite: &str, end: JobOutcome) {
         self.dependents.unread.remove(prerequisite);
         for id in self.dependents.followers.remove(prerequisite).unwrap_or_default() {
-            let Some(j) = self.jobs.get_mut(&id) else { continue };
+            let Some(job) = self.jobs.get_mut(&id) else { continue };
             match end {
                 JobOutcome::Done => {
-                    j.prerequisites.remove(prerequisite);
-                    if !j.waits() {
-                        j.released_wall = Some(self.wall_clock.max(j.accepted_wall));
-                        let waited = self.wall_clock.since(j.accepted_wall).secs();
-                        tracing::info!(job = %id, last = prerequisite, waited, "job waits no more");
+                    job.prerequisites.remove(prerequisite);
+                    if !job.is_waiting() {
+                        job.released_wall = Some(self.wall_clock.max(job.accepted_wall));
+                        let waited = self.wall_clock.since(job.accepted_wall).secs();
+                        tracing::info!(job = %id, last = prerequisite, waited, "prerequisites done");
                     }
                 }
                 // It stays a waiting job until its own end is on record.
                 JobOutcome::Cancelled => {
                     if self.cancel(&id) {
-                        tracing::info!(job = %id, needs = prerequisite, "cancelled with a job that it needs");
+                        tracing::info!(job = %id, needs = prerequisite, "job cancelled: prerequisite was cancelled");
                     }
                 }
             }
@@ -309,22 +197,22 @@
         }
     }
 
-    /// Lifts a job's hold: whoever calls this has the evidence.
-    pub fn lift(&mut self, id: &str) {
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        let Some(hold) = j.hold.take() else { return };
-        if !j.waits() {
-            j.released_wall = Some(self.wall_clock.max(j.accepted_wall));
+    /// Lifts a job's hold: whoever calls this has seen that its reason is gone. Does nothing if it has none.
+    pub fn lift_hold(&mut self, id: &str) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(hold) = job.hold.take() else { return };
+        if !job.is_waiting() {
+            job.released_wall = Some(self.wall_clock.max(job.accepted_wall));
         }
-        let waited = self.wall_clock.since(j.accepted_wall).secs();
-        tracing::info!(job = id, was = hold.why(), waited, "job is held no more");
+        let waited = self.wall_clock.since(job.accepted_wall).secs();
+        tracing::info!(job = id, was = hold.why(), waited, "hold lifted");
         self.replan = true;
     }
 
     /// Holds a job, or says anew why it is held. What of it runs goes on: whoever holds it decides about that.
-    pub fn hold(&mut self, id: &str, hold: Hold) {
-        if let Some(j) = self.jobs.get_mut(id) {
-            j.hold = Some(hold);
+    pub fn hold_job(&mut self, id: &str, hold: Hold) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.hold = Some(hold);
         }
     }
 
@@ -332,71 +220,72 @@
     pub fn held_jobs(&self) -> impl Iterator<Item = (&String, &Job, &Hold)> {
         self.jobs
             .iter()
-            .filter(|(_, j)| j.pending_outcome.is_none())
-            .filter_map(|(id, j)| j.hold.as_ref().map(|h| (id, j, h)))
+            .filter(|(_, job)| job.pending_outcome.is_none())
+            .filter_map(|(id, job)| job.hold.as_ref().map(|hold| (id, job, hold)))
     }
 
-    /// What our waiting jobs need of one controller's jobs, and how urgent that is. Urgency passes on
+    /// The jobs of one controller that our waiting jobs need, and the priority that each inherits. Priority passes on
     /// through jobs that wait themselves. Guarantees don't pass on: they are a team's own.
-    pub fn urges(&self, owner: usize, m: &Membership) -> Vec<(String, u8)> {
-        let theirs = self.dependents.followers.iter().filter(|(p, _)| m.job_leader(p) == Some(owner));
-        let mut list: BTreeMap<String, u8> = theirs
-            .map(|(p, jobs)| {
-                let ranks = jobs.iter().filter_map(|id| self.jobs.get(id));
-                let ranks = ranks.filter(|j| j.pending_outcome.is_none()).map(|j| j.spec.priority % GUARANTEED);
-                (p.clone(), ranks.max().unwrap_or(0))
-            })
-            .collect();
-        for (id, rank) in self.dependents.for_releases.iter().filter(|(id, _)| m.job_leader(id) == Some(owner)) {
-            let r = list.entry(id.clone()).or_default();
-            *r = (*r).max(*rank);
+    pub fn priorities_needed_of(&self, leader: usize, membership: &Membership) -> Vec<(String, u8)> {
+        let is_theirs = |id: &str| membership.job_leader(id) == Some(leader);
+        let rank_of = |id: &String| {
+            let job = self.jobs.get(id).filter(|job| job.pending_outcome.is_none())?;
+            Some(job.spec.priority % GUARANTEED)
+        };
+        let mut needed: BTreeMap<String, u8> = BTreeMap::new();
+        for (prerequisite, jobs) in self.dependents.followers.iter().filter(|(id, _)| is_theirs(id)) {
+            needed.insert(prerequisite.clone(), jobs.iter().filter_map(rank_of).max().unwrap_or(0));
+        }
+        for (id, rank) in self.dependents.for_releases.iter().filter(|(id, _)| is_theirs(id)) {
+            let needed = needed.entry(id.clone()).or_default();
+            *needed = (*needed).max(*rank);
         }
-        list.into_iter().filter(|(_, rank)| *rank > 0).collect()
+        needed.into_iter().filter(|(_, rank)| *rank > 0).collect()
     }
 
-    /// When a job's release needs it, by the time of day.
-    pub fn due(&mut self, id: &str, at: Option<Micros>) {
-        if let Some(j) = self.jobs.get_mut(id) {
-            j.release_due = at;
+    /// Notes when a job's release needs it, by the wall clock.
+    pub fn set_release_due(&mut self, id: &str, at: Option<Micros>) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.release_due = at;
         }
     }
 
-    /// What our held rotations wait for, and how urgent those are: the whole list.
-    pub fn releases_need(&mut self, list: BTreeMap<String, u8>) {
+    /// Takes the jobs that our held rotations wait for, and the priorities of those: the whole list.
+    pub fn set_release_priorities(&mut self, list: BTreeMap<String, u8>) {
         self.dependents.for_releases = list;
     }
 
-    /// Takes what another controller's waiting jobs need of ours: the whole list.
-    pub fn urged_by(&mut self, from: usize, list: Vec<(String, u8)>) {
+    /// Takes the jobs of ours that another controller's waiting jobs need, and the priorities of those: the whole list.
+    pub fn apply_needed_priorities(&mut self, from: usize, list: Vec<(String, u8)>) {
         let list: BTreeMap<String, u8> = list.into_iter().collect();
-        let before = self.dependents.urged.insert(from, list.clone()).unwrap_or_default();
+        let before = self.dependents.needed_by.insert(from, list.clone()).unwrap_or_default();
         let changed = before.keys().chain(list.keys()).filter(|id| before.get(*id) != list.get(*id));
         for id in changed.cloned().collect::<BTreeSet<_>>() {
-            self.set_urgency(&id);
+            self.inherit_priority(&id);
         }
     }
 
-    fn set_urgency(&mut self, id: &str) {
-        let urgency = self.dependents.urgency(id);
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        let guaranteed = j.own_priority / GUARANTEED * GUARANTEED;
-        let priority = guaranteed + (j.own_priority % GUARANTEED).max(urgency.min(GUARANTEED - 1));
-        if j.spec.priority != priority {
+    fn inherit_priority(&mut self, id: &str) {
+        let inherited = self.dependents.inherited_priority(id);
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let guaranteed = job.own_priority / GUARANTEED * GUARANTEED;
+        let priority = guaranteed + (job.own_priority % GUARANTEED).max(inherited.min(GUARANTEED - 1));
+        if job.spec.priority != priority {
             tracing::debug!(
                 job = id,
-                from = j.spec.priority,
+                from = job.spec.priority,
                 to = priority,
-                "priority from jobs that need it"
+                "priority inherited from dependent jobs"
             );
-            j.spec.priority = priority;
+            job.spec.priority = priority;
             self.replan = true;
         }
     }
 
     /// Jobs that wait, those that have waited for longest first. For operators.
     pub fn waiting_jobs(&self) -> Vec<&Job> {
-        let mut jobs: Vec<&Job> = self.jobs.values().filter(|j| j.waits()).collect();
-        jobs.sort_by_key(|j| j.accepted_wall);
+        let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| job.is_waiting()).collect();
+        jobs.sort_by_key(|job| job.accepted_wall);
         jobs
     }
 }
--- a/src/job_shard/epoch_adoption.rs
+++ b/src/job_shard/epoch_adoption.rs
@@ -1,174 +1,200 @@
 //! What becomes of jobs when the membership epoch changes, and how records are loaded in the new one.
 
-use super::*;
+use super::JobShard;
+use super::assignments::{MachineStart, UNSENT};
+use super::cancellation::Cancellation;
+use super::dependencies::{self, Hold};
+use super::job::{Job, StartKnowledge};
+use super::start_replication::StartReplication;
+use super::unresolved_starts::UnresolvedDemand;
+use crate::membership::Membership;
+use crate::quota::tier::QuotaTier;
+use crate::spec::{GUARANTEED, JobSpec};
+use crate::units::{Micros, Ranges};
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+
+impl Job {
+    /// A job as its record describes it.
+    fn from_record(
+        raw: Value,
+        spec: JobSpec,
+        accepted_wall: Micros,
+        done: Ranges,
+        store_version: u64,
+    ) -> Job {
+        Job {
+            accepted_wall,
+            store_version,
+            start_knowledge: StartKnowledge::RecordsUnread,
+            recorded: done.clone(),
+            done,
+            assignments: BTreeMap::new(),
+            gang: None,
+            start_count: 0,
+            not_before: Micros(0),
+            pending_outcome: None,
+            write_in_flight: false,
+            needs_reread: false,
+            next_write: Micros(0),
+            next_progress: Micros(0),
+            cancellation: Cancellation::default(),
+            prerequisites: spec.follows.iter().cloned().collect(),
+            hold: Hold::of(&spec, &raw),
+            release_due: None,
+            released_wall: dependencies::released_at(&raw),
+            own_priority: spec.priority,
+            reserved_machines: Vec::new(),
+            quota_tier: QuotaTier::Unpromised,
+            spec,
+            raw,
+        }
+    }
+
+    /// A new epoch: the record may have changed, and the machines' leaders have heard nothing in it.
+    fn adopt_epoch(&mut self) {
+        self.write_in_flight = false;
+        self.needs_reread = true;
+        if self.start_knowledge == StartKnowledge::AwaitsEpochCheck {
+            self.start_knowledge = StartKnowledge::RecordsUnread;
+        }
+        self.cancellation.adopt_epoch();
+        for assignment in self.assignments.values_mut() {
+            assignment.first_revision = UNSENT;
+        }
+    }
+}
 
 impl JobShard {
-    /// Takes up a new epoch. Jobs stay only if the epoch follows directly: otherwise another may
-    /// have owned them in between. Placed starts stay in doubt until their home has spoken.
-    pub fn adopt(&mut self, m: &Membership, follows: bool) {
+    /// Adopts a new epoch. Jobs stay only if the epoch directly `follows` the one before: otherwise another controller
+    /// may have led them in between. Nothing is placed before `finish_loading`.
+    pub fn adopt_epoch(&mut self, membership: &Membership, follows: bool) {
         self.loaded = false;
-        self.older_epochs_silent_at = m.older_silent_at();
+        self.older_epochs_silent_at = membership.older_silent_at();
+        let stays = |id: &str| follows && membership.job_leader(id) == Some(membership.me);
         let failures = &mut self.failures;
         self.jobs.retain(|id, _| {
-            let stays = follows && m.job_leader(id) == Some(m.me);
-            if !stays {
+            if !stays(id) {
                 failures.forget(id);
             }
-            stays
+            stays(id)
         });
-        self.keep_waiting();
+        self.keep_dependents();
         self.end_queue.keep(&self.jobs);
-        self.retired_starts.retain(|(id, ..), _| follows && m.job_leader(id) == Some(m.me));
         self.outcomes.clear();
-        self.outcome_order.clear();
-        for j in self.jobs.values_mut() {
-            j.write_in_flight = false;
-            j.needs_reread = true;
-            if j.start_knowledge == StartKnowledge::AwaitsEpochCheck {
-                j.start_knowledge = StartKnowledge::RecordsUnread;
-            }
-            j.cancellation.anew();
-            for p in j.assignments.values_mut() {
-                p.first_revision = u64::MAX;
-            }
-        }
-        for l in self.retired_starts.values_mut() {
-            l.first_revision = u64::MAX;
-        }
+        self.jobs.values_mut().for_each(Job::adopt_epoch);
         let jobs = &self.jobs;
-        for set in self.assigned_by_machine.values_mut() {
-            set.retain(|(id, _)| jobs.contains_key(id));
-        }
-        self.assigned_by_machine.retain(|_, s| !s.is_empty());
-        self.retired_by_machine.clear();
-        self.open_retired_starts.retain(|id, _| follows && m.job_leader(id) == Some(m.me));
-        for ((id, idx, machine, attempt), l) in &self.retired_starts {
-            self.retired_by_machine.entry(machine.clone()).or_default().insert((id.clone(), *idx, *attempt), l.alive);
+        for tasks in self.assigned_by_machine.values_mut() {
+            tasks.retain(|(id, _)| jobs.contains_key(id));
         }
-        // The first message to each home of the new epoch holds everything.
-        self.changed_starts.clear();
-        self.unacknowledged.fill(BTreeMap::new());
-        for v in &mut self.views {
-            v.forget_awaited();
-        }
-        for (id, j) in &self.jobs {
-            for (&index, p) in &j.assignments {
-                let key = TaskKey { job: id.clone(), index, attempt: p.attempt };
-                self.changed_starts.insert((p.machine.clone(), key));
-            }
-        }
-        for (id, index, machine, attempt) in self.retired_starts.keys() {
-            let key = TaskKey { job: id.clone(), index: *index, attempt: *attempt };
-            self.changed_starts.insert((machine.clone(), key));
-        }
-        // Message numbers never go back, not even over a restart, since the epoch is their head.
-        for r in &mut self.revisions {
-            *r = (*r).max(m.epoch << 32);
+        self.assigned_by_machine.retain(|_, tasks| !tasks.is_empty());
+        self.retired_starts.adopt_epoch(stays);
+        self.delivery.adopt_epoch(membership.epoch, self.all_starts());
+        for view in &mut self.views {
+            view.forget_awaited();
         }
         self.unconfirmed_machines.clear();
         self.set_of_epoch = None;
-        self.start_replication = start_replication::StartReplication::default();
+        self.start_replication = StartReplication::default();
         self.awaiting_epoch_check.clear();
-        let used = self.jobs.values().filter_map(|j| match j.start_knowledge {
-            StartKnowledge::AwaitsMachines(d) => Some(d),
+        self.drop_unused_sets();
+        self.loans.adopt_epoch();
+        self.demands.clear();
+        self.unresolved_demand = UnresolvedDemand::default();
+        self.peer_reservations.inherit(&std::mem::take(&mut self.reservations));
+    }
+
+    /// All starts that some machine's leader may know of.
+    fn all_starts(&self) -> BTreeSet<MachineStart> {
+        let assigned = self.jobs.iter().flat_map(|(id, job)| {
+            let start = |(&index, assignment): (&u32, &super::assignments::Assignment)| {
+                MachineStart::new(&assignment.machine, id, index, assignment.attempt)
+            };
+            job.assignments.iter().map(start)
+        });
+        assigned.chain(self.retired_starts.keys().map(|key| key.on_machine())).collect()
+    }
+
+    /// Drops the sets of machines that no job waits for.
+    fn drop_unused_sets(&mut self) {
+        let used = self.jobs.values().filter_map(|job| match job.start_knowledge {
+            StartKnowledge::AwaitsMachines(set) => Some(set),
             _ => None,
         });
         self.unresolved_sets.keep(&used.collect());
-        self.has_changes.fill(true);
-        self.loans.anew();
-        self.demands.clear();
-        self.unresolved_demand = unresolved_starts::UnresolvedDemand::default();
-        self.peer_reservations.inherit(&std::mem::take(&mut self.reservations));
     }
 
-    /// The records were read: `machines` are those that may hold tasks.
-    pub fn load_done(&mut self, machines: impl Iterator<Item = String>) {
+    /// All records were read: `machines` are those that may run tasks.
+    pub fn finish_loading(&mut self, machines: impl Iterator<Item = String>) {
         self.unconfirmed_machines = machines.collect();
         self.loaded = true;
         self.replan = true;
-        self.has_changes.fill(true);
+        self.delivery.send_to_all();
         self.unresolved_sets.on_record(&self.unconfirmed_machines);
         self.set_of_epoch = self.unresolved_sets.open(self.unconfirmed_machines.clone());
         self.start_replication.jobs_changed = true;
         let read = self.set_of_epoch.map_or(StartKnowledge::Complete, StartKnowledge::AwaitsMachines);
-        for j in self.jobs.values_mut().filter(|j| j.start_knowledge == StartKnowledge::RecordsUnread) {
-            j.start_knowledge = read;
+        for job in self.jobs.values_mut().filter(|job| job.start_knowledge == StartKnowledge::RecordsUnread) {
+            job.start_knowledge = read;
         }
-        self.settle();
+        self.resolve_start_knowledge();
     }
 
-    /// Takes a job's record from the store, unless the job's end is known: an end is never taken back. `fresh` if this process has just written it and it
-    /// can't have been started before.
-    pub fn insert(
+    /// Takes a job's record from the store, unless the job's end is known: an end is never taken back. `fresh` if this
+    /// process has just written it and it can't have been started before. Of a job that is known already only the
+    /// record's version is taken.
+    pub fn insert_job(
         &mut self,
         raw: Value,
-        spec: JobSpec,
+        mut spec: JobSpec,
         accepted_wall: Micros,
         done: Ranges,
         store_version: u64,
         fresh: bool,
     ) {
-        let mut spec = spec;
-        if self.guarantees.contains_key(&spec.team) {
+        let has_guarantee = self.guarantees.contains_key(&spec.team);
+        if has_guarantee {
             spec.priority += GUARANTEED;
         }
         let id = spec.id.clone();
-        // Guards against a live record that was read, or written, before the end: its answer may come after that of the end.
-        if self.outcomes.contains_key(&id) {
+        // Guards against a live record that was read, or written, before the end: its answer may come after that of the
+        // end.
+        if self.outcomes.contains(&id) {
             return;
         }
-        if let Some(j) = self.jobs.get_mut(&id) {
-            j.store_version = j.store_version.max(store_version);
-            j.needs_reread = false;
+        if let Some(job) = self.jobs.get_mut(&id) {
+            job.store_version = job.store_version.max(store_version);
+            job.needs_reread = false;
             return;
         }
-        let job = Job {
-            accepted_wall,
-            store_version,
-            start_knowledge: match (fresh, self.loaded, self.set_of_epoch) {
-                (true, ..) => StartKnowledge::Complete,
-                (_, false, _) => StartKnowledge::RecordsUnread,
-                (_, _, Some(d)) if self.unresolved_sets.is_open(d) => StartKnowledge::AwaitsMachines(d),
-                _ => StartKnowledge::Complete,
-            },
-            recorded: done.clone(),
-            done,
-            assignments: BTreeMap::new(),
-            gang: None,
-            start_count: 0,
-            not_before: Micros(0),
-            pending_outcome: None,
-            write_in_flight: false,
-            needs_reread: false,
-            next_write: Micros(0),
-            next_progress: Micros(0),
-            cancellation: cancellation::Cancellation::default(),
-            prerequisites: spec.follows.iter().cloned().collect(),
-            hold: Hold::of(&spec, &raw),
-            release_due: None,
-            released_wall: dependencies::released_at(&raw),
-            own_priority: spec.priority,
-            reserved_machines: Vec::new(),
-            quota_tier: if self.guarantees.contains_key(&spec.team) {
-                QuotaTier::Unknown
-            } else {
-                QuotaTier::Unpromised
-            },
-            spec,
-            raw,
-        };
+        let mut job = Job::from_record(raw, spec, accepted_wall, done, store_version);
+        job.start_knowledge = self.knowledge_of_new_job(fresh);
+        if has_guarantee {
+            job.quota_tier = QuotaTier::Unknown;
+        }
         self.jobs.insert(id.clone(), job);
         // All its tasks may be done on record.
-        self.end_queue.changed(&id);
+        self.end_queue.mark_changed(&id);
         self.start_replication.jobs_changed = true;
-        self.note_waiting(&id);
+        self.note_prerequisites(&id);
         self.replan = true;
     }
 
-    pub(super) fn settle(&mut self) {
-        for j in self.jobs.values_mut() {
-            if matches!(j.start_knowledge, StartKnowledge::AwaitsMachines(d) if !self.unresolved_sets.is_open(d)) {
-                j.start_knowledge = StartKnowledge::Complete;
+    fn knowledge_of_new_job(&self, fresh: bool) -> StartKnowledge {
+        match (fresh, self.loaded, self.set_of_epoch) {
+            (true, ..) => StartKnowledge::Complete,
+            (_, false, _) => StartKnowledge::RecordsUnread,
+            (_, _, Some(set)) if self.unresolved_sets.is_open(set) => StartKnowledge::AwaitsMachines(set),
+            _ => StartKnowledge::Complete,
+        }
+    }
+
+    /// Jobs whose machines have all been heard have all their starts known.
+    pub(super) fn resolve_start_knowledge(&mut self) {
+        for job in self.jobs.values_mut() {
+            let StartKnowledge::AwaitsMachines(set) = job.start_knowledge else { continue };
+            if !self.unresolved_sets.is_open(set) {
+                job.start_knowledge = StartKnowledge::Complete;
                 self.start_replication.jobs_changed = true;
                 self.replan = true;
             }
--- a/src/job_shard/failure_attribution/tests.rs
+++ b/src/job_shard/failure_attribution/tests.rs
@@ -5,46 +5,48 @@
     Micros::from_millis(s * 1000)
 }
 
-/// Seen on sanaq-forms-ops: one mistaken array of 400 tasks put most of its owner's machines out of
-/// use for minutes.
+/// Guards against one mistaken array of many tasks that puts most of its leader's machines out of use for minutes.
 #[test]
 fn a_mistaken_job_costs_no_machine_and_is_probed_ever_more_rarely() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut b = FailureAttribution::default();
+        let mut failures = FailureAttribution::default();
         let mut now = s(1);
         for _ in 0..400 {
-            let m = format!("i-{}", rng.random_range(0..60));
-            b.error(now, "bad", &m);
-            b.success("good", &format!("i-{}", rng.random_range(0..60)));
+            let machine = format!("i-{}", rng.random_range(0..60));
+            failures.note_error(now, "bad", &machine);
+            failures.note_success("good", &format!("i-{}", rng.random_range(0..60)));
             now = now + Micros::from_millis(5);
         }
-        assert!(b.suspected("bad") && !b.suspected("good"));
-        assert!((0..60).all(|i| !b.shunned(now, &format!("i-{i}"))), "seed {seed}");
+        assert!(failures.is_job_quarantined("bad") && !failures.is_job_quarantined("good"));
+        assert!((0..60).all(|i| !failures.is_machine_quarantined(now, &format!("i-{i}"))), "seed {seed}");
         let mut probes = 0;
         for t in 0..600 {
             let t = now + s(t);
-            if !b.waits(t, "bad") {
+            if !failures.awaits_probe(t, "bad") {
                 probes += 1;
-                b.error(t, "bad", "i-1");
+                failures.note_error(t, "bad", "i-1");
             }
         }
         assert!((5..20).contains(&probes), "seed {seed}: {probes}");
-        b.success("bad", "i-1");
-        assert!(!b.suspected("bad"), "one success clears it");
+        failures.note_success("bad", "i-1");
+        assert!(!failures.is_job_quarantined("bad"), "one success clears it");
     }
 }
 
 #[test]
-fn a_faulty_machine_is_shunned_and_the_jobs_it_failed_are_not_suspected() {
-    let mut b = FailureAttribution::default();
+fn a_faulty_machine_is_quarantined_and_the_jobs_it_failed_are_not() {
+    let mut failures = FailureAttribution::default();
     for i in 0..20 {
-        b.error(s(10 + i), &format!("wk-{i}"), "i-9");
-        assert!(!b.suspected(&format!("wk-{i}")));
+        failures.note_error(s(10 + i), &format!("wk-{i}"), "i-9");
+        assert!(!failures.is_job_quarantined(&format!("wk-{i}")));
     }
-    assert!(b.shunned(s(60), "i-9") && b.shunned(s(150), "i-9"));
-    assert!(!b.shunned(s(600), "i-9"), "but not for ever");
-    assert!(b.avoided(s(30), "wk-19").contains("i-9") && b.avoided(s(90), "wk-19").is_empty());
-    b.success("wk-77", "i-9");
-    assert!(!b.shunned(s(60), "i-9"));
+    assert!(failures.is_machine_quarantined(s(60), "i-9") && failures.is_machine_quarantined(s(150), "i-9"));
+    assert!(!failures.is_machine_quarantined(s(600), "i-9"), "but not for ever");
+    assert!(
+        failures.machines_avoided_by(s(30), "wk-19").contains("i-9")
+            && failures.machines_avoided_by(s(90), "wk-19").is_empty()
+    );
+    failures.note_success("wk-77", "i-9");
+    assert!(!failures.is_machine_quarantined(s(60), "i-9"));
 }
--- a/src/job_shard/gang.rs
+++ b/src/job_shard/gang.rs
@@ -1,11 +1,19 @@
-//! Gangs: all members of an attempt begin together, and end together.
+//! Gangs: all members of an attempt start together, and end together.
 
-use super::*;
+use super::JobShard;
+use super::job::Job;
+use crate::peer::{DesiredAction, TaskPhase};
+use crate::units::Micros;
+
+/// How long members may take to be accepted by their machines before the attempt is given up.
+const ACCEPT_TIMEOUT: Micros = Micros::from_millis(4_000);
+/// Pause before the next attempt of a gang that was not accepted.
+const RETRY_PAUSE: Micros = Micros::from_millis(300);
 
 /// A gang's attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Gang {
-    /// Members are being accepted.
+pub(super) enum GangState {
+    /// Members are being accepted, since then.
     Holding(Micros),
     /// All were accepted and may start.
     Going,
@@ -13,79 +21,111 @@
     Ending,
 }
 
-impl JobShard {
-    /// A gang's attempt is over: its other members are stopped, and the next attempt waits until
-    /// they are gone.
-    pub(super) fn end_gang(&mut self, id: &str) {
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        if j.done.len() == j.spec.tasks {
-            return;
-        }
-        self.stop_gang(id, Micros(0));
-    }
+/// What an attempt needs next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum GangStep {
+    /// All members are accepted: they start.
+    Start,
+    /// Not all were accepted in time: nothing of it was started.
+    GiveUp,
+    /// A member is missing or stuck.
+    Stop,
+    /// All members are gone: the next attempt may begin.
+    Clear,
+}
 
-    pub(super) fn stop_gang(&mut self, id: &str, grace: Micros) {
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        j.gang = if j.assignments.is_empty() { None } else { Some(Gang::Ending) };
-        for (&idx, p) in &mut j.assignments {
-            // One that is saving already keeps its time.
-            if !matches!(p.action, DesiredAction::Stop(_)) {
-                p.action = DesiredAction::Stop(grace);
-                mark_changed(&mut self.changed_starts, &p.machine, id, idx, p.attempt);
+impl Job {
+    /// What its gang's attempt needs next, if anything.
+    fn next_gang_step(&self, now: Micros, gang_wait: Micros) -> Option<GangStep> {
+        let tasks = self.spec.tasks as usize;
+        match self.gang? {
+            GangState::Holding(since) => {
+                let held = self.assignments.values().filter(|a| a.phase == Some(TaskPhase::Held)).count();
+                if held == tasks {
+                    return Some(GangStep::Start);
+                }
+                (now.since(since) > ACCEPT_TIMEOUT).then_some(GangStep::GiveUp)
             }
+            GangState::Going => {
+                // A member that never gets as far as waiting holds up the rest; theirs run
+                // out by themselves after a while, ours is to notice the odd one.
+                let stuck = self.assignments.values().any(|assignment| {
+                    matches!(assignment.phase, Some(TaskPhase::Queued | TaskPhase::InDoubt) | None)
+                        && now.since(assignment.phase_since) > gang_wait
+                });
+                (self.assignments.len() < tasks || stuck).then_some(GangStep::Stop)
+            }
+            GangState::Ending => self.assignments.is_empty().then_some(GangStep::Clear),
         }
     }
+}
 
-    pub(super) fn move_gangs(&mut self, now: Micros) {
-        let mut end = Vec::new();
-        for (id, j) in &mut self.jobs {
-            match j.gang {
-                Some(Gang::Holding(since)) => {
-                    let held = j.assignments.values().filter(|p| p.phase == Some(TaskPhase::Held)).count();
-                    if held == j.spec.tasks as usize {
-                        j.gang = Some(Gang::Going);
-                        for (&idx, p) in &mut j.assignments {
-                            p.action = DesiredAction::Run;
-                            mark_changed(&mut self.changed_starts, &p.machine, id, idx, p.attempt);
-                        }
-                    } else if now.since(since) > Micros::from_millis(4000) {
-                        end.push((id.clone(), true));
-                    }
-                }
-                Some(Gang::Going) => {
-                    // A member that never gets as far as waiting holds up the rest; theirs run
-                    // out by themselves after a while, ours is to notice the odd one.
-                    let short = j.assignments.len() < j.spec.tasks as usize;
-                    let stuck = j.assignments.values().any(|p| {
-                        matches!(p.phase, Some(TaskPhase::Queued | TaskPhase::InDoubt) | None)
-                            && now.since(p.phase_since) > self.gang_wait
-                    });
-                    if short || stuck {
-                        end.push((id.clone(), false));
+impl JobShard {
+    /// Moves the attempts of all gangs on.
+    pub(super) fn advance_gangs(&mut self, now: Micros) {
+        let mut ended = Vec::new();
+        for (id, job) in &mut self.jobs {
+            match job.next_gang_step(now, self.gang_wait) {
+                Some(GangStep::Start) => {
+                    job.gang = Some(GangState::Going);
+                    for (&index, assignment) in &mut job.assignments {
+                        assignment.action = DesiredAction::Run;
+                        self.delivery.mark_changed(&assignment.machine, id, index, assignment.attempt);
                     }
                 }
-                Some(Gang::Ending) if j.assignments.is_empty() => j.gang = None,
-                _ => {}
+                Some(GangStep::Clear) => job.gang = None,
+                Some(step) => ended.push((id.clone(), step)),
+                None => {}
             }
         }
-        for (id, held) in end {
-            let Some(j) = self.jobs.get_mut(&id) else { continue };
-            if !held {
+        for (id, step) in ended {
+            match step {
+                GangStep::GiveUp => self.give_up_gang(now, &id),
                 // A gang taken over is complete only when every machine has been heard.
-                if !j.settled() {
-                    continue;
-                }
-                self.end_gang(&id);
-                continue;
+                _ if !self.jobs.get(&id).is_some_and(Job::has_known_starts) => {}
+                _ => self.end_gang(&id),
             }
-            // Nothing of it was started: what is no longer asked for is dropped by the homes.
-            j.gang = None;
-            j.not_before = now + Micros::from_millis(300);
-            let dropped = std::mem::take(&mut j.assignments);
-            for (idx, p) in dropped {
-                self.unindex(&p.machine, &id, idx);
-                mark_changed(&mut self.changed_starts, &p.machine, &id, idx, p.attempt);
+        }
+    }
+
+    /// Withdraws an attempt of which nothing was started: what is no longer named is dropped by the machines' leaders.
+    fn give_up_gang(&mut self, now: Micros, id: &str) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        job.gang = None;
+        job.not_before = now + RETRY_PAUSE;
+        for (index, assignment) in std::mem::take(&mut job.assignments) {
+            self.unindex_assignment(&assignment.machine, id, index);
+            self.delivery.mark_changed(&assignment.machine, id, index, assignment.attempt);
+        }
+    }
+
+    /// A gang's attempt is over: its other members are stopped, and the next attempt waits until
+    /// they are gone. Does nothing if the gang has completed.
+    pub(super) fn end_gang(&mut self, id: &str) {
+        let Some(job) = self.jobs.get(id) else { return };
+        if job.done.len() != job.spec.tasks {
+            self.stop_gang(id, Micros(0));
+        }
+    }
+
+    /// Stops all members of a gang.
+    pub(super) fn stop_gang(&mut self, id: &str, grace: Micros) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        job.gang = if job.assignments.is_empty() { None } else { Some(GangState::Ending) };
+        for (&index, assignment) in &mut job.assignments {
+            // One that is saving already keeps its time.
+            if !assignment.is_stopping() {
+                assignment.action = DesiredAction::Stop(grace);
+                self.delivery.mark_changed(&assignment.machine, id, index, assignment.attempt);
             }
         }
     }
+
+    /// Stops one task of a job that is not a gang.
+    pub(super) fn stop_task(&mut self, id: &str, index: u32, grace: Micros) {
+        if let Some(assignment) = self.jobs.get_mut(id).and_then(|job| job.assignments.get_mut(&index)) {
+            assignment.action = DesiredAction::Stop(grace);
+            self.delivery.mark_changed(&assignment.machine, id, index, assignment.attempt);
+        }
+    }
 }
--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -1,38 +1,70 @@
-//! Loans of GPUs as an owner sees them: what its jobs run beyond their teams' guarantees, what its services lack, room that
-//! is kept for somebody, and tasks that are stopped, or go back, by what a ledger says. Which job is within its guarantee is
-//! decided in `guarantee` alone.
+//! Lending of GPUs as a leader of jobs sees it: what its jobs run beyond their teams' guarantees, what its services lack,
+//! room that is kept for somebody, and tasks that are preempted, or go back, by what a ledger says. Which job is within
+//! its guarantee is decided in `quota::tier` alone.
 
-use super::scheduling_pass::likely;
-use super::*;
+use super::JobShard;
+use super::assignments::Assignment;
+use super::gang::GangState;
+use super::job::Job;
 use crate::config::operators::LoanTerms;
-use crate::peer::{Lendable, LendableTask, Lending as Told};
+use crate::membership::Membership;
+use crate::peer::{DesiredAction, Lendable, LendableTask, Lending, TaskPhase};
 use crate::quota::QuotaLedger;
 use crate::quota::tier::QuotaTier;
 use crate::scheduler::placement::Place;
+use crate::spec::{GUARANTEED, JobKind, JobSpec};
+use crate::units::{Micros, Resources};
 use hazelsaddle_gpu_lending::Amount;
 use hazelsaddle_gpu_lending::ledger::{Claim, Facts, Ledger, Loan, State};
 use hazelsaddle_gpu_lending::preemption::{Machine, Need, Task, choose};
 use hazelsaddle_gpu_lending::reclaim::{Borrower, LoanStanding, Shortfall, Terms, give_back};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// What others said holds for so long.
-const WORD: Micros = Micros::from_millis(5_000);
-/// A ledger that was read longer ago is obeyed no more: what it says may have been taken back.
-const FRESH: Micros = Micros::from_millis(5_000);
+/// How long what a peer said holds.
+const VALID_FOR: Micros = Micros::from_millis(5_000);
+/// A ledger that was read longer ago is not followed any more: what it says may have been taken back.
+const LEDGER_VALID_FOR: Micros = Micros::from_millis(5_000);
 /// Replicas wait so long for room that comes free by itself before any is taken, and before a machine is rented.
-const MOMENT: Micros = Micros::from_millis(1_500);
+const TAKE_DELAY: Micros = Micros::from_millis(1_500);
+/// Priority of room that is kept for a loan: only whom it is kept for may use it.
+const KEPT: u8 = u8::MAX;
+/// The most replicas of a job that are looked at.
+const MOST_REPLICAS: i64 = 10_000;
 
 /// What is known of loans.
 #[derive(Debug, Default)]
 pub(super) struct Loans {
     terms: Option<LoanTerms>,
-    /// Teams' ledgers, and when the question went out that they answer.
+    /// Teams' ledgers.
     ledgers: BTreeMap<String, Ledger>,
+    /// When the question went out that they answer.
     as_of: Option<Micros>,
-    others: BTreeMap<usize, (Micros, Told)>,
+    /// By peer, what it said last.
+    peers: BTreeMap<usize, PeerLending>,
     /// Services that lack replicas, and since when.
     lacking: BTreeMap<String, Micros>,
-    /// Teams whose work within its guarantee lacks GPUs, by our jobs: how much, and since when.
-    short: BTreeMap<String, (Resources, Micros)>,
+    /// Teams whose work within its guarantee lacks GPUs, by our jobs.
+    short: BTreeMap<String, TeamShortfall>,
+}
+
+/// What a peer's jobs could lend, and what they lack.
+#[derive(Debug)]
+struct PeerLending {
+    at: Micros,
+    lending: Lending,
+}
+
+/// What a team lacks within its guarantee.
+#[derive(Clone, Copy, Debug)]
+struct TeamShortfall {
+    room: Resources,
+    since: Micros,
+}
+
+/// Room on a place that is kept for a job, given to it while it is placed.
+pub(super) struct LentRoom {
+    pub(super) place: usize,
+    room: Resources,
 }
 
 /// Room that is to be claimed.
@@ -48,8 +80,22 @@
     pub claims: Vec<Claim>,
 }
 
-fn amount(r: Resources) -> Amount {
-    Amount { gpus: r.gpus, cpus: r.cpus, memory: r.memory }
+fn amount(room: Resources) -> Amount {
+    Amount { gpus: room.gpus, cpus: room.cpus, memory: room.memory }
+}
+
+/// What goes back is for the lender, and for whatever lies within its guarantee: that stands above. All else is for the
+/// loan's job.
+fn is_kept_for(loan: &Loan, id: &str, job: &Job) -> bool {
+    match loan.state {
+        State::Returning => loan.lender == job.spec.team || job.quota_tier == QuotaTier::Within,
+        _ => loan.job == id,
+    }
+}
+
+/// Whether a job's tasks run beyond what its team is guaranteed. Of one of which that is not known nothing is lent.
+fn is_lendable(job: &Job) -> bool {
+    matches!(job.quota_tier, QuotaTier::Beyond | QuotaTier::Unpromised)
 }
 
 impl Loans {
@@ -57,419 +103,523 @@
         Loans { terms, ..Loans::default() }
     }
 
-    /// A new epoch: what others said was said by other owners.
-    pub(super) fn anew(&mut self) {
-        self.peer_reservations.clear();
+    /// A new epoch: what peers said, they said as leaders of other jobs.
+    pub(super) fn adopt_epoch(&mut self) {
+        self.peers.clear();
         self.as_of = None;
     }
 
     fn all(&self) -> impl Iterator<Item = &Loan> {
-        self.ledgers.values().flat_map(|l| &l.loans)
+        self.ledgers.values().flat_map(|ledger| &ledger.loans)
     }
 
     /// Room on machines that is kept for somebody: for a borrower's replicas until they stand, and for a lender's job until
     /// it is back. The first says whom a loan is for.
     fn kept(&self) -> impl Iterator<Item = (&Loan, Resources)> {
-        self.all().filter_map(|l| match l.state {
+        self.all().filter_map(|loan| match loan.state {
             State::Taking => {
-                let (gpus, cpus, memory) = l.hold;
-                Some((l, Resources { gpus, cpus, memory }))
+                let (gpus, cpus, memory) = loan.hold;
+                Some((loan, Resources { gpus, cpus, memory }))
             }
             State::Held => None,
-            State::Returning => Some((l, Resources { gpus: l.gpus, cpus: l.cpus, memory: l.memory })),
+            State::Returning => {
+                Some((loan, Resources { gpus: loan.gpus, cpus: loan.cpus, memory: loan.memory }))
+            }
         })
     }
 
-    /// What goes back is for the lender, and for whatever lies within its guarantee: that stands above.
-    fn is_for(l: &Loan, id: &str, team: &str, within: bool) -> bool {
-        match l.state {
-            State::Returning => l.lender == team || within,
-            _ => l.job == id,
+    /// By machine, the room that is kept by those loans that are wanted.
+    fn kept_by_machine(&self, is_wanted: impl Fn(&Loan) -> bool) -> BTreeMap<&str, Resources> {
+        let mut by_machine: BTreeMap<&str, Resources> = BTreeMap::new();
+        for (loan, room) in self.kept().filter(|(loan, _)| is_wanted(loan)) {
+            let sum = by_machine.entry(&loan.machine).or_default();
+            *sum = *sum + room;
         }
+        by_machine
     }
 
     /// Takes what is kept for somebody off what is free.
     pub(super) fn hold_back(&self, places: &mut [Place]) {
-        let mut by: BTreeMap<&str, Resources> = BTreeMap::new();
-        for (l, room) in self.kept() {
-            let sum = by.entry(&l.machine).or_default();
-            *sum = *sum + room;
-        }
-        if by.is_empty() {
+        let kept = self.kept_by_machine(|_| true);
+        if kept.is_empty() {
             return;
         }
-        for p in places {
-            if let Some(room) = by.get(p.machine.name.as_str()) {
-                p.free = p.free - *room;
-                // Guards against gangs that wait: they would keep the machine, and neither would get it.
-                p.kept_for = Some(u8::MAX);
+        for place in places {
+            if let Some(room) = kept.get(place.machine.name.as_str()) {
+                place.free = place.free - *room;
+                // Guards against gangs that wait: they would reserve the machine, and neither would get it.
+                place.reserved_for = Some(KEPT);
             }
         }
     }
 
-    /// Gives a job the room that is kept for it: which places, and how much.
-    pub(super) fn lend(&self, places: &mut [Place], id: &str, j: &Job) -> Vec<(usize, Resources)> {
-        let mut by: BTreeMap<&str, Resources> = BTreeMap::new();
-        let (team, within) = (j.spec.team.as_str(), j.quota_tier == QuotaTier::Within);
-        for (l, room) in self.kept().filter(|(l, _)| Loans::is_for(l, id, team, within)) {
-            let sum = by.entry(&l.machine).or_default();
-            *sum = *sum + room;
+    /// Gives a job the room that is kept for it.
+    pub(super) fn lend(&self, places: &mut [Place], id: &str, job: &Job) -> Vec<LentRoom> {
+        let kept = self.kept_by_machine(|loan| is_kept_for(loan, id, job));
+        let mut lent = Vec::new();
+        if kept.is_empty() {
+            return lent;
         }
-        let mut out = Vec::new();
-        for (i, p) in places.iter_mut().enumerate().filter(|_| !by.is_empty()) {
-            if let Some(room) = by.get(p.machine.name.as_str()) {
-                p.free = p.free + *room;
-                p.kept_for = None;
-                out.push((i, *room));
+        for (i, place) in places.iter_mut().enumerate() {
+            if let Some(&room) = kept.get(place.machine.name.as_str()) {
+                place.free = place.free + room;
+                place.reserved_for = None;
+                lent.push(LentRoom { place: i, room });
             }
         }
-        out
+        lent
     }
 
-    /// Takes back what of it the job has not used.
-    pub(super) fn unlend(places: &mut [Place], lent: &[(usize, Resources)], one: Resources, at: &[usize]) {
-        for (i, room) in lent {
-            let used = one.times(at.iter().filter(|a| *a == i).count() as i64).min(*room);
-            places[*i].free = places[*i].free - (*room - used);
-            places[*i].kept_for = Some(u8::MAX);
+    /// Takes back what of it the job, whose tasks go to the places `used`, has not used.
+    pub(super) fn take_back(places: &mut [Place], lent: &[LentRoom], one: Resources, used: &[usize]) {
+        for LentRoom { place, room } in lent {
+            let tasks = used.iter().filter(|i| *i == place).count() as i64;
+            places[*place].free = places[*place].free - (*room - one.times(tasks).min(*room));
+            places[*place].reserved_for = Some(KEPT);
         }
     }
 
     /// Machines that a job's replicas are leaving for a lender: it comes back to none of them meanwhile.
-    pub(super) fn left_by(&self, id: &str) -> impl Iterator<Item = &str> {
-        let leaving = move |l: &&Loan| l.job == id && l.state == State::Returning;
-        self.all().filter(leaving).map(|l| l.machine.as_str())
+    pub(super) fn machines_left_by(&self, id: &str) -> impl Iterator<Item = &str> {
+        let is_leaving = move |loan: &&Loan| loan.job == id && loan.state == State::Returning;
+        self.all().filter(is_leaving).map(|loan| loan.machine.as_str())
     }
 
     /// Replicas that are claimed for already, or that loans are being looked for: no machine is rented for them.
     pub(super) fn covers(&self, now: Micros, id: &str) -> u32 {
-        if self.lacking.get(id).is_some_and(|t| now.since(*t) < Micros(MOMENT.0 * 2)) {
+        if self.lacking.get(id).is_some_and(|since| now.since(*since) < Micros(TAKE_DELAY.0 * 2)) {
             return u32::MAX;
         }
-        self.ledgers.values().map(|l| l.claimed(id)).sum()
+        self.claimed_replicas(id)
+    }
+
+    fn claimed_replicas(&self, id: &str) -> u32 {
+        self.ledgers.values().map(|ledger| ledger.claimed(id)).sum()
+    }
+
+    /// Whether a start is claimed already by a borrower.
+    fn is_lent(&self, id: &str, index: u32, attempt: u64) -> bool {
+        self.ledgers.values().any(|ledger| ledger.lent(id, (index, attempt)))
     }
 
-    /// The ledgers were read, by a question that went out at `sent`.
-    pub(super) fn read(&mut self, sent: Micros, ledgers: BTreeMap<String, Ledger>) {
-        self.ledgers = ledgers;
-        self.as_of = Some(sent);
+    fn is_ledger_valid(&self, now: Micros) -> bool {
+        self.as_of.is_some_and(|as_of| now.since(as_of) < LEDGER_VALID_FOR)
     }
 }
 
 impl JobShard {
     /// Whether a job may borrow.
-    pub(super) fn borrows(&self, s: &JobSpec) -> bool {
-        let may = |t: &LoanTerms| t.borrowers.iter().any(|b| *b == s.team || *b == s.class);
-        s.kind == JobKind::Service && s.room.gpus > 0 && self.loans.terms.as_ref().is_some_and(may)
+    pub(super) fn may_borrow(&self, spec: &JobSpec) -> bool {
+        let is_borrower =
+            |terms: &LoanTerms| terms.borrowers.iter().any(|b| *b == spec.team || *b == spec.class);
+        spec.kind == JobKind::Service
+            && spec.room.gpus > 0
+            && self.loans.terms.as_ref().is_some_and(is_borrower)
     }
 
-    /// The ledgers were read.
-    pub fn loans_read(&mut self, sent: Micros, ledgers: BTreeMap<String, Ledger>) {
-        self.loans.read(sent, ledgers);
+    /// Takes the teams' ledgers, read by a question that went out at `sent`.
+    pub fn apply_ledgers(&mut self, sent: Micros, ledgers: BTreeMap<String, Ledger>) {
+        self.loans.ledgers = ledgers;
+        self.loans.as_of = Some(sent);
         self.replan = true;
     }
 
-    /// What another owner's jobs could lend, and what they lack.
-    pub fn others_lend(&mut self, now: Micros, from: usize, told: Told) {
-        self.loans.others.insert(from, (now, told));
+    /// Takes what a peer's jobs could lend and what they lack, in place of what it said before.
+    pub fn apply_peer_lending(&mut self, now: Micros, from: usize, lending: Lending) {
+        self.loans.peers.insert(from, PeerLending { at: now, lending });
     }
 
     /// Sees which services lack replicas, and which teams lack GPUs within their guarantees.
-    pub fn note_lacks(&mut self, now: Micros) {
+    pub fn note_gpu_shortfalls(&mut self, now: Micros) {
         let mut lacking: BTreeMap<String, Micros> = BTreeMap::new();
-        let mut short: BTreeMap<String, (Resources, Micros)> = BTreeMap::new();
-        for (id, j) in &self.jobs {
-            let lacks = (j.spec.tasks as usize).saturating_sub(j.done.len() as usize + j.assignments.len());
-            if j.spec.room.gpus <= 0 || lacks == 0 || j.pending_outcome.is_some() || j.waits() || !j.settled() {
+        let mut short: BTreeMap<String, TeamShortfall> = BTreeMap::new();
+        for (id, job) in &self.jobs {
+            let spec = &job.spec;
+            let lacks = (spec.tasks as usize).saturating_sub(job.done.len() as usize + job.assignments.len());
+            if spec.room.gpus <= 0
+                || lacks == 0
+                || job.pending_outcome.is_some()
+                || job.is_waiting()
+                || !job.has_known_starts()
+            {
                 continue;
             }
-            if self.borrows(&j.spec) {
+            if self.may_borrow(spec) {
                 lacking.insert(id.clone(), self.loans.lacking.get(id).copied().unwrap_or(now));
             }
-            if j.quota_tier == QuotaTier::Within && !self.failures.suspected(id) {
-                let since = self.loans.short.get(&j.spec.team).map_or(now, |(_, t)| *t);
-                let sum = short.entry(j.spec.team.clone()).or_insert((Resources::default(), since));
-                sum.0 = sum.0 + j.spec.room.times(lacks as i64);
+            if job.quota_tier == QuotaTier::Within && !self.failures.is_job_quarantined(id) {
+                let since = self.loans.short.get(&spec.team).map_or(now, |short| short.since);
+                let none = TeamShortfall { room: Resources::default(), since };
+                let team = short.entry(spec.team.clone()).or_insert(none);
+                team.room = team.room + spec.room.times(lacks as i64);
             }
         }
         (self.loans.lacking, self.loans.short) = (lacking, short);
     }
 
-    /// What the other owners are told: our jobs' tasks on GPUs beyond their teams' guarantees, and what is lacking.
-    pub fn lending(&self, now: Micros, wall: Micros) -> Told {
-        let lacks = self.loans.short.iter().map(|(t, (r, since))| (t.clone(), *r, now.since(*since)));
-        let mut out = Told { jobs: Vec::new(), lacks: lacks.collect() };
-        let Some(terms) = &self.loans.terms else { return out };
-        for (id, j) in &self.jobs {
-            // Work within its team's guarantee, or of which that is not known, is never offered.
-            let lent = matches!(j.quota_tier, QuotaTier::Beyond | QuotaTier::Unpromised);
-            if !lent || j.spec.room.gpus <= 0 || j.pending_outcome.is_some() || j.assignments.is_empty() {
-                continue;
-            }
-            let gang = j.spec.kind == JobKind::Gang;
-            let moving = !j.settled() || (gang && j.gang != Some(Gang::Going));
-            let task = |(&index, p): (&u32, &Assignment)| {
-                let there =
-                    matches!(p.phase, Some(TaskPhase::Fetching | TaskPhase::Waiting | TaskPhase::Running));
-                // A replica that was taken for is left where it is for a while, or room would swing.
-                let young = self.loans.all().any(|l| {
-                    let age = wall.0.saturating_sub(l.since_us);
-                    l.job == *id && l.machine == p.machine && l.state == State::Held && age < terms.stay.0
-                });
-                let claimed = self.loans.ledgers.values().any(|l| l.lent(id, (index, p.attempt)));
-                let ran = if p.phase == Some(TaskPhase::Running) { now.since(p.phase_since).0 / 1000 } else { 0 };
-                let left = (likely(&self.run_times, &j.spec).0 / 1000).saturating_sub(ran);
-                let lost_ms = match j.spec.checkpoint.0 > 0 {
-                    true => j.spec.save.0 / 1000,
-                    // What never saves and is nearly done goes last.
-                    false if left < ran / 4 => ran * 2,
-                    false => ran,
-                };
-                let fixed = moving || !there || matches!(p.action, DesiredAction::Stop(_)) || young || claimed;
-                LendableTask { index, attempt: p.attempt, machine: p.machine.clone(), lost_ms, fixed }
-            };
-            out.jobs.push(Lendable {
-                job: id.clone(),
-                team: j.spec.team.clone(),
-                rank: j.spec.priority % GUARANTEED,
-                gang,
-                room: j.spec.room,
-                tasks: j.assignments.iter().map(task).collect(),
-            });
+    /// What peers are told: our jobs' tasks on GPUs beyond their teams' guarantees, and what is lacking.
+    pub fn lending_offer(&self, now: Micros, wall: Micros) -> Lending {
+        let short = self.loans.short.iter();
+        let lacks = short.map(|(team, short)| (team.clone(), short.room, now.since(short.since))).collect();
+        let Some(terms) = &self.loans.terms else { return Lending { jobs: Vec::new(), lacks } };
+        let offers = |job: &Job| {
+            is_lendable(job)
+                && job.spec.room.gpus > 0
+                && job.pending_outcome.is_none()
+                && !job.assignments.is_empty()
+        };
+        let lendable = |(id, job): (&String, &Job)| Lendable {
+            job: id.clone(),
+            team: job.spec.team.clone(),
+            rank: job.spec.priority % GUARANTEED,
+            gang: job.spec.kind == JobKind::Gang,
+            room: job.spec.room,
+            tasks: job
+                .assignments
+                .iter()
+                .map(|(&index, assignment)| self.lendable_task(now, wall, terms, job, index, assignment))
+                .collect(),
+        };
+        Lending { jobs: self.jobs.iter().filter(|(_, job)| offers(job)).map(lendable).collect(), lacks }
+    }
+
+    fn lendable_task(
+        &self,
+        now: Micros,
+        wall: Micros,
+        terms: &LoanTerms,
+        job: &Job,
+        index: u32,
+        assignment: &Assignment,
+    ) -> LendableTask {
+        let id = &job.spec.id;
+        let gang = job.spec.kind == JobKind::Gang;
+        let is_moving = !job.has_known_starts() || (gang && job.gang != Some(GangState::Going));
+        let is_there =
+            matches!(assignment.phase, Some(TaskPhase::Fetching | TaskPhase::Waiting | TaskPhase::Running));
+        // A replica that was taken for is left where it is for a while, or room would swing.
+        let is_young = self.loans.all().any(|loan| {
+            loan.job == *id
+                && loan.machine == assignment.machine
+                && loan.state == State::Held
+                && wall.0.saturating_sub(loan.since_us) < terms.stay.0
+        });
+        LendableTask {
+            index,
+            attempt: assignment.attempt,
+            machine: assignment.machine.clone(),
+            lost_ms: self.lost_by_stopping_ms(now, job, assignment),
+            fixed: is_moving
+                || !is_there
+                || assignment.is_stopping()
+                || is_young
+                || self.loans.is_lent(id, index, assignment.attempt),
         }
-        out
+    }
+
+    /// Run time that is lost if a task is stopped, in milliseconds.
+    fn lost_by_stopping_ms(&self, now: Micros, job: &Job, assignment: &Assignment) -> u64 {
+        if job.can_save() {
+            return job.spec.save.0 / 1000;
+        }
+        let ran = match assignment.phase {
+            Some(TaskPhase::Running) => now.since(assignment.phase_since).0 / 1000,
+            _ => 0,
+        };
+        let left = (self.run_times.likely(&job.spec).0 / 1000).saturating_sub(ran);
+        // What never saves and is nearly done goes last.
+        if left < ran / 4 { ran * 2 } else { ran }
     }
 
     /// What is to be claimed for one of our services whose replicas have found no room for a moment.
-    pub fn takings(&self, now: Micros, wall: Micros, m: &Membership, teams: &QuotaLedger) -> Option<Taking> {
+    pub fn next_taking(
+        &self,
+        now: Micros,
+        wall: Micros,
+        membership: &Membership,
+        quota: &QuotaLedger,
+    ) -> Option<Taking> {
         // Guards against claims on what others have claimed meanwhile.
-        let fresh = self.loans.as_of.is_some_and(|t| now.since(t) < FRESH);
-        let wait = |id: &&String| self.loans.lacking.get(*id).is_some_and(|t| now.since(*t) >= MOMENT);
-        if !fresh || self.loans.lacking.is_empty() {
+        if !self.loans.is_ledger_valid(now) || self.loans.lacking.is_empty() {
             return None;
         }
-        let tasks = self.tasks_to_take(now, wall, m);
+        let tasks = self.tasks_to_take(now, wall, membership);
         if tasks.is_empty() {
             return None;
         }
-        let mut places = self.places(now, m, &self.views);
+        let mut places = self.places(now, membership, &self.views);
         self.loans.hold_back(&mut places);
-        for id in self.order().iter().filter(wait) {
-            let Some(j) = self.jobs.get(id) else { continue };
-            if self.failures.suspected(id) || self.failures.waits(now, id) || now < j.not_before {
+        let has_waited =
+            |id: &String| self.loans.lacking.get(id).is_some_and(|since| now.since(*since) >= TAKE_DELAY);
+        for id in self.queue_order().iter().filter(|id| has_waited(id)) {
+            let Some(job) = self.jobs.get(id) else { continue };
+            let pauses = self.failures.awaits_probe(now, id) || now < job.not_before;
+            if self.failures.is_job_quarantined(id) || pauses {
                 continue;
             }
-            let claimed = teams.claim(&j.spec.team, id) - self.in_use(id, j);
-            let may =
-                Resources { memory: i64::MAX / 4, ..claimed }.count_of(j.spec.room).clamp(0, 10_000) as u32;
-            let missing = (j.spec.tasks - j.assignments.len() as u32).min(may);
-            let open: u32 = self.loans.ledgers.values().map(|l| l.claimed(id)).sum();
-            if missing <= open {
+            let missing = self.replicas_missing(id, job, quota);
+            let claimed = self.loans.claimed_replicas(id);
+            if missing <= claimed {
                 continue;
             }
-            let mut counts: BTreeMap<String, u32> = BTreeMap::new();
-            for p in j.assignments.values() {
-                *counts.entry(p.zone.clone()).or_default() += 1;
-            }
-            let zone_of = |name: &String| self.seen(name, m).map(|d| d.zone.clone());
-            for l in self.loans.all().filter(|l| l.job == *id && l.state == State::Taking) {
-                *counts.entry(zone_of(&l.machine).unwrap_or_default()).or_default() += l.replicas;
-            }
-            for (_, (alive, zone)) in self.open_of(id) {
-                *counts.entry(zone.clone()).or_default() += u32::from(*alive);
-            }
-            counts.retain(|_, n| *n > 0);
-            let half = j.spec.tasks.div_ceil(2);
-            let all = || places.iter().map(|p| p.machine.zone.clone());
-            let zones = match (j.spec.one_zone && !counts.is_empty(), j.spec.spread) {
-                (true, _) => Some(counts.keys().map(|z| (z.clone(), u32::MAX)).collect()),
-                (_, true) => {
-                    let left = |z: &String| half.saturating_sub(counts.get(z).copied().unwrap_or(0));
-                    Some(all().map(|z| (z.clone(), left(&z))).collect())
-                }
-                _ => None,
-            };
-            let need = Need {
-                team: j.spec.team.clone(),
-                rank: j.spec.priority % GUARANTEED,
-                within: j.quota_tier == QuotaTier::Within,
-                each: amount(j.spec.room),
-                replicas: missing - open,
-                zones,
-                one_zone: j.spec.one_zone,
-            };
-            let avoided = self.failures.avoided(now, id);
-            let leaving: BTreeSet<&str> = self.loans.left_by(id).collect();
-            let usable = |p: &&Place| {
-                let name = p.machine.name.as_str();
-                p.allowed(&j.spec)
-                    && p.kept_for.is_none_or(|k| k <= j.spec.priority)
-                    && !avoided.contains(name)
-                    && !leaving.contains(name)
-                    && self.open_of(id).all(|(k, _)| k.1 != name)
-            };
-            let machine = |p: &Place| Machine {
-                name: p.machine.name.clone(),
-                zone: p.machine.zone.clone(),
-                free: amount(p.free),
-                image: p.machine.images.contains(&j.spec.image_hash),
-            };
-            let machines: Vec<Machine> = places.iter().filter(usable).map(machine).collect();
-            let claims = choose(&need, &machines, &tasks);
+            let need = self.loan_need(id, job, missing - claimed, &places, membership);
+            let claims = choose(&need, &self.machines_for_loan(now, id, job, &places), &tasks);
             if !claims.is_empty() {
-                return Some(Taking { team: j.spec.team.clone(), job: id.clone(), missing, claims });
+                return Some(Taking { team: job.spec.team.clone(), job: id.clone(), missing, claims });
             }
         }
         None
     }
 
-    fn tasks_to_take(&self, now: Micros, wall: Micros, m: &Membership) -> Vec<Task> {
-        let fresh = |(p, (t, _)): &(&usize, &(Micros, Told))| now.since(*t) < WORD && m.members.contains(p);
-        let others = self.loans.others.iter().filter(fresh).flat_map(|(_, (_, told))| told.jobs.clone());
-        let mut out = Vec::new();
-        for l in self.lending(now, wall).jobs.into_iter().chain(others) {
-            for t in l.tasks {
+    /// Replicas without a place that a job's quota allows.
+    fn replicas_missing(&self, id: &str, job: &Job, quota: &QuotaLedger) -> u32 {
+        let allowance = quota.claim(&job.spec.team, id) - self.resources_in_use(id, job);
+        let allowance = Resources { memory: i64::MAX / 4, ..allowance };
+        let allowed = allowance.count_of(job.spec.room).clamp(0, MOST_REPLICAS) as u32;
+        (job.spec.tasks - job.assignments.len() as u32).min(allowed)
+    }
+
+    fn loan_need(
+        &self,
+        id: &str,
+        job: &Job,
+        replicas: u32,
+        places: &[Place],
+        membership: &Membership,
+    ) -> Need {
+        let spec = &job.spec;
+        let counts = self.replicas_by_zone(id, job, membership);
+        let zones = if spec.one_zone && !counts.is_empty() {
+            Some(counts.keys().map(|zone| (zone.clone(), u32::MAX)).collect())
+        } else if spec.spread {
+            let half = spec.tasks.div_ceil(2);
+            let left = |zone: &String| half.saturating_sub(counts.get(zone).copied().unwrap_or(0));
+            let zones = places.iter().map(|place| &place.machine.zone);
+            Some(zones.map(|zone| (zone.clone(), left(zone))).collect())
+        } else {
+            None
+        };
+        Need {
+            team: spec.team.clone(),
+            rank: spec.priority % GUARANTEED,
+            within: job.quota_tier == QuotaTier::Within,
+            each: amount(spec.room),
+            replicas,
+            zones,
+            one_zone: spec.one_zone,
+        }
+    }
+
+    /// By zone, the replicas that a job has there, is being given there, or may still have there.
+    fn replicas_by_zone(&self, id: &str, job: &Job, membership: &Membership) -> BTreeMap<String, u32> {
+        let mut counts: BTreeMap<String, u32> = BTreeMap::new();
+        for assignment in job.assignments.values() {
+            *counts.entry(assignment.zone.clone()).or_default() += 1;
+        }
+        let zone_of = |name: &str| self.machine(name, membership).map(|machine| machine.zone.clone());
+        for loan in self.loans.all().filter(|loan| loan.job == *id && loan.state == State::Taking) {
+            *counts.entry(zone_of(&loan.machine).unwrap_or_default()).or_default() += loan.replicas;
+        }
+        for (_, start) in self.retired_starts.alive_of(id) {
+            *counts.entry(start.zone.clone()).or_default() += 1;
+        }
+        counts.retain(|_, count| *count > 0);
+        counts
+    }
+
+    /// Machines where a job's replicas may go.
+    fn machines_for_loan(&self, now: Micros, id: &str, job: &Job, places: &[Place]) -> Vec<Machine> {
+        let spec = &job.spec;
+        let avoided = self.failures.machines_avoided_by(now, id);
+        let leaving: BTreeSet<&str> = self.loans.machines_left_by(id).collect();
+        let is_usable = |place: &&Place| {
+            let name = place.machine.name.as_str();
+            place.is_allowed(spec)
+                && place.reserved_for.is_none_or(|priority| priority <= spec.priority)
+                && !avoided.contains(name)
+                && !leaving.contains(name)
+                && self.retired_starts.open_of(id).all(|(key, _)| key.machine != name)
+        };
+        let machine = |place: &Place| Machine {
+            name: place.machine.name.clone(),
+            zone: place.machine.zone.clone(),
+            free: amount(place.free),
+            image: place.machine.images.contains(&spec.image_hash),
+        };
+        places.iter().filter(is_usable).map(machine).collect()
+    }
+
+    /// Tasks, ours and peers', that may be stopped for a borrower.
+    fn tasks_to_take(&self, now: Micros, wall: Micros, membership: &Membership) -> Vec<Task> {
+        let is_valid = |(peer, said): &(&usize, &PeerLending)| {
+            now.since(said.at) < VALID_FOR && membership.members.contains(peer)
+        };
+        let peers = self.loans.peers.iter().filter(is_valid).flat_map(|(_, said)| said.lending.jobs.clone());
+        let mut tasks = Vec::new();
+        for lendable in self.lending_offer(now, wall).jobs.into_iter().chain(peers) {
+            for task in lendable.tasks {
                 // What was said before the claim was made doesn't know of it.
-                let claimed = self.loans.ledgers.values().any(|x| x.lent(&l.job, (t.index, t.attempt)));
-                out.push(Task {
-                    job: l.job.clone(),
-                    index: t.index,
-                    attempt: t.attempt,
-                    team: l.team.clone(),
-                    rank: l.rank,
+                let claimed = self.loans.is_lent(&lendable.job, task.index, task.attempt);
+                tasks.push(Task {
+                    job: lendable.job.clone(),
+                    index: task.index,
+                    attempt: task.attempt,
+                    team: lendable.team.clone(),
+                    rank: lendable.rank,
                     within: false,
-                    gang: l.gang,
-                    machine: t.machine,
-                    room: amount(l.room),
-                    lost_ms: t.lost_ms,
-                    fixed: t.fixed || claimed,
+                    gang: lendable.gang,
+                    machine: task.machine,
+                    room: amount(lendable.room),
+                    lost_ms: task.lost_ms,
+                    fixed: task.fixed || claimed,
                 });
             }
         }
-        out
+        tasks
     }
 
     /// Stops what the ledgers say: our tasks that are lent, gangs whole, and our replicas whose room goes back.
-    pub fn obey_loans(&mut self, now: Micros) {
-        if self.loans.as_of.is_none_or(|t| now.since(t) >= FRESH) {
+    pub fn enforce_loans(&mut self, now: Micros) {
+        if !self.loans.is_ledger_valid(now) {
             return;
         }
-        let open: Vec<Loan> = self.loans.all().filter(|l| l.state != State::Held).cloned().collect();
-        for l in open {
-            if l.state == State::Taking {
-                self.give(&l);
-            } else if let Some(j) = self.jobs.get_mut(&l.job) {
-                for (&idx, p) in &mut j.assignments {
-                    if p.machine == l.machine && !matches!(p.action, DesiredAction::Stop(_)) {
-                        tracing::info!(job = %l.job, task = idx, machine = %l.machine, lender = %l.lender, loan = l.id, "replica goes back");
-                        p.action = DesiredAction::Stop(j.spec.save);
-                        mark_changed(&mut self.changed_starts, &p.machine, &l.job, idx, p.attempt);
-                    }
-                }
+        let open: Vec<Loan> = self.loans.all().filter(|loan| loan.state != State::Held).cloned().collect();
+        for loan in open {
+            match loan.state {
+                State::Taking => self.stop_lent_tasks(&loan),
+                _ => self.return_replicas(&loan),
+            }
+        }
+    }
+
+    fn return_replicas(&mut self, loan: &Loan) {
+        let Some(job) = self.jobs.get_mut(&loan.job) else { return };
+        for (&index, assignment) in &mut job.assignments {
+            if assignment.machine == loan.machine && !assignment.is_stopping() {
+                tracing::info!(job = %loan.job, task = index, machine = %loan.machine, lender = %loan.lender, loan = loan.id, "replica reclaimed");
+                assignment.action = DesiredAction::Stop(job.spec.save);
+                self.delivery.mark_changed(&assignment.machine, &loan.job, index, assignment.attempt);
             }
         }
     }
 
-    fn give(&mut self, l: &Loan) {
-        let Some(j) = self.jobs.get_mut(&l.from) else { return };
+    fn stop_lent_tasks(&mut self, loan: &Loan) {
+        let Some(job) = self.jobs.get_mut(&loan.from) else { return };
         // Guards work that has come to lie within its guarantee since it was offered.
-        if !matches!(j.quota_tier, QuotaTier::Beyond | QuotaTier::Unpromised) || j.pending_outcome.is_some() {
+        if !is_lendable(job) || job.pending_outcome.is_some() {
             return;
         }
-        let grace = if j.spec.checkpoint.0 > 0 { j.spec.save } else { Micros(0) };
-        let named =
-            |idx: &u32, p: &Assignment| l.tasks.contains(&(*idx, p.attempt)) && p.machine == l.machine;
-        if j.spec.kind == JobKind::Gang {
-            if j.gang == Some(Gang::Going) && j.assignments.iter().any(|(i, p)| named(i, p)) {
-                tracing::info!(job = %l.from, machine = %l.machine, borrower = %l.job, loan = l.id, "gang stops for a loan");
-                self.stop_gang(&l.from, grace);
+        let grace = job.stop_grace();
+        let is_lent = |index: u32, assignment: &Assignment| {
+            loan.tasks.contains(&(index, assignment.attempt)) && assignment.machine == loan.machine
+        };
+        if job.spec.kind == JobKind::Gang {
+            let has_lent = job.assignments.iter().any(|(index, assignment)| is_lent(*index, assignment));
+            if job.gang == Some(GangState::Going) && has_lent {
+                tracing::info!(job = %loan.from, machine = %loan.machine, borrower = %loan.job, loan = loan.id, "gang preempted for loan");
+                self.stop_gang(&loan.from, grace);
             }
             return;
         }
-        for (&idx, p) in &mut j.assignments {
-            if named(&idx, p) && !matches!(p.action, DesiredAction::Stop(_)) {
-                tracing::info!(job = %l.from, task = idx, machine = %l.machine, borrower = %l.job, loan = l.id, "task stops for a loan");
-                p.action = DesiredAction::Stop(grace);
-                mark_changed(&mut self.changed_starts, &p.machine, &l.from, idx, p.attempt);
+        for (&index, assignment) in &mut job.assignments {
+            if is_lent(index, assignment) && !assignment.is_stopping() {
+                tracing::info!(job = %loan.from, task = index, machine = %loan.machine, borrower = %loan.job, loan = loan.id, "task preempted for loan");
+                assignment.action = DesiredAction::Stop(grace);
+                self.delivery.mark_changed(&assignment.machine, &loan.from, index, assignment.attempt);
             }
         }
     }
 
     /// How things stand with a loan, as far as we know: of our own jobs, and of machines.
-    pub fn loan_facts(&self, l: &Loan, m: &Membership) -> Facts {
-        let mut f = Facts { gone: self.gone(&l.machine, m), ..Facts::default() };
+    pub fn loan_facts(&self, loan: &Loan, membership: &Membership) -> Facts {
+        let mut facts = Facts { gone: self.is_machine_gone(&loan.machine, membership), ..Facts::default() };
         if !self.loaded {
-            return f;
+            return facts;
         }
-        if m.job_leader(&l.job) == Some(self.me) {
-            let j = self.jobs.get(&l.job);
-            f.live = Some(j.is_some_and(|j| j.pending_outcome.is_none()));
-            // After a takeover not all replicas are known at first.
-            if let Some(j) = j.filter(|j| j.settled()) {
-                f.there = Some(j.assignments.values().filter(|p| p.machine == l.machine).count() as u32);
-                f.missing = Some(j.spec.tasks - j.assignments.len() as u32);
+        if membership.job_leader(&loan.job) == Some(self.me) {
+            let job = self.jobs.get(&loan.job);
+            facts.live = Some(job.is_some_and(|job| job.pending_outcome.is_none()));
+            // After a failover not all replicas are known at first.
+            if let Some(job) = job.filter(|job| job.has_known_starts()) {
+                facts.there = Some(replicas_on(job, &loan.machine));
+                facts.missing = Some(job.spec.tasks - job.assignments.len() as u32);
             }
         }
-        if m.job_leader(&l.from) == Some(self.me) {
-            f.refused = self.jobs.get(&l.from).is_some_and(|j| {
-                let safe = matches!(j.quota_tier, QuotaTier::Within | QuotaTier::Unknown);
-                let named = |(idx, attempt): &(u32, u64)| {
-                    let p = j.assignments.get(idx).filter(|p| p.attempt == *attempt);
-                    p.is_some_and(|p| !matches!(p.action, DesiredAction::Stop(_)))
-                };
-                safe && l.tasks.iter().all(named)
-            });
-            f.lender_lacks = match self.jobs.get(&l.from) {
-                None => Some(false),
-                Some(j) if !j.settled() => None,
-                Some(j) => {
-                    let lacks = j.assignments.len() < (j.spec.tasks - j.done.len()) as usize;
-                    Some(j.pending_outcome.is_none() && (lacks || self.loans.short.contains_key(&l.lender)))
-                }
-            };
+        if membership.job_leader(&loan.from) == Some(self.me) {
+            facts.refused = self.jobs.get(&loan.from).is_some_and(|job| is_refused(job, loan));
+            facts.lender_lacks = self.lender_lacks(loan);
+        }
+        facts
+    }
+
+    /// Whether the lender's job, or its team, lacks room; None if not all its starts are known.
+    fn lender_lacks(&self, loan: &Loan) -> Option<bool> {
+        let Some(job) = self.jobs.get(&loan.from) else { return Some(false) };
+        if !job.has_known_starts() {
+            return None;
         }
-        f
+        let lacks = job.assignments.len() < job.unfinished_tasks() as usize;
+        let lacks = lacks || self.loans.short.contains_key(&loan.lender);
+        Some(job.pending_outcome.is_none() && lacks)
     }
 
     /// Loans of our services that are to be given back, since the lender is within its guarantee and short.
     pub fn loans_due(
         &self,
         now: Micros,
-        wall_clock: Micros,
+        wall: Micros,
         team: &str,
         ledger: &Ledger,
-        m: &Membership,
-        teams: &QuotaLedger,
+        membership: &Membership,
+        quota: &QuotaLedger,
     ) -> Vec<u64> {
         let Some(terms) = &self.loans.terms else { return Vec::new() };
-        let fresh = self.loans.others.values().filter(|(t, _)| now.since(*t) < WORD);
-        let others = fresh.flat_map(|(_, told)| told.lacks.iter().cloned());
-        let ours = self.loans.short.iter().map(|(t, (r, since))| (t.clone(), *r, now.since(*since)));
-        let mut lacks: BTreeMap<String, Shortfall> = BTreeMap::new();
-        for (team, room, age) in ours.chain(others) {
-            let since_us = wall.0.saturating_sub(age.0);
-            let l = lacks.entry(team).or_insert(Shortfall { room: Amount::default(), since_us });
-            l.room = l.room + amount(room);
-            l.since_us = l.since_us.min(since_us);
-        }
+        let lacks = self.lacks_of_all(now, wall);
         if lacks.is_empty() {
             return Vec::new();
         }
-        let (used, guarantee) = (teams.used(team).gpus, self.guarantees.get(team).map_or(0, |g| g.gpus));
-        let stands = |job: &str, machine: &str| match self
-            .jobs
-            .get(job)
-            .filter(|_| m.job_leader(job) == Some(self.me))
-        {
-            Some(j) => LoanStanding {
-                replicas: j.assignments.values().filter(|p| p.machine == machine).count() as u32,
-                each: j.spec.room.gpus,
-                within: j.quota_tier == QuotaTier::Within,
+        let guarantee = self.guarantees.get(team).map_or(0, |guarantee| guarantee.gpus);
+        let borrower = Borrower { used: quota.used(team).gpus, guarantee };
+        let is_ours = |id: &str| membership.job_leader(id) == Some(self.me);
+        let standing = |id: &str, machine: &str| match self.jobs.get(id).filter(|_| is_ours(id)) {
+            Some(job) => LoanStanding {
+                replicas: replicas_on(job, machine),
+                each: job.spec.room.gpus,
+                within: job.quota_tier == QuotaTier::Within,
             },
-            // Another owner decides about it.
+            // Another leader decides about it.
             None => LoanStanding { within: true, ..LoanStanding::default() },
         };
         let terms = Terms { stay_us: terms.stay.0, burst_us: terms.burst.0 };
-        give_back(wall.0, terms, ledger, Borrower { used, guarantee }, &lacks, stands)
+        give_back(wall.0, terms, ledger, borrower, &lacks, standing)
     }
+
+    /// By team, what work within its guarantee lacks, by our jobs and peers'.
+    fn lacks_of_all(&self, now: Micros, wall: Micros) -> BTreeMap<String, Shortfall> {
+        let valid = self.loans.peers.values().filter(|said| now.since(said.at) < VALID_FOR);
+        let peers = valid.flat_map(|said| said.lending.lacks.iter().cloned());
+        let ours = self.loans.short.iter();
+        let ours = ours.map(|(team, short)| (team.clone(), short.room, now.since(short.since)));
+        let mut lacks: BTreeMap<String, Shortfall> = BTreeMap::new();
+        for (team, room, age) in ours.chain(peers) {
+            let since_us = wall.0.saturating_sub(age.0);
+            let sum = lacks.entry(team).or_insert(Shortfall { room: Amount::default(), since_us });
+            sum.room = sum.room + amount(room);
+            sum.since_us = sum.since_us.min(since_us);
+        }
+        lacks
+    }
+}
+
+fn replicas_on(job: &Job, machine: &str) -> u32 {
+    job.assignments.values().filter(|assignment| assignment.machine == machine).count() as u32
+}
+
+/// Whether tasks that a loan names go on, since they have come to lie within their team's guarantee.
+fn is_refused(job: &Job, loan: &Loan) -> bool {
+    let goes_on = |(index, attempt): &(u32, u64)| {
+        let assignment = job.assignments.get(index);
+        assignment.is_some_and(|assignment| assignment.attempt == *attempt && !assignment.is_stopping())
+    };
+    !is_lendable(job) && loan.tasks.iter().all(goes_on)
 }
--- a/src/job_shard/outcomes.rs
+++ b/src/job_shard/outcomes.rs
@@ -1,8 +1,12 @@
 //! How jobs end, and what is remembered of those that have.
 
-use super::*;
+use super::JobShard;
+use super::retired_starts::Retirement;
+use crate::peer::DesiredAction;
+use crate::spec::JobKind;
+use std::collections::{BTreeMap, VecDeque};
 
-/// Finals kept in memory; older ones are read from the store.
+/// Outcomes kept in memory; older ones are read from the store.
 const REMEMBERED_OUTCOMES: usize = 2000;
 
 /// How a job ended.
@@ -14,68 +18,90 @@
     Cancelled,
 }
 
-impl JobShard {
-    /// The end of a job, if it is remembered.
-    pub fn final_of(&self, id: &str) -> Option<(JobOutcome, u32)> {
-        self.outcomes.get(id).copied()
+/// The outcomes that were last put on record or read.
+#[derive(Debug, Default)]
+pub(super) struct RememberedOutcomes {
+    /// By job, with the number of completed tasks.
+    by_job: BTreeMap<String, (JobOutcome, u32)>,
+    /// The oldest first.
+    order: VecDeque<String>,
+}
+
+impl RememberedOutcomes {
+    pub(super) fn contains(&self, id: &str) -> bool {
+        self.by_job.contains_key(id)
     }
-    /// Remembers the end of a job that the store has on record.
-    pub fn remember_final(&mut self, id: &str, f: JobOutcome, done: u32) {
-        if self.outcomes.insert(id.into(), (f, done)).is_none() {
-            self.outcome_order.push_back(id.into());
-            if self.outcome_order.len() > REMEMBERED_OUTCOMES
-                && let Some(old) = self.outcome_order.pop_front()
+
+    pub(super) fn clear(&mut self) {
+        self.by_job.clear();
+        self.order.clear();
+    }
+
+    fn insert(&mut self, id: &str, outcome: JobOutcome, done: u32) {
+        if self.by_job.insert(id.into(), (outcome, done)).is_none() {
+            self.order.push_back(id.into());
+            if self.order.len() > REMEMBERED_OUTCOMES
+                && let Some(old) = self.order.pop_front()
             {
-                self.outcomes.remove(&old);
+                self.by_job.remove(&old);
             }
         }
     }
+}
 
-    /// The job's end is on record: it is live no more, and what it left behind is cleared away.
-    pub fn ended(&mut self, id: &str, f: JobOutcome) {
+impl JobShard {
+    /// How a job ended and how many of its tasks had completed, if that is remembered.
+    pub fn outcome_of(&self, id: &str) -> Option<(JobOutcome, u32)> {
+        self.outcomes.by_job.get(id).copied()
+    }
+
+    /// Remembers the outcome of a job that the store has on record.
+    pub fn remember_outcome(&mut self, id: &str, outcome: JobOutcome, done: u32) {
+        self.outcomes.insert(id, outcome, done);
+    }
+
+    /// The job's end is on record: it is live no more, and its starts are cleared away. Called twice, it does nothing
+    /// the second time.
+    pub fn end_job(&mut self, id: &str, outcome: JobOutcome) {
         // Whoever waits for it must hear even if it was not ours any more: the store has its end.
-        self.prerequisite_ended(id, f);
-        let Some(j) = self.jobs.remove(id) else { return };
+        self.apply_prerequisite_end(id, outcome);
+        let Some(job) = self.jobs.remove(id) else { return };
         self.start_replication.jobs_changed = true;
-        self.end_queue.ended(id, &j);
-        self.forget_waiting(id, &j);
+        self.end_queue.remove(id, &job);
+        self.forget_prerequisites(id, &job);
         self.failures.forget(id);
-        tracing::info!(job = id, end = ?f, tasks = j.spec.tasks, "job ended");
-        self.remember_final(id, f, j.done.len());
-        for (idx, p) in j.assignments {
-            self.unindex(&p.machine, id, idx);
-            self.leave(id, idx, &p, j.spec.room, DesiredAction::Stop(Micros(0)), true, false);
+        tracing::info!(job = id, end = ?outcome, tasks = job.spec.tasks, "job ended");
+        self.remember_outcome(id, outcome, job.done.len());
+        for (index, assignment) in job.assignments {
+            self.unindex_assignment(&assignment.machine, id, index);
+            self.retire_start(id, index, &assignment, Retirement::stopped(job.spec.room));
         }
-        let left = self.retired_starts.range_mut((id.to_owned(), 0, String::new(), 0)..);
-        for ((job, idx, machine, attempt), l) in left {
-            if job != id {
-                break;
-            }
-            if !l.alive && l.action != DesiredAction::Forget {
-                l.action = DesiredAction::Forget;
-                mark_changed(&mut self.changed_starts, machine, job, *idx, *attempt);
+        for (key, start) in self.retired_starts.of_job_mut(id) {
+            if !start.alive && start.action != DesiredAction::Forget {
+                start.action = DesiredAction::Forget;
+                self.delivery.mark_changed(&key.machine, &key.job, key.index, key.attempt);
             }
         }
         self.replan = true;
     }
 
     /// A task has completed. A gang completes as a whole. Replicas of a service never do.
-    pub(super) fn complete(&mut self, id: &str, idx: u32) {
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        match j.spec.kind {
+    pub(super) fn complete_task(&mut self, id: &str, index: u32) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        match job.spec.kind {
             JobKind::Array => {
-                if idx < j.spec.tasks {
-                    j.done.insert(idx);
+                if index < job.spec.tasks {
+                    job.done.insert(index);
                 }
             }
             JobKind::Gang => {
-                for i in 0..j.spec.tasks {
-                    j.done.insert(i);
+                for index in 0..job.spec.tasks {
+                    job.done.insert(index);
                 }
             }
             JobKind::Service => {}
         }
-        self.end_queue.changed(id);
+        self.end_queue.mark_changed(id);
         self.replan = true;
     }
 }
--- a/src/job_shard/preemption.rs
+++ b/src/job_shard/preemption.rs
@@ -1,30 +1,65 @@
-//! Room that has to be made: what is stopped for whom, what is left free for guarantees, what saves in time.
+//! Room that has to be made: tasks preempted for waiting work, room left free for guarantees, borrowed room reclaimed, and
+//! tasks that save before the cloud takes their machine.
 
-use super::*;
+use super::JobShard;
+use super::gang::GangState;
+use super::job::Job;
+use crate::membership::Membership;
+use crate::peer::{Reservation, TaskPhase};
 use crate::quota::QuotaLedger;
 use crate::quota::tier::{self, QuotaTier};
 use crate::scheduler::placement::Place;
+use crate::spec::{GUARANTEED, JobKind, JobSpec};
+use crate::units::{Micros, Resources};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// One part of a room.
-type Part = fn(Resources) -> i64;
+/// One dimension of resources.
+type Dimension = fn(Resources) -> i64;
 
-/// Machines on which room is asked back at a time.
-const RECLAIMED: usize = 60;
-
-/// How long that may take until the room is free: borrowed work that never saves is stopped last.
+/// The most machines on which room is reclaimed in one pass.
+const RECLAIMED_MACHINES: usize = 60;
+/// How long a machine on which room is reclaimed stays the first choice: borrowed work that never saves is stopped last.
 const RECLAIM_TIME: Micros = Micros::from_millis(35_000);
-/// How often it is looked again which jobs lie within their team's guarantee.
-const JUDGED: Micros = Micros::from_millis(500);
-/// How long a machine may go unnamed without its being asked for anew.
-const UNNAMED: Micros = Micros::from_millis(3_000);
+/// How often it is decided anew which jobs lie within their team's guarantee.
+const TIER_REFRESH_EVERY: Micros = Micros::from_millis(500);
+/// How long a machine may go unnamed before a request for it counts as new.
+const REQUEST_GAP: Micros = Micros::from_millis(3_000);
+/// Pause between two preemptions on a machine: its status must have caught up with the first.
+const PREEMPTION_PAUSE: Micros = Micros::from_millis(1_500);
+/// How long work within its guarantee waits before room is reclaimed where all teams have guarantees.
+const RECLAIM_DELAY: Micros = Micros::from_millis(5_000);
 
-/// How jobs stand to their teams' guarantees, and since when which machine has been asked for.
+/// Since when room is requested on which machine.
 #[derive(Debug, Default)]
 pub(super) struct PreemptionRequests {
-    next_judged: Micros,
-    /// Machines on which we asked for room in the last pass.
-    ours: Vec<String>,
-    since: BTreeMap<String, (Micros, Micros)>,
+    next_tier_refresh: Micros,
+    /// Machines on which the last pass reclaimed room.
+    reclaimed: Vec<String>,
+    /// Requests of work within a guarantee, by machine.
+    standing: BTreeMap<String, StandingRequest>,
+}
+
+/// A request that is repeated until the room is there.
+#[derive(Clone, Copy, Debug)]
+struct StandingRequest {
+    since: Micros,
+    last_named: Micros,
+}
+
+impl PreemptionRequests {
+    /// Notes the requests of this pass.
+    fn note(&mut self, now: Micros, requests: &[Reservation]) {
+        self.standing.retain(|_, request| now.since(request.last_named) < REQUEST_GAP);
+        for request in requests.iter().filter(|request| request.priority >= GUARANTEED) {
+            let new = StandingRequest { since: now, last_named: now };
+            self.standing.entry(request.machine.clone()).or_insert(new).last_named = now;
+        }
+    }
+
+    /// How long work within a guarantee has requested room on a machine.
+    fn age(&self, now: Micros, machine: &str) -> Micros {
+        self.standing.get(machine).map_or(Micros(0), |request| now.since(request.since))
+    }
 }
 
 /// Work within a guarantee that finds no room.
@@ -33,11 +68,11 @@
     pub(super) count: u32,
 }
 
-/// How long work within a guarantee waits before it asks for room: not at all where some work has no guarantee, else
-/// until what ends by itself would have made room.
-pub(super) fn short_after(teams: &QuotaLedger) -> Micros {
-    let all = teams.names().iter().all(|t| teams.guaranteed(t));
-    Micros::from_millis(if all { 5_000 } else { 0 })
+/// How long work within a guarantee waits before borrowed room is reclaimed for it: not at all where some work has no
+/// guarantee, else until what ends by itself would have made room.
+pub(super) fn reclaim_delay(quota: &QuotaLedger) -> Micros {
+    let all_guaranteed = quota.names().iter().all(|team| quota.guaranteed(team));
+    if all_guaranteed { RECLAIM_DELAY } else { Micros(0) }
 }
 
 /// Room to keep free for guarantees that add up to `all`, while `used` is in use (thousandths of a
@@ -47,27 +82,27 @@
 }
 
 impl JobShard {
-    /// Sees which of our jobs lie within their team's guarantee. Others are told what is borrowed by the priority
-    /// that its tasks are shown with.
-    pub(super) fn judge(&mut self, now: Micros, teams: &QuotaLedger) {
+    /// Decides which of our jobs lie within their team's guarantee. Machines' leaders hear of a change by the priority
+    /// that the job's tasks are shown with.
+    pub(super) fn refresh_quota_tiers(&mut self, now: Micros, quota: &QuotaLedger) {
         if self.guarantees.is_empty() {
             return;
         }
-        let all = now >= self.preemption_requests.next_judged;
+        let all = now >= self.preemption_requests.next_tier_refresh;
         if all {
-            self.preemption_requests.next_judged = now + JUDGED;
+            self.preemption_requests.next_tier_refresh = now + TIER_REFRESH_EVERY;
         }
-        for (id, j) in &mut self.jobs {
-            if !(all || j.quota_tier == QuotaTier::Unknown) || !self.guarantees.contains_key(&j.spec.team) {
+        for (id, job) in &mut self.jobs {
+            if !(all || job.quota_tier == QuotaTier::Unknown) || !self.guarantees.contains_key(&job.spec.team)
+            {
                 continue;
             }
-            let left = i64::from(j.spec.tasks - j.done.len());
-            let need = Resources { memory: 0, ..j.spec.room.times(left) };
-            let was =
-                std::mem::replace(&mut j.quota_tier, teams.footing(&j.spec.team, id, j.accepted_wall, need));
-            if tier::shown(j.spec.priority, was) != tier::shown(j.spec.priority, j.quota_tier) {
-                for (&idx, p) in &j.assignments {
-                    mark_changed(&mut self.changed_starts, &p.machine, id, idx, p.attempt);
+            let need = Resources { memory: 0, ..job.spec.room.times(i64::from(job.unfinished_tasks())) };
+            let shown_before = tier::shown(job.spec.priority, job.quota_tier);
+            job.quota_tier = quota.footing(&job.spec.team, id, job.accepted_wall, need);
+            if shown_before != tier::shown(job.spec.priority, job.quota_tier) {
+                for (&index, assignment) in &job.assignments {
+                    self.delivery.mark_changed(&assignment.machine, id, index, assignment.attempt);
                 }
             }
         }
@@ -75,190 +110,211 @@
 
     /// Machines on which room is being made for work within a guarantee: what is borrowed is not placed there, or it
     /// would take the room that it was stopped for.
-    pub(super) fn promised(&self, now: Micros) -> BTreeSet<String> {
-        let asked = self.foreign(now).filter(|r| r.evict && r.priority >= GUARANTEED);
-        asked.map(|r| &r.machine).chain(&self.preemption_requests.ours).cloned().collect()
+    pub(super) fn promised_machines(&self, now: Micros) -> BTreeSet<String> {
+        let requested = self
+            .announced_reservations(now)
+            .filter(|request| request.evict && request.priority >= GUARANTEED)
+            .map(|request| &request.machine);
+        requested.chain(&self.preemption_requests.reclaimed).cloned().collect()
     }
 
-    /// Stops our tasks of lower priority where waiting work needs the room, those that have run
-    /// the shortest first, and no more than the machine's own room falls short.
-    pub(super) fn evict(&mut self, now: Micros, m: &Membership) {
-        let list: Vec<Reservation> =
-            self.foreign(now).chain(&self.reservations).filter(|r| r.evict).cloned().collect();
-        self.preemption_requests.since.retain(|_, (_, last)| now.since(*last) < UNNAMED);
-        for r in list.iter().filter(|r| r.priority >= GUARANTEED) {
-            self.preemption_requests.since.entry(r.machine.clone()).or_insert((now, now)).1 = now;
+    /// Stops what has to make room; called after each scheduling pass. Does nothing before records are loaded.
+    pub fn preempt_tasks(&mut self, now: Micros, membership: &Membership) {
+        if self.loaded {
+            self.save_before_loss(now, membership);
+            self.preempt_for_requests(now, membership);
         }
-        for r in list {
-            let stood = self.preemption_requests.since.get(&r.machine).map_or(Micros(0), |(t, _)| now.since(*t));
-            // The digest must have caught up with the last stops before there are more.
-            let pause = Micros::from_millis(1500);
-            if self.last_preemption.get(&r.machine).is_some_and(|t| now.since(*t) < pause) {
-                continue;
+    }
+
+    /// Stops our tasks of lower priority where waiting work needs the room.
+    fn preempt_for_requests(&mut self, now: Micros, membership: &Membership) {
+        let requests = self.announced_reservations(now).chain(&self.reservations);
+        let requests: Vec<Reservation> = requests.filter(|request| request.evict).cloned().collect();
+        self.preemption_requests.note(now, &requests);
+        for request in requests {
+            let last = self.last_preemption.get(&request.machine);
+            if last.is_none_or(|last| now.since(*last) >= PREEMPTION_PAUSE) {
+                self.preempt_on_machine(now, membership, &request);
             }
-            let Some(d) = self.seen(&r.machine, m) else { continue };
-            // What other owners are already stopping counts as free.
-            let mut free = d.by_priority.iter().fold(d.total, |a, (_, r)| a - *r);
-            if free.holds(r.need) {
-                continue;
+        }
+    }
+
+    /// Stops tasks on one machine, those that have run the shortest first, and no more than the machine's own room falls
+    /// short.
+    fn preempt_on_machine(&mut self, now: Micros, membership: &Membership, request: &Reservation) {
+        let Some(machine) = self.machine(&request.machine, membership) else { return };
+        // What others are already stopping counts as free.
+        let mut free = machine.by_priority.iter().fold(machine.total, |free, (_, used)| free - *used);
+        if free.holds(request.need) {
+            return;
+        }
+        self.last_preemption.insert(request.machine.clone(), now);
+        for (_, id, index) in self.preemptible_tasks(now, request) {
+            if free.holds(request.need) {
+                break;
             }
-            self.last_preemption.insert(r.machine.clone(), now);
-            let mut ours: Vec<(Micros, String, u32)> = Vec::new();
-            for (id, idx) in self.assigned_by_machine.get(&r.machine).into_iter().flatten() {
-                let Some(j) = self.jobs.get(id) else { continue };
-                let Some(p) = j.assignments.get(idx) else { continue };
-                // Where teams have guarantees the fleet is kept large, and waiting for a machine costs
-                // less than what is lost by stopping tasks that never save: of what has one, only borrowed
-                // work is stopped, and not at once.
-                let saves = j.spec.checkpoint.0 > 0;
-                if !matches!(p.action, DesiredAction::Stop(_))
-                    && tier::may_stop(j.spec.priority, j.quota_tier, saves, r.priority, stood)
-                {
-                    ours.push((p.phase_since, id.clone(), *idx));
-                }
+            let Some(job) = self.jobs.get(&id) else { continue };
+            free = free + job.spec.room;
+            let (grace, gang) = (job.stop_grace(), job.spec.kind == JobKind::Gang);
+            let priority = request.priority;
+            tracing::debug!(job = %id, task = index, machine = %request.machine, priority, "task preempted");
+            if gang {
+                self.stop_gang(&id, grace);
+            } else {
+                self.stop_task(&id, index, grace);
             }
-            ours.sort_by(|a, b| b.cmp(a));
-            for (_, id, idx) in ours {
-                if free.holds(r.need) {
-                    break;
-                }
-                let Some(j) = self.jobs.get_mut(&id) else { continue };
-                free = free + j.spec.room;
-                let grace = if j.spec.checkpoint.0 > 0 { j.spec.save } else { Micros(0) };
-                tracing::debug!(job = %id, task = idx, machine = %r.machine, priority = r.priority, "task makes room");
-                if j.spec.kind == JobKind::Gang {
-                    self.stop_gang(&id, grace);
-                } else if let Some(p) = j.assignments.get_mut(&idx) {
-                    p.action = DesiredAction::Stop(grace);
-                    mark_changed(&mut self.changed_starts, &p.machine, &id, idx, p.attempt);
-                }
+        }
+    }
+
+    /// Our tasks on a machine that may be stopped for a request, the latest to change phase first.
+    fn preemptible_tasks(&self, now: Micros, request: &Reservation) -> Vec<(Micros, String, u32)> {
+        let age = self.preemption_requests.age(now, &request.machine);
+        let mut tasks: Vec<(Micros, String, u32)> = Vec::new();
+        for (id, index) in self.assigned_by_machine.get(&request.machine).into_iter().flatten() {
+            let Some(job) = self.jobs.get(id) else { continue };
+            let Some(assignment) = job.assignments.get(index) else { continue };
+            // Where teams have guarantees the fleet is kept large, and waiting for a machine costs
+            // less than what is lost by stopping tasks that never save: of what has one, only borrowed
+            // work is stopped, and not at once.
+            if !assignment.is_stopping()
+                && tier::may_stop(job.spec.priority, job.quota_tier, job.can_save(), request.priority, age)
+            {
+                tasks.push((assignment.phase_since, id.clone(), *index));
             }
         }
+        tasks.sort_by(|a, b| b.cmp(a));
+        tasks
     }
 
     /// Leaves a part of the ordinary machines, the emptiest, to work with a guarantee: that is promised
     /// a start at once, and what others run may go on for long.
     pub(super) fn leave_headroom(&self, places: &mut [Place]) {
-        let waits = |j: &Job| {
-            j.spec.priority < GUARANTEED
-                && !j.waits()
-                && (j.assignments.len() as u32) < j.spec.tasks - j.done.len()
+        let competes = |job: &Job| {
+            job.spec.priority < GUARANTEED
+                && !job.is_waiting()
+                && (job.assignments.len() as u32) < job.unfinished_tasks()
         };
-        if self.guarantees.is_empty() || !self.jobs.values().any(waits) {
+        if self.guarantees.is_empty() || !self.jobs.values().any(competes) {
             return;
         }
         // Processors of machines with GPUs are left to work that needs those, unless there are no others.
-        let with_gpus = |p: &Place| p.machine.total.gpus > 0;
-        let plain = places.iter().any(|p| !with_gpus(p));
-        let parts: [(Part, bool); 2] = [(|r| r.cpus, !plain), (|r| r.gpus, true)];
-        for (part, gpus) in parts {
-            let of_these = |p: &&Place| with_gpus(p) == gpus;
-            let used: i64 =
-                places.iter().filter(of_these).map(|p| part(p.machine.total) - part(p.free)).sum();
-            let all: i64 = self.guarantees.values().map(|g| part(*g)).sum();
-            let mut lacking = headroom(all, used);
-            let mut at: Vec<usize> = (0..places.len())
-                .filter(|&i| !places[i].machine.spot && with_gpus(&places[i]) == gpus)
-                .collect();
-            at.sort_by_key(|&i| (std::cmp::Reverse(part(places[i].free)), &places[i].machine.name));
-            for i in at {
-                if lacking <= 0 {
-                    break;
-                }
-                lacking -= part(places[i].free).max(0);
-                places[i].kept_for = places[i].kept_for.max(Some(GUARANTEED));
-            }
+        let has_plain = places.iter().any(|place| !has_gpus(place));
+        let dimensions: [(Dimension, bool); 2] = [(|room| room.cpus, !has_plain), (|room| room.gpus, true)];
+        for (dimension, gpus) in dimensions {
+            let guaranteed: i64 = self.guarantees.values().map(|room| dimension(*room)).sum();
+            reserve_headroom(places, dimension, gpus, guaranteed);
         }
     }
 
-    /// Asks for room that is used beyond guarantees, where work within one finds none.
-    pub(super) fn reclaim(&mut self, now: Micros, places: &[Place], short: Vec<Shortfall>) {
-        // Room that was asked for takes a report or two to come free. Without a memory of that, each
+    /// Requests room that is used beyond guarantees, where work within one finds none.
+    pub(super) fn reclaim(&mut self, now: Micros, places: &[Place], shortfalls: Vec<Shortfall>) {
+        // Room that was requested takes a heartbeat or two to come free. Without a memory of that, each
         // pass would empty other machines.
-        self.reclaim_since.retain(|_, t| now.since(*t) < RECLAIM_TIME);
-        self.preemption_requests.ours.clear();
-        if short.is_empty() {
-            return;
-        }
-        let mut room = RECLAIMED;
+        self.reclaim_since.retain(|_, since| now.since(*since) < RECLAIM_TIME);
+        self.preemption_requests.reclaimed.clear();
         let mut used: BTreeSet<usize> = BTreeSet::new();
-        for s in short {
-            // Where most can be had, of what the work needs most; machines that are being emptied already go first.
-            let part = |r: Resources| if s.spec.room.gpus > 0 { r.gpus } else { r.cpus };
-            let mut at: Vec<(bool, i64, usize)> = places
-                .iter()
-                .enumerate()
-                .filter(|(i, p)| !used.contains(i) && p.allowed(&s.spec))
-                .map(|(i, p)| {
-                    let new = !self.reclaim_since.contains_key(&p.machine.name);
-                    (new, part(p.free) - part(p.free_for(GUARANTEED)), i)
-                })
-                .filter(|(new, taken, _)| !new || *taken < 0)
-                .collect();
-            at.sort_unstable();
-            let mut left = i64::from(s.count);
-            for (.., i) in at {
+        for shortfall in shortfalls {
+            let mut left = i64::from(shortfall.count);
+            for i in self.reclaimable_places(places, &used, &shortfall.spec) {
                 if left <= 0 {
                     break;
                 }
-                if room == 0 {
+                if used.len() == RECLAIMED_MACHINES {
                     return;
                 }
-                let p = &places[i];
-                let n = p.free_for(GUARANTEED).count_of(s.spec.room).min(left);
-                if n <= 0 {
+                let place = &places[i];
+                let tasks = place.free_for(GUARANTEED).count_of(shortfall.spec.room).min(left);
+                if tasks <= 0 {
                     continue;
                 }
-                room -= 1;
                 used.insert(i);
-                left -= n;
-                self.reclaim_since.entry(p.machine.name.clone()).or_insert(now);
-                self.preemption_requests.ours.push(p.machine.name.clone());
+                left -= tasks;
+                let machine = place.machine.name.clone();
+                self.reclaim_since.entry(machine.clone()).or_insert(now);
+                self.preemption_requests.reclaimed.push(machine.clone());
                 self.reservations.push(Reservation {
-                    machine: p.machine.name.clone(),
-                    priority: s.spec.priority,
-                    need: s.spec.room.times(n),
+                    machine,
+                    priority: shortfall.spec.priority,
+                    need: shortfall.spec.room.times(tasks),
                     evict: true,
                 });
             }
         }
     }
 
+    /// Places where room may be reclaimed: those that are being emptied already first, then where most can be had of what
+    /// the work needs most.
+    fn reclaimable_places(&self, places: &[Place], used: &BTreeSet<usize>, spec: &JobSpec) -> Vec<usize> {
+        let dimension = |room: Resources| if spec.room.gpus > 0 { room.gpus } else { room.cpus };
+        let mut usable: Vec<(bool, i64, usize)> = places
+            .iter()
+            .enumerate()
+            .filter(|(i, place)| !used.contains(i) && place.is_allowed(spec))
+            .map(|(i, place)| {
+                let is_new = !self.reclaim_since.contains_key(&place.machine.name);
+                (is_new, dimension(place.free) - dimension(place.free_for(GUARANTEED)), i)
+            })
+            .filter(|(is_new, gain, _)| !is_new || *gain < 0)
+            .collect();
+        usable.sort_unstable();
+        usable.into_iter().map(|(.., i)| i).collect()
+    }
+
     /// Stops tasks that can save on machines that the cloud is about to take, so that their progress
     /// is not lost. Tasks that never save may as well go on: some end in time.
-    pub(super) fn save_before_loss(&mut self, now: Micros, m: &Membership) {
-        let ending: Vec<(String, Micros)> =
-            self.machines(m.epoch).filter_map(|d| Some((d.name.clone(), d.notice_at?.since(now)))).collect();
-        for (name, left) in ending {
-            let on: Vec<(String, u32)> = self.assigned_by_machine.get(&name).into_iter().flatten().cloned().collect();
-            for (id, idx) in on {
-                let Some(j) = self.jobs.get_mut(&id) else { continue };
-                let save = j.spec.save;
-                if j.spec.checkpoint.0 == 0 || left < save {
-                    continue;
-                }
-                if j.spec.kind == JobKind::Gang {
-                    if j.gang != Some(Gang::Ending) {
-                        tracing::info!(job = %id, machine = %name, reason = "notice", "gang saves and stops");
-                        self.stop_gang(&id, save);
-                    }
-                } else if let Some(p) = j.assignments.get_mut(&idx)
-                    && p.phase == Some(TaskPhase::Running)
-                    && !matches!(p.action, DesiredAction::Stop(_))
-                {
-                    tracing::info!(job = %id, task = idx, machine = %name, reason = "notice", "task saves and stops");
-                    p.action = DesiredAction::Stop(save);
-                    mark_changed(&mut self.changed_starts, &p.machine, &id, idx, p.attempt);
-                }
+    fn save_before_loss(&mut self, now: Micros, membership: &Membership) {
+        let noticed: Vec<(String, Micros)> = self
+            .machines(membership.epoch)
+            .filter_map(|machine| Some((machine.name.clone(), machine.notice_at?.since(now))))
+            .collect();
+        for (machine, left) in noticed {
+            let tasks = self.assigned_by_machine.get(&machine).cloned().unwrap_or_default();
+            for (id, index) in tasks {
+                self.save_task(&machine, &id, index, left);
             }
         }
     }
 
-    /// Stops what has to make room; called after placing.
-    pub fn make_room(&mut self, now: Micros, m: &Membership) {
-        if self.loaded {
-            self.save_before_loss(now, m);
-            self.evict(now, m);
+    /// Has one task save and stop, with the rest of its gang, if it can in the time left.
+    fn save_task(&mut self, machine: &str, id: &str, index: u32, left: Micros) {
+        let Some(job) = self.jobs.get(id) else { return };
+        let save = job.spec.save;
+        if !job.can_save() || left < save {
+            return;
+        }
+        if job.spec.kind == JobKind::Gang {
+            if job.gang != Some(GangState::Ending) {
+                tracing::info!(job = id, machine, reason = "notice", "gang saves and stops");
+                self.stop_gang(id, save);
+            }
+        } else if let Some(assignment) = job.assignments.get(&index)
+            && assignment.phase == Some(TaskPhase::Running)
+            && !assignment.is_stopping()
+        {
+            tracing::info!(job = id, task = index, machine, reason = "notice", "task saves and stops");
+            self.stop_task(id, index, save);
+        }
+    }
+}
+
+fn has_gpus(place: &Place) -> bool {
+    place.machine.total.gpus > 0
+}
+
+/// Leaves the emptiest ordinary machines, with GPUs or without, to work with a guarantee until the headroom for
+/// `guaranteed` is covered.
+fn reserve_headroom(places: &mut [Place], dimension: Dimension, gpus: bool, guaranteed: i64) {
+    let used = places.iter().filter(|place| has_gpus(place) == gpus);
+    let used: i64 = used.map(|place| dimension(place.machine.total) - dimension(place.free)).sum();
+    let mut lacking = headroom(guaranteed, used);
+    let mut ordinary: Vec<usize> =
+        (0..places.len()).filter(|&i| !places[i].machine.spot && has_gpus(&places[i]) == gpus).collect();
+    ordinary.sort_by_key(|&i| (std::cmp::Reverse(dimension(places[i].free)), &places[i].machine.name));
+    for i in ordinary {
+        if lacking <= 0 {
+            break;
         }
+        lacking -= dimension(places[i].free).max(0);
+        places[i].reserved_for = places[i].reserved_for.max(Some(GUARANTEED));
     }
 }
--- /dev/null
+++ b/src/job_shard/quota_needs.rs
@@ -0,0 +1,79 @@
+//! What jobs need of their teams' quotas.
+
+use super::JobShard;
+use super::job::Job;
+use crate::quota::{Need, QuotaLedger};
+use crate::spec::JobKind;
+use crate::units::Resources;
+use std::collections::BTreeMap;
+
+/// Priority of a need that goes before all others of its team.
+const FIRST: u8 = u8::MAX;
+
+impl JobShard {
+    /// What our jobs need of their teams, per team in the order in which they should get it.
+    pub fn quota_needs(&self, quota: &QuotaLedger) -> BTreeMap<String, Vec<Need>> {
+        let mut needs: BTreeMap<String, Vec<Need>> = BTreeMap::new();
+        for id in self.queue_order() {
+            if let Some(job) = self.jobs.get(&id)
+                && quota.limited(&job.spec.team)
+            {
+                self.add_need(needs.entry(job.spec.team.clone()).or_default(), &id, job);
+            }
+        }
+        // Jobs that are to end, or that wait for others, get no more, but keep what they use. What that is must
+        // be known first: a claim that shrinks while a machine is unheard would make room for others too soon.
+        // One that waits uses nothing, but an old controller may have claimed room for it: left to it, that
+        // would be missing to the very job that it waits for.
+        let keeps = |job: &Job| {
+            (job.pending_outcome.is_some() || job.is_waiting())
+                && job.has_known_starts()
+                && quota.limited(&job.spec.team)
+        };
+        for (id, job) in self.jobs.iter().filter(|(_, job)| keeps(job)) {
+            let need = Need { more: 0, whole: true, priority: 0, ..self.need_of(id, job) };
+            needs.entry(job.spec.team.clone()).or_default().push(need);
+        }
+        needs
+    }
+
+    /// Adds a queued job's need to its team's.
+    ///
+    /// One array of each team that should have begun asks for a first task before all others: claims of gangs
+    /// that wait for machines would leave it nothing for as long as gangs come. More would keep the gangs out.
+    fn add_need(&self, team: &mut Vec<Need>, id: &str, job: &Job) {
+        let need = self.need_of(id, job);
+        // One whose starts are not all known may have begun long ago.
+        let goes_first = job.spec.kind == JobKind::Array
+            && job.has_known_starts()
+            && self.is_overdue_to_begin(job)
+            && !self.failures.is_job_quarantined(id)
+            && team.first().is_none_or(|need| need.priority < FIRST);
+        if goes_first {
+            let left = job.spec.tasks.saturating_sub(job.done.len()).min(1) as usize;
+            let more = left.saturating_sub(job.assignments.len()) as i64;
+            team.insert(0, Need { more, priority: FIRST, ..need });
+        } else {
+            team.push(need);
+        }
+    }
+
+    /// What a job needs beside its team's other jobs.
+    fn need_of(&self, id: &str, job: &Job) -> Need {
+        let is_array = job.spec.kind == JobKind::Array;
+        let left = job.spec.tasks.saturating_sub(job.done.len()) as usize;
+        Need {
+            in_use: self.resources_in_use(id, job),
+            one: Resources { memory: 0, ..job.spec.room },
+            more: match self.failures.is_job_quarantined(id) && is_array {
+                true => i64::from(job.assignments.is_empty()),
+                false => left.saturating_sub(job.assignments.len()) as i64,
+            },
+            whole: !is_array,
+            settled: job.has_known_starts(),
+            priority: job.spec.priority,
+            accepted: job.accepted_wall,
+            job: id.to_owned(),
+        }
+    }
+}
