--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -1,57 +1,152 @@
-//! What an owner and the homes tell one another: wishes out, digests in, and what follows for tasks.
+//! Reconciliation of what our jobs want with what the leaders of machines report: desired state out, machine status in,
+//! and what follows for tasks.
 
-use super::scheduling_pass::note_run;
-use super::*;
-use crate::peer::{DesiredState, DesiredTask, InventoryState, MachineStatusDelta, ObservedTask, TaskExit};
+use super::JobShard;
+use super::assignments::{Assignment, MachineStart, UNSENT};
+use super::gang::GangState;
+use super::job::Job;
+use super::retired_starts::{RetiredStartKey, Retirement};
+use crate::machine_view::{MachineSnapshot, MachineView};
+use crate::membership::Membership;
+use crate::peer::{
+    DesiredAction, DesiredState, DesiredTask, InventoryState, MachineStatusDelta, ObservedTask, TaskExit,
+    TaskKey, TaskPhase,
+};
 use crate::quota::tier;
+use crate::spec::JobKind;
+use crate::units::Micros;
+use std::collections::BTreeSet;
 
-impl JobShard {
-    /// Whether a home is to hear something new.
-    pub fn has_news(&mut self, home: usize, m: &Membership) -> bool {
-        for key in std::mem::take(&mut self.changed_starts) {
-            if let Some(h) = m.machine_leader(&key.0) {
-                if h == self.me {
-                    self.start_replication.changed_starts.insert(key.clone());
-                }
-                self.unacknowledged[h].insert(key, UNSENT);
-                self.has_changes[h] = true;
-            }
+/// Pause of a job after a task that could not be run: it must not spin.
+const ERROR_PAUSE: Micros = Micros::from_millis(1_000);
+/// Pause of a job after a machine had no room for a task.
+const NO_ROOM_PAUSE: Micros = Micros::from_millis(500);
+/// Pause of a job after a machine's leader refused a start.
+const REFUSED_PAUSE: Micros = Micros::from_millis(200);
+
+/// One machine as its leader reports it.
+struct MachineReport<'a> {
+    name: &'a str,
+    /// None if the leader doesn't name it.
+    snapshot: Option<&'a MachineSnapshot>,
+    /// A leader that has read the records names every machine that was ever given a task; one
+    /// that it doesn't name is gone.
+    inventory: InventoryState,
+    tasks: &'a [ObservedTask],
+    /// Our latest message that the leader had seen.
+    seen_revision: u64,
+}
+
+/// What a report says of an assignment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum AssignmentChange {
+    Phase(TaskPhase),
+    Lost(LossReason),
+}
+
+/// Why a start is certainly not on its machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum LossReason {
+    MachineGone,
+    NoLongerThere,
+    Refused,
+}
+
+impl LossReason {
+    fn text(self) -> &'static str {
+        match self {
+            LossReason::MachineGone => "machine gone",
+            LossReason::NoLongerThere => "no longer there",
+            LossReason::Refused => "refused",
         }
-        self.has_changes[home]
     }
+}
 
-    /// What one home is to hear: all that changed since the last message that it says it has seen.
-    pub fn wanted(&mut self, home: usize, m: &Membership) -> DesiredState {
-        self.has_news(home, m);
-        let rev = self.revisions[home] + 1;
-        self.revisions[home] = rev;
-        self.has_changes[home] = false;
-        let seen = self.views[home].rev_seen(m.epoch);
-        let since = if seen > m.epoch << 32 { seen } else { 0 };
-        let mut out = DesiredState { rev, since, ..DesiredState::default() };
-        let mut first = Vec::new();
-        let mut unacked = std::mem::take(&mut self.unacknowledged[home]);
-        unacked.retain(|_, r| *r > since);
-        for ((machine, key), at) in &mut unacked {
-            if *at == UNSENT {
-                *at = rev;
-                first.push(machine.clone());
+impl<'a> MachineReport<'a> {
+    fn new(view: &'a MachineView, epoch: u64, name: &'a str) -> MachineReport<'a> {
+        let snapshot = view.machines(epoch).and_then(|machines| machines.get(name));
+        MachineReport {
+            name,
+            snapshot,
+            inventory: snapshot.map_or(InventoryState::Gone, |machine| machine.standing),
+            tasks: snapshot.map_or(&[], |machine| &machine.tasks),
+            seen_revision: view.rev_seen(epoch),
+        }
+    }
+
+    /// The phase of a start, if the machine has it.
+    fn phase_of(&self, job: &str, index: u32, attempt: u64) -> Option<TaskPhase> {
+        let is_it = |observed: &&ObservedTask| {
+            observed.key.index == index && observed.key.attempt == attempt && observed.key.job == job
+        };
+        self.tasks.iter().find(is_it).map(|observed| observed.phase)
+    }
+
+    /// Whether a start that the machine doesn't list is certainly not there, and never will be: `first_revision` is the
+    /// first message that named it.
+    fn excludes(&self, first_revision: u64) -> bool {
+        match self.inventory {
+            InventoryState::Gone => true,
+            InventoryState::Known => first_revision <= self.seen_revision,
+            _ => false,
+        }
+    }
+
+    /// What is new of an assignment.
+    fn change_of(&self, id: &str, index: u32, assignment: &Assignment) -> Option<AssignmentChange> {
+        if let Some(phase) = self.phase_of(id, index, assignment.attempt) {
+            return (assignment.phase != Some(phase)).then_some(AssignmentChange::Phase(phase));
+        }
+        if !self.excludes(assignment.first_revision) {
+            return None;
+        }
+        let was_there = assignment.phase.is_some_and(|phase| phase != TaskPhase::Held);
+        Some(AssignmentChange::Lost(match (self.inventory, was_there) {
+            (InventoryState::Gone, _) => LossReason::MachineGone,
+            (_, true) => LossReason::NoLongerThere,
+            (_, false) => LossReason::Refused,
+        }))
+    }
+}
+
+impl JobShard {
+    /// Whether a leader of machines is to hear something new.
+    pub fn has_changes_for(&mut self, leader: usize, membership: &Membership) -> bool {
+        let own = self.delivery.sort_changes(membership, self.me);
+        self.start_replication.changed.extend(own);
+        self.delivery.has_changes(leader)
+    }
+
+    /// The next message to a leader of machines: all that changed since the last one that it says it has seen.
+    pub fn next_desired_state(&mut self, leader: usize, membership: &Membership) -> DesiredState {
+        self.has_changes_for(leader, membership);
+        let seen = self.views[leader].rev_seen(membership.epoch);
+        let since = if seen > membership.epoch << 32 { seen } else { 0 };
+        let (rev, changes) = self.delivery.next_message(leader, since);
+        let mut state = DesiredState { rev, since, ..DesiredState::default() };
+        let mut newly_named = Vec::new();
+        for (start, named_in) in changes {
+            if *named_in == UNSENT {
+                *named_in = rev;
+                newly_named.push(start.machine.clone());
             }
-            let left = (key.job.clone(), key.index, machine.clone(), key.attempt);
-            let job = self.jobs.get_mut(&key.job);
-            let placed = job.and_then(|j| Some((j.assignments.get_mut(&key.index)?, (&j.spec, j.quota_tier))));
-            let placed = placed.filter(|(p, _)| p.attempt == key.attempt && p.machine == *machine);
-            let (room, want, priority, image) = if let Some((p, (spec, footing))) = placed {
-                p.first_revision = p.first_revision.min(rev);
-                (spec.room, p.action, tier::shown(spec.priority, footing), spec.image_hash)
-            } else if let Some(l) = self.retired_starts.get_mut(&left) {
-                l.first_revision = l.first_revision.min(rev);
-                (l.room, l.action, l.priority, 0)
+            let MachineStart { machine, task: key } = start;
+            let retired = RetiredStartKey::new(&key.job, key.index, machine, key.attempt);
+            let (room, want, priority, image) = if let Some(job) = self.jobs.get_mut(&key.job)
+                && let Some(assignment) = job.assignments.get_mut(&key.index)
+                && assignment.is_start(machine, key.attempt)
+            {
+                assignment.first_revision = assignment.first_revision.min(rev);
+                let priority = tier::shown(job.spec.priority, job.quota_tier);
+                (job.spec.room, assignment.action, priority, job.spec.image_hash)
+            } else if let Some(retired) = self.retired_starts.get_mut(&retired) {
+                retired.first_revision = retired.first_revision.min(rev);
+                (retired.room, retired.action, retired.priority, 0)
             } else {
-                out.dropped.push((machine.clone(), key.clone()));
+                state.dropped.push((machine.clone(), key.clone()));
                 continue;
             };
-            out.list.push(DesiredTask {
+            state.list.push(DesiredTask {
                 key: key.clone(),
                 machine: machine.clone(),
                 room,
@@ -60,280 +155,312 @@
                 image,
             });
         }
-        self.unacknowledged[home] = unacked;
-        self.views[home].await_answer(rev, first);
-        out
+        self.views[leader].await_answer(rev, newly_named);
+        state
     }
 
-    /// The state of a home that we hold.
-    pub fn digest_seen(&self, home: usize, epoch: u64) -> u64 {
-        self.views.get(home).map_or(0, |v| v.seq(epoch))
+    /// The state of a leader's machines that we hold, by its sequence number.
+    pub fn applied_status_sequence(&self, leader: usize, epoch: u64) -> u64 {
+        self.views.get(leader).map_or(0, |view| view.seq(epoch))
     }
 
-    /// Takes a home's digest: the truth about our tasks on its machines. Says whether it brought
-    /// anything new.
-    pub fn digest(&mut self, now: Micros, m: &Membership, from: usize, d: MachineStatusDelta) -> bool {
-        let Some(v) = self.views.get_mut(from) else { return false };
+    /// Takes the status of a leader's machines: the truth about our tasks there. Returns whether it brought
+    /// anything new; a late or repeated one does nothing.
+    pub fn apply_machine_status(
+        &mut self,
+        now: Micros,
+        membership: &Membership,
+        from: usize,
+        delta: MachineStatusDelta,
+    ) -> bool {
+        let Some(view) = self.views.get_mut(from) else { return false };
         if !self.loaded {
             return false;
         }
-        let Some(news) = v.take(now, m.epoch, d) else { return false };
-        let mut names = news.names;
-        if news.whole {
-            let theirs = |n: &&String| m.machine_leader(n) == Some(from);
-            names.extend(self.assigned_by_machine.keys().filter(theirs).cloned());
-            names.extend(self.unconfirmed_machines.iter().filter(theirs).cloned());
-            names.extend(self.retired_by_machine.keys().filter(theirs).cloned());
+        let Some(change) = view.take(now, membership.epoch, delta) else { return false };
+        let mut names = change.names;
+        if change.whole {
+            names.extend(self.machines_with_starts_of(membership, from));
         }
         if names.is_empty() {
             return false;
         }
         let views = std::mem::take(&mut self.views);
         if let Some(view) = views.get(from) {
-            // A machine has one home, and only that one can tell about it.
-            for name in names.iter().filter(|n| m.machine_leader(n) == Some(from)) {
-                self.machine_news(now, m, view, name);
+            // A machine has one leader, and only that one can tell about it.
+            for name in names.iter().filter(|name| membership.machine_leader(name) == Some(from)) {
+                self.apply_machine_report(now, membership, &MachineReport::new(view, membership.epoch, name));
             }
         }
         self.views = views;
         if std::mem::take(&mut self.some_set_resolved) {
-            self.settle();
+            self.resolve_start_knowledge();
         }
         self.replan = true;
         true
     }
 
-    pub(super) fn machine_news(&mut self, now: Micros, m: &Membership, view: &MachineView, name: &str) {
-        let rev_seen = view.rev_seen(m.epoch);
-        // A home that has read the records names every machine that was ever given a task; one
-        // that it doesn't name is gone.
-        let seen = view.machines(m.epoch).and_then(|v| v.get(name));
-        let standing = seen.map_or(InventoryState::Gone, |d| d.standing);
-        let tasks: &[ObservedTask] = seen.map_or(&[], |d| &d.tasks);
-        let listed = |job: &str, index: u32, attempt: u64| {
-            let here =
-                |a: &&ObservedTask| a.key.index == index && a.key.attempt == attempt && a.key.job == job;
-            tasks.iter().find(here).map(|a| a.phase)
-        };
+    /// Machines of a leader that have, or may have, starts of our jobs.
+    fn machines_with_starts_of(&self, membership: &Membership, leader: usize) -> BTreeSet<String> {
+        let machines = self
+            .assigned_by_machine
+            .keys()
+            .chain(&self.unconfirmed_machines)
+            .chain(self.retired_starts.machines());
+        machines.filter(|name| membership.machine_leader(name) == Some(leader)).cloned().collect()
+    }
+
+    fn apply_machine_report(&mut self, now: Micros, membership: &Membership, report: &MachineReport) {
+        self.update_assignments(now, report);
+        self.update_retired_starts(report);
+        self.take_unknown_starts(now, membership, report);
+        if report.inventory != InventoryState::Unconfirmed {
+            self.unconfirmed_machines.remove(report.name);
+            self.some_set_resolved |= self.unresolved_sets.heard(report.name);
+        }
+    }
+
+    fn update_assignments(&mut self, now: Micros, report: &MachineReport) {
         // Most tasks are where they were: only the others are worth a copy of their names.
-        let news = |id: &str, idx: u32| {
-            let p = self.jobs.get(id)?.assignments.get(&idx)?;
-            match listed(id, idx, p.attempt) {
-                Some(phase) if p.phase == Some(phase) => None,
-                Some(phase) => Some(Ok(phase)),
-                None if standing == InventoryState::Gone => Some(Err("machine gone")),
-                None if standing == InventoryState::Known && p.first_revision <= rev_seen => {
-                    let was = p.phase.is_some_and(|x| x != TaskPhase::Held);
-                    Some(Err(if was { "no longer there" } else { "refused" }))
-                }
-                None => None,
-            }
-        };
-        let current = self.assigned_by_machine.get(name).into_iter().flatten();
-        let current: Vec<(String, u32, Result<TaskPhase, &str>)> =
-            current.filter_map(|(id, idx)| Some((id.clone(), *idx, news(id, *idx)?))).collect();
-        for (id, idx, what) in current {
-            match what {
-                Ok(phase) => self.task_news(now, &id, idx, phase),
-                Err(why) => self.lost(now, &id, idx, why),
+        let change_of =
+            |id: &str, index: u32| report.change_of(id, index, self.jobs.get(id)?.assignments.get(&index)?);
+        let assigned = self.assigned_by_machine.get(report.name).into_iter().flatten();
+        let changes: Vec<(String, u32, AssignmentChange)> =
+            assigned.filter_map(|(id, index)| Some((id.clone(), *index, change_of(id, *index)?))).collect();
+        for (id, index, change) in changes {
+            match change {
+                AssignmentChange::Phase(phase) => self.apply_phase(now, &id, index, phase),
+                AssignmentChange::Lost(reason) => self.lose_start(now, &id, index, reason),
             }
         }
+    }
+
+    fn update_retired_starts(&mut self, report: &MachineReport) {
+        let phase_of = |task: &TaskKey| report.phase_of(&task.job, task.index, task.attempt);
+        let key_of = |task: &TaskKey| RetiredStartKey::new(&task.job, task.index, report.name, task.attempt);
         // Those that ended and are still listed wait for their record, which is no news.
-        let old: Vec<(String, u32, String, u64)> = self
-            .retired_by_machine
-            .get(name)
-            .into_iter()
-            .flatten()
-            .filter(|((id, idx, attempt), alive)| match listed(id, *idx, *attempt) {
-                Some(phase) => **alive && matches!(phase, TaskPhase::Exited(_)),
+        let changed: Vec<RetiredStartKey> = self
+            .retired_starts
+            .on_machine(report.name)
+            .filter(|(task, alive)| match phase_of(task) {
+                Some(phase) => *alive && matches!(phase, TaskPhase::Exited(_)),
                 None => true,
             })
-            .map(|((id, idx, attempt), _)| (id.clone(), *idx, name.to_owned(), *attempt))
+            .map(|(task, _)| key_of(task))
             .collect();
-        for ((id, idx, attempt), alive) in self.retired_by_machine.get(name).into_iter().flatten() {
-            let key = || (id.clone(), *idx, name.to_owned(), *attempt);
-            if *alive
-                && listed(id, *idx, *attempt).is_some_and(TaskPhase::arrived)
-                && let Some(l) = self.retired_starts.get_mut(&key())
-            {
-                l.reached_agent = true;
+        let arrived = self
+            .retired_starts
+            .on_machine(report.name)
+            .filter(|(task, alive)| *alive && phase_of(task).is_some_and(TaskPhase::arrived))
+            .map(|(task, _)| key_of(task));
+        for key in arrived.collect::<Vec<_>>() {
+            if let Some(start) = self.retired_starts.get_mut(&key) {
+                start.arrived = true;
             }
         }
-        for k in old {
-            match listed(&k.0, k.1, k.3) {
-                Some(phase) => {
-                    let ended = !self.jobs.contains_key(&k.0);
-                    let durable = ended || self.jobs.get(&k.0).is_some_and(|j| j.recorded.contains(k.1));
-                    let mut finished = false;
-                    if let Some(l) = self.retired_starts.get_mut(&k)
-                        && let TaskPhase::Exited(exit) = phase
+        for key in changed {
+            match report.phase_of(&key.job, key.index, key.attempt) {
+                Some(TaskPhase::Exited(exit)) => self.end_retired_start(&key, exit),
+                Some(_) => {}
+                None => {
+                    let first_revision = self.retired_starts.get(&key).map(|start| start.first_revision);
+                    if report.inventory == InventoryState::Gone
+                        || first_revision.is_some_and(|first| report.excludes(first))
                     {
-                        if l.alive {
-                            if let Some(on) = self.retired_by_machine.get_mut(name) {
-                                on.insert((k.0.clone(), k.1, k.3), false);
-                            }
-                            l.alive = false;
-                            l.done = exit == TaskExit::Done;
-                            finished = l.done;
-                            self.replan = true;
-                        }
-                        let want =
-                            if !l.done || durable { DesiredAction::Forget } else { DesiredAction::Keep };
-                        if l.action != want {
-                            l.action = want;
-                            mark_changed(&mut self.changed_starts, name, &k.0, k.1, k.3);
-                        }
+                        self.forget_retired_start(&key);
                     }
-                    if finished {
-                        self.close_leftover(&k);
-                        self.complete(&k.0, k.1);
-                    } else if let TaskPhase::Exited(_) = phase
-                        && let Some(open) = self.open_retired_starts.get_mut(&k.0)
-                        && let Some((alive, _)) = open.get_mut(&(k.1, k.2.clone(), k.3))
-                    {
-                        *alive = false;
-                    }
-                }
-                None if standing == InventoryState::Gone
-                    || (standing == InventoryState::Known
-                        && self.retired_starts.get(&k).is_some_and(|l| l.first_revision <= rev_seen)) =>
-                {
-                    self.clear_leftover(&k);
                 }
-                None => {}
             }
         }
-        // Starts that we don't know of: taken over with the job, or left by one that has ended.
-        for a in tasks {
-            let k = &a.key;
-            let known = self
-                .jobs
-                .get(&k.job)
-                .and_then(|j| j.assignments.get(&k.index))
-                .is_some_and(|p| p.attempt == k.attempt && p.machine == name);
-            let key = (k.job.clone(), k.index, k.attempt);
-            if known || self.retired_by_machine.get(name).is_some_and(|s| s.contains_key(&key)) {
+    }
+
+    /// A retired start is seen to have ended on its machine.
+    fn end_retired_start(&mut self, key: &RetiredStartKey, exit: TaskExit) {
+        let recorded = self.is_recorded(&key.job, key.index);
+        let mut completed = false;
+        if let Some(start) = self.retired_starts.get_mut(key) {
+            let was_alive = start.alive;
+            if was_alive {
+                start.alive = false;
+                start.done = exit == TaskExit::Done;
+                completed = start.done;
+            }
+            let action = if !start.done || recorded { DesiredAction::Forget } else { DesiredAction::Keep };
+            let changes = start.action != action;
+            start.action = action;
+            if was_alive {
+                self.retired_starts.mark_ended_on_machine(key);
+                self.replan = true;
+            }
+            if changes {
+                self.delivery.mark_changed(&key.machine, &key.job, key.index, key.attempt);
+            }
+        }
+        if completed {
+            self.retired_starts.close(key);
+            self.complete_task(&key.job, key.index);
+        } else {
+            self.retired_starts.mark_ended_in_job(key);
+        }
+    }
+
+    /// Whether a task's completion needs no report any more: it is on record, or its job has ended.
+    fn is_recorded(&self, id: &str, index: u32) -> bool {
+        self.jobs.get(id).is_none_or(|job| job.recorded.contains(index))
+    }
+
+    /// Takes starts that we don't know of: adopted with the job, or left by one that has ended.
+    fn take_unknown_starts(&mut self, now: Micros, membership: &Membership, report: &MachineReport) {
+        for observed in report.tasks {
+            let key = &observed.key;
+            let assignment = self.jobs.get(&key.job).and_then(|job| job.assignments.get(&key.index));
+            if assignment.is_some_and(|assignment| assignment.is_start(report.name, key.attempt))
+                || self.retired_starts.is_on_machine(report.name, key)
+            {
                 continue;
             }
-            let p = Assignment {
-                machine: name.to_owned(),
-                zone: seen.map(|d| d.zone.clone()).unwrap_or_default(),
-                attempt: k.attempt,
+            let start = Assignment {
+                machine: report.name.to_owned(),
+                zone: report.snapshot.map(|machine| machine.zone.clone()).unwrap_or_default(),
+                attempt: key.attempt,
                 action: DesiredAction::Keep,
                 first_revision: UNSENT,
-                phase: Some(a.phase),
+                phase: Some(observed.phase),
                 phase_since: now,
                 adopted: true,
             };
-            let exited = matches!(a.phase, TaskPhase::Exited(_));
-            let adopt = self.jobs.get(&k.job).is_some_and(|j| {
-                !exited && k.index < j.spec.tasks && j.pending_outcome.is_none() && !j.done.contains(k.index) && !j.assignments.contains_key(&k.index)
-                    // Members of two attempts of one gang can't be told to run together.
-                    && (j.spec.kind != JobKind::Gang || j.assignments.values().all(|q| q.attempt == k.attempt))
-                    && !matches!(a.phase, TaskPhase::Held | TaskPhase::Queued)
-            });
-            if adopt {
-                mark_changed(&mut self.changed_starts, name, &k.job, k.index, k.attempt);
-                tracing::info!(job = %k.job, task = k.index, machine = name, epoch = m.epoch, "task taken over");
-                self.assigned_by_machine.entry(name.into()).or_default().insert((k.job.clone(), k.index));
-                if let Some(j) = self.jobs.get_mut(&k.job) {
-                    j.assignments.insert(k.index, p);
-                    if j.spec.kind == JobKind::Gang && j.gang.is_none() {
-                        j.gang = Some(Gang::Going);
-                    }
-                }
-                self.task_news(now, &k.job, k.index, a.phase);
+            if self.jobs.get(&key.job).is_some_and(|job| can_adopt(job, observed)) {
+                tracing::info!(job = %key.job, task = key.index, machine = report.name, epoch = membership.epoch, "task adopted");
+                self.adopt_start(&key.job, key.index, start);
+                self.apply_phase(now, &key.job, key.index, observed.phase);
             } else {
-                let room = self.jobs.get(&k.job).map(|j| j.spec.room).unwrap_or_default();
-                let done = a.phase == TaskPhase::Exited(TaskExit::Done);
-                let durable = self.jobs.get(&k.job).is_none_or(|j| j.recorded.contains(k.index));
-                let want = match (exited, done && !durable) {
-                    (false, _) => DesiredAction::Stop(Micros(0)),
-                    (true, true) => DesiredAction::Keep,
-                    (true, false) => DesiredAction::Forget,
-                };
-                self.leave(&k.job, k.index, &p, room, want, !exited, done);
-                if done {
-                    self.complete(&k.job, k.index);
-                }
+                self.retire_unknown_start(key, &start, observed.phase);
             }
         }
-        if standing != InventoryState::Unconfirmed {
-            self.unconfirmed_machines.remove(name);
-            self.some_set_resolved |= self.unresolved_sets.heard(name);
+    }
+
+    /// Makes a start of an earlier leader ours.
+    pub(super) fn adopt_start(&mut self, id: &str, index: u32, start: Assignment) {
+        self.delivery.mark_changed(&start.machine, id, index, start.attempt);
+        self.index_assignment(&start.machine, id, index);
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.assignments.insert(index, start);
+            if job.spec.kind == JobKind::Gang && job.gang.is_none() {
+                job.gang = Some(GangState::Going);
+            }
+        }
+    }
+
+    /// Stops a start that is not to be adopted, or has its agent forget it.
+    fn retire_unknown_start(&mut self, key: &TaskKey, start: &Assignment, phase: TaskPhase) {
+        let room = self.jobs.get(&key.job).map(|job| job.spec.room).unwrap_or_default();
+        let exited = matches!(phase, TaskPhase::Exited(_));
+        let done = phase == TaskPhase::Exited(TaskExit::Done);
+        let action = match (exited, done && !self.is_recorded(&key.job, key.index)) {
+            (false, _) => DesiredAction::Stop(Micros(0)),
+            (true, true) => DesiredAction::Keep,
+            (true, false) => DesiredAction::Forget,
+        };
+        self.retire_start(&key.job, key.index, start, Retirement { room, action, alive: !exited, done });
+        if done {
+            self.complete_task(&key.job, key.index);
         }
     }
 
-    pub(super) fn task_news(&mut self, now: Micros, id: &str, idx: u32, phase: TaskPhase) {
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        let room = j.spec.room;
-        let Some(p) = j.assignments.get_mut(&idx) else { return };
-        if !p.adopted && p.phase == Some(TaskPhase::Running) && phase == TaskPhase::Exited(TaskExit::Done)
+    /// An assigned task is in this phase on its machine.
+    fn apply_phase(&mut self, now: Micros, id: &str, index: u32, phase: TaskPhase) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(assignment) = job.assignments.get_mut(&index) else { return };
+        let ours = !assignment.adopted;
+        if ours && assignment.phase == Some(TaskPhase::Running) && phase == TaskPhase::Exited(TaskExit::Done)
         {
-            note_run(&mut self.run_times, &j.spec, now.since(p.phase_since));
+            self.run_times.record(&job.spec, now.since(assignment.phase_since));
         }
-        if p.phase.is_none() && !p.adopted {
-            self.placement_refusals.note(&p.machine, true);
+        if ours && assignment.phase.is_none() {
+            self.placement_refusals.note(&assignment.machine, true);
         }
-        if p.phase != Some(phase) {
-            p.phase_since = now;
+        if assignment.phase != Some(phase) {
+            assignment.phase_since = now;
         }
-        p.phase = Some(phase);
+        assignment.phase = Some(phase);
         if matches!(phase, TaskPhase::Fetching | TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Saving)
-            && p.action == DesiredAction::Run
+            && assignment.action == DesiredAction::Run
         {
-            p.action = DesiredAction::Keep;
+            assignment.action = DesiredAction::Keep;
         }
-        let TaskPhase::Exited(exit) = phase else { return };
-        let Some(p) = j.assignments.remove(&idx) else { return };
-        let gang = j.spec.kind == JobKind::Gang;
-        let machine = p.machine.clone();
-        if exit != TaskExit::Done {
-            match exit {
-                // A task that can't be started must not spin.
-                TaskExit::Error | TaskExit::Unknown => j.not_before = now + Micros::from_millis(1000),
-                TaskExit::NoRoom | TaskExit::Busy => j.not_before = now + Micros::from_millis(500),
-                _ => {}
-            }
-            tracing::debug!(job = id, task = idx, machine = %machine, why = ?exit, "task ended");
+        if let TaskPhase::Exited(exit) = phase {
+            self.end_task(now, id, index, exit);
+        }
+    }
+
+    /// An assigned task has ended on its machine.
+    fn end_task(&mut self, now: Micros, id: &str, index: u32, exit: TaskExit) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(assignment) = job.assignments.remove(&index) else { return };
+        let (room, gang) = (job.spec.room, job.spec.kind == JobKind::Gang);
+        let machine = assignment.machine.as_str();
+        let done = exit == TaskExit::Done;
+        match exit {
+            TaskExit::Error | TaskExit::Unknown => job.not_before = now + ERROR_PAUSE,
+            TaskExit::NoRoom | TaskExit::Busy => job.not_before = now + NO_ROOM_PAUSE,
+            _ => {}
+        }
+        if !done {
+            tracing::debug!(job = id, task = index, machine, why = ?exit, "task ended");
         }
         match exit {
-            TaskExit::Error => self.failures.error(now, id, &machine),
-            TaskExit::Done => self.failures.success(id, &machine),
+            TaskExit::Error => self.failures.note_error(now, id, machine),
+            TaskExit::Done => self.failures.note_success(id, machine),
             _ => {}
         }
-        self.unindex(&machine, id, idx);
-        let done = exit == TaskExit::Done;
-        let want = if done { DesiredAction::Keep } else { DesiredAction::Forget };
-        self.leave(id, idx, &p, room, want, false, done);
+        self.unindex_assignment(machine, id, index);
+        let action = if done { DesiredAction::Keep } else { DesiredAction::Forget };
+        self.retire_start(id, index, &assignment, Retirement { room, action, alive: false, done });
         if done {
-            self.complete(id, idx);
+            self.complete_task(id, index);
         } else if gang {
             self.end_gang(id);
         }
         self.replan = true;
     }
 
-    /// A placed start is certainly not on its machine, and never will be.
-    pub(super) fn lost(&mut self, now: Micros, id: &str, idx: u32, why: &str) {
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        let Some(p) = j.assignments.remove(&idx) else { return };
-        let gang = j.spec.kind == JobKind::Gang;
-        // What was withdrawn from a home, since its job is to end, was not refused by it.
-        if j.pending_outcome.is_some() {
-            tracing::debug!(job = id, task = idx, machine = %p.machine, reason = why, "withdrawn");
-        } else if why == "refused" {
-            j.not_before = j.not_before.max(now + Micros::from_millis(200));
-            self.placement_refusals.note(&p.machine, false);
-            tracing::debug!(job = id, task = idx, machine = %p.machine, "start refused");
+    /// An assigned start is certainly not on its machine, and never will be.
+    fn lose_start(&mut self, now: Micros, id: &str, index: u32, reason: LossReason) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(assignment) = job.assignments.remove(&index) else { return };
+        let gang = job.spec.kind == JobKind::Gang;
+        let machine = assignment.machine.as_str();
+        // What was withdrawn from a machine's leader, since its job is to end, was not refused by it.
+        if job.pending_outcome.is_some() {
+            tracing::debug!(job = id, task = index, machine, reason = reason.text(), "start withdrawn");
+        } else if reason == LossReason::Refused {
+            job.not_before = job.not_before.max(now + REFUSED_PAUSE);
+            self.placement_refusals.note(machine, false);
+            tracing::debug!(job = id, task = index, machine, "start refused");
         } else {
-            tracing::info!(job = id, task = idx, machine = %p.machine, reason = why, "task lost");
+            tracing::info!(job = id, task = index, machine, reason = reason.text(), "task lost");
         }
-        self.unindex(&p.machine, id, idx);
-        mark_changed(&mut self.changed_starts, &p.machine, id, idx, p.attempt);
+        self.unindex_assignment(machine, id, index);
+        self.delivery.mark_changed(machine, id, index, assignment.attempt);
         if gang {
             self.end_gang(id);
         }
         self.replan = true;
     }
 }
+
+/// Whether a job makes a start that it doesn't know of its own.
+fn can_adopt(job: &Job, observed: &ObservedTask) -> bool {
+    let key = &observed.key;
+    !matches!(observed.phase, TaskPhase::Exited(_) | TaskPhase::Held | TaskPhase::Queued)
+        && key.index < job.spec.tasks
+        && job.pending_outcome.is_none()
+        && !job.done.contains(key.index)
+        && !job.assignments.contains_key(&key.index)
+        && joins_gang_attempt(job, key.attempt)
+}
+
+/// Whether a start may stand beside a job's others: members of two attempts of one gang can't be told to run together.
+pub(super) fn joins_gang_attempt(job: &Job, attempt: u64) -> bool {
+    job.spec.kind != JobKind::Gang || job.assignments.values().all(|assignment| assignment.attempt == attempt)
+}
--- a/src/job_shard/records.rs
+++ b/src/job_shard/records.rs
@@ -1,14 +1,43 @@
-//! Jobs' records in the state service: their form, and the changes that are due.
+//! Jobs' records in the state store: their form, and the changes that are due.
 
-use super::*;
+use super::JobShard;
+use super::cancellation::QueuedEnd;
+use super::dependencies::{self, Hold};
+use super::job::Job;
+use super::outcomes::JobOutcome;
+use crate::peer::DesiredAction;
+use crate::spec::JobSpec;
+use crate::units::{Micros, Ranges};
+use serde_json::{Value, json};
+
+/// Bytes of a record beside the description and the completed tasks, with some to spare.
+const RECORD_OVERHEAD: usize = 200;
+/// The least of those: a description that leaves less fills a value by itself.
+const LEAST_OVERHEAD: usize = 60;
+/// Pause before progress that does not fit is looked at again.
+const NO_FIT_PAUSE: Micros = Micros::from_millis(5_000);
+/// The least time between two writes of a job's progress.
+const PROGRESS_EVERY: Micros = Micros::from_millis(4_000);
+/// Pause after a write that failed.
+const RETRY_PAUSE: Micros = Micros::from_millis(500);
+
+/// A change of a job's record.
+#[derive(Clone, Debug, PartialEq)]
+pub enum RecordWrite {
+    /// Progress: the record, and the completed tasks that it names.
+    Progress(Value, Ranges),
+    /// The end: the outcome, and the final record.
+    End(JobOutcome, Value),
+}
 
 impl JobShard {
-    /// Reads a job's record.
-    pub fn read_record(v: &Value) -> Option<(Value, JobSpec, Micros, Ranges)> {
-        let raw = dependencies::restored(v.get("spec")?)?;
+    /// Reads a job's record: its description, what that says, when it was accepted, and its completed tasks. None if it
+    /// is of an unknown form.
+    pub fn read_record(record: &Value) -> Option<(Value, JobSpec, Micros, Ranges)> {
+        let raw = dependencies::restored(record.get("spec")?)?;
         let spec = JobSpec::from_value(&raw).ok()?;
-        let accepted = Micros(v.get("accepted_us")?.as_u64()?);
-        let done = Ranges::decode(v.get("done")?.as_str()?, spec.tasks)?;
+        let accepted = Micros(record.get("accepted_us")?.as_u64()?);
+        let done = Ranges::decode(record.get("done")?.as_str()?, spec.tasks)?;
         Some((raw, spec, accepted, done))
     }
 
@@ -31,135 +60,147 @@
         }
     }
 
-    /// The longest that a job's record may become, its progress aside, and its end's: to be looked at before it is
+    /// The most bytes that a job's record may come to, its progress aside, and its end's: to be looked at before it is
     /// taken, since what an end says may not be left out later.
     pub fn longest(raw: &Value, spec: &JobSpec, accepted: Micros) -> usize {
-        let long = |v: Value| v.to_string().len();
-        let first = long(JobShard::new_record(raw, spec, accepted));
+        let bytes = |record: Value| record.to_string().len();
+        let first = bytes(JobShard::new_record(raw, spec, accepted));
         if !spec.has_pact() {
             return first;
         }
         let later = JobShard::record(&dependencies::released(raw, accepted), accepted, "");
         let end = JobShard::end_record(raw, JobOutcome::Cancelled, spec.tasks);
-        first.max(long(later)).max(long(end))
+        first.max(bytes(later)).max(bytes(end))
     }
 
     /// The record of a job's end.
-    fn end_record(raw: &Value, f: JobOutcome, done: u32) -> Value {
-        let mut v = json!({"end": if f == JobOutcome::Done { "done" } else { "cancelled" }, "done": done});
+    fn end_record(raw: &Value, outcome: JobOutcome, done: u32) -> Value {
+        let end = match outcome {
+            JobOutcome::Done => "done",
+            JobOutcome::Cancelled => "cancelled",
+        };
+        let mut record = json!({"end": end, "done": done});
         if let Some(says) = dependencies::says(raw) {
-            v["says"] = says;
+            record["says"] = says;
         }
-        v
+        record
     }
 
     /// A live job's description as it is to be stored.
-    fn stored_raw(j: &Job) -> Value {
-        match (j.waits(), j.released_wall) {
-            (true, _) => dependencies::held(&j.raw, j.hold.is_some()),
-            (false, Some(at)) => dependencies::released(&j.raw, at),
-            (false, None) => j.raw.clone(),
+    fn stored_raw(job: &Job) -> Value {
+        match (job.is_waiting(), job.released_wall) {
+            (true, _) => dependencies::held(&job.raw, job.hold.is_some()),
+            (false, Some(at)) => dependencies::released(&job.raw, at),
+            (false, None) => job.raw.clone(),
         }
     }
 
-    /// The next change of a job's record that is due: an end, or progress.
+    /// The next change of a job's record that is due, with the job and the version that it replaces: an end, or progress.
+    /// The job's record is taken to be under way until `confirm_progress`, `end_job` or `fail_write`.
     pub fn next_write(&mut self, now: Micros, ends: bool) -> Option<(String, RecordWrite, u64)> {
-        self.note_endings(now);
+        self.note_ends(now);
         if ends { self.next_end(now) } else { self.next_progress(now) }
     }
 
     /// The next end: cancellations first, whose users wait for it, and then those that have waited for longest. In any other
-    /// order the same few would go last for as long as there are more ends than the state service takes.
+    /// order the same few would go last for as long as there are more ends than the state store takes.
     fn next_end(&mut self, now: Micros) -> Option<(String, RecordWrite, u64)> {
-        // Guards against an end that is told by who owned the job before us and reads it there, while we have yet to hear that
+        // Guards against an end that is told by who led the job before us and reads it there, while we have yet to hear that
         // our write was carried out and still say that the job runs.
         if !self.alone {
             return None;
         }
-        let (mut next, mut over) = (None, Vec::new());
-        let queue = std::mem::take(&mut self.end_queue.queue);
-        for entry @ (done, _, id) in &queue {
-            let Some(j) = self.jobs.get(id) else {
-                over.push(entry.clone());
-                continue;
-            };
-            // Guards against a start after the user was told that the job is cancelled: one that waits at a home, or is on
-            // its way to a worker.
-            let due = !j.write_in_flight && !j.needs_reread && now >= j.next_write && (*done || self.withdrawn(now, id));
-            if due {
-                next = Some(id.clone());
+        let id = self.first_due_end(now)?;
+        let job = self.jobs.get_mut(&id)?;
+        let outcome = job.pending_outcome?;
+        job.write_in_flight = true;
+        let mut record = JobShard::end_record(&job.raw, outcome, job.done.len());
+        if self.class_in_end_records && record.get("says").is_none() {
+            record["says"] = json!({"breed": job.spec.class});
+        }
+        Some((id, RecordWrite::End(outcome, record), job.store_version))
+    }
+
+    fn first_due_end(&mut self, now: Micros) -> Option<String> {
+        let mut queue = std::mem::take(&mut self.end_queue.queue);
+        let (mut next, mut stale) = (None, Vec::new());
+        for end in &queue {
+            if !self.jobs.contains_key(&end.id) {
+                stale.push(end.clone());
+            } else if self.is_end_due(now, end) {
+                next = Some(end.id.clone());
                 break;
             }
         }
-        self.end_queue.queue = queue;
-        over.iter().for_each(|entry| {
-            self.end_queue.queue.remove(entry);
-        });
-        let id = next?;
-        let j = self.jobs.get_mut(&id)?;
-        let f = j.pending_outcome?;
-        j.write_in_flight = true;
-        let mut value = JobShard::end_record(&j.raw, f, j.done.len());
-        if self.class_in_end_records && value.get("says").is_none() {
-            value["says"] = json!({"breed": j.spec.class});
+        for end in stale {
+            queue.remove(&end);
         }
-        Some((id, RecordWrite::End(f, value), j.store_version))
+        self.end_queue.queue = queue;
+        next
+    }
+
+    fn is_end_due(&mut self, now: Micros, end: &QueuedEnd) -> bool {
+        let Some(job) = self.jobs.get(&end.id) else { return false };
+        // Guards against a start after the user was told that the job is cancelled: one that waits at a machine's leader,
+        // or is on its way to an agent.
+        !job.write_in_flight
+            && !job.needs_reread
+            && now >= job.next_write
+            && (end.done || self.is_withdrawn(now, &end.id))
     }
 
     fn next_progress(&mut self, now: Micros) -> Option<(String, RecordWrite, u64)> {
-        for (id, j) in &mut self.jobs {
-            let due = !j.write_in_flight && !j.needs_reread && now >= j.next_write.max(j.next_progress);
-            if !due || j.pending_outcome.is_some() || j.done.len() <= j.recorded.len() {
+        for (id, job) in &mut self.jobs {
+            let due =
+                !job.write_in_flight && !job.needs_reread && now >= job.next_write.max(job.next_progress);
+            if !due || job.pending_outcome.is_some() || job.done.len() <= job.recorded.len() {
                 continue;
             }
-            let raw = JobShard::stored_raw(j);
-            let raw_len = raw.to_string().len();
-            let text = j.done.encode(self.value_bytes.saturating_sub(raw_len + 200));
-            let kept = Ranges::decode(&text, j.spec.tasks).unwrap_or_default();
+            let raw = JobShard::stored_raw(job);
+            let raw_bytes = raw.to_string().len();
+            let text = job.done.encode(self.value_bytes.saturating_sub(raw_bytes + RECORD_OVERHEAD));
+            let recorded = Ranges::decode(&text, job.spec.tasks).unwrap_or_default();
             // A description from before the limits fell may fill a value by itself: its progress stays
-            // with the workers until its end, which is short, is on record.
-            if kept == j.recorded || raw_len + 60 > self.value_bytes {
-                j.next_progress = now + Micros::from_millis(5000);
+            // with the agents until its end, which is short, is on record.
+            if recorded == job.recorded || raw_bytes + LEAST_OVERHEAD > self.value_bytes {
+                job.next_progress = now + NO_FIT_PAUSE;
                 continue;
             }
-            j.write_in_flight = true;
-            let value = JobShard::record(&raw, j.accepted_wall, &text);
-            return Some((id.clone(), RecordWrite::Progress(value, kept), j.store_version));
+            job.write_in_flight = true;
+            let record = JobShard::record(&raw, job.accepted_wall, &text);
+            return Some((id.clone(), RecordWrite::Progress(record, recorded), job.store_version));
         }
         None
     }
 
-    /// Progress is on record: workers may forget those tasks.
-    pub fn progress_written(&mut self, now: Micros, id: &str, kept: Ranges, store_version: u64) {
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        j.write_in_flight = false;
-        j.store_version = j.store_version.max(store_version);
-        j.recorded = kept;
+    /// Progress is on record: agents may forget the tasks that it names.
+    pub fn confirm_progress(&mut self, now: Micros, id: &str, recorded: Ranges, store_version: u64) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        job.write_in_flight = false;
+        job.store_version = job.store_version.max(store_version);
         // Its end doesn't wait for that.
-        j.next_progress = now + Micros::from_millis(4000);
-        let durable = j.recorded.clone();
-        for (k, l) in self.retired_starts.range_mut((id.to_owned(), 0, String::new(), 0)..) {
-            if k.0 != id {
-                break;
-            }
-            if !l.alive && durable.contains(k.1) && l.action != DesiredAction::Forget {
-                l.action = DesiredAction::Forget;
-                mark_changed(&mut self.changed_starts, &k.2, &k.0, k.1, k.3);
+        job.next_progress = now + PROGRESS_EVERY;
+        for (key, start) in self.retired_starts.of_job_mut(id) {
+            if !start.alive && recorded.contains(key.index) && start.action != DesiredAction::Forget {
+                start.action = DesiredAction::Forget;
+                self.delivery.mark_changed(&key.machine, &key.job, key.index, key.attempt);
             }
         }
+        job.recorded = recorded;
     }
 
-    /// A change of a record failed; if it may have been applied, its version is read first.
-    pub fn write_failed(&mut self, now: Micros, id: &str, certain: bool) {
-        if let Some(j) = self.jobs.get_mut(id) {
-            j.write_in_flight = false;
-            j.needs_reread = !certain;
-            j.next_write = now + Micros::from_millis(500);
+    /// A change of a record failed; unless that is `certain` it may have been applied, and its version is read first.
+    pub fn fail_write(&mut self, now: Micros, id: &str, certain: bool) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.write_in_flight = false;
+            job.needs_reread = !certain;
+            job.next_write = now + RETRY_PAUSE;
         }
     }
 
     /// A job whose record's version must be read.
-    pub fn next_verify(&self) -> Option<String> {
-        self.jobs.iter().find(|(_, j)| j.needs_reread && !j.write_in_flight).map(|(id, _)| id.clone())
+    pub fn next_reread(&self) -> Option<String> {
+        let mut jobs = self.jobs.iter().filter(|(_, job)| job.needs_reread && !job.write_in_flight);
+        jobs.next().map(|(id, _)| id.clone())
     }
 }
--- a/src/job_shard/reservations.rs
+++ b/src/job_shard/reservations.rs
@@ -1,301 +1,164 @@
-//! Machines kept for waiting gangs: by us, by other owners, and by those whose jobs have become ours.
+//! Machines reserved for waiting gangs of our own, and those that the autoscaler reserves for urgent work.
 //!
-//! A gang that finds no room keeps machines so that it can come together, and says so to the other owners. One that
-//! has waited for `DUE` is not overtaken any more: see `docs/design.md`, "The largest begin".
+//! A gang that finds no room reserves machines so that it can come together, and announces that to the other leaders of
+//! jobs. One that has waited for `OVERDUE` is not overtaken any more: see `docs/design.md`, "The largest begin".
 
-use super::*;
-use crate::peer::InventoryState;
+use super::JobShard;
+use super::job::Job;
+use super::scheduling_pass::Pass;
+use crate::peer::{MachineStatus, Reservation};
 use crate::quota::tier::{self, QuotaTier};
 use crate::scheduler::placement::Place;
+use crate::scheduler::reservations::{ReservationRequest, reserve_machines};
+use crate::spec::JobSpec;
+use crate::units::Micros;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// From then on a job that waits to begin is not overtaken by work that is no more urgent.
-pub(super) const DUE: Micros = Micros::from_millis(45_000);
+const OVERDUE: Micros = Micros::from_millis(45_000);
 /// How many tasks such an array gets ahead of its turn: it is to begin, not to push aside many small ones.
 pub(super) const FIRST_LOT: usize = 16;
-/// How long after a takeover machines stay kept for gangs whose owner has gone. Their new one can't place them
-/// before it knows what they had running, and small work would have filled the machines by then.
-const INHERITED: Micros = Micros::from_millis(40_000);
-/// How long an owner's word on what it keeps holds.
-const WORD: Micros = Micros::from_millis(3_000);
 
-/// What other owners keep.
+/// The autoscaler's word on which machines are left to urgent work.
 #[derive(Debug, Default)]
-pub(super) struct PeerReservations {
-    /// By owner, and when it said so.
-    said: BTreeMap<usize, (Micros, Vec<Reservation>)>,
-    /// Of the epoch before: machines, the priority and the room of a task, until when.
-    inherited: BTreeMap<String, (u8, Resources)>,
-    until: Option<Micros>,
+pub(super) struct AutoscalerReservations {
+    /// Machine types, whether spot, and the least priority that may use them.
+    types: Vec<(String, bool, u8)>,
+    /// Single machines, and the least priority that may use them.
+    machines: BTreeMap<String, u8>,
+    /// Whether this process has had any. Until then nothing is placed for a while: after
+    /// a restart queued work would take the machines that urgent work needs.
+    pub(super) received: bool,
 }
 
-impl PeerReservations {
-    fn fresh(&self, now: Micros) -> impl Iterator<Item = (usize, &Reservation)> {
-        let fresh = self.said.iter().filter(move |(_, (t, _))| now.since(*t) < WORD);
-        fresh.flat_map(|(o, (_, l))| l.iter().map(move |r| (*o, r)))
-    }
-
-    /// A new epoch: what `ours` and the others kept of late stays kept for a while, whoever owns the gangs now.
-    pub(super) fn inherit(&mut self, ours: &[Reservation]) {
-        if !self.said.is_empty() || !ours.is_empty() {
-            self.inherited.clear();
-            self.until = None;
-        }
-        let said = std::mem::take(&mut self.said);
-        for r in said.values().flat_map(|(_, l)| l).chain(ours) {
-            // The first for a machine names the gang's own priority.
-            self.inherited.entry(r.machine.clone()).or_insert((r.priority, r.need));
-        }
+impl AutoscalerReservations {
+    /// The least priority of work that may use a machine.
+    pub(super) fn priority_for(&self, machine: &MachineStatus) -> Option<u8> {
+        let of_type =
+            self.types.iter().filter(|(kind, spot, _)| *kind == machine.kind && *spot == machine.spot);
+        of_type.map(|(.., priority)| *priority).max().max(self.machines.get(&machine.name).copied())
     }
+}
 
-    /// Machines that were kept before the takeover for tasks that need such room.
-    fn kept_before(&self, now: Micros, room: Resources) -> Vec<String> {
-        let holds = self.until.is_some_and(|t| now < t);
-        let alike = self.inherited.iter().filter(|(_, (_, need))| holds && *need == room);
-        alike.map(|(m, _)| m.clone()).collect()
-    }
+/// What a scheduling pass has reserved so far.
+pub(super) struct ReservationPlan {
+    /// Machines that other leaders of jobs have reserved.
+    taken: BTreeSet<String>,
+    /// Machines withheld from work that could have used them.
+    withheld: usize,
 }
 
-impl JobShard {
-    /// The machines that take tasks, as far as we know.
-    pub(super) fn places<'a>(&self, now: Micros, m: &Membership, views: &'a [MachineView]) -> Vec<Place<'a>> {
-        let mut out = Vec::new();
-        // What a home hasn't seen yet is not in its digest.
-        let mut unseen: BTreeMap<&str, Resources> = BTreeMap::new();
-        let news = self.unacknowledged.iter().flat_map(BTreeMap::keys).chain(&self.changed_starts);
-        let mut counted = BTreeSet::new();
-        for (machine, key) in news {
-            if let Some(j) = self.jobs.get(&key.job)
-                && let Some(p) = j.assignments.get(&key.index)
-                && (p.attempt == key.attempt && p.machine == *machine)
-                && p.first_revision > m.machine_leader(machine).map_or(0, |h| views[h].rev_seen(m.epoch))
-                && counted.insert((machine, key))
-            {
-                let sum = unseen.entry(machine).or_default();
-                *sum = *sum + j.spec.room;
-            }
+impl ReservationPlan {
+    /// Whether a gang may reserve machines in this pass.
+    ///
+    /// One gang at a time, and not where another leader's waits: several that each empty a few machines get
+    /// nowhere and keep all others out. On a large fleet several may, where what is in their way can be stopped,
+    /// or where they have waited for long: one after the other the last would wait for ever. Machines that
+    /// nothing less urgent may use anyway don't count.
+    fn has_room_for(&self, places: &[Place], job: &Job, overdue: bool) -> bool {
+        if self.withheld == 0 {
+            return true;
         }
-        let ours: BTreeSet<&str> = self.jobs.values().flat_map(|j| &j.reserved_machines).map(String::as_str).collect();
-        let mut foreign: BTreeMap<&str, u8> = BTreeMap::new();
-        for (owner, r) in self.peer_reservations.fresh(now) {
-            // Two that chose the same machine before they heard of each other: the first by name has it, or
-            // neither gang would ever get it.
-            if owner > self.me && ours.contains(r.machine.as_str()) {
-                continue;
-            }
-            let p = foreign.entry(&r.machine).or_default();
-            *p = (*p).max(r.priority);
+        if !overdue && job.quota_tier != QuotaTier::Unpromised {
+            return false;
         }
-        if self.peer_reservations.until.is_some_and(|t| now < t) {
-            for (machine, (priority, _)) in &self.peer_reservations.inherited {
-                let p = foreign.entry(machine).or_default();
-                *p = (*p).max(*priority);
-            }
-        }
-        for d in views.iter().filter_map(|v| v.machines(m.epoch)).flat_map(BTreeMap::values) {
-            if !d.open || d.standing != InventoryState::Known || self.failures.shunned(now, &d.name) {
-                continue;
-            }
-            let of_type = self.autoscaler_reserved_types.iter().filter(|(k, spot, _)| *k == d.kind && *spot == d.spot);
-            let unseen = unseen.get(d.name.as_str()).copied().unwrap_or_default();
-            out.push(Place {
-                machine: d,
-                free: d.free - unseen,
-                unseen,
-                near: m.machine_leader(&d.name) == Some(self.me),
-                kept_for: of_type
-                    .map(|t| t.2)
-                    .max()
-                    .max(foreign.get(d.name.as_str()).copied())
-                    .max(self.autoscaler_reserved_machines.get(&d.name).copied()),
-            });
-        }
-        out
+        let usable = places.iter().filter(|place| place.is_allowed(&job.spec)).count();
+        let most = if overdue { usable / 8 } else { (usable / 2).min(places.len() / 6) };
+        self.withheld + job.spec.tasks as usize <= most
     }
+}
 
-    pub(super) fn foreign(&self, now: Micros) -> impl Iterator<Item = &Reservation> {
-        self.peer_reservations.fresh(now).map(|(_, r)| r)
+impl JobShard {
+    /// Reservations that peers announced of late.
+    pub(super) fn announced_reservations(&self, now: Micros) -> impl Iterator<Item = &Reservation> {
+        self.peer_reservations.valid(now).map(|(_, reservation)| reservation)
     }
 
-    /// Takes another owner's reservations.
-    pub fn others_reserve(&mut self, now: Micros, from: usize, list: Vec<Reservation>) {
-        self.peer_reservations.said.insert(from, (now, list));
+    /// Takes another leader's reservations, in place of what it said before.
+    pub fn apply_peer_reservations(&mut self, now: Micros, from: usize, list: Vec<Reservation>) {
+        self.peer_reservations.announce(now, from, list);
     }
 
     /// Our reservations.
-    pub fn reserved(&self) -> &[Reservation] {
+    pub fn reservations(&self) -> &[Reservation] {
         &self.reservations
     }
 
-    /// The decider's word on types and machines left to urgent work.
-    pub fn keep(&mut self, types: Vec<(String, bool, u8)>, machines: Vec<(String, u8)>) {
-        self.autoscaler_reserved_types = types;
-        self.autoscaler_reserved_machines = machines.into_iter().collect();
-        self.has_autoscaler_reservations = true;
+    /// Takes the autoscaler's word on machine types and machines left to work of at least a priority.
+    pub fn apply_autoscaler_reservations(
+        &mut self,
+        types: Vec<(String, bool, u8)>,
+        machines: Vec<(String, u8)>,
+    ) {
+        self.autoscaler_reservations =
+            AutoscalerReservations { types, machines: machines.into_iter().collect(), received: true };
     }
 
-    /// What this pass may keep, and for whom.
-    pub(super) fn keeping(&mut self, now: Micros) -> ReservationPlan {
-        if self.peer_reservations.until.is_none() && !self.peer_reservations.inherited.is_empty() {
-            self.peer_reservations.until = Some(now + INHERITED);
-        }
-        ReservationPlan { taken: self.foreign(now).map(|r| r.machine.clone()).collect(), kept: 0 }
+    /// Whether a job should have begun by now.
+    pub(super) fn is_overdue_to_begin(&self, job: &Job) -> bool {
+        job.assignments.is_empty()
+            && job.done.is_empty()
+            && self.wall_clock.since(job.ready_wall()) >= OVERDUE
     }
 
-    /// Keeps machines for a gang that finds no room, if it may keep any: returns which. The other owners hear of it
+    /// What this pass may reserve.
+    pub(super) fn begin_reservations(&mut self, now: Micros) -> ReservationPlan {
+        self.peer_reservations.start_inheritance(now);
+        let taken = self.announced_reservations(now).map(|reservation| reservation.machine.clone());
+        ReservationPlan { taken: taken.collect(), withheld: 0 }
+    }
+
+    /// Reserves machines for a gang that finds no room, if it may have any: returns which. The other leaders hear of it
     /// once it has waited for a while, since what is kept empty serves nobody.
-    pub(super) fn keep_for(
+    pub(super) fn reserve_for(
         &self,
-        now: Micros,
-        k: &mut ReservationPlan,
-        places: &mut [Place],
-        j: &Job,
+        pass: &mut Pass,
+        job: &Job,
         age: Micros,
     ) -> (Vec<String>, Vec<Reservation>) {
-        let s = &j.spec;
-        let due = age >= DUE;
-        // One gang at a time, and not where another owner's waits: several that each empty a few machines get
-        // nowhere and keep all others out. On a large fleet several may, where what is in their way can be stopped,
-        // or where they have waited for long: one after the other the last would wait for ever. Machines that
-        // nothing less urgent may use anyway don't count.
-        let several = due || j.quota_tier == QuotaTier::Unpromised;
-        let most = || {
-            let would_do = places.iter().filter(|p| p.allowed(s)).count();
-            if due { would_do / 8 } else { (would_do / 2).min(places.len() / 6) }
-        };
-        if k.kept > 0 && !(several && k.kept + s.tasks as usize <= most()) {
+        let overdue = age >= OVERDUE;
+        let Pass { places, reservation_plan: plan, now, .. } = pass;
+        if !plan.has_room_for(places, job, overdue) {
             return Default::default();
         }
-        let inherited = if j.reserved_machines.is_empty() { self.peer_reservations.kept_before(now, s.room) } else { Vec::new() };
-        let before = if j.reserved_machines.is_empty() { &inherited } else { &j.reserved_machines };
-        let (names, open) = keep_places(places, s, j.quota_tier, due, before, &k.taken);
-        k.kept += open;
-        let mut out = Vec::new();
-        if age >= self.patience(s) {
-            let asks = tier::asks(s.priority, j.quota_tier);
-            for machine in &names {
-                let r =
-                    |priority, evict| Reservation { machine: machine.clone(), priority, need: s.room, evict };
-                out.push(r(s.priority, asks == s.priority));
-                if due {
-                    // Work of its own rank that came later must not slip in there any more.
-                    out.push(r(s.priority + 1, false));
-                    if asks < s.priority {
-                        out.push(r(asks, true));
-                    }
-                }
-            }
-        }
-        (names, out)
-    }
-}
-
-/// What a placing pass has kept so far.
-pub(super) struct ReservationPlan {
-    /// Machines that other owners keep.
-    taken: BTreeSet<String>,
-    /// Machines kept from work that could have used them.
-    kept: usize,
-}
-
-/// Keeps machines that a waiting gang could use from less urgent work, so that the room its tasks
-/// need can come together: those kept already, if they will do, else those where the least has to
-/// go. One that is `due` also keeps those where work runs that is no more urgent and that it may not stop. Nothing is
-/// kept if the gang would not fit even then. Returns which, and how many of them other work could use.
-pub(super) fn keep_places(
-    places: &mut [Place],
-    s: &JobSpec,
-    quota_tier: QuotaTier,
-    due: bool,
-    before: &[String],
-    taken: &BTreeSet<String>,
-) -> (Vec<String>, usize) {
-    let mut zones: BTreeMap<String, Vec<usize>> = BTreeMap::new();
-    // What lies within a guarantee may have borrowed work of any rank stopped, borrowed work may not.
-    // Guards against a gang that is overtaken for ever: later ones of its rank, which it may not stop, went to each
-    // machine that came free while too few were without any. Once due it keeps those too; what is there runs out.
-    let could = |p: &Place| match footing {
-        QuotaTier::Beyond if due => p.free_in_time(s.priority % GUARANTEED),
-        _ if due => p.free_for(s.priority + 1),
-        QuotaTier::Beyond => p.free_for_borrowed(s.priority),
-        _ => p.free_for(s.priority),
-    };
-    let usable = |p: &Place| {
-        p.allowed(s)
-            && (before.contains(&p.machine.name) || !taken.contains(&p.machine.name))
-            && p.kept_for.is_none_or(|k| k <= s.priority)
-            && could(p).holds(s.room)
-    };
-    for (i, p) in places.iter().enumerate().filter(|(_, p)| usable(p)) {
-        let zone = if s.one_zone { p.machine.zone.clone() } else { String::new() };
-        zones.entry(zone).or_default().push(i);
-    }
-    let best = zones
-        .into_values()
-        .filter(|at| at.len() >= s.tasks as usize)
-        .map(|at| {
-            // Where the least stays that can't be stopped, then where the least has to go.
-            // Where there are guarantees, stopping costs more than an empty machine: those with the least on them.
-            let stoppable = if s.priority < GUARANTEED { s.priority } else { 0 };
-            let key = |&i: &usize| {
-                let p = &places[i];
-                let after = -p.free_for(stoppable).cpus.min(s.room.cpus);
-                let fetch = !p.machine.images.contains(&s.image_hash);
-                (!before.contains(&p.machine.name), after, fetch, -p.free.cpus.min(s.room.cpus), i)
-            };
-            let mut at: Vec<(bool, i64, bool, i64, usize)> = at.iter().map(key).collect();
-            at.sort_unstable();
-            at.truncate(s.tasks as usize);
-            let kept = at.iter().filter(|(new, ..)| !new).count();
-            let free: i64 = at.iter().map(|(_, after, _, missing, _)| -missing - after).sum();
-            (kept, free, at.into_iter().map(|(.., i)| i).collect::<Vec<_>>())
-        })
-        .max_by_key(|(kept, free, _)| (*kept, *free));
-    let Some((_, _, at)) = best else { return (Vec::new(), 0) };
-    let (mut names, mut open) = (Vec::new(), 0);
-    for i in at {
-        open += usize::from(places[i].kept_for.is_none_or(|k| k < s.priority));
-        places[i].kept_for = places[i].kept_for.max(Some(s.priority));
-        // A second gang must not count on the same room.
-        places[i].take(s.room);
-        names.push(places[i].machine.name.clone());
+        let inherited;
+        let previous = if job.reserved_machines.is_empty() {
+            inherited = self.peer_reservations.inherited_for(*now, job.spec.room);
+            &inherited
+        } else {
+            &job.reserved_machines
+        };
+        let request = ReservationRequest {
+            spec: &job.spec,
+            quota_tier: job.quota_tier,
+            overdue,
+            previous,
+            taken: &plan.taken,
+        };
+        let reserved = reserve_machines(places, &request);
+        plan.withheld += reserved.withheld;
+        let announced = if age >= self.patience(&job.spec) {
+            let announce = |machine: &String| announcements(machine, &job.spec, job.quota_tier, overdue);
+            reserved.names.iter().flat_map(announce).collect()
+        } else {
+            Vec::new()
+        };
+        (reserved.names, announced)
     }
-    (names, open)
-}
-
-/// Homes that turned starts down of late. The owner beside a home sees at once what is free there, we see it later: where
-/// that owner has work waiting itself, most of what we ask for is gone, and each refusal costs a round of messages.
-#[derive(Debug, Default)]
-pub(super) struct PlacementRefusals {
-    /// Starts on machines, in order: whether each was taken.
-    news: Vec<(String, bool)>,
-    /// Per home, how many rounds of refusals there were without a start taken since, and until when it is left alone.
-    homes: BTreeMap<usize, (u32, Micros)>,
 }
 
-/// How long a home is left alone at first, and the most doublings of that.
-const LEFT_ALONE: Micros = Micros::from_millis(200);
-const DOUBLINGS: u32 = 4;
-
-impl PlacementRefusals {
-    pub(super) fn note(&mut self, machine: &str, taken: bool) {
-        self.news.push((machine.to_owned(), taken));
-    }
-
-    /// The homes to leave alone now: never our own.
-    pub(super) fn current(&mut self, now: Micros, m: &Membership) -> Vec<usize> {
-        for (machine, taken) in std::mem::take(&mut self.news) {
-            let Some(home) = m.machine_leader(&machine).filter(|h| *h != m.me) else { continue };
-            let (rounds, until) = self.homes.entry(home).or_insert((0, now));
-            if taken {
-                *rounds = 0;
-            } else if now >= *until {
-                *until = now + Micros(LEFT_ALONE.0 << *rounds);
-                *rounds = (*rounds + 1).min(DOUBLINGS);
-            }
+/// What the other leaders of jobs are told of a reserved machine.
+fn announcements(machine: &str, spec: &JobSpec, quota_tier: QuotaTier, overdue: bool) -> Vec<Reservation> {
+    let preempting = tier::asks(spec.priority, quota_tier);
+    let reservation =
+        |priority, evict| Reservation { machine: machine.to_owned(), priority, need: spec.room, evict };
+    let mut announced = vec![reservation(spec.priority, preempting == spec.priority)];
+    if overdue {
+        // Work of its own rank that came later must not slip in there any more.
+        announced.push(reservation(spec.priority + 1, false));
+        if preempting < spec.priority {
+            announced.push(reservation(preempting, true));
         }
-        self.homes.iter().filter(|(_, (_, until))| now < *until).map(|(h, _)| *h).collect()
     }
+    announced
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -1,381 +1,422 @@
-//! Where tasks go: a placing pass, gangs, room that has to be made, and what finds no room.
+//! A scheduling pass: which waiting tasks start where, and what is done about those that find no room.
 
-use super::preemption::{Shortfall, short_after};
-use super::reservations::FIRST_LOT;
-use super::*;
-use crate::peer::MachineStatus;
-use crate::quota::{Need, QuotaLedger};
-use crate::scheduler::placement::{self, ZoneCounts};
-/// Run time after which older tasks begin to count for less.
-pub(super) const RUN_MEMORY: Micros = Micros::from_millis(4_000_000);
-/// Starts in one placement pass, which bounds the time a pass takes.
-pub(super) const STARTS_A_PASS: usize = 400;
+use super::JobShard;
+use super::assignments::{Assignment, UNSENT};
+use super::gang::GangState;
+use super::gpu_lending::{LentRoom, Loans};
+use super::job::Job;
+use super::preemption::{Shortfall, reclaim_delay};
+use super::reservations::{FIRST_LOT, ReservationPlan};
+use crate::machine_view::MachineView;
+use crate::membership::Membership;
+use crate::peer::{DesiredAction, MachineStatus, Reservation};
+use crate::quota::QuotaLedger;
+use crate::quota::tier::QuotaTier;
+use crate::scheduler::placement::{self, Place, ZoneCounts};
+use crate::spec::{JobKind, JobSpec};
+use crate::units::{Micros, Resources};
+use std::collections::{BTreeMap, BTreeSet};
 
-impl JobShard {
-    /// How long a job's tasks may queue before a machine is worth renting for them: not at all
-    /// where a guarantee or a waiting time is promised, otherwise a part of the time in which the
-    /// job is expected to be done.
-    pub(super) fn horizon(&self, j: &Job, guaranteed: bool, age: Micros) -> Micros {
-        let of = |kind: &str| {
-            let mine = self.objectives.iter().filter(|o| o.kind == kind && o.class == j.spec.class);
-            mine.map(|o| Micros::from_secs(o.within_s).0).min()
-        };
-        if guaranteed || j.spec.kind == JobKind::Service || of("wait").is_some() {
-            return Micros(0);
-        }
-        let within = of("finished").or(j.spec.deadline.map(|d| d.0)).unwrap_or(120_000_000);
-        Micros((within / 3).saturating_sub(age.0 / 2))
+/// Starts in one scheduling pass, which bounds the time a pass takes.
+const STARTS_PER_PASS: usize = 400;
+/// How long a new leader waits for the autoscaler's reservations before it places anything.
+const AUTOSCALER_WAIT: Micros = Micros::from_millis(3_000);
+/// How long the shape of a job is remembered.
+const SHAPE_MEMORY: Micros = Micros::from_millis(300_000);
+
+/// What a pass works with, and what it has decided so far.
+pub(super) struct Pass<'a> {
+    pub(super) now: Micros,
+    pub(super) wall: Micros,
+    pub(super) membership: &'a Membership,
+    pub(super) quota: &'a QuotaLedger,
+    /// Machines that take tasks, and the room that is left on each.
+    pub(super) places: Vec<Place<'a>>,
+    /// All machines that are known, also those that take no tasks.
+    pub(super) machine_count: usize,
+    /// Jobs that found no room: nothing as large is looked for again.
+    exhausted: Vec<JobSpec>,
+    starts_left: usize,
+    shortfalls: Vec<Shortfall>,
+    /// How long work within its guarantee waits before borrowed room is reclaimed for it.
+    reclaim_delay: Micros,
+    pub(super) reservation_plan: ReservationPlan,
+    /// Machines on which room is being made for work within a guarantee.
+    promised: BTreeSet<String>,
+    /// Machines whose leader has refused starts of late.
+    refusing: BTreeSet<&'a str>,
+}
+
+impl Pass<'_> {
+    /// Whether a gang as easy to place has found no room.
+    fn is_exhausted_for_gang(&self, spec: &JobSpec) -> bool {
+        self.exhausted.iter().any(|failed| {
+            failed.kind == JobKind::Gang
+                && failed.tasks <= spec.tasks
+                && placement::is_no_easier(spec, failed)
+        })
     }
 
-    /// How long work may wait before work of lower priority is stopped for it.
-    pub(super) fn patience(&self, s: &JobSpec) -> Micros {
-        let promised = self.objectives.iter().filter(|o| o.kind == "wait" && o.class == s.class);
-        let within = promised.map(|o| Micros::from_secs(o.within_s).0).min().unwrap_or(60_000_000);
-        Micros(within / 40)
+    /// Whether a task as easy to place has found no room.
+    fn is_exhausted_for_task(&self, spec: &JobSpec) -> bool {
+        self.exhausted
+            .iter()
+            .any(|failed| failed.kind != JobKind::Gang && placement::is_no_easier(spec, failed))
     }
+}
 
-    /// Remembers what a job asks for, with what its tasks are likely to run and how long they may queue:
-    /// a decider that has just taken over must know that although nothing waits.
-    pub(super) fn note_shape(&mut self, now: Micros, s: &JobSpec, horizon: Micros) {
-        let d = Demand {
-            room: s.room,
-            kinds: s.kinds.clone(),
-            zone: s.zone.clone(),
-            one_zone: s.one_zone,
-            spot: s.spot,
-            count: 0,
-            estimate: likely(&self.run_times, s),
-            priority: s.priority,
-            horizon,
-            together: if s.kind == JobKind::Gang { s.tasks } else { 1 },
-        };
-        // Of each sort the largest: jobs whose tasks differ a little must not crowd out the rest.
-        // Nor may two unlike ones make a third that nobody asked for, such as a gang of many small tasks and one
-        // of few tasks on GPUs: whole machine types were kept for it.
-        let near = |a: i64, b: i64| a <= b.saturating_mul(2) && b <= a.saturating_mul(2);
-        let alike = |x: &Demand| {
-            (x.priority, x.spot, x.one_zone, x.together > 1)
-                == (d.priority, d.spot, d.one_zone, d.together > 1)
-                && (x.room.gpus > 0) == (d.room.gpus > 0)
-                && (d.together == 1 || near(x.room.cpus, d.room.cpus))
-                && x.kinds == d.kinds
-                && x.zone == d.zone
-        };
-        if let Some((x, t)) = self.recent_shapes.iter_mut().find(|(x, _)| alike(x)) {
-            *t = now;
-            x.room = x.room.max(d.room);
-            x.together = x.together.max(d.together);
-            x.estimate = Micros((x.estimate.0 * 7 + d.estimate.0) / 8);
-            x.horizon = x.horizon.max(d.horizon);
-        } else if self.recent_shapes.len() < 100 {
-            self.recent_shapes.push((d, now));
-        }
+/// A job with tasks to place.
+struct Candidate<'a> {
+    id: &'a str,
+    job: &'a Job,
+    /// How long it has been ready to start.
+    age: Micros,
+    /// What its team's quota still allows it.
+    allowance: Resources,
+    /// Its starts in each zone.
+    zone_counts: ZoneCounts,
+    /// Tasks with an old start that may still run.
+    retiring: BTreeSet<u32>,
+    /// Machines that it must not, or had better not, be placed on.
+    excluded: BTreeSet<&'a str>,
+    quarantined: bool,
+    /// What is borrowed keeps away from machines where room is being made for a guarantee; that it finds none
+    /// says nothing about other work.
+    avoids_promised: bool,
+}
+
+impl Candidate<'_> {
+    fn may_use(&self, machine: &MachineStatus, promised: &BTreeSet<String>) -> bool {
+        !self.excluded.contains(machine.name.as_str())
+            && !(self.avoids_promised && promised.contains(&machine.name))
     }
 
-    /// What our jobs need of their teams, per team in the order in which they should get it.
-    pub fn needs(&self, teams: &QuotaLedger) -> BTreeMap<String, Vec<Need>> {
-        let mut out: BTreeMap<String, Vec<Need>> = BTreeMap::new();
-        for id in self.order() {
-            let Some(j) = self.jobs.get(&id) else { continue };
-            if !teams.limited(&j.spec.team) {
-                continue;
-            }
-            let mut left = j.spec.tasks.saturating_sub(j.done.len()) as usize;
-            // One array of each team that should have begun asks for a first task before all others: claims of gangs
-            // that wait for machines would leave it nothing for as long as gangs come. More would keep the gangs out.
-            let list = out.entry(j.spec.team.clone()).or_default();
-            // One whose starts are not all known may have begun long ago.
-            let first = j.spec.kind == JobKind::Array
-                && j.settled()
-                && self.waits_too_long(j)
-                && !self.failures.suspected(&id)
-                && list.first().is_none_or(|n| n.priority < u8::MAX);
-            if first {
-                left = left.min(1);
-            }
-            let at = if first { 0 } else { list.len() };
-            list.insert(
-                at,
-                Need {
-                    in_use: self.in_use(&id, j),
-                    one: Resources { memory: 0, ..j.spec.room },
-                    more: match self.failures.suspected(&id) && j.spec.kind == JobKind::Array {
-                        true => i64::from(j.assignments.is_empty()),
-                        false => left.saturating_sub(j.assignments.len()) as i64,
-                    },
-                    whole: j.spec.kind != JobKind::Array,
-                    settled: j.settled(),
-                    priority: if first { u8::MAX } else { j.spec.priority },
-                    accepted: j.accepted_wall,
-                    job: id,
-                },
-            );
-        }
-        // Jobs that are to end, or that wait for others, get no more, but keep what they use. What that is must
-        // be known first: a claim that shrinks while a machine is unheard would make room for others too soon.
-        // One that waits uses nothing, but an old controller may have claimed room for it: left to it, that
-        // would be missing to the very job that it waits for.
-        for (id, j) in self.jobs.iter().filter(|(_, j)| (j.pending_outcome.is_some() || j.waits()) && j.settled()) {
-            if teams.limited(&j.spec.team) {
-                out.entry(j.spec.team.clone()).or_default().push(Need {
-                    job: id.clone(),
-                    one: Resources { memory: 0, ..j.spec.room },
-                    in_use: self.in_use(id, j),
-                    more: 0,
-                    whole: true,
-                    settled: true,
-                    priority: 0,
-                    accepted: j.accepted_wall,
-                });
-            }
-        }
-        out
+    /// Whether its finding no room means that work no easier to place finds none either.
+    fn is_representative(&self) -> bool {
+        self.excluded.is_empty() && !self.job.spec.spread && !self.avoids_promised
     }
+}
 
-    /// Places what can be placed, moves gangs on, and notes what finds no room.
-    pub fn plan(&mut self, now: Micros, wall: Micros, m: &Membership, teams: &QuotaLedger) {
+/// A task that starts, and the place where it does.
+struct PlannedStart {
+    index: u32,
+    place: usize,
+}
+
+/// What a pass decides about one job.
+#[derive(Default)]
+struct JobPlan {
+    starts: Vec<PlannedStart>,
+    /// Tasks that found no room.
+    unplaced: u32,
+    reserved_machines: Vec<String>,
+    reservations: Vec<Reservation>,
+}
+
+impl JobShard {
+    /// Places what can be placed, moves gangs on, and notes what finds no room. Does nothing before records are loaded.
+    pub fn run_scheduling_pass(
+        &mut self,
+        now: Micros,
+        wall: Micros,
+        membership: &Membership,
+        quota: &QuotaLedger,
+    ) {
         if !self.loaded {
             return;
         }
         self.wall_clock = wall;
-        self.older_epochs_silent_at = m.older_silent_at();
-        self.note_endings(now);
-        self.judge(now, teams);
-        self.move_gangs(now);
+        self.older_epochs_silent_at = membership.older_silent_at();
+        self.note_ends(now);
+        self.refresh_quota_tiers(now, quota);
+        self.advance_gangs(now);
         let since = *self.loaded_at.get_or_insert(now);
-        if !self.has_autoscaler_reservations && now.since(since) < Micros::from_millis(3000) {
+        if !self.autoscaler_reservations.received && now.since(since) < AUTOSCALER_WAIT {
             return;
         }
         let views = std::mem::take(&mut self.views);
-        let mut places = self.places(now, m, &views);
+        let mut pass = self.begin_pass(now, wall, membership, quota, &views);
+        for id in self.queue_order() {
+            self.schedule_job(&mut pass, &id);
+        }
+        let shortfalls = std::mem::take(&mut pass.shortfalls);
+        self.reclaim(now, &pass.places, shortfalls);
+        self.count_unresolved_demand(&mut pass);
+        drop(pass);
+        self.views = views;
+    }
+
+    /// Lists the places, and forgets what the last pass found.
+    fn begin_pass<'a>(
+        &mut self,
+        now: Micros,
+        wall: Micros,
+        membership: &'a Membership,
+        quota: &'a QuotaLedger,
+        views: &'a [MachineView],
+    ) -> Pass<'a> {
+        let mut places = self.places(now, membership, views);
         self.loans.hold_back(&mut places);
         self.leave_headroom(&mut places);
-        let mut short: Vec<Shortfall> = Vec::new();
-        // Shapes for which no machine has room left: nothing as large is looked for again.
-        let mut full: Vec<JobSpec> = Vec::new();
-        let mut budget = STARTS_A_PASS;
         self.demands.clear();
         self.reservations.clear();
-        let asks_after = short_after(teams);
-        let mut keeping = self.keeping(now);
-        let promised = self.promised(now);
-        let left_alone = self.placement_refusals.current(now, m);
-        let left_alone = left_alone.iter().filter_map(|h| views[*h].machines(m.epoch));
-        let left_alone: BTreeSet<&str> = left_alone.flat_map(BTreeMap::keys).map(String::as_str).collect();
-        self.recent_shapes.retain(|(_, t)| now.since(*t) < Micros::from_millis(300_000));
-        for id in self.order() {
-            let Some(j) = self.jobs.get(&id) else { continue };
-            // Guards against a start before all that the job needs is done: whatever else may have
-            // put it in the queue, nothing of it is placed.
-            if j.waits() {
-                continue;
-            }
-            // Most jobs have all their tasks placed: they cost a look.
-            let placed = j.done.len() as usize + j.assignments.len();
-            let waits = now < j.not_before || self.failures.waits(now, &id);
-            if !j.settled() || waits || placed >= j.spec.tasks as usize {
-                continue;
-            }
-            let spec = j.spec.clone();
-            let whole = self.horizon(j, teams.guaranteed(&spec.team), Micros(0));
-            self.note_shape(now, &spec, whole);
-            let Some(j) = self.jobs.get(&id) else { continue };
-            let age = wall.since(j.ready_wall());
-            let one = j.spec.room;
-            let claim = teams.claim(&j.spec.team, &id);
-            let in_use = self.in_use(&id, j);
-            let claim_left = Resources { memory: i64::MAX / 4, ..claim - in_use };
-            let mut counts = ZoneCounts::new();
-            for p in j.assignments.values() {
-                *counts.entry(p.zone.clone()).or_default() += 1;
-            }
-            let mut still_there = BTreeSet::new();
-            for (k, (_, zone)) in self.open_of(&id).filter(|(_, (alive, _))| *alive) {
-                *counts.entry(zone.clone()).or_default() += 1;
-                still_there.insert(k.0);
-            }
-            // A machine that still has an old start of the job would refuse the task.
-            let mut old: BTreeSet<&str> =
-                self.open_of(&id).filter(|(k, _)| !j.done.contains(k.0)).map(|(k, _)| k.1.as_str()).collect();
-            old.append(&mut self.failures.avoided(now, &id));
-            old.extend(self.loans.left_by(&id));
-            let suspected = self.failures.suspected(&id);
-            // What is borrowed keeps away from machines where room is being made for a guarantee; that it finds none
-            // says nothing about other work.
-            let kept_out = j.quota_tier == QuotaTier::Beyond && !promised.is_empty() && !self.waits_too_long(j);
-            let apart = |d: &MachineStatus| kept_out && promised.contains(&d.name);
-            let mut starts: Vec<(u32, usize)> = Vec::new();
-            let mut unplaced = 0u32;
-            let mut keeps = Vec::new();
-            if j.spec.kind == JobKind::Gang {
-                if j.gang.is_some() || !j.assignments.is_empty() || !still_there.is_empty() {
-                    continue;
-                }
-                if claim_left.count_of(one) < i64::from(j.spec.tasks) {
-                    continue;
-                }
-                let hopeless = full.iter().any(|f| {
-                    f.kind == JobKind::Gang && f.tasks <= j.spec.tasks && placement::no_easier(&j.spec, f)
-                });
-                let lent = self.loans.lend(&mut places, &id, j);
-                let at = (!hopeless || !lent.is_empty()).then(|| {
-                    placement::gang(&j.spec, &places, &counts, |p| {
-                        !old.contains(p.name.as_str()) && !apart(p)
-                    })
-                });
-                let at = at.flatten();
-                gpu_lending::Loans::unlend(&mut places, &lent, one, at.as_deref().unwrap_or_default());
-                match at {
-                    Some(at) => {
-                        for (i, &pl) in at.iter().enumerate() {
-                            places[pl].take(one);
-                            starts.push((i as u32, pl));
-                        }
-                    }
-                    // A probe takes room that is there; none is made, kept or rented for it.
-                    None if suspected => continue,
-                    None => {
-                        unplaced = j.spec.tasks;
-                        if !hopeless && old.is_empty() && !j.spec.spread && !kept_out {
-                            full.push(j.spec.clone());
-                        }
-                        let reserve;
-                        (keeps, reserve) = self.keep_for(now, &mut keeping, &mut places, j, age);
-                        self.reservations.extend(reserve);
-                    }
-                }
-            } else {
-                let mut allowed = claim_left.count_of(one).clamp(0, i64::from(u32::MAX)) as usize;
-                // A job that fails everywhere is tried with one task at a time.
-                if suspected {
-                    allowed = usize::from(j.assignments.is_empty() && allowed > 0);
-                }
-                let left = (j.spec.tasks as usize).saturating_sub(j.done.len() as usize + j.assignments.len());
-                let next: Vec<u32> = j
-                    .done
-                    .gaps(j.spec.tasks)
-                    .filter(|idx| !j.assignments.contains_key(idx) && !still_there.contains(idx))
-                    .take(if self.waits_too_long(j) { allowed.min(FIRST_LOT) } else { allowed }.min(budget))
-                    .collect();
-                let hopeless =
-                    full.iter().any(|f| f.kind != JobKind::Gang && placement::no_easier(&j.spec, f));
-                // Room that is kept for the job goes first, or it would have been kept, or taken, in vain.
-                let lent = self.loans.lend(&mut places, &id, j);
-                let at = if (hopeless && lent.is_empty()) || next.is_empty() {
-                    Vec::new()
-                } else {
-                    let usable = |p: &MachineStatus| {
-                        !old.contains(p.name.as_str()) && !apart(p) && !left_alone.contains(p.name.as_str())
-                    };
-                    let kept: BTreeSet<String> =
-                        lent.iter().map(|(i, _)| places[*i].machine.name.clone()).collect();
-                    let first = |p: &MachineStatus| usable(p) && kept.contains(&p.name);
-                    let mut at = match lent.is_empty() {
-                        true => Vec::new(),
-                        false => placement::fill(&j.spec, &mut places, &mut counts, next.len(), first),
-                    };
-                    let rest = next.len() - at.len();
-                    at.extend(placement::fill(&j.spec, &mut places, &mut counts, rest, usable));
-                    at
-                };
-                gpu_lending::Loans::unlend(&mut places, &lent, one, &at);
-                if at.len() < next.len() {
-                    // A task may be known to be done by another's word while its start still counts as placed.
-                    unplaced = left.saturating_sub(at.len()).min(allowed) as u32;
-                    if !hopeless && old.is_empty() && !j.spec.one_zone && !j.spec.spread && !kept_out {
-                        full.push(j.spec.clone());
-                    }
-                }
-                budget -= at.len();
-                // What a borrower lacks is claimed in its team's ledger first; asked back here too, it would be taken twice.
-                let asks = j.quota_tier == QuotaTier::Within && age >= asks_after && !self.borrows(&j.spec);
-                if unplaced > 0 && !suspected && asks {
-                    short.push(Shortfall { spec: j.spec.clone(), count: unplaced });
-                }
-                starts.extend(next.into_iter().zip(at));
-            }
-            // A loan is sooner than a machine that has to boot: none is rented for what is claimed, or about to be.
-            let unplaced = unplaced.saturating_sub(self.loans.covers(now, &id));
-            if unplaced > 0 {
-                let s = &j.spec;
-                self.demands.push(Demand {
-                    room: one,
-                    kinds: s.kinds.clone(),
-                    zone: s.zone.clone(),
-                    one_zone: s.one_zone,
-                    spot: s.spot,
-                    count: unplaced,
-                    estimate: likely(&self.run_times, s),
-                    priority: s.priority,
-                    horizon: self.horizon(j, teams.guaranteed(&s.team), age),
-                    together: if s.kind == JobKind::Gang { s.tasks } else { 1 },
-                });
-            }
-            let Some(j) = self.jobs.get_mut(&id) else { continue };
-            j.reserved_machines = keeps;
-            // A gang without places is not under way: it must go on asking for room.
-            if starts.is_empty() {
-                continue;
-            }
-            let gang = j.spec.kind == JobKind::Gang;
-            if gang {
-                j.gang = Some(Gang::Holding(now));
-                j.start_count += 1;
-            }
-            for (idx, pl) in starts {
-                if !gang {
-                    j.start_count += 1;
-                }
-                let place = places[pl].machine;
-                // The epoch in front makes attempts unique across owners without a counter on
-                // record.
-                let p = Assignment {
-                    machine: place.name.clone(),
-                    zone: place.zone.clone(),
-                    attempt: (m.epoch << 24) + j.start_count,
-                    action: if gang { DesiredAction::Hold } else { DesiredAction::Run },
-                    first_revision: UNSENT,
-                    phase: None,
-                    phase_since: now,
-                    adopted: false,
-                };
-                tracing::debug!(job = %id, task = idx, machine = %p.machine, attempt = p.attempt, "task placed");
-                mark_changed(&mut self.changed_starts, &p.machine, &id, idx, p.attempt);
-                self.assigned_by_machine.entry(p.machine.clone()).or_default().insert((id.clone(), idx));
-                j.assignments.insert(idx, p);
+        let reservation_plan = self.begin_reservations(now);
+        let promised = self.promised_machines(now);
+        let refusing = self.placement_refusals.refusing(now, membership);
+        let refusing = refusing.iter().filter_map(|&leader| views[leader].machines(membership.epoch));
+        self.recent_shapes.retain(|(_, seen_at)| now.since(*seen_at) < SHAPE_MEMORY);
+        Pass {
+            now,
+            wall,
+            membership,
+            quota,
+            places,
+            machine_count: views
+                .iter()
+                .filter_map(|view| view.machines(membership.epoch))
+                .map(BTreeMap::len)
+                .sum(),
+            exhausted: Vec::new(),
+            starts_left: STARTS_PER_PASS,
+            shortfalls: Vec::new(),
+            reclaim_delay: reclaim_delay(quota),
+            reservation_plan,
+            promised,
+            refusing: refusing.flat_map(BTreeMap::keys).map(String::as_str).collect(),
+        }
+    }
+
+    /// Places what can be placed of one job.
+    fn schedule_job(&mut self, pass: &mut Pass, id: &str) {
+        if !self.has_tasks_to_place(pass.now, id) {
+            return;
+        }
+        self.note_shape_of(pass, id);
+        let Some(candidate) = self.candidate(pass, id) else { return };
+        let plan = match candidate.job.spec.kind {
+            JobKind::Gang => self.plan_gang(pass, &candidate),
+            JobKind::Array | JobKind::Service => Some(self.plan_tasks(pass, &candidate)),
+        };
+        let Some(plan) = plan else { return };
+        // A loan is sooner than a machine that has to boot: none is rented for what is claimed, or about to be.
+        let lacking = plan.unplaced.saturating_sub(self.loans.covers(pass.now, id));
+        if lacking > 0 {
+            let spec = &candidate.job.spec;
+            let horizon = self.horizon(candidate.job, pass.quota.guaranteed(&spec.team), candidate.age);
+            let demand = self.demand_of(spec, lacking, horizon);
+            self.demands.push(demand);
+        }
+        self.reservations.extend(plan.reservations);
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.reserved_machines = plan.reserved_machines;
+        }
+        self.start_tasks(pass, id, plan.starts);
+    }
+
+    /// Whether a job may start tasks now and has any that are neither completed nor assigned.
+    fn has_tasks_to_place(&self, now: Micros, id: &str) -> bool {
+        let Some(job) = self.jobs.get(id) else { return false };
+        // Guards against a start before all that the job needs is done: whatever else may have
+        // put it in the queue, nothing of it is placed.
+        if job.is_waiting() {
+            return false;
+        }
+        // Most jobs have all their tasks placed: they cost a look.
+        let placed = job.done.len() as usize + job.assignments.len();
+        let pauses = now < job.not_before || self.failures.awaits_probe(now, id);
+        job.has_known_starts() && !pauses && placed < job.spec.tasks as usize
+    }
+
+    fn note_shape_of(&mut self, pass: &Pass, id: &str) {
+        let Some(job) = self.jobs.get(id) else { return };
+        let spec = job.spec.clone();
+        let horizon = self.horizon(job, pass.quota.guaranteed(&spec.team), Micros(0));
+        self.note_shape(pass.now, &spec, horizon);
+    }
+
+    /// All that decides where a job's tasks may go.
+    fn candidate<'a>(&'a self, pass: &Pass, id: &'a str) -> Option<Candidate<'a>> {
+        let job = self.jobs.get(id)?;
+        let claim = pass.quota.claim(&job.spec.team, id);
+        let mut zone_counts = ZoneCounts::new();
+        for assignment in job.assignments.values() {
+            *zone_counts.entry(assignment.zone.clone()).or_default() += 1;
+        }
+        let mut retiring = BTreeSet::new();
+        for (key, start) in self.retired_starts.alive_of(id) {
+            *zone_counts.entry(start.zone.clone()).or_default() += 1;
+            retiring.insert(key.index);
+        }
+        // A machine that still has an old start of the job would refuse the task.
+        let open = self.retired_starts.open_of(id).filter(|(key, _)| !job.done.contains(key.index));
+        let mut excluded: BTreeSet<&str> = open.map(|(key, _)| key.machine.as_str()).collect();
+        excluded.append(&mut self.failures.machines_avoided_by(pass.now, id));
+        excluded.extend(self.loans.machines_left_by(id));
+        Some(Candidate {
+            id,
+            job,
+            age: pass.wall.since(job.ready_wall()),
+            allowance: Resources { memory: i64::MAX / 4, ..claim - self.resources_in_use(id, job) },
+            zone_counts,
+            retiring,
+            excluded,
+            quarantined: self.failures.is_job_quarantined(id),
+            avoids_promised: job.quota_tier == QuotaTier::Beyond
+                && !pass.promised.is_empty()
+                && !self.is_overdue_to_begin(job),
+        })
+    }
+
+    /// Places all members of a gang, or reserves machines for it. None if it is not to be looked at.
+    fn plan_gang(&self, pass: &mut Pass, candidate: &Candidate) -> Option<JobPlan> {
+        let (job, spec) = (candidate.job, &candidate.job.spec);
+        if job.gang.is_some() || !job.assignments.is_empty() || !candidate.retiring.is_empty() {
+            return None;
+        }
+        if candidate.allowance.count_of(spec.room) < i64::from(spec.tasks) {
+            return None;
+        }
+        let hopeless = pass.is_exhausted_for_gang(spec);
+        let lent = self.loans.lend(&mut pass.places, candidate.id, job);
+        let found = if hopeless && lent.is_empty() {
+            None
+        } else {
+            placement::place_gang(spec, &pass.places, &candidate.zone_counts, |machine| {
+                candidate.may_use(machine, &pass.promised)
+            })
+        };
+        Loans::take_back(&mut pass.places, &lent, spec.room, found.as_deref().unwrap_or_default());
+        if let Some(found) = found {
+            for &place in &found {
+                pass.places[place].take(spec.room);
             }
+            let starts = found.into_iter().zip(0..).map(|(place, index)| PlannedStart { index, place });
+            return Some(JobPlan { starts: starts.collect(), ..JobPlan::default() });
         }
-        self.reclaim(now, &places, short);
-        self.count_doubted(now, wall, teams, m, &views, &mut places);
-        drop(places);
-        self.views = views;
+        // A probe takes room that is there; none is made, reserved or rented for it.
+        if candidate.quarantined {
+            return None;
+        }
+        if !hopeless && candidate.is_representative() {
+            pass.exhausted.push(spec.clone());
+        }
+        let (reserved_machines, reservations) = self.reserve_for(pass, job, candidate.age);
+        Some(JobPlan { starts: Vec::new(), unplaced: spec.tasks, reserved_machines, reservations })
     }
 
-    /// What finds no room, for the decider.
-    pub fn demands(&self) -> Vec<Demand> {
-        let waiting = self.demands.iter().chain(&self.unresolved_demand.demands);
-        waiting.chain(self.recent_shapes.iter().map(|(d, _)| d)).cloned().collect()
+    /// Places as many tasks of an array or a service as its quota allows.
+    fn plan_tasks(&self, pass: &mut Pass, candidate: &Candidate) -> JobPlan {
+        let (job, spec) = (candidate.job, &candidate.job.spec);
+        let mut allowed = candidate.allowance.count_of(spec.room).clamp(0, i64::from(u32::MAX)) as usize;
+        // A job that fails everywhere is tried with one task at a time.
+        if candidate.quarantined {
+            allowed = usize::from(job.assignments.is_empty() && allowed > 0);
+        }
+        let lot = if self.is_overdue_to_begin(job) { allowed.min(FIRST_LOT) } else { allowed };
+        let next: Vec<u32> = job
+            .done
+            .gaps(spec.tasks)
+            .filter(|index| !job.assignments.contains_key(index) && !candidate.retiring.contains(index))
+            .take(lot.min(pass.starts_left))
+            .collect();
+        let hopeless = pass.is_exhausted_for_task(spec);
+        // Room that is kept for the job goes first, or it would have been kept, or taken, in vain.
+        let lent = self.loans.lend(&mut pass.places, candidate.id, job);
+        let found = if (hopeless && lent.is_empty()) || next.is_empty() {
+            Vec::new()
+        } else {
+            place_on_lent_first(pass, candidate, &lent, next.len())
+        };
+        Loans::take_back(&mut pass.places, &lent, spec.room, &found);
+        let mut unplaced = 0;
+        if found.len() < next.len() {
+            // A task may be known to be done by another's word while its start still counts as placed.
+            let left = (spec.tasks as usize).saturating_sub(job.done.len() as usize + job.assignments.len());
+            unplaced = left.saturating_sub(found.len()).min(allowed) as u32;
+            if !hopeless && candidate.is_representative() && !spec.one_zone {
+                pass.exhausted.push(spec.clone());
+            }
+        }
+        pass.starts_left -= found.len();
+        self.note_shortfall(pass, candidate, unplaced);
+        let starts = next.into_iter().zip(found).map(|(index, place)| PlannedStart { index, place });
+        JobPlan { starts: starts.collect(), unplaced, ..JobPlan::default() }
     }
-}
 
-/// A task of this sort completed after running for so long.
-pub(super) fn note_run(ran: &mut BTreeMap<String, (Micros, Micros)>, s: &JobSpec, run: Micros) {
-    if s.estimate == Micros(0) {
-        return;
+    /// Work within its guarantee that finds no room has borrowed room reclaimed.
+    fn note_shortfall(&self, pass: &mut Pass, candidate: &Candidate, unplaced: u32) {
+        let (job, spec) = (candidate.job, &candidate.job.spec);
+        // What a borrower lacks is claimed in its team's ledger first; reclaimed here too, it would be taken twice.
+        let reclaims = job.quota_tier == QuotaTier::Within
+            && candidate.age >= pass.reclaim_delay
+            && !self.may_borrow(spec);
+        if unplaced > 0 && !candidate.quarantined && reclaims {
+            pass.shortfalls.push(Shortfall { spec: spec.clone(), count: unplaced });
+        }
     }
-    // It begins as if some had run as long as expected: the first to complete are the shortest.
-    let start = Micros(RUN_MEMORY.0 / 4);
-    let (was, expected) = ran.entry(s.class.clone()).or_insert((start, start));
-    *was = *was + run;
-    *expected = *expected + s.estimate;
-    if *expected > RUN_MEMORY {
-        *was = Micros(was.0 / 2);
-        *expected = Micros(expected.0 / 2);
+
+    /// Assigns tasks to their places; the machines' leaders hear of it with the next message.
+    fn start_tasks(&mut self, pass: &Pass, id: &str, starts: Vec<PlannedStart>) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        // A gang without places is not under way: it must go on asking for room.
+        if starts.is_empty() {
+            return;
+        }
+        let gang = job.spec.kind == JobKind::Gang;
+        if gang {
+            job.gang = Some(GangState::Holding(pass.now));
+            job.start_count += 1;
+        }
+        let mut assigned = Vec::new();
+        for PlannedStart { index, place } in starts {
+            if !gang {
+                job.start_count += 1;
+            }
+            let machine = pass.places[place].machine;
+            let assignment = Assignment {
+                machine: machine.name.clone(),
+                zone: machine.zone.clone(),
+                // The epoch in front makes attempts unique across leaders without a counter on record.
+                attempt: (pass.membership.epoch << 24) + job.start_count,
+                action: if gang { DesiredAction::Hold } else { DesiredAction::Run },
+                first_revision: UNSENT,
+                phase: None,
+                phase_since: pass.now,
+                adopted: false,
+            };
+            let attempt = assignment.attempt;
+            tracing::debug!(job = %id, task = index, machine = %machine.name, attempt, "task assigned");
+            self.delivery.mark_changed(&machine.name, id, index, attempt);
+            assigned.push((machine.name.as_str(), index));
+            job.assignments.insert(index, assignment);
+        }
+        for (machine, index) in assigned {
+            self.index_assignment(machine, id, index);
+        }
     }
 }
 
-/// How long a task of this sort is likely to run.
-pub(super) fn likely(ran: &BTreeMap<String, (Micros, Micros)>, s: &JobSpec) -> Micros {
-    let (was, expected) = ran.get(&s.class).copied().unwrap_or((Micros(1), Micros(1)));
-    Micros((u128::from(s.estimate.0) * u128::from(was.0) / u128::from(expected.0.max(1))) as u64)
+/// Places up to `count` tasks, on machines with room lent to the job first.
+fn place_on_lent_first(
+    pass: &mut Pass,
+    candidate: &Candidate,
+    lent: &[LentRoom],
+    count: usize,
+) -> Vec<usize> {
+    let spec = &candidate.job.spec;
+    let Pass { places, promised, refusing, .. } = pass;
+    let mut zone_counts = candidate.zone_counts.clone();
+    let usable = |machine: &MachineStatus| {
+        candidate.may_use(machine, promised) && !refusing.contains(machine.name.as_str())
+    };
+    let mut found = Vec::new();
+    if !lent.is_empty() {
+        let with_lent: BTreeSet<String> =
+            lent.iter().map(|lent| places[lent.place].machine.name.clone()).collect();
+        let first = |machine: &MachineStatus| usable(machine) && with_lent.contains(&machine.name);
+        found = placement::place_tasks(spec, places, &mut zone_counts, count, first);
+    }
+    let rest = count - found.len();
+    found.extend(placement::place_tasks(spec, places, &mut zone_counts, rest, usable));
+    found
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,147 +1,170 @@
-//! Where a task goes: among the machines that its job allows, the one it leaves fullest, the owner's own first.
+//! Where a task goes: among the machines that its job allows, the one it leaves fullest, those that the job's leader leads
+//! itself first.
 
 use crate::peer::MachineStatus;
 use crate::spec::{GUARANTEED, JobSpec};
 use crate::units::Resources;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine as an owner sees it: its home's digest less what the owner has asked for since.
+/// A machine as a leader of jobs sees it: as its own leader describes it, less what has been asked for since.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place<'a> {
     /// The machine.
     pub machine: &'a MachineStatus,
     /// Free room.
     pub free: Resources,
-    /// What the owner has asked for since, which the machine's home has not seen.
+    /// What has been asked for since, which the machine's leader has not seen.
     pub unseen: Resources,
-    /// Its home is the owner itself, which sees at once what is free there.
-    pub near: bool,
-    /// Kept for waiting work of at least this priority.
-    pub kept_for: Option<u8>,
+    /// The leader of jobs leads it itself, and sees at once what is free there.
+    pub local: bool,
+    /// Reserved for work of at least this priority.
+    pub reserved_for: Option<u8>,
 }
 
 impl Place<'_> {
     /// Whether the job may use this machine at all.
-    pub fn allowed(&self, s: &JobSpec) -> bool {
-        (self.machine.spot <= s.spot)
-            && (s.kinds.is_empty() || s.kinds.contains(&self.machine.kind))
-            && s.zone.as_ref().is_none_or(|z| *z == self.machine.zone)
-            && self.machine.total.holds(s.room)
+    pub fn is_allowed(&self, spec: &JobSpec) -> bool {
+        (self.machine.spot <= spec.spot)
+            && (spec.kinds.is_empty() || spec.kinds.contains(&self.machine.kind))
+            && spec.zone.as_ref().is_none_or(|zone| *zone == self.machine.zone)
+            && self.machine.total.holds(spec.room)
     }
-    /// Room here is spoken for.
+
+    /// Room that is left once tasks end of priorities for which `stays` is false.
+    fn free_beside(&self, stays: impl Fn(u8) -> bool) -> Resources {
+        let staying = self.machine.by_priority.iter().filter(|(priority, _)| stays(*priority));
+        staying.fold(self.machine.total - self.unseen, |free, (_, used)| free - *used)
+    }
+
+    /// Takes room for a start.
     pub fn take(&mut self, room: Resources) {
         self.free = self.free - room;
         self.unseen = self.unseen + room;
     }
+
     /// Room there will be once tasks of lower priority than this are gone, and those that are being
     /// stopped already: a machine that is being emptied must not look fuller than one that is not.
     pub fn free_for(&self, priority: u8) -> Resources {
-        let stays = self.machine.by_priority.iter().filter(|(p, _)| *p >= priority);
-        stays.fold(self.machine.total - self.unseen, |a, (_, r)| a - *r)
+        self.free_beside(|running| running >= priority)
     }
+
     /// Room there will be once all that is no more urgent than this rank has ended by itself, whoever is guaranteed it.
     pub fn free_in_time(&self, rank: u8) -> Resources {
-        let stays = self.machine.by_priority.iter().filter(|(p, _)| p % GUARANTEED > rank);
-        stays.fold(self.machine.total - self.unseen, |a, (_, r)| a - *r)
+        self.free_beside(|running| running % GUARANTEED > rank)
     }
+
     /// What work that borrows can have at once: it may not stop other borrowed work of its own rank or above.
     pub fn free_for_borrowed(&self, priority: u8) -> Resources {
         let rank = priority % GUARANTEED;
-        let stays = |p: u8| p >= priority || (rank..GUARANTEED).contains(&p);
-        let stays = self.machine.by_priority.iter().filter(|(p, _)| stays(*p));
-        stays.fold(self.machine.total - self.unseen, |a, (_, r)| a - *r)
+        self.free_beside(|running| running >= priority || (rank..GUARANTEED).contains(&running))
     }
 }
 
-/// Whether work for which `other` found no room leaves none for `s` either.
-pub fn no_easier(s: &JobSpec, other: &JobSpec) -> bool {
-    s.room.holds(other.room)
-        && s.spot <= other.spot
-        && s.priority <= other.priority
-        && (other.kinds.is_empty() || s.kinds == other.kinds)
-        && (other.zone.is_none() || s.zone == other.zone)
+/// Whether a task of `spec` finds no room either once one of `failed` has found none.
+pub fn is_no_easier(spec: &JobSpec, failed: &JobSpec) -> bool {
+    spec.room.holds(failed.room)
+        && spec.spot <= failed.spot
+        && spec.priority <= failed.priority
+        && (failed.kinds.is_empty() || spec.kinds == failed.kinds)
+        && (failed.zone.is_none() || spec.zone == failed.zone)
 }
 
-/// How many of the job's tasks stand in each zone, old attempts that are not yet gone included.
+/// How many of a job's tasks run in each zone, old attempts that are not yet gone included.
 pub type ZoneCounts = BTreeMap<String, u32>;
 
 /// Whether one more task may go to this zone.
-pub fn zone_allows(s: &JobSpec, counts: &ZoneCounts, zone: &str) -> bool {
-    if s.one_zone && counts.iter().any(|(z, &n)| n > 0 && z != zone) {
+pub fn is_zone_allowed(spec: &JobSpec, counts: &ZoneCounts, zone: &str) -> bool {
+    if spec.one_zone && counts.iter().any(|(other, &count)| count > 0 && other != zone) {
         return false;
     }
-    !s.spread || counts.get(zone).copied().unwrap_or(0) < s.tasks.div_ceil(2)
+    !spec.spread || counts.get(zone).copied().unwrap_or(0) < spec.tasks.div_ceil(2)
+}
+
+/// How well a task goes to a place: the least goes first.
+fn fit(spec: &JobSpec, place: &Place) -> (bool, bool, i64, bool, bool, i64, bool, i64) {
+    let left = place.free - spec.room;
+    // Among equally full ones, the one that need not fetch the image. Where a task takes a
+    // machine for itself all are as good as equally full.
+    let fetches_image = !place.machine.images.contains(&spec.image_hash);
+    let alone = place.machine.total.count_of(spec.room) == 1;
+    let risky = place.machine.spot && spec.hurried();
+    // Of machines about as full those that the job's leader leads itself: several leaders that each take the very
+    // fullest have half of their starts refused when much is placed.
+    let half_empty = left.cpus * 2 > place.machine.total.cpus;
+    (
+        risky,
+        alone && fetches_image,
+        left.gpus,
+        half_empty,
+        !place.local,
+        left.cpus,
+        fetches_image,
+        left.memory,
+    )
 }
 
-/// Places for up to `n` tasks, each on the machine that it leaves fullest, and takes the room. Filling
+/// Places for up to `count` tasks, each on the machine that it leaves fullest, and takes the room. Filling
 /// the fullest machine first, then the next, comes to the same as choosing anew for each task, and
-/// looks at every machine once.
-pub fn fill(
-    s: &JobSpec,
+/// looks at every machine once. Returns the index of each task's place.
+#[must_use]
+pub fn place_tasks(
+    spec: &JobSpec,
     places: &mut [Place],
     counts: &mut ZoneCounts,
-    n: usize,
-    usable: impl Fn(&MachineStatus) -> bool,
+    count: usize,
+    is_usable: impl Fn(&MachineStatus) -> bool,
 ) -> Vec<usize> {
-    let mut at: Vec<_> = places
+    let mut candidates: Vec<_> = places
         .iter()
         .enumerate()
-        .filter(|(_, p)| {
-            p.free.holds(s.room)
-                && p.kept_for.is_none_or(|k| s.priority >= k)
-                && p.allowed(s)
-                && zone_allows(s, counts, &p.machine.zone)
-                && usable(p.machine)
-        })
-        .map(|(i, p)| {
-            let left = p.free - s.room;
-            // Among equally full ones, the one that need not fetch the image. Where a task takes a
-            // machine for itself all are as good as equally full.
-            let fetch = !p.machine.images.contains(&s.image_hash);
-            let alone = p.machine.total.count_of(s.room) == 1;
-            let risky = p.machine.spot && s.hurried();
-            // Of machines about as full the owner's own: several owners that each take the very fullest have half
-            // of their starts refused when much is placed.
-            let half = left.cpus * 2 > p.machine.total.cpus;
-            ((risky, alone && fetch, left.gpus, half, !p.near, left.cpus, fetch, left.memory), i)
+        .filter(|(_, place)| {
+            place.free.holds(spec.room)
+                && place.reserved_for.is_none_or(|priority| spec.priority >= priority)
+                && place.is_allowed(spec)
+                && is_zone_allowed(spec, counts, &place.machine.zone)
+                && is_usable(place.machine)
         })
+        .map(|(i, place)| (fit(spec, place), i))
         .collect();
-    at.sort_unstable();
-    let mut out = Vec::new();
-    for (_, i) in at {
+    candidates.sort_unstable();
+    let mut found = Vec::new();
+    for (_, i) in candidates {
         let zone = &places[i].machine.zone;
-        while out.len() < n && places[i].free.holds(s.room) && zone_allows(s, counts, zone) {
-            places[i].take(s.room);
+        while found.len() < count && places[i].free.holds(spec.room) && is_zone_allowed(spec, counts, zone) {
+            places[i].take(spec.room);
             *counts.entry(zone.clone()).or_default() += 1;
-            out.push(i);
+            found.push(i);
         }
-        if out.len() == n {
+        if found.len() == count {
             break;
         }
     }
-    out
+    found
 }
 
-/// Places for all tasks of a gang, or none. With one zone for all, each zone is tried, the one
+/// Places for all tasks of a gang, or none; takes no room. With one zone for all, each zone is tried, the one
 /// that ends up fullest first.
-pub fn gang(
-    s: &JobSpec,
+#[must_use]
+pub fn place_gang(
+    spec: &JobSpec,
     places: &[Place],
     counts: &ZoneCounts,
-    usable: impl Fn(&MachineStatus) -> bool,
+    is_usable: impl Fn(&MachineStatus) -> bool,
 ) -> Option<Vec<usize>> {
-    let attempt = |only: Option<&str>| {
+    let place_within = |zone: Option<&str>| {
         let mut places = places.to_vec();
-        let here = |d: &MachineStatus| only.is_none_or(|z| d.zone == z) && usable(d);
-        let out = fill(s, &mut places, &mut counts.clone(), s.tasks as usize, here);
-        let left: i64 = out.iter().map(|&i| places[i].free.cpus).sum();
-        (out.len() == s.tasks as usize).then_some((left, out))
+        let is_usable =
+            |machine: &MachineStatus| zone.is_none_or(|zone| machine.zone == zone) && is_usable(machine);
+        let found = place_tasks(spec, &mut places, &mut counts.clone(), spec.tasks as usize, is_usable);
+        let left: i64 = found.iter().map(|&i| places[i].free.cpus).sum();
+        (found.len() == spec.tasks as usize).then_some((left, found))
     };
-    if !s.one_zone {
-        return attempt(None).map(|(_, v)| v);
+    if !spec.one_zone {
+        return place_within(None).map(|(_, found)| found);
     }
-    let zones: std::collections::BTreeSet<&str> = places.iter().map(|p| p.machine.zone.as_str()).collect();
-    zones.into_iter().filter_map(|z| attempt(Some(z))).min_by_key(|(left, _)| *left).map(|(_, v)| v)
+    let zones: BTreeSet<&str> = places.iter().map(|place| place.machine.zone.as_str()).collect();
+    let found = zones.into_iter().filter_map(|zone| place_within(Some(zone)));
+    found.min_by_key(|(left, _)| *left).map(|(_, found)| found)
 }
 
 #[cfg(test)]
--- a/src/scheduler/placement/tests.rs
+++ b/src/scheduler/placement/tests.rs
@@ -38,7 +38,7 @@
     let machines = [machine("a".into(), "a", true, 2.0, 8.0), machine("b".into(), "a", false, 8.0, 8.0)];
     let at = |priority: u8, checkpoint: Micros| {
         let spec = JobSpec { spot: true, priority, checkpoint, ..spec("batch", 2, false, false) };
-        fill(&spec, &mut places(&machines), &mut ZoneCounts::new(), 2, |_| true)
+        place_tasks(&spec, &mut places(&machines), &mut ZoneCounts::new(), 2, |_| true)
     };
     assert_eq!(at(1, Micros(0)), [0, 1], "the fullest first");
     assert_eq!(at(2, Micros(0)), [1, 1]);
@@ -63,8 +63,8 @@
             machine: d,
             free: d.free,
             unseen: Resources::default(),
-            near: false,
-            kept_for: None,
+            local: false,
+            reserved_for: None,
         })
         .collect()
 }
@@ -76,7 +76,7 @@
         let machines = fleet(&mut rng);
         let places = places(&machines);
         let s = spec("group", rng.random_range(1..8), rng.random_bool(0.5), rng.random_bool(0.4));
-        let Some(at) = gang(&s, &places, &ZoneCounts::new(), |_| true) else { continue };
+        let Some(at) = place_gang(&s, &places, &ZoneCounts::new(), |_| true) else { continue };
         assert_eq!(at.len(), s.tasks as usize);
         let mut counts = ZoneCounts::new();
         let mut free: Vec<Resources> = places.iter().map(|p| p.free).collect();
@@ -111,7 +111,7 @@
     let mut machines: Vec<_> = (0..4).map(|i| machine(format!("i-{i}"), "a", false, 3.0, 3.0)).collect();
     machines[1].images = vec![s.image_hash];
     machines[3].images = vec![s.image_hash];
-    assert_eq!(gang(&s, &places(&machines), &ZoneCounts::new(), |_| true), Some(vec![1, 3]));
+    assert_eq!(place_gang(&s, &places(&machines), &ZoneCounts::new(), |_| true), Some(vec![1, 3]));
 }
 
 /// Filling machine after machine must come to the same as choosing the fullest for each task.
@@ -123,9 +123,10 @@
         let s = spec("batch", rng.random_range(1..20), rng.random_bool(0.3), rng.random_bool(0.3));
         let (mut at_once, mut one_by_one) = (places(&machines), places(&machines));
         let (mut a, mut b) = (ZoneCounts::new(), ZoneCounts::new());
-        let n = fill(&s, &mut at_once, &mut a, s.tasks as usize, |_| true).len();
-        let m =
-            (0..s.tasks).filter(|_| !fill(&s, &mut one_by_one, &mut b, 1, |_| true).is_empty()).count();
+        let n = place_tasks(&s, &mut at_once, &mut a, s.tasks as usize, |_| true).len();
+        let m = (0..s.tasks)
+            .filter(|_| !place_tasks(&s, &mut one_by_one, &mut b, 1, |_| true).is_empty())
+            .count();
         let free = |p: &[Place]| p.iter().map(|p| p.free).collect::<Vec<_>>();
         assert_eq!((n, a, free(&at_once)), (m, b, free(&one_by_one)), "seed {seed}");
     }
@@ -136,5 +137,5 @@
     ];
     let mut places = places(&machines);
     let s = spec("batch", 1, false, false);
-    assert_eq!(fill(&s, &mut places, &mut ZoneCounts::new(), 1, |_| true), [1]);
+    assert_eq!(place_tasks(&s, &mut places, &mut ZoneCounts::new(), 1, |_| true), [1]);
 }
--- /dev/null
+++ b/src/scheduler/reservations/tests.rs
@@ -0,0 +1,89 @@
+use super::*;
+use crate::peer::{InventoryState, MachineStatus};
+use serde_json::json;
+
+fn machine(i: usize, zone: &str, busy: &[(u8, i64)]) -> MachineStatus {
+    let total = Resources { cpus: 16_000, gpus: 0, memory: 64_000 };
+    let by_priority: Vec<(u8, Resources)> =
+        busy.iter().map(|(p, c)| (*p, Resources { cpus: *c, ..Resources::default() })).collect();
+    MachineStatus {
+        name: format!("i-{i:02}"),
+        kind: "k".into(),
+        zone: zone.into(),
+        spot: false,
+        standing: InventoryState::Known,
+        open: true,
+        notice: None,
+        free: by_priority.iter().fold(total, |a, (_, r)| a - *r),
+        total,
+        by_priority,
+        images: Vec::new(),
+        busy: 0,
+        idle: None,
+        silent: None,
+        tasks: Vec::new(),
+    }
+}
+
+fn gang(tasks: u32, priority: u8) -> JobSpec {
+    let raw = json!({"uid":"wk-1","breed":"b","herd":"t","gait":"group","rank":"idle","strides":tasks,"vcpus":15.0,
+        "cards":0,"ramGb":1.0,"tack":"i","imageGb":1,"together":true,"scatter":false,"borrowed":false,"rideS":1,
+        "restS":0,"unsaddleS":0});
+    JobSpec { priority, ..JobSpec::from_value(&raw).expect("valid") }
+}
+
+/// The machines reserved for a gang.
+fn reserve(
+    machines: &[MachineStatus],
+    spec: &JobSpec,
+    quota_tier: QuotaTier,
+    overdue: bool,
+    taken: &BTreeSet<String>,
+) -> Vec<String> {
+    let request = ReservationRequest { spec, quota_tier, overdue, previous: &[], taken };
+    reserve_machines(&mut places(machines), &request).names
+}
+
+fn places(machines: &[MachineStatus]) -> Vec<Place<'_>> {
+    let place = |d| Place {
+        machine: d,
+        free: d.free,
+        unseen: Resources::default(),
+        local: false,
+        reserved_for: None,
+    };
+    machines.iter().map(place).collect()
+}
+
+/// Two large gangs that hold half of what each needs would wait for one another for ever.
+#[test]
+fn a_gang_reserves_all_its_machines_or_none_and_none_of_another_leaders() {
+    let machines: Vec<MachineStatus> = (0..40).map(|i| machine(i, "a", &[(0, 4000)])).collect();
+    let reserved = |taken: usize| {
+        let taken = (0..taken).map(|i| format!("i-{i:02}")).collect();
+        reserve(&machines, &gang(24, 1), QuotaTier::Unpromised, false, &taken)
+    };
+    assert_eq!(reserved(0).len(), 24);
+    assert!(reserved(16).iter().all(|n| n.as_str() >= "i-16") && reserved(16).len() == 24);
+    assert!(reserved(17).is_empty(), "23 are left");
+}
+
+#[test]
+fn borrowed_gangs_do_not_count_on_what_they_may_not_stop() {
+    let machines =
+        [machine(0, "a", &[(1, 15_000)]), machine(1, "a", &[(0, 15_000)]), machine(2, "a", &[(10, 9000)])];
+    let reserved = |tasks, quota_tier, overdue| {
+        reserve(&machines, &gang(tasks, 11), quota_tier, overdue, &BTreeSet::new())
+    };
+    let count = |tasks, quota_tier| reserved(tasks, quota_tier, false).len();
+    assert_eq!(reserved(1, QuotaTier::Within, false), ["i-02"], "where the least is on it");
+    assert_eq!(
+        (count(3, QuotaTier::Within), count(3, QuotaTier::Beyond), count(2, QuotaTier::Beyond)),
+        (3, 0, 2)
+    );
+    assert_eq!(
+        reserved(3, QuotaTier::Beyond, true).len(),
+        3,
+        "what it may not stop runs out: it is not overtaken again"
+    );
+}
--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -268,7 +268,7 @@
     assert_eq!(JobShard::record(&raw, accepted, &done.encode(1000)), stored["job/wk-000412"]);
 
     let mut owner = JobShard::new(&settings(4.0));
-    owner.insert(raw, spec, accepted, Ranges::default(), 1, true);
+    owner.insert_job(raw, spec, accepted, Ranges::default(), 1, true);
     owner.jobs.get_mut("wk-000412").expect("live").pending_outcome = Some(JobOutcome::Cancelled);
     let Some((_, RecordWrite::End(_, end), _)) = owner.next_write(Micros(1), true) else { panic!("no end") };
     assert_eq!(end, stored["done/wk-000413"]);
@@ -328,13 +328,13 @@
             (with["breedsOfStall"].clone(), follows.as_array().map_or(0, Vec::len))
         );
         let mut owner = JobShard::new(&settings(4.0));
-        owner.insert(raw, spec, Micros(5), Ranges::default(), 1, true);
+        owner.insert_job(raw, spec, Micros(5), Ranges::default(), 1, true);
         for p in ["wk-000398", "wk-405"] {
-            owner.prerequisite_ended(p, JobOutcome::Done);
+            owner.apply_prerequisite_end(p, JobOutcome::Done);
         }
-        assert!(owner.jobs["wk-000412"].waits(), "the release holds it still");
-        owner.lift("wk-000412");
-        assert!(!owner.jobs["wk-000412"].waits());
+        assert!(owner.jobs["wk-000412"].is_waiting(), "the release holds it still");
+        owner.lift_hold("wk-000412");
+        assert!(!owner.jobs["wk-000412"].is_waiting());
         owner.jobs.get_mut("wk-000412").expect("live").pending_outcome = Some(JobOutcome::Done);
         let Some((_, RecordWrite::End(_, end), _)) = owner.next_write(Micros(1), true) else {
             panic!("no end")
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -70,10 +70,10 @@
 
     fn load(&self, o: &mut JobShard) {
         if self.store.end {
-            return o.ended(JOB, JobOutcome::Done);
+            return o.end_job(JOB, JobOutcome::Done);
         }
         let (raw, spec) = self.spec();
-        o.insert(raw, spec, Micros(1), self.store.done.clone(), self.store.store_version, false);
+        o.insert_job(raw, spec, Micros(1), self.store.done.clone(), self.store.store_version, false);
     }
 
     /// A home's word: the machines that it has heard, and what it has on record of the others.
@@ -105,7 +105,12 @@
             }
         };
         let machines = (0..MACHINES).map(digest).collect();
-        o.digest(now, m, 0, MachineStatusDelta { seq: (m.epoch << 32) + seq, since: 0, rev_seen, machines });
+        o.apply_machine_status(
+            now,
+            m,
+            0,
+            MachineStatusDelta { seq: (m.epoch << 32) + seq, since: 0, rev_seen, machines },
+        );
     }
 
     /// The machines do what was wished; those that aren't known get nothing.
@@ -165,7 +170,7 @@
         assert!(store_version <= self.store.store_version);
         let fate = self.rng.random_range(0..4);
         if fate == 3 {
-            return o.write_failed(now, &id, false);
+            return o.fail_write(now, &id, false);
         }
         self.store.store_version += 1;
         match write {
@@ -174,8 +179,8 @@
                 assert!(truly, "seed {}: on record and not done", self.seed);
                 self.store.done = kept.clone();
                 match fate {
-                    0 | 1 => o.progress_written(now, &id, kept, self.store.store_version),
-                    _ => o.write_failed(now, &id, false),
+                    0 | 1 => o.confirm_progress(now, &id, kept, self.store.store_version),
+                    _ => o.fail_write(now, &id, false),
                 }
             }
             RecordWrite::End(f, _) => {
@@ -187,8 +192,8 @@
                 self.cut += u32::from((0..self.tasks).any(|i| !self.store.done.contains(i)));
                 self.store.end = true;
                 match fate {
-                    0 | 1 => o.ended(&id, f),
-                    _ => o.write_failed(now, &id, false),
+                    0 | 1 => o.end_job(&id, f),
+                    _ => o.fail_write(now, &id, false),
                 }
             }
         }
@@ -216,10 +221,10 @@
                 if !follows {
                     owner = JobShard::new(&s);
                 }
-                owner.adopt(&m, follows);
+                owner.adopt_epoch(&m, follows);
                 self.load(&mut owner);
-                owner.load_done((0..MACHINES).map(|i| format!("i-{i}")));
-                owner.keep(Vec::new(), Vec::new());
+                owner.finish_loading((0..MACHINES).map(|i| format!("i-{i}")));
+                owner.apply_autoscaler_reservations(Vec::new(), Vec::new());
                 (seq, seen) = (0, 0);
                 known = [false; MACHINES];
                 self.decided.clear();
@@ -253,14 +258,14 @@
                 seq += 1;
                 self.tell(&mut owner, &m, now, seq, seen, &known);
             }
-            owner.plan(now, now, &m, &teams);
-            owner.make_room(now, &m);
-            let w = owner.wanted(0, &m);
+            owner.run_scheduling_pass(now, now, &m, &teams);
+            owner.preempt_tasks(now, &m);
+            let w = owner.next_desired_state(0, &m);
             if self.rng.random_bool(0.7) {
                 seen = w.rev;
                 self.obey(&w, &known);
             }
-            if let Some(id) = owner.next_verify()
+            if let Some(id) = owner.next_reread()
                 && self.rng.random_bool(0.3)
             {
                 assert_eq!(id, JOB);
--- a/tests/follow.rs
+++ b/tests/follow.rs
@@ -19,8 +19,8 @@
     let mut m = Membership::new(&s, 1);
     m.adopt(Micros(1), &EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] }, 1);
     let mut owner = JobShard::new(&s);
-    owner.adopt(&m, false);
-    owner.load_done(std::iter::empty());
+    owner.adopt_epoch(&m, false);
+    owner.finish_loading(std::iter::empty());
     (m, owner)
 }
 
@@ -29,7 +29,7 @@
         "vcpus": 1.0, "cards": 0, "ramGb": 1.0, "tack": "i", "imageGb": 1, "together": false, "scatter": false,
         "borrowed": false, "rideS": 1, "restS": 0, "unsaddleS": 0, "follows": follows});
     let spec = JobSpec::from_value(&raw).expect("valid");
-    owner.insert(raw, spec, Micros(1), Ranges::default(), 1, true);
+    owner.insert_job(raw, spec, Micros(1), Ranges::default(), 1, true);
 }
 
 fn id(n: usize) -> String {
@@ -60,40 +60,40 @@
                 }
                 1 => {
                     let p = rng.random_range(0..30);
-                    owner.prerequisite_ended(&id(p), ends[p]);
+                    owner.apply_prerequisite_end(&id(p), ends[p]);
                     told.insert(p);
                 }
                 2 => {
                     // A read: of what has ended before, or has not yet.
-                    if let Some(p) = owner.next_unread() {
+                    if let Some(p) = owner.next_unread_prerequisite() {
                         let n: usize = p[3..].parse().expect("a number");
                         if told.contains(&n) {
-                            owner.prerequisite_ended(&p, ends[n]);
+                            owner.apply_prerequisite_end(&p, ends[n]);
                         }
                     }
                 }
-                _ if step % 50 == 0 => owner.unwatched(),
+                _ if step % 50 == 0 => owner.reread_prerequisites(),
                 _ => {}
             }
             for (job, on) in &needs {
                 let j = &owner.jobs[job];
                 let all = on.iter().all(|p| told.contains(p) && ends[*p] == JobOutcome::Done);
-                assert!(j.waits() || all, "seed {seed}: {job} is released too early");
+                assert!(j.is_waiting() || all, "seed {seed}: {job} is released too early");
                 let gone = on.iter().any(|p| told.contains(p) && ends[*p] == JobOutcome::Cancelled);
                 assert!(j.pending_outcome.is_none() || gone, "seed {seed}: {job} ends for nothing");
             }
         }
         // All has ended, and all that is not known is read.
-        owner.unwatched();
-        while let Some(p) = owner.next_unread() {
-            owner.prerequisite_ended(&p, ends[p[3..].parse::<usize>().expect("a number")]);
+        owner.reread_prerequisites();
+        while let Some(p) = owner.next_unread_prerequisite() {
+            owner.apply_prerequisite_end(&p, ends[p[3..].parse::<usize>().expect("a number")]);
         }
-        assert!(!owner.watches());
+        assert!(!owner.awaits_ends());
         for (job, on) in &needs {
             let j = &owner.jobs[job];
             let gone = on.iter().any(|p| ends[*p] == JobOutcome::Cancelled);
             assert_eq!(j.pending_outcome, gone.then_some(JobOutcome::Cancelled), "seed {seed}: {job}");
-            assert_eq!(j.waits(), gone, "seed {seed}: {job}");
+            assert_eq!(j.is_waiting(), gone, "seed {seed}: {job}");
         }
     }
 }
@@ -106,12 +106,12 @@
     for n in 0..1000 {
         add(&mut owner, &id(1000 + n), "idle", &[id(n / 10), id(500 + n)]);
     }
-    let reads = std::iter::from_fn(|| owner.next_unread()).count();
+    let reads = std::iter::from_fn(|| owner.next_unread_prerequisite()).count();
     assert_eq!(reads, 100 + 1000);
     owner.replan = false;
-    owner.prerequisite_ended(&id(900_000), JobOutcome::Done);
+    owner.apply_prerequisite_end(&id(900_000), JobOutcome::Done);
     assert!(!owner.replan, "nobody waits for this one");
-    owner.prerequisite_ended(&id(7), JobOutcome::Cancelled);
+    owner.apply_prerequisite_end(&id(7), JobOutcome::Cancelled);
     let touched: Vec<&String> =
         owner.jobs.iter().filter(|(_, j)| j.pending_outcome.is_some()).map(|(id, _)| id).collect();
     assert_eq!(touched, (1070..1080).map(id).collect::<Vec<_>>().iter().collect::<Vec<_>>());
@@ -125,15 +125,15 @@
     for (n, rank) in [(1, "normal"), (2, "normal"), (3, "normal"), (4, "high")] {
         add(&mut owner, &id(n), rank, &[]);
     }
-    owner.due(&id(3), Some(Micros(4_000_000_000)));
-    owner.due(&id(2), Some(Micros(5_000_000_000)));
-    owner.keep(Vec::new(), Vec::new());
-    assert_eq!(owner.order(), [4, 3, 2, 1].map(id));
-    owner.due(&id(3), None);
-    assert_eq!(owner.order(), [4, 2, 1, 3].map(id));
-    assert!(owner.urges(0, &m).is_empty());
-    owner.releases_need([(id(1), 2)].into());
-    assert_eq!(owner.urges(0, &m), [(id(1), 2)]);
+    owner.set_release_due(&id(3), Some(Micros(4_000_000_000)));
+    owner.set_release_due(&id(2), Some(Micros(5_000_000_000)));
+    owner.apply_autoscaler_reservations(Vec::new(), Vec::new());
+    assert_eq!(owner.queue_order(), [4, 3, 2, 1].map(id));
+    owner.set_release_due(&id(3), None);
+    assert_eq!(owner.queue_order(), [4, 2, 1, 3].map(id));
+    assert!(owner.priorities_needed_of(0, &m).is_empty());
+    owner.set_release_priorities([(id(1), 2)].into());
+    assert_eq!(owner.priorities_needed_of(0, &m), [(id(1), 2)]);
 }
 
 /// Urgency passes from the last job of a pipeline to its first, and goes with the job that lent it. Lists may
@@ -146,15 +146,15 @@
     add(&mut owner, &id(3), "high", &[id(2)]);
     let priority = |o: &JobShard, n: usize| o.jobs[&id(n)].spec.priority;
     for _ in 0..2 {
-        let list = owner.urges(0, &m);
-        owner.urged_by(0, list.clone());
-        owner.urged_by(0, list);
+        let list = owner.priorities_needed_of(0, &m);
+        owner.apply_needed_priorities(0, list.clone());
+        owner.apply_needed_priorities(0, list);
     }
     assert_eq!((priority(&owner, 1), priority(&owner, 2), priority(&owner, 3)), (2, 2, 2));
     owner.jobs.get_mut(&id(3)).expect("live").pending_outcome = Some(JobOutcome::Cancelled);
     for _ in 0..2 {
-        let list = owner.urges(0, &m);
-        owner.urged_by(0, list);
+        let list = owner.priorities_needed_of(0, &m);
+        owner.apply_needed_priorities(0, list);
     }
     assert_eq!((priority(&owner, 1), priority(&owner, 2)), (0, 0), "it needs them no more");
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -240,7 +240,7 @@
     let (raw, spec, accepted, done) = JobShard::read_record(record).expect("a record");
     let id = spec.id.clone();
     let mut owner = JobShard::new(&settings());
-    owner.insert(raw, spec, accepted, done, 1, true);
+    owner.insert_job(raw, spec, accepted, done, 1, true);
     owner.jobs.get_mut(&id).expect("live").pending_outcome = Some(f);
     match owner.next_write(Micros(1), true) {
         Some((_, RecordWrite::End(_, end), _)) => end,
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -239,11 +239,18 @@
 fn owner(t: &Two, kind: &str, tasks: u32) -> (JobShard, QuotaLedger, MachineStatus) {
     let s = settings(1);
     let mut o = JobShard::new(&s);
-    o.adopt(&t.new, false);
+    o.adopt_epoch(&t.new, false);
     let raw = raw(&t.job, kind, tasks);
-    o.insert(raw.clone(), JobSpec::from_value(&raw).expect("valid"), Micros(1), Ranges::default(), 1, false);
-    o.load_done([t.machine.clone(), "i-dark".to_owned()].into_iter());
-    o.keep(Vec::new(), Vec::new());
+    o.insert_job(
+        raw.clone(),
+        JobSpec::from_value(&raw).expect("valid"),
+        Micros(1),
+        Ranges::default(),
+        1,
+        false,
+    );
+    o.finish_loading([t.machine.clone(), "i-dark".to_owned()].into_iter());
+    o.apply_autoscaler_reservations(Vec::new(), Vec::new());
     let room = Resources { cpus: 80_000, gpus: 0, memory: 90_000 };
     let d = MachineStatus {
         name: "i-free".into(),
@@ -269,7 +276,7 @@
 fn hear(o: &mut JobShard, t: &Two, seq: u64, free: &MachineStatus, others: &[(&str, InventoryState)]) {
     for from in 0..2 {
         // The home has seen what it was last told, if it was told anything.
-        let rev_seen = if seq == 1 { 0 } else { o.wanted(from, &t.new).rev };
+        let rev_seen = if seq == 1 { 0 } else { o.next_desired_state(from, &t.new).rev };
         let none = Resources::default();
         let other = |&(name, standing): &(&str, InventoryState)| MachineStatus {
             name: name.into(),
@@ -281,13 +288,13 @@
         let all = others.iter().map(other).chain([free.clone()]);
         let machines = all.filter(|d| t.new.machine_leader(&d.name) == Some(from)).collect();
         let d = MachineStatusDelta { seq: (t.new.epoch << 32) + seq, since: 0, rev_seen, machines };
-        o.digest(at(5.0), &t.new, from, d);
+        o.apply_machine_status(at(5.0), &t.new, from, d);
     }
 }
 
 fn placed(o: &mut JobShard, t: &Two, teams: &QuotaLedger, now: f64) -> Vec<u32> {
-    o.plan(at(now), at(now), &t.new, teams);
-    let mut all: Vec<DesiredTask> = (0..2).flat_map(|h| o.wanted(h, &t.new).list).collect();
+    o.run_scheduling_pass(at(now), at(now), &t.new, teams);
+    let mut all: Vec<DesiredTask> = (0..2).flat_map(|h| o.next_desired_state(h, &t.new).list).collect();
     all.retain(|w| w.want == DesiredAction::Run || w.want == DesiredAction::Hold);
     let mut out: Vec<u32> = all.iter().map(|w| w.key.index).collect();
     out.sort_unstable();
@@ -315,10 +322,14 @@
     assert_eq!(placed(&mut o, &t, &teams, 5.0), Vec::<u32>::new(), "any of them may be on two machines");
     let starts = vec![start(&t, 1, false), start(&t, 2, true)];
     let job = |doubt| JobHandoff { id: t.job.clone(), done: "3".into(), starts: starts.clone(), doubt };
-    assert_eq!(o.handed(at(5.1), vec![job(Some(9))], &[]), 0, "a set that is not there is no evidence");
-    assert_eq!(o.handed(at(5.1), vec![job(None)], &[]), 1);
+    assert_eq!(
+        o.accept_handoff(at(5.1), vec![job(Some(9))], &[]),
+        0,
+        "a set that is not there is no evidence"
+    );
+    assert_eq!(o.accept_handoff(at(5.1), vec![job(None)], &[]), 1);
     assert_eq!(placed(&mut o, &t, &teams, 6.0), [0], "one is there, one being stopped, one completed");
-    assert_eq!(o.handed(at(6.1), vec![job(None)], &[]), 0, "twice changes nothing");
+    assert_eq!(o.accept_handoff(at(6.1), vec![job(None)], &[]), 0, "twice changes nothing");
     // Their machine speaks and has neither.
     let known = [(t.machine.as_str(), InventoryState::Known), ("i-dark", InventoryState::Unconfirmed)];
     hear(&mut o, &t, 2, &free, &known);
@@ -334,12 +345,12 @@
     hear(&mut o, &t, 1, &free, &dark);
     let job = JobHandoff { id: t.job.clone(), done: String::new(), starts: Vec::new(), doubt: Some(0) };
     // One that the old owner waited for was never on record, or is gone: it is not waited for.
-    o.handed(at(5.1), vec![job], &[vec![t.machine.clone(), "i-gone".into()]]);
+    o.accept_handoff(at(5.1), vec![job], &[vec![t.machine.clone(), "i-gone".into()]]);
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty());
     let known = [(t.machine.as_str(), InventoryState::Known), ("i-dark", InventoryState::Unconfirmed)];
     hear(&mut o, &t, 2, &free, &known);
     assert_eq!(placed(&mut o, &t, &teams, 7.0), [0, 1]);
-    assert_eq!(o.unheard(), 1, "the other machine is as dark as it was");
+    assert_eq!(o.unconfirmed_machine_count(), 1, "the other machine is as dark as it was");
 }
 
 /// What a machine has shown since the job became ours stays true in the epochs that follow.
@@ -357,8 +368,8 @@
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty(), "one of two has spoken");
     let mut after = two();
     assert!(after.new.adopt(at(1100.0), &record(9, &[0, 1]), 3));
-    o.adopt(&after.new, true);
-    o.load_done([t.machine.clone(), "i-dark".to_owned()].into_iter());
+    o.adopt_epoch(&after.new, true);
+    o.finish_loading([t.machine.clone(), "i-dark".to_owned()].into_iter());
     // Now the other one does, and the first one's new home has yet to hear it.
     let known = [(t.machine.as_str(), InventoryState::Unconfirmed), ("i-dark", InventoryState::Known)];
     hear(&mut o, &after, 1, &free, &known);
@@ -374,9 +385,10 @@
     hear(&mut o, &t, 1, &free, &dark);
     let starts = vec![start(&t, 1, false)];
     let job = JobHandoff { id: t.job.clone(), done: String::new(), starts, doubt: None };
-    o.handed(at(5.1), vec![job], &[]);
+    o.accept_handoff(at(5.1), vec![job], &[]);
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty());
-    let stops: Vec<DesiredAction> = (0..2).flat_map(|h| o.wanted(h, &t.new).list).map(|w| w.want).collect();
+    let stops: Vec<DesiredAction> =
+        (0..2).flat_map(|h| o.next_desired_state(h, &t.new).list).map(|w| w.want).collect();
     assert_eq!(stops, [DesiredAction::Stop(Micros(0))]);
     hear(
         &mut o,
@@ -385,6 +397,6 @@
         &free,
         &[(t.machine.as_str(), InventoryState::Known), ("i-dark", InventoryState::Unconfirmed)],
     );
-    o.plan(at(7.0), at(7.0), &t.new, &teams);
+    o.run_scheduling_pass(at(7.0), at(7.0), &t.new, &teams);
     assert_eq!(placed(&mut o, &t, &teams, 8.0), [0, 1], "as a whole, at once: all of it is known");
 }
--- a/tests/spec.rs
+++ b/tests/spec.rs
@@ -192,7 +192,7 @@
             ("ramGb", json!(0)),
         ]);
         let spec = JobSpec::from_value(&raw).expect("well-formed");
-        owner.insert(raw, spec, Micros(n), Ranges::default(), 1, true);
+        owner.insert_job(raw, spec, Micros(n), Ranges::default(), 1, true);
     }
-    assert_eq!(owner.order().len(), 3);
+    assert_eq!(owner.queue_order().len(), 3);
 }
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -168,19 +168,19 @@
         self.digests.clear();
         for i in 0..3 {
             let follows = self.members[i].adopt(self.now, &record, self.store_version);
-            self.owners[i].adopt(&self.members[i], follows);
+            self.owners[i].adopt_epoch(&self.members[i], follows);
             self.quota[i].unread();
             self.seen[i] = [0; 3];
             for (id, raw) in &self.raws {
                 let a = &self.jobs[id];
                 if self.members[i].job_leader(id) == Some(i) && a.done.is_none() {
                     let spec = a.spec.clone();
-                    self.owners[i].insert(raw.clone(), spec, a.at, Ranges::default(), 1, false);
+                    self.owners[i].insert_job(raw.clone(), spec, a.at, Ranges::default(), 1, false);
                 }
             }
             let names: Vec<String> =
                 self.machines.iter().filter(|x| x.alive).map(|x| x.name.clone()).collect();
-            self.owners[i].load_done(names.into_iter());
+            self.owners[i].finish_loading(names.into_iter());
             self.loaded_at[i] = self.now;
         }
     }
@@ -189,7 +189,7 @@
         let spec = JobSpec::from_value(&raw).expect("a valid description");
         let id = spec.id.clone();
         let owner = self.members[0].job_leader(&id).expect("owned");
-        self.owners[owner].insert(raw.clone(), spec.clone(), self.now, Ranges::default(), 1, true);
+        self.owners[owner].insert_job(raw.clone(), spec.clone(), self.now, Ranges::default(), 1, true);
         let asked =
             Asked { spec, run, at: self.now, begun: None, done: None, stopped: 0, running: BTreeSet::new() };
         self.jobs.insert(id.clone(), asked);
@@ -218,25 +218,25 @@
         for i in 0..3 {
             self.claims(i);
             let m = &self.members[i];
-            self.owners[i].plan(now, now, m, &self.quota[i]);
+            self.owners[i].run_scheduling_pass(now, now, m, &self.quota[i]);
             self.make_room(i);
             while let Some((id, w, _)) = self.owners[i].next_write(now, true) {
                 if let RecordWrite::End(f, _) = w {
-                    self.owners[i].ended(&id, f);
+                    self.owners[i].end_job(&id, f);
                     let a = self.jobs.get_mut(&id).expect("asked");
                     a.done = Some(now);
                 }
             }
             while let Some((id, w, store_version)) = self.owners[i].next_write(now, false) {
                 if let RecordWrite::Progress(_, kept) = w {
-                    self.owners[i].progress_written(now, &id, kept, store_version);
+                    self.owners[i].confirm_progress(now, &id, kept, store_version);
                 }
             }
         }
         for i in 0..3 {
             for home in 0..3 {
-                if self.owners[i].has_news(home, &self.members[i]) {
-                    let w = self.owners[i].wanted(home, &self.members[i]);
+                if self.owners[i].has_changes_for(home, &self.members[i]) {
+                    let w = self.owners[i].next_desired_state(home, &self.members[i]);
                     let lag = if home == i { 0 } else { 50_000 + self.rng.random_range(0..100_000) };
                     self.wishes.push((now + Micros(lag), i, home, w));
                 }
@@ -248,16 +248,16 @@
     }
 
     fn make_room(&mut self, i: usize) {
-        self.owners[i].make_room(self.now, &self.members[i]);
+        self.owners[i].preempt_tasks(self.now, &self.members[i]);
     }
 
     /// Reservations, demands, and the decider's word.
     fn talk(&mut self) {
         let now = self.now;
         for i in 0..3 {
-            let list = self.owners[i].reserved().to_vec();
+            let list = self.owners[i].reservations().to_vec();
             for j in (0..3).filter(|&j| j != i) {
-                self.owners[j].others_reserve(now, i, list.clone());
+                self.owners[j].apply_peer_reservations(now, i, list.clone());
             }
             let d = self.owners[i].demands();
             self.autoscaler.demand(now, i, d);
@@ -280,13 +280,16 @@
             self.autoscaler.answer(now, &r, answer);
         }
         for o in &mut self.owners {
-            o.keep(self.autoscaler.kept.clone(), self.autoscaler.reserve.clone().into_iter().collect());
+            o.apply_autoscaler_reservations(
+                self.autoscaler.kept.clone(),
+                self.autoscaler.reserve.clone().into_iter().collect(),
+            );
         }
     }
 
     fn claims(&mut self, i: usize) {
         let now = self.now;
-        let needs = self.owners[i].needs(&self.quota[i]);
+        let needs = self.owners[i].quota_needs(&self.quota[i]);
         for team in self.quota[i].reads(now, &needs) {
             let row = self.record.get(&team);
             self.quota[i].take(&team, row.map(|(v, m)| (v, *m)));
@@ -296,7 +299,7 @@
             let m = &self.members[i];
             let owner = &self.owners[i];
             let mine = |j: &str| m.job_leader(j) == Some(i);
-            let w = self.quota[i].plan(now, &team, &list, mine, |j| owner.released(j), 4096);
+            let w = self.quota[i].plan(now, &team, &list, mine, |j| owner.has_released_resources(j), 4096);
             let Some(w) = w else { continue };
             self.quota[i].sent(now, &w);
             if self.record.get(&team).map_or(0, |r| r.1) != w.store_version {
@@ -364,7 +367,7 @@
             if at > now {
                 self.digests.push((at, home, to, d));
             } else {
-                self.owners[to].digest(now, &self.members[to], home, d);
+                self.owners[to].apply_machine_status(now, &self.members[to], home, d);
             }
         }
         self.seq += 1;
@@ -377,7 +380,7 @@
                 let d =
                     MachineStatusDelta { seq: (self.epoch << 32) + self.seq, since: 0, rev_seen, machines };
                 if home == to {
-                    self.owners[to].digest(now, &self.members[to], home, d);
+                    self.owners[to].apply_machine_status(now, &self.members[to], home, d);
                 } else {
                     let lag = 50_000 + self.rng.random_range(0..100_000);
                     self.digests.push((now + Micros(lag), home, to, d));
--- a/tests/world/days/cancels.rs
+++ b/tests/world/days/cancels.rs
@@ -372,7 +372,7 @@
         w.run(0, until);
         for n in w.nodes.iter().flatten() {
             let tasks: usize = n.job_shard.machines(n.membership.epoch).map(|d| d.tasks.len()).sum();
-            assert_eq!((n.job_shard.counts().0, tasks), (0, 0), "jobs and tasks that are left");
+            assert_eq!((n.job_shard.task_counts().0, tasks), (0, 0), "jobs and tasks that are left");
         }
         // Whoever asks later is told what became of it, by whichever controller.
         let some: Vec<String> = w.jobs.keys().step_by(17).cloned().collect();
@@ -436,7 +436,7 @@
     };
     let kept = |w: &World| -> Vec<usize> {
         let owner = &w.nodes[0].as_ref().expect("it lives").job_shard;
-        (0..ids.len()).filter(|&i| owner.final_of(&ids[i]).is_some()).collect()
+        (0..ids.len()).filter(|&i| owner.outcome_of(&ids[i]).is_some()).collect()
     };
     (0..ids.len()).for_each(|i| asked(&mut w, i));
     assert_eq!(kept(&w), (60..KEPT + 60).collect::<Vec<_>>(), "the latest");
