--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -414,7 +414,11 @@
             .job_shard
             .jobs
             .iter()
-            .filter(|(_, j)| j.spec.merges.is_some() && j.pending_outcome.is_none() && j.unfinished_prerequisites().next().is_none())
+            .filter(|(_, j)| {
+                j.spec.merges.is_some()
+                    && j.pending_outcome.is_none()
+                    && j.unfinished_prerequisites().next().is_none()
+            })
             .map(|(id, _)| id.clone())
             .collect();
         self.freshness.merges.retain(|id, _| ids.binary_search(id).is_ok());
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -80,7 +80,8 @@
                 if self.machine_shard.wanted(now, from, &wishes, &self.membership, |k| fleet.room(k)) {
                     self.machine_shard.said(from, echo, f.digest_seen);
                 }
-                self.owe_ack[from] |= self.job_shard.apply_machine_status(now, &self.membership, from, digest);
+                self.owe_ack[from] |=
+                    self.job_shard.apply_machine_status(now, &self.membership, from, digest);
                 // What we hold of our own machines needs no frame.
                 if from == self.settings.me {
                     self.acked[from] = self.job_shard.applied_status_sequence(from, self.membership.epoch);
@@ -165,7 +166,9 @@
             let soon = if p == self.settings.me { period.0 / 25 } else { period.0 / 5 };
             let gap = now.since(self.sent[p]);
             let news = self.machine_shard.seq() > self.sent_seq[p] || self.owe_ack[p];
-            if gap < period && (gap.0 < soon || !(news || self.job_shard.has_changes_for(p, &self.membership))) {
+            if gap < period
+                && (gap.0 < soon || !(news || self.job_shard.has_changes_for(p, &self.membership)))
+            {
                 continue;
             }
             self.sent[p] = now;
--- a/src/job_shard/cancellation/tests.rs
+++ b/src/job_shard/cancellation/tests.rs
@@ -3,9 +3,7 @@
 use super::*;
 use crate::membership::EpochRecord;
 use crate::membership::Membership;
-use crate::peer::{
-    DesiredState, MachineStatus, MachineStatusDelta, ObservedTask, TaskExit, TaskKey, TaskPhase,
-};
+use crate::peer::{DesiredState, MachineStatus, MachineStatusDelta, ObservedTask, TaskExit, TaskPhase};
 use crate::quota::QuotaLedger;
 use crate::spec::JobSpec;
 use crate::units::Ranges;
@@ -204,7 +202,7 @@
 #[test]
 fn a_withdrawn_start_is_no_refusal() {
     let (membership, _, mut shard, machine, w) = started(raw("batch", 1, 0.0));
-    let left_alone = |shard: &mut JobShard| shard.refusals.current(at(1500), &membership);
+    let left_alone = |shard: &mut JobShard| shard.placement_refusals.refusing(at(1500), &membership);
     cancel(&mut shard);
     assert!(!ends(&mut shard, at(1200)));
     let rev = shard.next_desired_state(0, &membership).rev.max(w.rev);
