--- a/src/controller.rs
+++ b/src/controller.rs
@@ -25,6 +25,7 @@
 use self::gpu_lending::{Loans, PendingLoanRequest};
 use self::handoff::Handoff;
 pub use self::handoff::LEAVING;
+pub use self::operator_requests::{OperatorCommand, ReleaseSelector};
 use self::release::Releases;
 use self::start_replica::StartReplica;
 use crate::autoscaler::{Autoscaler, CloudAnswer, CloudRequest};
@@ -39,6 +40,7 @@
 use crate::spec::{JobKind, JobSpec};
 use crate::state_store::{KeyValue, RateLimiter, StoreAnswer, StoreRequest, Transaction};
 use crate::units::{Micros, Ranges};
+use crate::wire::users::submission::stored_description;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -67,7 +69,7 @@
     /// A user's request, its syntax checked.
     User(u64, UserRequest),
     /// An operator's request about releases or batches.
-    Operator(u64, crate::server::operator_api::OpRequest),
+    Operator(u64, OperatorCommand),
     /// A health probe.
     Ready(u64),
     /// An operator asks how things stand.
@@ -555,44 +557,3 @@
     };
     Some((f, v.get("done").and_then(Value::as_u64).and_then(|n| u32::try_from(n).ok()).unwrap_or(0)))
 }
-
-/// Only the fields of a description that are read, each job that it follows once, and the pacts that it names.
-fn trimmed(raw: &Value, spec: &JobSpec) -> Value {
-    const KEPT: [&str; 20] = [
-        "uid",
-        "breed",
-        "herd",
-        "gait",
-        "rank",
-        "strides",
-        "vcpus",
-        "cards",
-        "ramGb",
-        "tack",
-        "imageGb",
-        "breedsOfStall",
-        "paddock",
-        "together",
-        "scatter",
-        "borrowed",
-        "rideS",
-        "restS",
-        "unsaddleS",
-        "dueS",
-    ];
-    let Some(map) = raw.as_object() else { return Value::Null };
-    let kept = map.iter().filter(|(k, _)| KEPT.contains(&k.as_str()));
-    let mut kept: serde_json::Map<String, Value> = kept.map(|(k, v)| (k.clone(), v.clone())).collect();
-    if !spec.follows.is_empty() {
-        kept.insert("follows".into(), json!(spec.follows));
-    }
-    if let Some(r) = &spec.release {
-        kept.insert("release".into(), r.value());
-    }
-    for (key, batch) in [("batch", &spec.batch), ("merges", &spec.merges)] {
-        if let Some(b) = batch {
-            kept.insert(key.into(), json!({"name": b.name, "version": b.version}));
-        }
-    }
-    Value::Object(kept)
-}
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -68,7 +68,7 @@
 /// An operator's request that is under way.
 pub(super) struct Operating {
     pub(super) ticket: u64,
-    pub(super) request: crate::server::operator_api::OpRequest,
+    pub(super) request: OperatorCommand,
     pub(super) began: Micros,
 }
 
@@ -287,7 +287,7 @@
 
     /// The conditions on which a submission may be put on record.
     pub(super) fn joins(&mut self, now: Micros, id: &str, out: &mut Vec<Effect>) -> Gate {
-        if !self.accepting.get(id).is_some_and(|a| a.spec.has_pact()) {
+        if !self.accepting.get(id).is_some_and(|a| a.spec.has_coordination_record()) {
             return Gate::Open(Vec::new());
         }
         // Guards against an older controller that has joined since the submission came.
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -108,7 +108,7 @@
 
     /// Why a job can't be taken yet, if an older controller is in the ring.
     pub(super) fn not_yet(&self, spec: &JobSpec) -> Option<Reply> {
-        if spec.has_pact() && !self.takes_pacts() {
+        if spec.has_coordination_record() && !self.takes_pacts() {
             return Some(Reply::later("not every controller knows of releases and batches yet"));
         }
         (!spec.follows.is_empty() && !self.takes_follows())
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -8,7 +8,6 @@
 use super::*;
 use crate::job_shard::dependencies::unpacked;
 use crate::job_shard::{Attempt, Hold, Job};
-use crate::server::operator_api::OpRequest;
 use hazelsaddle_coordination::census::Stands;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Sort};
 use hazelsaddle_coordination::record_cache::Held;
@@ -163,7 +162,7 @@
             let (class, list) = (&spec.class, list.join(", "));
             return Gate::Never(format!("merges: {class} writes no tables; those that may name it: {list}"));
         }
-        if spec.merges.is_some() && spec.rotates() {
+        if spec.merges.is_some() && spec.is_rotation() {
             return Gate::Never("merges: a rotation can't be a merge as well".into());
         }
         let Some((key, version)) = spec.batch.as_ref().and_then(|b| Some((b.key()?, b.version))) else {
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -18,8 +18,8 @@
             return Some(Reply::error(404, "batches are not switched on here"));
         }
         match &r.request {
-            OpRequest::PutBatch(name, version) => self.put_batch(now, r.began, name, *version, out),
-            OpRequest::Batch(name) => self.show_batch(now, r, name, out),
+            OperatorCommand::PutBatch { name, version } => self.put_batch(now, r.began, name, *version, out),
+            OperatorCommand::ShowBatch { name } => self.show_batch(now, r, name, out),
             _ => {
                 let rows = self.list_batches(now, r.ticket, out)?;
                 Some(Reply::json(200, &json!({"batches": rows})))
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -3,7 +3,51 @@
 
 use super::coordination::Operating;
 use super::*;
-use crate::server::operator_api::OpRequest;
+
+/// A release: its title, and the night on which it began.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReleaseSelector {
+    /// The title.
+    pub title: String,
+    /// The night, YYYY-MM-DD; None: the latest that is on record.
+    pub night: Option<String>,
+}
+
+/// What an operator asks about releases or batches, its syntax checked.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum OperatorCommand {
+    /// List all releases.
+    ListReleases,
+    /// Show one release.
+    ShowRelease(ReleaseSelector),
+    /// Close a release: no job joins it any more.
+    CloseRelease(ReleaseSelector),
+    /// Open one again that was closed.
+    ReopenRelease(ReleaseSelector),
+    /// Let a rotation do without a job.
+    Waive {
+        /// The release.
+        release: ReleaseSelector,
+        /// The job, or `missing`: the renders that are missing.
+        job: String,
+        /// Why. It is kept on record.
+        reason: String,
+    },
+    /// List all batches.
+    ListBatches,
+    /// Show one batch.
+    ShowBatch {
+        /// Its name.
+        name: String,
+    },
+    /// Put a batch's version on record.
+    PutBatch {
+        /// Its name.
+        name: String,
+        /// The version. It only rises.
+        version: u64,
+    },
+}
 
 /// A request that can't be answered for so long is given up.
 const PATIENCE: Micros = Micros::from_millis(8000);
@@ -12,7 +56,13 @@
 
 impl Controller {
     /// An operator's request has come.
-    pub(super) fn operator(&mut self, now: Micros, ticket: u64, request: OpRequest, out: &mut Vec<Effect>) {
+    pub(super) fn operator(
+        &mut self,
+        now: Micros,
+        ticket: u64,
+        request: OperatorCommand,
+        out: &mut Vec<Effect>,
+    ) {
         if self.coordination.operating.len() >= MOST {
             return out.push(Effect::Reply(ticket, Reply::later("overloaded")));
         }
@@ -29,9 +79,9 @@
                 Some(Reply::later("the records could not be read or changed in time"))
             } else {
                 match o.request {
-                    OpRequest::Batches | OpRequest::Batch(_) | OpRequest::PutBatch(..) => {
-                        self.batch_request(now, &o, out)
-                    }
+                    OperatorCommand::ListBatches
+                    | OperatorCommand::ShowBatch { .. }
+                    | OperatorCommand::PutBatch { .. } => self.batch_request(now, &o, out),
                     _ => self.release_request(now, &o, out),
                 }
             };
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -4,7 +4,6 @@
 use super::coordination::{Gate, Members, Operating};
 use super::*;
 use crate::job_shard::Hold;
-use crate::server::operator_api::OpRequest;
 use hazelsaddle_coordination::census::Stands;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
 use hazelsaddle_coordination::record_cache::Held;
@@ -188,7 +187,7 @@
     /// Rebuilds and renders of ours are due when their release is: of two titles, what is due first goes first.
     fn inherit_dues(&mut self) {
         let mut dues: BTreeMap<Key, Option<Micros>> = BTreeMap::new();
-        let members = self.job_shard.jobs.iter().filter(|(_, j)| !j.spec.rotates());
+        let members = self.job_shard.jobs.iter().filter(|(_, j)| !j.spec.is_rotation());
         let members: Vec<(String, Key)> =
             members.filter_map(|(id, j)| Some((id.clone(), j.spec.release.as_ref()?.key()?))).collect();
         for (id, key) in members {
@@ -377,9 +376,11 @@
         if !self.takes_pacts() {
             return Some(Reply::later("not every controller knows of releases yet"));
         }
-        let (title, night) = match &o.request {
-            OpRequest::Release(t, n) | OpRequest::Close(t, n) | OpRequest::Reopen(t, n) => (t, n),
-            OpRequest::Waive(t, n, ..) => (t, n),
+        let ReleaseSelector { title, night } = match &o.request {
+            OperatorCommand::ShowRelease(release)
+            | OperatorCommand::CloseRelease(release)
+            | OperatorCommand::ReopenRelease(release)
+            | OperatorCommand::Waive { release, .. } => release,
             _ => {
                 if !self.list_since(o.began) {
                     return None;
@@ -407,11 +408,11 @@
         };
         let ticket = o.ticket;
         let change = match &o.request {
-            OpRequest::Close(..) => set::close(&record),
-            OpRequest::Reopen(..) => set::reopen(&record),
-            OpRequest::Waive(_, _, job, why) => {
+            OperatorCommand::CloseRelease(_) => set::close(&record),
+            OperatorCommand::ReopenRelease(_) => set::reopen(&record),
+            OperatorCommand::Waive { job, reason, .. } => {
                 let members = self.members_for(now, o, &key, &record, out)?.members.unwrap_or_default();
-                set::waive(&record, &members, job, why)
+                set::waive(&record, &members, job, reason)
             }
             _ => {
                 let known = self.members_for(now, o, &key, &record, out)?;
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -23,7 +23,8 @@
             // It would drop the link.
             UserRequest::Why(_) | UserRequest::Permit(..) => return true,
         };
-        JobSpec::parse(body).is_ok_and(|s| s.has_pact() || (!s.follows.is_empty() && !self.reads_new(peer)))
+        JobSpec::parse(body)
+            .is_ok_and(|s| s.has_coordination_record() || (!s.follows.is_empty() && !self.reads_new(peer)))
     }
 
     pub(super) fn user(&mut self, now: Micros, from: Caller, r: UserRequest, out: &mut Vec<Effect>) {
@@ -104,7 +105,7 @@
         }
         let raw: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let Ok(spec) = JobSpec::from_value(&raw) else { return false };
-        let raw = trimmed(&raw, &spec);
+        let raw = stored_description(&raw, &spec);
         if self.never(&raw, &spec).is_some() || self.not_yet(&spec).is_some() {
             return false;
         }
@@ -220,7 +221,7 @@
                 if self.autoscaler.types.is_empty() {
                     return Some(Reply::later("machine types are not known yet"));
                 }
-                let raw = trimmed(&raw, &spec);
+                let raw = stored_description(&raw, &spec);
                 let open = self.not_yet(&spec).is_none();
                 if open && self.never(&raw, &spec).is_none() {
                     return self.accept(now, from, id, spec, raw, out);
@@ -260,7 +261,7 @@
         );
     }
 
-    /// Why a job can never run here, if so, by its trimmed description. Nobody is told before its record was looked for: a
+    /// Why a job can never run here, if so, by the description that is stored. Nobody is told before its record was looked for: a
     /// repeated submission may have another body than the first, which was taken.
     fn never(&self, raw: &Value, spec: &JobSpec) -> Option<String> {
         if let Err(e) = spec.check(&self.autoscaler.types, &self.settings.teams) {
@@ -280,7 +281,7 @@
         None
     }
 
-    /// Begins to put a job on record that can run, as far as [`Controller::never`] tells, by its trimmed description: a body with
+    /// Begins to put a job on record that can run, as far as [`Controller::never`] tells, by the description that is stored: a body with
     /// superfluous fields must not make a record that the store won't take.
     pub(super) fn accept(
         &mut self,
@@ -439,7 +440,9 @@
                 let reply = match r {
                     UserRequest::Submit(_, body) => {
                         let raw = serde_json::from_str(&body).unwrap_or(Value::Null);
-                        match JobSpec::from_value(&raw).map(|s| (self.never(&trimmed(&raw, &s), &s), s)) {
+                        match JobSpec::from_value(&raw)
+                            .map(|s| (self.never(&stored_description(&raw, &s), &s), s))
+                        {
                             Err(e) => Reply::error(e.status(), &e.to_string()),
                             Ok((Some(why), _)) => Reply::error(422, &why),
                             Ok((None, s)) => {
--- a/src/job_shard/dependencies.rs
+++ b/src/job_shard/dependencies.rs
@@ -42,7 +42,7 @@
             return Some(Hold::Batch("its inputs have not been looked at yet".into()));
         }
         // What let a rotation go is on record for ever, so a released one needs no second look.
-        (spec.rotates() && released_at(raw).is_none())
+        (spec.is_rotation() && released_at(raw).is_none())
             .then(|| Hold::Release("its release has not been looked at yet".into()))
     }
     /// In words.
--- a/src/job_shard/records.rs
+++ b/src/job_shard/records.rs
@@ -36,7 +36,7 @@
     pub fn longest(raw: &Value, spec: &JobSpec, accepted: Micros) -> usize {
         let long = |v: Value| v.to_string().len();
         let first = long(JobShard::new_record(raw, spec, accepted));
-        if !spec.has_pact() {
+        if !spec.has_coordination_record() {
             return first;
         }
         let later = JobShard::record(&dependencies::released(raw, accepted), accepted, "");
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,12 +1,14 @@
-//! The command line.
+//! The command line: arguments, verbs and exit codes. Each verb is a function; what it prints is decided elsewhere.
 
 use clap::{Parser, Subcommand};
-use hazelsaddle::cli::loans;
-use hazelsaddle::cli::{self, Asked, BatchCommand, ReleaseCommand};
+use hazelsaddle::cli::batches::BatchCommand;
+use hazelsaddle::cli::releases::ReleaseCommand;
+use hazelsaddle::cli::{self, CliError, ControllerArgs};
 use hazelsaddle::config::operators::Operators;
-use hazelsaddle::config::settings::{CancellationBudget, Settings};
-use hazelsaddle::server;
+use hazelsaddle::config::settings::{CancellationBudget, Settings, SettingsError};
+use hazelsaddle::server::{self, ServerError};
 use hazelsaddle_logs::cli as logs_cli;
+use hazelsaddle_logs::config::ConfigError;
 use std::process::ExitCode;
 
 /// A cluster scheduler: controllers that take jobs, rent machines and decide what runs where.
@@ -51,10 +53,10 @@
         /// The job.
         job: String,
         #[command(flatten)]
-        asked: Asked,
+        controllers: ControllerArgs,
     },
     /// Show who lent GPUs to whom, and when they are due back.
-    Loans(Asked),
+    Loans(ControllerArgs),
     /// Check a settings file and print what follows from it.
     Check {
         /// The platform's settings file (TOML).
@@ -66,7 +68,110 @@
     },
 }
 
-fn logs() {
+/// Exit code for settings that can't be used.
+const EXIT_SETTINGS: u8 = 2;
+/// Exit code for a controller that can't start.
+const EXIT_SERVER: u8 = 1;
+
+/// Why a verb failed.
+#[derive(Debug, thiserror::Error)]
+enum Failure {
+    /// The platform's settings can't be used.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The operators' settings can't be used.
+    #[error(transparent)]
+    Operators(#[from] ConfigError),
+    /// A controller can't start.
+    #[error(transparent)]
+    Server(#[from] ServerError),
+    /// A verb that asks a controller.
+    #[error(transparent)]
+    Cli(#[from] CliError),
+    /// A verb of the log stores: its exit code and a line.
+    #[error("{1}")]
+    Logs(u8, String),
+}
+
+impl From<logs_cli::Failure> for Failure {
+    fn from(failure: logs_cli::Failure) -> Failure {
+        Failure::Logs(failure.0, failure.1)
+    }
+}
+
+impl Failure {
+    fn exit_code(&self) -> u8 {
+        match self {
+            Failure::Settings(_) | Failure::Operators(_) => EXIT_SETTINGS,
+            Failure::Server(_) => EXIT_SERVER,
+            Failure::Cli(e) => e.exit_code(),
+            Failure::Logs(code, _) => *code,
+        }
+    }
+}
+
+fn main() -> ExitCode {
+    match run(Cli::parse().command) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(failure) => {
+            eprintln!("hazelsaddle: {failure}");
+            ExitCode::from(failure.exit_code())
+        }
+    }
+}
+
+fn run(action: Action) -> Result<(), Failure> {
+    match action {
+        Action::Run { config, operators } => run_controller(&config, operators.as_deref()),
+        Action::Store(args) => run_log_store(&args),
+        Action::Stores(command) => Ok(logs_cli::stores(&command)?),
+        Action::Logs(args) => Ok(logs_cli::logs(&args)?),
+        Action::Artefacts(command) => Ok(logs_cli::artefacts(&command)?),
+        Action::Release(command) => print_answer(cli::releases::run(&command)),
+        Action::Batch(command) => print_answer(cli::batches::run(&command)),
+        Action::Why { job, controllers } => print_answer(cli::why::run(&controllers, &job)),
+        Action::Loans(controllers) => print_answer(cli::loans::run(&controllers)),
+        Action::Check { config, operators } => check_settings(&config, operators.as_deref()),
+    }
+}
+
+fn run_controller(config: &str, operators: Option<&str>) -> Result<(), Failure> {
+    log_to_stderr();
+    let settings = load_settings(config, operators)?;
+    if let Err(e) = CancellationBudget::of(&settings).check() {
+        // A controller that starts does more for its users than one that refuses to.
+        tracing::error!(reason = %e, "cancel_s can't be held on these settings");
+    }
+    server::run(settings)?;
+    Ok(())
+}
+
+fn run_log_store(args: &logs_cli::StoreArgs) -> Result<(), Failure> {
+    log_to_stderr();
+    logs_cli::store(args)?;
+    Ok(())
+}
+
+fn check_settings(config: &str, operators: Option<&str>) -> Result<(), Failure> {
+    println!("{:#?}", load_settings(config, operators)?);
+    Ok(())
+}
+
+fn print_answer(answer: Result<String, CliError>) -> Result<(), Failure> {
+    print!("{}", answer?);
+    Ok(())
+}
+
+fn load_settings(config: &str, operators: Option<&str>) -> Result<Settings, Failure> {
+    let mut settings = Settings::load(config)?;
+    if let Some(file) = operators {
+        settings.operators = Operators::load(file)?;
+    }
+    Ok(settings)
+}
+
+/// Sends the logs to standard error, as much as the environment's LOG_LEVEL says.
+fn log_to_stderr() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_default();
     let filter = match level.as_str() {
         "debug" => "hazelsaddle=debug,hazelsaddle_logs=debug,info",
@@ -79,79 +184,3 @@
         .with_ansi(false)
         .init();
 }
-
-fn main() -> ExitCode {
-    let load = |file: &str, operators: Option<&str>| {
-        let refused = |e: String| {
-            eprintln!("hazelsaddle: {e}");
-            ExitCode::from(2)
-        };
-        let mut settings = Settings::load(file).map_err(|e| refused(e.to_string()))?;
-        if let Some(file) = operators {
-            settings.operators = Operators::load(file).map_err(|e| refused(e.to_string()))?;
-        }
-        Ok(settings)
-    };
-    let told = |done: Result<(), logs_cli::Failure>| match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(logs_cli::Failure(code, why)) => {
-            eprintln!("hazelsaddle: {why}");
-            ExitCode::from(code)
-        }
-    };
-    let said = |answer: Result<String, cli::Failed>| match answer {
-        Ok(text) => {
-            print!("{text}");
-            ExitCode::SUCCESS
-        }
-        Err(cli::Failed(code, why)) => {
-            eprintln!("hazelsaddle: {why}");
-            ExitCode::from(code)
-        }
-    };
-    match Cli::parse().command {
-        Action::Release(command) => said(cli::release(&command)),
-        Action::Batch(command) => said(cli::batch(&command)),
-        Action::Why { job, asked } => said(cli::why(&asked, &job)),
-        Action::Loans(args) => match loans::loans(&args) {
-            Ok(text) => {
-                print!("{text}");
-                ExitCode::SUCCESS
-            }
-            Err(why) => {
-                eprintln!("hazelsaddle: {why}");
-                ExitCode::from(1)
-            }
-        },
-        Action::Store(args) => {
-            logs();
-            told(logs_cli::store(&args))
-        }
-        Action::Stores(command) => told(logs_cli::stores(&command)),
-        Action::Logs(args) => told(logs_cli::logs(&args)),
-        Action::Artefacts(command) => told(logs_cli::artefacts(&command)),
-        Action::Run { config, operators } => {
-            logs();
-            let settings = match load(&config, operators.as_deref()) {
-                Ok(s) => s,
-                Err(code) => return code,
-            };
-            if let Err(e) = CancellationBudget::of(&settings).check() {
-                // What it does serve is worth more than a refusal to start.
-                tracing::error!(reason = %e, "cancellations can't be kept to on these settings");
-            }
-            if let Err(e) = server::run(settings) {
-                eprintln!("hazelsaddle: {e}");
-                return ExitCode::from(1);
-            }
-            ExitCode::SUCCESS
-        }
-        Action::Check { config, operators } => match load(&config, operators.as_deref()) {
-            Ok(s) => {
-                println!("{s:#?}");
-                ExitCode::SUCCESS
-            }
-            Err(code) => code,
-        },
-    }
-}
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -99,7 +99,7 @@
             // machine for itself all are as good as equally full.
             let fetch = !p.machine.images.contains(&s.image_hash);
             let alone = p.machine.total.count_of(s.room) == 1;
-            let risky = p.machine.spot && s.hurried();
+            let risky = p.machine.spot && s.is_urgent_without_checkpoints();
             // Of machines about as full the owner's own: several owners that each take the very fullest have half
             // of their starts refused when much is placed.
             let half = left.cpus * 2 > p.machine.total.cpus;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -4,6 +4,8 @@
 //! of the code uses; what can't be converted is a typed error that says what was wrong.
 
 pub mod cloud;
+pub mod operators;
+pub mod percent_encoding;
 pub mod state_store;
 pub mod users;
 pub mod workers;
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,1 +1,3 @@
 //! Forms of the user API: submissions, job states, errors.
+
+pub mod submission;
