--- a/crates/freshness/src/settings.rs
+++ b/crates/freshness/src/settings.rs
@@ -1,16 +1,18 @@
-//! Which classes the guard is about: `[freshness]` in the operators' file.
+//! Which classes the guard covers: `[freshness]` in the operators' settings.
 
 use std::collections::BTreeSet;
 
 /// The keys of the section.
 const KEYS: [&str; 3] = ["sources", "merges", "required"];
-/// Classes in one list at the most.
-const MOST: usize = 64;
+/// Most classes in one list.
+const CLASS_LIMIT: usize = 64;
+/// Longest name of a class, in bytes.
+const CLASS_NAME_LIMIT: usize = 100;
 
-/// What operators have set.
+/// What operators have set. Printed in its `Debug` form: names are output.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Settings {
-    /// Classes whose runs read inputs (page splitting, field reading): each such run upstream of a merge must be of its batch.
+    /// Classes whose runs read inputs: each such run upstream of a merge must be of the merge's batch.
     pub sources: BTreeSet<String>,
     /// Classes whose jobs may name `merges`; empty: all.
     pub merges: BTreeSet<String>,
@@ -20,7 +22,7 @@
 
 /// A setting that can't be used. The message says why, for whoever knows file and section.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Wrong {
+pub enum SettingError {
     /// No such key.
     #[error("is no setting; there are sources, merges and required (nearest: {0})")]
     Key(&'static str),
@@ -31,7 +33,7 @@
     #[error("names {0:?} twice")]
     Twice(String),
     /// The list is too long.
-    #[error("names {MOST} classes at the most")]
+    #[error("names {CLASS_LIMIT} classes at the most")]
     Many,
     /// A class is required and no source.
     #[error("{0:?} is not among the sources")]
@@ -42,38 +44,38 @@
 }
 
 impl Settings {
-    /// Takes one key and its value: classes with commas between.
+    /// Sets a key to its value: classes separated by commas.
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn set(&mut self, key: &str, value: &str) -> Result<(), Wrong> {
+    pub fn set(&mut self, key: &str, value: &str) -> Result<(), SettingError> {
         let list = match key {
             "sources" => &mut self.sources,
             "merges" => &mut self.merges,
             "required" => &mut self.required,
-            _ => return Err(Wrong::Key(nearest(key, KEYS).unwrap_or("sources"))),
+            _ => return Err(SettingError::Key(nearest(key, KEYS).unwrap_or("sources"))),
         };
         for name in value.split(',').map(str::trim).filter(|p| !p.is_empty()) {
-            if name.len() > 100 || name.contains(|c: char| c.is_whitespace() || c.is_control()) {
-                return Err(Wrong::Name(name.to_owned()));
+            if name.len() > CLASS_NAME_LIMIT || name.contains(|c: char| c.is_whitespace() || c.is_control()) {
+                return Err(SettingError::Name(name.to_owned()));
             }
             if !list.insert(name.to_owned()) {
-                return Err(Wrong::Twice(name.to_owned()));
+                return Err(SettingError::Twice(name.to_owned()));
             }
         }
-        if list.len() > MOST { Err(Wrong::Many) } else { Ok(()) }
+        if list.len() > CLASS_LIMIT { Err(SettingError::Many) } else { Ok(()) }
     }
 
-    /// Checks what only shows once all keys are there: the key at fault and why.
+    /// Checks what can only be checked once all keys are set.
     ///
     /// # Errors
-    /// The first that is wrong.
-    pub fn check(&self) -> Result<(), (&'static str, Wrong)> {
+    /// The key at fault and why.
+    pub fn check(&self) -> Result<(), (&'static str, SettingError)> {
         if let Some(name) = self.required.difference(&self.sources).next() {
-            return Err(("required", Wrong::NoSource(name.clone())));
+            return Err(("required", SettingError::NoSource(name.clone())));
         }
         match self.merges.intersection(&self.sources).next() {
-            Some(name) => Err(("merges", Wrong::Both(name.clone()))),
+            Some(name) => Err(("merges", SettingError::Both(name.clone()))),
             None => Ok(()),
         }
     }
@@ -105,22 +107,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_unknown_or_wrong_is_named() {
-        let mut s = Settings::default();
-        assert_eq!(s.set("sources", "bet-bolu, oris-oqu"), Ok(()));
-        assert_eq!(s.set("source", "x"), Err(Wrong::Key("sources")));
-        assert_eq!(s.set("merges", "aimak merge"), Err(Wrong::Name("aimak merge".into())));
-        assert_eq!(s.set("merges", "aimak-merge,aimak-merge"), Err(Wrong::Twice("aimak-merge".into())));
-        assert_eq!(s.check(), Ok(()));
-        s.required = ["til-tekser".to_owned()].into();
-        assert_eq!(s.check(), Err(("required", Wrong::NoSource("til-tekser".into()))));
-        s.required = BTreeSet::new();
-        s.merges.insert("oris-oqu".into());
-        assert_eq!(s.check(), Err(("merges", Wrong::Both("oris-oqu".into()))));
-        assert!(!s.merges("bet-bolu") && Settings::default().merges("bet-bolu"));
-    }
-}
+mod tests;
--- a/crates/freshness/tests/model.rs
+++ b/crates/freshness/tests/model.rs
@@ -7,10 +7,10 @@
 //! get done. With any guard taken out, one of these breaks.
 
 use hazelsaddle_coordination::record_cache::Held;
-use hazelsaddle_freshness::batch::{Batch, Permit, Put, Writer};
-use hazelsaddle_freshness::guard::{Answer, Merge, Verdict, permit};
+use hazelsaddle_freshness::batch::{Batch, Permit, VersionChange, Writer};
+use hazelsaddle_freshness::guard::{Merge, PermitAnswer, Verdict, decide_permit};
 use hazelsaddle_freshness::settings::Settings;
-use hazelsaddle_freshness::upstream::{Known, Of, Run, Says};
+use hazelsaddle_freshness::upstream::{BatchVersion, JobDeclaration, JobKnowledge, Run};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 #[derive(Clone, Copy, Debug)]
@@ -75,9 +75,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum For {
-    Grant(usize, Permit),
+    Permit(usize, Permit),
     Release,
-    Put,
+    Version,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -115,13 +115,13 @@
     fn look(self, batch: &Batch, again: bool) -> (Held, Verdict) {
         let mut s = Settings::default();
         s.set("sources", "split").expect("valid");
-        let of = Of { name: "b".into(), version: 1 };
-        let says = Says { class: Some("split".into()), batch: Some(of.clone()), follows: vec![] };
+        let of = BatchVersion { name: "b".into(), version: 1 };
+        let says = JobDeclaration { class: Some("split".into()), batch: Some(of.clone()), follows: vec![] };
         let run = Run { job: "n".into(), class: "split".into(), version: 2 };
         let runs: BTreeSet<Run> = if again && self.superseded { [run].into() } else { [].into() };
         let held = Held::Is(batch.record());
         let merge = Merge { of, follows: vec!["s".into()] };
-        let v = merge.verdict(&s, &held, |_| Known::Ended(says.clone()), &runs);
+        let v = merge.verdict(&s, &held, |_| JobKnowledge::Ended(says.clone()), &runs);
         (held, v)
     }
 
@@ -167,10 +167,10 @@
         }
         // Somebody names version 2, from a reading of now; the change is applied later, or never.
         if room
-            && !w.changes.iter().any(|c| c.what == For::Put)
-            && let Ok(Put::Raised(next)) = w.batch.put(2)
+            && !w.changes.iter().any(|c| c.what == For::Version)
+            && let Ok(VersionChange::Raised(next)) = w.batch.put_version(2)
         {
-            let c = Change { epoch: w.epoch, store_version: w.store_version, next, what: For::Put };
+            let c = Change { epoch: w.epoch, store_version: w.store_version, next, what: For::Version };
             then(&|n| n.changes.push(c.clone()));
         }
         if w.batch.version == 2 {
@@ -203,7 +203,7 @@
             n.batch = c.next.clone();
             n.store_version += 1;
         }
-        let For::Grant(m, p) = &c.what else { return };
+        let For::Permit(m, p) = &c.what else { return };
         if good && !Guards::fresh(n) {
             n.broken = Some("a permit on an old run");
         }
@@ -270,7 +270,7 @@
                     false => matches!(v, Verdict::Stale(..)),
                 };
                 // A stop that is decided from an older reading may meet a write that has begun since.
-                let writes = w.batch.held_by(&writer).is_some() && held_by(held, &writer);
+                let writes = w.batch.permit_of(&writer).is_some() && held_by(held, &writer);
                 if stops {
                     then(&|n| {
                         if writes {
@@ -287,20 +287,20 @@
                 continue;
             }
             let writer = Writer { job: id(m), attempt: q.attempt, task: None };
-            let mut answer = permit(v, held, &writer, 4000);
-            if !self.overtaken && answer == Answer::Overtaken {
+            let mut answer = decide_permit(v, held, &writer, 4000);
+            if !self.overtaken && answer == PermitAnswer::Superseded {
                 let mut without = (*b).clone();
                 without.permits.retain(|p| p.job != writer.job);
-                answer = permit(v, &Held::Is(without.record()), &writer, 4000);
+                answer = decide_permit(v, &Held::Is(without.record()), &writer, 4000);
             }
             match answer {
-                Answer::Write(mut next, mut p) => {
+                PermitAnswer::Record(mut next, mut p) => {
                     if !self.fence {
                         p.fence = b.permits.iter().map(|p| p.fence).max().unwrap_or(0) + 1;
                         next.fence = p.fence;
                         next.permits.last_mut().expect("new").fence = p.fence;
                     }
-                    let what = For::Grant(m, p.clone());
+                    let what = For::Permit(m, p.clone());
                     let c = Change { epoch: w.epoch, store_version: *store_version, next, what };
                     if room {
                         then(&|n| {
@@ -314,11 +314,11 @@
                         });
                     }
                 }
-                Answer::Holds(p) if !late => then(&|n| {
+                PermitAnswer::AlreadyHeld(p) if !late => then(&|n| {
                     let j = &mut n.jobs[m];
                     (j.asks, j.given) = (None, Some(p.clone()));
                 }),
-                Answer::Stale(..) if !late => then(&|n| {
+                PermitAnswer::Stale(..) if !late => then(&|n| {
                     if q.fresh {
                         n.broken = Some("refused although all was fresh");
                     }
@@ -340,7 +340,7 @@
                 let j = &jobs[usize::from(p.job == "m1")];
                 p.attempt < j.attempt || !j.runs || !self.with_attempt
             };
-            if let Some(next) = b.release(over) {
+            if let Some(next) = b.release_permits(over) {
                 let c = Change { epoch: w.epoch, store_version: *store_version, next, what: For::Release };
                 if !w.changes.contains(&c) {
                     then(&|n| n.changes.push(c.clone()));
@@ -354,7 +354,7 @@
         for (m, j) in n.jobs.iter().enumerate() {
             let Some(p) = &j.given else { continue };
             let writer = Writer { job: id(m), attempt: j.attempt, task: None };
-            if n.batch.held_by(&writer) != Some(p) {
+            if n.batch.permit_of(&writer) != Some(p) {
                 n.broken = Some("a permit that is not on record");
             } else if n.batch.version > p.version && !n.batch.after.iter().any(|(_, f)| *f == p.fence) {
                 n.broken = Some("a newer version that is not marked as after the write");
@@ -364,7 +364,7 @@
 }
 
 fn held_by(held: &Held, w: &Writer) -> bool {
-    matches!(held, Held::Is(r) if Batch::read(r).is_ok_and(|b| b.held_by(w).is_some()))
+    matches!(held, Held::Is(r) if Batch::read(r).is_ok_and(|b| b.permit_of(w).is_some()))
 }
 
 struct Explored {
--- a/crates/gpu_lending/src/ledger.rs
+++ b/crates/gpu_lending/src/ledger.rs
@@ -1,28 +1,29 @@
-//! The ledger of one borrowing team: what was taken for which of its jobs, on record before anything is stopped.
+//! The ledger of one borrowing team: what is preempted for which of its jobs, on record before anything is stopped.
 //!
-//! A loan goes `taking` (claimed; the lender's owner may stop those tasks now), `held` (a replica stands there), `returning`
-//! (the room is kept for the lender's job), and then it is dropped. It never goes back. Every change raises the fence and is
-//! written on condition of the record's mark, and on those of the other teams' ledgers as read, which cost no change.
+//! A loan goes through `taking` (claimed: the leader of the lender's job may preempt those tasks now), `held` (a replica runs
+//! there) and `returning` (the resources are reserved for the lender's job), and then it is dropped. It never goes back. Every
+//! change raises the fence and is written on condition that neither this record nor the other teams' ledgers have changed
+//! since they were read.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
 
-/// A claim that shows no effect for so long is given up.
+/// A claim without effect is given up after so many seconds.
 pub const TAKING_S: u64 = 60;
 
 /// How far a loan has got. It only goes forward.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum LoanState {
     /// On record; the tasks it names may be stopped.
     Taking,
-    /// A replica of the borrower stands on the machine.
+    /// A replica of the borrower runs on the machine.
     Held,
-    /// The borrower is done with it: the room is kept for the lender's job.
+    /// The borrower is done with it: the resources are reserved for the lender's job.
     Returning,
 }
 
-/// One job's room on one machine, lent.
+/// Resources that one job lends on one machine.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct Loan {
     /// Its number in this ledger, never used again.
@@ -31,10 +32,10 @@
     pub job: String,
     /// The team that lends.
     pub lender: String,
-    /// Its job whose tasks are stopped.
+    /// The job whose tasks are preempted.
     #[serde(default)]
     pub from: String,
-    /// Those tasks: number and attempt. A start that came later is not meant. A gang is always stopped whole.
+    /// Those tasks, by index and attempt: a later attempt is not meant. A gang is always preempted whole.
     #[serde(default)]
     pub tasks: Vec<(u32, u64)>,
     /// Thousandths of GPUs that these tasks take there.
@@ -44,10 +45,10 @@
     /// Thousandths of gigabytes that they take there.
     #[serde(default)]
     pub memory: i64,
-    /// How many replicas come there for it; 0 on all but one of the loans that make room together.
+    /// How many replicas start there for it; 0 on all but one of the loans that make room together.
     #[serde(default)]
     pub replicas: u32,
-    /// Room that those replicas take: thousandths of GPUs, processors and gigabytes. It is kept for them.
+    /// What those replicas take, reserved for them: thousandths of GPUs, processors and gigabytes.
     #[serde(default)]
     pub hold: (i64, i64, i64),
     /// The machine.
@@ -55,44 +56,44 @@
     /// When the present state began, by the time of day, in microseconds.
     pub since_us: u64,
     /// How far it has got.
-    pub state: State,
+    pub state: LoanState,
 }
 
-/// Why a ledger can't be used. What rests on it is held.
+/// Why a ledger can't be read. Nothing is lent on one that can't.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the ledger can't be read: {0}")]
-pub struct Unreadable(pub String);
+pub struct UnreadableLedger(pub String);
 
 /// Why a claim is refused. Nothing is changed then.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LedgerError {
-    /// What is on record already covers the need.
+    /// What is on record already covers what is missing: replicas claimed, replicas missing.
     #[error("{0} replicas are claimed for already, and {1} are missing")]
     Enough(u32, u32),
-    /// Somebody else has claimed that task.
+    /// That task, by job and index, is claimed already.
     #[error("task {0}/{1} is lent already")]
     Lent(String, u32),
-    /// The record has no room left.
+    /// The record would be too long, by its length in bytes.
     #[error("the ledger would have {0} bytes")]
     Full(usize),
 }
 
-/// What a claim asks for: room on one machine.
+/// A claim of resources on one machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// The machine.
     pub machine: String,
-    /// How many replicas come there.
+    /// How many replicas are to start there.
     pub replicas: u32,
     /// What each takes.
     pub each: crate::Amount,
-    /// What is stopped there, by lender's job.
-    pub parts: Vec<Part>,
+    /// What is preempted there, by lender's job.
+    pub parts: Vec<LenderShare>,
 }
 
-/// What one job gives up on the machine.
+/// What one job lends on the machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct LenderShare {
     /// Its team.
     pub lender: String,
     /// The job.
@@ -103,32 +104,31 @@
     pub room: crate::Amount,
 }
 
-/// How things stand with one loan, as far as the one who looks knows. `None`: it does not know, and nothing is changed for it.
+/// What a controller knows about one loan. `None`: it does not know, and nothing changes for that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Facts {
-    /// Whether the borrower is a live job that is not being ended.
+pub struct LoanFacts {
+    /// Whether the borrower is a job that has not ended and is not being ended.
     pub live: Option<bool>,
-    /// How many of its replicas stand on the machine, asked for and in doubt included.
+    /// How many of its replicas are on the machine; those that may have started count.
     pub there: Option<u32>,
-    /// How many of its replicas have no place.
+    /// How many of its replicas are not placed.
     pub missing: Option<u32>,
     /// Whether the machine is certainly gone.
     pub gone: bool,
-    /// Whether the lender's job has come to lie within its team's guarantee since it was offered, and goes on: nothing of
-    /// it is stopped.
+    /// Whether the lender's job has come to be within its team's guarantee since it was offered: it is not preempted.
     pub refused: bool,
     /// Whether the lender's job still lacks places; false also if it has ended.
     pub lender_lacks: Option<bool>,
 }
 
-/// The ledger.
+/// A team's ledger.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ledger {
     /// Rises with every change.
     pub fence: u64,
     /// All loans, oldest first.
     pub loans: Vec<Loan>,
-    /// Members of the body that are others' business, such as drains' budgets: handed on untouched.
+    /// Members of the body that are not loans: written again as they were read.
     pub rest: Map<String, Value>,
 }
 
@@ -137,12 +137,12 @@
     ///
     /// # Errors
     /// If it is not of that form.
-    pub fn read(body: &Value) -> Result<Ledger, Unreadable> {
-        let wrong = |what: &str| Unreadable(what.to_owned());
+    pub fn read(body: &Value) -> Result<Ledger, UnreadableLedger> {
+        let wrong = |what: &str| UnreadableLedger(what.to_owned());
         let mut rest = body.as_object().cloned().ok_or_else(|| wrong("it is no object"))?;
         let fence = rest.remove("fence").and_then(|f| f.as_u64()).ok_or_else(|| wrong("fence"))?;
         let loans = rest.remove("loans").ok_or_else(|| wrong("loans"))?;
-        let loans = serde_json::from_value(loans).map_err(|e| Unreadable(e.to_string()))?;
+        let loans = serde_json::from_value(loans).map_err(|e| UnreadableLedger(e.to_string()))?;
         Ok(Ledger { fence, loans, rest })
     }
 
@@ -155,24 +155,24 @@
         Value::Object(out)
     }
 
-    /// Whether a task is lent, or about to be.
+    /// Whether a task of the job `from` is lent, or about to be.
     #[must_use]
-    pub fn lent(&self, from: &str, task: (u32, u64)) -> bool {
-        self.loans.iter().any(|l| l.from == from && l.tasks.contains(&task))
+    pub fn is_lent(&self, from: &str, task: (u32, u64)) -> bool {
+        self.loans.iter().any(|loan| loan.from == from && loan.tasks.contains(&task))
     }
 
-    /// Replicas of a job that claims without a replica are for.
+    /// How many replicas of a job are claimed for and not yet there.
     #[must_use]
-    pub fn claimed(&self, job: &str) -> u32 {
-        let open = self.loans.iter().filter(|l| l.job == job && l.state == State::Taking);
-        open.map(|l| l.replicas).sum()
+    pub fn claimed_replicas(&self, job: &str) -> u32 {
+        let open = self.loans.iter().filter(|loan| loan.job == job && loan.state == LoanState::Taking);
+        open.map(|loan| loan.replicas).sum()
     }
 
-    /// Claims room for `job`, of which `missing` replicas have no place. `others` are the other teams' ledgers; the write must
-    /// be on condition of their marks too.
+    /// Claims resources for `job`, of which `missing` replicas are not placed. `others` are the other teams' ledgers; the write
+    /// must be on condition that they are unchanged too.
     ///
     /// # Errors
-    /// If what is on record covers the need already, if a task is lent already, or if the record would be longer than `bytes`.
+    /// If what is on record covers what is missing, if a task is lent already, or if the record would be longer than `bytes`.
     pub fn claim(
         &self,
         now_us: u64,
@@ -182,22 +182,23 @@
         others: &[&Ledger],
         bytes: usize,
     ) -> Result<Ledger, LedgerError> {
-        // Guards against owners that follow on one another, or that read at the same time, each taking for the same need.
-        let claimed = self.claimed(job);
+        // Guards against leaders that follow one another, or that read at the same time, each claiming for the same replicas.
+        let claimed = self.claimed_replicas(job);
         if claimed + claim.replicas.max(1) > missing {
             return Err(LedgerError::Enough(claimed, missing));
         }
         let mut next = self.clone();
         for (n, part) in claim.parts.iter().enumerate() {
-            // Guards against one task's room being promised to two.
-            let lent =
-                |t: &(u32, u64)| next.lent(&part.from, *t) || others.iter().any(|l| l.lent(&part.from, *t));
-            if let Some(t) = part.tasks.iter().find(|t| lent(t)) {
-                return Err(LedgerError::Lent(part.from.clone(), t.0));
+            // Guards against promising one task's resources twice.
+            let is_lent = |task: &(u32, u64)| {
+                next.is_lent(&part.from, *task) || others.iter().any(|other| other.is_lent(&part.from, *task))
+            };
+            if let Some(task) = part.tasks.iter().find(|task| is_lent(task)) {
+                return Err(LedgerError::Lent(part.from.clone(), task.0));
             }
             next.fence += 1;
             let replicas = if n == 0 { claim.replicas.max(1) } else { 0 };
-            let of = |each: i64| each * i64::from(replicas);
+            let for_all = |each: i64| each * i64::from(replicas);
             next.loans.push(Loan {
                 id: next.fence,
                 job: job.to_owned(),
@@ -208,134 +209,74 @@
                 cpus: part.room.cpus,
                 memory: part.room.memory,
                 replicas,
-                hold: (of(claim.each.gpus), of(claim.each.cpus), of(claim.each.memory)),
+                hold: (for_all(claim.each.gpus), for_all(claim.each.cpus), for_all(claim.each.memory)),
                 machine: claim.machine.clone(),
                 since_us: now_us,
-                state: State::Taking,
+                state: LoanState::Taking,
             });
         }
-        let long = next.body().to_string().len();
-        if long > bytes { Err(LedgerError::Full(long)) } else { Ok(next) }
+        let length = next.body().to_string().len();
+        if length > bytes { Err(LedgerError::Full(length)) } else { Ok(next) }
     }
 
-    /// Moves each loan on as far as the facts tell, and drops what is over. `back_us`: for so long room is kept for a lender.
-    /// None if nothing changes. Nothing lasts for ever: a claim ends after [`TAKING_S`], a return after `back_us`, and a held
-    /// loan with the replica, the job, or the machine.
+    /// Moves each loan on as far as the facts tell, and drops those that are over. `back_us`: how long resources are reserved
+    /// for a lender. None if nothing changes. Nothing lasts for ever: a claim ends after [`TAKING_S`], a return after
+    /// `back_us`, and a held loan with the replica, the job, or the machine.
     #[must_use]
-    pub fn tidy(&self, now_us: u64, back_us: u64, facts: impl Fn(&Loan) -> Facts) -> Option<Ledger> {
+    pub fn advance(&self, now_us: u64, back_us: u64, facts: impl Fn(&Loan) -> LoanFacts) -> Option<Ledger> {
         let mut next = self.clone();
         next.loans = Vec::new();
-        for l in &self.loans {
-            let f = facts(l);
-            let age = now_us.saturating_sub(l.since_us);
-            let over = f.live == Some(false);
-            let state = match l.state {
-                // A machine that is gone has nothing to give back.
-                _ if f.gone => None,
-                State::Taking if f.refused => None,
-                State::Taking if f.live == Some(true) && f.there.is_some_and(|n| n > 0) => Some(State::Held),
-                // Guards against claims for ever: the need is over, or nothing came of it.
-                State::Taking if over || f.missing == Some(0) || age > TAKING_S * 1_000_000 => {
-                    Some(State::Returning)
-                }
-                State::Held if over || f.there == Some(0) => Some(State::Returning),
-                // The lender has what it needs, or has had its time.
-                State::Returning if f.lender_lacks == Some(false) || age > back_us => None,
-                s => Some(s),
-            };
-            if let Some(state) = state {
-                let since_us = if state == l.state { l.since_us } else { now_us };
-                next.loans.push(Loan { state, since_us, ..l.clone() });
+        for loan in &self.loans {
+            if let Some(state) = loan.next_state(now_us, back_us, facts(loan)) {
+                let since_us = if state == loan.state { loan.since_us } else { now_us };
+                next.loans.push(Loan { state, since_us, ..loan.clone() });
             }
         }
-        next.raised(self)
+        next.if_changed(self)
     }
 
-    /// Loans that are to be given back now, though a replica still stands there.
+    /// Begins to return these loans, though a replica still runs on them. None if nothing changes.
     #[must_use]
-    pub fn give_back(&self, now_us: u64, ids: &[u64]) -> Option<Ledger> {
+    pub fn begin_return(&self, now_us: u64, ids: &[u64]) -> Option<Ledger> {
         let mut next = self.clone();
-        for l in next.loans.iter_mut().filter(|l| ids.contains(&l.id) && l.state < State::Returning) {
-            (l.state, l.since_us) = (State::Returning, now_us);
+        let is_due = |loan: &&mut Loan| ids.contains(&loan.id) && loan.state < LoanState::Returning;
+        for loan in next.loans.iter_mut().filter(is_due) {
+            (loan.state, loan.since_us) = (LoanState::Returning, now_us);
         }
-        next.raised(self)
+        next.if_changed(self)
     }
 
-    fn raised(mut self, before: &Ledger) -> Option<Ledger> {
-        let changed = self.loans != before.loans;
+    /// This ledger with the next fence, unless its loans are those of `before`.
+    fn if_changed(mut self, before: &Ledger) -> Option<Ledger> {
+        let is_changed = self.loans != before.loans;
         self.fence = before.fence + 1;
-        changed.then_some(self)
+        is_changed.then_some(self)
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::Amount;
-
-    fn claim(machine: &str, from: &str, task: u32) -> Claim {
-        let room = Amount { gpus: 8000, cpus: 9000, memory: 1 };
-        let part = Part { lender: "vision".into(), from: from.into(), tasks: vec![(task, 7)], room };
-        Claim { machine: machine.into(), replicas: 1, each: room, parts: vec![part] }
-    }
-
-    #[test]
-    fn what_is_on_record_covers_the_need_and_a_task_is_lent_once() {
-        let l = Ledger::default().claim(5, "wk-1", 1, &claim("i-1", "wk-9", 0), &[], 4096).expect("free");
-        let again = l.claim(6, "wk-1", 1, &claim("i-2", "wk-9", 1), &[], 4096);
-        assert_eq!(again, Err(LedgerError::Enough(1, 1)));
-        let twice = l.claim(6, "wk-1", 2, &claim("i-1", "wk-9", 0), &[], 4096);
-        assert_eq!(twice, Err(LedgerError::Lent("wk-9".into(), 0)));
-        let other = Ledger::default().claim(6, "wk-2", 2, &claim("i-1", "wk-9", 0), &[&l], 4096);
-        assert_eq!(other, Err(LedgerError::Lent("wk-9".into(), 0)), "also in another team's ledger");
-        assert!(l.claim(6, "wk-1", 2, &claim("i-2", "wk-9", 1), &[], 4096).is_ok());
-        assert!(matches!(
-            l.claim(6, "wk-1", 2, &claim("i-2", "wk-9", 1), &[], 300),
-            Err(LedgerError::Full(_))
-        ));
-    }
-
-    #[test]
-    fn members_of_the_body_that_are_others_are_handed_on() {
-        let body = json!({"fence": 3, "loans": [], "drains": {"budget": 2}});
-        let l = Ledger::read(&body).expect("valid");
-        assert_eq!(l.body(), body);
-        let l = l.claim(5, "wk-1", 1, &claim("i-1", "wk-9", 0), &[], 4096).expect("free");
-        assert_eq!((l.fence, l.body()["drains"]["budget"].as_u64()), (4, Some(2)));
-        assert_eq!(Ledger::read(&l.body()), Ok(l));
-        assert!(Ledger::read(&json!({"fence": 1, "loans": [{"id": 1}]})).is_err());
-        assert!(Ledger::read(&json!([])).is_err());
-    }
-
-    #[test]
-    fn a_loan_goes_forward_and_ends() {
-        let fresh = Ledger::default().claim(0, "wk-1", 1, &claim("i-1", "wk-9", 0), &[], 4096).expect("free");
-        let s = |n: u64| n * 1_000_000;
-        let at = |l: &Ledger, now: u64, f: Facts| l.tidy(now, s(30), |_| f);
-        let live = Facts { live: Some(true), there: Some(0), missing: Some(1), ..Facts::default() };
-        assert_eq!(at(&fresh, s(10), live), None);
-        assert!(at(&fresh, s(10), Facts { refused: true, ..live }).expect("moves").loans.is_empty());
-        assert_eq!(
-            at(&fresh, s(500), Facts { live: Some(true), ..live }).expect("moves").loans[0].state,
-            State::Returning
-        );
-        let held = at(&fresh, s(20), Facts { there: Some(1), missing: Some(0), ..live }).expect("moves");
-        assert_eq!((held.loans[0].state, held.loans[0].since_us, held.fence), (State::Held, s(20), 2));
-        assert_eq!(at(&held, s(9000), Facts { there: Some(1), ..live }), None, "kept while it serves");
-        assert_eq!(at(&held, s(21), Facts::default()), None, "nobody who knows has looked");
-        let back = at(&held, s(90), Facts { there: Some(0), ..live }).expect("moves");
-        assert_eq!(back.loans[0].state, State::Returning);
-        let lacks = Facts { lender_lacks: Some(true), ..live };
-        assert_eq!(at(&back, s(100), lacks), None, "kept for the lender");
-        assert!(at(&back, s(121), lacks).expect("moves").loans.is_empty());
-        assert!(
-            at(&back, s(91), Facts { lender_lacks: Some(false), ..live }).expect("moves").loans.is_empty()
-        );
-        assert!(at(&held, s(91), Facts { gone: true, ..live }).expect("moves").loans.is_empty());
-        assert_eq!(
-            at(&held, s(91), Facts { live: Some(false), there: Some(1), ..live }).expect("moves").loans[0]
-                .state,
-            State::Returning
-        );
+impl Loan {
+    /// The state that follows from the facts; None: the loan is over.
+    fn next_state(&self, now_us: u64, back_us: u64, facts: LoanFacts) -> Option<LoanState> {
+        let age_us = now_us.saturating_sub(self.since_us);
+        let has_ended = facts.live == Some(false);
+        match self.state {
+            // A machine that is gone has nothing to give back.
+            _ if facts.gone => None,
+            LoanState::Taking if facts.refused => None,
+            LoanState::Taking if facts.live == Some(true) && facts.there.is_some_and(|n| n > 0) => {
+                Some(LoanState::Held)
+            }
+            // Guards against claims for ever: nothing is missing any more, or nothing came of it.
+            LoanState::Taking if has_ended || facts.missing == Some(0) || age_us > TAKING_S * 1_000_000 => {
+                Some(LoanState::Returning)
+            }
+            LoanState::Held if has_ended || facts.there == Some(0) => Some(LoanState::Returning),
+            // The lender has what it needs, or has had its time.
+            LoanState::Returning if facts.lender_lacks == Some(false) || age_us > back_us => None,
+            state => Some(state),
+        }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gpu_lending/src/lib.rs
+++ b/crates/gpu_lending/src/lib.rs
@@ -1,9 +1,9 @@
-//! GPUs lent from batch work and fine-tuning to serving, and given back, within each team's guarantee.
+//! Lending of GPUs from batch work to services, and reclaim, within each team's guarantee.
 //!
-//! [`ledger`] has the record of who lent what to whom: claimed before anything is stopped, and never kept for ever. [`preemption`]
-//! says what may be taken and where the least is lost. [`reclaim`] says when a replica goes so that the lender gets its GPUs. All
-//! are pure: no clock, no sockets; times are passed in. Whether a job is within its team's guarantee is decided elsewhere, once,
-//! and passed in. `docs/loans.md` has the argument.
+//! [`ledger`] is the record of who lends what to whom: claimed before anything is stopped, and never kept for ever.
+//! [`preemption`] says what may be preempted and where the least is lost. [`reclaim`] says when a replica stops so that the
+//! lender gets its GPUs. All are pure: no clock, no sockets; times are passed in. Whether a job is within its team's guarantee
+//! is decided elsewhere, once, and passed in. `docs/loans.md` has the argument.
 
 pub mod ledger;
 pub mod preemption;
@@ -11,7 +11,7 @@
 
 use std::ops::{Add, Sub};
 
-/// Room on a machine, or what a task takes of it, in thousandths.
+/// Resources of a machine or a task, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Amount {
     /// Thousandths of a GPU.
@@ -23,7 +23,7 @@
 }
 
 impl Amount {
-    /// Whether there is room for `other`.
+    /// Whether `other` fits in.
     #[must_use]
     pub fn holds(self, other: Amount) -> bool {
         self.gpus >= other.gpus && self.cpus >= other.cpus && self.memory >= other.memory
--- a/crates/gpu_lending/tests/fleets.rs
+++ b/crates/gpu_lending/tests/fleets.rs
@@ -2,9 +2,9 @@
 //! for ever, and giving back never takes a team below its guarantee.
 
 use hazelsaddle_gpu_lending::Amount;
-use hazelsaddle_gpu_lending::ledger::{Facts, Ledger, State, TAKING_S};
-use hazelsaddle_gpu_lending::preemption::{Machine, Need, Task, choose, may_take};
-use hazelsaddle_gpu_lending::reclaim::{Borrower, LoanStanding, Shortfall, Terms, give_back};
+use hazelsaddle_gpu_lending::ledger::{Ledger, LoanFacts, LoanState, TAKING_S};
+use hazelsaddle_gpu_lending::preemption::{Machine, ReplicaDemand, Task, choose_preemptions, may_preempt};
+use hazelsaddle_gpu_lending::reclaim::{Borrower, ReplicasOnLoan, Shortfall, Terms, loans_to_reclaim};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,9 +60,9 @@
     Fleet { machines: machines.collect(), tasks }
 }
 
-fn need(rng: &mut StdRng) -> Need {
+fn need(rng: &mut StdRng) -> ReplicaDemand {
     let zones = rng.random_bool(0.3).then(|| BTreeMap::from([("a".to_owned(), 2), ("b".to_owned(), 1)]));
-    Need {
+    ReplicaDemand {
         team: "serve".into(),
         rank: rng.random_range(0..4),
         within: rng.random_bool(0.5),
@@ -80,8 +80,8 @@
     fn what_is_taken_may_be_and_nothing_in_vain(seed in any::<u64>()) {
         let rng = &mut StdRng::seed_from_u64(seed);
         let (f, need) = (fleet(rng), need(rng));
-        let claims = choose(&need, &f.machines, &f.tasks);
-        prop_assert_eq!(&claims, &choose(&need, &f.machines, &f.tasks));
+        let claims = choose_preemptions(&need, &f.machines, &f.tasks);
+        prop_assert_eq!(&claims, &choose_preemptions(&need, &f.machines, &f.tasks));
         prop_assert!(claims.iter().map(|c| c.replicas).sum::<u32>() <= need.replicas);
         let mut ledger = Ledger::default();
         for c in &claims {
@@ -96,11 +96,11 @@
                 prop_assert!(left.count_of(need.each) < c.replicas + for_nothing, "{} gives in vain on {}", p.from, c.machine);
                 for (index, _) in &p.tasks {
                     let t = f.tasks.iter().find(|t| t.job == p.from && t.index == *index).expect("known");
-                    prop_assert!(may_take(&need, t) && !t.within && !t.fixed && t.machine == c.machine);
+                    prop_assert!(may_preempt(&need, t) && !t.within && !t.fixed && t.machine == c.machine);
                     // All of a gang goes if one of it does, so all of it must be free to go.
                     let whole = f.tasks.iter().filter(|o| t.gang && o.job == t.job);
                     for o in whole {
-                        prop_assert!(may_take(&need, o) && !o.fixed);
+                        prop_assert!(may_preempt(&need, o) && !o.fixed);
                         let here = o.machine == c.machine;
                         prop_assert!(!here || p.tasks.contains(&(o.index, o.attempt)), "a gang goes whole");
                     }
@@ -117,29 +117,29 @@
     #[test]
     fn no_loan_is_for_ever_and_none_swings(seed in any::<u64>()) {
         let rng = &mut StdRng::seed_from_u64(seed);
-        let (f, need) = (fleet(rng), Need { replicas: 5, ..need(rng) });
+        let (f, need) = (fleet(rng), ReplicaDemand { replicas: 5, ..need(rng) });
         let (back_us, terms) = (30_000_000, Terms { stay_us: 60_000_000, burst_us: 8_000_000 });
         let mut ledger = Ledger::default();
-        for c in choose(&need, &f.machines, &f.tasks) {
+        for c in choose_preemptions(&need, &f.machines, &f.tasks) {
             ledger = ledger.claim(1, "wk-s", 5, &c, &[], 1 << 20).expect("free");
         }
         let guarantee = rng.random_range(0..6) * need.each.gpus;
         let (mut now, mut fence) = (1u64, ledger.fence);
         let mut held: BTreeSet<String> = BTreeSet::new();
-        let mut states: BTreeMap<u64, (State, u64)> = BTreeMap::new();
+        let mut states: BTreeMap<u64, (LoanState, u64)> = BTreeMap::new();
         let end = rng.random_range(0..400_000_000u64);
         for _ in 0..200 {
             now += rng.random_range(100_000..9_000_000u64);
             for l in &ledger.loans {
-                if l.state == State::Taking && rng.random_bool(0.2) {
+                if l.state == LoanState::Taking && rng.random_bool(0.2) {
                     held.insert(l.machine.clone());
                 }
-                if l.state == State::Returning {
+                if l.state == LoanState::Returning {
                     held.remove(&l.machine);
                 }
             }
             let known = rng.random_bool(0.8);
-            let facts = |l: &hazelsaddle_gpu_lending::ledger::Loan| Facts {
+            let facts = |l: &hazelsaddle_gpu_lending::ledger::Loan| LoanFacts {
                 live: known.then_some(now < end),
                 there: known.then_some(u32::from(held.contains(&l.machine))),
                 missing: Some(1),
@@ -147,20 +147,20 @@
                 refused: false,
                 lender_lacks: Some(true),
             };
-            let next = ledger.tidy(now, back_us, facts).unwrap_or_else(|| ledger.clone());
+            let next = ledger.advance(now, back_us, facts).unwrap_or_else(|| ledger.clone());
             let used = held.len() as i64 * need.each.gpus;
             let since_us = now - rng.random_range(0..20_000_000u64).min(now);
             let lack = Shortfall { room: gpus(rng.random_range(0..20)), since_us };
             let lacks: BTreeMap<String, Shortfall> = [("vision".to_owned(), lack)].into();
-            let stands = |_: &str, _: &str| LoanStanding { replicas: 1, each: need.each.gpus, within: false };
-            let ids = give_back(now, terms, &next, Borrower { used, guarantee }, &lacks, stands);
+            let stands = |_: &str, _: &str| ReplicasOnLoan { replicas: 1, each: need.each.gpus, within: false };
+            let ids = loans_to_reclaim(now, terms, &next, Borrower { used, guarantee }, &lacks, stands);
             let gone: BTreeSet<&String> = next.loans.iter().filter(|l| ids.contains(&l.id)).map(|l| &l.machine).collect();
             prop_assert!(gone.is_empty() || used - gone.len() as i64 * need.each.gpus >= guarantee);
             for l in next.loans.iter().filter(|l| ids.contains(&l.id)) {
-                prop_assert!(l.state == State::Held && now - l.since_us >= terms.stay_us);
+                prop_assert!(l.state == LoanState::Held && now - l.since_us >= terms.stay_us);
                 prop_assert!(now - lack.since_us >= terms.burst_us);
             }
-            ledger = next.give_back(now, &ids).unwrap_or(next);
+            ledger = next.begin_return(now, &ids).unwrap_or(next);
             prop_assert!(ledger.fence >= fence);
             fence = ledger.fence;
             for l in &ledger.loans {
@@ -169,17 +169,17 @@
                 let since = if l.state == was { since } else { now };
                 states.insert(l.id, (l.state, since));
                 let bound = match l.state {
-                    State::Taking => TAKING_S * 1_000_000 + 9_000_000,
-                    State::Held => u64::MAX,
-                    State::Returning => back_us + 9_000_000,
+                    LoanState::Taking => TAKING_S * 1_000_000 + 9_000_000,
+                    LoanState::Held => u64::MAX,
+                    LoanState::Returning => back_us + 9_000_000,
                 };
                 prop_assert!(now - since <= bound, "{l:?} lasts");
             }
         }
         for _ in 0..3 {
             now += 500_000_000;
-            let over = |_: &hazelsaddle_gpu_lending::ledger::Loan| Facts { live: Some(false), ..Facts::default() };
-            ledger = ledger.tidy(now, back_us, over).unwrap_or(ledger);
+            let over = |_: &hazelsaddle_gpu_lending::ledger::Loan| LoanFacts { live: Some(false), ..LoanFacts::default() };
+            ledger = ledger.advance(now, back_us, over).unwrap_or(ledger);
         }
         prop_assert!(ledger.loans.is_empty());
     }
--- a/crates/gpu_lending/tests/model.rs
+++ b/crates/gpu_lending/tests/model.rs
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct State {
+struct LoanState {
     /// The controller that owns the job by the epoch record; each lives until it crashes.
     epoch: u8,
     lives: [bool; 3],
@@ -74,7 +74,7 @@
     twice: bool,
 }
 
-const FIRST: State = State {
+const FIRST: LoanState = LoanState {
     epoch: 0,
     lives: [true; 3],
     thinks: [true, false, false],
@@ -91,9 +91,9 @@
 };
 
 impl Guards {
-    fn next(self, s: &State) -> Vec<State> {
+    fn next(self, s: &LoanState) -> Vec<LoanState> {
         let mut out = Vec::new();
-        let mut then = |change: &dyn Fn(&mut State)| {
+        let mut then = |change: &dyn Fn(&mut LoanState)| {
             let mut n = s.clone();
             change(&mut n);
             if n != *s {
@@ -135,7 +135,7 @@
             let sent = if at < 3 { s.sent[at] } else { s.late };
             let Sent::Claim { task, store_version, epoch } = sent else { continue };
             let clear =
-                |n: &mut State| if at < 3 { n.sent[at] = Sent::Nothing } else { n.late = Sent::Nothing };
+                |n: &mut LoanState| if at < 3 { n.sent[at] = Sent::Nothing } else { n.late = Sent::Nothing };
             let holds = (!self.store_version || store_version == s.store_version)
                 && (!self.epoch || epoch == s.epoch);
             then(&|n| {
@@ -193,9 +193,9 @@
 
 struct Explored {
     states: usize,
-    vain: Option<State>,
-    unnamed: Option<State>,
-    kept: Option<State>,
+    vain: Option<LoanState>,
+    unnamed: Option<LoanState>,
+    kept: Option<LoanState>,
 }
 
 fn explore(g: Guards) -> Explored {
--- a/crates/release/src/calendar.rs
+++ b/crates/release/src/calendar.rs
@@ -11,13 +11,16 @@
 use jiff::Timestamp;
 use jiff::civil::{Date, DateTime, Time, Weekday};
 use jiff::tz::{AmbiguousOffset, TimeZone, TimeZoneDatabase};
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Jobs may join so long before a night begins, in microseconds: wall clocks differ, and a 422 is final.
-pub const EARLY: u64 = 60_000_000;
-/// A calendar that has left out more days than this in a row has no night.
-const LOOK: i32 = 400;
+/// How long before a night begins jobs may join it, in microseconds: clocks differ, and a 422 is final.
+pub const EARLY_JOIN_US: u64 = 60_000_000;
+/// How many days ahead the next night is looked for.
+const SEARCH_DAYS: i32 = 400;
+
+/// A day, in microseconds.
+const DAY_US: u64 = 86_400_000_000;
 
 /// What is wrong with a setting.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -109,6 +112,8 @@
 }
 
 /// One calendar.
+///
+/// Printed in its `Debug` form by the verb `check`: fields' names are output.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Calendar {
     /// Its name.
@@ -124,6 +129,7 @@
     classes: [BTreeSet<String>; 3],
 }
 
+/// The keys of a section.
 const KEYS: [&str; 10] = [
     "title",
     "zone",
@@ -136,6 +142,7 @@
     "render",
     "rotation",
 ];
+/// Weekdays, as settings write them.
 const DAYS: [(&str, Weekday); 7] = [
     ("mon", Weekday::Monday),
     ("tue", Weekday::Tuesday),
@@ -192,7 +199,7 @@
 
 /// Whether a text fits a pattern in which `*` stands for anything.
 #[must_use]
-pub fn fits(pattern: &str, text: &str) -> bool {
+pub fn matches_pattern(pattern: &str, text: &str) -> bool {
     let mut parts = pattern.split('*');
     let Some(mut rest) = parts.next().and_then(|first| text.strip_prefix(first)) else { return false };
     let mut parts: Vec<&str> = parts.collect();
@@ -216,40 +223,44 @@
         pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
     ) -> Result<Calendar, SettingError> {
         let bad = |key: &str, reason: String| SettingError { key: key.to_owned(), reason };
-        let mut given: [Option<&str>; 10] = [None; 10];
+        let mut given: BTreeMap<&str, &str> = BTreeMap::new();
         for (key, value) in pairs {
-            let Some(i) = KEYS.iter().position(|k| *k == key) else {
+            if !KEYS.contains(&key) {
                 let like = nearest(key, KEYS).unwrap_or("title");
                 return Err(bad(key, format!("is no setting of a calendar; the nearest is {like}")));
-            };
-            if given[i].replace(value.trim()).is_some() {
+            }
+            if given.insert(key, value.trim()).is_some() {
                 return Err(bad(key, "is given twice".into()));
             }
         }
-        let must = |i: usize| {
-            given[i].filter(|v| !v.is_empty()).ok_or_else(|| bad(KEYS[i], "is missing".to_owned()))
+        let optional = |key: &str| given.get(key).copied();
+        let required = |key: &'static str| {
+            optional(key).filter(|value| !value.is_empty()).ok_or_else(|| bad(key, "is missing".to_owned()))
         };
-        let title = must(0)?.to_owned();
+        let title = required("title")?.to_owned();
         if title.chars().any(|c| c.is_whitespace() || c.is_control() || c == '/' || c == '@') {
-            return Err(bad(KEYS[0], "must have neither spaces, slashes nor @".into()));
+            return Err(bad("title", "must have neither spaces, slashes nor @".into()));
         }
-        let zone = zone(must(1)?).map_err(|r| bad(KEYS[1], r))?;
-        let of = |i: usize| time(must(i)?).map_err(|r| bad(KEYS[i], r));
-        let (begins, renders, rotation) = (of(2)?, of(3)?, of(4)?);
+        let zone = zone(required("zone")?).map_err(|reason| bad("zone", reason))?;
+        let time_of = |key: &'static str| time(required(key)?).map_err(|reason| bad(key, reason));
+        let (begins, renders, rotation) =
+            (time_of("night_begins")?, time_of("renders_due")?, time_of("rotation_due")?);
         if renders == begins {
-            return Err(bad(KEYS[3], "is the time at which the night begins".into()));
+            return Err(bad("renders_due", "is the time at which the night begins".into()));
         }
-        let weekdays = weekdays(given[5].unwrap_or("mon-sun")).map_err(|r| bad(KEYS[5], r))?;
-        let left_out = list(given[6].unwrap_or("")).map(date_of).collect::<Result<_, _>>();
-        let left_out = left_out.map_err(|r| bad(KEYS[6], r))?;
-        let classes = [7, 8, 9].map(|i| list(given[i].unwrap_or("")).map(str::to_owned).collect());
+        let weekdays = weekdays(optional("weekdays").unwrap_or("mon-sun"));
+        let weekdays = weekdays.map_err(|reason| bad("weekdays", reason))?;
+        let left_out = list(optional("left_out").unwrap_or("")).map(date_of).collect::<Result<_, _>>();
+        let left_out = left_out.map_err(|reason| bad("left_out", reason))?;
+        let classes =
+            Stage::ALL.map(|stage| list(optional(stage.word()).unwrap_or("")).map(str::to_owned).collect());
         let name = name.to_owned();
         Ok(Calendar { name, title, zone, begins, renders, rotation, weekdays, left_out, classes })
     }
 
     /// Whether jobs of a class may say that they are of a stage. A stage without classes takes any.
     #[must_use]
-    pub fn takes(&self, stage: Stage, class: &str) -> bool {
+    pub fn accepts(&self, stage: Stage, class: &str) -> bool {
         let classes = self.classes(stage);
         classes.is_empty() || classes.contains(class)
     }
@@ -280,11 +291,12 @@
 
     /// Whether a night begins on this date.
     #[must_use]
-    pub fn has(&self, date: Date) -> bool {
+    pub fn has_night_on(&self, date: Date) -> bool {
         self.weekdays.contains(&date.weekday().to_monday_zero_offset()) && !self.left_out.contains(&date)
     }
 
-    fn times(&self, date: Date) -> Option<(u64, u64, u64)> {
+    /// When the night of this date begins, its renders are due and its rotation is due.
+    fn night_times(&self, date: Date) -> Option<(u64, u64, u64)> {
         let next =
             |date: Date, from: Time, to: Time| if to > from { Some(date) } else { date.tomorrow().ok() };
         let renders_on = next(date, self.begins, self.renders)?;
@@ -298,14 +310,13 @@
     /// The night that begins on this date, if one does.
     #[must_use]
     pub fn night(&self, date: Date) -> Option<Night> {
-        let (begins, renders, rotation) = self.has(date).then(|| self.times(date))??;
-        let day = 86_400_000_000;
-        let mut over = rotation.max(renders) + day;
+        let (begins, renders, rotation) = self.has_night_on(date).then(|| self.night_times(date))??;
+        let mut over = rotation.max(renders) + DAY_US;
         let mut then = date;
         // Nights may follow one another at once, so only the next few matter.
         for _ in 0..4 {
             then = then.tomorrow().ok()?;
-            if let Some((next, ..)) = self.has(then).then(|| self.times(then)).flatten() {
+            if let Some((next, ..)) = self.has_night_on(then).then(|| self.night_times(then)).flatten() {
                 over = over.min(next.max(renders));
                 break;
             }
@@ -325,7 +336,7 @@
         let until = |n: &Night| if stage == Stage::Rotation { n.over } else { n.renders };
         let around: Vec<Night> = self.around(wall);
         let open = around.iter().rev().find(|n| n.begins <= wall && wall < until(n));
-        let soon = || around.iter().find(|n| wall < n.begins && n.begins - wall <= EARLY);
+        let soon = || around.iter().find(|n| wall < n.begins && n.begins - wall <= EARLY_JOIN_US);
         open.or_else(soon).cloned()
     }
 
@@ -340,7 +351,7 @@
     #[must_use]
     pub fn next_after(&self, wall: u64) -> Option<Night> {
         let mut date = self.date_at(wall)?;
-        for _ in 0..LOOK {
+        for _ in 0..SEARCH_DAYS {
             match self.night(date) {
                 Some(n) if n.begins > wall => return Some(n),
                 _ => date = date.tomorrow().ok()?,
@@ -351,7 +362,7 @@
 
     /// A time of day as people of the calendar's zone write it.
     #[must_use]
-    pub fn shown(&self, wall: u64) -> String {
+    pub fn format_local(&self, wall: u64) -> String {
         let at = i64::try_from(wall).ok().and_then(|w| Timestamp::from_microsecond(w).ok());
         at.map_or_else(
             || "-".into(),
@@ -367,8 +378,8 @@
 impl Calendars {
     /// The calendar of a title.
     #[must_use]
-    pub fn of(&self, title: &str) -> Option<&Calendar> {
-        self.0.iter().find(|c| fits(&c.title, title))
+    pub fn for_title(&self, title: &str) -> Option<&Calendar> {
+        self.0.iter().find(|c| matches_pattern(&c.title, title))
     }
     /// The pattern that a title is nearest to.
     #[must_use]
--- a/crates/release/src/calendar/tests.rs
+++ b/crates/release/src/calendar/tests.rs
@@ -65,15 +65,15 @@
         ("ab*ba", "aba", false),
         ("**x", "x", true),
     ] {
-        assert_eq!(fits(pattern, text), fit, "{pattern} {text}");
+        assert_eq!(matches_pattern(pattern, text), fit, "{pattern} {text}");
     }
     let all = Calendars(vec![
         with(&[("title", "boldog-north")]).expect("valid"),
         with(&[("title", "boldog-*")]).expect("valid"),
     ]);
-    assert_eq!(all.of("boldog-north").map(|c| c.title.as_str()), Some("boldog-north"));
-    assert_eq!(all.of("boldog-south").map(|c| c.title.as_str()), Some("boldog-*"));
-    assert_eq!((all.of("bldog"), all.nearest("bldog-north")), (None, Some("boldog-north")));
+    assert_eq!(all.for_title("boldog-north").map(|c| c.title.as_str()), Some("boldog-north"));
+    assert_eq!(all.for_title("boldog-south").map(|c| c.title.as_str()), Some("boldog-*"));
+    assert_eq!((all.for_title("bldog"), all.nearest("bldog-north")), (None, Some("boldog-north")));
 }
 
 #[test]
@@ -137,7 +137,7 @@
     assert_eq!(at("2026-12-06T16:59:30Z", Stage::Rotation).as_deref(), Some("2026-12-05"));
     assert_eq!(at("2026-12-08T01:00:00Z", Stage::Rotation), None, "a day after it was due");
     assert_eq!(c.next_after(utc("2026-12-02T00:00:00Z")).map(|n| n.name()).as_deref(), Some("2026-12-05"));
-    assert_eq!(c.shown(n.begins), "2026-12-05 18:00 CET");
+    assert_eq!(c.format_local(n.begins), "2026-12-05 18:00 CET");
     let never = with(&[("weekdays", "fri"), ("left_out", "2026-12-04")]).expect("valid");
     assert_eq!(
         never.next_after(utc("2026-12-04T00:00:00Z")).map(|n| n.name()).as_deref(),
@@ -148,8 +148,8 @@
 #[test]
 fn a_stage_without_classes_takes_any() {
     let c = with(&[("render", "til-tekser, otbasy-baila")]).expect("valid");
-    assert!(c.takes(Stage::Render, "til-tekser") && !c.takes(Stage::Render, "aimak-merge"));
-    assert!(c.takes(Stage::Rebuild, "anything"));
+    assert!(c.accepts(Stage::Render, "til-tekser") && !c.accepts(Stage::Render, "aimak-merge"));
+    assert!(c.accepts(Stage::Rebuild, "anything"));
 }
 
 proptest! {
--- a/crates/release/src/join.rs
+++ b/crates/release/src/join.rs
@@ -1,4 +1,4 @@
-//! Who may join a set.
+//! Which jobs may join a release's set.
 //!
 //! The record decides, not the clock: while it is open, a render joins, however late it is; once it says *closing*, none
 //! does. A render that comes too late is **refused**, and not put into the next night's set: it was made of this night's
@@ -7,29 +7,29 @@
 //!
 //! A rotation is no member: it may join as long as its night is not over, also a set that is closed.
 
-use crate::calendar::{Calendar, Calendars, EARLY, Stage, date_of};
+use crate::calendar::{Calendar, Calendars, EARLY_JOIN_US, Stage, date_of};
 use crate::release_ref::ReleaseRef;
 use crate::set::{ClosedBy, Release};
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
 use hazelsaddle_coordination::record_cache::Held;
 
-/// Whether a job may join.
+/// Whether a job may join a set.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Join {
-    /// Yes: its acceptance is conditional on the record's mark as read.
-    Now,
+pub enum ReleaseJoin {
+    /// Yes: it is accepted on condition that the record is unchanged since it was read.
+    Join,
     /// There is no record yet: this one is to be written first, on condition that there is none.
-    Open(CoordinationRecord),
+    OpenFirst(CoordinationRecord),
     /// Not now (503): the record is not known, or can't be read.
-    Later(String),
-    /// No (422).
+    Retry(String),
+    /// No (422), for good.
     Refused(Refusal),
 }
 
 /// Why a job may not join. Users don't try again.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// No calendar has it.
+    /// No calendar has the title.
     #[error("no calendar has the title {title}{}", like.as_ref().map(|l| format!("; the nearest pattern is {l}")).unwrap_or_default())]
     Title {
         /// The title.
@@ -37,7 +37,7 @@
         /// The nearest pattern.
         like: Option<String>,
     },
-    /// The class.
+    /// The class takes no part at this stage.
     #[error("class {class} takes no part as {stage}; calendar {calendar} has {} for that", classes.join(", "))]
     Class {
         /// The class.
@@ -46,7 +46,7 @@
         stage: Stage,
         /// The calendar.
         calendar: String,
-        /// What it has.
+        /// The classes that do.
         classes: Vec<String>,
     },
     /// No night is open.
@@ -65,17 +65,17 @@
         /// The night.
         night: String,
     },
-    /// It has not begun.
+    /// The night has not begun.
     #[error("the night {night} of {title} begins at {begins}")]
     NotYet {
         /// The title.
         title: String,
         /// The night.
         night: String,
-        /// When.
+        /// When it begins.
         begins: String,
     },
-    /// It is over, and nobody opened it.
+    /// The night is over, and nobody opened a set.
     #[error("the night {night} of {title} is over")]
     Over {
         /// The title.
@@ -83,7 +83,7 @@
         /// The night.
         night: String,
     },
-    /// It takes no renders and rebuilds any more.
+    /// The set takes no renders and rebuilds any more.
     #[error(
         "the release of {title} on {night} was closed by {by}: a {stage} that comes later is not part of it; name another night, or have an operator reopen it"
     )]
@@ -92,110 +92,122 @@
         title: String,
         /// The night.
         night: String,
-        /// What it would have been.
+        /// The stage of the job.
         stage: Stage,
         /// Who closed it.
         by: &'static str,
     },
 }
 
-/// The night of a submission that names none: of the sets on record one that takes it (its times stand, whatever the
+/// The night of a submission that names none: that of a set on record which it may join (the set's times hold, whatever the
 /// calendar says now), or the one that is open by the calendar.
 ///
 /// # Errors
 /// If the title is unknown or no night is open.
-pub fn night<'a>(
+pub fn resolve_night<'a>(
     calendars: &Calendars,
     sets: impl IntoIterator<Item = (Phase, &'a Release)>,
-    says: &ReleaseRef,
+    release_ref: &ReleaseRef,
     now: u64,
 ) -> Result<String, Refusal> {
-    let calendar = calendars.of(&says.title);
-    let by_calendar = calendar.and_then(|c| c.open_at(now, says.stage));
+    let calendar = calendars.for_title(&release_ref.title);
+    let by_calendar = calendar.and_then(|calendar| calendar.open_at(now, release_ref.stage));
     let mut on_record: Option<&Release> = None;
-    for (phase, r) in sets {
-        let takes = match says.stage {
-            Stage::Rotation => now <= r.due_us,
-            _ => phase == Phase::Open && now < r.renders_us,
+    for (phase, set) in sets {
+        let is_open = match release_ref.stage {
+            Stage::Rotation => now <= set.due_us,
+            _ => phase == Phase::Open && now < set.renders_us,
         };
-        let begun = now.saturating_add(EARLY) >= r.begins_us;
-        if r.title == says.title && takes && begun && on_record.is_none_or(|o| o.begins_us < r.begins_us) {
-            on_record = Some(r);
+        let has_begun = now.saturating_add(EARLY_JOIN_US) >= set.begins_us;
+        let is_later = on_record.is_none_or(|other| other.begins_us < set.begins_us);
+        if set.title == release_ref.title && is_open && has_begun && is_later {
+            on_record = Some(set);
         }
     }
     // A set that was opened by a calendar since changed goes before the night of the new one, unless that began later.
     match (by_calendar, on_record) {
-        (Some(n), Some(r)) if n.begins > r.begins_us => Ok(n.name()),
-        (_, Some(r)) => Ok(r.night.clone()),
-        (Some(n), None) => Ok(n.name()),
+        (Some(night), Some(set)) if night.begins > set.begins_us => Ok(night.name()),
+        (_, Some(set)) => Ok(set.night.clone()),
+        (Some(night), None) => Ok(night.name()),
         (None, None) => Err(match calendar {
-            None => unknown(calendars, &says.title),
-            Some(c) => {
-                let next = c.next_after(now).map(|n| c.shown(n.begins));
-                Refusal::NoNight { title: says.title.clone(), next }
+            None => unknown_title(calendars, &release_ref.title),
+            Some(calendar) => {
+                let next = calendar.next_after(now).map(|night| calendar.format_local(night.begins));
+                Refusal::NoNight { title: release_ref.title.clone(), next }
             }
         }),
     }
 }
 
-fn unknown(calendars: &Calendars, title: &str) -> Refusal {
+fn unknown_title(calendars: &Calendars, title: &str) -> Refusal {
     Refusal::Title { title: title.to_owned(), like: calendars.nearest(title).map(str::to_owned) }
 }
 
 /// Whether a job that names this night may join, by what is known of the record. A job that was accepted is not asked again:
 /// its repeat is answered by its own record.
 #[must_use]
-pub fn may_join(held: &Held, calendars: &Calendars, says: &ReleaseRef, class: &str, now: u64) -> Join {
-    let calendar = calendars.of(&says.title);
+pub fn decide_join(
+    held: &Held,
+    calendars: &Calendars,
+    release_ref: &ReleaseRef,
+    class: &str,
+    now: u64,
+) -> ReleaseJoin {
+    let calendar = calendars.for_title(&release_ref.title);
     if let Some(c) = calendar
-        && !c.takes(says.stage, class)
+        && !c.accepts(release_ref.stage, class)
     {
-        return Join::Refused(Refusal::Class {
+        return ReleaseJoin::Refused(Refusal::Class {
             class: class.to_owned(),
-            stage: says.stage,
+            stage: release_ref.stage,
             calendar: c.name.clone(),
-            classes: c.classes(says.stage).iter().cloned().collect(),
+            classes: c.classes(release_ref.stage).iter().cloned().collect(),
         });
     }
     match held {
-        Held::Unread => Join::Later("the release's record is not read yet".into()),
-        Held::Unreadable(why) => Join::Later(why.to_string()),
-        Held::Is(record) => on_record(record, says),
+        Held::Unread => ReleaseJoin::Retry("the release's record is not read yet".into()),
+        Held::Unreadable(why) => ReleaseJoin::Retry(why.to_string()),
+        Held::Is(record) => join_existing(record, release_ref),
         Held::Absent => match calendar {
-            None => Join::Refused(unknown(calendars, &says.title)),
-            Some(c) => absent(c, says, now).map_or_else(Join::Refused, |r| Join::Open(r.record())),
+            None => ReleaseJoin::Refused(unknown_title(calendars, &release_ref.title)),
+            Some(c) => open_set(c, release_ref, now)
+                .map_or_else(ReleaseJoin::Refused, |release| ReleaseJoin::OpenFirst(release.record())),
         },
     }
 }
 
-fn on_record(record: &CoordinationRecord, says: &ReleaseRef) -> Join {
+/// Whether a job may join a set that is on record.
+fn join_existing(record: &CoordinationRecord, release_ref: &ReleaseRef) -> ReleaseJoin {
     let body = match Release::read(record) {
         Ok(body) => body,
-        Err(why) => return Join::Later(why.to_string()),
+        Err(why) => return ReleaseJoin::Retry(why.to_string()),
     };
-    if says.stage == Stage::Rotation || record.phase == Phase::Open {
-        return Join::Now;
+    if release_ref.stage == Stage::Rotation || record.phase == Phase::Open {
+        return ReleaseJoin::Join;
     }
-    Join::Refused(Refusal::Closed {
+    ReleaseJoin::Refused(Refusal::Closed {
         title: body.title,
         night: body.night,
-        stage: says.stage,
+        stage: release_ref.stage,
         by: body.closed_by.map_or("an operator", ClosedBy::word),
     })
 }
 
-fn absent(c: &Calendar, says: &ReleaseRef, now: u64) -> Result<Release, Refusal> {
-    let night = says.night.clone().unwrap_or_default();
-    let found = date_of(&night).ok().and_then(|d| c.night(d));
-    let Some(n) = found else { return Err(Refusal::NotOne { calendar: c.name.clone(), night }) };
-    let title = says.title.clone();
-    if now.saturating_add(EARLY) < n.begins {
-        return Err(Refusal::NotYet { title, night, begins: c.shown(n.begins) });
+/// The set that a job opens which is the first of its night.
+fn open_set(calendar: &Calendar, release_ref: &ReleaseRef, now: u64) -> Result<Release, Refusal> {
+    let night = release_ref.night.clone().unwrap_or_default();
+    let found = date_of(&night).ok().and_then(|date| calendar.night(date));
+    let Some(times) = found else {
+        return Err(Refusal::NotOne { calendar: calendar.name.clone(), night });
+    };
+    let title = release_ref.title.clone();
+    if now.saturating_add(EARLY_JOIN_US) < times.begins {
+        return Err(Refusal::NotYet { title, night, begins: calendar.format_local(times.begins) });
     }
     // A rotation may come after the renders' time: it waits, and says that there are none.
-    let until = if says.stage == Stage::Rotation { n.over } else { n.renders };
+    let until = if release_ref.stage == Stage::Rotation { times.over } else { times.renders };
     if now >= until {
         return Err(Refusal::Over { title, night });
     }
-    Ok(Release::open(&title, &n, &c.name, now))
+    Ok(Release::open(&title, &times, &calendar.name, now))
 }
--- a/crates/release/src/lib.rs
+++ b/crates/release/src/lib.rs
@@ -3,19 +3,19 @@
 //! All is pure: no clock, no sockets, no files. Points in time are microseconds since 1970 (the time of day, `wall`), and no
 //! safety rests on them: they say when something opens, closes by itself, or is late, never what a rotation may rely on.
 //!
-//! How a slice uses it:
+//! How a controller uses it:
 //!
 //! 1. *Settings*: [`calendar::Calendar::parse`] for each `[calendar NAME]`, all of them in a [`calendar::Calendars`].
-//! 2. *A submission* with `"release"`: a known job is answered first, whatever this says. [`release_ref::ReleaseRef::parse`] (400), then
-//!    [`join::night`] (422) unless it names one, then [`join::may_join`] with what the shelf holds of
-//!    [`release_ref::key`]`(title, night)`. `Now`: the transaction that accepts the job is also conditional on the record's mark as
-//!    read, and if that fails, all is asked anew. `Open(record)`: write it first, on condition that there is none. `Later`:
-//!    503. The job's record has [`release_ref::ReleaseRef::value`], with the night filled in.
-//! 3. *Closing*, by the owner of the head's key: [`set::Release::to_close`] says whether it is time; write
-//!    [`set::closing`], then take the census (`pact::census`; a job's record says [`release_ref::ReleaseRef`]), then write the pages and the head of
-//!    [`set::closed`].
-//! 4. *A rotation* starts nothing until [`readiness::verdict`] says `Open`. `Ready(record)` is to be written first, on condition
-//!    of the mark. `Held` has the causes to show. Facts about members come from records alone.
+//! 2. *A submission* with `"release"`: a job that is known is answered first, whatever this says. Then
+//!    [`release_ref::ReleaseRef::parse`] (400), [`join::resolve_night`] (422) unless it names one, and [`join::decide_join`]
+//!    with the record of [`release_ref::release_key`]`(title, night)`. `Join`: the transaction that accepts the job is also
+//!    conditional on the record's being unchanged, and if that fails, all is asked anew. `OpenFirst(record)`: write it first,
+//!    on condition that there is none. `Retry`: 503. The job's record has [`release_ref::ReleaseRef::value`], with the night
+//!    filled in.
+//! 3. *Closing*, by the owner of the record's key: [`set::Release::due_to_close`] says whether it is time; write
+//!    [`set::begin_closing`], then take the census, then write the pages and the head of [`set::finish_closing`].
+//! 4. *A rotation* starts nothing until [`readiness::assess`] says `Open`. `Ready(record)` is to be written first, on
+//!    condition that the record is unchanged. `Held` has the causes to show. Members' states come from records alone.
 //! 5. *Operators*: [`set::close`], [`set::waive`], [`set::reopen`] give the record to be written or the reason why not;
 //!    [`status::ReleaseStatus::of`] is what `release show` prints.
 //! 6. *Order*: [`priority_inheritance`] has the urgency and the deadline that members inherit.
--- a/crates/release/src/priority_inheritance.rs
+++ b/crates/release/src/priority_inheritance.rs
@@ -1,10 +1,10 @@
-//! What jobs inherit from the rotation that waits for them: its urgency, and its deadline. So the renders of the title due
-//! first go first.
+//! The urgency and the deadline that members inherit from the rotation that waits for them, so that the renders of the title
+//! due first go first.
 
 use crate::set::Release;
 use std::cmp::Reverse;
 
-/// How much a job is wanted.
+/// What a job inherits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InheritedPriority {
     /// Higher goes first.
@@ -14,7 +14,7 @@
 }
 
 impl InheritedPriority {
-    /// Both wants at once: the higher urgency, and the earlier time.
+    /// The higher urgency and the earlier deadline of both.
     #[must_use]
     pub fn and(self, other: InheritedPriority) -> InheritedPriority {
         let due = match (self.due, other.due) {
@@ -31,8 +31,8 @@
     }
 }
 
-/// What a set's rebuilds and renders inherit: the urgency of its most urgent rotation that still waits, and the set's own times. Nothing
-/// once it has rotated. A rotation's own deadline counts if it is earlier.
+/// What a set's rebuilds and renders inherit: the urgency of its most urgent rotation that still waits, and the set's own
+/// times. Nothing once it has rotated. A rotation's own deadline counts if it is earlier.
 #[must_use]
 pub fn of_set(
     set: &Release,
--- a/crates/release/src/readiness.rs
+++ b/crates/release/src/readiness.rs
@@ -1,15 +1,15 @@
-//! What a rotation waits for.
+//! Whether a rotation may start, and what it waits for.
 
 use crate::calendar::Stage;
-use crate::set::{MISSING, Member, Release, counted, rotated};
+use crate::set::{MISSING, Member, Release, count_renders, mark_rotated};
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
 use hazelsaddle_coordination::record_cache::Held;
 use serde::Serialize;
 use std::fmt;
 
-/// What is known of a member, from records alone.
+/// The state of a member, by records alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fact {
+pub enum MemberState {
     /// It is not finished.
     Live,
     /// It is not finished, and failed on several machines.
@@ -114,20 +114,20 @@
     },
 }
 
-/// What a rotation waits for. `members`: all of a closed set, from its pages; of one that is not closed those known so far,
-/// which are shown and decide nothing. `fact` must come from records.
+/// Assesses whether a rotation may start. `members`: all of a closed set, from its pages; of one that is not closed those known
+/// so far, which are shown and decide nothing. `state` must come from records.
 #[must_use]
-pub fn verdict(held: &Held, members: Option<&[Member]>, fact: impl Fn(&str) -> Fact) -> Readiness {
-    let one = |c| Readiness::Held { why: vec![c] };
+pub fn assess(held: &Held, members: Option<&[Member]>, state: impl Fn(&str) -> MemberState) -> Readiness {
+    let only = |cause| Readiness::Held { why: vec![cause] };
     let record = match held {
-        Held::Unread => return one(Cause::Unread),
-        Held::Absent => return one(Cause::NotOpened),
-        Held::Unreadable(why) => return one(Cause::Unreadable { why: why.to_string() }),
+        Held::Unread => return only(Cause::Unread),
+        Held::Absent => return only(Cause::NotOpened),
+        Held::Unreadable(why) => return only(Cause::Unreadable { why: why.to_string() }),
         Held::Is(record) => record,
     };
     let body = match Release::read(record) {
         Ok(body) => body,
-        Err(why) => return one(Cause::Unreadable { why: why.to_string() }),
+        Err(why) => return only(Cause::Unreadable { why: why.to_string() }),
     };
     if body.rotated {
         return Readiness::Open;
@@ -142,19 +142,20 @@
     let members = members.unwrap_or_default();
     why.extend(members.iter().filter(|m| !body.waived.contains_key(&m.id)).filter_map(|m| {
         let (job, stage) = (m.id.clone(), m.stage);
-        match fact(&m.id) {
-            Fact::Done => None,
-            Fact::Live => Some(Cause::Live { job, stage }),
-            Fact::Suspected => Some(Cause::Suspected { job, stage }),
-            Fact::Cancelled => Some(Cause::Cancelled { job, stage }),
-            Fact::Unread => Some(Cause::JobUnread { job, stage }),
-            Fact::Unreadable => Some(Cause::JobUnreadable { job, stage }),
+        match state(&m.id) {
+            MemberState::Done => None,
+            MemberState::Live => Some(Cause::Live { job, stage }),
+            MemberState::Suspected => Some(Cause::Suspected { job, stage }),
+            MemberState::Cancelled => Some(Cause::Cancelled { job, stage }),
+            MemberState::Unread => Some(Cause::JobUnread { job, stage }),
+            MemberState::Unreadable => Some(Cause::JobUnreadable { job, stage }),
         }
     }));
     if record.phase == Phase::Closed && !why.contains(&Cause::Pages) && !body.waived.contains_key(MISSING) {
-        // A render that was cancelled is not there, also if the rotation does without it: it may have been sent anew, and
-        // then it would stand for another one that never came.
-        let (declared, renders) = counted(members.iter().filter(|m| fact(&m.id) != Fact::Cancelled));
+        // A cancelled render does not count, also if it is waived: it may have been submitted anew, and would then stand for
+        // another one that never came.
+        let (declared, renders) =
+            count_renders(members.iter().filter(|m| state(&m.id) != MemberState::Cancelled));
         let declared = declared.unwrap_or(0);
         if declared > renders {
             why.push(Cause::Missing { declared, missing: declared - renders });
@@ -166,8 +167,8 @@
     if !why.is_empty() {
         return Readiness::Held { why };
     }
-    match rotated(record) {
+    match mark_rotated(record) {
         Ok(next) => Readiness::Ready(next),
-        Err(e) => one(Cause::Unreadable { why: e.to_string() }),
+        Err(e) => only(Cause::Unreadable { why: e.to_string() }),
     }
 }
--- a/crates/release/src/release_ref.rs
+++ b/crates/release/src/release_ref.rs
@@ -1,13 +1,13 @@
-//! What a job says of a release, and the key of its record.
+//! What a job declares of a release, and the key of the release's record.
 
 use crate::calendar::{Stage, date_of, nearest};
 use hazelsaddle_coordination::record::{Key, Kind};
 use serde_json::{Map, Value};
 
 /// Longest title, in bytes.
-pub const TITLE: usize = 100;
+pub const TITLE_LIMIT: usize = 100;
 /// Most renders that a rebuild may declare: as many as a job may have tasks.
-const MOST: u64 = 100_000;
+const EXPECTED_RENDER_LIMIT: u64 = 100_000;
 
 /// The member `release` of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,9 +37,9 @@
     ///
     /// # Errors
     /// If it is malformed.
-    pub fn parse(v: &Value) -> Result<ReleaseRef, ReleaseRefError> {
+    pub fn parse(value: &Value) -> Result<ReleaseRef, ReleaseRefError> {
         let bad = |field: &'static str, reason: &str| ReleaseRefError { field, reason: reason.to_owned() };
-        let map = v.as_object().ok_or_else(|| bad("", "must be an object"))?;
+        let map = value.as_object().ok_or_else(|| bad("", "must be an object"))?;
         let text = |key: &'static str| match map.get(key).filter(|v| !v.is_null()) {
             None => Ok(None),
             Some(v) => v.as_str().map(Some).ok_or_else(|| bad(key, "must be a string")),
@@ -52,8 +52,8 @@
             ));
         }
         let night = text("night")?.map(str::to_owned);
-        if let Some(n) = &night {
-            date_of(n).map_err(|r| bad("night", &r))?;
+        if let Some(night) = &night {
+            date_of(night).map_err(|reason| bad("night", &reason))?;
         }
         let word = text("stage")?.ok_or_else(|| bad("stage", "is missing"))?;
         let stage = Stage::parse(word).ok_or_else(|| {
@@ -65,7 +65,7 @@
             Some(_) if stage != Stage::Rebuild => return Err(bad("expects", "is for rebuilds only")),
             Some(v) => Some(
                 v.as_u64()
-                    .filter(|n| (1..=MOST).contains(n))
+                    .filter(|n| (1..=EXPECTED_RENDER_LIMIT).contains(n))
                     .ok_or_else(|| bad("expects", "must be a whole number of renders, 1 to 100000"))?,
             ),
         };
@@ -90,7 +90,7 @@
     /// The key of the record that it joins, once its night is known.
     #[must_use]
     pub fn key(&self) -> Option<Key> {
-        key(&self.title, self.night.as_deref()?)
+        release_key(&self.title, self.night.as_deref()?)
     }
 }
 
@@ -98,60 +98,23 @@
 #[must_use]
 pub fn is_title(title: &str) -> bool {
     let bad = |c: char| c.is_whitespace() || c.is_control() || c == '/' || c == '@';
-    (1..=TITLE).contains(&title.len()) && !title.chars().any(bad)
+    (1..=TITLE_LIMIT).contains(&title.len()) && !title.chars().any(bad)
 }
 
-/// The key of a title's record for a night.
+/// The key of a title's record for a night; None if either is malformed.
 #[must_use]
-pub fn key(title: &str, night: &str) -> Option<Key> {
+pub fn release_key(title: &str, night: &str) -> Option<Key> {
     let good = is_title(title) && date_of(night).is_ok();
     good.then(|| Key::new(Kind::Release, &format!("{title}@{night}")).ok()).flatten()
 }
 
 /// Title and night of a record, from its key.
 #[must_use]
-pub fn named(key: &Key) -> Option<(&str, &str)> {
+pub fn title_and_night(key: &Key) -> Option<(&str, &str)> {
     key.name()
         .rsplit_once('@')
         .filter(|(t, n)| key.kind() == Kind::Release && is_title(t) && date_of(n).is_ok())
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    #[test]
-    fn what_a_job_says_is_read_and_kept_and_errors_name_the_field() {
-        let v = json!({"title": "boldog", "night": "2026-12-01", "stage": "rebuild", "expects": 40});
-        let s = ReleaseRef::parse(&v).expect("valid");
-        assert_eq!(s.value(), v);
-        let key = s.key().expect("a key");
-        assert_eq!(
-            (key.head().as_str(), named(&key)),
-            ("pact/r/boldog@2026-12-01", Some(("boldog", "2026-12-01")))
-        );
-        assert_eq!(
-            ReleaseRef::parse(&json!({"title": "t", "stage": "render", "night": null})).expect("valid").night,
-            None
-        );
-        for (v, named) in [
-            (json!(7), "release: must"),
-            (json!({"stage": "render"}), "release.title: is missing"),
-            (json!({"title": "a/b", "stage": "render"}), "release.title: must"),
-            (json!({"title": "a@b", "stage": "render"}), "release.title: must"),
-            (json!({"title": 1, "stage": "render"}), "release.title: must be a string"),
-            (
-                json!({"title": "t", "stage": "rendr"}),
-                "release.stage: \"rendr\" is none of rebuild, render and rotation; the nearest is render",
-            ),
-            (json!({"title": "t", "stage": "render", "night": "2026-12-1"}), "release.night: "),
-            (json!({"title": "t", "stage": "render", "night": "2026-02-30"}), "release.night: "),
-            (json!({"title": "t", "stage": "render", "expects": 4}), "release.expects: is for rebuilds"),
-            (json!({"title": "t", "stage": "rebuild", "expects": 0}), "release.expects: must"),
-        ] {
-            let e = ReleaseRef::parse(&v).expect_err(named).to_string();
-            assert!(e.starts_with(named), "{e}");
-        }
-    }
-}
+mod tests;
--- a/crates/release/src/set.rs
+++ b/crates/release/src/set.rs
@@ -1,4 +1,4 @@
-//! A release set's record: what it says, and every change that it allows.
+//! The record of a release's set of jobs: what it says, and every change that it allows.
 
 use crate::calendar::{Night, Stage, nearest};
 use crate::release_ref::ReleaseRef;
@@ -10,11 +10,12 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// In place of a job: the renders that were declared and never came, or all of them.
+/// Stands for a job in a waiver: the renders that were declared and never came, or all of them.
 pub const MISSING: &str = "missing";
-/// Longest reason, in bytes, and most waivers: the head must fit into a value.
-const WHY: usize = 120;
-const WAIVERS: usize = 12;
+/// Longest reason of a waiver, in bytes. With [`WAIVER_LIMIT`] it bounds the head, which must fit into a value.
+const REASON_LIMIT: usize = 120;
+/// Most waivers of a set.
+const WAIVER_LIMIT: usize = 12;
 
 /// Who closed a set.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,7 +74,7 @@
     /// Opened again: closed by an operator alone.
     #[serde(default)]
     pub by_hand: bool,
-    /// What other versions have put there.
+    /// Members of the body that this version does not know: written again as they were read.
     #[serde(flatten)]
     pub rest: Map<String, Value>,
 }
@@ -92,7 +93,7 @@
 /// A change that is not allowed, for an operator to read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// It says that already.
+    /// It is in that phase already.
     #[error("the set is {0:?} already")]
     Already(Phase),
     /// It is too late.
@@ -109,22 +110,22 @@
         /// The member nearest to it.
         like: Option<String>,
     },
-    /// The reason.
-    #[error("a reason of 1 to {WHY} bytes on one line is needed")]
-    Why,
+    /// The reason is missing or malformed.
+    #[error("a reason of 1 to {REASON_LIMIT} bytes on one line is needed")]
+    Reason,
     /// The head must fit into a value of the state service.
-    #[error("{WAIVERS} are waived already; reopen the set or send the renders anew")]
-    Many,
-    /// The record.
+    #[error("{WAIVER_LIMIT} are waived already; reopen the set or send the renders anew")]
+    TooManyWaivers,
+    /// The record can't be read.
     #[error("{0}")]
     Unreadable(#[from] Unreadable),
-    /// It would go back.
+    /// The record does not allow the change.
     #[error("{0}")]
     Transition(#[from] TransitionError),
 }
 
 impl Release {
-    /// A set that begins.
+    /// A set that is opened.
     #[must_use]
     pub fn open(title: &str, night: &Night, calendar: &str, now: u64) -> Release {
         Release {
@@ -147,7 +148,7 @@
     /// Reads a record's body.
     ///
     /// # Errors
-    /// If it can't be read: what rests on it is held.
+    /// If it is malformed: what depends on it is held.
     pub fn read(record: &CoordinationRecord) -> Result<Release, Unreadable> {
         serde_json::from_value(record.body.clone()).map_err(|_| Unreadable::Damaged("body"))
     }
@@ -159,7 +160,7 @@
     }
 
     fn value(&self) -> Value {
-        // No key of it can be other than a string, and no number is not finite.
+        // It can't fail: all keys are strings and all numbers finite.
         serde_json::to_value(self).unwrap_or_default()
     }
 
@@ -169,14 +170,14 @@
         !self.rotated && now > self.due_us
     }
 
-    /// Whether an open set is to be closed now. `seen`: those members that are known to be on record; fewer than there are do
-    /// no harm. Cancelled ones must not be among them, or a render that is sent anew would come too late.
+    /// Whether an open set is to be closed now, and why. `seen`: the members that are known to be on record; some may be
+    /// missing. Cancelled ones must not be among them, or a render that is submitted anew would come too late.
     #[must_use]
-    pub fn to_close<'a>(&self, seen: impl IntoIterator<Item = &'a Member>, now: u64) -> Option<ClosedBy> {
+    pub fn due_to_close<'a>(&self, seen: impl IntoIterator<Item = &'a Member>, now: u64) -> Option<ClosedBy> {
         if self.by_hand {
             return None;
         }
-        let (declared, renders) = counted(seen);
+        let (declared, renders) = count_renders(seen);
         if declared.is_some_and(|n| renders >= n) {
             return Some(ClosedBy::Count);
         }
@@ -184,13 +185,13 @@
     }
 }
 
-/// Renders that rebuilds declare (each those that it will be followed by), and renders.
-pub(crate) fn counted<'a>(members: impl IntoIterator<Item = &'a Member>) -> (Option<u64>, u64) {
+/// How many renders the rebuilds declare in all, if any does, and how many renders there are.
+pub(crate) fn count_renders<'a>(members: impl IntoIterator<Item = &'a Member>) -> (Option<u64>, u64) {
     let (mut declared, mut renders) = (None, 0);
-    for m in members {
-        match m.stage {
+    for member in members {
+        match member.stage {
             Stage::Render => renders += 1,
-            Stage::Rebuild => declared = m.expects.map(|n| declared.unwrap_or(0) + n).or(declared),
+            Stage::Rebuild => declared = member.expects.map(|n| declared.unwrap_or(0) + n).or(declared),
             Stage::Rotation => {}
         }
     }
@@ -198,41 +199,47 @@
 }
 
 impl Member {
-    fn of(id: &str, says: &Value) -> Option<Member> {
-        match ReleaseRef::parse(says) {
-            Ok(s) if s.stage == Stage::Rotation => None,
-            Ok(s) => Some(Member { id: id.to_owned(), stage: s.stage, expects: s.expects }),
-            // It has joined, whatever it is to a newer version: it is waited for.
+    /// The member that a job is by what it declares; None for a rotation.
+    fn from_declaration(id: &str, declaration: &Value) -> Option<Member> {
+        match ReleaseRef::parse(declaration) {
+            Ok(release) if release.stage == Stage::Rotation => None,
+            Ok(release) => Some(Member { id: id.to_owned(), stage: release.stage, expects: release.expects }),
+            // It has joined, whatever a newer version calls it: it is waited for.
             Err(_) => Some(Member { id: id.to_owned(), stage: Stage::Render, expects: None }),
         }
     }
-    fn item(&self) -> Value {
+
+    /// The member as an item of a page.
+    fn to_item(&self) -> Value {
         match self.expects {
             Some(n) => json!([self.id, self.stage, n]),
             None => json!([self.id, self.stage]),
         }
     }
-    fn read(v: &Value) -> Option<Member> {
-        let stage = Stage::parse(v.get(1)?.as_str()?)?;
-        Some(Member { id: v.get(0)?.as_str()?.to_owned(), stage, expects: v.get(2).and_then(Value::as_u64) })
+
+    fn from_item(item: &Value) -> Option<Member> {
+        let id = item.get(0)?.as_str()?.to_owned();
+        let stage = Stage::parse(item.get(1)?.as_str()?)?;
+        Some(Member { id, stage, expects: item.get(2).and_then(Value::as_u64) })
     }
 }
 
 /// The members on all pages of a closed set, in the order of the pages.
 ///
 /// # Errors
-/// If one can't be read: nothing may rest on the others.
-pub fn members<'a>(pages: impl IntoIterator<Item = &'a Value>) -> Result<Vec<Member>, Unreadable> {
+/// If one can't be read: the others must not be relied on.
+pub fn members_on_pages<'a>(pages: impl IntoIterator<Item = &'a Value>) -> Result<Vec<Member>, Unreadable> {
     let mut out = Vec::new();
     for page in pages {
         for item in items(page)? {
-            out.push(Member::read(item).ok_or(Unreadable::Damaged("items"))?);
+            out.push(Member::from_item(item).ok_or(Unreadable::Damaged("items"))?);
         }
     }
     Ok(out)
 }
 
-fn changed(
+/// The record with its body changed, if it allows that.
+fn with_change(
     record: &CoordinationRecord,
     phase: Phase,
     pages: usize,
@@ -245,13 +252,13 @@
     Ok(next)
 }
 
-/// The first step of closing: from when it is on record none can join, and the census may begin.
+/// The first step of closing: once it is on record no job can join, and the census may begin.
 ///
 /// # Errors
 /// If it is not open.
-pub fn closing(record: &CoordinationRecord, by: ClosedBy) -> Result<CoordinationRecord, ChangeError> {
+pub fn begin_closing(record: &CoordinationRecord, by: ClosedBy) -> Result<CoordinationRecord, ChangeError> {
     match record.phase {
-        Phase::Open => changed(record, Phase::Closing, 0, |b| b.closed_by = Some(by)),
+        Phase::Open => with_change(record, Phase::Closing, 0, |b| b.closed_by = Some(by)),
         phase => Err(ChangeError::Already(phase)),
     }
 }
@@ -261,15 +268,15 @@
 /// # Errors
 /// If it is not open.
 pub fn close(record: &CoordinationRecord) -> Result<CoordinationRecord, ChangeError> {
-    closing(record, ClosedBy::Operator)
+    begin_closing(record, ClosedBy::Operator)
 }
 
-/// The second step: all members, on pages of no more than `bytes`, and then the head. Pages are written before the head, each on
-/// condition of the head's mark, so that one which is written late changes nothing that was decided.
+/// The second step: all members on pages of at most `bytes`, and the head. Pages are written before the head, each on condition
+/// that the head is unchanged, so that a page that is written late changes nothing that was decided.
 ///
 /// # Errors
 /// If it is not closing, or a member fits on no page.
-pub fn closed(
+pub fn finish_closing(
     key: &Key,
     record: &CoordinationRecord,
     found: &BTreeMap<String, census::Member>,
@@ -278,23 +285,24 @@
     if record.phase != Phase::Closing {
         return Err(ChangeError::Already(record.phase));
     }
-    let members: Vec<Member> = found.iter().filter_map(|(id, m)| Member::of(id, &m.says)).collect();
+    let members: Vec<Member> =
+        found.iter().filter_map(|(id, m)| Member::from_declaration(id, &m.says)).collect();
     let standing = |m: &&Member| found.get(&m.id).is_none_or(|f| f.stands != census::Stands::Cancelled);
-    let (expects, _) = counted(members.iter().filter(standing));
-    let (values, lost) = pages(members.iter().map(Member::item), bytes);
+    let (expects, _) = count_renders(members.iter().filter(standing));
+    let (values, lost) = pages(members.iter().map(Member::to_item), bytes);
     if lost > 0 {
         return Err(Unreadable::Damaged("items").into());
     }
-    let head = changed(record, Phase::Closed, values.len(), |b| b.expects = expects)?;
+    let head = with_change(record, Phase::Closed, values.len(), |b| b.expects = expects)?;
     let named = |(n, v)| (key.page(record.version, n), v);
     Ok((values.into_iter().enumerate().map(named).collect(), head))
 }
 
-/// The rotation does without a job, or without the renders that are missing ([`MISSING`]). `known`: all members, if it is closed;
-/// before that, those known so far.
+/// Lets the rotation do without a job, or without the renders that are missing ([`MISSING`]). `known`: all members of a closed
+/// set; before that, those known so far.
 ///
 /// # Errors
-/// If the rotation has started, the reason is none, or there is no such member.
+/// If the rotation has started, the reason is malformed, or there is no such member.
 pub fn waive(
     record: &CoordinationRecord,
     known: &[Member],
@@ -305,8 +313,8 @@
     if body.rotated {
         return Err(ChangeError::Rotated(body.title, body.night));
     }
-    if why.trim().is_empty() || why.len() > WHY || why.chars().any(char::is_control) {
-        return Err(ChangeError::Why);
+    if why.trim().is_empty() || why.len() > REASON_LIMIT || why.chars().any(char::is_control) {
+        return Err(ChangeError::Reason);
     }
     let ids = || known.iter().map(|m| m.id.as_str());
     if job != MISSING && !ids().any(|id| id == job) {
@@ -314,19 +322,19 @@
         return Err(ChangeError::NoMember { job: job.to_owned(), like });
     }
     if job == MISSING && record.phase != Phase::Closed {
-        // What is missing is known once it is closed; said before, it would cover whatever goes missing later.
+        // What is missing is known once the set is closed; before that, the waiver would cover whatever goes missing later.
         return Err(ChangeError::Counting);
     }
-    if body.waived.len() >= WAIVERS && !body.waived.contains_key(job) {
-        return Err(ChangeError::Many);
+    if body.waived.len() >= WAIVER_LIMIT && !body.waived.contains_key(job) {
+        return Err(ChangeError::TooManyWaivers);
     }
     // The first reason stands: it is what was decided.
-    changed(record, record.phase, record.pages, |b| {
+    with_change(record, record.phase, record.pages, |b| {
         b.waived.entry(job.to_owned()).or_insert_with(|| why.trim().to_owned());
     })
 }
 
-/// A closed set takes renders again, as a new version; an operator closes it. Those that have joined stay members.
+/// Lets renders join a closed set again, as a new version that only an operator closes. Those that have joined stay members.
 ///
 /// # Errors
 /// If the rotation has started, or it is not closed.
@@ -337,11 +345,11 @@
     }
     match record.phase {
         Phase::Open => return Err(ChangeError::Already(Phase::Open)),
-        // The census that is under way would be of no use: let it end.
+        // The census that is under way would be of no use.
         Phase::Closing => return Err(ChangeError::Counting),
         Phase::Closed => {}
     }
-    // What was missing then says nothing of what will be; it is still shown.
+    // What was missing then says nothing of what will be missing; it is still shown.
     if let Some(why) = body.waived.remove(MISSING) {
         body.waived.insert(format!("{MISSING}/{}", record.version), why);
     }
@@ -351,10 +359,10 @@
     Ok(next)
 }
 
-/// A rotation may start: on record before its first task does.
-pub(crate) fn rotated(record: &CoordinationRecord) -> Result<CoordinationRecord, ChangeError> {
+/// Marks the rotation as started. It is on record before the first task starts.
+pub(crate) fn mark_rotated(record: &CoordinationRecord) -> Result<CoordinationRecord, ChangeError> {
     match record.phase {
-        Phase::Closed => changed(record, Phase::Closed, record.pages, |b| b.rotated = true),
+        Phase::Closed => with_change(record, Phase::Closed, record.pages, |b| b.rotated = true),
         phase => Err(ChangeError::Already(phase)),
     }
 }
--- a/crates/release/src/status.rs
+++ b/crates/release/src/status.rs
@@ -1,8 +1,7 @@
-//! What operators are shown of a set. It follows from records and the time alone, so every controller, cold or warm, says
-//! the same.
+//! The status of a set for operators. It follows from records and the time alone, so every controller says the same.
 
 use crate::calendar::Stage;
-use crate::readiness::{Cause, Fact, Readiness, verdict};
+use crate::readiness::{Cause, MemberState, Readiness, assess};
 use crate::set::{ClosedBy, MISSING, Member, Release};
 use hazelsaddle_coordination::record::Phase;
 use hazelsaddle_coordination::record_cache::Held;
@@ -11,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A set as it is shown.
+/// The status of a set.
 #[derive(Serialize, Clone, Debug, PartialEq)]
 pub struct ReleaseStatus {
     /// The title.
@@ -43,12 +42,12 @@
     /// Past the due time and not started.
     pub late: bool,
     /// What the rotation waits for.
-    pub waits_for: Vec<Waits>,
+    pub waits_for: Vec<WaitCause>,
 }
 
-/// A cause and its words.
+/// One thing that the rotation waits for, and its words.
 #[derive(Serialize, Clone, Debug, PartialEq)]
-pub struct Waits {
+pub struct WaitCause {
     /// The cause.
     #[serde(flatten)]
     pub cause: Cause,
@@ -56,19 +55,19 @@
     pub text: String,
 }
 
-fn time(us: u64) -> String {
+fn format_utc(us: u64) -> String {
     let at = i64::try_from(us).ok().and_then(|us| Timestamp::from_microsecond(us).ok());
     at.map_or_else(|| us.to_string(), |t| t.strftime("%FT%TZ").to_string())
 }
 
 impl ReleaseStatus {
-    /// A set by what is on record. See [`readiness`] for `members` and `fact`.
+    /// The status by what is on record. See [`assess`] for `members` and `state`.
     #[must_use]
     pub fn of(
         (title, night): (&str, &str),
         held: &Held,
         members: Option<&[Member]>,
-        fact: impl Fn(&str) -> Fact,
+        state: impl Fn(&str) -> MemberState,
         now: u64,
     ) -> ReleaseStatus {
         let mut s = ReleaseStatus {
@@ -103,18 +102,19 @@
             };
             s.late = body.is_late(now);
             (s.version, s.calendar, s.closed_by) = (record.version, body.calendar, body.closed_by);
-            (s.begins, s.renders_due) = (time(body.begins_us), time(body.renders_us));
-            s.rotation_due = time(body.due_us);
+            (s.begins, s.renders_due) = (format_utc(body.begins_us), format_utc(body.renders_us));
+            s.rotation_due = format_utc(body.due_us);
             (s.expects, s.waived) = (body.expects, body.waived);
         }
         let renders = || members.unwrap_or_default().iter().filter(|m| m.stage == Stage::Render);
         s.renders = renders().count();
-        s.renders_done = renders().filter(|m| fact(&m.id) == Fact::Done).count();
-        match verdict(held, members, fact) {
+        s.renders_done = renders().filter(|m| state(&m.id) == MemberState::Done).count();
+        match assess(held, members, state) {
             Readiness::Open => {}
             Readiness::Ready(_) => s.state = "ready",
             Readiness::Held { why } => {
-                s.waits_for = why.into_iter().map(|cause| Waits { text: cause.to_string(), cause }).collect();
+                s.waits_for =
+                    why.into_iter().map(|cause| WaitCause { text: cause.to_string(), cause }).collect();
             }
         }
         s
--- a/crates/release/src/tests.rs
+++ b/crates/release/src/tests.rs
@@ -1,8 +1,8 @@
-use crate::calendar::{Calendar, Calendars, EARLY, Stage, date_of};
-use crate::join::{Join, Refusal, may_join, night};
+use crate::calendar::{Calendar, Calendars, EARLY_JOIN_US, Stage, date_of};
+use crate::join::{Refusal, ReleaseJoin, decide_join, resolve_night};
 use crate::priority_inheritance::{InheritedPriority, of_set};
-use crate::readiness::{Cause, Fact, Readiness, verdict};
-use crate::release_ref::{ReleaseRef, key};
+use crate::readiness::{Cause, MemberState, Readiness, assess};
+use crate::release_ref::{ReleaseRef, release_key};
 use crate::set::{self, ChangeError, ClosedBy, MISSING, Member, Release};
 use crate::status::ReleaseStatus;
 use hazelsaddle_coordination::census::{self, Stands};
@@ -46,14 +46,18 @@
         [found("a", json!({"title": "boldog-1", "stage": "rebuild", "expects": 2}))].into();
     all.extend(renders.iter().map(|id| found(id, json!({"title": "boldog-1", "stage": "render"}))));
     all.extend([found("z", json!({"title": "boldog-1", "stage": "rotation"}))]);
-    let key = key("boldog-1", "2026-12-01").expect("a key");
+    let key = release_key("boldog-1", "2026-12-01").expect("a key");
     let closing = set::close(&opened()).expect("open");
-    let (pages, head) = set::closed(&key, &closing, &all, 4096).expect("closing");
-    let members = set::members(pages.iter().map(|p| &p.1)).expect("readable");
+    let (pages, head) = set::finish_closing(&key, &closing, &all, 4096).expect("closing");
+    let members = set::members_on_pages(pages.iter().map(|p| &p.1)).expect("readable");
     (head, members)
 }
-fn causes(record: &CoordinationRecord, members: &[Member], fact: impl Fn(&str) -> Fact) -> Vec<String> {
-    match verdict(&Held::Is(record.clone()), Some(members), fact) {
+fn causes(
+    record: &CoordinationRecord,
+    members: &[Member],
+    fact: impl Fn(&str) -> MemberState,
+) -> Vec<String> {
+    match assess(&Held::Is(record.clone()), Some(members), fact) {
         Readiness::Held { why } => why.iter().map(ToString::to_string).collect(),
         other => panic!("{other:?}"),
     }
@@ -62,11 +66,12 @@
 #[test]
 fn who_may_join_and_why_not() {
     let c = calendars("05:00");
-    let ask = |held: &Held, s: &ReleaseRef, class: &str, now: u64| match may_join(held, &c, s, class, now) {
-        Join::Now => "now".to_owned(),
-        Join::Open(r) => format!("open {}", r.version),
-        Join::Later(why) => format!("later: {why}"),
-        Join::Refused(why) => why.to_string(),
+    let ask = |held: &Held, s: &ReleaseRef, class: &str, now: u64| match decide_join(held, &c, s, class, now)
+    {
+        ReleaseJoin::Join => "now".to_owned(),
+        ReleaseJoin::OpenFirst(r) => format!("open {}", r.version),
+        ReleaseJoin::Retry(why) => format!("later: {why}"),
+        ReleaseJoin::Refused(why) => why.to_string(),
     };
     let (render, rotation) = (says(Stage::Render, "2026-12-01"), says(Stage::Rotation, "2026-12-01"));
     let class = "otbasy-baila";
@@ -76,9 +81,9 @@
     let mut damaged = opened();
     damaged.body = json!({"title": 7});
     assert!(ask(&Held::Is(damaged), &rotation, class, BEGINS).starts_with("later"), "never guessed");
-    assert_eq!(ask(none, &render, class, BEGINS - EARLY), "open 1");
+    assert_eq!(ask(none, &render, class, BEGINS - EARLY_JOIN_US), "open 1");
     assert_eq!(
-        ask(none, &render, class, BEGINS - EARLY - 1),
+        ask(none, &render, class, BEGINS - EARLY_JOIN_US - 1),
         "the night 2026-12-01 of boldog-1 begins at 2026-12-01 20:00 UTC"
     );
     let over = "the night 2026-12-01 of boldog-1 is over";
@@ -103,7 +108,7 @@
     let open = opened();
     // The record decides, not the clock.
     assert_eq!(ask(&Held::Is(open.clone()), &render, class, BEGINS + 20 * HOUR), "now");
-    let closing = set::closing(&open, ClosedBy::Calendar).expect("open");
+    let closing = set::begin_closing(&open, ClosedBy::Calendar).expect("open");
     assert_eq!(closing.phase, Phase::Closing);
     assert!(
         ask(&Held::Is(closing.clone()), &render, class, BEGINS)
@@ -117,26 +122,27 @@
     let earlier = calendars("04:00");
     let record = opened();
     let body = Release::read(&record).expect("readable");
-    let at =
-        |sets: &[(Phase, &Release)], stage, now| night(&earlier, sets.iter().copied(), &says(stage, ""), now);
+    let at = |sets: &[(Phase, &Release)], stage, now| {
+        resolve_night(&earlier, sets.iter().copied(), &says(stage, ""), now)
+    };
     let half_past_four = BEGINS + 8 * HOUR + HOUR / 2;
     let none = at(&[], Stage::Render, half_past_four).expect_err("by the new calendar they were due");
     assert_eq!(none.to_string(), "no night of boldog-1 is open now; the next begins at 2026-12-02 20:00 UTC");
     assert_eq!(at(&[(Phase::Open, &body)], Stage::Render, half_past_four).as_deref(), Ok("2026-12-01"));
     assert!(at(&[(Phase::Closed, &body)], Stage::Render, half_past_four).is_err());
     assert_eq!(at(&[(Phase::Closed, &body)], Stage::Rotation, half_past_four).as_deref(), Ok("2026-12-01"));
-    assert!(body.to_close([], half_past_four).is_none(), "five was the time that it was opened with");
-    assert_eq!(body.to_close([], BEGINS + 9 * HOUR), Some(ClosedBy::Calendar));
+    assert!(body.due_to_close([], half_past_four).is_none(), "five was the time that it was opened with");
+    assert_eq!(body.due_to_close([], BEGINS + 9 * HOUR), Some(ClosedBy::Calendar));
     // The next night goes before an older set that was left open, and a calendar that is gone leaves its sets.
     let mut left = body.clone();
     left.renders_us = u64::MAX;
     assert_eq!(at(&[(Phase::Open, &left)], Stage::Render, BEGINS + 25 * HOUR).as_deref(), Ok("2026-12-02"));
     let gone = Calendars::default();
     assert_eq!(
-        night(&gone, [(Phase::Open, &body)], &says(Stage::Render, ""), BEGINS).as_deref(),
+        resolve_night(&gone, [(Phase::Open, &body)], &says(Stage::Render, ""), BEGINS).as_deref(),
         Ok("2026-12-01")
     );
-    assert!(matches!(night(&gone, [], &says(Stage::Render, ""), BEGINS), Err(Refusal::Title { .. })));
+    assert!(matches!(resolve_night(&gone, [], &says(Stage::Render, ""), BEGINS), Err(Refusal::Title { .. })));
 }
 
 #[test]
@@ -147,31 +153,31 @@
         member("b", Stage::Render, None),
         member("c", Stage::Render, None),
     ];
-    assert_eq!(body.to_close(&two[..2], BEGINS), None);
-    assert_eq!(body.to_close(&two, BEGINS), Some(ClosedBy::Count));
-    assert_eq!(body.to_close(&two[1..], BEGINS), None, "nothing was declared");
+    assert_eq!(body.due_to_close(&two[..2], BEGINS), None);
+    assert_eq!(body.due_to_close(&two, BEGINS), Some(ClosedBy::Count));
+    assert_eq!(body.due_to_close(&two[1..], BEGINS), None, "nothing was declared");
 }
 
 #[test]
 fn a_rotation_waits_for_each_cause_by_name() {
-    let all = |f: Fact| move |_: &str| f;
+    let all = |f: MemberState| move |_: &str| f;
     for (held, cause) in [
         (Held::Unread, Cause::Unread),
         (Held::Absent, Cause::NotOpened),
         (Held::Unreadable(Unreadable::Newer(2)), Cause::Unreadable { why: Unreadable::Newer(2).to_string() }),
     ] {
-        assert_eq!(verdict(&held, Some(&[]), all(Fact::Done)), Readiness::Held { why: vec![cause] });
+        assert_eq!(assess(&held, Some(&[]), all(MemberState::Done)), Readiness::Held { why: vec![cause] });
     }
     let (head, members) = closed(&["b", "c"]);
     assert_eq!(members.len(), 3, "a rotation is no member");
     assert_eq!(
-        verdict(&Held::Is(head.clone()), None, all(Fact::Done)),
+        assess(&Held::Is(head.clone()), None, all(MemberState::Done)),
         Readiness::Held { why: vec![Cause::Pages] }
     );
     let facts = |id: &str| match id {
-        "a" => Fact::Done,
-        "b" => Fact::Cancelled,
-        _ => Fact::Suspected,
+        "a" => MemberState::Done,
+        "b" => MemberState::Cancelled,
+        _ => MemberState::Suspected,
     };
     let words = causes(&head, &members, facts);
     assert_eq!(
@@ -184,24 +190,31 @@
     );
     // Doing without the cancelled one doesn't say that it came: it may have been sent anew, for another.
     let waived = set::waive(&head, &members, "b", "broken prices").expect("a member");
-    assert_eq!(causes(&waived, &members, |id| if id == "b" { Fact::Cancelled } else { Fact::Done }).len(), 1);
+    assert_eq!(
+        causes(&waived, &members, |id| if id == "b" { MemberState::Cancelled } else { MemberState::Done })
+            .len(),
+        1
+    );
     let waived = set::waive(&waived, &members, MISSING, "one is enough").expect("closed");
-    let Readiness::Ready(next) = verdict(&Held::Is(waived.clone()), Some(&members), |id| {
-        if id == "b" { Fact::Cancelled } else { Fact::Done }
+    let Readiness::Ready(next) = assess(&Held::Is(waived.clone()), Some(&members), |id| {
+        if id == "b" { MemberState::Cancelled } else { MemberState::Done }
     }) else {
         panic!("nothing is left to wait for")
     };
     // On record first; and from then on whatever else is known.
-    assert_eq!(verdict(&Held::Is(next.clone()), None, all(Fact::Unread)), Readiness::Open);
+    assert_eq!(assess(&Held::Is(next.clone()), None, all(MemberState::Unread)), Readiness::Open);
     assert_eq!(set::reopen(&next), Err(ChangeError::Rotated("boldog-1".into(), "2026-12-01".into())));
     assert!(matches!(set::waive(&next, &members, "c", "late"), Err(ChangeError::Rotated(..))));
 
     let (none, members) = closed(&[]);
     let without = set::waive(&none, &members, MISSING, "prices alone").expect("closed");
-    assert!(matches!(verdict(&Held::Is(without), Some(&members), all(Fact::Done)), Readiness::Ready(_)));
+    assert!(matches!(
+        assess(&Held::Is(without), Some(&members), all(MemberState::Done)),
+        Readiness::Ready(_)
+    ));
     let rebuild = [member("a", Stage::Rebuild, None)];
     assert_eq!(
-        causes(&none, &rebuild, all(Fact::Done)),
+        causes(&none, &rebuild, all(MemberState::Done)),
         ["no render is part of it (waive missing to do without)"]
     );
 }
@@ -209,13 +222,13 @@
 #[test]
 fn changes_that_are_not_allowed() {
     let open = opened();
-    let k = key("boldog-1", "2026-12-01").expect("a key");
+    let k = release_key("boldog-1", "2026-12-01").expect("a key");
     assert_eq!(
-        set::closed(&k, &open, &BTreeMap::new(), 4096),
+        set::finish_closing(&k, &open, &BTreeMap::new(), 4096),
         Err(ChangeError::Already(Phase::Open)),
         "others may still join"
     );
-    assert_eq!(set::rotated(&open), Err(ChangeError::Already(Phase::Open)));
+    assert_eq!(set::mark_rotated(&open), Err(ChangeError::Already(Phase::Open)));
     assert_eq!(
         set::waive(&open, &[], MISSING, "why not"),
         Err(ChangeError::Counting),
@@ -225,7 +238,7 @@
     let (head, members) = closed(&["b"]);
     assert_eq!(set::close(&head), Err(ChangeError::Already(Phase::Closed)));
     for why in ["", "  ", "a\nb", &"x".repeat(121)] {
-        assert_eq!(set::waive(&head, &members, "b", why), Err(ChangeError::Why));
+        assert_eq!(set::waive(&head, &members, "b", why), Err(ChangeError::Reason));
     }
     let e = set::waive(&head, &members, "wk-b", "so").expect_err("no member");
     assert_eq!(e.to_string(), "wk-b is no render or rebuild of this set; the nearest is b");
@@ -234,7 +247,7 @@
     assert_eq!(Release::read(&twice).expect("readable").waived["b"], "first");
     let many: Vec<Member> = (0..20).map(|n| member(&format!("r{n:02}"), Stage::Render, None)).collect();
     let last = many.iter().try_fold(head, |r, m| set::waive(&r, &many, &m.id, &"x".repeat(120)));
-    assert_eq!(last, Err(ChangeError::Many), "the head must fit into a value");
+    assert_eq!(last, Err(ChangeError::TooManyWaivers), "the head must fit into a value");
 }
 
 #[test]
@@ -244,7 +257,7 @@
     let again = set::reopen(&waived).expect("not rotated");
     let body = Release::read(&again).expect("readable");
     assert_eq!((again.version, again.phase, again.pages), (2, Phase::Open, 0));
-    assert_eq!(body.to_close(&members, u64::MAX), None);
+    assert_eq!(body.due_to_close(&members, u64::MAX), None);
     assert_eq!(
         body.waived.keys().collect::<Vec<_>>(),
         ["missing/1"],
@@ -261,7 +274,7 @@
 fn what_is_shown_follows_from_records_and_the_time() {
     let (head, members) = closed(&["b", "c"]);
     let head = set::waive(&head, &members, "c", "shop 7 is shut").expect("a member");
-    let fact = |id: &str| if id == "a" { Fact::Done } else { Fact::Live };
+    let fact = |id: &str| if id == "a" { MemberState::Done } else { MemberState::Live };
     let show = |now| {
         ReleaseStatus::of(("boldog-1", "2026-12-01"), &Held::Is(head.clone()), Some(&members), fact, now)
     };
--- a/crates/release/tests/races.rs
+++ b/crates/release/tests/races.rs
@@ -5,8 +5,8 @@
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
 use hazelsaddle_coordination::record_cache::Held;
 use hazelsaddle_release::calendar::{Calendar, Calendars, Stage};
-use hazelsaddle_release::join::{Join, Refusal, may_join};
-use hazelsaddle_release::readiness::{Fact, Readiness, verdict};
+use hazelsaddle_release::join::{Refusal, ReleaseJoin, decide_join};
+use hazelsaddle_release::readiness::{MemberState, Readiness, assess};
 use hazelsaddle_release::release_ref::ReleaseRef;
 use hazelsaddle_release::set::{self, MISSING, Member, Release};
 use proptest::prelude::*;
@@ -77,11 +77,11 @@
             }
         }
     }
-    fn fact(&self, id: &str) -> Fact {
+    fn fact(&self, id: &str) -> MemberState {
         match self.rows.get(&format!("{ENDS}{id}")) {
-            Some((v, _)) if v["end"] == "done" => Fact::Done,
-            Some(_) => Fact::Cancelled,
-            None => Fact::Live,
+            Some((v, _)) if v["end"] == "done" => MemberState::Done,
+            Some(_) => MemberState::Cancelled,
+            None => MemberState::Live,
         }
     }
     /// Every rebuild and render that was accepted, as its own record says.
@@ -201,8 +201,8 @@
         let id = format!("wk-{job}");
         let stage = if job == 0 { Stage::Rebuild } else { Stage::Render };
         let says = says(stage, (job == 0).then_some(3));
-        match may_join(&self.controllers[c].held, &self.calendars, &says, "any", self.now) {
-            Join::Now => {
+        match decide_join(&self.controllers[c].held, &self.calendars, &says, "any", self.now) {
+            ReleaseJoin::Join => {
                 let conditions = vec![
                     (key().head(), self.controllers[c].store_version),
                     (format!("{LIVE}{id}"), 0),
@@ -211,14 +211,14 @@
                 let writes = vec![(format!("{LIVE}{id}"), Some(json!({"says": says.value()})))];
                 self.send(c, Commit { conditions, writes }, way);
             }
-            Join::Open(record) => {
+            ReleaseJoin::OpenFirst(record) => {
                 self.head(c, &record, way);
             }
-            Join::Refused(why) => {
+            ReleaseJoin::Refused(why) => {
                 assert!(matches!(why, Refusal::Closed { .. } | Refusal::Over { .. }), "{why}");
                 self.refused.insert(id);
             }
-            Join::Later(_) => {}
+            ReleaseJoin::Retry(_) => {}
         }
     }
 
@@ -233,12 +233,12 @@
                     .accepted()
                     .into_iter()
                     .filter_map(|(id, s)| {
-                        let counts = self.store.fact(&id) != Fact::Cancelled;
+                        let counts = self.store.fact(&id) != MemberState::Cancelled;
                         counts.then_some(Member { id, stage: s.stage, expects: s.expects })
                     })
                     .collect();
-                if let Some(by) = body.to_close(&live, self.now) {
-                    let next = set::closing(&record, by).expect("it is open");
+                if let Some(by) = body.due_to_close(&live, self.now) {
+                    let next = set::begin_closing(&record, by).expect("it is open");
                     self.head(c, &next, way);
                 }
             }
@@ -251,12 +251,12 @@
                         })
                         .collect();
                     if pages.len() == record.pages {
-                        self.controllers[c].members = Some(set::members(&pages).expect("readable"));
+                        self.controllers[c].members = Some(set::members_on_pages(&pages).expect("readable"));
                     }
                     return;
                 }
                 let me = &self.controllers[c];
-                match verdict(&me.held, me.members.as_deref(), |id| self.store.fact(id)) {
+                match assess(&me.held, me.members.as_deref(), |id| self.store.fact(id)) {
                     Readiness::Open => self.started = true,
                     Readiness::Ready(next) => {
                         self.head(c, &next, way);
@@ -281,7 +281,7 @@
             }
             Step::Over => {
                 let found = census.members(&key().head()).expect("all readable");
-                let (pages, head) = set::closed(&key(), record, &found, PAGE).expect("closing");
+                let (pages, head) = set::finish_closing(&key(), record, &found, PAGE).expect("closing");
                 let store_version = self.controllers[c].store_version;
                 for (k, v) in pages {
                     let commit = Commit {
@@ -362,11 +362,11 @@
         assert!(record.phase == Phase::Closed && body.rotated, "started before it was closed: {record:?}");
         let all = self.store.accepted();
         for (id, _) in &all {
-            let good = self.store.fact(id) == Fact::Done || body.waived.contains_key(id);
+            let good = self.store.fact(id) == MemberState::Done || body.waived.contains_key(id);
             assert!(good, "{id} was accepted and not waited for");
         }
         // What is waived may have been cancelled only after the start.
-        let stands = |id: &String| self.store.fact(id) != Fact::Cancelled;
+        let stands = |id: &String| self.store.fact(id) != MemberState::Cancelled;
         let there = |id: &String| stands(id) || body.waived.contains_key(id);
         let renders = all.iter().filter(|(id, s)| s.stage == Stage::Render && there(id)).count() as u64;
         let declared = all.iter().filter(|(id, _)| stands(id)).filter_map(|(_, s)| s.expects).sum::<u64>();
@@ -391,7 +391,7 @@
             }
             let me = &self.controllers[0];
             if let (Some(members), Readiness::Held { why }) =
-                (&me.members, verdict(&me.held, me.members.as_deref(), |id| self.store.fact(id)))
+                (&me.members, assess(&me.held, me.members.as_deref(), |id| self.store.fact(id)))
             {
                 let known = members.clone();
                 let job = why.iter().find_map(|c| c.job()).unwrap_or(MISSING).to_owned();
@@ -458,7 +458,7 @@
         started += usize::from(w.started);
         reopened += usize::from(matches!(w.store.held().0, Held::Is(r) if r.version > 1));
         cancelled +=
-            usize::from(w.store.accepted().iter().any(|(id, _)| w.store.fact(id) == Fact::Cancelled));
+            usize::from(w.store.accepted().iter().any(|(id, _)| w.store.fact(id) == MemberState::Cancelled));
     }
     assert!(
         refused > 20 && started > 20 && reopened > 5 && cancelled > 20,
--- a/crates/testbed/src/releases.rs
+++ b/crates/testbed/src/releases.rs
@@ -12,7 +12,7 @@
 };
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
 use hazelsaddle_logs::spool::Policy;
-use hazelsaddle_release::set::{ClosedBy, Release, members};
+use hazelsaddle_release::set::{ClosedBy, Release, members_on_pages};
 use jiff::{SignedDuration, Timestamp, ToSpan, tz::TimeZone};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde::Serialize;
@@ -422,7 +422,8 @@
         let page = |n| format!("pactpage/r/{name}/{}/{n:05}", set.last.version);
         let pages: Vec<&Value> =
             (0..set.last.pages).filter_map(|n| value_at(changes, &page(n), u64::MAX)).collect();
-        let listed: BTreeSet<String> = members(pages).unwrap_or_default().into_iter().map(|m| m.id).collect();
+        let listed: BTreeSet<String> =
+            members_on_pages(pages).unwrap_or_default().into_iter().map(|m| m.id).collect();
         late.extend(joined.keys().filter(|id| !listed.contains(*id)).map(String::as_str));
     }
     if !late.is_empty() {
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -131,7 +131,7 @@
     let mut out = Vec::new();
     if let Some(r) = says.get("release")
         && let (Some(title), Some(night)) = (text(r, "title"), text(r, "night"))
-        && let Some(key) = hazelsaddle_release::release_ref::key(&title, &night)
+        && let Some(key) = hazelsaddle_release::release_ref::release_key(&title, &night)
     {
         out.push((key.head(), r.clone()));
     }
@@ -433,7 +433,7 @@
                 tracing::error!(key = %row.key, "a pact's key can't be read");
                 continue;
             };
-            if let Some((title, night)) = hazelsaddle_release::release_ref::named(&key) {
+            if let Some((title, night)) = hazelsaddle_release::release_ref::title_and_night(&key) {
                 let latest = self.coordination.latest.entry(title.to_owned()).or_default();
                 if latest.as_str() < night {
                     *latest = night.to_owned();
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -11,10 +11,10 @@
 use hazelsaddle_coordination::census::Stands;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Sort};
 use hazelsaddle_coordination::record_cache::Held;
-use hazelsaddle_freshness::batch::{Batch, Permit, Put, Writer};
-use hazelsaddle_freshness::guard::{self, Answer, Merge, Verdict};
+use hazelsaddle_freshness::batch::{Batch, Permit, VersionChange, Writer};
+use hazelsaddle_freshness::guard::{self, Merge, PermitAnswer, Verdict};
 use hazelsaddle_freshness::settings::{Settings as Classes, nearest};
-use hazelsaddle_freshness::upstream::{Known, Look, Of, Run, Says};
+use hazelsaddle_freshness::upstream::{BatchVersion, JobDeclaration, JobKnowledge, Run, UpstreamFindings};
 
 /// Merges are looked at so often, and at once when something is new.
 const PAUSE: Micros = Micros::from_millis(300);
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum PendingFreshnessRequest {
     /// What a job says: its live record, then its final one.
-    Says(String, bool),
+    Declaration(String, bool),
     /// A page of batches, for an operator's ticket.
     Heads(u64),
 }
@@ -77,7 +77,7 @@
     next: Micros,
     merges: BTreeMap<String, SeenRevision>,
     /// What jobs of other owners, or ended ones, say.
-    says: BTreeMap<String, Says>,
+    says: BTreeMap<String, JobDeclaration>,
     /// Records to be read, and those being read.
     unread: BTreeSet<String>,
     reading: BTreeSet<String>,
@@ -95,7 +95,7 @@
 }
 
 /// What a record of a job says, live or final; None: it can't be read.
-fn says_of(record: &Value, end: bool) -> Option<Says> {
+fn says_of(record: &Value, end: bool) -> Option<JobDeclaration> {
     let (text, says) = if end {
         read_end(record)?;
         (record.get("says").cloned().unwrap_or_default(), record.get("says").is_some())
@@ -107,21 +107,26 @@
     };
     // It ended before classes were kept, or while the guard was off.
     if !says {
-        return Some(Says::default());
+        return Some(JobDeclaration::default());
     }
     let batch = match text.get("batch") {
         None => None,
-        Some(b) => {
-            Some(Of { name: b.get("name")?.as_str()?.to_owned(), version: b.get("version")?.as_u64()? })
-        }
+        Some(b) => Some(BatchVersion {
+            name: b.get("name")?.as_str()?.to_owned(),
+            version: b.get("version")?.as_u64()?,
+        }),
     };
     let follows = text.get("follows").and_then(Value::as_str).map(unpacked).unwrap_or_default();
-    Some(Says { class: text.get("breed").and_then(Value::as_str).map(str::to_owned), batch, follows })
+    Some(JobDeclaration {
+        class: text.get("breed").and_then(Value::as_str).map(str::to_owned),
+        batch,
+        follows,
+    })
 }
 
-fn says_of_job(j: &Job) -> Says {
-    let batch = j.spec.batch.as_ref().map(|b| Of { name: b.name.clone(), version: b.version });
-    Says { class: Some(j.spec.class.clone()), batch, follows: j.followed() }
+fn says_of_job(j: &Job) -> JobDeclaration {
+    let batch = j.spec.batch.as_ref().map(|b| BatchVersion { name: b.name.clone(), version: b.version });
+    JobDeclaration { class: Some(j.spec.class.clone()), batch, follows: j.followed() }
 }
 
 fn run_of(job: &str, says: &Value) -> Option<Run> {
@@ -180,8 +185,8 @@
             None | Some(Held::Unread) => return Gate::Wait,
             Some(Held::Unreadable(why)) => return Gate::Later(format!("the record of its batch: {why}")),
             Some(Held::Absent) => Batch::first(version),
-            Some(Held::Is(r)) => match Batch::read(&r).map(|b| b.put(version)) {
-                Ok(Ok(Put::Raised(next))) => next,
+            Some(Held::Is(r)) => match Batch::read(&r).map(|b| b.put_version(version)) {
+                Ok(Ok(VersionChange::Raised(next))) => next,
                 Ok(_) => return Gate::Open(Vec::new()),
                 Err(why) => return Gate::Later(format!("the record of its batch: {why}")),
             },
@@ -211,14 +216,14 @@
 
     /// What is known of a job. All that a merge follows is done on record before it is looked at here, so whatever is
     /// upstream of it has ended, also where a live record was the last that was read.
-    fn known_of(&self, id: &str) -> Known {
+    fn known_of(&self, id: &str) -> JobKnowledge {
         if let Some(j) = self.job_shard.jobs.get(id) {
-            return Known::Ended(says_of_job(j));
+            return JobKnowledge::Ended(says_of_job(j));
         }
         match self.freshness.says.get(id) {
-            Some(s) => Known::Ended(s.clone()),
-            None if self.freshness.unreadable.contains_key(id) => Known::Unreadable,
-            None => Known::Unread,
+            Some(s) => JobKnowledge::Ended(s.clone()),
+            None if self.freshness.unreadable.contains_key(id) => JobKnowledge::Unreadable,
+            None => JobKnowledge::Unread,
         }
     }
 
@@ -235,7 +240,11 @@
             }
             self.requests.take(now, 1.0, 0.0);
             let get = StoreRequest::Get(format!("job/{id}"));
-            self.ask_store(PendingStoreRequest::Fresh(PendingFreshnessRequest::Says(id, false)), get, out);
+            self.ask_store(
+                PendingStoreRequest::Fresh(PendingFreshnessRequest::Declaration(id, false)),
+                get,
+                out,
+            );
         }
     }
 
@@ -248,7 +257,7 @@
         out: &mut Vec<Effect>,
     ) {
         let (id, end) = match p {
-            PendingFreshnessRequest::Says(id, end) => (id, end),
+            PendingFreshnessRequest::Declaration(id, end) => (id, end),
             PendingFreshnessRequest::Heads(ticket) => return self.listed(ticket, a),
         };
         match a {
@@ -273,7 +282,11 @@
             // It may have ended between the two: in this order it is seen in one of them.
             StoreAnswer::Got(None) if !end => {
                 let get = StoreRequest::Get(format!("done/{id}"));
-                self.ask_store(PendingStoreRequest::Fresh(PendingFreshnessRequest::Says(id, true)), get, out);
+                self.ask_store(
+                    PendingStoreRequest::Fresh(PendingFreshnessRequest::Declaration(id, true)),
+                    get,
+                    out,
+                );
             }
             StoreAnswer::Got(None) => {
                 self.freshness.reading.remove(&id);
@@ -364,11 +377,14 @@
     fn verdict(&mut self, held: &Held, merge: &Merge, key: &Key) -> Verdict {
         let runs = self.runs_of(key);
         let Some(classes) = self.classes() else {
-            return Verdict::Unknown(guard::Why::Record("the guard is not switched on here".into()));
+            return Verdict::Unknown(guard::UnknownCause::RecordUnreadable(
+                "the guard is not switched on here".into(),
+            ));
         };
-        let (found, _) = hazelsaddle_freshness::upstream::closure(&merge.follows, |id| self.known_of(id));
+        let (found, _) =
+            hazelsaddle_freshness::upstream::upstream_closure(&merge.follows, |id| self.known_of(id));
         let unread: Vec<String> =
-            found.into_iter().filter(|(_, k)| *k == Known::Unread).map(|(id, _)| id).collect();
+            found.into_iter().filter(|(_, k)| *k == JobKnowledge::Unread).map(|(id, _)| id).collect();
         let verdict = merge.verdict(classes, held, |id| self.known_of(id), &runs);
         self.freshness.unread.extend(unread);
         verdict
@@ -377,7 +393,7 @@
     fn merge_of(&self, id: &str) -> Option<(Key, Merge)> {
         let j = self.job_shard.jobs.get(id)?;
         let m = j.spec.merges.as_ref()?;
-        let of = Of { name: m.name.clone(), version: m.version };
+        let of = BatchVersion { name: m.name.clone(), version: m.version };
         Some((m.key()?, Merge { of, follows: j.followed() }))
     }
 
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn told(l: &Look) -> Value {
+fn told(l: &UpstreamFindings) -> Value {
     let old = l.old.iter().map(|o| {
         json!({"job": o.job, "class": o.class, "batch": o.read.as_ref().map(|r| &r.name),
             "version": o.read.as_ref().map(|r| r.version)})
@@ -81,30 +81,30 @@
         let writer = Writer { job: a.job.clone(), attempt: a.attempt, task };
         // What has ended makes room for what begins.
         let known = match &held {
-            Held::Is(r) => Batch::read(r).ok().and_then(|b| b.release(|p| self.permit_over(p))),
+            Held::Is(r) => Batch::read(r).ok().and_then(|b| b.release_permits(|p| self.permit_over(p))),
             _ => None,
         };
         let held = known.map_or(held, |b| Held::Is(b.record()));
-        match guard::permit(&verdict, &held, &writer, self.settings.value_bytes) {
-            Answer::Holds(p) => {
+        match guard::decide_permit(&verdict, &held, &writer, self.settings.value_bytes) {
+            PermitAnswer::AlreadyHeld(p) => {
                 let batch = merge.of.name;
                 Some(Reply::json(200, &json!({"batch": batch, "version": p.version, "fence": p.fence})))
             }
-            Answer::Write(..) if standing == Attempt::Stopping => {
+            PermitAnswer::Record(..) if standing == Attempt::Stopping => {
                 Some(Reply::error(409, "the attempt is being stopped"))
             }
-            Answer::Write(next, p) => {
+            PermitAnswer::Record(next, p) => {
                 if self.change_pact(now, &key, next.record(), Vec::new(), None, out) {
                     tracing::info!(job = %a.job, attempt = a.attempt, task = a.task, batch = %key.name(),
                         version = p.version, fence = p.fence, "permit to write");
                 }
                 None
             }
-            Answer::Stale(..) if !self.runs_known(&key) => {
+            PermitAnswer::Stale(..) if !self.runs_known(&key) => {
                 self.mark_stale(now, &a.job, &key);
                 None
             }
-            Answer::Stale(version, look) => {
+            PermitAnswer::Stale(version, look) => {
                 tracing::info!(job = %a.job, attempt = a.attempt, reason = %verdict.reason(), "permit refused");
                 let mut body = told(&look);
                 body["error"] = verdict.reason().into();
@@ -113,9 +113,9 @@
                 self.freshness.next = Micros(0);
                 Some(Reply::json(409, &body))
             }
-            Answer::Overtaken => Some(Reply::error(409, "a newer attempt of the task writes")),
+            PermitAnswer::Superseded => Some(Reply::error(409, "a newer attempt of the task writes")),
             // Records are still being read: within its patience.
-            Answer::Later(_) => None,
+            PermitAnswer::Retry(_) => None,
         }
     }
 
@@ -131,7 +131,7 @@
             return;
         }
         self.freshness.released.retain(|_, t| now < *t);
-        let over = |b: &Batch| b.release(|p| self.permit_over(p));
+        let over = |b: &Batch| b.release_permits(|p| self.permit_over(p));
         let due: Vec<(Key, Batch)> = self
             .coordination
             .shelf
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -43,13 +43,13 @@
             Held::Unread => return None,
             Held::Absent => Batch::first(version),
             Held::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
-            Held::Is(r) => match Batch::read(&r).map(|b| b.put(version)) {
+            Held::Is(r) => match Batch::read(&r).map(|b| b.put_version(version)) {
                 Err(why) => return Some(Reply::error(409, &why.to_string())),
                 Ok(Err(why)) => return Some(Reply::error(409, &why.to_string())),
-                Ok(Ok(Put::Same)) => {
+                Ok(Ok(VersionChange::Unchanged)) => {
                     return Some(Reply::json(200, &json!({"batch": name, "version": version})));
                 }
-                Ok(Ok(Put::Raised(next))) => next,
+                Ok(Ok(VersionChange::Raised(next))) => next,
             },
         };
         // Once it is on record the next round finds it there; if another change came first it is looked at anew.
--- a/src/controller/gpu_lending.rs
+++ b/src/controller/gpu_lending.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::config::operators::LoanTerms;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Pact};
-use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, State};
+use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, LoanState};
 
 /// The form from which on controllers say what their jobs could lend.
 pub(super) const FORM: u64 = 4;
@@ -91,10 +91,10 @@
     fn next_ledger(&self, now: Micros, terms: &LoanTerms) -> Option<(String, Ledger)> {
         let (wall, m) = (self.wall, &self.membership);
         for (team, (_, ledger, _)) in &self.loans.read {
-            let tidy = ledger.tidy(wall.0, terms.back.0, |l| self.job_shard.loan_facts(l, m));
+            let tidy = ledger.advance(wall.0, terms.back.0, |l| self.job_shard.loan_facts(l, m));
             let next = tidy.or_else(|| {
                 let due = self.job_shard.loans_due(now, wall, team, ledger, m, &self.quota);
-                ledger.give_back(wall.0, &due)
+                ledger.begin_return(wall.0, &due)
             });
             if let Some(next) = next {
                 return Some((team.clone(), next));
@@ -237,12 +237,12 @@
 fn due(l: &Loan, terms: &LoanTerms, wall: Micros) -> String {
     let left = |after: u64| (l.since_us + after).saturating_sub(wall.0) / 1_000_000;
     match l.state {
-        State::Taking => "not yet in use".into(),
-        State::Held if left(terms.stay.0) > 0 => {
+        LoanState::Taking => "not yet in use".into(),
+        LoanState::Held if left(terms.stay.0) > 0 => {
             format!("with the replica, or from {} s on if the lender is short", left(terms.stay.0))
         }
-        State::Held => "with the replica, or once the lender is short".into(),
-        State::Returning => format!("now; kept for the lender for {} s more", left(terms.back.0)),
+        LoanState::Held => "with the replica, or once the lender is short".into(),
+        LoanState::Returning => format!("now; kept for the lender for {} s more", left(terms.back.0)),
     }
 }
 
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -8,9 +8,9 @@
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
 use hazelsaddle_coordination::record_cache::Held;
 use hazelsaddle_release::calendar::nearest;
-use hazelsaddle_release::join::{self, Join};
+use hazelsaddle_release::join::{self, ReleaseJoin};
 use hazelsaddle_release::priority_inheritance;
-use hazelsaddle_release::readiness::{Fact, Readiness, verdict};
+use hazelsaddle_release::readiness::{MemberState, Readiness, assess};
 use hazelsaddle_release::release_ref::{self, ReleaseRef};
 use hazelsaddle_release::set::{self, ChangeError, Member, Release};
 use hazelsaddle_release::status::ReleaseStatus;
@@ -40,20 +40,20 @@
 /// What a rotation's verdict rests on.
 struct Known {
     members: Option<Vec<Member>>,
-    facts: BTreeMap<String, Fact>,
+    facts: BTreeMap<String, MemberState>,
 }
 
 impl Known {
-    fn fact(&self, id: &str) -> Fact {
-        self.facts.get(id).copied().unwrap_or(Fact::Unread)
+    fn fact(&self, id: &str) -> MemberState {
+        self.facts.get(id).copied().unwrap_or(MemberState::Unread)
     }
 }
 
-fn fact_of(s: Stands) -> Fact {
+fn fact_of(s: Stands) -> MemberState {
     match s {
-        Stands::Live => Fact::Live,
-        Stands::Done => Fact::Done,
-        Stands::Cancelled => Fact::Cancelled,
+        Stands::Live => MemberState::Live,
+        Stands::Done => MemberState::Done,
+        Stands::Cancelled => MemberState::Cancelled,
     }
 }
 
@@ -100,7 +100,7 @@
                 })
                 .collect();
             let sets = sets.iter().map(|(p, r)| (*p, r));
-            match join::night(&self.settings.operators.calendars, sets, &says, wall) {
+            match join::resolve_night(&self.settings.operators.calendars, sets, &says, wall) {
                 Ok(night) => says.night = Some(night),
                 Err(e) => return Gate::Never(format!("release: {e}")),
             }
@@ -112,23 +112,23 @@
         }
         let Some(key) = says.key() else { return Gate::Never("release: it has no such night".into()) };
         let held = self.pact(now, &key);
-        match join::may_join(&held, &self.settings.operators.calendars, &says, &class, wall) {
+        match join::decide_join(&held, &self.settings.operators.calendars, &says, &class, wall) {
             // A rotation is no member: nobody waits for it.
-            Join::Now if says.stage == hazelsaddle_release::calendar::Stage::Rotation => {
+            ReleaseJoin::Join if says.stage == hazelsaddle_release::calendar::Stage::Rotation => {
                 Gate::Open(Vec::new())
             }
             // Guards against one that joins while the set closes: what was read must still be on record.
-            Join::Now => Gate::Open(vec![self.join_of(&key)]),
-            Join::Open(record) => {
+            ReleaseJoin::Join => Gate::Open(vec![self.join_of(&key)]),
+            ReleaseJoin::OpenFirst(record) => {
                 if !self.pact_changing(&key) {
                     tracing::info!(title = %says.title, night = ?says.night, first = id, "release opened");
                     self.change_pact(now, &key, record, Vec::new(), None, out);
                 }
                 Gate::Wait
             }
-            Join::Later(_) => Gate::Wait,
+            ReleaseJoin::Retry(_) => Gate::Wait,
             // A refusal is for good, so it must not rest on what was read before the question came.
-            Join::Refused(why) => match self.pact_since(now, &key, began) {
+            ReleaseJoin::Refused(why) => match self.pact_since(now, &key, began) {
                 Some(_) => Gate::Never(format!("release: {why}")),
                 None => Gate::Wait,
             },
@@ -171,7 +171,7 @@
         for (id, key, rank) in held {
             let known = self.hold_rotation(now, &id, &key, out);
             for (member, fact) in known.facts {
-                if fact == Fact::Live {
+                if fact == MemberState::Live {
                     let r = needs.entry(member).or_default();
                     *r = (*r).max(rank);
                 }
@@ -217,10 +217,10 @@
                     known.and_then(|k| k.get(&m.id)).is_some_and(|m| m.stands != Stands::Cancelled)
                 };
                 let members: Vec<Member> = known.map(seen).unwrap_or_default();
-                let Some(by) = body.to_close(members.iter().filter(|m| there(m)), self.wall.0) else {
+                let Some(by) = body.due_to_close(members.iter().filter(|m| there(m)), self.wall.0) else {
                     return;
                 };
-                let Ok(next) = set::closing(record, by) else { return };
+                let Ok(next) = set::begin_closing(record, by) else { return };
                 if self.change_pact(now, key, next, Vec::new(), None, out) {
                     tracing::info!(title = %body.title, night = %body.night, by = by.word(), "release closing");
                 }
@@ -229,7 +229,7 @@
                 // Guards against a census that began while members could still join.
                 let since = *self.releases.closed_at.entry((key.clone(), record.version)).or_insert(now);
                 let Some(found) = self.census_since(key, since).cloned() else { return };
-                match set::closed(key, record, &found, self.settings.value_bytes) {
+                match set::finish_closing(key, record, &found, self.settings.value_bytes) {
                     Ok((pages, next)) => {
                         if self.change_pact(now, key, next, pages, None, out) {
                             tracing::info!(title = %body.title, night = %body.night, members = found.len(), "release closed");
@@ -246,7 +246,7 @@
     fn hold_rotation(&mut self, now: Micros, id: &str, key: &Key, out: &mut Vec<Effect>) -> Known {
         let held = self.pact(now, key);
         let known = self.release_known(now, key, &held, out);
-        match verdict(&held, known.members.as_deref(), |m| known.fact(m)) {
+        match assess(&held, known.members.as_deref(), |m| known.fact(m)) {
             // Only what is on record lets a task start: a controller that comes next must find the same.
             Readiness::Open => {
                 tracing::info!(job = id, record = %key.head(), "rotation released");
@@ -322,7 +322,7 @@
         }
         let missing: Vec<usize> = (0..pages.len()).filter(|n| pages[*n].is_none()).collect();
         if missing.is_empty() {
-            return match set::members(pages.iter().flatten()) {
+            return match set::members_on_pages(pages.iter().flatten()) {
                 Ok(members) => Some(members),
                 Err(e) => {
                     tracing::error!(record = %key.head(), reason = %e, "a page of members can't be read");
@@ -396,7 +396,7 @@
                 None => return Some(self.no_such_title(title)),
             },
         };
-        let Some(key) = release_ref::key(title, &night) else {
+        let Some(key) = release_ref::release_key(title, &night) else {
             return Some(Reply::error(400, "title: can't be the name of a release"));
         };
         let held = self.pact_since(now, &key, o.began)?;
@@ -430,7 +430,7 @@
             }
         };
         match change {
-            Err(e @ (ChangeError::Why | ChangeError::NoMember { .. })) => {
+            Err(e @ (ChangeError::Reason | ChangeError::NoMember { .. })) => {
                 Some(Reply::error(422, &e.to_string()))
             }
             Err(ChangeError::Counting) => Some(Reply::later(&ChangeError::Counting.to_string())),
@@ -460,7 +460,7 @@
             _ => found.as_ref().map(seen),
         };
         let (found, members) = (found?, members?);
-        let stands = |m: &Member| found.get(&m.id).map_or(Fact::Unread, |f| fact_of(f.stands));
+        let stands = |m: &Member| found.get(&m.id).map_or(MemberState::Unread, |f| fact_of(f.stands));
         let facts = members.iter().map(|m| (m.id.clone(), stands(m))).collect();
         Some(Known { members: Some(members), facts })
     }
@@ -474,7 +474,7 @@
     /// Releases that are not over, as the latest list had them.
     pub(super) fn release_status(&self) -> Vec<Value> {
         let of = |key: &Key| {
-            let (title, night) = release_ref::named(key)?;
+            let (title, night) = release_ref::title_and_night(key)?;
             Some(match self.coordination.shelf.get(key) {
                 Held::Is(r) => match Release::read(r) {
                     Ok(b) => json!({"title": title, "night": night, "phase": r.phase, "version": r.version,
--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -10,9 +10,9 @@
 use crate::quota::tier::QuotaTier;
 use crate::scheduler::placement::Place;
 use hazelsaddle_gpu_lending::Amount;
-use hazelsaddle_gpu_lending::ledger::{Claim, Facts, Ledger, Loan, State};
-use hazelsaddle_gpu_lending::preemption::{Machine, Need, Task, choose};
-use hazelsaddle_gpu_lending::reclaim::{Borrower, LoanStanding, Shortfall, Terms, give_back};
+use hazelsaddle_gpu_lending::ledger::{Claim, Ledger, Loan, LoanFacts, LoanState};
+use hazelsaddle_gpu_lending::preemption::{Machine, ReplicaDemand, Task, choose_preemptions};
+use hazelsaddle_gpu_lending::reclaim::{Borrower, ReplicasOnLoan, Shortfall, Terms, loans_to_reclaim};
 
 /// What others said holds for so long.
 const WORD: Micros = Micros::from_millis(5_000);
@@ -71,19 +71,19 @@
     /// it is back. The first says whom a loan is for.
     fn kept(&self) -> impl Iterator<Item = (&Loan, Resources)> {
         self.all().filter_map(|l| match l.state {
-            State::Taking => {
+            LoanState::Taking => {
                 let (gpus, cpus, memory) = l.hold;
                 Some((l, Resources { gpus, cpus, memory }))
             }
-            State::Held => None,
-            State::Returning => Some((l, Resources { gpus: l.gpus, cpus: l.cpus, memory: l.memory })),
+            LoanState::Held => None,
+            LoanState::Returning => Some((l, Resources { gpus: l.gpus, cpus: l.cpus, memory: l.memory })),
         })
     }
 
     /// What goes back is for the lender, and for whatever lies within its guarantee: that stands above.
     fn is_for(l: &Loan, id: &str, team: &str, within: bool) -> bool {
         match l.state {
-            State::Returning => l.lender == team || within,
+            LoanState::Returning => l.lender == team || within,
             _ => l.job == id,
         }
     }
@@ -137,7 +137,7 @@
 
     /// Machines that a job's replicas are leaving for a lender: it comes back to none of them meanwhile.
     pub(super) fn left_by(&self, id: &str) -> impl Iterator<Item = &str> {
-        let leaving = move |l: &&Loan| l.job == id && l.state == State::Returning;
+        let leaving = move |l: &&Loan| l.job == id && l.state == LoanState::Returning;
         self.all().filter(leaving).map(|l| l.machine.as_str())
     }
 
@@ -146,7 +146,7 @@
         if self.lacking.get(id).is_some_and(|t| now.since(*t) < Micros(MOMENT.0 * 2)) {
             return u32::MAX;
         }
-        self.ledgers.values().map(|l| l.claimed(id)).sum()
+        self.ledgers.values().map(|l| l.claimed_replicas(id)).sum()
     }
 
     /// The ledgers were read, by a question that went out at `sent`.
@@ -214,9 +214,9 @@
                 // A replica that was taken for is left where it is for a while, or room would swing.
                 let young = self.loans.all().any(|l| {
                     let age = wall.0.saturating_sub(l.since_us);
-                    l.job == *id && l.machine == p.machine && l.state == State::Held && age < terms.stay.0
+                    l.job == *id && l.machine == p.machine && l.state == LoanState::Held && age < terms.stay.0
                 });
-                let claimed = self.loans.ledgers.values().any(|l| l.lent(id, (index, p.attempt)));
+                let claimed = self.loans.ledgers.values().any(|l| l.is_lent(id, (index, p.attempt)));
                 let ran = if p.phase == Some(TaskPhase::Running) { now.since(p.since).0 / 1000 } else { 0 };
                 let left = (likely(&self.ran, &j.spec).0 / 1000).saturating_sub(ran);
                 let lost_ms = match j.spec.checkpoint.0 > 0 {
@@ -263,7 +263,7 @@
             let may =
                 Resources { memory: i64::MAX / 4, ..claimed }.count_of(j.spec.room).clamp(0, 10_000) as u32;
             let missing = (j.spec.tasks - j.placed.len() as u32).min(may);
-            let open: u32 = self.loans.ledgers.values().map(|l| l.claimed(id)).sum();
+            let open: u32 = self.loans.ledgers.values().map(|l| l.claimed_replicas(id)).sum();
             if missing <= open {
                 continue;
             }
@@ -272,7 +272,7 @@
                 *counts.entry(p.zone.clone()).or_default() += 1;
             }
             let zone_of = |name: &String| self.seen(name, m).map(|d| d.zone.clone());
-            for l in self.loans.all().filter(|l| l.job == *id && l.state == State::Taking) {
+            for l in self.loans.all().filter(|l| l.job == *id && l.state == LoanState::Taking) {
                 *counts.entry(zone_of(&l.machine).unwrap_or_default()).or_default() += l.replicas;
             }
             for (_, (alive, zone)) in self.open_of(id) {
@@ -289,7 +289,7 @@
                 }
                 _ => None,
             };
-            let need = Need {
+            let need = ReplicaDemand {
                 team: j.spec.team.clone(),
                 rank: j.spec.priority % GUARANTEED,
                 within: j.footing == QuotaTier::Within,
@@ -315,7 +315,7 @@
                 image: p.machine.images.contains(&j.spec.image_hash),
             };
             let machines: Vec<Machine> = places.iter().filter(usable).map(machine).collect();
-            let claims = choose(&need, &machines, &tasks);
+            let claims = choose_preemptions(&need, &machines, &tasks);
             if !claims.is_empty() {
                 return Some(Taking { team: j.spec.team.clone(), job: id.clone(), missing, claims });
             }
@@ -330,7 +330,7 @@
         for l in self.lending(now, wall).jobs.into_iter().chain(others) {
             for t in l.tasks {
                 // What was said before the claim was made doesn't know of it.
-                let claimed = self.loans.ledgers.values().any(|x| x.lent(&l.job, (t.index, t.attempt)));
+                let claimed = self.loans.ledgers.values().any(|x| x.is_lent(&l.job, (t.index, t.attempt)));
                 out.push(Task {
                     job: l.job.clone(),
                     index: t.index,
@@ -354,9 +354,9 @@
         if self.loans.as_of.is_none_or(|t| now.since(t) >= FRESH) {
             return;
         }
-        let open: Vec<Loan> = self.loans.all().filter(|l| l.state != State::Held).cloned().collect();
+        let open: Vec<Loan> = self.loans.all().filter(|l| l.state != LoanState::Held).cloned().collect();
         for l in open {
-            if l.state == State::Taking {
+            if l.state == LoanState::Taking {
                 self.give(&l);
             } else if let Some(j) = self.jobs.get_mut(&l.job) {
                 for (&idx, p) in &mut j.placed {
@@ -396,8 +396,8 @@
     }
 
     /// How things stand with a loan, as far as we know: of our own jobs, and of machines.
-    pub fn loan_facts(&self, l: &Loan, m: &Membership) -> Facts {
-        let mut f = Facts { gone: self.gone(&l.machine, m), ..Facts::default() };
+    pub fn loan_facts(&self, l: &Loan, m: &Membership) -> LoanFacts {
+        let mut f = LoanFacts { gone: self.gone(&l.machine, m), ..LoanFacts::default() };
         if !self.loaded {
             return f;
         }
@@ -461,15 +461,15 @@
             .get(job)
             .filter(|_| m.job_leader(job) == Some(self.me))
         {
-            Some(j) => LoanStanding {
+            Some(j) => ReplicasOnLoan {
                 replicas: j.placed.values().filter(|p| p.machine == machine).count() as u32,
                 each: j.spec.room.gpus,
                 within: j.footing == QuotaTier::Within,
             },
             // Another owner decides about it.
-            None => LoanStanding { within: true, ..LoanStanding::default() },
+            None => ReplicasOnLoan { within: true, ..ReplicasOnLoan::default() },
         };
         let terms = Terms { stay_us: terms.stay.0, burst_us: terms.burst.0 };
-        give_back(wall.0, terms, ledger, Borrower { used, guarantee }, &lacks, stands)
+        loans_to_reclaim(wall.0, terms, ledger, Borrower { used, guarantee }, &lacks, stands)
     }
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -20,8 +20,8 @@
 use hazelsaddle::units::{Micros, Ranges, Resources};
 use hazelsaddle_coordination::census::{Member, Stands};
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind, items, pages};
-use hazelsaddle_freshness::batch::{Batch, Grant, Put, Writer};
-use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, State};
+use hazelsaddle_freshness::batch::{Batch, PermitGrant, VersionChange, Writer};
+use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, LoanState};
 use hazelsaddle_release::set::{self, ClosedBy, Release};
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
@@ -340,7 +340,7 @@
     team_after(&before, &[need("wk-000003", 5000, ACCEPTED), need("wk-000004", 15_000, ACCEPTED)])
 }
 
-fn loan(id: u64, state: State) -> Loan {
+fn loan(id: u64, state: LoanState) -> Loan {
     Loan {
         id,
         job: "wk-000500".into(),
@@ -359,7 +359,7 @@
 }
 
 fn ledger() -> Ledger {
-    let states = [State::Taking, State::Held, State::Returning];
+    let states = [LoanState::Taking, LoanState::Held, LoanState::Returning];
     let mut rest = Map::new();
     rest.insert("drains".into(), json!({"i-000009": 2}));
     Ledger { fence: 9, loans: states.into_iter().zip(6..).map(|(s, id)| loan(id, s)).collect(), rest }
@@ -395,9 +395,9 @@
     let found =
         BTreeMap::from([("wk-1".to_owned(), member(rebuild)), ("wk-2".to_owned(), member(says("render")))]);
     let open = release().record();
-    let closing = set::closing(&open, ClosedBy::Count).expect("it is open");
-    let (written, head) = set::closed(&key, &closing, &found, 2048).expect("it is closing");
-    let known = set::members(written.iter().map(|(_, v)| v)).expect("members");
+    let closing = set::begin_closing(&open, ClosedBy::Count).expect("it is open");
+    let (written, head) = set::finish_closing(&key, &closing, &found, 2048).expect("it is closing");
+    let known = set::members_on_pages(written.iter().map(|(_, v)| v)).expect("members");
     let waived = set::waive(&head, &known, "wk-2", "lost").expect("waived");
     let heads = [("open", open), ("closing", closing), ("closed", head), ("waived", waived)];
     let heads = heads.into_iter().map(|(name, r)| (format!("release/{name}"), r.value()));
@@ -406,13 +406,13 @@
 
 fn batch_forms() -> Forms {
     let writer = |attempt, task| Writer { job: "wk-000412".into(), attempt, task };
-    let granted = |b: &Batch, w: &Writer| match b.grant(w, 2048) {
-        Grant::New(next, _) => next,
+    let granted = |b: &Batch, w: &Writer| match b.grant_permit(w, 2048) {
+        PermitGrant::New(next, _) => next,
         other => panic!("{other:?}"),
     };
     let first = Batch::first(7);
     let held = granted(&granted(&first, &writer(9, Some(3))), &writer(10, None));
-    let Ok(Put::Raised(raised)) = held.put(8) else { panic!("not raised") };
+    let Ok(VersionChange::Raised(raised)) = held.put_version(8) else { panic!("not raised") };
     let all = [("first", first), ("held", held), ("raised", raised)];
     all.into_iter().map(|(name, b)| (format!("batch/{name}"), b.record().value())).collect()
 }
@@ -480,7 +480,7 @@
         if name.starts_with("release/page/") {
             let (again, _) = pages(items(&stored).expect("a page").iter().cloned(), 2048);
             assert_eq!(again, std::slice::from_ref(&stored), "{name}");
-            assert_eq!(set::members([&stored]).expect("members").len(), 2);
+            assert_eq!(set::members_on_pages([&stored]).expect("members").len(), 2);
         } else if name.starts_with("release/") {
             let record = CoordinationRecord::read(&stored).expect("a record");
             let body = serde_json::to_value(Release::read(&record).expect("a release")).expect("plain");
--- a/tests/world/days/loans.rs
+++ b/tests/world/days/loans.rs
@@ -1,7 +1,7 @@
 //! Days with GPUs: serving takes them from other teams' work and gives them back, whatever fails.
 
 use crate::*;
-use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, State as LoanStanding};
+use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, LoanState as LoanStanding};
 
 /// Two machines without GPUs and eight of four; each zone is full, so that nothing can be rented.
 pub(super) const GPUS: Shape = Shape { machines: 2, gpus: 8, room: 5, teams: 4, jobs: 0, ..SMALL };
