--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -68,7 +68,7 @@
 /// An operator's request that is under way.
 pub(super) struct Operating {
     pub(super) ticket: u64,
-    pub(super) request: crate::server::operator_api::OpRequest,
+    pub(super) request: OperatorCommand,
     pub(super) began: Micros,
 }
 
@@ -131,7 +131,7 @@
     let mut out = Vec::new();
     if let Some(r) = says.get("release")
         && let (Some(title), Some(night)) = (text(r, "title"), text(r, "night"))
-        && let Some(key) = hazelsaddle_release::release_ref::key(&title, &night)
+        && let Some(key) = hazelsaddle_release::release_ref::release_key(&title, &night)
     {
         out.push((key.head(), r.clone()));
     }
@@ -287,7 +287,7 @@
 
     /// The conditions on which a submission may be put on record.
     pub(super) fn joins(&mut self, now: Micros, id: &str, out: &mut Vec<Effect>) -> Gate {
-        if !self.accepting.get(id).is_some_and(|a| a.spec.has_pact()) {
+        if !self.accepting.get(id).is_some_and(|a| a.spec.has_coordination_record()) {
             return Gate::Open(Vec::new());
         }
         // Guards against an older controller that has joined since the submission came.
@@ -433,7 +433,7 @@
                 tracing::error!(key = %row.key, "a pact's key can't be read");
                 continue;
             };
-            if let Some((title, night)) = hazelsaddle_release::release_ref::named(&key) {
+            if let Some((title, night)) = hazelsaddle_release::release_ref::title_and_night(&key) {
                 let latest = self.coordination.latest.entry(title.to_owned()).or_default();
                 if latest.as_str() < night {
                     *latest = night.to_owned();
--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -15,9 +15,9 @@
 use crate::spec::{GUARANTEED, JobKind, JobSpec};
 use crate::units::{Micros, Resources};
 use hazelsaddle_gpu_lending::Amount;
-use hazelsaddle_gpu_lending::ledger::{Claim, Facts, Ledger, Loan, State};
-use hazelsaddle_gpu_lending::preemption::{Machine, Need, Task, choose};
-use hazelsaddle_gpu_lending::reclaim::{Borrower, LoanStanding, Shortfall, Terms, give_back};
+use hazelsaddle_gpu_lending::ledger::{Claim, Ledger, Loan, LoanFacts, LoanState};
+use hazelsaddle_gpu_lending::preemption::{Machine, ReplicaDemand, Task, choose_preemptions};
+use hazelsaddle_gpu_lending::reclaim::{Borrower, ReplicasOnLoan, Shortfall, Terms, loans_to_reclaim};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long what a peer said holds.
@@ -88,7 +88,7 @@
 /// loan's job.
 fn is_kept_for(loan: &Loan, id: &str, job: &Job) -> bool {
     match loan.state {
-        State::Returning => loan.lender == job.spec.team || job.quota_tier == QuotaTier::Within,
+        LoanState::Returning => loan.lender == job.spec.team || job.quota_tier == QuotaTier::Within,
         _ => loan.job == id,
     }
 }
@@ -117,12 +117,12 @@
     /// it is back. The first says whom a loan is for.
     fn kept(&self) -> impl Iterator<Item = (&Loan, Resources)> {
         self.all().filter_map(|loan| match loan.state {
-            State::Taking => {
+            LoanState::Taking => {
                 let (gpus, cpus, memory) = loan.hold;
                 Some((loan, Resources { gpus, cpus, memory }))
             }
-            State::Held => None,
-            State::Returning => {
+            LoanState::Held => None,
+            LoanState::Returning => {
                 Some((loan, Resources { gpus: loan.gpus, cpus: loan.cpus, memory: loan.memory }))
             }
         })
@@ -181,7 +181,7 @@
 
     /// Machines that a job's replicas are leaving for a lender: it comes back to none of them meanwhile.
     pub(super) fn machines_left_by(&self, id: &str) -> impl Iterator<Item = &str> {
-        let is_leaving = move |loan: &&Loan| loan.job == id && loan.state == State::Returning;
+        let is_leaving = move |loan: &&Loan| loan.job == id && loan.state == LoanState::Returning;
         self.all().filter(is_leaving).map(|loan| loan.machine.as_str())
     }
 
@@ -194,12 +194,12 @@
     }
 
     fn claimed_replicas(&self, id: &str) -> u32 {
-        self.ledgers.values().map(|ledger| ledger.claimed(id)).sum()
+        self.ledgers.values().map(|ledger| ledger.claimed_replicas(id)).sum()
     }
 
     /// Whether a start is claimed already by a borrower.
     fn is_lent(&self, id: &str, index: u32, attempt: u64) -> bool {
-        self.ledgers.values().any(|ledger| ledger.lent(id, (index, attempt)))
+        self.ledgers.values().any(|ledger| ledger.is_lent(id, (index, attempt)))
     }
 
     fn is_ledger_valid(&self, now: Micros) -> bool {
@@ -301,7 +301,7 @@
         let is_young = self.loans.all().any(|loan| {
             loan.job == *id
                 && loan.machine == assignment.machine
-                && loan.state == State::Held
+                && loan.state == LoanState::Held
                 && wall.0.saturating_sub(loan.since_us) < terms.stay.0
         });
         LendableTask {
@@ -363,7 +363,7 @@
                 continue;
             }
             let need = self.loan_need(id, job, missing - claimed, &places, membership);
-            let claims = choose(&need, &self.machines_for_loan(now, id, job, &places), &tasks);
+            let claims = choose_preemptions(&need, &self.machines_for_loan(now, id, job, &places), &tasks);
             if !claims.is_empty() {
                 return Some(Taking { team: job.spec.team.clone(), job: id.clone(), missing, claims });
             }
@@ -386,7 +386,7 @@
         replicas: u32,
         places: &[Place],
         membership: &Membership,
-    ) -> Need {
+    ) -> ReplicaDemand {
         let spec = &job.spec;
         let counts = self.replicas_by_zone(id, job, membership);
         let zones = if spec.one_zone && !counts.is_empty() {
@@ -399,7 +399,7 @@
         } else {
             None
         };
-        Need {
+        ReplicaDemand {
             team: spec.team.clone(),
             rank: spec.priority % GUARANTEED,
             within: job.quota_tier == QuotaTier::Within,
@@ -417,7 +417,7 @@
             *counts.entry(assignment.zone.clone()).or_default() += 1;
         }
         let zone_of = |name: &str| self.machine(name, membership).map(|machine| machine.zone.clone());
-        for loan in self.loans.all().filter(|loan| loan.job == *id && loan.state == State::Taking) {
+        for loan in self.loans.all().filter(|loan| loan.job == *id && loan.state == LoanState::Taking) {
             *counts.entry(zone_of(&loan.machine).unwrap_or_default()).or_default() += loan.replicas;
         }
         for (_, start) in self.retired_starts.alive_of(id) {
@@ -483,10 +483,11 @@
         if !self.loans.is_ledger_valid(now) {
             return;
         }
-        let open: Vec<Loan> = self.loans.all().filter(|loan| loan.state != State::Held).cloned().collect();
+        let open: Vec<Loan> =
+            self.loans.all().filter(|loan| loan.state != LoanState::Held).cloned().collect();
         for loan in open {
             match loan.state {
-                State::Taking => self.stop_lent_tasks(&loan),
+                LoanState::Taking => self.stop_lent_tasks(&loan),
                 _ => self.return_replicas(&loan),
             }
         }
@@ -531,8 +532,9 @@
     }
 
     /// How things stand with a loan, as far as we know: of our own jobs, and of machines.
-    pub fn loan_facts(&self, loan: &Loan, membership: &Membership) -> Facts {
-        let mut facts = Facts { gone: self.is_machine_gone(&loan.machine, membership), ..Facts::default() };
+    pub fn loan_facts(&self, loan: &Loan, membership: &Membership) -> LoanFacts {
+        let mut facts =
+            LoanFacts { gone: self.is_machine_gone(&loan.machine, membership), ..LoanFacts::default() };
         if !self.loaded {
             return facts;
         }
@@ -582,16 +584,16 @@
         let borrower = Borrower { used: quota.used(team).gpus, guarantee };
         let is_ours = |id: &str| membership.job_leader(id) == Some(self.me);
         let standing = |id: &str, machine: &str| match self.jobs.get(id).filter(|_| is_ours(id)) {
-            Some(job) => LoanStanding {
+            Some(job) => ReplicasOnLoan {
                 replicas: replicas_on(job, machine),
                 each: job.spec.room.gpus,
                 within: job.quota_tier == QuotaTier::Within,
             },
             // Another leader decides about it.
-            None => LoanStanding { within: true, ..LoanStanding::default() },
+            None => ReplicasOnLoan { within: true, ..ReplicasOnLoan::default() },
         };
         let terms = Terms { stay_us: terms.stay.0, burst_us: terms.burst.0 };
-        give_back(wall.0, terms, ledger, borrower, &lacks, standing)
+        loans_to_reclaim(wall.0, terms, ledger, borrower, &lacks, standing)
     }
 
     /// By team, what work within its guarantee lacks, by our jobs and peers'.
--- a/src/job_shard/records.rs
+++ b/src/job_shard/records.rs
@@ -65,7 +65,7 @@
     pub fn longest(raw: &Value, spec: &JobSpec, accepted: Micros) -> usize {
         let bytes = |record: Value| record.to_string().len();
         let first = bytes(JobShard::new_record(raw, spec, accepted));
-        if !spec.has_pact() {
+        if !spec.has_coordination_record() {
             return first;
         }
         let later = JobShard::record(&dependencies::released(raw, accepted), accepted, "");
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -87,7 +87,7 @@
     // machine for itself all are as good as equally full.
     let fetches_image = !place.machine.images.contains(&spec.image_hash);
     let alone = place.machine.total.count_of(spec.room) == 1;
-    let risky = place.machine.spot && spec.hurried();
+    let risky = place.machine.spot && spec.is_urgent_without_checkpoints();
     // Of machines about as full those that the job's leader leads itself: several leaders that each take the very
     // fullest have half of their starts refused when much is placed.
     let half_empty = left.cpus * 2 > place.machine.total.cpus;
