--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,6 +1,10 @@
-//! What controllers and log stores share and neither owns: whole microseconds, the ring by consistent
-//! hashing, and the links that carry frames. `hash_ring` and `time` are pure data; threads and sockets are in `transport`.
+//! What controllers and log stores share and neither owns: whole microseconds, the ring by consistent hashing, and the
+//! connections that carry frames.
+//!
+//! [`hash_ring`], [`time`] and [`frame`] are pure; [`send_queue`] blocks its reader, and [`transport`] has the threads and
+//! sockets. Each module uses only those before it.
 
+pub mod frame;
 pub mod hash_ring;
 pub mod send_queue;
 pub mod time;
--- a/crates/cluster/src/send_queue/tests.rs
+++ b/crates/cluster/src/send_queue/tests.rs
@@ -17,18 +17,17 @@
     }
 }
 
-/// Measured: 358 frames to peers dropped on a rough day, parcels and requests among them, while hundreds of states
-/// waited that the next one said again.
+/// Or hand-off batches and requests would be dropped while states wait that the next one says again.
 #[test]
 fn what_is_said_again_never_takes_the_place_of_what_is_not() {
-    let (tx, rx) = channel();
-    for i in 0..QUEUE as u32 - 1 {
-        assert!(tx.put(Enqueued::State(i)) && tx.put(Enqueued::Once(i)));
+    let (queue, receiver) = channel();
+    for i in 0..QUEUE_CAPACITY as u32 - 1 {
+        assert!(queue.push(Enqueued::State(i)) && queue.push(Enqueued::Once(i)));
     }
-    assert!(tx.put(Enqueued::State(99)), "in the place of the last");
-    assert!(!tx.put(Enqueued::Once(99)), "full");
-    drop(tx);
-    let mut all: Vec<Enqueued> = std::iter::from_fn(|| rx.take()).collect();
+    assert!(queue.push(Enqueued::State(99)), "in the place of the last");
+    assert!(!queue.push(Enqueued::Once(99)), "full");
+    drop(queue);
+    let mut all: Vec<Enqueued> = std::iter::from_fn(|| receiver.pop()).collect();
     assert_eq!(all.pop(), Some(Enqueued::State(99)));
-    assert_eq!(all, (0..QUEUE as u32 - 1).map(Enqueued::Once).collect::<Vec<_>>());
+    assert_eq!(all, (0..QUEUE_CAPACITY as u32 - 1).map(Enqueued::Once).collect::<Vec<_>>());
 }
