--- a/crates/coordination/src/census.rs
+++ b/crates/coordination/src/census.rs
@@ -1,22 +1,23 @@
-//! Who has joined a pact: found in the jobs' own records.
+//! Who has joined a coordination record: found in the jobs' own records.
 //!
-//! A job names the pacts that it joins in its own record, which its acceptance writes on condition of the pact's mark while
-//! that is open. So joining costs no change, and from the moment that the record says *closing* none can join any more, not
-//! even by a transaction that is applied late. Then all live records are read and, only after the last of them, all final
-//! ones: a job that ends in between moves from the former to the latter in one transaction, so it is seen at least once. The
-//! cost is reads alone, a page for some hundred jobs, and one census serves all pacts that wait for one.
+//! A job names the records that it joins in its own record, which its acceptance writes on condition of the coordination
+//! record's version while that is open. So joining costs no change, and from the moment that the coordination record says
+//! *closing* none can join any more, not even by a transaction that is applied late. Then all live jobs are read and, only
+//! after the last of them, all final ones: a job that ends in between moves from the former to the latter in one
+//! transaction, so it is seen at least once. The cost is reads alone, a page for some hundred jobs, and one census serves
+//! all records that wait for one.
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where live jobs are on record.
+/// Key prefix of live jobs' records.
 pub const LIVE: &str = "job/";
-/// Where ends are.
+/// Key prefix of final records.
 pub const ENDS: &str = "done/";
 
-/// How a member stands.
+/// How a member stands. The order is that of certainty: a later state supersedes an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stands {
+pub enum MemberState {
     /// It was live when it was seen.
     Live,
     /// All its tasks are done, and that is on record.
@@ -29,25 +30,39 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// How it stands.
-    pub stands: Stands,
-    /// What its record says of the pact.
-    pub says: Value,
+    pub state: MemberState,
+    /// What its job's record declares about the coordination record.
+    pub declaration: Value,
+}
+
+/// What a job's record says of coordination records.
+#[derive(Clone, Debug, PartialEq)]
+pub struct JobReading {
+    /// The coordination records that it joined, by head key, with what it declares about each.
+    pub joined: Vec<(String, Value)>,
+    /// How it stands.
+    pub state: MemberState,
 }
 
 /// What is to be read next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// A page of the keys with this prefix that begin after the second.
-    Read(&'static str, String),
+pub enum CensusStep {
+    /// A page of records.
+    ReadPage {
+        /// The keys' prefix.
+        prefix: &'static str,
+        /// The page begins behind this key; empty: at the first.
+        after: String,
+    },
     /// All is read.
-    Over,
+    Complete,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Part {
     Live,
     Ends,
-    Over,
+    Complete,
 }
 
 /// A census under way. It is thrown away with the epoch, and begun anew by whoever needs it then.
@@ -55,62 +70,62 @@
 pub struct Census {
     part: Part,
     after: String,
-    of: BTreeSet<String>,
+    records: BTreeSet<String>,
     found: BTreeMap<String, BTreeMap<String, Member>>,
-    /// Records that can't be read: nothing can be said of their jobs, so nothing closes.
+    /// Jobs whose records can't be read: nothing can be said of them, so nothing closes.
     unreadable: Vec<String>,
 }
 
-/// What a job's record says: the pacts that it joined, by head key, and how it stands. None: it can't be read.
-pub type Reading = Option<(Vec<(String, Value)>, Stands)>;
-
 impl Census {
-    /// Begins one for these pacts, by the keys of their heads. All of them must be on record as closing *before* the first
-    /// page is asked for.
+    /// Begins a census for these coordination records, by the keys of their heads. All of them must be stored as closing
+    /// *before* the first page is asked for.
     #[must_use]
-    pub fn begin(of: BTreeSet<String>) -> Census {
-        Census { part: Part::Live, after: String::new(), of, found: BTreeMap::new(), unreadable: Vec::new() }
+    pub fn begin(records: BTreeSet<String>) -> Census {
+        Census {
+            part: Part::Live,
+            after: String::new(),
+            records,
+            found: BTreeMap::new(),
+            unreadable: Vec::new(),
+        }
     }
 
-    /// The pacts it is for.
+    /// The coordination records it is for.
     #[must_use]
-    pub fn of(&self) -> &BTreeSet<String> {
-        &self.of
+    pub fn records(&self) -> &BTreeSet<String> {
+        &self.records
     }
 
     /// What to read next.
     #[must_use]
-    pub fn next(&self) -> Step {
+    pub fn next_step(&self) -> CensusStep {
+        match self.prefix() {
+            Some(prefix) => CensusStep::ReadPage { prefix, after: self.after.clone() },
+            None => CensusStep::Complete,
+        }
+    }
+
+    fn prefix(&self) -> Option<&'static str> {
         match self.part {
-            Part::Live => Step::Read(LIVE, self.after.clone()),
-            Part::Ends => Step::Read(ENDS, self.after.clone()),
-            Part::Over => Step::Over,
+            Part::Live => Some(LIVE),
+            Part::Ends => Some(ENDS),
+            Part::Complete => None,
         }
     }
 
-    /// A page came, as the answer to the very question that [`Census::next`] gave. `read` says what a record says.
-    pub fn page(
+    /// Applies a page that came as the answer to the very question that [`Census::next_step`] gave. `read` says what a
+    /// job's record says; None: it can't be read.
+    pub fn apply_page(
         &mut self,
         rows: impl IntoIterator<Item = (String, Value)>,
         more: bool,
-        read: impl Fn(&str, &Value) -> Reading,
+        read: impl Fn(&str, &Value) -> Option<JobReading>,
     ) {
-        let prefix = match self.part {
-            Part::Live => LIVE,
-            Part::Ends => ENDS,
-            Part::Over => return,
-        };
+        let Some(prefix) = self.prefix() else { return };
         for (key, value) in rows {
             if let Some(id) = key.strip_prefix(prefix) {
                 match read(id, &value) {
-                    Some((joined, stands)) => {
-                        for (pact, says) in joined.into_iter().filter(|(p, _)| self.of.contains(p)) {
-                            let members = self.found.entry(pact).or_default();
-                            // Seen twice: its end came in between, and is what holds.
-                            let m = members.entry(id.to_owned()).or_insert(Member { stands, says });
-                            m.stands = m.stands.max(stands);
-                        }
-                    }
+                    Some(reading) => self.add_job(id, reading),
                     None => self.unreadable.push(id.to_owned()),
                 }
             }
@@ -118,7 +133,20 @@
         }
         if !more {
             self.after.clear();
-            self.part = if self.part == Part::Live { Part::Ends } else { Part::Over };
+            self.part = if self.part == Part::Live { Part::Ends } else { Part::Complete };
+        }
+    }
+
+    fn add_job(&mut self, id: &str, reading: JobReading) {
+        let JobReading { joined, state } = reading;
+        for (record, declaration) in joined {
+            if !self.records.contains(&record) {
+                continue;
+            }
+            let members = self.found.entry(record).or_default();
+            // Seen twice: its end came in between, and is what holds.
+            let member = members.entry(id.to_owned()).or_insert(Member { state, declaration });
+            member.state = member.state.max(state);
         }
     }
 
@@ -128,11 +156,12 @@
         &self.unreadable
     }
 
-    /// The members of one pact, once all is read and every record could be: None before.
+    /// The members of one coordination record, once all is read and every job's record could be: None before.
     #[must_use]
-    pub fn members(&self, pact: &str) -> Option<BTreeMap<String, Member>> {
-        let whole = self.part == Part::Over && self.unreadable.is_empty() && self.of.contains(pact);
-        whole.then(|| self.found.get(pact).cloned().unwrap_or_default())
+    pub fn members(&self, record: &str) -> Option<BTreeMap<String, Member>> {
+        let is_whole =
+            self.part == Part::Complete && self.unreadable.is_empty() && self.records.contains(record);
+        is_whole.then(|| self.found.get(record).cloned().unwrap_or_default())
     }
 }
 
--- a/crates/coordination/src/census/tests.rs
+++ b/crates/coordination/src/census/tests.rs
@@ -2,23 +2,23 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-fn read(_: &str, v: &Value) -> Reading {
+fn read(_: &str, v: &Value) -> Option<JobReading> {
     let joined = vec![(v["pact"].as_str()?.to_owned(), json!(1))];
-    let stands = match v["end"].as_str() {
-        None => Stands::Live,
-        Some("done") => Stands::Done,
-        Some(_) => Stands::Cancelled,
+    let state = match v["end"].as_str() {
+        None => MemberState::Live,
+        Some("done") => MemberState::Done,
+        Some(_) => MemberState::Cancelled,
     };
-    Some((joined, stands))
+    Some(JobReading { joined, state })
 }
 
 #[test]
 fn a_record_that_can_not_be_read_closes_nothing() {
-    let mut c = Census::begin(["p".to_owned()].into());
-    c.page([("job/a".to_owned(), json!({"pact": 7}))], false, read);
-    c.page([], false, read);
-    assert_eq!((c.next(), c.members("p")), (Step::Over, None));
-    assert_eq!(c.unreadable(), ["a"]);
+    let mut census = Census::begin(["p".to_owned()].into());
+    census.apply_page([("job/a".to_owned(), json!({"pact": 7}))], false, read);
+    census.apply_page([], false, read);
+    assert_eq!((census.next_step(), census.members("p")), (CensusStep::Complete, None));
+    assert_eq!(census.unreadable(), ["a"]);
 }
 
 proptest! {
@@ -30,7 +30,7 @@
     ) {
         let mut store: BTreeMap<String, Value> =
             (0..n).map(|i| (format!("job/wk-{i:03}"), json!({"pact": if i % 3 == 0 { "q" } else { "p" }}))).collect();
-        let mut c = Census::begin(["p".to_owned()].into());
+        let mut census = Census::begin(["p".to_owned()].into());
         for step in 0.. {
             for (_, i) in ends.iter().filter(|(at, _)| *at == step) {
                 if let Some(mut v) = store.remove(&format!("job/wk-{i:03}")) {
@@ -38,16 +38,16 @@
                     store.insert(format!("done/wk-{i:03}"), v);
                 }
             }
-            let Step::Read(prefix, after) = c.next() else { break };
+            let CensusStep::ReadPage { prefix, after } = census.next_step() else { break };
             let rest: Vec<(String, Value)> = store
                 .iter()
                 .filter(|(k, _)| k.starts_with(prefix) && **k > after)
                 .map(|(k, v)| (k.clone(), v.clone()))
                 .collect();
             let more = rest.len() > size;
-            c.page(rest.into_iter().take(size), more, read);
+            census.apply_page(rest.into_iter().take(size), more, read);
         }
-        let found: Vec<String> = c.members("p").expect("whole").into_keys().collect();
+        let found: Vec<String> = census.members("p").expect("whole").into_keys().collect();
         let all: Vec<String> = (0..n).filter(|i| i % 3 != 0).map(|i| format!("wk-{i:03}")).collect();
         prop_assert_eq!(found, all);
     }
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,25 +1,25 @@
-//! A pact's record: key, form, version, phase, and the body of whoever stands on it.
+//! A coordination record: key, form, version, phase, and a body that belongs to whoever builds on it.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// The form that this version writes; one that is newer is not understood and holds what rests on it.
+/// The form that this version of the program writes. A newer one is not understood and holds up what rests on it.
 pub const FORM: u64 = 1;
-/// All heads of records begin with this; pages don't, so that a list of heads is short.
+/// Key prefix of all heads of records; pages don't, so that a list of heads is short.
 pub const HEADS: &str = "pact/";
-/// All pages begin with this.
+/// Key prefix of all pages.
 pub const PAGES: &str = "pactpage/";
 /// Longest name, in bytes: with prefix and page number a key stays well below the service's 200.
-pub const NAME: usize = 120;
+pub const MAX_NAME_BYTES: usize = 120;
 
-/// What a pact is about.
+/// What a record is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// A title's release on one night.
+    /// The release of a title on one night.
     Release,
     /// A batch of inputs and its version.
     Batch,
-    /// Room that one team lends to another.
+    /// GPUs that one team lends to another.
     Loan,
 }
 
@@ -33,6 +33,7 @@
             Kind::Loan => "l",
         }
     }
+
     /// The beginning of all its heads' keys.
     #[must_use]
     pub fn prefix(self) -> String {
@@ -42,8 +43,8 @@
 
 /// A name that can't be part of a key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a name must have 1 to {NAME} bytes, and neither spaces, slashes nor control characters")]
-pub struct BadName;
+#[error("a name must have 1 to {MAX_NAME_BYTES} bytes, and neither spaces, slashes nor control characters")]
+pub struct InvalidName;
 
 /// A record's key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -57,11 +58,12 @@
     ///
     /// # Errors
     /// If the name can't be part of a key of the state service.
-    pub fn new(kind: Kind, name: &str) -> Result<Key, BadName> {
-        let good = (1..=NAME).contains(&name.len())
+    pub fn new(kind: Kind, name: &str) -> Result<Key, InvalidName> {
+        let is_valid = (1..=MAX_NAME_BYTES).contains(&name.len())
             && name.chars().all(|c| !c.is_whitespace() && !c.is_control() && c != '/');
-        if good { Ok(Key { kind, name: name.to_owned() }) } else { Err(BadName) }
+        if is_valid { Ok(Key { kind, name: name.to_owned() }) } else { Err(InvalidName) }
     }
+
     /// Reads the key of a head.
     #[must_use]
     pub fn parse(text: &str) -> Option<Key> {
@@ -69,25 +71,29 @@
         let kind = [Kind::Release, Kind::Batch, Kind::Loan].into_iter().find(|k| k.code() == code)?;
         Key::new(kind, name).ok()
     }
+
     /// What it is about.
     #[must_use]
     pub fn kind(&self) -> Kind {
         self.kind
     }
+
     /// The name.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
+
     /// The head's key in the state service.
     #[must_use]
     pub fn head(&self) -> String {
         format!("{}{}", self.kind.prefix(), self.name)
     }
+
     /// A page's key. It names the version, so that a page that is written late never stands among those of another.
     #[must_use]
-    pub fn page(&self, version: u64, n: usize) -> String {
-        format!("{PAGES}{}/{}/{version}/{n:05}", self.kind.code(), self.name)
+    pub fn page(&self, version: u64, number: usize) -> String {
+        format!("{PAGES}{}/{}/{version}/{number:05}", self.kind.code(), self.name)
     }
 }
 
@@ -127,7 +133,7 @@
     Damaged(&'static str),
 }
 
-/// A change that a record does not allow.
+/// Why a record does not allow a change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransitionError {
     /// Within a version a record only goes forward.
@@ -149,18 +155,19 @@
     ///
     /// # Errors
     /// If it is of a newer form, or damaged.
-    pub fn read(v: &Value) -> Result<CoordinationRecord, Unreadable> {
-        let number = |key: &'static str| v.get(key).and_then(Value::as_u64).ok_or(Unreadable::Damaged(key));
+    pub fn read(value: &Value) -> Result<CoordinationRecord, Unreadable> {
+        let number =
+            |key: &'static str| value.get(key).and_then(Value::as_u64).ok_or(Unreadable::Damaged(key));
         let form = number("form")?;
         if form > FORM {
             return Err(Unreadable::Newer(form));
         }
-        let phase = v.get("phase").cloned().and_then(|p| serde_json::from_value(p).ok());
+        let phase = value.get("phase").cloned().and_then(|phase| serde_json::from_value(phase).ok());
         Ok(CoordinationRecord {
             version: number("version")?,
             phase: phase.ok_or(Unreadable::Damaged("phase"))?,
             pages: usize::try_from(number("pages")?).map_err(|_| Unreadable::Damaged("pages"))?,
-            body: v.get("body").cloned().ok_or(Unreadable::Damaged("body"))?,
+            body: value.get("body").cloned().ok_or(Unreadable::Damaged("body"))?,
         })
     }
 
@@ -186,42 +193,44 @@
     }
 }
 
-/// Splits a list into the values of pages, none longer than `bytes`. An item that fits into no page is an error of whoever
-/// made it; it is left out and counted.
+/// What a page takes beside its items, in bytes, rounded up.
+const PAGE_OVERHEAD: usize = 40;
+
+/// Splits a list into the values of pages, none longer than `bytes`, with the number of items that fit into no page:
+/// those are left out, an error of whoever made them.
 #[must_use]
 pub fn pages(items: impl IntoIterator<Item = Value>, bytes: usize) -> (Vec<Value>, usize) {
-    const HEAD: usize = 40;
-    let mut out: Vec<Vec<Value>> = Vec::new();
-    let (mut room, mut lost) = (0usize, 0);
+    let mut pages: Vec<Vec<Value>> = Vec::new();
+    let (mut free, mut left_out) = (0usize, 0);
     for item in items {
-        let long = item.to_string().len() + 1;
-        if long + HEAD > bytes {
-            lost += 1;
+        let length = item.to_string().len() + 1;
+        if length + PAGE_OVERHEAD > bytes {
+            left_out += 1;
             continue;
         }
-        if out.is_empty() || long > room {
-            out.push(Vec::new());
-            room = bytes - HEAD;
+        if pages.is_empty() || length > free {
+            pages.push(Vec::new());
+            free = bytes - PAGE_OVERHEAD;
         }
-        room -= long;
-        if let Some(page) = out.last_mut() {
+        free -= length;
+        if let Some(page) = pages.last_mut() {
             page.push(item);
         }
     }
-    (out.into_iter().map(|items| json!({"form": FORM, "items": items})).collect(), lost)
+    (pages.into_iter().map(|items| json!({"form": FORM, "items": items})).collect(), left_out)
 }
 
 /// Reads a page.
 ///
 /// # Errors
 /// If it is of a newer form, or damaged.
-pub fn items(v: &Value) -> Result<&[Value], Unreadable> {
-    match v.get("form").and_then(Value::as_u64) {
+pub fn items(page: &Value) -> Result<&[Value], Unreadable> {
+    match page.get("form").and_then(Value::as_u64) {
         Some(form) if form > FORM => return Err(Unreadable::Newer(form)),
         Some(_) => {}
         None => return Err(Unreadable::Damaged("form")),
     }
-    v.get("items").and_then(Value::as_array).map(Vec::as_slice).ok_or(Unreadable::Damaged("items"))
+    page.get("items").and_then(Value::as_array).map(Vec::as_slice).ok_or(Unreadable::Damaged("items"))
 }
 
 #[cfg(test)]
--- a/crates/coordination/src/record/tests.rs
+++ b/crates/coordination/src/record/tests.rs
@@ -3,8 +3,8 @@
 
 #[test]
 fn names_that_would_break_a_key_are_refused() {
-    for bad in ["", " ", "a b", "a/b", "a\n", &"x".repeat(NAME + 1)] {
-        assert_eq!(Key::new(Kind::Batch, bad), Err(BadName), "{bad:?}");
+    for bad in ["", " ", "a b", "a/b", "a\n", &"x".repeat(MAX_NAME_BYTES + 1)] {
+        assert_eq!(Key::new(Kind::Batch, bad), Err(InvalidName), "{bad:?}");
     }
     let key = Key::new(Kind::Release, "Kő-és-Kard@2026-12-01").expect("valid");
     assert_eq!(Key::parse(&key.head()), Some(key.clone()));
--- a/crates/failover/src/handoff_batch/tests.rs
+++ b/crates/failover/src/handoff_batch/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-/// Parcels and their acknowledgements are lost, doubled and overtaken, epochs pass in between: each is unpacked once
+/// Batches and their acknowledgements are lost, doubled and overtaken, epochs pass in between: each is applied once
 /// at the most, none of an older epoch ever, and all arrive that had an epoch of quiet.
 #[test]
-fn parcels_arrive_once_and_only_in_their_epoch() {
+fn batches_arrive_once_and_only_in_their_epoch() {
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let (mut out, mut inbox) = (Outbox::default(), Inbox::default());
@@ -26,9 +26,9 @@
             }
             if !calm && rng.random_bool(0.1) {
                 packed += 1;
-                out.pack(now, 1, (epoch, packed));
+                out.push(now, 1, (epoch, packed));
             }
-            for (n, p) in out.due(now, 1, Micros::from_millis(500)) {
+            for (n, p) in out.take_due(now, 1, Micros::from_millis(500)) {
                 for _ in 0..if calm { 1 } else { rng.random_range(0..3) } {
                     road.push((epoch, n, p));
                 }
@@ -37,16 +37,16 @@
                 let (e, n, p) = road.swap_remove(rng.random_range(0..road.len()));
                 // Frames of another epoch are dropped on arrival.
                 if e == epoch {
-                    inbox.take(0, 7, n, p);
+                    inbox.accept(0, 7, n, p);
                     if calm || rng.random_bool(0.5) {
                         back.push(n);
                     }
                 }
             }
             if rng.random_bool(0.5) {
-                out.acknowledged(1, &std::mem::take(&mut back));
+                out.acknowledge(1, &std::mem::take(&mut back));
             }
-            for (_, p) in inbox.unpack() {
+            for (_, p) in inbox.take_waiting() {
                 assert_eq!(p.0, epoch, "seed {seed}: of an older epoch");
                 assert!(!got.contains(&p), "seed {seed}: {p:?} twice");
                 got.push(p);
@@ -58,11 +58,11 @@
 }
 
 #[test]
-fn a_parcel_that_nobody_takes_is_given_up() {
+fn a_batch_that_nobody_acknowledges_is_given_up() {
     let mut out = Outbox::default();
-    out.pack(Micros(1), 2, "p");
-    assert_eq!(out.due(Micros(2), 2, Micros(10)).len(), 1);
-    assert!(out.due(Micros(5), 2, Micros(10)).is_empty(), "not yet again");
-    assert!(out.due(Micros(2), 1, Micros(10)).is_empty(), "not to others");
-    assert!(out.due(LIFE + Micros(1), 2, Micros(10)).is_empty() && out.is_empty());
+    out.push(Micros(1), 2, "p");
+    assert_eq!(out.take_due(Micros(2), 2, Micros(10)).len(), 1);
+    assert!(out.take_due(Micros(5), 2, Micros(10)).is_empty(), "not yet again");
+    assert!(out.take_due(Micros(2), 1, Micros(10)).is_empty(), "not to others");
+    assert!(out.take_due(LIFE + Micros(1), 2, Micros(10)).is_empty() && out.is_empty());
 }
--- a/crates/failover/tests/model.rs
+++ b/crates/failover/tests/model.rs
@@ -1,7 +1,7 @@
 //! The argument for starting a taken-over task at once, checked over all interleavings.
 //!
-//! One task. Its owner C is also the home of machine 0, and may start it there; A and B are the other members. C may crash at
-//! any moment, B too; messages may be lost or late. Then A owns the task and may start it on machine 1. Never may both
+//! One task. C leads its job and machine 0, and may start it there; A and B are the other members. C may crash at
+//! any moment, B too; messages may be lost or late. Then A leads the job and may start it on machine 1. Never may both
 //! machines run it, and wherever nothing more can happen it must run. With any guard taken out, a way to break that is found.
 
 use std::collections::{HashSet, VecDeque};
@@ -9,22 +9,22 @@
 /// The guards of `docs/takeovers.md`.
 #[derive(Clone, Copy, Debug)]
 struct Guards {
-    /// A start goes out only once a witness holds it.
-    witness_first: bool,
-    /// Word on the dead one counts only once every other member of its epoch has spoken.
+    /// A start goes out only once a replica holds it.
+    replicated_first: bool,
+    /// What replicas say of a dead leader counts only once every other member of its epoch has spoken.
     all_speak: bool,
-    /// Who goes on without witnesses has that on record first.
+    /// A leader that goes on without replicas has that on record first.
     on_record_first: bool,
-    /// Nobody's word counts about one that has it on record.
+    /// What replicas say of a leader that has it on record doesn't count.
     record_read: bool,
-    /// A start that a witness names is waited for until its machine has spoken.
+    /// A start that a replica names is waited for until its machine has spoken.
     named_is_waited_for: bool,
-    /// A report counts only if it shows the new token: until then an older answer may still be executed.
+    /// A heartbeat counts only if it shows the new token: until then an older response may still be executed.
     token: bool,
 }
 
 const ALL: Guards = Guards {
-    witness_first: true,
+    replicated_first: true,
     all_speak: true,
     on_record_first: true,
     record_read: true,
@@ -33,15 +33,15 @@
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Road {
-    Not,
+enum Transit {
+    NotSent,
     OnTheWay,
     Arrived,
     Lost,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Without {
+enum Degraded {
     No,
     /// The write is on its way; with the epoch it fails.
     Asked,
@@ -61,20 +61,20 @@
 struct State {
     c_lives: bool,
     b_lives: bool,
-    /// A owns the task.
+    /// A leads the job.
     next_epoch: bool,
     placed: bool,
-    /// The word on the start, to A and to B, and their answers.
-    told: [Road; 2],
-    noted: [Road; 2],
-    without: Without,
+    /// The delta with the start, to A and to B, and their acknowledgements.
+    delta: [Transit; 2],
+    acknowledgement: [Transit; 2],
+    degraded: Degraded,
     /// The start, to machine 0.
-    start: Road,
+    start: Transit,
     machine: Machine,
-    /// Machine 0 has seen the new token; A has a report of it that counts.
+    /// Machine 0 has seen the new token; A has a heartbeat of it that counts.
     new_token: bool,
     reported: bool,
-    /// A and B have spoken to the new owner.
+    /// A and B have spoken to the new leader.
     spoken: [bool; 2],
     /// A has started the task on machine 1.
     elsewhere: bool,
@@ -85,10 +85,10 @@
     b_lives: true,
     next_epoch: false,
     placed: false,
-    told: [Road::Not; 2],
-    noted: [Road::Not; 2],
-    without: Without::No,
-    start: Road::Not,
+    delta: [Transit::NotSent; 2],
+    acknowledgement: [Transit::NotSent; 2],
+    degraded: Degraded::No,
+    start: Transit::NotSent,
     machine: Machine::Idle,
     new_token: false,
     reported: false,
@@ -98,14 +98,14 @@
 
 impl Guards {
     fn may_send(self, s: &State) -> bool {
-        let without = match self.on_record_first {
-            true => s.without == Without::Known,
-            false => s.without != Without::No,
+        let may_go_alone = match self.on_record_first {
+            true => s.degraded == Degraded::Known,
+            false => s.degraded != Degraded::No,
         };
-        !self.witness_first || without || s.noted.contains(&Road::Arrived)
+        !self.replicated_first || may_go_alone || s.acknowledgement.contains(&Transit::Arrived)
     }
 
-    /// Whether the task may be on machine 0 for all that A knows. `seen`: the report that counts showed the task.
+    /// Whether the task may be on machine 0 for all that A knows. A heartbeat that counts shows it.
     fn may_be_there(self, s: &State) -> bool {
         // Its lease is certainly over.
         if s.machine == Machine::Dead {
@@ -115,9 +115,9 @@
             return s.machine == Machine::Runs;
         }
         let all = if self.all_speak { s.spoken == [true, true] } else { s.spoken.contains(&true) };
-        let on_record = matches!(s.without, Without::OnRecord | Without::Known);
+        let on_record = matches!(s.degraded, Degraded::OnRecord | Degraded::Known);
         let counts = all && !(self.record_read && on_record);
-        let named = |p: usize| s.spoken[p] && s.told[p] == Road::Arrived;
+        let named = |p: usize| s.spoken[p] && s.delta[p] == Transit::Arrived;
         !counts || (self.named_is_waited_for && (named(0) || named(1)))
     }
 
@@ -135,44 +135,46 @@
         if s.c_lives && !s.next_epoch {
             then(&|n| n.placed = true);
             for p in [0, 1] {
-                if s.placed && s.told[p] == Road::Not {
-                    then(&|n| n.told[p] = Road::OnTheWay);
+                if s.placed && s.delta[p] == Transit::NotSent {
+                    then(&|n| n.delta[p] = Transit::OnTheWay);
                 }
-                if s.noted[p] == Road::OnTheWay {
-                    then(&|n| n.noted[p] = Road::Arrived);
-                    then(&|n| n.noted[p] = Road::Lost);
+                if s.acknowledgement[p] == Transit::OnTheWay {
+                    then(&|n| n.acknowledgement[p] = Transit::Arrived);
+                    then(&|n| n.acknowledgement[p] = Transit::Lost);
                 }
             }
-            if s.placed && s.without == Without::No {
-                then(&|n| n.without = Without::Asked);
+            if s.placed && s.degraded == Degraded::No {
+                then(&|n| n.degraded = Degraded::Asked);
             }
-            if s.without == Without::OnRecord {
-                then(&|n| n.without = Without::Known);
+            if s.degraded == Degraded::OnRecord {
+                then(&|n| n.degraded = Degraded::Known);
             }
-            if s.placed && s.start == Road::Not && self.may_send(s) {
-                then(&|n| n.start = Road::OnTheWay);
+            if s.placed && s.start == Transit::NotSent && self.may_send(s) {
+                then(&|n| n.start = Transit::OnTheWay);
             }
         }
         for p in [0, 1] {
             // A frame names its epoch: who has adopted the next one drops it.
-            if s.told[p] == Road::OnTheWay && b(p) && !s.next_epoch {
-                then(&|n| (n.told[p], n.noted[p]) = (Road::Arrived, Road::OnTheWay));
-                then(&|n| n.told[p] = Road::Lost);
+            if s.delta[p] == Transit::OnTheWay && b(p) && !s.next_epoch {
+                then(&|n| (n.delta[p], n.acknowledgement[p]) = (Transit::Arrived, Transit::OnTheWay));
+                then(&|n| n.delta[p] = Transit::Lost);
             }
             if s.next_epoch && b(p) {
                 then(&|n| n.spoken[p] = true);
             }
         }
-        if s.without == Without::Asked {
+        if s.degraded == Degraded::Asked {
             // Its condition is the epoch: late, it fails.
-            then(&|n| n.without = if s.next_epoch { Without::No } else { Without::OnRecord });
-            then(&|n| n.without = Without::No);
+            then(&|n| n.degraded = if s.next_epoch { Degraded::No } else { Degraded::OnRecord });
+            then(&|n| n.degraded = Degraded::No);
         }
-        if s.start == Road::OnTheWay {
-            // A worker drops an answer whose token is lower than one that it has seen.
+        if s.start == Transit::OnTheWay {
+            // A worker drops a response whose token is lower than one that it has seen.
             let taken = s.machine == Machine::Idle && !s.new_token;
-            then(&|n| (n.start, n.machine) = (Road::Arrived, if taken { Machine::Runs } else { s.machine }));
-            then(&|n| n.start = Road::Lost);
+            then(&|n| {
+                (n.start, n.machine) = (Transit::Arrived, if taken { Machine::Runs } else { s.machine })
+            });
+            then(&|n| n.start = Transit::Lost);
         }
         if s.c_lives {
             then(&|n| n.c_lives = false);
@@ -180,11 +182,11 @@
             then(&|n| n.next_epoch = true);
         }
         if s.b_lives {
-            // What it held is gone with it, unless it has told.
+            // What it held is gone with it, unless it has spoken.
             then(&|n| {
                 n.b_lives = false;
                 if !n.spoken[1] {
-                    n.told[1] = Road::Lost;
+                    n.delta[1] = Transit::Lost;
                 }
             });
         }
@@ -245,7 +247,7 @@
 #[test]
 fn without_any_one_guard_some_interleaving_does() {
     let without = [
-        ("witness first", Guards { witness_first: false, ..ALL }),
+        ("replicated first", Guards { replicated_first: false, ..ALL }),
         ("all speak", Guards { all_speak: false, ..ALL }),
         ("on record first", Guards { on_record_first: false, ..ALL }),
         ("record read", Guards { record_read: false, ..ALL }),
--- a/crates/freshness/src/guard.rs
+++ b/crates/freshness/src/guard.rs
@@ -3,7 +3,7 @@
 use crate::batch::{Batch, Grant, Permit, Writer};
 use crate::settings::Settings;
 use crate::upstream::{Known, Look, Of, Run, look};
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 use std::collections::BTreeSet;
 
 /// What is known of a merge and all that it rests on.
@@ -61,15 +61,15 @@
     pub fn verdict(
         &self,
         settings: &Settings,
-        held: &Held,
+        held: &CachedRecord,
         know: impl Fn(&str) -> Known,
         runs: &BTreeSet<Run>,
     ) -> Verdict {
         let record = match held {
-            Held::Unread => return Verdict::Unknown(Why::Unread),
-            Held::Absent => return Verdict::Unknown(Why::Absent),
-            Held::Unreadable(why) => return Verdict::Unknown(Why::Record(why.to_string())),
-            Held::Is(r) => r,
+            CachedRecord::NotRead => return Verdict::Unknown(Why::Unread),
+            CachedRecord::Absent => return Verdict::Unknown(Why::Absent),
+            CachedRecord::Unreadable(why) => return Verdict::Unknown(Why::Record(why.to_string())),
+            CachedRecord::Present(r) => r,
         };
         // A merge follows its batch: once that is at a newer version, only runs of that will do.
         if record.version < self.of.version {
@@ -110,9 +110,9 @@
     /// Whether a running task must be stopped, with nothing saved: its inputs are known to be old, and its write has not
     /// begun. What is merely not known stops nothing.
     #[must_use]
-    pub fn must_stop(&self, held: &Held, writer: &Writer) -> bool {
+    pub fn must_stop(&self, held: &CachedRecord, writer: &Writer) -> bool {
         let writes = || match held {
-            Held::Is(r) => Batch::read(r).is_ok_and(|b| b.held_by(writer).is_some()),
+            CachedRecord::Present(r) => Batch::read(r).is_ok_and(|b| b.held_by(writer).is_some()),
             _ => false,
         };
         matches!(self, Verdict::Stale(..)) && !writes()
@@ -151,8 +151,8 @@
 
 /// Answers a writer's question from a reading that began after it came.
 #[must_use]
-pub fn permit(verdict: &Verdict, held: &Held, writer: &Writer, bytes: usize) -> Answer {
-    let Held::Is(record) = held else { return Answer::Later(verdict.reason()) };
+pub fn permit(verdict: &Verdict, held: &CachedRecord, writer: &Writer, bytes: usize) -> Answer {
+    let CachedRecord::Present(record) = held else { return Answer::Later(verdict.reason()) };
     let batch = match Batch::read(record) {
         Ok(b) => b,
         Err(why) => return Answer::Later(why.to_string()),
@@ -194,10 +194,10 @@
             Known::Ended(Says { class: Some("split".into()), batch, follows: vec![] })
         }
     }
-    fn held(version: u64) -> Held {
-        Held::Is(Batch::first(version).record())
+    fn held(version: u64) -> CachedRecord {
+        CachedRecord::Present(Batch::first(version).record())
     }
-    fn verdict(held: &Held, read: u64, runs: &[Run]) -> Verdict {
+    fn verdict(held: &CachedRecord, read: u64, runs: &[Run]) -> Verdict {
         merge().verdict(&settings(), held, at(read), &runs.iter().cloned().collect())
     }
 
@@ -213,7 +213,8 @@
 
     #[test]
     fn nothing_rests_on_what_is_not_known() {
-        for h in [Held::Unread, Held::Absent, Held::Unreadable(Unreadable::Newer(9))] {
+        for h in [CachedRecord::NotRead, CachedRecord::Absent, CachedRecord::Unreadable(Unreadable::Newer(9))]
+        {
             let v = verdict(&h, 7, &[]);
             assert!(matches!(v, Verdict::Unknown(_)) && !v.may_start(), "{h:?}");
         }
@@ -233,14 +234,14 @@
             panic!("no permit")
         };
         let Ok(crate::batch::Put::Raised(b)) = b.put(8) else { panic!("not raised") };
-        let h = Held::Is(b.record());
+        let h = CachedRecord::Present(b.record());
         let v = verdict(&h, 7, &[]);
         assert!(!v.must_stop(&h, &w));
         assert_eq!(permit(&v, &h, &w, 2000), Answer::Holds(p));
         let next = Writer { attempt: 2, ..w };
         assert!(v.must_stop(&h, &next));
         assert!(matches!(permit(&v, &h, &next, 2000), Answer::Stale(8, _)));
-        let damaged = Held::Is(CoordinationRecord::open(7, serde_json::json!(1)));
+        let damaged = CachedRecord::Present(CoordinationRecord::open(7, serde_json::json!(1)));
         assert!(matches!(permit(&verdict(&damaged, 7, &[]), &damaged, &next, 2000), Answer::Later(_)));
     }
 }
--- a/crates/freshness/tests/model.rs
+++ b/crates/freshness/tests/model.rs
@@ -6,7 +6,7 @@
 //! is cut short, no owner starts a merge on what was old before its time, and wherever things stand both merges can still
 //! get done. With any guard taken out, one of these breaks.
 
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 use hazelsaddle_freshness::batch::{Batch, Permit, Put, Writer};
 use hazelsaddle_freshness::guard::{Answer, Merge, Verdict, permit};
 use hazelsaddle_freshness::settings::Settings;
@@ -112,14 +112,14 @@
 }
 
 impl Guards {
-    fn look(self, batch: &Batch, again: bool) -> (Held, Verdict) {
+    fn look(self, batch: &Batch, again: bool) -> (CachedRecord, Verdict) {
         let mut s = Settings::default();
         s.set("sources", "split").expect("valid");
         let of = Of { name: "b".into(), version: 1 };
         let says = Says { class: Some("split".into()), batch: Some(of.clone()), follows: vec![] };
         let run = Run { job: "n".into(), class: "split".into(), version: 2 };
         let runs: BTreeSet<Run> = if again && self.superseded { [run].into() } else { [].into() };
-        let held = Held::Is(batch.record());
+        let held = CachedRecord::Present(batch.record());
         let merge = Merge { of, follows: vec!["s".into()] };
         let v = merge.verdict(&s, &held, |_| Known::Ended(says.clone()), &runs);
         (held, v)
@@ -291,7 +291,7 @@
             if !self.overtaken && answer == Answer::Overtaken {
                 let mut without = (*b).clone();
                 without.permits.retain(|p| p.job != writer.job);
-                answer = permit(v, &Held::Is(without.record()), &writer, 4000);
+                answer = permit(v, &CachedRecord::Present(without.record()), &writer, 4000);
             }
             match answer {
                 Answer::Write(mut next, mut p) => {
@@ -363,8 +363,8 @@
     }
 }
 
-fn held_by(held: &Held, w: &Writer) -> bool {
-    matches!(held, Held::Is(r) if Batch::read(r).is_ok_and(|b| b.held_by(w).is_some()))
+fn held_by(held: &CachedRecord, w: &Writer) -> bool {
+    matches!(held, CachedRecord::Present(r) if Batch::read(r).is_ok_and(|b| b.held_by(w).is_some()))
 }
 
 struct Explored {
--- a/crates/release/src/join.rs
+++ b/crates/release/src/join.rs
@@ -11,7 +11,7 @@
 use crate::release_ref::ReleaseRef;
 use crate::set::{ClosedBy, Release};
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 
 /// Whether a job may join.
 #[derive(Clone, Debug, PartialEq)]
@@ -145,7 +145,13 @@
 /// Whether a job that names this night may join, by what is known of the record. A job that was accepted is not asked again:
 /// its repeat is answered by its own record.
 #[must_use]
-pub fn may_join(held: &Held, calendars: &Calendars, says: &ReleaseRef, class: &str, now: u64) -> Join {
+pub fn may_join(
+    held: &CachedRecord,
+    calendars: &Calendars,
+    says: &ReleaseRef,
+    class: &str,
+    now: u64,
+) -> Join {
     let calendar = calendars.of(&says.title);
     if let Some(c) = calendar
         && !c.takes(says.stage, class)
@@ -158,10 +164,10 @@
         });
     }
     match held {
-        Held::Unread => Join::Later("the release's record is not read yet".into()),
-        Held::Unreadable(why) => Join::Later(why.to_string()),
-        Held::Is(record) => on_record(record, says),
-        Held::Absent => match calendar {
+        CachedRecord::NotRead => Join::Later("the release's record is not read yet".into()),
+        CachedRecord::Unreadable(why) => Join::Later(why.to_string()),
+        CachedRecord::Present(record) => on_record(record, says),
+        CachedRecord::Absent => match calendar {
             None => Join::Refused(unknown(calendars, &says.title)),
             Some(c) => absent(c, says, now).map_or_else(Join::Refused, |r| Join::Open(r.record())),
         },
--- a/crates/release/src/readiness.rs
+++ b/crates/release/src/readiness.rs
@@ -3,7 +3,7 @@
 use crate::calendar::Stage;
 use crate::set::{MISSING, Member, Release, counted, rotated};
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 use serde::Serialize;
 use std::fmt;
 
@@ -117,13 +117,13 @@
 /// What a rotation waits for. `members`: all of a closed set, from its pages; of one that is not closed those known so far,
 /// which are shown and decide nothing. `fact` must come from records.
 #[must_use]
-pub fn verdict(held: &Held, members: Option<&[Member]>, fact: impl Fn(&str) -> Fact) -> Readiness {
+pub fn verdict(held: &CachedRecord, members: Option<&[Member]>, fact: impl Fn(&str) -> Fact) -> Readiness {
     let one = |c| Readiness::Held { why: vec![c] };
     let record = match held {
-        Held::Unread => return one(Cause::Unread),
-        Held::Absent => return one(Cause::NotOpened),
-        Held::Unreadable(why) => return one(Cause::Unreadable { why: why.to_string() }),
-        Held::Is(record) => record,
+        CachedRecord::NotRead => return one(Cause::Unread),
+        CachedRecord::Absent => return one(Cause::NotOpened),
+        CachedRecord::Unreadable(why) => return one(Cause::Unreadable { why: why.to_string() }),
+        CachedRecord::Present(record) => record,
     };
     let body = match Release::read(record) {
         Ok(body) => body,
--- a/crates/release/src/set.rs
+++ b/crates/release/src/set.rs
@@ -278,8 +278,8 @@
     if record.phase != Phase::Closing {
         return Err(ChangeError::Already(record.phase));
     }
-    let members: Vec<Member> = found.iter().filter_map(|(id, m)| Member::of(id, &m.says)).collect();
-    let standing = |m: &&Member| found.get(&m.id).is_none_or(|f| f.stands != census::Stands::Cancelled);
+    let members: Vec<Member> = found.iter().filter_map(|(id, m)| Member::of(id, &m.declaration)).collect();
+    let standing = |m: &&Member| found.get(&m.id).is_none_or(|f| f.state != census::MemberState::Cancelled);
     let (expects, _) = counted(members.iter().filter(standing));
     let (values, lost) = pages(members.iter().map(Member::item), bytes);
     if lost > 0 {
--- a/crates/release/src/status.rs
+++ b/crates/release/src/status.rs
@@ -5,7 +5,7 @@
 use crate::readiness::{Cause, Fact, Readiness, verdict};
 use crate::set::{ClosedBy, MISSING, Member, Release};
 use hazelsaddle_coordination::record::Phase;
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 use jiff::Timestamp;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
     #[must_use]
     pub fn of(
         (title, night): (&str, &str),
-        held: &Held,
+        held: &CachedRecord,
         members: Option<&[Member]>,
         fact: impl Fn(&str) -> Fact,
         now: u64,
@@ -75,8 +75,8 @@
             title: title.to_owned(),
             night: night.to_owned(),
             state: match held {
-                Held::Unread => "unread",
-                Held::Absent => "absent",
+                CachedRecord::NotRead => "unread",
+                CachedRecord::Absent => "absent",
                 _ => "unreadable",
             },
             version: 0,
@@ -92,7 +92,7 @@
             late: false,
             waits_for: Vec::new(),
         };
-        if let Held::Is(record) = held
+        if let CachedRecord::Present(record) = held
             && let Ok(body) = Release::read(record)
         {
             s.state = match record.phase {
--- a/crates/release/src/tests.rs
+++ b/crates/release/src/tests.rs
@@ -5,9 +5,9 @@
 use crate::release_ref::{ReleaseRef, key};
 use crate::set::{self, ChangeError, ClosedBy, MISSING, Member, Release};
 use crate::status::ReleaseStatus;
-use hazelsaddle_coordination::census::{self, Stands};
+use hazelsaddle_coordination::census::{self, MemberState};
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase, Unreadable};
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -41,7 +41,9 @@
 }
 /// A set closed with a rebuild `a` that declares two renders, and these renders.
 fn closed(renders: &[&str]) -> (CoordinationRecord, Vec<Member>) {
-    let found = |id: &str, says: Value| (id.to_owned(), census::Member { stands: Stands::Live, says });
+    let found = |id: &str, says: Value| {
+        (id.to_owned(), census::Member { state: MemberState::Live, declaration: says })
+    };
     let mut all: BTreeMap<String, census::Member> =
         [found("a", json!({"title": "boldog-1", "stage": "rebuild", "expects": 2}))].into();
     all.extend(renders.iter().map(|id| found(id, json!({"title": "boldog-1", "stage": "render"}))));
@@ -53,7 +55,7 @@
     (head, members)
 }
 fn causes(record: &CoordinationRecord, members: &[Member], fact: impl Fn(&str) -> Fact) -> Vec<String> {
-    match verdict(&Held::Is(record.clone()), Some(members), fact) {
+    match verdict(&CachedRecord::Present(record.clone()), Some(members), fact) {
         Readiness::Held { why } => why.iter().map(ToString::to_string).collect(),
         other => panic!("{other:?}"),
     }
@@ -62,7 +64,9 @@
 #[test]
 fn who_may_join_and_why_not() {
     let c = calendars("05:00");
-    let ask = |held: &Held, s: &ReleaseRef, class: &str, now: u64| match may_join(held, &c, s, class, now) {
+    let ask = |held: &CachedRecord, s: &ReleaseRef, class: &str, now: u64| match may_join(
+        held, &c, s, class, now,
+    ) {
         Join::Now => "now".to_owned(),
         Join::Open(r) => format!("open {}", r.version),
         Join::Later(why) => format!("later: {why}"),
@@ -70,12 +74,15 @@
     };
     let (render, rotation) = (says(Stage::Render, "2026-12-01"), says(Stage::Rotation, "2026-12-01"));
     let class = "otbasy-baila";
-    let none = &Held::Absent;
-    assert!(ask(&Held::Unread, &render, class, BEGINS).starts_with("later"));
-    assert!(ask(&Held::Unreadable(Unreadable::Newer(9)), &render, class, BEGINS).contains("form 9"));
+    let none = &CachedRecord::Absent;
+    assert!(ask(&CachedRecord::NotRead, &render, class, BEGINS).starts_with("later"));
+    assert!(ask(&CachedRecord::Unreadable(Unreadable::Newer(9)), &render, class, BEGINS).contains("form 9"));
     let mut damaged = opened();
     damaged.body = json!({"title": 7});
-    assert!(ask(&Held::Is(damaged), &rotation, class, BEGINS).starts_with("later"), "never guessed");
+    assert!(
+        ask(&CachedRecord::Present(damaged), &rotation, class, BEGINS).starts_with("later"),
+        "never guessed"
+    );
     assert_eq!(ask(none, &render, class, BEGINS - EARLY), "open 1");
     assert_eq!(
         ask(none, &render, class, BEGINS - EARLY - 1),
@@ -102,14 +109,14 @@
 
     let open = opened();
     // The record decides, not the clock.
-    assert_eq!(ask(&Held::Is(open.clone()), &render, class, BEGINS + 20 * HOUR), "now");
+    assert_eq!(ask(&CachedRecord::Present(open.clone()), &render, class, BEGINS + 20 * HOUR), "now");
     let closing = set::closing(&open, ClosedBy::Calendar).expect("open");
     assert_eq!(closing.phase, Phase::Closing);
     assert!(
-        ask(&Held::Is(closing.clone()), &render, class, BEGINS)
+        ask(&CachedRecord::Present(closing.clone()), &render, class, BEGINS)
             .starts_with("the release of boldog-1 on 2026-12-01 was closed by the calendar")
     );
-    assert_eq!(ask(&Held::Is(closing), &rotation, class, BEGINS), "now");
+    assert_eq!(ask(&CachedRecord::Present(closing), &rotation, class, BEGINS), "now");
 }
 
 #[test]
@@ -156,16 +163,19 @@
 fn a_rotation_waits_for_each_cause_by_name() {
     let all = |f: Fact| move |_: &str| f;
     for (held, cause) in [
-        (Held::Unread, Cause::Unread),
-        (Held::Absent, Cause::NotOpened),
-        (Held::Unreadable(Unreadable::Newer(2)), Cause::Unreadable { why: Unreadable::Newer(2).to_string() }),
+        (CachedRecord::NotRead, Cause::Unread),
+        (CachedRecord::Absent, Cause::NotOpened),
+        (
+            CachedRecord::Unreadable(Unreadable::Newer(2)),
+            Cause::Unreadable { why: Unreadable::Newer(2).to_string() },
+        ),
     ] {
         assert_eq!(verdict(&held, Some(&[]), all(Fact::Done)), Readiness::Held { why: vec![cause] });
     }
     let (head, members) = closed(&["b", "c"]);
     assert_eq!(members.len(), 3, "a rotation is no member");
     assert_eq!(
-        verdict(&Held::Is(head.clone()), None, all(Fact::Done)),
+        verdict(&CachedRecord::Present(head.clone()), None, all(Fact::Done)),
         Readiness::Held { why: vec![Cause::Pages] }
     );
     let facts = |id: &str| match id {
@@ -186,19 +196,22 @@
     let waived = set::waive(&head, &members, "b", "broken prices").expect("a member");
     assert_eq!(causes(&waived, &members, |id| if id == "b" { Fact::Cancelled } else { Fact::Done }).len(), 1);
     let waived = set::waive(&waived, &members, MISSING, "one is enough").expect("closed");
-    let Readiness::Ready(next) = verdict(&Held::Is(waived.clone()), Some(&members), |id| {
+    let Readiness::Ready(next) = verdict(&CachedRecord::Present(waived.clone()), Some(&members), |id| {
         if id == "b" { Fact::Cancelled } else { Fact::Done }
     }) else {
         panic!("nothing is left to wait for")
     };
     // On record first; and from then on whatever else is known.
-    assert_eq!(verdict(&Held::Is(next.clone()), None, all(Fact::Unread)), Readiness::Open);
+    assert_eq!(verdict(&CachedRecord::Present(next.clone()), None, all(Fact::Unread)), Readiness::Open);
     assert_eq!(set::reopen(&next), Err(ChangeError::Rotated("boldog-1".into(), "2026-12-01".into())));
     assert!(matches!(set::waive(&next, &members, "c", "late"), Err(ChangeError::Rotated(..))));
 
     let (none, members) = closed(&[]);
     let without = set::waive(&none, &members, MISSING, "prices alone").expect("closed");
-    assert!(matches!(verdict(&Held::Is(without), Some(&members), all(Fact::Done)), Readiness::Ready(_)));
+    assert!(matches!(
+        verdict(&CachedRecord::Present(without), Some(&members), all(Fact::Done)),
+        Readiness::Ready(_)
+    ));
     let rebuild = [member("a", Stage::Rebuild, None)];
     assert_eq!(
         causes(&none, &rebuild, all(Fact::Done)),
@@ -263,7 +276,13 @@
     let head = set::waive(&head, &members, "c", "shop 7 is shut").expect("a member");
     let fact = |id: &str| if id == "a" { Fact::Done } else { Fact::Live };
     let show = |now| {
-        ReleaseStatus::of(("boldog-1", "2026-12-01"), &Held::Is(head.clone()), Some(&members), fact, now)
+        ReleaseStatus::of(
+            ("boldog-1", "2026-12-01"),
+            &CachedRecord::Present(head.clone()),
+            Some(&members),
+            fact,
+            now,
+        )
     };
     assert_eq!(
         show(BEGINS + 11 * HOUR).to_string(),
@@ -274,7 +293,7 @@
     assert_eq!((&v["late"], &v["closed_by"]), (&json!(false), &json!("operator")));
     let waits = json!([{"cause": "live", "job": "b", "stage": "render", "text": "render b is not finished"}]);
     assert_eq!(v["waits_for"], waits);
-    let gone = ReleaseStatus::of(("boldog-1", "2026-12-01"), &Held::Absent, None, fact, BEGINS);
+    let gone = ReleaseStatus::of(("boldog-1", "2026-12-01"), &CachedRecord::Absent, None, fact, BEGINS);
     assert_eq!((gone.state, gone.waits_for[0].text.as_str()), ("absent", "no render has joined yet"));
 }
 
--- a/crates/release/tests/races.rs
+++ b/crates/release/tests/races.rs
@@ -1,9 +1,9 @@
 //! Random races against a conditional store, with the package's own decisions: joins race closing, ends, cancels, waivers and
 //! reopening; three controllers hold old readings, forget all in a crash, get no answers, and their commits come late.
 
-use hazelsaddle_coordination::census::{Census, ENDS, LIVE, Reading, Stands, Step};
+use hazelsaddle_coordination::census::{Census, CensusStep, ENDS, JobReading, LIVE, MemberState};
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 use hazelsaddle_release::calendar::{Calendar, Calendars, Stage};
 use hazelsaddle_release::join::{Join, Refusal, may_join};
 use hazelsaddle_release::readiness::{Fact, Readiness, verdict};
@@ -69,12 +69,13 @@
         }
         true
     }
-    fn held(&self) -> (Held, u64) {
+    fn held(&self) -> (CachedRecord, u64) {
         match self.rows.get(&key().head()) {
-            None => (Held::Absent, 0),
-            Some((v, store_version)) => {
-                (CoordinationRecord::read(v).map_or_else(Held::Unreadable, Held::Is), *store_version)
-            }
+            None => (CachedRecord::Absent, 0),
+            Some((v, store_version)) => (
+                CoordinationRecord::read(v).map_or_else(CachedRecord::Unreadable, CachedRecord::Present),
+                *store_version,
+            ),
         }
     }
     fn fact(&self, id: &str) -> Fact {
@@ -95,18 +96,18 @@
     }
 }
 
-fn read(_: &str, v: &Value) -> Reading {
-    let stands = match v["end"].as_str() {
-        None => Stands::Live,
-        Some("done") => Stands::Done,
-        Some(_) => Stands::Cancelled,
+fn read(_: &str, v: &Value) -> Option<JobReading> {
+    let state = match v["end"].as_str() {
+        None => MemberState::Live,
+        Some("done") => MemberState::Done,
+        Some(_) => MemberState::Cancelled,
     };
-    Some((vec![(key().head(), v["says"].clone())], stands))
+    Some(JobReading { joined: vec![(key().head(), v["says"].clone())], state })
 }
 
 /// What one controller holds; all of it is gone in a crash.
 struct Controller {
-    held: Held,
+    held: CachedRecord,
     store_version: u64,
     census: Option<Census>,
     members: Option<Vec<Member>>,
@@ -114,11 +115,11 @@
 
 impl Controller {
     fn new() -> Controller {
-        Controller { held: Held::Unread, store_version: 0, census: None, members: None }
+        Controller { held: CachedRecord::NotRead, store_version: 0, census: None, members: None }
     }
     fn read(&mut self, store: &Store) {
         let (held, store_version) = store.held();
-        if store_version != self.store_version || self.held == Held::Unread {
+        if store_version != self.store_version || self.held == CachedRecord::NotRead {
             *self = Controller { held, store_version, census: None, members: None };
         }
     }
@@ -187,7 +188,7 @@
 
     fn head(&mut self, c: usize, record: &CoordinationRecord, way: Way) -> bool {
         let key = key().head();
-        if let Held::Is(old) = &self.controllers[c].held {
+        if let CachedRecord::Present(old) = &self.controllers[c].held {
             old.allows(record).expect("no decision goes back");
         }
         let commit = Commit {
@@ -224,7 +225,7 @@
 
     /// What a controller does by itself, one step.
     fn step(&mut self, c: usize, way: Way) {
-        let Held::Is(record) = self.controllers[c].held.clone() else { return };
+        let CachedRecord::Present(record) = self.controllers[c].held.clone() else { return };
         let body = Release::read(&record).expect("readable");
         match record.phase {
             Phase::Open => {
@@ -269,17 +270,17 @@
 
     fn count(&mut self, c: usize, record: &CoordinationRecord, way: Way) {
         let census = self.controllers[c].census.get_or_insert_with(|| Census::begin([key().head()].into()));
-        match census.next() {
-            Step::Read(prefix, after) => {
+        match census.next_step() {
+            CensusStep::ReadPage { prefix, after } => {
                 let rows = self.store.rows.range(after..).filter(|(k, _)| k.starts_with(prefix));
                 let mut rows: Vec<(String, Value)> = rows.map(|(k, r)| (k.clone(), r.0.clone())).collect();
-                if let Step::Read(_, after) = census.next() {
+                if let CensusStep::ReadPage { after, .. } = census.next_step() {
                     rows.retain(|(k, _)| *k > after);
                 }
                 let more = rows.len() > 2;
-                census.page(rows.into_iter().take(2), more, read);
+                census.apply_page(rows.into_iter().take(2), more, read);
             }
-            Step::Over => {
+            CensusStep::Complete => {
                 let found = census.members(&key().head()).expect("all readable");
                 let (pages, head) = set::closed(&key(), record, &found, PAGE).expect("closing");
                 let store_version = self.controllers[c].store_version;
@@ -304,7 +305,7 @@
         change: impl Fn(&CoordinationRecord, &[Member]) -> Result<CoordinationRecord, set::ChangeError>,
         way: Way,
     ) {
-        let Held::Is(record) = self.controllers[c].held.clone() else { return };
+        let CachedRecord::Present(record) = self.controllers[c].held.clone() else { return };
         let known = self.controllers[c].members.clone().unwrap_or_default();
         if let Ok(next) = change(&record, &known) {
             self.head(c, &next, way);
@@ -357,7 +358,7 @@
             return;
         }
         let (held, _) = self.store.held();
-        let Held::Is(record) = held else { panic!("started without a record") };
+        let CachedRecord::Present(record) = held else { panic!("started without a record") };
         let body = Release::read(&record).expect("readable");
         assert!(record.phase == Phase::Closed && body.rotated, "started before it was closed: {record:?}");
         let all = self.store.accepted();
@@ -384,7 +385,7 @@
         for _ in 0..60 {
             self.play(&Op::Read(0), Way::Answered);
             self.play(&Op::Step(0), Way::Answered);
-            if let Held::Is(r) = &self.controllers[0].held
+            if let CachedRecord::Present(r) = &self.controllers[0].held
                 && Release::read(r).is_ok_and(|b| b.by_hand && r.phase == Phase::Open)
             {
                 self.play(&Op::Close(0), Way::Answered);
@@ -431,7 +432,7 @@
         for (op, way) in &ops {
             w.play(op, *way);
         }
-        let begun = !matches!(w.store.held().0, Held::Absent);
+        let begun = !matches!(w.store.held().0, CachedRecord::Absent);
         w.settle();
         prop_assert!(w.started || !begun, "held for ever: {:?}", w.store.held());
         // Whatever comes late now changes nothing.
@@ -456,7 +457,7 @@
         }
         refused += usize::from(!w.refused.is_empty());
         started += usize::from(w.started);
-        reopened += usize::from(matches!(w.store.held().0, Held::Is(r) if r.version > 1));
+        reopened += usize::from(matches!(w.store.held().0, CachedRecord::Present(r) if r.version > 1));
         cancelled +=
             usize::from(w.store.accepted().iter().any(|(id, _)| w.store.fact(id) == Fact::Cancelled));
     }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -31,8 +31,9 @@
 use crate::config::settings::Settings;
 use crate::job_shard::{JobOutcome, JobShard, RecordWrite};
 use crate::machine_registry::{self, MachineRegistry, PageWrite};
-use crate::machine_shard::{FencingProbe, Heartbeat, MachineShard, Verdict};
-use crate::membership::step_down::{MisroutedHeartbeats, StepDown};
+use crate::machine_shard::{FencingProbe, Heartbeat, HeartbeatOutcome, MachineShard};
+use crate::membership::misrouted_heartbeats::MisroutedHeartbeats;
+use crate::membership::step_down::StepDown;
 use crate::membership::{EpochRecord, Membership};
 use crate::peer::{DesiredState, Frame, Message, Reply, UserRequest};
 use crate::quota::{AllocationWrite, QuotaLedger};
@@ -363,8 +364,8 @@
                 // and for twice as long each time, up to a minute. While nobody can act, being left out helps no user
                 // either, and when the trouble is over all are missing.
                 let helps = self.membership.is_leader(now)
-                    || self.membership.can_pass(now)
-                    || self.membership.nobody_acts(now);
+                    || self.membership.can_forward(now)
+                    || self.membership.is_leaderless(now);
                 let reply = if self.handoff.leaving().is_some() {
                     Reply::later("leaving")
                 } else if helps {
@@ -385,10 +386,10 @@
                 let before = (r == CloudRequest::Types).then(|| self.autoscaler.types.clone());
                 self.autoscaler.answer(now, &r, a);
                 if before.is_some_and(|t| t != self.autoscaler.types) {
-                    self.machine_shard.touch_all();
+                    self.machine_shard.mark_all_changed();
                 }
             }
-            Event::Probed(reached) => self.step_down.probed(reached),
+            Event::Probed(reached) => self.step_down.record_probe(reached),
             Event::Greeted(r) => self.greeted(now, &r),
             Event::Leave => self.handoff.leave(now),
             Event::Tick => {}
@@ -401,8 +402,8 @@
         let pause = now.since(self.last_round);
         if self.last_round > Micros(0) && pause >= PAUSE {
             tracing::info!(epoch = self.membership.epoch, seconds = pause.secs(), "this process stood still");
-            self.machine_shard.paused(now, pause);
-            self.step_down.paused(now, pause);
+            self.machine_shard.discount_pause(now, pause);
+            self.step_down.discount_pause(now, pause);
             // Its standing may have changed: that comes first.
             self.next_ring = now;
         }
@@ -443,10 +444,10 @@
             self.release_held(now, out);
         }
         // One that has stepped aside leaves it to the new homes to say what is gone.
-        if !self.membership.aside {
-            self.machine_shard.tick(now, &self.membership);
+        if !self.membership.has_stepped_down {
+            self.machine_shard.expire_leases(now, &self.membership);
         }
-        self.job_shard.alone = self.membership.others_have_stopped(now);
+        self.job_shard.alone = self.membership.have_older_leaders_stopped(now);
         if acting && self.job_shard.loaded {
             if now >= self.next_plan
                 && (self.job_shard.replan || now >= self.next_plan + Micros::from_millis(400))
@@ -460,7 +461,7 @@
             self.loan_loop(now, out);
             self.record_loop(now, out);
             if self.autoscaler.due(now) {
-                let decider = self.membership.decider() == Some(self.settings.me);
+                let decider = self.membership.autoscaler() == Some(self.settings.me);
                 let heard = self.job_shard.all_homes_heard(&self.membership);
                 let machines: Vec<_> =
                     self.job_shard.machines(self.membership.epoch).filter(|_| decider).collect();
@@ -477,7 +478,7 @@
         self.follow_loop(now, out);
         self.pact_loop(now, out);
         self.greet(now, out);
-        self.membership.note_stopped(now);
+        self.membership.note_older_leaders_stopped(now);
         self.vouch(now, out);
         self.say(now, out);
         self.say_parcels(now, out);
@@ -513,8 +514,8 @@
             "epoch": m.epoch,
             "members": m.members.iter().map(|&i| m.name(i)).collect::<Vec<_>>(),
             "acting": m.is_leader(now),
-            "aside": self.step_down.away().map(|a| format!("{a:?}").to_lowercase()),
-            "decider": m.decider().map(|d| m.name(d)),
+            "aside": self.step_down.absence_reason().map(|reason| reason.to_string()),
+            "decider": m.autoscaler().map(|d| m.name(d)),
             "records_read": self.job_shard.loaded,
             "machines_unheard": self.job_shard.unheard(),
             "takeover": self.takeover_status(now),
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -3,9 +3,9 @@
 
 use super::*;
 use crate::job_shard::says_of_record;
-use hazelsaddle_coordination::census::{Census, Reading, Stands, Step};
+use hazelsaddle_coordination::census::{Census, CensusStep, JobReading, MemberState};
 use hazelsaddle_coordination::record::{self, CoordinationRecord, Key};
-use hazelsaddle_coordination::record_cache::{Held, RecordCache};
+use hazelsaddle_coordination::record_cache::{CachedRecord, RecordCache};
 
 /// Work that looks at all records is done so often.
 pub(super) const ROUND: Micros = Micros::from_millis(300);
@@ -97,7 +97,7 @@
     pub(super) latest: BTreeMap<String, String>,
     next_round: Micros,
     /// Ends that were read or told of since the epoch began, of members that matter.
-    ends: BTreeMap<String, Stands>,
+    ends: BTreeMap<String, MemberState>,
     census: Option<(Census, Micros)>,
     census_busy: bool,
     census_retry: Micros,
@@ -116,14 +116,16 @@
 }
 
 /// What a job's record says: the heads of the pacts that it joined, and how it stands.
-pub(super) fn reading(key: &str, v: &Value) -> Reading {
+pub(super) fn reading(key: &str, v: &Value) -> Option<JobReading> {
     if key.starts_with(hazelsaddle_coordination::census::ENDS) {
         let (f, _) = read_end(v)?;
-        let stands = if f == JobOutcome::Done { Stands::Done } else { Stands::Cancelled };
-        return Some((v.get("says").map(joined).unwrap_or_default(), stands));
+        let state = if f == JobOutcome::Done { MemberState::Done } else { MemberState::Cancelled };
+        let joined = v.get("says").map(joined).unwrap_or_default();
+        return Some(JobReading { joined, state });
     }
     JobShard::read_record(v)?;
-    Some((says_of_record(v).as_ref().map(joined).unwrap_or_default(), Stands::Live))
+    let joined = says_of_record(v).as_ref().map(joined).unwrap_or_default();
+    Some(JobReading { joined, state: MemberState::Live })
 }
 
 fn joined(says: &Value) -> Vec<(String, Value)> {
@@ -174,14 +176,14 @@
     }
 
     /// What a record says, as far as is known; it is read again while anybody asks.
-    pub(super) fn pact(&mut self, now: Micros, key: &Key) -> Held {
+    pub(super) fn pact(&mut self, now: Micros, key: &Key) -> CachedRecord {
         self.coordination.shelf.want(key);
         self.coordination.used.insert(key.clone(), now);
         self.coordination.shelf.get(key).clone()
     }
 
     /// What a record says in a reading that began no earlier than `since`; asks for one if there is none.
-    pub(super) fn pact_since(&mut self, now: Micros, key: &Key, since: Micros) -> Option<Held> {
+    pub(super) fn pact_since(&mut self, now: Micros, key: &Key, since: Micros) -> Option<CachedRecord> {
         self.coordination.used.insert(key.clone(), now);
         let held = self.coordination.shelf.get_since(key, since).cloned();
         if held.is_none() {
@@ -208,9 +210,9 @@
     ) -> bool {
         // A reading under way may bring what makes the change wrong, but its mark then fails the condition.
         let allowed = match self.coordination.shelf.get(key) {
-            Held::Is(r) => r.allows(&next).is_ok(),
-            Held::Absent => true,
-            Held::Unread | Held::Unreadable(_) => false,
+            CachedRecord::Present(r) => r.allows(&next).is_ok(),
+            CachedRecord::Absent => true,
+            CachedRecord::NotRead | CachedRecord::Unreadable(_) => false,
         };
         if !allowed
             || !self.membership.is_leader(now)
@@ -266,7 +268,7 @@
         self.coordination.shelf.want(&c.key);
         match a {
             StoreAnswer::Committed(store_version) => {
-                self.coordination.shelf.committed(&c.key, c.sent, c.next, store_version);
+                self.coordination.shelf.apply_commit(&c.key, c.sent, c.next, store_version);
                 if let Some((ticket, reply)) = c.then {
                     out.push(Effect::Reply(ticket, reply));
                 }
@@ -376,20 +378,20 @@
             let mut wanted: BTreeSet<Key> = self.coordination.used.keys().cloned().collect();
             let listed = self.coordination.listed_keys.iter().chain(&self.coordination.listing_keys);
             wanted.extend(listed.chain(&self.coordination.changing).cloned());
-            self.coordination.shelf.keep(&wanted);
+            self.coordination.shelf.retain(&wanted);
         }
         for key in self.coordination.shelf.due(now, 8) {
             // The list tells of those that nothing here waits for.
             if !self.coordination.used.contains_key(&key)
-                && *self.coordination.shelf.get(&key) != Held::Unread
+                && *self.coordination.shelf.get(&key) != CachedRecord::NotRead
             {
-                self.coordination.shelf.failed(&key, now + PAUSE_LIST);
+                self.coordination.shelf.record_failure(&key, now + PAUSE_LIST);
                 continue;
             }
             if self.in_flight.len() >= IN_FLIGHT || !self.requests.take(now, 1.0, 0.2) {
                 break;
             }
-            self.coordination.shelf.asked(&key, now);
+            self.coordination.shelf.record_request(&key, now);
             let get = StoreRequest::Get(key.head());
             self.ask_store(PendingStoreRequest::Pact(PendingRecordRequest::Read(key, now)), get, out);
         }
@@ -441,7 +443,7 @@
             }
             // What is over for good is of no use here.
             let over = CoordinationRecord::read(&row.value).is_ok_and(|r| self.release_over(&r));
-            if over && *self.coordination.shelf.get(&key) == Held::Unread {
+            if over && *self.coordination.shelf.get(&key) == CachedRecord::NotRead {
                 continue;
             }
             self.coordination.shelf.want(&key);
@@ -459,8 +461,8 @@
 
     /// Takes what was read of a record.
     fn take_pact(&mut self, key: &Key, sent: Micros, now: Micros, row: Option<(&Value, u64)>) {
-        if self.coordination.shelf.read(key, sent, now + PAUSE_HELD, row) {
-            if let Held::Unreadable(why) = self.coordination.shelf.get(key) {
+        if self.coordination.shelf.apply_answer(key, sent, now + PAUSE_HELD, row) {
+            if let CachedRecord::Unreadable(why) = self.coordination.shelf.get(key) {
                 tracing::error!(record = %key.head(), reason = %why, "what rests on this record is held");
             }
             self.job_shard.replan = true;
@@ -500,19 +502,19 @@
     /// A member's end is on record.
     pub(super) fn member_ended(&mut self, id: &str, f: JobOutcome) {
         self.coordination.unread.remove(id);
-        let stands = if f == JobOutcome::Done { Stands::Done } else { Stands::Cancelled };
+        let state = if f == JobOutcome::Done { MemberState::Done } else { MemberState::Cancelled };
         if self.coordination.awaited.contains(id) {
-            self.coordination.ends.insert(id.to_owned(), stands);
+            self.coordination.ends.insert(id.to_owned(), state);
         }
         for (_, members) in self.coordination.found.values_mut() {
             if let Some(m) = members.get_mut(id) {
-                m.stands = m.stands.max(stands);
+                m.state = m.state.max(state);
             }
         }
     }
 
     /// How a member stands that no census has seen.
-    pub(super) fn end_of(&self, id: &str) -> Option<Stands> {
+    pub(super) fn end_of(&self, id: &str) -> Option<MemberState> {
         self.coordination.ends.get(id).copied()
     }
 
@@ -559,7 +561,7 @@
         if p.census_busy || now < p.census_retry {
             return;
         }
-        let Step::Read(prefix, after) = census.next() else { return };
+        let CensusStep::ReadPage { prefix, after } = census.next_step() else { return };
         if !self.requests.take(now, 1.0, 0.2) {
             return;
         }
@@ -580,10 +582,10 @@
             p.census_retry = now + PAUSE_FAILED;
             return;
         };
-        let Step::Read(prefix, _) = census.next() else { return };
+        let CensusStep::ReadPage { prefix, .. } = census.next_step() else { return };
         let rows = rows.into_iter().map(|r| (r.key, r.value));
-        census.page(rows, more, |id, v| reading(&format!("{prefix}{id}"), v));
-        if census.next() != Step::Over {
+        census.apply_page(rows, more, |id, v| reading(&format!("{prefix}{id}"), v));
+        if census.next_step() != CensusStep::Complete {
             return;
         }
         let (unreadable, began) = (census.unreadable().to_vec(), *began);
@@ -592,7 +594,7 @@
             p.census_retry = now + Micros::from_millis(5000);
         }
         let found: Vec<_> =
-            census.of().iter().filter_map(|pact| Some((pact.clone(), census.members(pact)?))).collect();
+            census.records().iter().filter_map(|pact| Some((pact.clone(), census.members(pact)?))).collect();
         tracing::debug!(pacts = found.len(), seconds = now.since(began).secs(), "census");
         p.found.extend(found.into_iter().map(|(pact, m)| (pact, (began, m))));
         p.unreadable = unreadable;
@@ -619,7 +621,7 @@
                     let row = row.as_ref().map(|r| (&r.value, r.store_version));
                     self.take_pact(&key, sent, now, row);
                 }
-                _ => self.coordination.shelf.failed(&key, now + PAUSE_FAILED),
+                _ => self.coordination.shelf.record_failure(&key, now + PAUSE_FAILED),
             },
             PendingRecordRequest::Heads(epoch, sent) if epoch == self.membership.epoch => {
                 self.heads(now, sent, a)
@@ -665,12 +667,12 @@
             .coordination
             .shelf
             .iter()
-            .filter(|(_, h)| matches!(h, Held::Unreadable(_)))
+            .filter(|(_, h)| matches!(h, CachedRecord::Unreadable(_)))
             .map(|(k, _)| k.head())
             .collect();
         json!({
             "takes": self.takes_pacts(),
-            "records": self.coordination.shelf.iter().filter(|(_, h)| matches!(h, Held::Is(_))).count(),
+            "records": self.coordination.shelf.iter().filter(|(_, h)| matches!(h, CachedRecord::Present(_))).count(),
             "jobs_held": self.job_shard.held_jobs().count(),
             "held": held,
             "unreadable": unreadable,
--- a/src/controller/fencing_probe.rs
+++ b/src/controller/fencing_probe.rs
@@ -20,7 +20,7 @@
             return;
         }
         self.next_greeting = now + EVERY;
-        let list = self.machine_shard.to_greet(now, AT_A_TIME);
+        let list = self.machine_shard.take_due_probes(now, AT_A_TIME);
         if !list.is_empty() {
             out.push(Effect::Greet(self.membership.epoch, list));
         }
@@ -28,7 +28,7 @@
 
     /// A machine has answered.
     pub(super) fn greeted(&mut self, now: Micros, r: &Heartbeat) {
-        if self.machine_shard.greeted(now, &self.membership, r) == Verdict::Deposed {
+        if self.machine_shard.apply_probe_answer(now, &self.membership, r) == HeartbeatOutcome::Fenced {
             self.next_ring = now;
         }
     }
--- a/src/controller/flap_damping.rs
+++ b/src/controller/flap_damping.rs
@@ -85,7 +85,7 @@
         let pause = self.flap_damping.pause(&self.settings, self.wall);
         self.membership.epoch == 0
             && now < since + pause
-            && (now < since + HEARING || self.membership.can_pass(now))
+            && (now < since + HEARING || self.membership.can_forward(now))
     }
 }
 
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -9,9 +9,9 @@
 use crate::job_shard::dependencies::unpacked;
 use crate::job_shard::{Attempt, Hold, Job};
 use crate::server::operator_api::OpRequest;
-use hazelsaddle_coordination::census::Stands;
+use hazelsaddle_coordination::census::MemberState;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Sort};
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 use hazelsaddle_freshness::batch::{Batch, Permit, Put, Writer};
 use hazelsaddle_freshness::guard::{self, Answer, Merge, Verdict};
 use hazelsaddle_freshness::settings::{Settings as Classes, nearest};
@@ -171,17 +171,19 @@
         };
         // An older one is taken and is simply old: to refuse it would turn a repeated submission away, and it harms
         // nobody, since nothing that rests on it starts. Versions only rise, so any reading will do for that.
-        if matches!(self.pact(now, &key), Held::Is(r) if version <= r.version) {
+        if matches!(self.pact(now, &key), CachedRecord::Present(r) if version <= r.version) {
             return Gate::Open(Vec::new());
         }
         if self.accepting.values().any(|a| a.with.as_ref().is_some_and(|(k, ..)| *k == key)) {
             return Gate::Wait;
         }
         let next = match self.pact_since(now, &key, since) {
-            None | Some(Held::Unread) => return Gate::Wait,
-            Some(Held::Unreadable(why)) => return Gate::Later(format!("the record of its batch: {why}")),
-            Some(Held::Absent) => Batch::first(version),
-            Some(Held::Is(r)) => match Batch::read(&r).map(|b| b.put(version)) {
+            None | Some(CachedRecord::NotRead) => return Gate::Wait,
+            Some(CachedRecord::Unreadable(why)) => {
+                return Gate::Later(format!("the record of its batch: {why}"));
+            }
+            Some(CachedRecord::Absent) => Batch::first(version),
+            Some(CachedRecord::Present(r)) => match Batch::read(&r).map(|b| b.put(version)) {
                 Ok(Ok(Put::Raised(next))) => next,
                 Ok(_) => return Gate::Open(Vec::new()),
                 Err(why) => return Gate::Later(format!("the record of its batch: {why}")),
@@ -205,7 +207,7 @@
         tracing::info!(batch = %key.name(), version = record.version, by = id, "batch is at a newer version");
         self.freshness.counts.raised += 1;
         self.freshness.next = Micros(0);
-        self.coordination.shelf.committed(&key, sent, record, store_version);
+        self.coordination.shelf.apply_commit(&key, sent, record, store_version);
     }
 
     // ---- What jobs say ----
@@ -322,8 +324,8 @@
     fn runs_of(&mut self, key: &Key) -> BTreeSet<Run> {
         let mut runs = self.freshness.runs.get(&key.head()).map(|r| r.1.clone()).unwrap_or_default();
         if let Some(members) = self.members_so_far(key) {
-            let done = members.iter().filter(|(_, m)| m.stands == Stands::Done);
-            runs.extend(done.filter_map(|(id, m)| run_of(id, &m.says)));
+            let done = members.iter().filter(|(_, m)| m.state == MemberState::Done);
+            runs.extend(done.filter_map(|(id, m)| run_of(id, &m.declaration)));
         }
         runs
     }
@@ -362,7 +364,7 @@
         self.freshness.next = Micros(0);
     }
 
-    fn verdict(&mut self, held: &Held, merge: &Merge, key: &Key) -> Verdict {
+    fn verdict(&mut self, held: &CachedRecord, merge: &Merge, key: &Key) -> Verdict {
         let runs = self.runs_of(key);
         let Some(classes) = self.classes() else {
             return Verdict::Unknown(guard::Why::Record("the guard is not switched on here".into()));
@@ -454,7 +456,7 @@
     }
 
     /// Lifts a merge's hold, or holds it; what runs of one whose inputs are old is stopped.
-    fn guard_merge(&mut self, id: &str, held: &Held, verdict: &Verdict, recent: bool, known: bool) {
+    fn guard_merge(&mut self, id: &str, held: &CachedRecord, verdict: &Verdict, recent: bool, known: bool) {
         let Some(j) = self.job_shard.jobs.get(id) else { return };
         if verdict.may_start() && recent {
             if matches!(j.hold(), Some(Hold::Batch(_))) {
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -81,10 +81,10 @@
         let writer = Writer { job: a.job.clone(), attempt: a.attempt, task };
         // What has ended makes room for what begins.
         let known = match &held {
-            Held::Is(r) => Batch::read(r).ok().and_then(|b| b.release(|p| self.permit_over(p))),
+            CachedRecord::Present(r) => Batch::read(r).ok().and_then(|b| b.release(|p| self.permit_over(p))),
             _ => None,
         };
-        let held = known.map_or(held, |b| Held::Is(b.record()));
+        let held = known.map_or(held, |b| CachedRecord::Present(b.record()));
         match guard::permit(&verdict, &held, &writer, self.settings.value_bytes) {
             Answer::Holds(p) => {
                 let batch = merge.of.name;
@@ -127,7 +127,7 @@
     }
 
     pub(super) fn release_permits(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.writes.level(now) < 0.6 || !self.membership.others_have_stopped(now) {
+        if self.writes.level(now) < 0.6 || !self.membership.have_older_leaders_stopped(now) {
             return;
         }
         self.freshness.released.retain(|_, t| now < *t);
@@ -138,7 +138,7 @@
             .iter()
             .filter(|(k, _)| k.kind() == Sort::Batch && !self.freshness.released.contains_key(k))
             .filter_map(|(k, h)| match h {
-                Held::Is(r) => Some((k.clone(), over(&Batch::read(r).ok()?)?)),
+                CachedRecord::Present(r) => Some((k.clone(), over(&Batch::read(r).ok()?)?)),
                 _ => None,
             })
             .collect();
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -40,10 +40,10 @@
             Err(why) => return Some(Reply::error(400, &format!("name: {why}"))),
         };
         let next = match self.pact_since(now, &key, began)? {
-            Held::Unread => return None,
-            Held::Absent => Batch::first(version),
-            Held::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
-            Held::Is(r) => match Batch::read(&r).map(|b| b.put(version)) {
+            CachedRecord::NotRead => return None,
+            CachedRecord::Absent => Batch::first(version),
+            CachedRecord::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
+            CachedRecord::Present(r) => match Batch::read(&r).map(|b| b.put(version)) {
                 Err(why) => return Some(Reply::error(409, &why.to_string())),
                 Ok(Err(why)) => return Some(Reply::error(409, &why.to_string())),
                 Ok(Ok(Put::Same)) => {
@@ -66,16 +66,16 @@
             Err(why) => return Some(Reply::error(400, &format!("name: {why}"))),
         };
         let batch = match self.pact_since(now, &key, r.began)? {
-            Held::Unread => return None,
-            Held::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
-            Held::Absent => {
+            CachedRecord::NotRead => return None,
+            CachedRecord::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
+            CachedRecord::Absent => {
                 let rows = self.list_batches(now, r.ticket, out)?;
                 let names = rows.iter().filter_map(|b| b["batch"].as_str());
                 let near = nearest(name, names).map(|n| format!("; the nearest is {n}"));
                 let why = format!("no batch is called {name}{}", near.unwrap_or_default());
                 return Some(Reply::error(404, &why));
             }
-            Held::Is(r) => match Batch::read(&r) {
+            CachedRecord::Present(r) => match Batch::read(&r) {
                 Ok(b) => b,
                 Err(why) => return Some(Reply::error(409, &why.to_string())),
             },
@@ -85,12 +85,12 @@
             .census_since(&key, r.began)?
             .iter()
             .map(|(id, m)| {
-                let stands = match m.stands {
-                    Stands::Live => "live",
-                    Stands::Done => "done",
-                    Stands::Cancelled => "cancelled",
+                let stands = match m.state {
+                    MemberState::Live => "live",
+                    MemberState::Done => "done",
+                    MemberState::Cancelled => "cancelled",
                 };
-                json!({"job": id, "class": m.says["breed"], "version": m.says["version"], "stands": stands})
+                json!({"job": id, "class": m.declaration["breed"], "version": m.declaration["version"], "stands": stands})
             })
             .collect();
         let permits: Vec<Value> = batch.permits.iter().map(permit_value).collect();
--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::membership::Membership;
-use crate::membership::step_down::Missing;
+use crate::membership::step_down::StepDownReason;
 use crate::peer::{HandoffBatch, JobHandoff, MachineHandoff, ReplicatedStarts};
 use hazelsaddle_failover::handoff_batch::{Inbox, Outbox};
 
@@ -72,15 +72,15 @@
     /// Packs what a process that has just joined can't know.
     pub(super) fn pack_gone(&mut self, now: Micros, to: usize, gone: Vec<String>) {
         if !gone.is_empty() {
-            self.out.pack(now, to, HandoffBatch { gone, ..HandoffBatch::default() });
+            self.out.push(now, to, HandoffBatch { gone, ..HandoffBatch::default() });
         }
     }
     /// Packs what was heard of one that is there no more, for a job's new owner.
     pub(super) fn pack_testimony(&mut self, now: Micros, to: usize, t: ReplicatedStarts) {
-        self.out.pack(now, to, HandoffBatch { testimony: vec![t], ..HandoffBatch::default() });
+        self.out.push(now, to, HandoffBatch { testimony: vec![t], ..HandoffBatch::default() });
     }
     pub(super) fn acknowledged(&mut self, from: usize, numbers: &[u64]) {
-        self.out.acknowledged(from, numbers);
+        self.out.acknowledge(from, numbers);
     }
 }
 
@@ -122,8 +122,8 @@
     /// It has left the ring by its own decision, and commands nothing any more. Whoever raised the epoch without it: its
     /// own change may have had no answer, or have come second.
     pub(super) fn hand_over_on_leaving(&mut self, now: Micros, record: &EpochRecord, store_version: u64) {
-        if self.step_down.away().is_none()
-            || !self.membership.aside
+        if self.step_down.absence_reason().is_none()
+            || !self.membership.has_stepped_down
             || self.handoff.packed_for >= record.epoch
         {
             return;
@@ -131,7 +131,7 @@
         let mut next = self.membership.clone();
         self.handoff.out.clear();
         self.handoff.packed_for = record.epoch;
-        if next.adopt(now, record, store_version) {
+        if next.adopt_epoch(now, record, store_version) {
             self.pack(now, &next);
         }
     }
@@ -140,9 +140,9 @@
     /// command and answer nothing any more.
     pub(super) fn step_out(&mut self, now: Micros) {
         let others = !self.alive.is_empty();
-        if self.step_down.away().is_none() && others && self.membership.store_confirms(now) {
-            self.step_down.leave(now, Missing::Asked);
-            self.membership.aside = true;
+        if self.step_down.absence_reason().is_none() && others && self.membership.has_store_lease(now) {
+            self.step_down.leave(now, StepDownReason::Requested);
+            self.membership.has_stepped_down = true;
             self.next_ring = now;
         }
     }
@@ -153,19 +153,19 @@
         let Some(since) = self.handoff.leaving else { return false };
         let m = &self.membership;
         let member = m.epoch > 0 && m.members.contains(&m.me);
-        let left = self.seen.as_ref().is_some_and(|(r, ..)| r.epoch > m.epoch && !m.is_in(r));
-        let asked = self.step_down.away() == Some(Missing::Asked);
+        let left = self.seen.as_ref().is_some_and(|(r, ..)| r.epoch > m.epoch && !m.is_member_of(r));
+        let asked = self.step_down.absence_reason() == Some(StepDownReason::Requested);
         // That it is out is read before it has packed.
         let packed = self.seen.as_ref().is_some_and(|(r, ..)| r.epoch <= self.handoff.packed_for);
         let handed = asked && left && packed && self.handoff.out.is_empty();
         let nobody = self.alive.is_empty() && self.lease.is_some();
-        let out = self.step_down.away().is_some() && !asked;
+        let out = self.step_down.absence_reason().is_some() && !asked;
         !member || handed || nobody || out || now.since(since) >= LEAVING
     }
 
     fn pack(&mut self, now: Micros, next: &Membership) {
         let jobs = self.job_shard.hand_over(next);
-        let machines = self.machine_shard.hand_over(now, next);
+        let machines = self.machine_shard.pack_handoff(now, next);
         let (of_jobs, of_machines) = (
             jobs.values().map(|p| p.jobs.len()).sum::<usize>(),
             machines.values().map(Vec::len).sum::<usize>(),
@@ -175,13 +175,13 @@
         }
         for (to, list) in machines {
             for machines in pieces(list, |m: &MachineHandoff| m.tasks.len()) {
-                self.handoff.out.pack(now, to, HandoffBatch { machines, ..HandoffBatch::default() });
+                self.handoff.out.push(now, to, HandoffBatch { machines, ..HandoffBatch::default() });
             }
         }
         for (to, HandoffBatch { jobs, doubts, .. }) in jobs {
             for jobs in pieces(jobs, |j: &JobHandoff| j.starts.len()) {
                 let doubts = doubts.clone();
-                self.handoff.out.pack(now, to, HandoffBatch { jobs, doubts, ..HandoffBatch::default() });
+                self.handoff.out.push(now, to, HandoffBatch { jobs, doubts, ..HandoffBatch::default() });
             }
         }
     }
@@ -190,7 +190,7 @@
     pub(super) fn say_parcels(&mut self, now: Micros, out: &mut Vec<Effect>) {
         // What was packed for an older epoch must not go out under the newer one's name. Who left by its own decision has
         // packed for the epoch that its frames name.
-        if self.membership.gave_way() && !self.membership.aside {
+        if self.membership.has_yielded() && !self.membership.has_stepped_down {
             return;
         }
         let pause = self.settings.digest;
@@ -203,7 +203,7 @@
             if !self.reads(p, FORM) {
                 continue;
             }
-            for (number, parcel) in self.handoff.out.due(now, p, pause) {
+            for (number, parcel) in self.handoff.out.take_due(now, p, pause) {
                 out.push(Effect::Send(p, self.envelope(now, p, Message::Handoff { number, parcel })));
             }
             let owed = std::mem::take(&mut self.handoff.owed[p]);
@@ -234,16 +234,17 @@
         if let Some(owed) = self.handoff.owed.get_mut(from) {
             owed.push(number);
         }
-        self.machine_shard.told_gone(&parcel.gone);
+        self.machine_shard.mark_returned(&parcel.gone);
         // One that comes again finds its machines known, and its jobs settled.
         for m in parcel.machines {
-            self.handoff.taken_machines += usize::from(self.machine_shard.handed(now, &self.membership, m));
+            self.handoff.taken_machines +=
+                usize::from(self.machine_shard.apply_handoff(now, &self.membership, m));
         }
         for t in parcel.testimony {
             self.start_replica.testified(from, t);
         }
         if !parcel.jobs.is_empty() {
-            self.handoff.jobs.take(from, boot, number, (parcel.jobs, parcel.doubts));
+            self.handoff.jobs.accept(from, boot, number, (parcel.jobs, parcel.doubts));
         }
         self.unpack(now);
     }
@@ -253,7 +254,7 @@
         if !self.job_shard.loaded {
             return;
         }
-        for (_, (jobs, doubts)) in self.handoff.jobs.unpack() {
+        for (_, (jobs, doubts)) in self.handoff.jobs.take_waiting() {
             self.handoff.taken_jobs += self.job_shard.handed(now, jobs, &doubts);
         }
         self.hear_witnesses(now);
--- a/src/controller/handoff/tests.rs
+++ b/src/controller/handoff/tests.rs
@@ -26,10 +26,10 @@
 /// c0, which acts in epoch 7 beside c1 and c2 and knows some machines.
 pub(crate) fn node() -> Controller {
     let mut n = Controller::new(settings(), 1);
-    n.membership.adopt(at(1000), &record(7, &[0, 1, 2]), 7);
-    n.machine_shard.adopt(at(1000), &n.membership, false, |_| None);
+    n.membership.adopt_epoch(at(1000), &record(7, &[0, 1, 2]), 7);
+    n.machine_shard.adopt_epoch(at(1000), &n.membership, false, |_| None);
     n.job_shard.adopt(&n.membership, false);
-    n.membership.confirmed_by_store(at(1000));
+    n.membership.renew_store_lease(at(1000));
     for p in [1, 2] {
         n.clocks[p] = (1, at(1));
     }
@@ -43,14 +43,14 @@
             kind: "k".into(),
             zone: "z".into(),
             spot: false,
-            session: 1,
-            seq: 1,
+            incarnation: 1,
+            sequence: 1,
             token: 7,
             notice_s: None,
             tasks: Vec::new(),
         };
         if n.membership.machine_leader(&r.machine) == Some(0) {
-            n.machine_shard.report(at(1100), &n.membership, &r);
+            n.machine_shard.apply_heartbeat(at(1100), &n.membership, &r);
         }
     }
     n
@@ -65,8 +65,8 @@
 
 /// The node answers and commands nothing any more.
 fn leaves(n: &mut Controller) {
-    n.step_down.leave(at(1200), Missing::Peers);
-    n.membership.aside = true;
+    n.step_down.leave(at(1200), StepDownReason::NoPeers);
+    n.membership.has_stepped_down = true;
 }
 
 /// One reading of the ring, by which the epoch record is `r` at version `mark`, and what follows from it.
@@ -136,8 +136,8 @@
     // One that was told to end stays until that is taken.
     let mut n = node();
     n.handoff.leave(at(1200));
-    n.step_down.leave(at(1200), Missing::Asked);
-    n.membership.aside = true;
+    n.step_down.leave(at(1200), StepDownReason::Requested);
+    n.membership.has_stepped_down = true;
     n.alive = vec![1, 2];
     let epoch = KeyValue { key: EPOCH_KEY.into(), value: json!(record(8, &[1, 2])), store_version: 8 };
     n.ring_answer(
@@ -167,7 +167,7 @@
         let mut n = node();
         leaves(&mut n);
         n.ring_answer(at(1300), PendingStoreRequest::Raise(record(8, &[1, 2])), answer, &mut Vec::new());
-        n.step_down.back(at(9000));
+        n.step_down.rejoin(at(9000));
         let out = reads(&mut n, at(9100), &record(7, &[0, 1, 2]), 7);
         let raises = out.iter().any(|e| match e {
             Effect::Store(_, StoreRequest::Transaction(Transaction { conditions, puts, .. }), _) => {
@@ -180,7 +180,7 @@
             }
             _ => false,
         });
-        assert_eq!((raises, n.membership.aside), (again, again));
+        assert_eq!((raises, n.membership.has_stepped_down), (again, again));
         if again {
             n.ring_answer(
                 at(9200),
@@ -188,7 +188,7 @@
                 StoreAnswer::Committed(9),
                 &mut Vec::new(),
             );
-            assert_eq!((n.membership.epoch, n.membership.aside), (8, false));
+            assert_eq!((n.membership.epoch, n.membership.has_stepped_down), (8, false));
         }
     }
 }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -11,18 +11,18 @@
         r: &Heartbeat,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
-        self.step_down.worker(now, &r.machine);
+        self.step_down.record_heartbeat(now, &r.machine);
         if let Some(reply) = self.not_home(now, &r.machine) {
             // A worker that has had its home's answers and comes here doesn't get them any more. Its
             // home is told, since it may hear no worker at all and not know that they live.
             let home = self.membership.machine_leader(&r.machine).filter(|&h| h != self.settings.me);
             if let Some(strays) = home.and_then(|h| self.strays.get_mut(h)) {
-                strays.visit(&r.machine, (r.session, r.seq), r.token == self.membership.epoch);
+                strays.record(&r.machine, r.id(), r.token == self.membership.epoch);
             }
             return Some(reply);
         }
-        match self.machine_shard.report(now, &self.membership, r) {
-            Verdict::Taken => {
+        match self.machine_shard.apply_heartbeat(now, &self.membership, r) {
+            HeartbeatOutcome::Accepted => {
                 // The worker has given up on an older report, or it would not have sent this one.
                 if let Some(old) = self.held.remove(&r.machine) {
                     out.push(Effect::Reply(old, Reply::later("out of date")));
@@ -30,9 +30,9 @@
                 let (fleet, w, m, o) =
                     (&self.autoscaler, &self.start_replica, &self.membership, &self.job_shard);
                 // Out of an owner's reach it waits too: right after a takeover the owner speaks in a moment.
-                if !self.machine_shard.in_reach(now, &r.machine) {
+                if !self.machine_shard.may_renew_lease(now, &r.machine) {
                     self.unreached.insert(r.machine.clone());
-                } else if !self.machine_shard.may_wait(
+                } else if !self.machine_shard.can_hold_response(
                     now,
                     &r.machine,
                     |k| fleet.room(k),
@@ -44,8 +44,8 @@
                 self.held.insert(r.machine.clone(), ticket);
                 None
             }
-            Verdict::Stale => Some(Reply::later("out of date")),
-            Verdict::Deposed => {
+            HeartbeatOutcome::Stale => Some(Reply::later("out of date")),
+            HeartbeatOutcome::Fenced => {
                 // Somebody has raised the epoch; find out.
                 self.next_ring = now;
                 Some(Reply::later("a newer epoch is known"))
@@ -55,7 +55,7 @@
 
     /// The answer to a machine's report if this controller may not command it.
     pub(super) fn not_home(&self, now: Micros, machine: &str) -> Option<Reply> {
-        match self.membership.pass_machine_to(machine) {
+        match self.membership.machine_forward_target(machine) {
             Some(h) if h == self.settings.me => {
                 let ours =
                     self.membership.machine_leader(machine) == Some(h) && self.membership.is_leader(now);
@@ -72,7 +72,7 @@
             return reply;
         }
         // A 200 keeps its lease alive, and with it tasks of which the owner may have said that they are cancelled.
-        match self.machine_shard.in_reach(now, machine) {
+        match self.machine_shard.may_renew_lease(now, machine) {
             true => self.orders(machine),
             false => Reply::later("the owner of one of its tasks is out of reach"),
         }
@@ -80,7 +80,7 @@
 
     pub(super) fn orders(&mut self, machine: &str) -> Reply {
         let (w, m, o) = (&self.start_replica, &self.membership, &self.job_shard);
-        match self.machine_shard.orders(m, machine, |k| w.may_go(m, o, k, machine)) {
+        match self.machine_shard.issue_commands(m, machine, |k| w.may_go(m, o, k, machine)) {
             Some(o) => {
                 Reply { status: 200, body: serde_json::to_string(&o).unwrap_or_default(), retry_after: None }
             }
@@ -104,18 +104,18 @@
             self.held_order.pop_front();
         }
         let (fleet, w, m, o) = (&self.autoscaler, &self.start_replica, &self.membership, &self.job_shard);
-        for name in self.machine_shard.fresh() {
+        for name in self.machine_shard.take_rechecks() {
             let go = |k: &TaskKey| w.may_go(m, o, k, &name);
             if self.held.contains_key(&name)
-                && self.machine_shard.in_reach(now, &name)
-                && !self.machine_shard.may_wait(now, &name, |k| fleet.room(k), go)
+                && self.machine_shard.may_renew_lease(now, &name)
+                && !self.machine_shard.can_hold_response(now, &name, |k| fleet.room(k), go)
             {
                 due.push(name);
             }
         }
-        if self.machine_shard.heard_owners() {
+        if self.machine_shard.take_owner_news() {
             let home = &self.machine_shard;
-            let reached = self.unreached.extract_if(.., |name| home.in_reach(now, name));
+            let reached = self.unreached.extract_if(.., |name| home.may_renew_lease(now, name));
             due.extend(reached);
         }
         for name in due {
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -23,7 +23,7 @@
                 return self.ask_store(PendingStoreRequest::ReadOwn, StoreRequest::Get(key), out);
             };
             self.flap_damping.registers(held);
-            let aside = held || self.step_down.away().is_some();
+            let aside = held || self.step_down.absence_reason().is_some();
             let own = self.own_key(lease, aside);
             self.own_sent = Some(own.1.clone());
             // Guards against one that is carried out late, after a newer one of this process or the next: the key would
@@ -52,34 +52,37 @@
         if self.handoff.leaving().is_some() {
             return self.step_out(now);
         }
-        if self.step_down.away().is_none() {
+        if self.step_down.absence_reason().is_none() {
             // With the store's word only: leaving takes a change of the epoch record.
-            if !self.membership.store_confirms(now) || self.membership.aside {
+            if !self.membership.has_store_lease(now) || self.membership.has_stepped_down {
                 return;
             }
             let peers: Vec<usize> = self.membership.others().filter(|p| self.alive.contains(p)).collect();
-            let Some(missing) =
-                self.step_down.verdict(now, self.machine_shard.live(now), self.settings.me, &peers)
-            else {
+            let Some(reason) = self.step_down.reason_to_leave(
+                now,
+                self.machine_shard.count_live(now),
+                self.settings.me,
+                &peers,
+            ) else {
                 return;
             };
-            tracing::info!(epoch = self.membership.epoch, ?missing, "stepping aside");
-            self.step_down.leave(now, missing);
+            tracing::info!(epoch = self.membership.epoch, %reason, "stepping down");
+            self.step_down.leave(now, reason);
             // From here on nothing is commanded or answered, before anybody else may do so.
-            self.membership.aside = true;
+            self.membership.has_stepped_down = true;
             self.next_ring = now;
-        } else if self.alive.is_empty() || self.step_down.may_return(now, &self.alive) {
-            tracing::info!(epoch = self.membership.epoch, "coming back");
-            self.step_down.back(now);
+        } else if self.alive.is_empty() || self.step_down.can_rejoin(now, &self.alive) {
+            tracing::info!(epoch = self.membership.epoch, "rejoining");
+            self.step_down.rejoin(now);
             // The key must say so before the epoch is raised, or others would raise it again. Until
             // the ring has it back this process still doesn't act.
             self.registered = false;
             self.next_ring = now;
-        } else if self.step_down.probe(now) {
-            let addresses = self.machine_shard.addresses(PROBED, now);
+        } else if self.step_down.take_due_probe(now) {
+            let addresses = self.machine_shard.sample_addresses(PROBED, now);
             // Guards against a stay of minutes after those it knew have gone: nobody is left to try, so it tries its place.
             match addresses.is_empty() {
-                true => self.step_down.probed(true),
+                true => self.step_down.record_probe(true),
                 false => out.push(Effect::Probe(addresses)),
             }
         }
@@ -103,7 +106,7 @@
                 self.lease = None;
                 self.registered = false;
                 self.own_sent = None;
-                self.membership.lease_lost();
+                self.membership.lose_store_lease();
                 self.ring_again(now, 0);
             }
             (PendingStoreRequest::Grant, StoreAnswer::Granted(id)) => {
@@ -161,13 +164,13 @@
                     .filter(|(n, _)| self.settings.members.contains(n))
                     .collect();
                 let own = (self.settings.member.clone(), self.boot);
-                let held = !self.membership.is_in(&record) && self.held_back(now);
+                let held = !self.membership.is_member_of(&record) && self.held_back(now);
                 if self.flap_damping.aside() != held {
                     // Its key must say so before the epoch is raised.
                     self.registered = false;
                     return self.ring_again(now, 0);
                 }
-                let away = self.step_down.away().is_some() || self.flap_damping.aside();
+                let away = self.step_down.absence_reason().is_some() || self.flap_damping.aside();
                 // Whose lease has ended without its knowledge must get a new one before it joins:
                 // the others would put it out again at once, and so on in turns.
                 let key = format!("ring/m/{}", own.0);
@@ -193,8 +196,8 @@
                 };
                 // One that came back while its own leaving has no answer raises an epoch with itself: then a late one fails.
                 let doubt = !away && self.handoff.may_be_out_after(record.epoch);
-                if (!away && !self.membership.is_in(&record)) || lost || doubt {
-                    let next = Membership::next_record(&record, &alive);
+                if (!away && !self.membership.is_member_of(&record)) || lost || doubt {
+                    let next = record.successor(&alive);
                     let Ok(mut value) = serde_json::to_value(&next) else {
                         return self.ring_again(now, 300);
                     };
@@ -231,13 +234,13 @@
                 if record.epoch == self.membership.epoch {
                     self.job_shard.epoch_stands(sent);
                     // It came back before it had left: its place is still its own.
-                    self.membership.aside = false;
+                    self.membership.has_stepped_down = false;
                     return self.ask_store(PendingStoreRequest::Renew(sent), StoreRequest::Renew(lease), out);
                 }
                 self.ring_again(now, 300);
             }
             (PendingStoreRequest::Raise(record), StoreAnswer::Committed(store_version)) => {
-                if self.membership.is_in(&record) {
+                if self.membership.is_member_of(&record) {
                     self.adopt(now, &record, store_version, out);
                 } else {
                     self.handoff.asks_out(None);
@@ -248,12 +251,14 @@
             }
             (PendingStoreRequest::Raise(_), StoreAnswer::Conflict(_)) => self.ring_again(now, 20),
             // It may be carried out yet. One that the store refused is not.
-            (PendingStoreRequest::Raise(record), StoreAnswer::Unknown) if !self.membership.is_in(&record) => {
+            (PendingStoreRequest::Raise(record), StoreAnswer::Unknown)
+                if !self.membership.is_member_of(&record) =>
+            {
                 self.handoff.asks_out(Some(record.epoch));
                 self.ring_again(now, 300);
             }
             (PendingStoreRequest::Renew(sent), StoreAnswer::Renewed) => {
-                self.membership.confirmed_by_store(sent);
+                self.membership.renew_store_lease(sent);
                 self.ring_again(now, self.settings.member_lease.0 / 6000);
             }
             _ => self.ring_again(now, 300),
@@ -268,15 +273,15 @@
         out: &mut Vec<Effect>,
     ) {
         let ring_before = self.membership.ring.clone();
-        self.membership.aside = self.step_down.away().is_some();
-        self.step_down.epoch(now);
+        self.membership.has_stepped_down = self.step_down.absence_reason().is_some();
+        self.step_down.adopt_epoch(now);
         self.strays.fill_with(MisroutedHeartbeats::default);
-        let follows = self.membership.adopt(now, record, store_version);
+        let follows = self.membership.adopt_epoch(now, record, store_version);
         tracing::info!(epoch = record.epoch, members = ?record.members.iter().map(|(n, _)| n).collect::<Vec<_>>(), follows, "epoch adopted");
         self.hand_over(now, follows);
         self.testify(now, record, follows);
         self.machine_shard
-            .adopt(now, &self.membership, follows, |job| ring_before.owner(&format!("job/{job}")));
+            .adopt_epoch(now, &self.membership, follows, |job| ring_before.owner(&format!("job/{job}")));
         self.job_shard.adopt(&self.membership, follows);
         self.pacts_anew();
         self.batches_anew();
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -1,16 +1,16 @@
 //! Frames from and to peers.
 
 use super::*;
-use hazelsaddle_failover::start_replica::Changes;
+use hazelsaddle_failover::start_replica::ReplicationDelta;
 
 impl Controller {
     /// The newest epoch that others may take it from us that we know. One that has stepped aside says
     /// so by naming the epoch without it: nobody need wait for its lease to end.
     pub(super) fn known_epoch(&self) -> (u64, Vec<u32>) {
-        let aside = self.membership.aside || self.flap_damping.aside();
+        let aside = self.membership.has_stepped_down || self.flap_damping.aside();
         if let (true, Some((record, ..))) = (aside, &self.seen)
             && record.epoch > self.membership.epoch
-            && !self.membership.is_in(record)
+            && !self.membership.is_member_of(record)
         {
             let number = |m: &(String, u64)| self.settings.members.iter().position(|n| *n == m.0);
             // It may name an earlier process of ours. Guards against processes that are held back and wait for one another,
@@ -18,17 +18,17 @@
             let others = record.members.iter().filter_map(number).filter(|n| *n != self.settings.me);
             return (record.epoch, others.map(|n| n as u32).collect());
         }
-        let (epoch, members) = self.membership.stands_by();
+        let (epoch, members) = self.membership.acknowledged_epoch();
         // Who has given way takes no part in that epoch, even if it names an earlier process of ours: to others its word
         // must not count as that of a member who is there.
-        let out = |&&m: &&usize| self.membership.gave_way() && m == self.settings.me;
+        let out = |&&m: &&usize| self.membership.has_yielded() && m == self.settings.me;
         (epoch, members.iter().filter(|m| !out(m)).map(|&m| m as u32).collect())
     }
 
     /// Whether it speaks in the name of its epoch: the records are read, and it has neither stepped aside nor given way.
     pub(super) fn takes_part(&self) -> bool {
         let m = &self.membership;
-        self.load == Load::Done && m.epoch > 0 && !m.aside && !m.gave_way()
+        self.load == Load::Done && m.epoch > 0 && !m.has_stepped_down && !m.has_yielded()
     }
 
     pub(super) fn envelope(&self, now: Micros, to: usize, body: Message) -> Frame {
@@ -58,27 +58,30 @@
         if from != self.settings.me {
             self.clocks[from] = (f.boot, f.clock);
             echo = if f.echo_boot == self.boot && f.echo <= now { f.echo } else { Micros(0) };
-            self.membership.heard_from(from, f.epoch, echo);
-            self.step_down.echo(from, echo);
-            self.membership.spoke(now, from, f.epoch);
+            self.membership.record_confirmation(from, f.epoch, echo);
+            self.step_down.record_echo(from, echo);
+            self.membership.record_named_epoch(now, from, f.epoch);
             // By a member's word only: those that keep out of the ring would take one another's for it.
             if f.members.contains(&f.from) {
-                self.membership.told(now, f.epoch, &f.members);
+                self.membership.record_announcement(now, f.epoch, &f.members);
             }
             if f.epoch > self.membership.epoch {
                 self.next_ring = self.next_ring.min(now);
             }
         }
         // Who has given way to a newer epoch takes no part in its own any more.
-        let same = f.epoch == self.membership.epoch && f.epoch > 0 && !self.membership.gave_way();
+        let same = f.epoch == self.membership.epoch && f.epoch > 0 && !self.membership.has_yielded();
         if same {
             self.acked[from] = self.acked[from].max(f.digest_seen);
         }
         match f.body {
             Message::State(wishes, digest) if same => {
                 let fleet = &self.autoscaler;
-                if self.machine_shard.wanted(now, from, &wishes, &self.membership, |k| fleet.room(k)) {
-                    self.machine_shard.said(from, echo, f.digest_seen);
+                if self
+                    .machine_shard
+                    .apply_desired_state(now, from, &wishes, &self.membership, |k| fleet.room(k))
+                {
+                    self.machine_shard.note_owner_message(from, echo, f.digest_seen);
                 }
                 self.owe_ack[from] |= self.job_shard.digest(now, &self.membership, from, digest);
                 // What we hold of our own machines needs no frame.
@@ -91,17 +94,17 @@
                 self.job_shard.others_reserve(now, from, list);
             }
             Message::ScalingPlan { drain, gone, kept, kept_machines }
-                if same && self.membership.decider() == Some(from) =>
+                if same && self.membership.autoscaler() == Some(from) =>
             {
                 self.job_shard.keep(kept, kept_machines);
-                self.machine_shard.fleet(&drain.into_iter().collect(), &gone);
+                self.machine_shard.apply_scaling_plan(&drain.into_iter().collect(), &gone);
             }
             Message::MisroutedHeartbeats(list) if same => {
                 let (home, m) = (&self.machine_shard, &self.membership);
                 let ours = list
                     .into_iter()
                     .filter(|n| m.machine_leader(n) == Some(m.me) && home.is_gone(n) == Some(false));
-                self.step_down.stray(now, ours);
+                self.step_down.record_misrouted(now, ours);
             }
             Message::Lending(told) if same && from != self.settings.me => {
                 self.job_shard.others_lend(now, from, told)
@@ -109,7 +112,7 @@
             Message::InheritedPriorities(list) if same => self.job_shard.urged_by(from, list),
             Message::Handoff { number, parcel } if same => self.parcel(now, from, f.boot, number, parcel),
             Message::ReplicateStarts { rev, since, added, dropped } if same && from != self.settings.me => {
-                let c = Changes { rev, since, added, dropped };
+                let c = ReplicationDelta { revision: rev, base_revision: since, added, dropped };
                 if let Some(rev) = self.start_replica.heard(from, f.boot, c)
                     && self.reads(from, handoff::FORM)
                 {
@@ -164,12 +167,12 @@
             // Changes are gathered for a moment: a frame costs more than what it says.
             let soon = if p == self.settings.me { period.0 / 25 } else { period.0 / 5 };
             let gap = now.since(self.sent[p]);
-            let news = self.machine_shard.seq() > self.sent_seq[p] || self.owe_ack[p];
+            let news = self.machine_shard.revision() > self.sent_seq[p] || self.owe_ack[p];
             if gap < period && (gap.0 < soon || !(news || self.job_shard.has_news(p, &self.membership))) {
                 continue;
             }
             self.sent[p] = now;
-            self.sent_seq[p] = self.machine_shard.seq();
+            self.sent_seq[p] = self.machine_shard.revision();
             self.owe_ack[p] = false;
             let wishes = match self.membership.members.contains(&p) {
                 true => self.job_shard.wanted(p, &self.membership),
@@ -177,7 +180,7 @@
             };
             let fleet = &self.autoscaler;
             let digest =
-                self.machine_shard.digest(now, &self.membership, p, self.acked[p], |k| fleet.room(k));
+                self.machine_shard.status_delta(now, &self.membership, p, self.acked[p], |k| fleet.room(k));
             let f = self.envelope(now, p, Message::State(wishes, digest));
             if p == self.settings.me { own.push(f) } else { out.push(Effect::Send(p, f)) }
         }
@@ -188,7 +191,7 @@
             self.sent_demands = now;
             self.say_needs(now, out);
             for p in 0..n {
-                let list = self.strays[p].report();
+                let list = self.strays[p].take_unreported();
                 if !list.is_empty() {
                     out.push(Effect::Send(p, self.envelope(now, p, Message::MisroutedHeartbeats(list))));
                 }
@@ -197,7 +200,7 @@
                 let list = self.job_shard.reserved().to_vec();
                 out.push(Effect::Send(p, self.envelope(now, p, Message::Reserve(list))));
             }
-            if let Some(d) = self.membership.decider() {
+            if let Some(d) = self.membership.autoscaler() {
                 let f = self.envelope(now, d, Message::Demands(self.job_shard.demands()));
                 if d == self.settings.me {
                     own.push(f)
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -5,9 +5,9 @@
 use super::*;
 use crate::job_shard::Hold;
 use crate::server::operator_api::OpRequest;
-use hazelsaddle_coordination::census::Stands;
+use hazelsaddle_coordination::census::MemberState;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 use hazelsaddle_release::calendar::nearest;
 use hazelsaddle_release::join::{self, Join};
 use hazelsaddle_release::priority_inheritance;
@@ -50,11 +50,11 @@
     }
 }
 
-fn fact_of(s: Stands) -> Fact {
+fn fact_of(s: MemberState) -> Fact {
     match s {
-        Stands::Live => Fact::Live,
-        Stands::Done => Fact::Done,
-        Stands::Cancelled => Fact::Cancelled,
+        MemberState::Live => Fact::Live,
+        MemberState::Done => Fact::Done,
+        MemberState::Cancelled => Fact::Cancelled,
     }
 }
 
@@ -65,7 +65,7 @@
         let rotates = s.stage == hazelsaddle_release::calendar::Stage::Rotation;
         (!rotates).then(|| Member { id: id.clone(), stage: s.stage, expects: s.expects })
     };
-    members.iter().filter_map(|(id, m)| of(id, &m.says)).collect()
+    members.iter().filter_map(|(id, m)| of(id, &m.declaration)).collect()
 }
 
 impl Controller {
@@ -96,7 +96,7 @@
                 .shelf
                 .iter()
                 .filter_map(|(_, h)| match h {
-                    Held::Is(r) => Some((r.phase, Release::read(r).ok()?)),
+                    CachedRecord::Present(r) => Some((r.phase, Release::read(r).ok()?)),
                     _ => None,
                 })
                 .collect();
@@ -148,7 +148,7 @@
             .iter()
             .filter(|(k, _)| self.keeps_pact(k))
             .filter_map(|(k, h)| match h {
-                Held::Is(r) if k.kind() == hazelsaddle_coordination::record::Kind::Release => {
+                CachedRecord::Present(r) if k.kind() == hazelsaddle_coordination::record::Kind::Release => {
                     Some((k.clone(), r.clone()))
                 }
                 _ => None,
@@ -194,7 +194,9 @@
         for (id, key) in members {
             let shelf = &self.coordination.shelf;
             let due = *dues.entry(key).or_insert_with_key(|key| match shelf.get(key) {
-                Held::Is(r) => priority_inheritance::of_set(&Release::read(r).ok()?, [])?.due.map(Micros),
+                CachedRecord::Present(r) => {
+                    priority_inheritance::of_set(&Release::read(r).ok()?, [])?.due.map(Micros)
+                }
                 _ => None,
             });
             self.job_shard.due(&id, due);
@@ -215,7 +217,7 @@
                 self.census_since(key, self.releases.count_since);
                 let known = self.members_so_far(key);
                 let there = |m: &Member| {
-                    known.and_then(|k| k.get(&m.id)).is_some_and(|m| m.stands != Stands::Cancelled)
+                    known.and_then(|k| k.get(&m.id)).is_some_and(|m| m.state != MemberState::Cancelled)
                 };
                 let members: Vec<Member> = known.map(seen).unwrap_or_default();
                 let Some(by) = body.to_close(members.iter().filter(|m| there(m)), self.wall.0) else {
@@ -271,12 +273,12 @@
     }
 
     /// All that is known of a set's members: of a closed one those on its pages, otherwise those found so far.
-    fn release_known(&mut self, now: Micros, key: &Key, held: &Held, out: &mut Vec<Effect>) -> Known {
+    fn release_known(&mut self, now: Micros, key: &Key, held: &CachedRecord, out: &mut Vec<Effect>) -> Known {
         let mut known = Known { members: None, facts: BTreeMap::new() };
-        let Held::Is(record) = held else { return known };
+        let CachedRecord::Present(record) = held else { return known };
         if record.phase != Phase::Closed {
             if let Some(found) = self.members_so_far(key) {
-                known.facts = found.iter().map(|(id, m)| (id.clone(), fact_of(m.stands))).collect();
+                known.facts = found.iter().map(|(id, m)| (id.clone(), fact_of(m.state))).collect();
                 let members = seen(found);
                 known.facts.retain(|id, _| members.iter().any(|m| m.id == *id));
                 known.members = Some(members);
@@ -291,10 +293,10 @@
         let Some(found) = self.census_since(key, since).cloned() else { return known };
         let mut open: Vec<String> = Vec::new();
         for m in known.members.iter().flatten() {
-            let by_census = found.get(&m.id).map(|f| f.stands).unwrap_or(Stands::Live);
-            let stands = by_census.max(self.end_of(&m.id).unwrap_or(Stands::Live));
+            let by_census = found.get(&m.id).map(|f| f.state).unwrap_or(MemberState::Live);
+            let stands = by_census.max(self.end_of(&m.id).unwrap_or(MemberState::Live));
             known.facts.insert(m.id.clone(), fact_of(stands));
-            if stands == Stands::Live {
+            if stands == MemberState::Live {
                 open.push(m.id.clone());
             }
         }
@@ -400,10 +402,12 @@
         };
         let held = self.pact_since(now, &key, o.began)?;
         let record = match &held {
-            Held::Absent => return Some(Reply::error(404, &format!("no release of {title} on {night}"))),
-            Held::Is(record) => record.clone(),
-            Held::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
-            Held::Unread => return None,
+            CachedRecord::Absent => {
+                return Some(Reply::error(404, &format!("no release of {title} on {night}")));
+            }
+            CachedRecord::Present(record) => record.clone(),
+            CachedRecord::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
+            CachedRecord::NotRead => return None,
         };
         let ticket = o.ticket;
         let change = match &o.request {
@@ -459,7 +463,7 @@
             _ => found.as_ref().map(seen),
         };
         let (found, members) = (found?, members?);
-        let stands = |m: &Member| found.get(&m.id).map_or(Fact::Unread, |f| fact_of(f.stands));
+        let stands = |m: &Member| found.get(&m.id).map_or(Fact::Unread, |f| fact_of(f.state));
         let facts = members.iter().map(|m| (m.id.clone(), stands(m))).collect();
         Some(Known { members: Some(members), facts })
     }
@@ -475,16 +479,16 @@
         let of = |key: &Key| {
             let (title, night) = release_ref::named(key)?;
             Some(match self.coordination.shelf.get(key) {
-                Held::Is(r) => match Release::read(r) {
+                CachedRecord::Present(r) => match Release::read(r) {
                     Ok(b) => json!({"title": title, "night": night, "phase": r.phase, "version": r.version,
                         "late": b.is_late(self.wall.0), "closed_by": b.closed_by, "waived": b.waived.len(),
                         "rotated": b.rotated}),
                     Err(e) => json!({"title": title, "night": night, "unreadable": e.to_string()}),
                 },
-                Held::Unreadable(why) => {
+                CachedRecord::Unreadable(why) => {
                     json!({"title": title, "night": night, "unreadable": why.to_string()})
                 }
-                Held::Unread | Held::Absent => return None,
+                CachedRecord::NotRead | CachedRecord::Absent => return None,
             })
         };
         self.coordination.listed_keys.iter().filter_map(of).collect()
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -9,13 +9,13 @@
 use crate::job_shard::JobShard;
 use crate::membership::{Membership, Ring};
 use crate::peer::{ReplicatedItem, ReplicatedStarts, TaskKey};
-use hazelsaddle_failover::start_replica::{Changes, ReceivedStarts, ReplicationUpdate};
+use hazelsaddle_failover::start_replica::{ReplicationDelta, ReplicationReceiver, ReplicationSender};
 
 /// Where it is put on record that a controller goes on without witnesses: its latest such epoch under its name.
 pub(super) const PREFIX: &str = "unwitnessed/";
 /// How long starts are held back for want of a witness.
 const PATIENCE: Micros = Micros::from_millis(2000);
-/// Changes are gathered for so long before a witness is told: a start waits for its machine's report anyway, and a
+/// ReplicationDelta are gathered for so long before a witness is told: a start waits for its machine's report anyway, and a
 /// frame costs more than what it says.
 const GATHER: Micros = Micros::from_millis(100);
 /// The next member is told what the others are not, unless it has said nothing for so long.
@@ -57,13 +57,13 @@
     /// The epoch in which it last told us, and that epoch's members.
     epoch: u64,
     members: Vec<u32>,
-    told: ReceivedStarts<ReplicatedItem>,
+    told: ReplicationReceiver<ReplicatedItem>,
 }
 
 /// What we tell witnesses, what we have heard as one, and what new owners are told.
 pub(super) struct StartReplica {
     mode: Mode,
-    told: ReplicationUpdate<ReplicatedItem>,
+    told: ReplicationSender<ReplicatedItem>,
     last_told: Vec<Micros>,
     /// When somebody last said that it holds something, or when there was first something to hold.
     last_noted: Micros,
@@ -92,7 +92,7 @@
     pub(super) fn new(controllers: usize) -> StartReplica {
         StartReplica {
             mode: Mode::Off,
-            told: ReplicationUpdate::default(),
+            told: ReplicationSender::default(),
             last_told: vec![Micros(0); controllers],
             last_noted: Micros(0),
             next_try: Micros(0),
@@ -128,7 +128,7 @@
             Mode::Off | Mode::Without => true,
             Mode::On | Mode::Asking => {
                 m.job_leader(&key.job) != Some(m.me)
-                    || owner.vouched(machine, key).is_some_and(|item| self.told.witnessed(&item))
+                    || owner.vouched(machine, key).is_some_and(|item| self.told.is_replicated(&item))
             }
         }
     }
@@ -150,17 +150,22 @@
     }
 
     /// Takes what another member has told; returns the number to say in answer.
-    pub(super) fn heard(&mut self, from: usize, boot: u64, c: Changes<ReplicatedItem>) -> Option<u64> {
+    pub(super) fn heard(
+        &mut self,
+        from: usize,
+        boot: u64,
+        c: ReplicationDelta<ReplicatedItem>,
+    ) -> Option<u64> {
         let epoch = self.ring.0;
         let of = self.streams.get_mut(from)?;
         if of.boot != boot {
             *of = Stream { boot, ..Stream::default() };
         }
         // The first word in an epoch is the whole set.
-        if of.epoch != epoch && c.since != 0 {
+        if of.epoch != epoch && c.base_revision != 0 {
             return None;
         }
-        let rev = of.told.take(c)?;
+        let rev = of.told.apply(c)?;
         if of.epoch != epoch {
             of.epoch = epoch;
             of.members = self.ring.1.iter().map(|(n, _)| *n as u32).collect();
@@ -235,7 +240,7 @@
         w.taken = 0;
         // Starts that wait in the homes must not slip out before the witnesses of this epoch have been told.
         w.mode = if w.is_off(me) { Mode::Off } else { Mode::On };
-        w.told.begin(w.ring.1.iter().map(|(n, _)| *n).filter(|n| *n != me));
+        w.told.restart(w.ring.1.iter().map(|(n, _)| *n).filter(|n| *n != me));
         w.last_told.fill(Micros(0));
         w.last_noted = now;
         let mut fresh = std::mem::take(&mut w.accepted);
@@ -252,7 +257,7 @@
             return;
         }
         for (to, _) in self.start_replica.ring.1.clone().into_iter().filter(|p| !before.contains(p)) {
-            let gone = self.machine_shard.gone_for(to, &self.membership);
+            let gone = self.machine_shard.returned_machines_of(to, &self.membership);
             self.handoff.pack_gone(now, to, gone);
         }
         let members: Vec<u32> = before.iter().map(|(n, _)| *n as u32).collect();
@@ -321,7 +326,7 @@
         let asked = others.take(if silent { n } else { 1 });
         let asked: Vec<usize> = asked.collect();
         if let (false, [first]) = (silent, &asked[..])
-            && !self.start_replica.told.waits(*first)
+            && !self.start_replica.told.awaits_acknowledgement(*first)
         {
             (0..n).filter(|p| p != first).for_each(|p| self.start_replica.told.forget(p));
         }
@@ -338,15 +343,17 @@
         let mut waits = true;
         for p in due {
             let w = &mut self.start_replica;
-            waits &= w.told.waits(p);
-            let again = w.told.waits(p) && now.since(w.last_told[p]) >= self.settings.digest;
+            waits &= w.told.awaits_acknowledgement(p);
+            let again = w.told.awaits_acknowledgement(p) && now.since(w.last_told[p]) >= self.settings.digest;
             // It may have been replaced by an older version since the epoch began.
-            if !(w.told.has_news(p) || again) || !self.reads(p, FORM) {
+            if !(w.told.has_unsent(p) || again) || !self.reads(p, FORM) {
                 continue;
             }
             let w = &mut self.start_replica;
             w.last_told[p] = now;
-            if let Some(Changes { rev, since, added, dropped }) = w.told.tell(p) {
+            if let Some(ReplicationDelta { revision: rev, base_revision: since, added, dropped }) =
+                w.told.next_delta(p)
+            {
                 out.push(Effect::Send(
                     p,
                     self.envelope(now, p, Message::ReplicateStarts { rev, since, added, dropped }),
@@ -383,9 +390,9 @@
     /// A witness holds what that message said: starts that waited for it may go out.
     pub(super) fn noted(&mut self, now: Micros, from: usize, rev: u64) {
         self.start_replica.last_noted = now;
-        for item in self.start_replica.told.noted(from, rev) {
+        for item in self.start_replica.told.acknowledge(from, rev) {
             if let ReplicatedItem::Start { machine, .. } = item {
-                self.machine_shard.freshen(&machine);
+                self.machine_shard.recheck_response(&machine);
             }
         }
     }
@@ -398,7 +405,7 @@
         self.start_replica.mode = if done { Mode::Without } else { Mode::On };
         self.start_replica.next_try = now + Micros::from_millis(500);
         if done {
-            self.machine_shard.freshen_all();
+            self.machine_shard.recheck_all_responses();
         }
     }
 
--- a/src/controller/state_store_io.rs
+++ b/src/controller/state_store_io.rs
@@ -61,7 +61,7 @@
                     self.machine_registry.take(&row.key, &list, row.store_version);
                     for (name, r) in list {
                         if self.membership.machine_leader(&name) == Some(self.settings.me) {
-                            self.machine_shard.recorded(now, &name, r);
+                            self.machine_shard.load_record(now, &name, r);
                         }
                         self.machines_on_record.push(name);
                     }
@@ -242,7 +242,7 @@
                 StoreAnswer::Committed(store_version) => {
                     self.machine_registry.written(&w, store_version);
                     for n in &w.names {
-                        self.machine_shard.on_record(n);
+                        self.machine_shard.confirm_registered(n);
                     }
                 }
                 a => self.machine_registry.failed(w.page, a == StoreAnswer::Refused),
@@ -258,7 +258,7 @@
                 let read = read.as_ref().map(|(store_version, rows)| (*store_version, rows.as_slice()));
                 // Guards against machines that get no work for as long as no write of their page is answered.
                 for n in self.machine_registry.read_back(page, read) {
-                    self.machine_shard.on_record(&n);
+                    self.machine_shard.confirm_registered(&n);
                 }
             }
             // Of an epoch that has passed: the page has been read again since.
@@ -375,7 +375,7 @@
 
     /// Keeps our pages of the roll of machines.
     pub(super) fn roll_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        for (name, r) in self.machine_shard.to_record() {
+        for (name, r) in self.machine_shard.take_unregistered() {
             self.machine_registry.add(&name, &r);
         }
         if now >= self.next_prune {
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -28,7 +28,7 @@
 
     pub(super) fn user(&mut self, now: Micros, from: Caller, r: UserRequest, out: &mut Vec<Effect>) {
         let (what, job) = (r.kind(), r.job().to_owned());
-        let reply = match self.membership.pass_job_to(r.job()) {
+        let reply = match self.membership.job_forward_target(r.job()) {
             None => Reply::later("no ring yet"),
             Some(o) if o != self.settings.me => match from {
                 // It would take the job without the jobs that it follows, or the pacts that it names.
@@ -63,7 +63,7 @@
         self.membership.is_leader(now)
             && self.membership.job_leader(job) == Some(self.settings.me)
             && self.job_shard.loaded
-            && self.membership.others_have_stopped(now)
+            && self.membership.have_older_leaders_stopped(now)
     }
 
     fn pass_on(
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -28,7 +28,7 @@
 /// c0 with its records read and the machine types known, while nobody acts in an older epoch; and a job that it owns, or not.
 fn owner(owns: bool) -> (Controller, String) {
     let mut n = node();
-    n.membership.confirmed_by_store(NOW);
+    n.membership.renew_store_lease(NOW);
     n.job_shard.load_done(std::iter::empty());
     n.load = Load::Done;
     let kind = json!({"sku":"k","vcpus":8,"cards":0,"ramGb":64,"cacheGb":10,"fetchGbPerS":1,"rate":1.0,"lowPrice":0.5,
--- a/src/job_shard.rs
+++ b/src/job_shard.rs
@@ -308,7 +308,7 @@
     /// have owned them in between. Placed starts stay in doubt until their home has spoken.
     pub fn adopt(&mut self, m: &Membership, follows: bool) {
         self.loaded = false;
-        self.older_silent = m.older_silent_at();
+        self.older_silent = m.older_leaders_stopped_at();
         let blame = &mut self.blame;
         self.jobs.retain(|id, _| {
             let stays = follows && m.job_leader(id) == Some(m.me);
@@ -374,7 +374,7 @@
             Evidence::Waits(d) => Some(d),
             _ => None,
         });
-        self.doubts.keep(&used.collect());
+        self.doubts.retain_used(&used.collect());
         self.dirty.fill(true);
         self.loans.anew();
         self.demands.clear();
@@ -388,7 +388,7 @@
         self.loaded = true;
         self.replan = true;
         self.dirty.fill(true);
-        self.doubts.on_record(&self.unheard);
+        self.doubts.retain_registered(&self.unheard);
         self.of_epoch = self.doubts.open(self.unheard.clone());
         self.vouching.jobs_changed = true;
         let read = self.of_epoch.map_or(Evidence::Complete, Evidence::Waits);
@@ -690,7 +690,7 @@
     pub(super) fn owner_of(raw: Value) -> (Membership, QuotaLedger, JobShard, MachineStatus) {
         let s = settings();
         let mut m = Membership::new(&s, 1);
-        m.adopt(Micros(1), &EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] }, 1);
+        m.adopt_epoch(Micros(1), &EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] }, 1);
         let teams = QuotaLedger::new(&s.teams);
         let mut owner = JobShard::new(&s);
         owner.adopt(&m, false);
@@ -901,7 +901,7 @@
         owner.digest(now, &m, 0, whole(&m, 1, 0, vec![machine.clone()]));
         owner.plan(now, now, &m, &teams);
         owner.wanted(0, &m);
-        m.adopt(now, &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
+        m.adopt_epoch(now, &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
         owner.adopt(&m, true);
         owner.load_done(std::iter::empty());
         // The home has not yet had our wishes of this epoch; whatever it has seen is of the last.
--- a/src/job_shard/adoption.rs
+++ b/src/job_shard/adoption.rs
@@ -68,7 +68,7 @@
                 read(&mut owner);
             }
             assert_eq!((owner.unheard(), owner.in_doubt()), (0, 1), "all machines have been heard");
-            m.adopt(
+            m.adopt_epoch(
                 at(1100),
                 &crate::membership::EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] },
                 2,
@@ -109,7 +109,11 @@
         // What was read in one epoch says nothing in the next.
         read(&mut owner, "wk-4");
         owner.maybe_new(at(2000), "wk-4");
-        m.adopt(at(2001), &crate::membership::EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
+        m.adopt_epoch(
+            at(2001),
+            &crate::membership::EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] },
+            2,
+        );
         owner.adopt(&m, true);
         owner.epoch_stands(at(3000));
         assert!(!owner.jobs["wk-4"].settled());
--- a/src/job_shard/cancellation.rs
+++ b/src/job_shard/cancellation.rs
@@ -5,13 +5,13 @@
 //! any answer, once each of them has arrived or is gone, or can't arrive any more:
 //!
 //! - A home that has taken account of the withdrawal sends nothing of it from then on. What it sent before, a worker drops
-//!   `ANSWER` after it sent the report.
+//!   `RESPONSE_TIMEOUT` after it sent the report.
 //! - A home that doesn't hear us answers a machine with such a start for no longer than `reach` after our last word
 //!   without the withdrawal, whatever epochs do meanwhile (`machines/reach`).
 //! - Starts of a job taken over that are not known yet were sent before the older epochs fell silent.
 
 use super::*;
-use crate::machine_shard::ANSWER;
+use crate::machine_shard::RESPONSE_TIMEOUT;
 
 /// How far a cancelled job's starts have been withdrawn.
 #[derive(Clone, Copy, Debug, Default)]
@@ -133,7 +133,7 @@
         let Some(j) = self.jobs.get_mut(id) else { return true };
         let since = *j.withdrawal.since.get_or_insert(now);
         j.withdrawal.heard = all_told.then(|| j.withdrawal.heard.unwrap_or(now));
-        let late = ANSWER.stretched();
+        let late = RESPONSE_TIMEOUT.stretched();
         let heard = j.withdrawal.heard.is_some_and(|t| now >= t.max(silent) + late);
         heard || now >= since + reach.stretched() + late
     }
--- a/src/job_shard/cancellation/tests.rs
+++ b/src/job_shard/cancellation/tests.rs
@@ -11,7 +11,7 @@
 /// An owner whose job's starts have been asked for, of which its home has not yet said anything, and that message.
 fn asked(raw: Value) -> (Membership, QuotaLedger, JobShard, MachineStatus, DesiredState) {
     let (mut m, teams, mut owner, machine) = owner_of(raw);
-    m.note_stopped(at(500));
+    m.note_older_leaders_stopped(at(500));
     owner.digest(at(900), &m, 0, whole(&m, 1, 0, vec![machine.clone()]));
     owner.plan(at(1000), at(1000), &m, &teams);
     let wishes = owner.wanted(0, &m);
@@ -108,7 +108,7 @@
 fn starts_of_an_older_epoch_hold_up_the_end_until_they_can_not_arrive() {
     let (mut m, _, mut owner, machine) = owner_of(raw("batch", 1, 0.0));
     owner.jobs.clear();
-    m.adopt(at(10_000), &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
+    m.adopt_epoch(at(10_000), &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
     owner.adopt(&m, false);
     owner.load_done(std::iter::once("i-1".to_owned()));
     let raw = raw("batch", 1, 0.0);
@@ -121,7 +121,7 @@
         false,
     );
     cancel(&mut owner);
-    let silent = m.older_silent_at();
+    let silent = m.older_leaders_stopped_at();
     assert!(!ends(&mut owner, at(10_100)) && !ends(&mut owner, silent + at(3_900)));
     let mut heard = owner;
     assert!(ends(&mut heard, silent + at(4_100)));
--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -317,7 +317,7 @@
         }
         if standing != InventoryState::Unconfirmed {
             self.unheard.remove(name);
-            self.ends_doubt |= self.doubts.heard(name);
+            self.ends_doubt |= self.doubts.resolve(name);
         }
     }
 
--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -138,7 +138,7 @@
             return;
         }
         self.wall = wall;
-        self.older_silent = m.older_silent_at();
+        self.older_silent = m.older_leaders_stopped_at();
         self.note_endings(now);
         self.judge(now, teams);
         self.move_gangs(now);
--- a/src/machine_shard/agent_lease.rs
+++ b/src/machine_shard/agent_lease.rs
@@ -1,112 +1,132 @@
-//! Workers' leases as their home counts them: from the last report that somebody can have answered, which is not always
-//! the last that came.
+//! Workers' leases as their machine's leader counts them: from the last heartbeat that somebody can have answered, which
+//! is not always the last that came.
 //!
-//! A worker kills its tasks and begins its next session once the last of its reports that was answered was sent a lease
-//! ago. Too late a conclusion costs time, too early a one lets a task run twice. What a home may count from:
+//! A worker kills its tasks and begins its next incarnation once the last of its heartbeats that was answered was sent a
+//! lease ago. Too late a conclusion costs time, too early a one lets a task run twice. What a leader may count from:
 //!
-//! - a machine that is known: its last report. Only we have answered it since, and no report before it has arrived.
+//! - a machine whose tasks are known: its last heartbeat. Only we have answered it since, and no heartbeat before it has
+//!   arrived.
 //! - one whose tasks are not known: also until when others can have answered it.
-//! - one that reports on and never shows a token of ours hears nobody: its reports arrive and answers are lost. Each
-//!   report proves that no earlier one was answered by us, so what others began is over a lease after they fell silent.
-//!   Counted from its last report it would be waited for as long as it reports.
+//! - one that reports on and never shows a token of ours receives no responses: its heartbeats arrive and the responses are
+//!   lost. Each heartbeat proves that no earlier one was answered by us, so what others began is over a lease after they
+//!   stopped answering. Counted from its last heartbeat it would be waited for as long as it reports.
 
 use super::*;
 
-/// A worker drops what comes later than this after it sent its report.
-pub(crate) const ANSWER: Micros = Micros::from_millis(4000);
+/// A worker drops a response that comes later than this after it sent its heartbeat.
+pub(crate) const RESPONSE_TIMEOUT: Micros = Micros::from_millis(4000);
+/// Time between two looks at all leases.
+const CHECK_INTERVAL: Micros = Micros::from_millis(200);
+/// Added to a lease, beside a fortieth of it, before it counts as expired.
+const LEASE_MARGIN: Micros = Micros::from_millis(250);
+/// Lost responses in a row that still lengthen the time without tasks.
+const MOST_LOST_RESPONSES: u32 = 4;
 
 impl MachineShard {
-    /// This process did not get to run for so long. Machines may have spoken meanwhile, so their
-    /// silence is counted without that time.
-    pub fn paused(&mut self, now: Micros, pause: Micros) {
-        for x in self.machines.values_mut() {
-            x.heard_at = (x.heard_at + pause).min(now);
+    /// This process did not get to run for so long. Machines may have spoken meanwhile, so their silence is counted
+    /// without that time.
+    pub fn discount_pause(&mut self, now: Micros, pause: Micros) {
+        for machine in self.machines.values_mut() {
+            machine.heard_at = (machine.heard_at + pause).min(now);
         }
     }
 
     /// How many machines were heard of late enough that their leases live.
-    pub fn live(&self, now: Micros) -> usize {
-        let alive = |x: &&Machine| x.reported && now.since(x.heard_at) < self.worker_lease;
-        self.machines.values().filter(alive).count()
+    #[must_use]
+    pub fn count_live(&self, now: Micros) -> usize {
+        let is_live =
+            |machine: &&Machine| machine.has_reported && now.since(machine.heard_at) < self.worker_lease;
+        self.machines.values().filter(is_live).count()
     }
 
-    /// Works off what time alone decides: leases that have certainly run out.
-    pub fn tick(&mut self, now: Micros, m: &Membership) {
-        if now < self.next_tick {
+    /// Applies what time alone decides: leases that have certainly expired, machines that became idle or silent.
+    /// Does nothing if it was called a moment ago.
+    pub fn expire_leases(&mut self, now: Micros, membership: &Membership) {
+        if now < self.next_lease_check {
             return;
         }
-        self.next_tick = now + Micros::from_millis(200);
-        self.older_silent = m.older_silent_at();
-        let lease = self.worker_lease.stretched() + Micros(self.worker_lease.0 / 40 + 250_000);
-        for (name, x) in &mut self.machines {
-            // A known machine was last answered by us, no earlier than its last report; no other
-            // controller can have answered it since. One that never confirmed may have been
-            // answered under an older token until those fell silent.
-            let last_answer = match x.standing {
-                InventoryState::Known => x.heard_at,
-                InventoryState::Unconfirmed => x.last_answer(self.older_silent),
-                InventoryState::Gone => continue,
-            };
-            let ended = now >= last_answer + lease;
-            if ended {
-                // Whatever still comes of this session was sent before its end.
-                x.ended = x.ended.max(x.last.0);
+        self.next_lease_check = now + CHECK_INTERVAL;
+        self.older_leaders_stopped_at = membership.older_leaders_stopped_at();
+        let lease = self.worker_lease.stretched() + Micros(self.worker_lease.0 / 40 + LEASE_MARGIN.0);
+        for (name, machine) in &mut self.machines {
+            if machine.inventory == InventoryState::Gone {
+                continue;
             }
-            let unheard = x.standing == InventoryState::Unconfirmed;
-            let deaf = unheard && !ended && x.hears_nobody(x.answered.unwrap_or(self.older_silent) + lease);
-            if (ended && (unheard || x.entries.values().any(Entry::on_machine))) || deaf {
-                let reason = if deaf { "it hears nobody" } else { "lease ran out" };
-                tracing::info!(machine = %name, epoch = m.epoch, tasks = x.entries.len(), reason, "machine's tasks are gone");
-                x.entries.clear();
-                x.standing = InventoryState::Known;
-                self.changes.touch(name, &mut x.version);
+            if let Some(reason) = machine.expire_lease(now, lease, self.older_leaders_stopped_at) {
+                tracing::info!(machine = %name, epoch = membership.epoch, tasks = machine.tasks.len(), reason, "machine's tasks are gone");
+                machine.tasks.clear();
+                machine.inventory = InventoryState::Known;
+                self.changes.record(name, &mut machine.revision);
             }
-            let idle = x.entries.is_empty();
-            if idle != x.idle_since.is_some() {
-                x.idle_since = idle.then_some(now);
-                self.changes.touch(name, &mut x.version);
+            let is_idle = machine.tasks.is_empty();
+            if is_idle != machine.idle_since.is_some() {
+                machine.idle_since = is_idle.then_some(now);
+                self.changes.record(name, &mut machine.revision);
             }
-            let open = x.open(now, self.patience);
-            if open != x.was_open {
-                x.was_open = open;
-                self.changes.touch(name, &mut x.version);
+            let is_schedulable = machine.is_schedulable(now, self.silence_limit);
+            if is_schedulable != machine.was_schedulable {
+                machine.was_schedulable = is_schedulable;
+                self.changes.record(name, &mut machine.revision);
             }
         }
     }
 }
 
 impl Machine {
-    /// When at the latest anybody can have answered a machine whose tasks are not known; `others`: until when
-    /// somebody else may have, by what the epoch says.
-    pub(super) fn last_answer(&self, others: Micros) -> Micros {
-        let others = self.answered.unwrap_or(others);
-        if self.reported { self.heard_at.max(others) } else { others }
+    /// Ends the incarnation if its lease has certainly expired. Returns why all its tasks are gone, if they are and that is
+    /// news. `others_until`: until when another controller may have answered it, by what the epoch says.
+    fn expire_lease(&mut self, now: Micros, lease: Micros, others_until: Micros) -> Option<&'static str> {
+        // A machine whose tasks are known was last answered by us, no earlier than its last heartbeat; no other controller
+        // can have answered it since. One that was never confirmed may have been answered under an older token until those
+        // controllers stopped.
+        let is_unconfirmed = self.inventory == InventoryState::Unconfirmed;
+        let last_answer = if is_unconfirmed { self.last_answer(others_until) } else { self.heard_at };
+        let is_expired = now >= last_answer + lease;
+        if is_expired {
+            // Whatever still comes of this incarnation was sent before its end.
+            self.ended_incarnation = self.ended_incarnation.max(self.last_heartbeat.incarnation);
+        }
+        let others_expired_at = self.others_answered_until.unwrap_or(others_until) + lease;
+        if is_unconfirmed && !is_expired && self.receives_no_responses(others_expired_at) {
+            return Some("it receives no responses");
+        }
+        let has_tasks = self.tasks.values().any(TaskEntry::may_be_on_machine);
+        (is_expired && (is_unconfirmed || has_tasks)).then_some("lease expired")
+    }
+
+    /// When at the latest anybody can have answered a machine whose tasks are not known; `others_until`: until when
+    /// another controller may have, by what the epoch says.
+    pub(super) fn last_answer(&self, others_until: Micros) -> Micros {
+        let others_until = self.others_answered_until.unwrap_or(others_until);
+        if self.has_reported { self.heard_at.max(others_until) } else { others_until }
     }
 
-    /// Its latest report, which came just now, shows this token. One that is older than any under which we can have
-    /// answered it shows that it took no answer of ours to an earlier report.
-    pub(super) fn shows(&mut self, now: Micros, token: u64, epoch: u64) {
-        self.unanswered = (token < self.ours_from).then_some(now);
-        self.unshown = if token < epoch { self.unshown.saturating_add(1) } else { 0 };
+    /// Its latest heartbeat, which came just now, shows this token. One that is older than any under which we can have
+    /// answered it shows that it received no response of ours to an earlier heartbeat.
+    pub(super) fn note_token(&mut self, now: Micros, token: u64, epoch: u64) {
+        self.unanswered_at = (token < self.led_since_epoch).then_some(now);
+        self.stale_token_heartbeats =
+            if token < epoch { self.stale_token_heartbeats.saturating_add(1) } else { 0 };
     }
 
-    /// Whether nothing is left of what others began on a machine whose tasks are not known, although it reports; `over`:
-    /// when the leases are over that others renewed, by what the epoch says.
+    /// Whether nothing is left of what others began on a machine whose tasks are not known, although it reports.
+    /// `others_expired_at`: when the leases have expired that others renewed, by what the epoch says.
     ///
-    /// Its last report shows that it had taken no answer of ours to an earlier one. If it took ours to this one, it had
-    /// sent it no longer ago than a worker waits: after `over`, so in a session without tasks of others. If it did not,
-    /// nobody has answered it since the others fell silent. A copy of an old report proves no less: its answer is dropped.
-    fn hears_nobody(&self, over: Micros) -> bool {
-        self.unanswered.is_some_and(|at| at >= over + ANSWER.stretched())
+    /// Its last heartbeat shows that it had received no response of ours to an earlier one. If it received ours to this
+    /// one, it had sent it no longer ago than a worker waits: after `others_expired_at`, so in an incarnation without tasks
+    /// of others. If it did not, nobody has answered it since the others stopped. A copy of an old heartbeat proves no
+    /// less: the response to it is dropped.
+    fn receives_no_responses(&self, others_expired_at: Micros) -> bool {
+        self.unanswered_at.is_some_and(|at| at >= others_expired_at + RESPONSE_TIMEOUT.stretched())
     }
 
-    /// A report did not list starts that went out with the answer to an earlier one of the session: that answer was
-    /// lost. Now and then one is; a machine that loses two in a row is given no tasks for a while, or jobs would be
-    /// placed on it again with each report.
-    pub(super) fn lost_answer(&mut self, now: Micros, patience: Micros) {
-        self.answers_lost = (self.answers_lost + 1).min(4);
-        if self.answers_lost > 1 {
-            self.shut_until = now + Micros(patience.0 << (self.answers_lost - 2));
+    /// A heartbeat did not list starts that went out with the response to an earlier one of the incarnation: that response
+    /// was lost. Now and then one is; a machine that loses two in a row is given no tasks for a while, or jobs would be
+    /// placed on it again with each heartbeat.
+    pub(super) fn note_lost_response(&mut self, now: Micros, silence_limit: Micros) {
+        self.lost_responses = (self.lost_responses + 1).min(MOST_LOST_RESPONSES);
+        if self.lost_responses > 1 {
+            self.closed_until = now + Micros(silence_limit.0 << (self.lost_responses - 2));
         }
     }
 }
--- a/src/machine_shard/handoff.rs
+++ b/src/machine_shard/handoff.rs
@@ -1,130 +1,172 @@
-//! Machines that change their home: what a home that lives hands to the next one, and what that makes of it.
+//! Machines that change their leader: what a leader that lives hands to the next one, and what that makes of it.
 //!
-//! Why the new home may take the list for complete although the worker has not shown the new token: the old home was the
-//! only one to command the machine, it packs after it has adopted the epoch and thus commands no more, and starts travel
-//! only in answers. Each that it ever sent is listed, in doubt if need be, with the report that it answered.
+//! Why the new leader may take the task list for complete although the worker has not shown the new token: the old leader
+//! was the only one to command the machine, it packs after it has adopted the epoch and thus commands no more, and starts
+//! travel only in responses. Each start that it ever sent is listed, in doubt if need be, with the heartbeat whose response
+//! carried it.
 
 use super::*;
 use crate::peer::{MachineHandoff, TaskHandoff};
 
 impl MachineShard {
-    /// The machines that have another home in `next`, the epoch that directly follows, by that home. To be called
-    /// before that epoch is adopted, and only by who does not command any more.
-    pub fn hand_over(&self, now: Micros, next: &Membership) -> BTreeMap<usize, Vec<MachineHandoff>> {
-        let mut out: BTreeMap<usize, Vec<MachineHandoff>> = BTreeMap::new();
-        for (name, x) in &self.machines {
-            let Some(to) = next.machine_leader(name).filter(|&h| h != next.me) else { continue };
-            let known = x.standing == InventoryState::Known;
-            let last_answer = if known { x.heard_at } else { x.last_answer(self.older_silent) };
-            // Of one whose end is not yet certain there is nothing to say that the new home does not know.
-            if x.standing == InventoryState::Gone || (!known && last_answer > now) {
-                continue;
+    /// The machines that have another leader in `next`, the epoch that directly follows, by that leader. To be called
+    /// before that epoch is adopted, and only by a controller that does not command any more.
+    #[must_use]
+    pub fn pack_handoff(&self, now: Micros, next: &Membership) -> BTreeMap<usize, Vec<MachineHandoff>> {
+        let mut by_leader: BTreeMap<usize, Vec<MachineHandoff>> = BTreeMap::new();
+        for (name, machine) in &self.machines {
+            let Some(to) = next.machine_leader(name).filter(|&leader| leader != next.me) else { continue };
+            if let Some(packed) = machine.pack_handoff(now, name, self.older_leaders_stopped_at) {
+                by_leader.entry(to).or_default().push(packed);
             }
-            let tasks = x.entries.iter().filter(|(_, e)| known && e.on_machine());
-            out.entry(to).or_default().push(MachineHandoff {
-                name: name.clone(),
-                kind: x.kind.clone(),
-                zone: x.zone.clone(),
-                spot: x.spot,
-                addr: x.addr.clone(),
-                on_record: x.record == Record::Yes,
-                known,
-                last: x.last,
-                silent: now.since(last_answer),
-                notice: x.notice_at.map(|t| t.since(now)),
-                idle: x.idle_since.map(|t| now.since(t)),
-                images: x.images.clone(),
-                tasks: tasks
-                    .map(|(k, e)| TaskHandoff {
-                        key: k.clone(),
-                        room: e.room,
-                        priority: e.priority,
-                        image: e.image,
-                        phase: e.phase,
-                        want: e.want,
-                        sent_to: e.sent_to,
-                    })
-                    .collect(),
-            });
         }
-        out
+        by_leader
     }
 
-    /// Takes a machine from its home of the epoch directly before. Does nothing to one whose tasks are known already,
-    /// or that is another's: the parcel came late, or twice. Returns whether its tasks are known now that were not.
-    pub fn handed(&mut self, now: Micros, m: &Membership, h: MachineHandoff) -> bool {
-        if m.machine_leader(&h.name) != Some(m.me) || self.returned.contains(&h.name) {
+    /// Takes a machine from its leader of the epoch directly before. Does nothing to one whose tasks are known already,
+    /// or that another controller leads: the batch came late, or twice. Returns whether its tasks are known now that were
+    /// not.
+    pub fn apply_handoff(&mut self, now: Micros, membership: &Membership, handoff: MachineHandoff) -> bool {
+        let name = handoff.name.clone();
+        if membership.machine_leader(&name) != Some(membership.me) || self.returned_machines.contains(&name) {
             return false;
         }
         let epoch = self.epoch;
-        let new = || Machine::new(now, epoch, h.kind.clone(), h.zone.clone(), h.spot, h.addr.clone());
-        let x = self.machines.entry(h.name.clone()).or_insert_with(new);
-        if x.standing != InventoryState::Unconfirmed {
+        let new_machine = || Machine::new(now, epoch, MachineRecord::from(&handoff));
+        let machine = self.machines.entry(name.clone()).or_insert_with(new_machine);
+        if machine.inventory != InventoryState::Unconfirmed {
             return false;
         }
-        if h.on_record {
-            x.record = Record::Yes;
+        if handoff.on_record {
+            machine.registration = Registration::Stored;
         }
         // As of packing: by now it is longer ago, which errs on the late side.
-        let heard = Micros(now.0.saturating_sub(h.silent.shortened().0));
-        if !h.known {
-            x.answered = Some(x.answered.map_or(heard, |t| t.min(heard)));
+        let heard_at = Micros(now.0.saturating_sub(handoff.silent.shortened().0));
+        if !handoff.known {
+            machine.others_answered_until =
+                Some(machine.others_answered_until.map_or(heard_at, |until| until.min(heard_at)));
             return false;
         }
-        // A report that came here first was sent after the worker had taken or dropped every answer of the old home:
-        // what it lists is all there is. Otherwise it is what the old home listed.
-        let newer = x.reported && x.last > h.last;
-        if !newer {
-            x.entries.clear();
-            x.last = h.last;
-            x.notice_at = h.notice.map(|t| now + t);
-            x.idle_since = h.idle.map(|t| Micros(now.0.saturating_sub(t.0)));
-            x.heard_at = if x.reported { x.heard_at.max(heard) } else { heard };
-            x.reported = true;
+        let next_revision = self.changes.revision + 1;
+        machine.apply_handoff(now, heard_at, handoff, |key| {
+            OwnerBasis::new(membership.job_leader(&key.job), next_revision)
+        });
+        // What jobs' leaders of this epoch have said meanwhile goes before what those of the last one did.
+        for (key, desired) in self.pending_desired.remove(&name).unwrap_or_default() {
+            if let Some(task) = machine.tasks.get_mut(&key) {
+                task.apply_desired(&desired);
+            }
+        }
+        machine.inventory = InventoryState::Known;
+        machine.was_schedulable = machine.is_schedulable(now, self.silence_limit);
+        self.changes.record(&name, &mut machine.revision);
+        true
+    }
+}
+
+impl Machine {
+    /// What the next leader is told of this machine; None if there is nothing to say that it does not know: the machine is
+    /// gone, or the end of its older tasks is not yet certain.
+    fn pack_handoff(&self, now: Micros, name: &str, others_until: Micros) -> Option<MachineHandoff> {
+        let known = self.inventory == InventoryState::Known;
+        let last_answer = if known { self.heard_at } else { self.last_answer(others_until) };
+        if self.inventory == InventoryState::Gone || (!known && last_answer > now) {
+            return None;
         }
-        x.images = h.images;
-        let next = self.changes.seq + 1;
-        for t in h.tasks {
-            let handed = Entry {
-                room: t.room,
-                priority: t.priority,
-                image: t.image,
-                phase: t.phase,
-                want: t.want,
-                sent_to: t.sent_to,
-                standpoint: OwnerBasis::new(m.job_leader(&t.key.job), next),
+        let tasks = self.tasks.iter().filter(|(_, task)| known && task.may_be_on_machine());
+        Some(MachineHandoff {
+            name: name.to_owned(),
+            kind: self.record.kind.clone(),
+            zone: self.record.zone.clone(),
+            spot: self.record.spot,
+            addr: self.record.addr.clone(),
+            on_record: self.registration == Registration::Stored,
+            known,
+            last: self.last_heartbeat.into(),
+            silent: now.since(last_answer),
+            notice: self.termination_at.map(|at| at.since(now)),
+            idle: self.idle_since.map(|since| now.since(since)),
+            images: self.images.clone(),
+            tasks: tasks.map(|(key, task)| task.pack_handoff(key)).collect(),
+        })
+    }
+
+    /// Enters what the leader before knew. A heartbeat that came here first was sent after the worker had received or
+    /// dropped every response of the old leader: what it lists is all there is. Otherwise it is what the old leader listed.
+    fn apply_handoff(
+        &mut self,
+        now: Micros,
+        heard_at: Micros,
+        handoff: MachineHandoff,
+        owner_basis: impl Fn(&TaskKey) -> OwnerBasis,
+    ) {
+        let has_newer_heartbeat = self.has_reported && self.last_heartbeat > HeartbeatId::from(handoff.last);
+        if !has_newer_heartbeat {
+            self.tasks.clear();
+            self.last_heartbeat = handoff.last.into();
+            self.termination_at = handoff.notice.map(|notice| now + notice);
+            self.idle_since = handoff.idle.map(|idle| Micros(now.0.saturating_sub(idle.0)));
+            self.heard_at = if self.has_reported { self.heard_at.max(heard_at) } else { heard_at };
+            self.has_reported = true;
+        }
+        self.images = handoff.images;
+        for task in handoff.tasks {
+            let handed = TaskEntry {
+                resources: task.room,
+                priority: task.priority,
+                image: task.image,
+                phase: task.phase,
+                desired: task.want,
+                sent_with: task.sent_to.into(),
+                owner_basis: owner_basis(&task.key),
             };
-            match x.entries.get_mut(&t.key) {
-                Some(e) if e.room.is_none() => *e = Entry { phase: e.phase, ..handed },
-                None if !newer => {
-                    x.entries.insert(t.key, handed);
+            match self.tasks.get_mut(&task.key) {
+                Some(entry) if entry.resources.is_none() => {
+                    *entry = TaskEntry { phase: entry.phase, ..handed };
+                }
+                None if !has_newer_heartbeat => {
+                    self.tasks.insert(task.key, handed);
                 }
                 _ => {}
             }
         }
-        // What the owners of this epoch have said meanwhile goes before what those of the last one did.
-        for (key, w) in self.early.remove(&h.name).unwrap_or_default() {
-            if let Some(e) = x.entries.get_mut(&key) {
-                e.standpoint.named();
-                (e.room, e.priority, e.image, e.want) = (Some(w.room), w.priority, w.image, Some(w.want));
-            }
+    }
+}
+
+impl TaskEntry {
+    fn pack_handoff(&self, key: &TaskKey) -> TaskHandoff {
+        TaskHandoff {
+            key: key.clone(),
+            room: self.resources,
+            priority: self.priority,
+            image: self.image,
+            phase: self.phase,
+            want: self.desired,
+            sent_to: self.sent_with.into(),
         }
-        x.standing = InventoryState::Known;
-        x.was_open = x.open(now, self.patience);
-        self.changes.touch(&h.name, &mut x.version);
-        true
     }
+}
 
-    /// Machines whose home is `to` in `next` that are certainly gone: one that has just started does not know, and would
-    /// wait for the leases of all that pages of the roll still name.
-    pub fn gone_for(&self, to: usize, next: &Membership) -> Vec<String> {
-        self.returned.iter().filter(|n| next.machine_leader(n) == Some(to)).cloned().collect()
+/// Frames carry a heartbeat's number as a pair.
+impl From<(u64, u64)> for HeartbeatId {
+    fn from((incarnation, sequence): (u64, u64)) -> HeartbeatId {
+        HeartbeatId { incarnation, sequence }
     }
+}
+
+impl From<HeartbeatId> for (u64, u64) {
+    fn from(id: HeartbeatId) -> (u64, u64) {
+        (id.incarnation, id.sequence)
+    }
+}
 
-    /// These are certainly gone.
-    pub fn told_gone(&mut self, gone: &[String]) {
-        for name in gone {
-            self.is_returned(name);
+impl From<&MachineHandoff> for MachineRecord {
+    fn from(handoff: &MachineHandoff) -> MachineRecord {
+        MachineRecord {
+            kind: handoff.kind.clone(),
+            zone: handoff.zone.clone(),
+            spot: handoff.spot,
+            addr: handoff.addr.clone(),
         }
     }
 }
--- a/src/machine_view.rs
+++ b/src/machine_view.rs
@@ -140,9 +140,9 @@
             txn_ops = 8\n[settings.cloud]\nrps = 5.0\nlist_lag_s = 8.0\n";
         let s = Settings::parse("test", text).expect("valid");
         let mut m = Membership::new(&s, 1);
-        m.adopt(Micros(1), &EpochRecord { epoch: 7, members: vec![("c0".into(), 1)] }, 1);
+        m.adopt_epoch(Micros(1), &EpochRecord { epoch: 7, members: vec![("c0".into(), 1)] }, 1);
         let mut home = MachineShard::new(&s);
-        home.adopt(Micros(1), &m, false, |_| None);
+        home.adopt_epoch(Micros(1), &m, false, |_| None);
         (m, home)
     }
 
@@ -153,7 +153,7 @@
                 task: format!("wk-1/{index}"),
                 attempt,
                 state: "running".into(),
-                why: None,
+                cause: None,
                 saved: None,
             })
             .collect();
@@ -163,8 +163,8 @@
             kind: "k".into(),
             zone: "z".into(),
             spot: false,
-            session: 1,
-            seq,
+            incarnation: 1,
+            sequence: seq,
             token: 7,
             notice_s: None,
             tasks,
@@ -194,7 +194,7 @@
                         let machine = rng.random_range(0..6);
                         let tasks = (0..rng.random_range(0..3u32)).map(|i| (i, 9)).collect();
                         seqs += 1;
-                        home.report(now, &m, &report(machine, seqs, &tasks));
+                        home.apply_heartbeat(now, &m, &report(machine, seqs, &tasks));
                     }
                     2 => {
                         let machine = format!("i-{}", rng.random_range(0..7));
@@ -227,8 +227,8 @@
                             gone.iter().filter(|(_, r)| **r > since).map(|(k, _)| k.clone()).collect();
                         wishes.push(DesiredState { rev, since, list, dropped });
                     }
-                    5 => digests.push(home.digest(now, &m, 0, view.seq(7), room)),
-                    _ => home.tick(now, &m),
+                    5 => digests.push(home.status_delta(now, &m, 0, view.seq(7), room)),
+                    _ => home.expire_leases(now, &m),
                 }
                 if !digests.is_empty() && rng.random_bool(0.4) {
                     let i = rng.random_range(0..digests.len());
@@ -238,11 +238,11 @@
                 if !wishes.is_empty() && rng.random_bool(0.4) {
                     let i = rng.random_range(0..wishes.len());
                     let w = if rng.random_bool(0.3) { wishes[i].clone() } else { wishes.swap_remove(i) };
-                    home.wanted(now, 0, &w, &m, room);
+                    home.apply_desired_state(now, 0, &w, &m, room);
                 }
             }
-            view.take(now, 7, home.digest(now, &m, 0, view.seq(7), room));
-            let whole = home.digest(now, &m, 0, 0, room);
+            view.take(now, 7, home.status_delta(now, &m, 0, view.seq(7), room));
+            let whole = home.status_delta(now, &m, 0, 0, room);
             assert_eq!(whole.since, 0);
             let seen = view.machines(7).expect("spoken");
             assert_eq!(seen.len(), whole.machines.len(), "seed {seed}");
@@ -267,10 +267,10 @@
     fn machines_of_an_older_epoch_are_no_news_of_the_new_one() {
         let (m, mut home) = parts();
         let room = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
-        home.report(Micros(10), &m, &report(1, 1, &BTreeSet::new()));
-        home.report(Micros(10), &m, &report(2, 1, &BTreeSet::new()));
+        home.apply_heartbeat(Micros(10), &m, &report(1, 1, &BTreeSet::new()));
+        home.apply_heartbeat(Micros(10), &m, &report(2, 1, &BTreeSet::new()));
         let mut view = MachineView::default();
-        let all = home.digest(Micros(20), &m, 0, 0, room);
+        let all = home.status_delta(Micros(20), &m, 0, 0, room);
         view.take(Micros(30), 7, all.clone());
         let mut moved = MachineStatusDelta { seq: (8 << 32) + 1, ..all };
         moved.machines.truncate(1);
@@ -283,18 +283,18 @@
     fn a_digest_of_a_large_home_names_only_what_changed() {
         let (m, mut home) = parts();
         for i in 0..300 {
-            home.report(Micros(10), &m, &report(i, 1, &BTreeSet::new()));
+            home.apply_heartbeat(Micros(10), &m, &report(i, 1, &BTreeSet::new()));
         }
         let room = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
         let mut view = MachineView::default();
-        let first = home.digest(Micros(20), &m, 0, 0, room);
+        let first = home.status_delta(Micros(20), &m, 0, 0, room);
         assert_eq!(first.machines.len(), 300);
         view.take(Micros(30), 7, first);
-        home.report(Micros(40), &m, &report(5, 2, &BTreeSet::from([(1, 3)])));
+        home.apply_heartbeat(Micros(40), &m, &report(5, 2, &BTreeSet::from([(1, 3)])));
         for i in 10..300 {
-            home.report(Micros(40), &m, &report(i, 2, &BTreeSet::new()));
+            home.apply_heartbeat(Micros(40), &m, &report(i, 2, &BTreeSet::new()));
         }
-        let next = home.digest(Micros(50), &m, 0, view.seq(7), room);
+        let next = home.status_delta(Micros(50), &m, 0, view.seq(7), room);
         assert_eq!(next.machines.iter().map(|d| d.name.as_str()).collect::<Vec<_>>(), ["i-5"]);
         assert_eq!(view.take(Micros(60), 7, next).map(|n| n.names.len()), Some(1));
     }
--- a/src/server/http_api.rs
+++ b/src/server/http_api.rs
@@ -6,6 +6,7 @@
 use crate::machine_shard::{FencingProbe, Heartbeat};
 use crate::peer::{Reply, UserRequest};
 use crate::spec::{BODY_LIMIT, JobSpec, is_job_id};
+use crate::wire::workers::fencing_probe_body;
 use std::io::Read;
 
 /// Longest report taken: one with thousands of tasks.
@@ -139,16 +140,16 @@
 /// Tells a worker the token, without any command; its report, if it answers. One whose lease has run out in between is
 /// in another session than was thought, and says so.
 pub fn greet(agent: &ureq::Agent, epoch: u64, g: &FencingProbe) -> Option<Heartbeat> {
-    let mut session = g.session;
+    let mut session = g.incarnation;
     for _ in 0..2 {
-        let body = serde_json::json!({"rein": epoch, "ride": session, "calls": []}).to_string();
+        let body = fencing_probe_body(epoch, session);
         let (_, text) =
             crate::state_store::call(agent, "POST", &format!("http://{}/do", g.addr), Some(body))?;
         let r: Heartbeat = serde_json::from_str(&text).ok()?;
-        if r.token >= epoch || r.session == session {
+        if r.token >= epoch || r.incarnation == session {
             return Some(r);
         }
-        session = r.session;
+        session = r.incarnation;
     }
     None
 }
@@ -213,9 +214,9 @@
                 r.respond(answer).expect("sent");
             }
         });
-        let g = FencingProbe { machine: "i-1".into(), addr, session: 1 };
+        let g = FencingProbe { machine: "i-1".into(), addr, incarnation: 1 };
         let r = greet(&greeter(), 9, &g).expect("a report");
-        assert_eq!((r.session, r.token, r.seq), (3, 9, 8));
+        assert_eq!((r.incarnation, r.token, r.sequence), (3, 9, 8));
         worker.join().expect("asked twice");
         let nobody = FencingProbe { addr: "127.0.0.1:1".into(), ..g };
         assert!(greet(&greeter(), 9, &nobody).is_none());
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -211,7 +211,7 @@
                     due = u64::MAX;
                 }
                 epoch += 1;
-                m.adopt(now, &EpochRecord { epoch, members: vec![("c0".into(), epoch)] }, epoch);
+                m.adopt_epoch(now, &EpochRecord { epoch, members: vec![("c0".into(), epoch)] }, epoch);
                 let follows = epoch > 1 && self.rng.random_bool(0.3);
                 if !follows {
                     owner = JobShard::new(&s);
--- a/tests/follow.rs
+++ b/tests/follow.rs
@@ -17,7 +17,7 @@
         txn_ops = 8\n[settings.cloud]\nrps = 5.0\nlist_lag_s = 8.0\n";
     let s = Settings::parse("test", text).expect("valid");
     let mut m = Membership::new(&s, 1);
-    m.adopt(Micros(1), &EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] }, 1);
+    m.adopt_epoch(Micros(1), &EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] }, 1);
     let mut owner = JobShard::new(&s);
     owner.adopt(&m, false);
     owner.load_done(std::iter::empty());
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -18,7 +18,7 @@
 use hazelsaddle::spec::JobSpec;
 use hazelsaddle::state_store::{KeyValue, StoreAnswer, StoreRequest, Transaction};
 use hazelsaddle::units::{Micros, Ranges, Resources};
-use hazelsaddle_coordination::census::{Member, Stands};
+use hazelsaddle_coordination::census::{Member, MemberState};
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind, items, pages};
 use hazelsaddle_freshness::batch::{Batch, Grant, Put, Writer};
 use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, State};
@@ -388,7 +388,7 @@
 /// A release in each phase: open, closing, and closed with its page.
 fn release_forms() -> Forms {
     let key = Key::new(Kind::Release, "t@2026-12-01").expect("a name");
-    let member = |says: Value| Member { stands: Stands::Live, says };
+    let member = |says: Value| Member { state: MemberState::Live, declaration: says };
     let says = |stage: &str| json!({"title": "t", "night": "2026-12-01", "stage": stage});
     let mut rebuild = says("rebuild");
     rebuild["expects"] = json!(2);
@@ -676,8 +676,8 @@
             kind: "k8".into(),
             zone: "z".into(),
             spot: false,
-            session: 1,
-            seq: self.seq,
+            incarnation: 1,
+            sequence: self.seq,
             token: self.token,
             notice_s: None,
             tasks: self.tasks.clone(),
@@ -686,7 +686,7 @@
 
     fn end(&mut self, why: &str) {
         for t in &mut self.tasks {
-            (t.state, t.why, t.saved) = ("ended".into(), Some(why.into()), Some(why == "stopped"));
+            (t.state, t.cause, t.saved) = ("ended".into(), Some(why.into()), Some(why == "stopped"));
         }
     }
 
@@ -697,7 +697,7 @@
                 task,
                 attempt: command["mount"].as_u64().expect("an attempt"),
                 state: "running".into(),
-                why: None,
+                cause: None,
                 saved: None,
             }),
             "kill" => self.end("stopped"),
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -3,7 +3,7 @@
 
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::JobShard;
-use hazelsaddle::machine_shard::{Heartbeat, HeartbeatTask, MachineShard, Verdict};
+use hazelsaddle::machine_shard::{Heartbeat, HeartbeatOutcome, HeartbeatTask, MachineShard};
 use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::*;
 use hazelsaddle::quota::QuotaLedger;
@@ -45,11 +45,11 @@
 fn two() -> Two {
     let (a, b) = (settings(0), settings(1));
     let mut before = Membership::new(&a, 1);
-    before.adopt(at(10.0), &record(7, &[0]), 1);
+    before.adopt_epoch(at(10.0), &record(7, &[0]), 1);
     let mut next = before.clone();
-    assert!(next.adopt(at(100.0), &record(8, &[0, 1]), 2), "it follows directly");
+    assert!(next.adopt_epoch(at(100.0), &record(8, &[0, 1]), 2), "it follows directly");
     let mut new = Membership::new(&b, 1);
-    new.adopt(at(1001.0), &record(8, &[0, 1]), 2);
+    new.adopt_epoch(at(1001.0), &record(8, &[0, 1]), 2);
     let moves = |p: &str, owner: &dyn Fn(&str) -> Option<usize>| {
         (0..).map(|i| format!("{p}-{i:06}")).find(|n| owner(n) == Some(1)).expect("one of many")
     };
@@ -63,7 +63,7 @@
         task: format!("{}/0", t.job),
         attempt,
         state: state.into(),
-        why: None,
+        cause: None,
         saved: None,
     };
     Heartbeat {
@@ -72,8 +72,8 @@
         kind: "k".into(),
         zone: "z".into(),
         spot: false,
-        session: 1,
-        seq,
+        incarnation: 1,
+        sequence: seq,
         token,
         notice_s: None,
         tasks: tasks.iter().map(task).collect(),
@@ -98,41 +98,53 @@
 /// The old home, which has just sent out a start, and the new one.
 fn homes(t: &Two) -> (MachineShard, MachineShard) {
     let mut old = MachineShard::new(&settings(0));
-    old.adopt(at(10.0), &t.before, false, |_| None);
-    assert_eq!(old.report(at(99.0), &t.before, &report(t, 1, 7, &[])), Verdict::Taken);
-    old.on_record(&t.machine);
-    old.wanted(at(99.1), 0, &whole(1, vec![wanted(t, 5, DesiredAction::Run)]), &t.before, |_| Some(ROOM));
-    assert_eq!(old.orders(&t.before, &t.machine, |_| true).expect("known").commands.len(), 1);
+    old.adopt_epoch(at(10.0), &t.before, false, |_| None);
+    assert_eq!(old.apply_heartbeat(at(99.0), &t.before, &report(t, 1, 7, &[])), HeartbeatOutcome::Accepted);
+    old.confirm_registered(&t.machine);
+    old.apply_desired_state(
+        at(99.1),
+        0,
+        &whole(1, vec![wanted(t, 5, DesiredAction::Run)]),
+        &t.before,
+        |_| Some(ROOM),
+    );
+    assert_eq!(old.issue_commands(&t.before, &t.machine, |_| true).expect("known").commands.len(), 1);
     let mut new = MachineShard::new(&settings(1));
-    new.adopt(at(1001.0), &t.new, false, |_| None);
+    new.adopt_epoch(at(1001.0), &t.new, false, |_| None);
     (old, new)
 }
 
 fn digest(home: &MachineShard, now: Micros, t: &Two) -> MachineStatus {
-    home.digest(now, &t.new, 1, 0, |_| Some(ROOM)).machines.remove(0)
+    home.status_delta(now, &t.new, 1, 0, |_| Some(ROOM)).machines.remove(0)
 }
 
 #[test]
 fn a_handed_machine_is_known_at_once_with_the_start_that_is_in_doubt() {
     let t = two();
     let (old, mut new) = homes(&t);
-    let mut parcels = old.hand_over(at(100.0), &t.next);
+    let mut parcels = old.pack_handoff(at(100.0), &t.next);
     let machine = parcels.remove(&1).expect("it moves").remove(0);
-    assert!(new.handed(at(1005.0), &t.new, machine.clone()));
+    assert!(new.apply_handoff(at(1005.0), &t.new, machine.clone()));
     let d = digest(&new, at(1005.0), &t);
     assert_eq!(
         (d.standing, d.free.cpus, d.tasks[0].phase),
         (InventoryState::Known, 1000, TaskPhase::InDoubt)
     );
-    assert!(!new.handed(at(1005.1), &t.new, machine.clone()), "twice changes nothing");
+    assert!(!new.apply_handoff(at(1005.1), &t.new, machine.clone()), "twice changes nothing");
     // No room beside the start in doubt, no second start of its task.
-    new.wanted(at(1005.2), 1, &whole(1, vec![wanted(&t, 6, DesiredAction::Run)]), &t.new, |_| Some(ROOM));
-    assert!(new.orders(&t.new, &t.machine, |_| true).expect("known").commands.is_empty());
+    new.apply_desired_state(
+        at(1005.2),
+        1,
+        &whole(1, vec![wanted(&t, 6, DesiredAction::Run)]),
+        &t.new,
+        |_| Some(ROOM),
+    );
+    assert!(new.issue_commands(&t.new, &t.machine, |_| true).expect("known").commands.is_empty());
     // The start never arrived: the next report says so.
-    assert_eq!(new.report(at(1006.0), &t.new, &report(&t, 2, 7, &[])), Verdict::Taken);
+    assert_eq!(new.apply_heartbeat(at(1006.0), &t.new, &report(&t, 2, 7, &[])), HeartbeatOutcome::Accepted);
     assert_eq!(digest(&new, at(1006.0), &t).free.cpus, 4000);
     // The parcel once more, late: nothing comes back.
-    new.handed(at(1007.0), &t.new, machine);
+    new.apply_handoff(at(1007.0), &t.new, machine);
     assert!(digest(&new, at(1007.0), &t).tasks.is_empty());
 }
 
@@ -142,10 +154,10 @@
         let t = two();
         let (old, mut new) = homes(&t);
         // It shows the old token: alone it proves nothing.
-        new.report(at(1004.0), &t.new, &report(&t, seq, 7, &[]));
+        new.apply_heartbeat(at(1004.0), &t.new, &report(&t, seq, 7, &[]));
         assert_eq!(digest(&new, at(1004.0), &t).standing, InventoryState::Unconfirmed);
-        let machine = old.hand_over(at(100.0), &t.next).remove(&1).expect("it moves").remove(0);
-        new.handed(at(1005.0), &t.new, machine);
+        let machine = old.pack_handoff(at(100.0), &t.next).remove(&1).expect("it moves").remove(0);
+        new.apply_handoff(at(1005.0), &t.new, machine);
         let d = digest(&new, at(1005.0), &t);
         assert_eq!((d.standing, d.free.cpus), (InventoryState::Known, cpus), "report {seq}");
     }
@@ -155,13 +167,13 @@
 fn what_owners_want_of_a_machine_before_its_parcel_comes_is_not_lost() {
     let t = two();
     let (old, mut new) = homes(&t);
-    new.report(at(1004.0), &t.new, &report(&t, 2, 7, &[(5, "running")]));
+    new.apply_heartbeat(at(1004.0), &t.new, &report(&t, 2, 7, &[(5, "running")]));
     let stop = wanted(&t, 5, DesiredAction::Stop(Micros(0)));
-    new.wanted(at(1004.5), 1, &whole(1, vec![stop]), &t.new, |_| Some(ROOM));
-    let machine = old.hand_over(at(100.0), &t.next).remove(&1).expect("it moves").remove(0);
-    new.handed(at(1005.0), &t.new, machine);
-    let told = new.orders(&t.new, &t.machine, |_| true).expect("known").commands;
-    assert_eq!(told.iter().map(|c| c.op).collect::<Vec<_>>(), ["kill"]);
+    new.apply_desired_state(at(1004.5), 1, &whole(1, vec![stop]), &t.new, |_| Some(ROOM));
+    let machine = old.pack_handoff(at(100.0), &t.next).remove(&1).expect("it moves").remove(0);
+    new.apply_handoff(at(1005.0), &t.new, machine);
+    let told = new.issue_commands(&t.new, &t.machine, |_| true).expect("known").commands;
+    assert_eq!(told.iter().map(|c| c.verb()).collect::<Vec<_>>(), ["kill"]);
 }
 
 /// The end of a machine that was silent before the epoch is counted from then, and one whose end is not certain yet is
@@ -177,25 +189,25 @@
     };
     for (packed, known_at) in [(30.0, 10.0), (12.0, f64::NAN)] {
         let mut old = MachineShard::new(&settings(0));
-        old.adopt(at(10.0), &t.before, false, |_| None);
-        old.recorded(at(10.0), &t.machine, r.clone());
-        let parcels = old.hand_over(at(packed), &t.next);
+        old.adopt_epoch(at(10.0), &t.before, false, |_| None);
+        old.load_record(at(10.0), &t.machine, r.clone());
+        let parcels = old.pack_handoff(at(packed), &t.next);
         let mut new = MachineShard::new(&settings(1));
-        new.adopt(at(1001.0), &t.new, false, |_| None);
-        new.recorded(at(1001.0), &t.machine, r.clone());
+        new.adopt_epoch(at(1001.0), &t.new, false, |_| None);
+        new.load_record(at(1001.0), &t.machine, r.clone());
         if known_at.is_nan() {
             assert!(parcels.is_empty(), "others may still be answering it");
         } else {
             let machine = parcels[&1][0].clone();
             assert!(!machine.known);
-            new.handed(at(1001.5), &t.new, machine);
+            new.apply_handoff(at(1001.5), &t.new, machine);
         }
         // A worker's lease and its margin after 16 s, when the last right of the epoch before ended: by the old home's
         // clock at 35, so 5 s after packing; by the new one's own a member lease, a worker lease and the margin after 1 s.
         let mut over = 1002.0;
         while digest(&new, at(over), &t).standing == InventoryState::Unconfirmed {
             over += 0.25;
-            new.tick(at(over), &t.new);
+            new.expire_leases(at(over), &t.new);
             assert!(over < 1060.0);
         }
         let bound = if known_at.is_nan() { 1025.0..1027.0 } else { 1006.0..1008.0 };
@@ -218,13 +230,13 @@
         addr: String::new(),
     };
     let mut home = MachineShard::new(&settings(0));
-    home.adopt(at(10.0), &t.before, false, |_| None);
-    home.recorded(at(10.0), &stays, r);
+    home.adopt_epoch(at(10.0), &t.before, false, |_| None);
+    home.load_record(at(10.0), &stays, r);
     // A member lease after 10 s nobody else could answer it any more: with a worker lease and its margin that is 35 s.
-    home.adopt(at(30.0), &t.next, true, |_| None);
+    home.adopt_epoch(at(30.0), &t.next, true, |_| None);
     let known = |home: &mut MachineShard, s: f64| {
-        home.tick(at(s), &t.next);
-        home.digest(at(s), &t.next, 0, 0, |_| Some(ROOM)).machines[0].standing == InventoryState::Known
+        home.expire_leases(at(s), &t.next);
+        home.status_delta(at(s), &t.next, 0, 0, |_| Some(ROOM)).machines[0].standing == InventoryState::Known
     };
     assert!(!known(&mut home, 34.0));
     assert!(known(&mut home, 36.0));
@@ -356,7 +368,7 @@
     );
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty(), "one of two has spoken");
     let mut after = two();
-    assert!(after.new.adopt(at(1100.0), &record(9, &[0, 1]), 3));
+    assert!(after.new.adopt_epoch(at(1100.0), &record(9, &[0, 1]), 3));
     o.adopt(&after.new, true);
     o.load_done([t.machine.clone(), "i-dark".to_owned()].into_iter());
     // Now the other one does, and the first one's new home has yet to hear it.
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -26,22 +26,22 @@
 fn machine_leader() -> (Membership, MachineShard) {
     let s = settings();
     let mut m = Membership::new(&s, 1);
-    m.adopt(Micros(1), &EpochRecord { epoch: EPOCH, members: vec![("c0".into(), 1)] }, 1);
+    m.adopt_epoch(Micros(1), &EpochRecord { epoch: EPOCH, members: vec![("c0".into(), 1)] }, 1);
     let mut home = MachineShard::new(&s);
-    home.adopt(Micros(1), &m, false, |_| None);
+    home.adopt_epoch(Micros(1), &m, false, |_| None);
     let report = Heartbeat {
         machine: "i-1".into(),
         addr: String::new(),
         kind: "k".into(),
         zone: "z".into(),
         spot: false,
-        session: 1,
-        seq: 1,
+        incarnation: 1,
+        sequence: 1,
         token: EPOCH,
         notice_s: None,
         tasks: Vec::new(),
     };
-    home.report(Micros(2), &m, &report);
+    home.apply_heartbeat(Micros(2), &m, &report);
     (m, home)
 }
 
@@ -61,12 +61,12 @@
     };
     let ahead =
         DesiredState { rev: first + 5, since: first + 4, list: vec![wish.clone()], dropped: Vec::new() };
-    assert!(!home.wanted(Micros(3), 0, &ahead, &m, room));
-    let digest = home.digest(Micros(4), &m, 0, 0, room);
+    assert!(!home.apply_desired_state(Micros(3), 0, &ahead, &m, room));
+    let digest = home.status_delta(Micros(4), &m, 0, 0, room);
     assert!(digest.machines[0].tasks.is_empty());
     assert!(digest.rev_seen < first, "what was dropped must not count as seen");
-    assert!(home.wanted(Micros(5), 0, &DesiredState { since: 0, ..ahead }, &m, room));
-    assert_eq!(home.digest(Micros(6), &m, 0, 0, room).machines[0].tasks[0].key, wish.key);
+    assert!(home.apply_desired_state(Micros(5), 0, &DesiredState { since: 0, ..ahead }, &m, room));
+    assert_eq!(home.status_delta(Micros(6), &m, 0, 0, room).machines[0].tasks[0].key, wish.key);
 
     let mut view = MachineView::default();
     let later = MachineStatusDelta { since: digest.seq, seq: digest.seq + 2, ..digest.clone() };
@@ -88,8 +88,8 @@
 fn what_rests_on_a_right_that_has_run_out_is_taken_back() {
     let at = |s: u64| Micros(s * 1_000_000);
     let mut node = Controller::new(settings(), 1);
-    node.membership.adopt(at(1), &EpochRecord { epoch: EPOCH, members: vec![("c0".into(), 1)] }, 1);
-    node.membership.confirmed_by_store(at(1));
+    node.membership.adopt_epoch(at(1), &EpochRecord { epoch: EPOCH, members: vec![("c0".into(), 1)] }, 1);
+    node.membership.renew_store_lease(at(1));
     node.reconcile(at(2), at(2), &mut Vec::new());
     let status = |e: Option<Effect>| match e {
         Some(Effect::Reply(7, r)) => Some((r.status, r.retry_after)),
