--- a/tests/old_reports.rs
+++ b/tests/old_reports.rs
@@ -3,7 +3,7 @@
 
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::machine_shard::{
-    Heartbeat, HeartbeatResponse, HeartbeatTask, MachineRecord, MachineShard, Verdict,
+    Heartbeat, HeartbeatOutcome, HeartbeatResponse, HeartbeatTask, MachineRecord, MachineShard,
 };
 use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::peer::*;
@@ -49,7 +49,7 @@
             task: format!("{job}/0"),
             attempt: *attempt,
             state: if *ended { "ended" } else { "running" }.into(),
-            why: ended.then(|| "error".into()),
+            cause: ended.then(|| "error".into()),
             saved: None,
         };
         Heartbeat {
@@ -58,8 +58,8 @@
             kind: "k".into(),
             zone: "z".into(),
             spot: false,
-            session: self.session,
-            seq: self.seq,
+            incarnation: self.session,
+            sequence: self.seq,
             token: self.token,
             notice_s: None,
             tasks: self.tasks.iter().map(task).collect(),
@@ -85,13 +85,14 @@
         }
         (self.token, self.renewed) = (o.token, a.sent);
         for c in &o.commands {
-            match c.op {
-                "run" if !self.tasks.contains_key(&c.attempt) => {
-                    assert!(self.ever.insert(c.attempt), "attempt {} is started once more", c.attempt);
-                    self.tasks.insert(c.attempt, false);
+            let attempt = c.task().attempt;
+            match c.verb() {
+                "run" if !self.tasks.contains_key(&attempt) => {
+                    assert!(self.ever.insert(attempt), "attempt {attempt} is started once more");
+                    self.tasks.insert(attempt, false);
                 }
-                "kill" => _ = self.tasks.insert(c.attempt, true),
-                "forget" => _ = self.tasks.remove(&c.attempt),
+                "kill" => _ = self.tasks.insert(attempt, true),
+                "forget" => _ = self.tasks.remove(&attempt),
                 _ => {}
             }
         }
@@ -133,7 +134,7 @@
     let s = settings();
     let mut m = Membership::new(&s, 1);
     let record = |epoch| EpochRecord { epoch, members: vec![("c0".into(), epoch), ("c1".into(), 1)] };
-    m.adopt(at(1), &record(7), 7);
+    m.adopt_epoch(at(1), &record(7), 7);
     let own = |p: &str, of: &dyn Fn(&str) -> Option<usize>| {
         (0..).map(|i| format!("{p}-{i:06}")).find(|n| of(n) == Some(0)).expect("one of many")
     };
@@ -157,13 +158,13 @@
     };
     let begin = |now: u64, epoch: u64, m: &Membership, known: bool| {
         let mut m = m.clone();
-        m.adopt(at(now), &record(epoch), epoch);
+        m.adopt_epoch(at(now), &record(epoch), epoch);
         let mut home = MachineShard::new(&settings());
-        home.adopt(at(now), &m, false, |_| None);
+        home.adopt_epoch(at(now), &m, false, |_| None);
         if known {
             let r =
                 MachineRecord { kind: "k".into(), zone: "z".into(), spot: false, addr: "10.0.0.5:1".into() };
-            home.recorded(at(now), &machine, r);
+            home.load_record(at(now), &machine, r);
         }
         Reign { m, home, began: now, rev: epoch << 32, starts: 0 }
     };
@@ -180,8 +181,8 @@
             let epoch = reign.m.epoch + 1;
             if rng.random_bool(0.3) {
                 // The same home goes on in an epoch that follows directly.
-                reign.m.adopt(at(now), &record(epoch), epoch);
-                reign.home.adopt(at(now), &reign.m, true, |_| Some(0));
+                reign.m.adopt_epoch(at(now), &record(epoch), epoch);
+                reign.home.adopt_epoch(at(now), &reign.m, true, |_| Some(0));
                 (reign.began, reign.rev, reign.starts) = (now, epoch << 32, 0);
                 last = None;
                 continue;
@@ -193,7 +194,7 @@
         last = last.filter(|(_, ends)| now < *ends);
         if w.in_flight.is_none() && now >= w.next {
             let r = w.report(&job);
-            w.in_flight = Some((r.seq, now));
+            w.in_flight = Some((r.sequence, now));
             let late =
                 if rng.random_bool(0.05) { rng.random_range(300..60_000) } else { rng.random_range(1..300) };
             post(now + late, Mail::Heartbeat(r.clone(), Some(now)), &mut mail);
@@ -216,13 +217,13 @@
                     // An old process still has the worker's connection.
                     let old = last.as_mut().filter(|_| rng.random_bool(0.5)).map(|(old, _)| old);
                     let to = old.unwrap_or(&mut reign);
-                    let orders = match to.home.report(at(now), &to.m, &r) {
-                        Verdict::Taken => to.home.orders(&to.m, &machine, |_| true),
+                    let orders = match to.home.apply_heartbeat(at(now), &to.m, &r) {
+                        HeartbeatOutcome::Accepted => to.home.issue_commands(&to.m, &machine, |_| true),
                         _ => None,
                     };
                     // Who sent a copy awaits no answer.
                     if let Some(sent) = sent {
-                        let a = Answer { session: r.session, seq: r.seq, sent, orders };
+                        let a = Answer { session: r.incarnation, seq: r.sequence, sent, orders };
                         post(delay, Mail::Answer(a), &mut mail);
                     }
                 }
@@ -234,20 +235,20 @@
                     let r = w.report(&job);
                     post(delay + if rng.random_bool(0.2) { 9_000 } else { 0 }, Mail::Greeted(r), &mut mail);
                 }
-                Mail::Greeted(r) => _ = reign.home.greeted(at(now), &reign.m, &r),
+                Mail::Greeted(r) => _ = reign.home.apply_probe_answer(at(now), &reign.m, &r),
                 Mail::Answer(_) | Mail::FencingProbe(..) => {}
             }
         }
-        for g in reign.home.to_greet(at(now), 9) {
+        for g in reign.home.take_due_probes(at(now), 9) {
             let held = if rng.random_bool(0.3) { rng.random_range(1_000..20_000) } else { 1 };
-            post(now + held, Mail::FencingProbe(reign.m.epoch, g.session), &mut mail);
+            post(now + held, Mail::FencingProbe(reign.m.epoch, g.incarnation), &mut mail);
         }
-        for _ in 0..reign.home.to_record().len() {
-            reign.home.on_record(&machine);
+        for _ in 0..reign.home.take_unregistered().len() {
+            reign.home.confirm_registered(&machine);
         }
-        reign.m.note_stopped(at(now));
-        reign.home.tick(at(now), &reign.m);
-        let digest = |r: &Reign| r.home.digest(at(now), &r.m, 0, 0, |_| Some(ROOM)).machines.pop();
+        reign.m.note_older_leaders_stopped(at(now));
+        reign.home.expire_leases(at(now), &reign.m);
+        let digest = |r: &Reign| r.home.status_delta(at(now), &r.m, 0, 0, |_| Some(ROOM)).machines.pop();
         let Some(d) = digest(&reign) else { continue };
         // Its owner: one start at a time, what it does not know is kept, what ended may go.
         let wish = |attempt, want| DesiredTask {
@@ -276,7 +277,7 @@
         reign.rev += 1;
         let wishes = DesiredState { rev: reign.rev, since: 0, list, dropped: Vec::new() };
         let m = reign.m.clone();
-        reign.home.wanted(at(now), 0, &wishes, &m, |_| Some(ROOM));
+        reign.home.apply_desired_state(at(now), 0, &wishes, &m, |_| Some(ROOM));
         let Some(d) = digest(&reign) else { continue };
         if d.standing == InventoryState::Known {
             for (attempt, _) in w.tasks.iter().filter(|(_, ended)| !**ended) {
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -167,7 +167,7 @@
         self.wishes.clear();
         self.digests.clear();
         for i in 0..3 {
-            let follows = self.members[i].adopt(self.now, &record, self.store_version);
+            let follows = self.members[i].adopt_epoch(self.now, &record, self.store_version);
             self.owners[i].adopt(&self.members[i], follows);
             self.quota[i].unread();
             self.seen[i] = [0; 3];
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -61,7 +61,7 @@
         c.after_newer += usize::from(token < newest);
         if token < w.token {
             c.by_token += 1;
-        } else if g.session != w.session {
+        } else if g.incarnation != w.session {
             c.by_session += 1;
         } else {
             c.carried_out += 1;
--- a/tests/world/compound.rs
+++ b/tests/world/compound.rs
@@ -283,12 +283,12 @@
 
     pub(crate) fn late_report(&mut self, i: usize, target: usize, sent: u64, report: Heartbeat) {
         let w = &self.workers[i];
-        let newer = (w.session, w.seq) > (report.session, report.seq);
+        let newer = (w.session, w.seq) > (report.incarnation, report.sequence);
         let old = self.now > sent + (LEASE_S * 1e6) as u64;
         for (count, is) in self.compound.copies.iter_mut().zip([true, newer, old]) {
             *count += usize::from(is);
         }
-        self.compound.earlier += usize::from(w.session > report.session);
+        self.compound.earlier += usize::from(w.session > report.incarnation);
         // Nobody waits for its answer.
         self.serial += 1;
         self.drive(target, Event::Heartbeat(self.serial, report));
--- a/tests/world/days/gap.rs
+++ b/tests/world/days/gap.rs
@@ -59,7 +59,9 @@
         w.run(0, 15 * S);
         let mut n = seed as usize % 3;
         match role {
-            Role::Decider => n = w.nodes[0].as_ref().and_then(|x| x.membership.decider()).expect("one rents"),
+            Role::Decider => {
+                n = w.nodes[0].as_ref().and_then(|x| x.membership.autoscaler()).expect("one rents")
+            }
             // Whoever joins raises the epoch itself.
             Role::Raiser => w.crash_for(n, S / 20..S / 10),
             _ => {}
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -277,7 +277,7 @@
             }
             let of_task = w.workers[i].tasks.first().and_then(|t| owner(w, &t.job));
             let n = match ends {
-                Ends::Decider => w.nodes.iter().flatten().next().and_then(|x| x.membership.decider()),
+                Ends::Decider => w.nodes.iter().flatten().next().and_then(|x| x.membership.autoscaler()),
                 Ends::MachineShard => machine_leader(w, i),
                 Ends::JobShard => of_task.or(machine_leader(w, i)),
                 Ends::All => None,
@@ -482,7 +482,7 @@
                 w.run(0, next);
                 for n in 0..3 {
                     let Some(node) = &w.nodes[n] else { continue };
-                    let d = node.machine_shard.digest(w.clock(n), &node.membership, n, 0, |_| None);
+                    let d = node.machine_shard.status_delta(w.clock(n), &node.membership, n, 0, |_| None);
                     for d in d.machines.iter().filter(|d| names.contains(&d.name)) {
                         assert!(
                             !d.open && d.tasks.iter().all(|t| t.key.attempt >> 24 < node.membership.epoch),
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -421,8 +421,8 @@
     let put = |v: Value, lease| {
         commit(Transaction { puts: vec![("a".into(), v, lease)], ..Transaction::default() })
     };
-    let greet = |token, addr: &str, session| {
-        Effect::Greet(token, vec![FencingProbe { machine: "i-1".into(), addr: addr.into(), session }])
+    let greet = |token, addr: &str, incarnation| {
+        Effect::Greet(token, vec![FencingProbe { machine: "i-1".into(), addr: addr.into(), incarnation }])
     };
     let rent = |count, spot| {
         let (name, kind, zone) = ("r".into(), "large".into(), "a".into());
--- a/tests/world/lost.rs
+++ b/tests/world/lost.rs
@@ -400,13 +400,13 @@
             c.first += usize::from(w.token < epoch);
             c.acted += usize::from(w.tasks.iter().any(|t| t.attempt >> 24 >= epoch));
         }
-        c.earlier += usize::from(w.session > report.session);
+        c.earlier += usize::from(w.session > report.incarnation);
         c.gone += usize::from(w.gone || w.dead);
         let lists = |r: &HeartbeatTask| {
             w.tasks.iter().any(|t| t.attempt == r.attempt && r.task == format!("{}/{}", t.job, t.index))
         };
         c.forgotten +=
-            usize::from(report.tasks.iter().any(|r| r.why.as_deref() == Some("done") && !lists(r)));
+            usize::from(report.tasks.iter().any(|r| r.cause.as_deref() == Some("done") && !lists(r)));
         self.serial += 1;
         self.drive(n, Event::Heartbeat(self.serial, report));
     }
--- a/tests/world/trace.rs
+++ b/tests/world/trace.rs
@@ -64,7 +64,7 @@
         Effect::Probe(addresses) => (KINDS[4], joined(addresses).into_bytes()),
         Effect::Greet(token, list) => {
             let one = |g: &FencingProbe| {
-                let body = json!({"rein": token, "ride": g.session, "calls": []});
+                let body = json!({"rein": token, "ride": g.incarnation, "calls": []});
                 joined(&[g.machine.clone(), format!("POST http://{}/do\n{body}", g.addr)])
             };
             (KINDS[5], list.iter().map(one).collect::<String>().into_bytes())
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -8,7 +8,7 @@
             task: format!("{}/{}", t.job, t.index),
             attempt: t.attempt,
             state: t.state.into(),
-            why: t.why.map(str::to_owned),
+            cause: t.why.map(str::to_owned),
             saved: Some(t.saved),
         };
         Heartbeat {
@@ -17,8 +17,8 @@
             kind: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            incarnation: self.session,
+            sequence: self.seq,
             token: self.token,
             notice_s: None,
             tasks: self.tasks.iter().map(task).collect(),
@@ -58,7 +58,7 @@
     /// A worker takes a direct command if token and session match, and answers with its report.
     pub(crate) fn commanded(&mut self, i: usize, token: u64, g: &FencingProbe) -> Heartbeat {
         let w = &mut self.workers[i];
-        if w.session == g.session && token >= w.token {
+        if w.session == g.incarnation && token >= w.token {
             w.changed |= token > w.token;
             w.token = token;
         }
