--- a/crates/freshness/src/guard.rs
+++ b/crates/freshness/src/guard.rs
@@ -5,7 +5,7 @@
 use crate::batch::{Batch, Permit, PermitGrant, Writer};
 use crate::settings::Settings;
 use crate::upstream::{BatchVersion, JobKnowledge, Run, UpstreamFindings, inspect_upstream};
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 use std::collections::BTreeSet;
 
 /// What the records say of a merge and of all that is upstream of it.
@@ -63,17 +63,17 @@
     pub fn verdict(
         &self,
         settings: &Settings,
-        held: &Held,
+        held: &CachedRecord,
         job: impl Fn(&str) -> JobKnowledge,
         runs: &BTreeSet<Run>,
     ) -> Verdict {
         let record = match held {
-            Held::Unread => return Verdict::Unknown(UnknownCause::RecordUnread),
-            Held::Absent => return Verdict::Unknown(UnknownCause::NoVersion),
-            Held::Unreadable(why) => {
+            CachedRecord::NotRead => return Verdict::Unknown(UnknownCause::RecordUnread),
+            CachedRecord::Absent => return Verdict::Unknown(UnknownCause::NoVersion),
+            CachedRecord::Unreadable(why) => {
                 return Verdict::Unknown(UnknownCause::RecordUnreadable(why.to_string()));
             }
-            Held::Is(record) => record,
+            CachedRecord::Present(record) => record,
         };
         // A merge follows its batch: once that is at a newer version, only runs of that version count.
         if record.version < self.of.version {
@@ -114,9 +114,11 @@
     /// Whether a running task must be stopped, with nothing saved: its inputs are known to be stale, and its write has not
     /// begun. What is merely not known stops nothing.
     #[must_use]
-    pub fn must_stop(&self, held: &Held, writer: &Writer) -> bool {
+    pub fn must_stop(&self, held: &CachedRecord, writer: &Writer) -> bool {
         let has_permit = || match held {
-            Held::Is(record) => Batch::read(record).is_ok_and(|batch| batch.permit_of(writer).is_some()),
+            CachedRecord::Present(record) => {
+                Batch::read(record).is_ok_and(|batch| batch.permit_of(writer).is_some())
+            }
             _ => false,
         };
         matches!(self, Verdict::Stale(..)) && !has_permit()
@@ -156,8 +158,13 @@
 /// Answers a writer that asks for a permit, from a reading of the record that began after it asked. `value_limit`: longest
 /// value of the state service, in bytes.
 #[must_use]
-pub fn decide_permit(verdict: &Verdict, held: &Held, writer: &Writer, value_limit: usize) -> PermitAnswer {
-    let Held::Is(record) = held else { return PermitAnswer::Retry(verdict.reason()) };
+pub fn decide_permit(
+    verdict: &Verdict,
+    held: &CachedRecord,
+    writer: &Writer,
+    value_limit: usize,
+) -> PermitAnswer {
+    let CachedRecord::Present(record) = held else { return PermitAnswer::Retry(verdict.reason()) };
     let batch = match Batch::read(record) {
         Ok(batch) => batch,
         Err(error) => return PermitAnswer::Retry(error.to_string()),
--- a/crates/freshness/src/guard/tests.rs
+++ b/crates/freshness/src/guard/tests.rs
@@ -16,10 +16,10 @@
         JobKnowledge::Ended(JobDeclaration { class: Some("split".into()), batch, follows: vec![] })
     }
 }
-fn held(version: u64) -> Held {
-    Held::Is(Batch::first(version).record())
+fn held(version: u64) -> CachedRecord {
+    CachedRecord::Present(Batch::first(version).record())
 }
-fn verdict(held: &Held, read: u64, runs: &[Run]) -> Verdict {
+fn verdict(held: &CachedRecord, read: u64, runs: &[Run]) -> Verdict {
     merge().verdict(&settings(), held, at(read), &runs.iter().cloned().collect())
 }
 
@@ -35,7 +35,7 @@
 
 #[test]
 fn nothing_rests_on_what_is_not_known() {
-    for h in [Held::Unread, Held::Absent, Held::Unreadable(Unreadable::Newer(9))] {
+    for h in [CachedRecord::NotRead, CachedRecord::Absent, CachedRecord::Unreadable(Unreadable::Newer(9))] {
         let v = verdict(&h, 7, &[]);
         assert!(matches!(v, Verdict::Unknown(_)) && !v.may_start(), "{h:?}");
     }
@@ -55,14 +55,14 @@
         panic!("no permit")
     };
     let Ok(crate::batch::VersionChange::Raised(b)) = b.put_version(8) else { panic!("not raised") };
-    let h = Held::Is(b.record());
+    let h = CachedRecord::Present(b.record());
     let v = verdict(&h, 7, &[]);
     assert!(!v.must_stop(&h, &w));
     assert_eq!(decide_permit(&v, &h, &w, 2000), PermitAnswer::AlreadyHeld(p));
     let next = Writer { attempt: 2, ..w };
     assert!(v.must_stop(&h, &next));
     assert!(matches!(decide_permit(&v, &h, &next, 2000), PermitAnswer::Stale(8, _)));
-    let damaged = Held::Is(CoordinationRecord::open(7, serde_json::json!(1)));
+    let damaged = CachedRecord::Present(CoordinationRecord::open(7, serde_json::json!(1)));
     assert!(matches!(
         decide_permit(&verdict(&damaged, 7, &[]), &damaged, &next, 2000),
         PermitAnswer::Retry(_)
--- a/crates/release/src/join.rs
+++ b/crates/release/src/join.rs
@@ -11,7 +11,7 @@
 use crate::release_ref::ReleaseRef;
 use crate::set::{ClosedBy, Release};
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 
 /// Whether a job may join a set.
 #[derive(Clone, Debug, PartialEq)]
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// No calendar has the title.
-    #[error("no calendar has the title {title}{}", like.as_ref().map(|l| format!("; the nearest pattern is {l}")).unwrap_or_default())]
+    #[error("no calendar has the title {title}{}", like.as_ref() .map( | l | format!("; the nearest pattern is {l}") ) .unwrap_or_default() ) ]
     Title {
         /// The title.
         title: String,
@@ -38,7 +38,7 @@
         like: Option<String>,
     },
     /// The class takes no part at this stage.
-    #[error("class {class} takes no part as {stage}; calendar {calendar} has {} for that", classes.join(", "))]
+    #[error("class {class} takes no part as {stage}; calendar {calendar} has {} for that", classes.join(", ") ) ]
     Class {
         /// The class.
         class: String,
@@ -50,7 +50,7 @@
         classes: Vec<String>,
     },
     /// No night is open.
-    #[error("no night of {title} is open now{}", next.as_ref().map(|n| format!("; the next begins at {n}")).unwrap_or_default())]
+    #[error("no night of {title} is open now{}", next.as_ref() .map( | n | format!("; the next begins at {n}") ) .unwrap_or_default() ) ]
     NoNight {
         /// The title.
         title: String,
@@ -147,7 +147,7 @@
 /// its repeat is answered by its own record.
 #[must_use]
 pub fn decide_join(
-    held: &Held,
+    held: &CachedRecord,
     calendars: &Calendars,
     release_ref: &ReleaseRef,
     class: &str,
@@ -165,10 +165,10 @@
         });
     }
     match held {
-        Held::Unread => ReleaseJoin::Retry("the release's record is not read yet".into()),
-        Held::Unreadable(why) => ReleaseJoin::Retry(why.to_string()),
-        Held::Is(record) => join_existing(record, release_ref),
-        Held::Absent => match calendar {
+        CachedRecord::NotRead => ReleaseJoin::Retry("the release's record is not read yet".into()),
+        CachedRecord::Unreadable(why) => ReleaseJoin::Retry(why.to_string()),
+        CachedRecord::Present(record) => join_existing(record, release_ref),
+        CachedRecord::Absent => match calendar {
             None => ReleaseJoin::Refused(unknown_title(calendars, &release_ref.title)),
             Some(c) => open_set(c, release_ref, now)
                 .map_or_else(ReleaseJoin::Refused, |release| ReleaseJoin::OpenFirst(release.record())),
--- a/crates/release/src/readiness.rs
+++ b/crates/release/src/readiness.rs
@@ -3,7 +3,7 @@
 use crate::calendar::Stage;
 use crate::set::{MISSING, Member, Release, count_renders, mark_rotated};
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 use serde::Serialize;
 use std::fmt;
 
@@ -117,13 +117,17 @@
 /// Assesses whether a rotation may start. `members`: all of a closed set, from its pages; of one that is not closed those known
 /// so far, which are shown and decide nothing. `state` must come from records.
 #[must_use]
-pub fn assess(held: &Held, members: Option<&[Member]>, state: impl Fn(&str) -> MemberState) -> Readiness {
+pub fn assess(
+    held: &CachedRecord,
+    members: Option<&[Member]>,
+    state: impl Fn(&str) -> MemberState,
+) -> Readiness {
     let only = |cause| Readiness::Held { why: vec![cause] };
     let record = match held {
-        Held::Unread => return only(Cause::Unread),
-        Held::Absent => return only(Cause::NotOpened),
-        Held::Unreadable(why) => return only(Cause::Unreadable { why: why.to_string() }),
-        Held::Is(record) => record,
+        CachedRecord::NotRead => return only(Cause::Unread),
+        CachedRecord::Absent => return only(Cause::NotOpened),
+        CachedRecord::Unreadable(why) => return only(Cause::Unreadable { why: why.to_string() }),
+        CachedRecord::Present(record) => record,
     };
     let body = match Release::read(record) {
         Ok(body) => body,
--- a/crates/release/src/set.rs
+++ b/crates/release/src/set.rs
@@ -103,7 +103,7 @@
     #[error("the set is being counted; ask again in a moment")]
     Counting,
     /// No such job.
-    #[error("{job} is no render or rebuild of this set{}", like.as_ref().map(|l| format!("; the nearest is {l}")).unwrap_or_default())]
+    #[error("{job} is no render or rebuild of this set{}", like.as_ref() .map( | l | format!("; the nearest is {l}") ) .unwrap_or_default() ) ]
     NoMember {
         /// The job.
         job: String,
@@ -286,8 +286,9 @@
         return Err(ChangeError::Already(record.phase));
     }
     let members: Vec<Member> =
-        found.iter().filter_map(|(id, m)| Member::from_declaration(id, &m.says)).collect();
-    let standing = |m: &&Member| found.get(&m.id).is_none_or(|f| f.stands != census::Stands::Cancelled);
+        found.iter().filter_map(|(id, m)| Member::from_declaration(id, &m.declaration)).collect();
+    let standing =
+        |m: &&Member| found.get(&m.id).is_none_or(|f| f.state != census::CensusJobState::Cancelled);
     let (expects, _) = count_renders(members.iter().filter(standing));
     let (values, lost) = pages(members.iter().map(Member::to_item), bytes);
     if lost > 0 {
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -3,11 +3,8 @@
 use super::*;
 
 fn told(l: &UpstreamFindings) -> Value {
-    let old = l.old.iter().map(|o| {
-        json!({"job": o.job, "class": o.class, "batch": o.read.as_ref().map(|r| &r.name),
-            "version": o.read.as_ref().map(|r| r.version)})
-    });
-    json!({"old": old.collect::<Vec<_>>(), "missing": l.missing})
+    let old = l.old.iter() .map( | o | { json!( { "job":o.job, "class":o.class, "batch":o.read.as_ref() .map( | r | &r.name) , "version":o.read.as_ref() .map( | r | r.version) } ) } ) ;
+    json!( { "old":old.collect::<Vec<_>>() , "missing":l.missing } )
 }
 
 impl Controller {
@@ -81,22 +78,23 @@
         let writer = Writer { job: a.job.clone(), attempt: a.attempt, task };
         // What has ended makes room for what begins.
         let known = match &held {
-            Held::Is(r) => Batch::read(r).ok().and_then(|b| b.release_permits(|p| self.permit_over(p))),
+            CachedRecord::Present(r) => {
+                Batch::read(r).ok().and_then(|b| b.release_permits(|p| self.permit_over(p)))
+            }
             _ => None,
         };
-        let held = known.map_or(held, |b| Held::Is(b.record()));
+        let held = known.map_or(held, |b| CachedRecord::Present(b.record()));
         match guard::decide_permit(&verdict, &held, &writer, self.settings.value_bytes) {
             PermitAnswer::AlreadyHeld(p) => {
                 let batch = merge.of.name;
-                Some(Reply::json(200, &json!({"batch": batch, "version": p.version, "fence": p.fence})))
+                Some(Reply::json(200, &json!( { "batch":batch, "version":p.version, "fence":p.fence } )))
             }
             PermitAnswer::Record(..) if standing == AttemptStatus::Stopping => {
                 Some(Reply::error(409, "the attempt is being stopped"))
             }
             PermitAnswer::Record(next, p) => {
                 if self.change_pact(now, &key, next.record(), Vec::new(), None, out) {
-                    tracing::info!(job = %a.job, attempt = a.attempt, task = a.task, batch = %key.name(),
-                        version = p.version, fence = p.fence, "permit to write");
+                    tracing::info!(job = %a.job, attempt = a.attempt, task = a.task, batch = %key.name() , version = p.version, fence = p.fence, "permit to write");
                 }
                 None
             }
@@ -105,7 +103,7 @@
                 None
             }
             PermitAnswer::Stale(version, look) => {
-                tracing::info!(job = %a.job, attempt = a.attempt, reason = %verdict.reason(), "permit refused");
+                tracing::info!(job = %a.job, attempt = a.attempt, reason = %verdict.reason() , "permit refused");
                 let mut body = told(&look);
                 body["error"] = verdict.reason().into();
                 body["batch"] = merge.of.name.into();
@@ -127,7 +125,7 @@
     }
 
     pub(super) fn release_permits(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.writes.level(now) < 0.6 || !self.membership.others_have_stopped(now) {
+        if self.writes.level(now) < 0.6 || !self.membership.have_older_leaders_stopped(now) {
             return;
         }
         self.freshness.released.retain(|_, t| now < *t);
@@ -138,7 +136,7 @@
             .iter()
             .filter(|(k, _)| k.kind() == Sort::Batch && !self.freshness.released.contains_key(k))
             .filter_map(|(k, h)| match h {
-                Held::Is(r) => Some((k.clone(), over(&Batch::read(r).ok()?)?)),
+                CachedRecord::Present(r) => Some((k.clone(), over(&Batch::read(r).ok()?)?)),
                 _ => None,
             })
             .collect();
@@ -147,7 +145,7 @@
             self.pact(now, &key);
             self.freshness.released.insert(key.clone(), now + RELEASE);
             if self.change_pact(now, &key, next.record(), Vec::new(), None, out) {
-                tracing::debug!(batch = %key.name(), held = next.permits.len(), "permits given back");
+                tracing::debug!(batch = %key.name() , held = next.permits.len() , "permits given back");
             }
         }
     }
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -4,9 +4,9 @@
 use super::coordination::{Gate, Members, Operating};
 use super::*;
 use crate::job_shard::Hold;
-use hazelsaddle_coordination::census::Stands;
+use hazelsaddle_coordination::census::CensusJobState;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
-use hazelsaddle_coordination::record_cache::Held;
+use hazelsaddle_coordination::record_cache::CachedRecord;
 use hazelsaddle_release::calendar::nearest;
 use hazelsaddle_release::join::{self, ReleaseJoin};
 use hazelsaddle_release::priority_inheritance;
@@ -49,11 +49,11 @@
     }
 }
 
-fn fact_of(s: Stands) -> MemberState {
+fn fact_of(s: CensusJobState) -> MemberState {
     match s {
-        Stands::Live => MemberState::Live,
-        Stands::Done => MemberState::Done,
-        Stands::Cancelled => MemberState::Cancelled,
+        CensusJobState::Live => MemberState::Live,
+        CensusJobState::Done => MemberState::Done,
+        CensusJobState::Cancelled => MemberState::Cancelled,
     }
 }
 
@@ -64,7 +64,7 @@
         let rotates = s.stage == hazelsaddle_release::calendar::Stage::Rotation;
         (!rotates).then(|| Member { id: id.clone(), stage: s.stage, expects: s.expects })
     };
-    members.iter().filter_map(|(id, m)| of(id, &m.says)).collect()
+    members.iter().filter_map(|(id, m)| of(id, &m.declaration)).collect()
 }
 
 impl Controller {
@@ -95,7 +95,7 @@
                 .shelf
                 .iter()
                 .filter_map(|(_, h)| match h {
-                    Held::Is(r) => Some((r.phase, Release::read(r).ok()?)),
+                    CachedRecord::Present(r) => Some((r.phase, Release::read(r).ok()?)),
                     _ => None,
                 })
                 .collect();
@@ -147,7 +147,7 @@
             .iter()
             .filter(|(k, _)| self.keeps_pact(k))
             .filter_map(|(k, h)| match h {
-                Held::Is(r) if k.kind() == hazelsaddle_coordination::record::Kind::Release => {
+                CachedRecord::Present(r) if k.kind() == hazelsaddle_coordination::record::Kind::Release => {
                     Some((k.clone(), r.clone()))
                 }
                 _ => None,
@@ -193,7 +193,9 @@
         for (id, key) in members {
             let shelf = &self.coordination.shelf;
             let due = *dues.entry(key).or_insert_with_key(|key| match shelf.get(key) {
-                Held::Is(r) => priority_inheritance::of_set(&Release::read(r).ok()?, [])?.due.map(Micros),
+                CachedRecord::Present(r) => {
+                    priority_inheritance::of_set(&Release::read(r).ok()?, [])?.due.map(Micros)
+                }
                 _ => None,
             });
             self.job_shard.set_release_due(&id, due);
@@ -214,7 +216,7 @@
                 self.census_since(key, self.releases.count_since);
                 let known = self.members_so_far(key);
                 let there = |m: &Member| {
-                    known.and_then(|k| k.get(&m.id)).is_some_and(|m| m.stands != Stands::Cancelled)
+                    known.and_then(|k| k.get(&m.id)).is_some_and(|m| m.state != CensusJobState::Cancelled)
                 };
                 let members: Vec<Member> = known.map(seen).unwrap_or_default();
                 let Some(by) = body.due_to_close(members.iter().filter(|m| there(m)), self.wall.0) else {
@@ -222,7 +224,7 @@
                 };
                 let Ok(next) = set::begin_closing(record, by) else { return };
                 if self.change_pact(now, key, next, Vec::new(), None, out) {
-                    tracing::info!(title = %body.title, night = %body.night, by = by.word(), "release closing");
+                    tracing::info!(title = %body.title, night = %body.night, by = by.word() , "release closing");
                 }
             }
             Phase::Closing => {
@@ -232,10 +234,12 @@
                 match set::finish_closing(key, record, &found, self.settings.value_bytes) {
                     Ok((pages, next)) => {
                         if self.change_pact(now, key, next, pages, None, out) {
-                            tracing::info!(title = %body.title, night = %body.night, members = found.len(), "release closed");
+                            tracing::info!(title = %body.title, night = %body.night, members = found.len() , "release closed");
                         }
                     }
-                    Err(e) => tracing::error!(record = %key.head(), reason = %e, "a release can't be closed"),
+                    Err(e) => {
+                        tracing::error!(record = %key.head() , reason = %e, "a release can't be closed")
+                    }
                 }
             }
             Phase::Closed => {}
@@ -249,13 +253,13 @@
         match assess(&held, known.members.as_deref(), |m| known.fact(m)) {
             // Only what is on record lets a task start: a controller that comes next must find the same.
             Readiness::Open => {
-                tracing::info!(job = id, record = %key.head(), "rotation released");
+                tracing::info!(job = id, record = %key.head() , "rotation released");
                 self.job_shard.note_time(self.wall);
                 self.job_shard.lift_hold(id);
             }
             Readiness::Ready(next) => {
                 if self.change_pact(now, key, next, Vec::new(), None, out) {
-                    tracing::info!(job = id, record = %key.head(), "release complete");
+                    tracing::info!(job = id, record = %key.head() , "release complete");
                 }
             }
             Readiness::Held { why } => {
@@ -270,12 +274,12 @@
     }
 
     /// All that is known of a set's members: of a closed one those on its pages, otherwise those found so far.
-    fn release_known(&mut self, now: Micros, key: &Key, held: &Held, out: &mut Vec<Effect>) -> Known {
+    fn release_known(&mut self, now: Micros, key: &Key, held: &CachedRecord, out: &mut Vec<Effect>) -> Known {
         let mut known = Known { members: None, facts: BTreeMap::new() };
-        let Held::Is(record) = held else { return known };
+        let CachedRecord::Present(record) = held else { return known };
         if record.phase != Phase::Closed {
             if let Some(found) = self.members_so_far(key) {
-                known.facts = found.iter().map(|(id, m)| (id.clone(), fact_of(m.stands))).collect();
+                known.facts = found.iter().map(|(id, m)| (id.clone(), fact_of(m.state))).collect();
                 let members = seen(found);
                 known.facts.retain(|id, _| members.iter().any(|m| m.id == *id));
                 known.members = Some(members);
@@ -290,10 +294,10 @@
         let Some(found) = self.census_since(key, since).cloned() else { return known };
         let mut open: Vec<String> = Vec::new();
         for m in known.members.iter().flatten() {
-            let by_census = found.get(&m.id).map(|f| f.stands).unwrap_or(Stands::Live);
-            let stands = by_census.max(self.end_of(&m.id).unwrap_or(Stands::Live));
+            let by_census = found.get(&m.id).map(|f| f.state).unwrap_or(CensusJobState::Live);
+            let stands = by_census.max(self.end_of(&m.id).unwrap_or(CensusJobState::Live));
             known.facts.insert(m.id.clone(), fact_of(stands));
-            if stands == Stands::Live {
+            if stands == CensusJobState::Live {
                 open.push(m.id.clone());
             }
         }
@@ -325,7 +329,7 @@
             return match set::members_on_pages(pages.iter().flatten()) {
                 Ok(members) => Some(members),
                 Err(e) => {
-                    tracing::error!(record = %key.head(), reason = %e, "a page of members can't be read");
+                    tracing::error!(record = %key.head() , reason = %e, "a page of members can't be read");
                     None
                 }
             };
@@ -355,7 +359,7 @@
             }
         } else {
             if a == StoreAnswer::Got(None) {
-                tracing::error!(page = %key.page(version, n), "a page of members is missing");
+                tracing::error!(page = %key.page(version, n) , "a page of members is missing");
             }
             self.releases.asked.insert(this, now + AGAIN);
         }
@@ -385,7 +389,7 @@
                 if !self.list_since(o.began) {
                     return None;
                 }
-                return Some(Reply::json(200, &json!({"releases": self.release_status()})));
+                return Some(Reply::json(200, &json!( { "releases":self.release_status() } )));
             }
         };
         let night = match night {
@@ -401,10 +405,12 @@
         };
         let held = self.pact_since(now, &key, o.began)?;
         let record = match &held {
-            Held::Absent => return Some(Reply::error(404, &format!("no release of {title} on {night}"))),
-            Held::Is(record) => record.clone(),
-            Held::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
-            Held::Unread => return None,
+            CachedRecord::Absent => {
+                return Some(Reply::error(404, &format!("no release of {title} on {night}")));
+            }
+            CachedRecord::Present(record) => record.clone(),
+            CachedRecord::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
+            CachedRecord::NotRead => return None,
         };
         let ticket = o.ticket;
         let change = match &o.request {
@@ -437,7 +443,7 @@
             Err(e) => Some(Reply::error(409, &e.to_string())),
             Ok(next) => {
                 let reply =
-                    json!({"title": title, "night": night, "phase": next.phase, "version": next.version});
+                    json!( { "title":title, "night":night, "phase":next.phase, "version":next.version } );
                 tracing::info!(title = %title, night = %night, request = ?o.request, "operator's change of a release");
                 self.change_pact(now, &key, next, Vec::new(), Some((ticket, Reply::json(200, &reply))), out);
                 None
@@ -460,7 +466,7 @@
             _ => found.as_ref().map(seen),
         };
         let (found, members) = (found?, members?);
-        let stands = |m: &Member| found.get(&m.id).map_or(MemberState::Unread, |f| fact_of(f.stands));
+        let stands = |m: &Member| found.get(&m.id).map_or(MemberState::Unread, |f| fact_of(f.state));
         let facts = members.iter().map(|m| (m.id.clone(), stands(m))).collect();
         Some(Known { members: Some(members), facts })
     }
@@ -476,16 +482,16 @@
         let of = |key: &Key| {
             let (title, night) = release_ref::title_and_night(key)?;
             Some(match self.coordination.shelf.get(key) {
-                Held::Is(r) => match Release::read(r) {
-                    Ok(b) => json!({"title": title, "night": night, "phase": r.phase, "version": r.version,
-                        "late": b.is_late(self.wall.0), "closed_by": b.closed_by, "waived": b.waived.len(),
-                        "rotated": b.rotated}),
-                    Err(e) => json!({"title": title, "night": night, "unreadable": e.to_string()}),
+                CachedRecord::Present(r) => match Release::read(r) {
+                    Ok(b) => {
+                        json!( { "title":title, "night":night, "phase":r.phase, "version":r.version, "late":b.is_late(self.wall.0) , "closed_by":b.closed_by, "waived":b.waived.len() , "rotated":b.rotated } )
+                    }
+                    Err(e) => json!( { "title":title, "night":night, "unreadable":e.to_string() } ),
                 },
-                Held::Unreadable(why) => {
-                    json!({"title": title, "night": night, "unreadable": why.to_string()})
+                CachedRecord::Unreadable(why) => {
+                    json!( { "title":title, "night":night, "unreadable":why.to_string() } )
                 }
-                Held::Unread | Held::Absent => return None,
+                CachedRecord::NotRead | CachedRecord::Absent => return None,
             })
         };
         self.coordination.listed_keys.iter().filter_map(of).collect()
--- a/src/job_shard/adoption/tests.rs
+++ b/src/job_shard/adoption/tests.rs
@@ -38,7 +38,7 @@
             (0, 1),
             "all machines have been heard"
         );
-        membership.adopt(
+        membership.adopt_epoch(
             at(1100),
             &crate::membership::EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] },
             2,
@@ -79,7 +79,7 @@
     // What was read in one epoch says nothing in the next.
     read(&mut shard, "wk-4");
     shard.await_epoch_check(at(2000), "wk-4");
-    membership.adopt(
+    membership.adopt_epoch(
         at(2001),
         &crate::membership::EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] },
         2,
--- a/src/job_shard/cancellation.rs
+++ b/src/job_shard/cancellation.rs
@@ -5,7 +5,7 @@
 //! which comes before any answer, once each of them has arrived or is gone, or can't arrive any more:
 //!
 //! - A leader of machines that has taken account of the withdrawal sends nothing of it from then on. What it sent before,
-//!   an agent drops `ANSWER` after it sent the heartbeat.
+//!   an agent drops `RESPONSE_TIMEOUT` after it sent the heartbeat.
 //! - A leader of machines that doesn't hear us answers a machine with such a start for no longer than
 //!   `leader_silence_limit` after our last word without the withdrawal, whatever epochs do meanwhile
 //!   (`machine_shard/owner_liveness`).
@@ -16,7 +16,7 @@
 use super::gang::GangState;
 use super::job::Job;
 use super::outcomes::JobOutcome;
-use crate::machine_shard::ANSWER;
+use crate::machine_shard::RESPONSE_TIMEOUT;
 use crate::peer::DesiredAction;
 use crate::spec::JobKind;
 use crate::units::Micros;
@@ -151,7 +151,7 @@
         let cancellation = &mut job.cancellation;
         let since = *cancellation.since.get_or_insert(now);
         cancellation.delivered_at = all_delivered.then(|| cancellation.delivered_at.unwrap_or(now));
-        let late = ANSWER.stretched();
+        let late = RESPONSE_TIMEOUT.stretched();
         let is_dropped = |delivered_at: Micros| now >= delivered_at.max(self.older_epochs_silent_at) + late;
         cancellation.delivered_at.is_some_and(is_dropped)
             || now >= since + self.leader_silence_limit.stretched() + late
--- a/src/job_shard/cancellation/tests.rs
+++ b/src/job_shard/cancellation/tests.rs
@@ -16,7 +16,7 @@
 /// A shard whose job's starts have been named to the machine's leader, which has not yet answered, and that message.
 fn started(raw: Value) -> (Membership, QuotaLedger, JobShard, MachineStatus, DesiredState) {
     let (mut membership, quota, mut shard, machine) = shard_with_job(raw);
-    membership.note_stopped(at(500));
+    membership.note_older_leaders_stopped(at(500));
     shard.apply_machine_status(
         at(900),
         &membership,
@@ -152,7 +152,7 @@
 fn starts_of_an_older_epoch_hold_up_the_end_until_they_can_not_arrive() {
     let (mut membership, _, mut shard, machine) = shard_with_job(raw("batch", 1, 0.0));
     shard.jobs.clear();
-    membership.adopt(at(10_000), &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
+    membership.adopt_epoch(at(10_000), &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
     shard.adopt_epoch(&membership, false);
     shard.finish_loading(std::iter::once("i-1".to_owned()));
     let raw = raw("batch", 1, 0.0);
@@ -165,7 +165,7 @@
         false,
     );
     cancel(&mut shard);
-    let silent = membership.older_silent_at();
+    let silent = membership.older_leaders_stopped_at();
     assert!(!ends(&mut shard, at(10_100)) && !ends(&mut shard, silent + at(3_900)));
     let mut heard = shard;
     assert!(ends(&mut heard, silent + at(4_100)));
--- a/src/job_shard/epoch_adoption.rs
+++ b/src/job_shard/epoch_adoption.rs
@@ -70,7 +70,7 @@
     /// may have led them in between. Nothing is placed before `finish_loading`.
     pub fn adopt_epoch(&mut self, membership: &Membership, follows: bool) {
         self.loaded = false;
-        self.older_epochs_silent_at = membership.older_silent_at();
+        self.older_epochs_silent_at = membership.older_leaders_stopped_at();
         let stays = |id: &str| follows && membership.job_leader(id) == Some(membership.me);
         let failures = &mut self.failures;
         self.jobs.retain(|id, _| {
@@ -121,7 +121,7 @@
             StartKnowledge::AwaitsMachines(set) => Some(set),
             _ => None,
         });
-        self.unresolved_sets.keep(&used.collect());
+        self.unresolved_sets.retain_used(&used.collect());
     }
 
     /// All records were read: `machines` are those that may run tasks.
@@ -130,7 +130,7 @@
         self.loaded = true;
         self.replan = true;
         self.delivery.send_to_all();
-        self.unresolved_sets.on_record(&self.unconfirmed_machines);
+        self.unresolved_sets.retain_registered(&self.unconfirmed_machines);
         self.set_of_epoch = self.unresolved_sets.open(self.unconfirmed_machines.clone());
         self.start_replication.jobs_changed = true;
         let read = self.set_of_epoch.map_or(StartKnowledge::Complete, StartKnowledge::AwaitsMachines);
--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -216,7 +216,7 @@
         self.take_unknown_starts(now, membership, report);
         if report.inventory != InventoryState::Unconfirmed {
             self.unconfirmed_machines.remove(report.name);
-            self.some_set_resolved |= self.unresolved_sets.heard(report.name);
+            self.some_set_resolved |= self.unresolved_sets.resolve(report.name);
         }
     }
 
--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -126,7 +126,7 @@
             return;
         }
         self.wall_clock = wall;
-        self.older_epochs_silent_at = membership.older_silent_at();
+        self.older_epochs_silent_at = membership.older_leaders_stopped_at();
         self.note_ends(now);
         self.refresh_quota_tiers(now, quota);
         self.advance_gangs(now);
--- a/src/job_shard/tests.rs
+++ b/src/job_shard/tests.rs
@@ -35,7 +35,7 @@
 pub(super) fn shard_with_job(raw: Value) -> (Membership, QuotaLedger, JobShard, MachineStatus) {
     let s = settings();
     let mut membership = Membership::new(&s, 1);
-    membership.adopt(Micros(1), &EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] }, 1);
+    membership.adopt_epoch(Micros(1), &EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] }, 1);
     let quota = QuotaLedger::new(&s.teams);
     let mut shard = JobShard::new(&s);
     shard.adopt_epoch(&membership, false);
@@ -255,7 +255,7 @@
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 1, 0, vec![machine.clone()]));
     shard.run_scheduling_pass(now, now, &membership, &quota);
     shard.next_desired_state(0, &membership);
-    membership.adopt(now, &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
+    membership.adopt_epoch(now, &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
     shard.adopt_epoch(&membership, true);
     shard.finish_loading(std::iter::empty());
     // The leader has not yet had our desired state of this epoch; whatever it has seen is of the last.
--- a/src/server/worker_probe.rs
+++ b/src/server/worker_probe.rs
@@ -4,7 +4,7 @@
 
 use crate::machine_shard::{FencingProbe, Heartbeat};
 use crate::state_store;
-use crate::wire::workers::fencing_probe;
+use crate::wire::workers::fencing_probe_body;
 use std::time::Duration;
 
 /// How long a worker may take to answer whether it is there.
@@ -38,15 +38,15 @@
 /// expired meanwhile is in another incarnation than was thought: it says so, and is told again.
 pub(super) fn send_fencing_token(agent: &ureq::Agent, epoch: u64, probe: &FencingProbe) -> Option<Heartbeat> {
     let url = format!("http://{}/do", probe.addr);
-    let mut incarnation = probe.session;
+    let mut incarnation = probe.incarnation;
     for _ in 0..FENCING_ATTEMPTS {
-        let body = fencing_probe::body(epoch, incarnation);
+        let body = fencing_probe_body(epoch, incarnation);
         let (_, text) = state_store::call(agent, "POST", &url, Some(body))?;
         let heartbeat: Heartbeat = serde_json::from_str(&text).ok()?;
-        if heartbeat.token >= epoch || heartbeat.session == incarnation {
+        if heartbeat.token >= epoch || heartbeat.incarnation == incarnation {
             return Some(heartbeat);
         }
-        incarnation = heartbeat.session;
+        incarnation = heartbeat.incarnation;
     }
     None
 }
--- a/src/server/worker_probe/tests.rs
+++ b/src/server/worker_probe/tests.rs
@@ -19,9 +19,9 @@
             r.respond(answer).expect("sent");
         }
     });
-    let probe = FencingProbe { machine: "i-1".into(), addr, session: 1 };
+    let probe = FencingProbe { machine: "i-1".into(), addr, incarnation: 1 };
     let heartbeat = send_fencing_token(&fencing_agent(), 9, &probe).expect("a heartbeat");
-    assert_eq!((heartbeat.session, heartbeat.token, heartbeat.seq), (3, 9, 8));
+    assert_eq!((heartbeat.incarnation, heartbeat.token, heartbeat.sequence), (3, 9, 8));
     worker.join().expect("asked twice");
     let nobody = FencingProbe { addr: "127.0.0.1:1".into(), ..probe };
     assert!(send_fencing_token(&fencing_agent(), 9, &nobody).is_none());
