--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,11 +1,14 @@
-//! One controller: the slices put together. `step` takes an event and the time and gives back what
-//! is to be done; it reads no clock and does no input or output, so that a simulated world can
-//! drive the code that runs.
+//! The event loop of one controller: dispatch, and a file a duty.
+//!
+//! [`Controller::step`] takes an event and the time, [`Controller::reconcile`] works off what is due, and both give back the
+//! effects that are to be carried out. Neither reads a clock, does input or output, or blocks, so that the simulated cluster
+//! drives the code that runs. Each duty's struct owns its state; `Controller` has one field a duty.
 
 mod coordination;
 mod dependencies;
 mod fencing_probe;
 mod flap_damping;
+mod frame_forms;
 mod freshness;
 mod gpu_lending;
 mod handoff;
@@ -13,20 +16,31 @@
 mod membership;
 mod operator_requests;
 mod peer_traffic;
+mod record_loading;
+mod record_writes;
 mod release;
 mod start_replica;
 mod state_store_io;
+mod status;
 mod user_requests;
 
-use self::coordination::{PendingRecordRequest, RecordSlice};
+use self::coordination::{CoordinationRecords, PendingRecordRequest};
 use self::dependencies::Dependencies;
+use self::fencing_probe::FencingProbes;
 use self::flap_damping::FlapDamping;
+use self::frame_forms::FrameForms;
 use self::freshness::{Freshness, PendingFreshnessRequest};
 use self::gpu_lending::{Loans, PendingLoanRequest};
 use self::handoff::Handoff;
 pub use self::handoff::LEAVING;
+use self::heartbeats::HeldHeartbeats;
+use self::membership::{MembershipLoop, PendingRingRequest};
+use self::peer_traffic::PeerTraffic;
+use self::record_loading::{LoadStage, RecordLoading};
 use self::release::Releases;
 use self::start_replica::StartReplica;
+use self::state_store_io::{PendingStoreRequest, StateStoreIo};
+use self::user_requests::{Caller, CoordinatedWrite, StandIns, UserRequests};
 use crate::autoscaler::{Autoscaler, CloudAnswer, CloudRequest};
 use crate::config::settings::Settings;
 use crate::job_shard::{JobOutcome, JobShard, RecordWrite};
@@ -34,8 +48,9 @@
 use crate::machine_shard::{FencingProbe, Heartbeat, MachineShard, Verdict};
 use crate::membership::step_down::{MisroutedHeartbeats, StepDown};
 use crate::membership::{EpochRecord, Membership};
-use crate::peer::{DesiredState, Frame, Message, Reply, UserRequest};
+use crate::peer::{DesiredState, Frame, MachineStatusDelta, Message, ReplicatedItem, Reply, UserRequest};
 use crate::quota::{AllocationWrite, QuotaLedger};
+use crate::server::operator_api::OpRequest;
 use crate::spec::{JobKind, JobSpec};
 use crate::state_store::{KeyValue, RateLimiter, StoreAnswer, StoreRequest, Transaction};
 use crate::units::{Micros, Ranges};
@@ -45,44 +60,68 @@
 
 /// Where the epoch record is kept.
 const EPOCH_KEY: &str = "ring/epoch";
-/// Users' requests that wait for an answer of the store or a peer; more are turned away at once.
-const WAITING_LIMIT: usize = 1000;
-/// Requests of one purpose under way at the state service.
+/// Requests of one purpose under way at the state store.
 const IN_FLIGHT: usize = 12;
-/// The same, from which on polls of jobs whose owner doesn't answer are not looked up.
-const PEEKS: usize = 30;
 /// A gap between two rounds from which on this process is taken to have stood still. Rounds are a
 /// tenth of a second apart.
-const PAUSE: Micros = Micros::from_millis(1000);
-/// Waiting jobs, and jobs that each waits for, named in the status.
+const STALL: Micros = Micros::from_millis(1000);
+/// A scheduling pass is made so often while something has changed, and so often otherwise.
+const PASS_PERIOD: Micros = Micros::from_millis(100);
+const IDLE_PASS_DELAY: Micros = Micros::from_millis(400);
+/// Rows of a list that is shown in the status.
 const SHOWN: usize = 20;
-/// Workers tried in one probe.
+/// Machines tried in one probe.
 const PROBED: usize = 3;
 
 /// What happens to a controller.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A worker's report; the answer goes to the ticket.
-    Heartbeat(u64, Heartbeat),
+    /// A machine's heartbeat; the answer goes to the ticket.
+    Heartbeat {
+        /// Where the answer goes.
+        ticket: u64,
+        /// What the machine says.
+        heartbeat: Heartbeat,
+    },
     /// A user's request, its syntax checked.
-    User(u64, UserRequest),
+    User {
+        /// Where the answer goes.
+        ticket: u64,
+        /// The request.
+        request: UserRequest,
+    },
     /// An operator's request about releases or batches.
-    Operator(u64, crate::server::operator_api::OpRequest),
-    /// A health probe.
+    Operator {
+        /// Where the answer goes.
+        ticket: u64,
+        /// The request.
+        request: OpRequest,
+    },
+    /// A health probe, with its ticket.
     Ready(u64),
-    /// An operator asks how things stand.
+    /// An operator asks for the status, with the ticket of the answer.
     Status(u64),
-    /// A peer's frame.
+    /// Another controller's frame.
     Frame(Box<Frame>),
-    /// An answer of the state service.
-    Store(u64, StoreAnswer),
+    /// An answer of the state store.
+    Store {
+        /// The number of the request.
+        id: u64,
+        /// The answer.
+        answer: StoreAnswer,
+    },
     /// An answer of the cloud.
-    Cloud(CloudRequest, CloudAnswer),
-    /// Whether one of the workers that were to be probed has answered.
+    Cloud {
+        /// The request that it answers.
+        request: CloudRequest,
+        /// The answer.
+        answer: CloudAnswer,
+    },
+    /// Whether one of the machines that were to be probed has answered.
     Probed(bool),
-    /// What a worker answered that was asked directly.
-    Greeted(Heartbeat),
-    /// The process is to end: hand everything on and leave the ring.
+    /// What a machine answered to a fencing probe.
+    FencingProbeAnswered(Heartbeat),
+    /// The process is to end: hand everything off and leave the ring.
     Leave,
     /// Only time has passed.
     Tick,
@@ -91,198 +130,122 @@
 /// What a controller wants done.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Answer a ticket.
-    Reply(u64, Reply),
-    /// Send a frame to a peer.
-    Send(usize, Frame),
-    /// Ask the state service. `true`: on the line kept for the ring.
-    Store(u64, StoreRequest, bool),
+    /// Answer a request.
+    Reply {
+        /// Whose.
+        ticket: u64,
+        /// The answer.
+        reply: Reply,
+    },
+    /// Send a frame to another controller.
+    Send {
+        /// Its number.
+        to: usize,
+        /// The frame.
+        frame: Frame,
+    },
+    /// Ask the state store.
+    Store {
+        /// The number under which the answer is expected.
+        id: u64,
+        /// The request.
+        request: StoreRequest,
+        /// The line that it goes out on.
+        lane: StoreLane,
+    },
     /// Ask the cloud.
     Cloud(CloudRequest),
-    /// Find out whether a worker at one of these addresses answers.
+    /// Find out whether a machine at one of these addresses answers.
     Probe(Vec<String>),
-    /// Tell these workers the token, without any command, and bring back their reports.
-    Greet(u64, Vec<FencingProbe>),
+    /// Tell these machines the fencing token, without any command, and bring back their heartbeats.
+    FencingProbe {
+        /// The fencing token.
+        epoch: u64,
+        /// The machines.
+        probes: Vec<FencingProbe>,
+    },
 }
 
-/// Who waits for an answer.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Caller {
-    Ticket(u64),
-    Peer(usize, u64),
-}
-
-/// What a request to the state service was for.
-#[derive(Clone, Debug)]
-enum PendingStoreRequest {
-    Grant,
-    ReadOwn,
-    Register,
-    ReadEpoch(Micros),
-    ReadMembers(Micros),
-    Raise(EpochRecord),
-    Renew(Micros),
-    LoadJobs(u64),
-    LoadMachines(u64),
-    LoadTeams(u64),
-    LoadUnwitnessed(u64),
-    Unwitnessed(u64),
-    Accept(String, u64),
-    Record(String, RecordWrite),
-    Verify(String, u64),
-    VerifyEnd(String, u64),
-    Lookup(String, u64),
-    Peek(String, Caller),
-    LookupEnd(String, u64),
-    MachineRegistry(u64, PageWrite),
-    ReadPage(u64, u32),
-    Claim(AllocationWrite),
-    ReadTeam(String),
-    NoteForms(u64),
-    Pact(PendingRecordRequest),
-    Fresh(PendingFreshnessRequest),
-    Revision,
-    Watch,
-    ReadEnd(String),
-    Check(String, String),
-    CheckEnd(String, String),
-    Refuse(String, String),
-    Loan(PendingLoanRequest),
-}
-
-/// What is read at the beginning of an epoch.
+/// The lines to the state store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Load {
-    Jobs,
-    Machines,
-    QuotaLedger,
-    Unwitnessed,
-    Done,
-}
-
-struct Accepting {
-    origins: Vec<Caller>,
-    /// Requests that came after it was sent to the store: by the time of the answer the job may have ended.
-    late: Vec<Caller>,
-    /// Whether it was sent to the store.
-    sent: bool,
-    spec: JobSpec,
-    raw: Value,
-    wall: Micros,
-    /// Jobs that it follows and that are not yet known to have been accepted.
-    unknown: BTreeSet<String>,
-    /// When it came, by the steady clock.
-    began: Micros,
-    /// Readings that decide about it must have begun since.
-    since: Micros,
-    /// A record that is put on record together with it, and when that went out.
-    with: Option<(Key, CoordinationRecord, Micros)>,
-}
-
-/// A reading of a job's record that is under way.
-struct Lookup {
-    /// Tells its answer from those of earlier readings, also of an earlier epoch.
-    number: u64,
-    /// Requests that came before it began.
-    waiting: Vec<(Caller, UserRequest)>,
-    /// Requests that came since. What is being read may be older than what their users were told before they asked, so they
-    /// wait for the next reading.
-    next: Vec<(Caller, UserRequest)>,
-}
-
-/// A request passed to a peer.
-struct ForwardedRequest {
-    /// Who waits for the answer, if anybody does.
-    ticket: Option<u64>,
-    at: Micros,
-    request: UserRequest,
+pub enum StoreLane {
+    /// The line kept for the membership loop, so that nothing else delays it.
+    Membership,
+    /// All else.
+    Records,
 }
 
-/// One controller.
+/// One controller: a field a duty.
 pub struct Controller {
     settings: Settings,
+    /// The random number of this process.
     boot: u64,
-    /// What it knows of the ring.
+    /// The ring and the epoch as this controller knows them.
     pub membership: Membership,
-    /// Its work as an owner.
+    /// The jobs whose leader this controller is.
     pub job_shard: JobShard,
-    /// Its work as a home.
+    /// The machines whose leader this controller is.
     pub machine_shard: MachineShard,
-    /// The teams' records.
+    /// The teams' quota and what is allocated of it.
     pub quota: QuotaLedger,
-    /// Its work as the decider.
+    /// Scaling, where this controller is the one that decides about it.
     pub autoscaler: Autoscaler,
     machine_registry: MachineRegistry,
-    next_prune: Micros,
-    // Ring loop.
-    lease: Option<u64>,
-    registered: bool,
-    seen: Option<(EpochRecord, u64, Micros)>,
-    ring_busy: bool,
-    next_ring: Micros,
+    membership_loop: MembershipLoop,
     step_down: StepDown,
     flap_damping: FlapDamping,
-    /// Other controllers whose store leases lived when last read.
-    alive: Vec<usize>,
-    /// Per controller: machines of its that turned up here and were sent on to it.
-    strays: Vec<MisroutedHeartbeats>,
-    /// When the last round ended; a gap means that the process stood still.
-    last_round: Micros,
-    // Loading.
-    load: Load,
-    load_after: String,
-    load_busy: bool,
-    load_retry: Micros,
-    machines_on_record: Vec<String>,
-    // State service.
-    next_id: u64,
-    in_flight: BTreeMap<u64, PendingStoreRequest>,
-    requests: RateLimiter,
-    writes: RateLimiter,
-    store_pause: Micros,
-    next_team_plan: Micros,
-    // Users.
-    accepting: BTreeMap<String, Accepting>,
+    record_loading: RecordLoading,
+    state_store: StateStoreIo,
+    request_ids: RequestIds,
+    rounds: Rounds,
+    user_requests: UserRequests,
+    stand_ins: StandIns,
+    frame_forms: FrameForms,
     dependencies: Dependencies,
-    coordination: RecordSlice,
+    coordination: CoordinationRecords,
     freshness: Freshness,
     releases: Releases,
-    handoff: Handoff,
-    /// The version of its own key, if it was read since that was last written, and what was last written there without an
-    /// answer.
-    own_key_version: Option<u64>,
-    own_sent: Option<Value>,
     loans: Loans,
+    handoff: Handoff,
     start_replica: StartReplica,
-    lookups: BTreeMap<String, Lookup>,
-    withdrawing: BTreeMap<String, Vec<Caller>>,
-    forwarded: BTreeMap<u64, ForwardedRequest>,
-    /// Jobs accepted in place of an owner that did not answer, and when it is next told.
-    standing_in: BTreeMap<String, Micros>,
-    // Peers.
-    clocks: Vec<(u64, Micros)>,
-    /// Per controller: when it was last told our state, up to which change of our machines, which
-    /// of those it says it holds, and whether it waits to hear which of its we hold.
-    sent: Vec<Micros>,
-    sent_seq: Vec<u64>,
-    acked: Vec<u64>,
-    owe_ack: Vec<bool>,
-    sent_demands: Micros,
-    next_plan: Micros,
-    next_greeting: Micros,
+    peer_traffic: PeerTraffic,
+    held_heartbeats: HeldHeartbeats,
+    fencing_probes: FencingProbes,
+}
+
+/// The rounds of the event loop.
+#[derive(Default)]
+struct Rounds {
+    /// The time of day at the latest event.
     wall: Micros,
-    was_acting: bool,
-    /// Reports whose answer waits a little, by machine, and the order in which they came.
-    held: BTreeMap<String, u64>,
-    held_order: VecDeque<(Micros, String, u64)>,
-    /// Machines whose report is held because an owner of their tasks is out of reach.
-    unreached: BTreeSet<String>,
+    /// When the last round ended; a gap means that the process stood still.
+    last_round: Micros,
+    next_scheduling_pass: Micros,
+    /// Whether this controller was a leader in the last round.
+    was_leader: bool,
+}
+
+/// Numbers for what must be told apart: requests to the state store and to peers, readings of records.
+struct RequestIds {
+    last: u64,
+}
+
+impl RequestIds {
+    /// Peers answer late: what an earlier process asked must not answer what this one asks under the same number.
+    fn new(boot: u64) -> RequestIds {
+        RequestIds { last: boot << 12 }
+    }
+
+    fn next(&mut self) -> u64 {
+        self.last = self.last.wrapping_add(1);
+        self.last
+    }
 }
 
 impl Controller {
     /// A controller that has just started; `boot` is a random number.
     pub fn new(settings: Settings, boot: u64) -> Controller {
-        let n = settings.members.len();
+        let controllers = settings.members.len();
         Controller {
             boot,
             membership: Membership::new(&settings, boot),
@@ -291,137 +254,108 @@
             quota: QuotaLedger::new(&settings.teams),
             autoscaler: Autoscaler::new(boot, &settings),
             machine_registry: MachineRegistry::new(&settings.member, settings.value_bytes),
-            next_prune: Micros(0),
-            lease: None,
-            registered: false,
-            seen: None,
-            ring_busy: false,
-            next_ring: Micros(0),
+            membership_loop: MembershipLoop::default(),
             step_down: StepDown::new(&settings),
             flap_damping: FlapDamping::default(),
-            alive: Vec::new(),
-            strays: (0..n).map(|_| MisroutedHeartbeats::default()).collect(),
-            last_round: Micros(0),
-            load: Load::Done,
-            load_after: String::new(),
-            load_busy: false,
-            load_retry: Micros(0),
-            machines_on_record: Vec::new(),
-            // Peers answer late: what an earlier process asked must not answer what this one asks under the same number.
-            next_id: boot << 12,
-            in_flight: BTreeMap::new(),
-            requests: RateLimiter::new(settings.store_rps),
-            writes: RateLimiter::new(settings.store_write_rps),
-            store_pause: Micros(0),
-            next_team_plan: Micros(0),
-            accepting: BTreeMap::new(),
+            record_loading: RecordLoading::default(),
+            state_store: StateStoreIo::new(&settings),
+            request_ids: RequestIds::new(boot),
+            rounds: Rounds::default(),
+            user_requests: UserRequests::default(),
+            stand_ins: StandIns::default(),
+            frame_forms: FrameForms::default(),
             dependencies: Dependencies::default(),
-            coordination: RecordSlice::default(),
+            coordination: CoordinationRecords::default(),
             freshness: Freshness::default(),
             releases: Releases::default(),
-            handoff: Handoff::new(n),
             loans: Loans::default(),
-            start_replica: StartReplica::new(n),
-            lookups: BTreeMap::new(),
-            withdrawing: BTreeMap::new(),
-            forwarded: BTreeMap::new(),
-            standing_in: BTreeMap::new(),
-            clocks: vec![(0, Micros(0)); n],
-            own_key_version: None,
-            own_sent: None,
-            sent: vec![Micros(0); n],
-            sent_seq: vec![0; n],
-            acked: vec![0; n],
-            owe_ack: vec![false; n],
-            sent_demands: Micros(0),
-            next_plan: Micros(0),
-            next_greeting: Micros(0),
-            wall: Micros(0),
-            was_acting: false,
-            held: BTreeMap::new(),
-            held_order: VecDeque::new(),
-            unreached: BTreeSet::new(),
+            handoff: Handoff::new(controllers),
+            start_replica: StartReplica::new(controllers),
+            peer_traffic: PeerTraffic::new(controllers),
+            held_heartbeats: HeldHeartbeats::default(),
+            fencing_probes: FencingProbes::default(),
             settings,
         }
     }
 
-    /// Takes one event.
+    /// Takes one event. What is to be done is added to `out`, in the order in which it is to go out.
     pub fn step(&mut self, now: Micros, wall: Micros, event: Event, out: &mut Vec<Effect>) {
-        self.wall = wall;
-        self.wake(now);
+        self.rounds.wall = wall;
+        self.note_stall(now);
         match event {
-            Event::Heartbeat(ticket, r) => {
-                if let Some(reply) = self.report(now, ticket, &r, out) {
-                    out.push(Effect::Reply(ticket, reply));
-                }
-            }
-            Event::User(ticket, r) => self.user(now, Caller::Ticket(ticket), r, out),
-            Event::Operator(ticket, r) => self.operator(now, ticket, r, out),
-            Event::Ready(ticket) => {
-                // Also while it reads its records: polls and submissions are answered all the same, and what is not
-                // would not be through another node either. The load balancer leaves out who fails two probes for 3 s,
-                // and for twice as long each time, up to a minute. While nobody can act, being left out helps no user
-                // either, and when the trouble is over all are missing.
-                let helps = self.membership.is_leader(now)
-                    || self.membership.can_pass(now)
-                    || self.membership.nobody_acts(now);
-                let reply = if self.handoff.leaving().is_some() {
-                    Reply::later("leaving")
-                } else if helps {
-                    Reply::json(200, &json!({"ready": true}))
-                } else {
-                    Reply::later("not yet able to act")
-                };
-                out.push(Effect::Reply(ticket, reply));
+            Event::Heartbeat { ticket, heartbeat } => self.take_heartbeat(now, ticket, &heartbeat, out),
+            Event::User { ticket, request } => {
+                self.take_user_request(now, Caller::Ticket(ticket), request, out)
             }
-            Event::Status(ticket) => out.push(Effect::Reply(ticket, Reply::json(200, &self.status(now)))),
-            Event::Frame(f) => self.frame(now, *f, out),
-            Event::Store(id, a) => {
-                if let Some(p) = self.in_flight.remove(&id) {
-                    self.stored(now, p, a, out);
-                }
-            }
-            Event::Cloud(r, a) => {
-                let before = (r == CloudRequest::Types).then(|| self.autoscaler.types.clone());
-                self.autoscaler.answer(now, &r, a);
-                if before.is_some_and(|t| t != self.autoscaler.types) {
-                    self.machine_shard.touch_all();
-                }
+            Event::Operator { ticket, request } => self.operator(now, ticket, request, out),
+            Event::Ready(ticket) => out.push(Effect::Reply { ticket, reply: self.readiness(now) }),
+            Event::Status(ticket) => {
+                out.push(Effect::Reply { ticket, reply: Reply::json(200, &self.status(now)) })
             }
+            Event::Frame(frame) => self.take_frame(now, *frame, out),
+            Event::Store { id, answer } => self.take_store_answer(now, id, answer, out),
+            Event::Cloud { request, answer } => self.take_cloud_answer(now, &request, answer),
             Event::Probed(reached) => self.step_down.probed(reached),
-            Event::Greeted(r) => self.greeted(now, &r),
+            Event::FencingProbeAnswered(heartbeat) => self.apply_fencing_probe_answer(now, &heartbeat),
             Event::Leave => self.handoff.leave(now),
             Event::Tick => {}
         }
     }
 
+    /// The answer to a health probe.
+    fn readiness(&self, now: Micros) -> Reply {
+        // Also while it reads its records: polls and submissions are answered all the same, and what is not
+        // would not be through another controller either. The load balancer leaves out who fails two probes for 3 s,
+        // and for twice as long each time, up to a minute. While nobody can act, being left out helps no user
+        // either, and when the trouble is over all are missing.
+        let helps = self.membership.is_leader(now)
+            || self.membership.can_pass(now)
+            || self.membership.nobody_acts(now);
+        if self.handoff.leaving().is_some() {
+            Reply::later("leaving")
+        } else if helps {
+            Reply::json(200, &json!({"ready": true}))
+        } else {
+            Reply::later("not yet able to act")
+        }
+    }
+
+    fn take_cloud_answer(&mut self, now: Micros, request: &CloudRequest, answer: CloudAnswer) {
+        let types_before = (*request == CloudRequest::Types).then(|| self.autoscaler.types.clone());
+        self.autoscaler.answer(now, request, answer);
+        if types_before.is_some_and(|types| types != self.autoscaler.types) {
+            self.machine_shard.touch_all();
+        }
+    }
+
     /// Called before anything else is done: notes whether this process stood still while its clock
     /// ran on. What others did in that time was not heard, so it can't be held against them.
-    fn wake(&mut self, now: Micros) {
-        let pause = now.since(self.last_round);
-        if self.last_round > Micros(0) && pause >= PAUSE {
-            tracing::info!(epoch = self.membership.epoch, seconds = pause.secs(), "this process stood still");
-            self.machine_shard.paused(now, pause);
-            self.step_down.paused(now, pause);
+    fn note_stall(&mut self, now: Micros) {
+        let gap = now.since(self.rounds.last_round);
+        if self.rounds.last_round > Micros(0) && gap >= STALL {
+            tracing::info!(epoch = self.membership.epoch, seconds = gap.secs(), "event loop stalled");
+            self.machine_shard.paused(now, gap);
+            self.step_down.paused(now, gap);
             // Its standing may have changed: that comes first.
-            self.next_ring = now;
+            self.membership_loop.step_at_once(now);
         }
-        self.last_round = now;
+        self.rounds.last_round = now;
     }
 
     /// The last look before an effect goes out. Between a decision and its effect the process may
-    /// have stood still and lost its right to act: what rests on that right is taken back.
+    /// have stood still and lost its leadership: what rests on that is taken back.
+    #[must_use]
     pub fn vetted(&mut self, now: Micros, effect: Effect) -> Option<Effect> {
-        if !self.was_acting || self.membership.is_leader(now) {
+        if !self.rounds.was_leader || self.membership.is_leader(now) {
             return Some(effect);
         }
         match effect {
             // Never a user's answer that may be out of date by now, nor a command.
-            Effect::Reply(t, r) if (200..300).contains(&r.status) => {
-                Some(Effect::Reply(t, Reply::later("not entitled to act any more")))
+            Effect::Reply { ticket, reply } if (200..300).contains(&reply.status) => {
+                Some(Effect::Reply { ticket, reply: Reply::later("not entitled to act any more") })
             }
-            Effect::Cloud(r @ (CloudRequest::Rent(_) | CloudRequest::Return(_))) => {
-                self.autoscaler.answer(now, &r, CloudAnswer::Failed);
+            Effect::Cloud(request @ (CloudRequest::Rent(_) | CloudRequest::Return(_))) => {
+                self.autoscaler.answer(now, &request, CloudAnswer::Failed);
                 None
             }
             other => Some(other),
@@ -431,118 +365,81 @@
     /// Works off the differences between what is wanted and what is. Called after events and at
     /// least every tenth of a second.
     pub fn reconcile(&mut self, now: Micros, wall: Micros, out: &mut Vec<Effect>) {
-        self.wall = wall;
-        self.wake(now);
-        self.step_aside(now, out);
-        self.ring_loop(now, out);
-        self.load_loop(now, out);
-        let acting = self.membership.is_leader(now);
-        if acting != self.was_acting {
-            self.was_acting = acting;
-            tracing::info!(epoch = self.membership.epoch, acting, "right to act changed");
-            self.release_held(now, out);
-        }
-        // One that has stepped aside leaves it to the new homes to say what is gone.
+        self.rounds.wall = wall;
+        self.note_stall(now);
+        self.step_down_or_return(now, out);
+        self.run_membership_loop(now, out);
+        self.load_records(now, out);
+        self.note_leadership(now, out);
+        // One that has stepped down leaves it to the new leaders to say what is gone.
         if !self.membership.aside {
             self.machine_shard.tick(now, &self.membership);
         }
         self.job_shard.alone = self.membership.others_have_stopped(now);
-        if acting && self.job_shard.loaded {
-            if now >= self.next_plan
-                && (self.job_shard.replan || now >= self.next_plan + Micros::from_millis(400))
-            {
-                self.next_plan = now + Micros::from_millis(100);
-                self.job_shard.replan = false;
-                self.job_shard.plan(now, self.wall, &self.membership, &self.quota);
-                self.job_shard.make_room(now, &self.membership);
-            }
-            self.team_loop(now, out);
+        if self.rounds.was_leader && self.job_shard.loaded {
+            self.schedule(now);
+            self.write_quota(now, out);
             self.loan_loop(now, out);
-            self.record_loop(now, out);
-            if self.autoscaler.due(now) {
-                let decider = self.membership.decider() == Some(self.settings.me);
-                let heard = self.job_shard.all_homes_heard(&self.membership);
-                let machines: Vec<_> =
-                    self.job_shard.machines(self.membership.epoch).filter(|_| decider).collect();
-                let rebuilt = self.job_shard.rebuilt();
-                let r =
-                    self.autoscaler.next(now, decider, &machines, heard, rebuilt, &self.membership.members);
-                out.extend(r.map(Effect::Cloud));
-            }
-        } else if self.autoscaler.types.is_empty()
-            && let Some(r) = self.autoscaler.next(now, false, &[], false, false, &[])
-        {
-            out.push(Effect::Cloud(r));
+            self.write_records(now, out);
+            self.scale(now, out);
+        } else {
+            self.learn_machine_types(now, out);
         }
-        self.follow_loop(now, out);
-        self.pact_loop(now, out);
-        self.greet(now, out);
+        self.watch_outcomes(now, out);
+        self.run_coordination(now, out);
+        self.send_fencing_probes(now, out);
         self.membership.note_stopped(now);
-        self.vouch(now, out);
-        self.say(now, out);
-        self.say_parcels(now, out);
-        self.held_reports(now, out);
-        self.overdue(now, out);
-        self.last_round = now;
+        self.send_replicated_starts(now, out);
+        self.send_state(now, out);
+        self.send_handoff_batches(now, out);
+        self.answer_due_heartbeats(now, out);
+        self.handle_overdue_requests(now, out);
+        self.rounds.last_round = now;
     }
 
-    fn fresh_id(&mut self) -> u64 {
-        self.next_id = self.next_id.wrapping_add(1);
-        self.next_id
+    fn note_leadership(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let is_leader = self.membership.is_leader(now);
+        if is_leader == self.rounds.was_leader {
+            return;
+        }
+        self.rounds.was_leader = is_leader;
+        let epoch = self.membership.epoch;
+        tracing::info!(epoch, "{}", if is_leader { "leadership acquired" } else { "leadership lost" });
+        self.release_held_heartbeats(now, out);
     }
 
-    /// How things stand, for operators.
-    pub fn status(&mut self, now: Micros) -> Value {
-        let m = &self.membership;
-        let (jobs, placed, left) = self.job_shard.counts();
-        let (bad_jobs, bad_machines) = self.job_shard.suspects(now);
-        let (known, machines) = self.machine_shard.counts();
-        let waiting = self.job_shard.waiting_jobs();
-        let shown = |j: &&crate::job_shard::Job| {
-            let on: Vec<&str> = j.waits_for().take(SHOWN).collect();
-            json!({"job": j.spec.id, "waits_for": on, "for_s": self.wall.since(j.accepted_wall).secs()})
-        };
-        let oldest: Vec<Value> = waiting.iter().take(SHOWN).map(shown).collect();
-        let teams: BTreeMap<&str, Value> = self
-            .quota
-            .list()
-            .map(|(n, g, used)| (n, json!({"guaranteed_cpus": g.cpus as f64 / 1000.0, "claimed_cpus": used.cpus as f64 / 1000.0})))
-            .collect();
-        let mut status = json!({
-            "member": self.settings.member,
-            "epoch": m.epoch,
-            "members": m.members.iter().map(|&i| m.name(i)).collect::<Vec<_>>(),
-            "acting": m.is_leader(now),
-            "aside": self.step_down.away().map(|a| format!("{a:?}").to_lowercase()),
-            "decider": m.decider().map(|d| m.name(d)),
-            "records_read": self.job_shard.loaded,
-            "machines_unheard": self.job_shard.unheard(),
-            "takeover": self.takeover_status(now),
-            "home": {"machines": machines, "known": known},
-            "jobs": {"live": jobs, "tasks_placed": placed, "tasks_left": left},
-            "waiting": {"jobs": waiting.len(), "oldest": oldest},
-            "takes_follows": self.takes_follows(),
-            "pacts": self.pact_status(),
-            "batches": self.batch_status(),
-            "suspected": {"jobs": bad_jobs, "machines": bad_machines},
-            "overdue": self.autoscaler.overdue,
-            "teams": teams,
-            "store": {"requests_left": self.requests.level(now), "writes_left": self.writes.level(now), "in_flight": self.in_flight.len()},
-        });
-        if self.settings.operators.loans.is_some() {
-            status["loans"] = self.loan_status();
+    /// A scheduling pass, if one is due.
+    fn schedule(&mut self, now: Micros) {
+        let next = self.rounds.next_scheduling_pass;
+        if now < next || !(self.job_shard.replan || now >= next + IDLE_PASS_DELAY) {
+            return;
         }
-        if !self.settings.operators.log_stores.is_empty() {
-            status["logs"] = json!({"stores": self.settings.operators.log_stores});
+        self.rounds.next_scheduling_pass = now + PASS_PERIOD;
+        self.job_shard.replan = false;
+        self.job_shard.plan(now, self.rounds.wall, &self.membership, &self.quota);
+        self.job_shard.make_room(now, &self.membership);
+    }
+
+    /// The autoscaler's next request to the cloud, if one is due.
+    fn scale(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        if !self.autoscaler.due(now) {
+            return;
         }
-        status
+        let decides = self.membership.decider() == Some(self.settings.me);
+        let heard = self.job_shard.all_homes_heard(&self.membership);
+        let machines: Vec<_> = self.job_shard.machines(self.membership.epoch).filter(|_| decides).collect();
+        let rebuilt = self.job_shard.rebuilt();
+        let members = &self.membership.members;
+        let request = self.autoscaler.next(now, decides, &machines, heard, rebuilt, members);
+        out.extend(request.map(Effect::Cloud));
     }
-}
 
-fn stance_of(f: JobOutcome) -> &'static str {
-    match f {
-        JobOutcome::Done => "done",
-        JobOutcome::Cancelled => "aborted",
+    /// Who doesn't act must know the machine types too: it may have to accept jobs.
+    fn learn_machine_types(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        if self.autoscaler.types.is_empty() {
+            let request = self.autoscaler.next(now, false, &[], false, false, &[]);
+            out.extend(request.map(Effect::Cloud));
+        }
     }
 }
 
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -1,5 +1,11 @@
-//! Pacts: records that bind jobs of several owners. Reading them, joining them, changing them, and finding out who
-//! joined. What a release or a batch means is the business of `release` and `freshness`.
+//! Coordination records: what binds jobs of several leaders, a release or a batch. Joining them, and what each round does.
+//!
+//! [`CoordinationRecords`] owns what was read, and what waits for it. What a release or a batch means is the business of
+//! `release` and `freshness`. A record is changed by compare-and-swap only.
+
+mod census;
+mod changes;
+mod readings;
 
 use super::*;
 use crate::job_shard::says_of_record;
@@ -8,9 +14,9 @@
 use hazelsaddle_coordination::record_cache::{Held, RecordCache};
 
 /// Work that looks at all records is done so often.
-pub(super) const ROUND: Micros = Micros::from_millis(300);
+const ROUND: Micros = Micros::from_millis(300);
 /// A record that something here waits for is read again after so long.
-pub(super) const PAUSE_HELD: Micros = Micros::from_millis(1000);
+const PAUSE_HELD: Micros = Micros::from_millis(1000);
 /// A reading that failed is tried again after so long.
 const PAUSE_FAILED: Micros = Micros::from_millis(300);
 /// Heads are listed so often, a page.
@@ -22,7 +28,7 @@
 
 /// What an acceptance rests on.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Gate {
+pub(super) enum JoinDecision {
     /// It may be put on record on these conditions.
     Open(Vec<(String, u64)>),
     /// A record must be read, or changed, first; asked again in the next round.
@@ -33,19 +39,35 @@
     Never(String),
 }
 
-/// What a request to the state service was for.
+/// What a request to the state store about a record is for.
 #[derive(Clone, Debug)]
 pub(super) enum PendingRecordRequest {
-    Read(Key, Micros),
-    Heads(u64, Micros),
+    Read {
+        key: Key,
+        asked_at: Micros,
+    },
+    /// A page of the list of heads.
+    Heads {
+        epoch: u64,
+        asked_at: Micros,
+    },
     Change(Box<Change>),
     /// A page that is written before the head that counts it; then the rest.
     Page(Box<Change>),
-    Census(u64),
+    Census {
+        epoch: u64,
+    },
     /// The end of a member that was live when it was last seen.
-    Member(u64, String),
+    Member {
+        epoch: u64,
+        job: String,
+    },
     /// A page of a closed set's members.
-    Members(Key, u64, usize),
+    Members {
+        key: Key,
+        version: u64,
+        page: usize,
+    },
 }
 
 /// A change of a record under way.
@@ -57,31 +79,31 @@
     next: CoordinationRecord,
     /// Pages and their keys, the last first.
     pages: Vec<(String, Value)>,
-    sent: Micros,
+    sent_at: Micros,
     /// What an operator hears once it is on record.
     then: Option<(u64, Reply)>,
 }
 
-/// A census' outcome: members by pact, and when it began.
+/// A census' outcome: members of a record, by job.
 pub(super) type Members = BTreeMap<String, hazelsaddle_coordination::census::Member>;
 
 /// An operator's request that is under way.
-pub(super) struct Operating {
+pub(super) struct OperatorRequest {
     pub(super) ticket: u64,
-    pub(super) request: crate::server::operator_api::OpRequest,
+    pub(super) request: OpRequest,
     pub(super) began: Micros,
 }
 
-/// What this controller knows of pacts.
+/// What this controller knows of coordination records.
 #[derive(Default)]
-pub(super) struct RecordSlice {
-    pub(super) shelf: RecordCache,
+pub(super) struct CoordinationRecords {
+    pub(super) records: RecordCache,
     /// Keys under change by this process.
     changing: BTreeSet<Key>,
     /// Submissions that wait for a record.
     waiting: BTreeSet<String>,
     /// Operators' requests under way; one whose change is being written is not among them.
-    pub(super) operating: Vec<Operating>,
+    pub(super) operating: Vec<OperatorRequest>,
     /// Tickets that a change under way answers.
     pub(super) replying: BTreeSet<u64>,
     listing: bool,
@@ -102,9 +124,9 @@
     census_busy: bool,
     census_retry: Micros,
     census_took: Micros,
-    /// Pacts that a census is wanted for, by head; filled anew in each round.
+    /// Records that a census is wanted for, by head; filled anew in each round.
     wanted: BTreeSet<String>,
-    /// The latest whole census of each pact, with when it began.
+    /// The latest whole census of each record, with when it began.
     found: BTreeMap<String, (Micros, Members)>,
     /// Live members whose ends matter: a watch tells of them, and those in `unread` are read.
     awaited: BTreeSet<String>,
@@ -115,233 +137,112 @@
     used: BTreeMap<Key, Micros>,
 }
 
-/// What a job's record says: the heads of the pacts that it joined, and how it stands.
-pub(super) fn reading(key: &str, v: &Value) -> Reading {
-    if key.starts_with(hazelsaddle_coordination::census::ENDS) {
-        let (f, _) = read_end(v)?;
-        let stands = if f == JobOutcome::Done { Stands::Done } else { Stands::Cancelled };
-        return Some((v.get("says").map(joined).unwrap_or_default(), stands));
-    }
-    JobShard::read_record(v)?;
-    Some((says_of_record(v).as_ref().map(joined).unwrap_or_default(), Stands::Live))
-}
-
-fn joined(says: &Value) -> Vec<(String, Value)> {
-    let text = |v: &Value, key: &str| v.get(key).and_then(Value::as_str).map(str::to_owned);
-    let mut out = Vec::new();
-    if let Some(r) = says.get("release")
-        && let (Some(title), Some(night)) = (text(r, "title"), text(r, "night"))
-        && let Some(key) = hazelsaddle_release::release_ref::key(&title, &night)
-    {
-        out.push((key.head(), r.clone()));
-    }
-    if let Some(b) = says.get("batch")
-        && let Some(name) = text(b, "name")
-        && let Ok(key) = Key::new(record::Kind::Batch, &name)
-    {
-        // Who looks for runs of a batch must know their classes.
-        let mut b = b.clone();
-        b["breed"] = says.get("breed").cloned().unwrap_or_default();
-        out.push((key.head(), b));
-    }
-    out
-}
-
 impl Controller {
     /// A new epoch: what rests on the order of readings within the last one is begun anew. Records stay as read: they
     /// only go forward, and every change is conditional on what is held.
-    pub(super) fn pacts_anew(&mut self) {
-        let p = &mut self.coordination;
-        (p.census, p.census_busy, p.listing) = (None, false, false);
-        (p.listed, p.next_list) = (None, Micros(0));
-        p.listed_after.clear();
-        p.ends.clear();
-        p.found.clear();
-        p.awaited.clear();
-        p.unread.clear();
-        p.changing.clear();
+    pub(super) fn restart_coordination(&mut self) {
+        let records = &mut self.coordination;
+        (records.census, records.census_busy, records.listing) = (None, false, false);
+        (records.listed, records.next_list) = (None, Micros(0));
+        records.listed_after.clear();
+        records.ends.clear();
+        records.found.clear();
+        records.awaited.clear();
+        records.unread.clear();
+        records.changing.clear();
     }
 
     /// Whether this controller does what a record needs by itself: the ring's owner of the head's key.
-    pub(super) fn keeps_pact(&self, key: &Key) -> bool {
+    pub(super) fn keeps_record(&self, key: &Key) -> bool {
         self.membership.ring.owner(&key.head()) == Some(self.settings.me)
     }
 
-    /// Whether pacts are of any concern here.
-    fn pacts_on(&self) -> bool {
-        self.takes_pacts()
+    /// Whether coordination records are of any concern here.
+    fn coordination_is_on(&self) -> bool {
+        self.takes_coordination()
             && (self.releases_on() || self.batches_on() || self.job_shard.held_jobs().next().is_some())
     }
 
     /// What a record says, as far as is known; it is read again while anybody asks.
-    pub(super) fn pact(&mut self, now: Micros, key: &Key) -> Held {
-        self.coordination.shelf.want(key);
+    pub(super) fn coordination_record(&mut self, now: Micros, key: &Key) -> Held {
+        self.coordination.records.want(key);
         self.coordination.used.insert(key.clone(), now);
-        self.coordination.shelf.get(key).clone()
+        self.coordination.records.get(key).clone()
     }
 
     /// What a record says in a reading that began no earlier than `since`; asks for one if there is none.
-    pub(super) fn pact_since(&mut self, now: Micros, key: &Key, since: Micros) -> Option<Held> {
-        self.coordination.used.insert(key.clone(), now);
-        let held = self.coordination.shelf.get_since(key, since).cloned();
-        if held.is_none() {
-            self.coordination.shelf.want_since(key, since);
-        }
-        held
-    }
-
-    /// Whether a change of a record is under way here.
-    pub(super) fn pact_changing(&self, key: &Key) -> bool {
-        self.coordination.changing.contains(key)
-    }
-
-    /// Changes a record, on condition of the epoch and of the record as last read. Returns whether the change is
-    /// under way; what becomes of it is seen in the record. `then` is told to an operator once it is on record.
-    pub(super) fn change_pact(
+    pub(super) fn coordination_record_since(
         &mut self,
         now: Micros,
         key: &Key,
-        next: CoordinationRecord,
-        pages: Vec<(String, Value)>,
-        then: Option<(u64, Reply)>,
-        out: &mut Vec<Effect>,
-    ) -> bool {
-        // A reading under way may bring what makes the change wrong, but its mark then fails the condition.
-        let allowed = match self.coordination.shelf.get(key) {
-            Held::Is(r) => r.allows(&next).is_ok(),
-            Held::Absent => true,
-            Held::Unread | Held::Unreadable(_) => false,
-        };
-        if !allowed
-            || !self.membership.is_leader(now)
-            || now < self.store_pause
-            || self.coordination.changing.contains(key)
-            || next.value().to_string().len() > self.settings.value_bytes
-        {
-            return false;
-        }
-        let cost = (pages.len() + 1) as f64;
-        if !self.writes.take(now, cost, 0.2) {
-            return false;
-        }
-        self.coordination.changing.insert(key.clone());
-        self.coordination.replying.extend(then.as_ref().map(|(ticket, _)| *ticket));
-        let store_version = self.coordination.shelf.store_version(key);
-        let pages = pages.into_iter().rev().collect();
-        let epoch = self.membership.epoch;
-        let c = Change { key: key.clone(), epoch, store_version, next, pages, sent: now, then };
-        self.change_on(Box::new(c), out);
-        true
-    }
-
-    /// Writes the next page of a change, or its head when all pages are on record. Pages are conditional on the head too:
-    /// one that is written late changes nothing that was decided.
-    fn change_on(&mut self, mut c: Box<Change>, out: &mut Vec<Effect>) {
-        let conditions = vec![self.fence(), (c.key.head(), c.store_version)];
-        let mut commit = Transaction { conditions, ..Transaction::default() };
-        match c.pages.pop() {
-            Some((key, page)) => {
-                commit.puts.push((key, page, None));
-                self.ask_store(
-                    PendingStoreRequest::Pact(PendingRecordRequest::Page(c)),
-                    StoreRequest::Transaction(commit),
-                    out,
-                );
-            }
-            None => {
-                commit.puts.push((c.key.head(), c.next.value(), None));
-                self.ask_store(
-                    PendingStoreRequest::Pact(PendingRecordRequest::Change(c)),
-                    StoreRequest::Transaction(commit),
-                    out,
-                );
-            }
-        }
-    }
-
-    fn changed(&mut self, now: Micros, c: Change, a: StoreAnswer, out: &mut Vec<Effect>) {
-        if c.epoch == self.membership.epoch {
-            self.coordination.changing.remove(&c.key);
-        }
-        self.coordination.shelf.want(&c.key);
-        match a {
-            StoreAnswer::Committed(store_version) => {
-                self.coordination.shelf.committed(&c.key, c.sent, c.next, store_version);
-                if let Some((ticket, reply)) = c.then {
-                    out.push(Effect::Reply(ticket, reply));
-                }
-            }
-            a => {
-                // It may have been carried out: the record tells.
-                self.coordination.shelf.want_since(&c.key, now);
-                if let Some((ticket, _)) = c.then {
-                    let why = match a {
-                        StoreAnswer::Conflict(_) => "the record has changed meanwhile: ask again",
-                        _ => "the change could not be put on record: ask again",
-                    };
-                    out.push(Effect::Reply(ticket, Reply::later(why)));
-                }
-            }
+        since: Micros,
+    ) -> Option<Held> {
+        self.coordination.used.insert(key.clone(), now);
+        let held = self.coordination.records.get_since(key, since).cloned();
+        if held.is_none() {
+            self.coordination.records.want_since(key, since);
         }
+        held
     }
 
     /// The conditions on which a submission may be put on record.
-    pub(super) fn joins(&mut self, now: Micros, id: &str, out: &mut Vec<Effect>) -> Gate {
-        if !self.accepting.get(id).is_some_and(|a| a.spec.has_pact()) {
-            return Gate::Open(Vec::new());
+    pub(super) fn gate_submission(&mut self, now: Micros, id: &str, out: &mut Vec<Effect>) -> JoinDecision {
+        if !self.user_requests.submissions.get(id).is_some_and(|submission| submission.spec.has_pact()) {
+            return JoinDecision::Open(Vec::new());
         }
         // Guards against an older controller that has joined since the submission came.
-        if !self.takes_pacts() {
-            return Gate::Later("not every controller knows of releases and batches yet".into());
+        if !self.takes_coordination() {
+            return JoinDecision::Later("not every controller knows of releases and batches yet".into());
         }
-        let Some(a) = self.accepting.get(id) else { return Gate::Wait };
-        if now.since(a.began) >= PATIENCE {
-            return Gate::Later("a record that it names could not be read or changed in time".into());
+        let Some(submission) = self.user_requests.submissions.get(id) else { return JoinDecision::Wait };
+        if now.since(submission.came_at) >= PATIENCE {
+            return JoinDecision::Later("a record that it names could not be read or changed in time".into());
         }
         let mut all = Vec::new();
         for gate in [Controller::release_gate, Controller::batch_gate] {
             match gate(self, now, id, out) {
-                Gate::Open(conditions) => all.extend(conditions),
-                Gate::Wait => {
+                JoinDecision::Open(conditions) => all.extend(conditions),
+                JoinDecision::Wait => {
                     self.coordination.waiting.insert(id.to_owned());
-                    return Gate::Wait;
+                    return JoinDecision::Wait;
                 }
                 other => return other,
             }
         }
-        Gate::Open(all)
+        JoinDecision::Open(all)
     }
 
     /// The condition that a job joins a record under, as it was read.
-    pub(super) fn join_of(&self, key: &Key) -> (String, u64) {
-        (key.head(), self.coordination.shelf.store_version(key))
+    pub(super) fn join_condition(&self, key: &Key) -> (String, u64) {
+        (key.head(), self.coordination.records.store_version(key))
     }
 
-    /// A submission met a pact that had changed: that says nothing about the job, so it is looked at anew. Says
+    /// A submission met a record that had changed: that says nothing about the job, so it is looked at anew. Says
     /// whether it is.
-    pub(super) fn joins_again(
+    pub(super) fn retry_after_record_change(
         &mut self,
         now: Micros,
         id: &str,
-        a: &StoreAnswer,
+        answer: &StoreAnswer,
         out: &mut Vec<Effect>,
     ) -> bool {
-        let StoreAnswer::Conflict(keys) = a else { return false };
-        let pacts: Vec<Key> = keys.iter().filter_map(|k| Key::parse(k)).collect();
-        if pacts.is_empty() || pacts.len() < keys.len() || !self.accepting.contains_key(id) {
+        let StoreAnswer::Conflict(keys) = answer else { return false };
+        let records: Vec<Key> = keys.iter().filter_map(|key| Key::parse(key)).collect();
+        if records.is_empty()
+            || records.len() < keys.len()
+            || !self.user_requests.submissions.contains_key(id)
+        {
             return false;
         }
-        for key in pacts {
-            self.coordination.shelf.want_since(&key, now);
+        for key in records {
+            self.coordination.records.want_since(&key, now);
         }
         self.put_on_record(now, id.to_owned(), out);
         true
     }
 
-    // ---- Each round ----
-
     /// Reads what is due, does what records need, and goes on with submissions and operators' requests that wait.
-    pub(super) fn pact_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    pub(super) fn run_coordination(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let round = now >= self.coordination.next_round;
         if round {
             self.coordination.next_round = now + ROUND;
@@ -351,7 +252,7 @@
             self.put_on_record(now, id, out);
         }
         self.operate(now, out);
-        if !self.membership.is_leader(now) || !self.job_shard.loaded || !self.pacts_on() {
+        if !self.membership.is_leader(now) || !self.job_shard.loaded || !self.coordination_is_on() {
             return;
         }
         if round {
@@ -360,301 +261,39 @@
             self.batch_loop(now, out);
         }
         self.batch_now(now, out);
-        if now < self.store_pause {
+        if now < self.state_store.paused_until {
             return;
         }
         self.list_heads(now, out);
-        self.read_due(now, out);
-        self.census_loop(now, out);
-        self.read_members(now, out);
+        self.read_due_records(now, out);
+        self.run_census(now, out);
+        self.read_awaited_members(now, out);
     }
 
-    fn read_due(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if now >= self.coordination.next_keep {
-            self.coordination.next_keep = now + PAUSE_HELD;
-            self.coordination.used.retain(|_, t| now.since(*t) < FORGET);
-            let mut wanted: BTreeSet<Key> = self.coordination.used.keys().cloned().collect();
-            let listed = self.coordination.listed_keys.iter().chain(&self.coordination.listing_keys);
-            wanted.extend(listed.chain(&self.coordination.changing).cloned());
-            self.coordination.shelf.keep(&wanted);
-        }
-        for key in self.coordination.shelf.due(now, 8) {
-            // The list tells of those that nothing here waits for.
-            if !self.coordination.used.contains_key(&key)
-                && *self.coordination.shelf.get(&key) != Held::Unread
-            {
-                self.coordination.shelf.failed(&key, now + PAUSE_LIST);
-                continue;
-            }
-            if self.in_flight.len() >= IN_FLIGHT || !self.requests.take(now, 1.0, 0.2) {
-                break;
-            }
-            self.coordination.shelf.asked(&key, now);
-            let get = StoreRequest::Get(key.head());
-            self.ask_store(PendingStoreRequest::Pact(PendingRecordRequest::Read(key, now)), get, out);
-        }
-    }
-
-    /// All heads of releases, so that those are known that nobody here has named: a record that its keeper left in the
-    /// middle, or that another opened.
-    fn list_heads(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.coordination.listing
-            || now < self.coordination.next_list
-            || !self.requests.take(now, 1.0, 0.2)
-        {
-            return;
-        }
-        if self.coordination.listed_after.is_empty() {
-            self.coordination.list_began = now;
-            self.coordination.listing_keys.clear();
-        }
-        self.coordination.listing = true;
-        let prefix = record::Kind::Release.prefix();
-        let r = StoreRequest::List(prefix, self.coordination.listed_after.clone());
-        self.ask_store(
-            PendingStoreRequest::Pact(PendingRecordRequest::Heads(self.membership.epoch, now)),
-            r,
-            out,
-        );
-    }
-
-    fn heads(&mut self, now: Micros, sent: Micros, a: StoreAnswer) {
-        self.coordination.listing = false;
-        let StoreAnswer::Page(rows, more) = a else {
-            self.coordination.next_list = now + PAUSE_FAILED;
-            return;
-        };
-        self.coordination.listed_after = match rows.last() {
-            Some(last) if more => last.key.clone(),
-            _ => String::new(),
-        };
-        for row in rows {
-            let Some(key) = Key::parse(&row.key) else {
-                tracing::error!(key = %row.key, "a pact's key can't be read");
-                continue;
-            };
-            if let Some((title, night)) = hazelsaddle_release::release_ref::named(&key) {
-                let latest = self.coordination.latest.entry(title.to_owned()).or_default();
-                if latest.as_str() < night {
-                    *latest = night.to_owned();
-                }
-            }
-            // What is over for good is of no use here.
-            let over = CoordinationRecord::read(&row.value).is_ok_and(|r| self.release_over(&r));
-            if over && *self.coordination.shelf.get(&key) == Held::Unread {
-                continue;
-            }
-            self.coordination.shelf.want(&key);
-            self.take_pact(&key, sent, now, Some((&row.value, row.store_version)));
-            if !over {
-                self.coordination.listing_keys.insert(key);
-            }
-        }
-        self.coordination.next_list = now + if more { Micros::from_millis(200) } else { PAUSE_LIST };
-        if !more {
-            self.coordination.listed = Some(self.coordination.list_began);
-            self.coordination.listed_keys = std::mem::take(&mut self.coordination.listing_keys);
-        }
-    }
-
-    /// Takes what was read of a record.
-    fn take_pact(&mut self, key: &Key, sent: Micros, now: Micros, row: Option<(&Value, u64)>) {
-        if self.coordination.shelf.read(key, sent, now + PAUSE_HELD, row) {
-            if let Held::Unreadable(why) = self.coordination.shelf.get(key) {
-                tracing::error!(record = %key.head(), reason = %why, "what rests on this record is held");
-            }
-            self.job_shard.replan = true;
-        }
-    }
-
-    /// The members of a pact by a census that began no earlier than `since`, if there is one; asks for one otherwise.
-    pub(super) fn census_since(&mut self, key: &Key, since: Micros) -> Option<&Members> {
-        let head = key.head();
-        if self.coordination.found.get(&head).is_none_or(|(began, _)| *began < since) {
-            self.coordination.wanted.insert(head);
-            return None;
-        }
-        self.coordination.found.get(&head).map(|(_, members)| members)
-    }
-
-    /// Ends of these jobs matter to a record that is kept here, and none was on record when they were last seen.
-    pub(super) fn await_members(&mut self, live: impl Iterator<Item = String>) {
-        self.coordination.awaited.extend(live);
-    }
-
-    /// Whether the watch on ends must tell of this one.
-    pub(super) fn pact_awaits(&self, id: &str) -> bool {
-        self.coordination.awaited.contains(id)
-    }
-
-    /// Whether any end matters to a pact.
-    pub(super) fn pact_watches(&self) -> bool {
-        !self.coordination.awaited.is_empty()
-    }
-
-    /// The watch begins only now: what ended before it must be read.
-    pub(super) fn pacts_unwatched(&mut self) {
-        self.coordination.unread = self.coordination.awaited.clone();
-    }
-
-    /// A member's end is on record.
-    pub(super) fn member_ended(&mut self, id: &str, f: JobOutcome) {
-        self.coordination.unread.remove(id);
-        let stands = if f == JobOutcome::Done { Stands::Done } else { Stands::Cancelled };
-        if self.coordination.awaited.contains(id) {
-            self.coordination.ends.insert(id.to_owned(), stands);
-        }
-        for (_, members) in self.coordination.found.values_mut() {
-            if let Some(m) = members.get_mut(id) {
-                m.stands = m.stands.max(stands);
-            }
-        }
-    }
-
-    /// How a member stands that no census has seen.
-    pub(super) fn end_of(&self, id: &str) -> Option<Stands> {
-        self.coordination.ends.get(id).copied()
-    }
-
-    /// When the latest whole census of a pact began.
-    pub(super) fn census_began(&self, key: &Key) -> Option<Micros> {
-        self.coordination.found.get(&key.head()).map(|(began, _)| *began)
-    }
-
-    /// What is known of a pact's members so far, from whichever census.
-    pub(super) fn members_so_far(&self, key: &Key) -> Option<&Members> {
-        self.coordination.found.get(&key.head()).map(|(_, m)| m)
-    }
-
-    /// How long the last census took.
-    pub(super) fn census_took(&self) -> Micros {
-        self.coordination.census_took
-    }
-
-    /// A list of heads that begins no earlier than this is wanted.
-    pub(super) fn list_since(&mut self, since: Micros) -> bool {
-        let listed = self.coordination.listed.is_some_and(|t| t >= since);
-        if !listed {
-            self.coordination.next_list = Micros(0);
-        }
-        listed
-    }
-
-    fn read_members(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        while self.in_flight.len() < IN_FLIGHT && self.requests.level(now) >= 0.3 {
-            let Some(id) = self.coordination.unread.pop_first() else { break };
-            self.requests.take(now, 1.0, 0.0);
-            let get = StoreRequest::Get(format!("done/{id}"));
-            let purpose = PendingRecordRequest::Member(self.membership.epoch, id);
-            self.ask_store(PendingStoreRequest::Pact(purpose), get, out);
-        }
-    }
-
-    fn census_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let p = &mut self.coordination;
-        if p.census.is_none() && !p.wanted.is_empty() && now >= p.census_retry {
-            p.census = Some((Census::begin(p.wanted.clone()), now));
-        }
-        let Some((census, _)) = &p.census else { return };
-        if p.census_busy || now < p.census_retry {
-            return;
-        }
-        let Step::Read(prefix, after) = census.next() else { return };
-        if !self.requests.take(now, 1.0, 0.2) {
-            return;
-        }
-        self.coordination.census_busy = true;
-        let r = StoreRequest::List(prefix.into(), after);
-        self.ask_store(
-            PendingStoreRequest::Pact(PendingRecordRequest::Census(self.membership.epoch)),
-            r,
-            out,
-        );
-    }
-
-    fn census_page(&mut self, now: Micros, a: StoreAnswer) {
-        let p = &mut self.coordination;
-        p.census_busy = false;
-        let Some((census, began)) = &mut p.census else { return };
-        let StoreAnswer::Page(rows, more) = a else {
-            p.census_retry = now + PAUSE_FAILED;
-            return;
-        };
-        let Step::Read(prefix, _) = census.next() else { return };
-        let rows = rows.into_iter().map(|r| (r.key, r.value));
-        census.page(rows, more, |id, v| reading(&format!("{prefix}{id}"), v));
-        if census.next() != Step::Over {
-            return;
-        }
-        let (unreadable, began) = (census.unreadable().to_vec(), *began);
-        if !unreadable.is_empty() {
-            tracing::error!(jobs = ?unreadable, "records that can't be read: nothing closes until they can be");
-            p.census_retry = now + Micros::from_millis(5000);
-        }
-        let found: Vec<_> =
-            census.of().iter().filter_map(|pact| Some((pact.clone(), census.members(pact)?))).collect();
-        tracing::debug!(pacts = found.len(), seconds = now.since(began).secs(), "census");
-        p.found.extend(found.into_iter().map(|(pact, m)| (pact, (began, m))));
-        p.unreadable = unreadable;
-        p.census = None;
-        p.census_took = now.since(began);
-    }
-
-    /// Members that a census found live are read once after it, as the watch may have begun later.
-    pub(super) fn read_live(&mut self, live: impl Iterator<Item = String>) {
-        self.coordination.unread.extend(live);
-    }
-
-    /// An answer of the state service.
-    pub(super) fn pact_answer(
+    /// An answer of the state store about a record. What was begun in an epoch that has passed was begun anew since.
+    pub(super) fn apply_coordination_answer(
         &mut self,
         now: Micros,
-        p: PendingRecordRequest,
-        a: StoreAnswer,
+        pending: PendingRecordRequest,
+        answer: StoreAnswer,
         out: &mut Vec<Effect>,
     ) {
-        match p {
-            PendingRecordRequest::Read(key, sent) => match a {
-                StoreAnswer::Got(row) => {
-                    let row = row.as_ref().map(|r| (&r.value, r.store_version));
-                    self.take_pact(&key, sent, now, row);
-                }
-                _ => self.coordination.shelf.failed(&key, now + PAUSE_FAILED),
-            },
-            PendingRecordRequest::Heads(epoch, sent) if epoch == self.membership.epoch => {
-                self.heads(now, sent, a)
-            }
-            PendingRecordRequest::Census(epoch) if epoch == self.membership.epoch => self.census_page(now, a),
-            PendingRecordRequest::Member(epoch, id) if epoch == self.membership.epoch => match a {
-                StoreAnswer::Got(Some(row)) => match read_end(&row.value) {
-                    Some((f, _)) => self.member_ended(&id, f),
-                    None => tracing::error!(job = %id, "unreadable final record"),
-                },
-                StoreAnswer::Got(None) => {}
-                _ => {
-                    self.coordination.unread.insert(id);
-                }
-            },
-            PendingRecordRequest::Members(key, version, n) => self.members_page(now, key, version, n, a),
-            // Of an epoch that has passed: all of this was begun anew.
-            PendingRecordRequest::Heads(..)
-            | PendingRecordRequest::Census(_)
-            | PendingRecordRequest::Member(..) => {}
-            PendingRecordRequest::Page(c) => match a {
-                StoreAnswer::Committed(_) if c.epoch == self.membership.epoch => self.change_on(c, out),
-                a => self.changed(
-                    now,
-                    *c,
-                    if matches!(a, StoreAnswer::Committed(_)) { StoreAnswer::Unknown } else { a },
-                    out,
-                ),
-            },
-            PendingRecordRequest::Change(c) => self.changed(now, *c, a, out),
-        }
-    }
-
-    /// How pacts stand, for operators.
-    pub(super) fn pact_status(&self) -> Value {
+        use PendingRecordRequest::*;
+        let current = self.membership.epoch;
+        match pending {
+            Read { key, asked_at } => self.apply_record(now, &key, asked_at, &answer),
+            Heads { epoch, asked_at } if epoch == current => self.apply_head_list(now, asked_at, answer),
+            Census { epoch } if epoch == current => self.apply_census_page(now, answer),
+            Member { epoch, job } if epoch == current => self.apply_member_record(job, &answer),
+            Heads { .. } | Census { .. } | Member { .. } => {}
+            Members { key, version, page } => self.members_page(now, key, version, page, answer),
+            Page(change) => self.apply_written_page(now, change, answer, out),
+            Change(change) => self.apply_change(now, *change, answer, out),
+        }
+    }
+
+    /// How coordination records stand, for operators.
+    pub(super) fn coordination_status(&self) -> Value {
         let held: Vec<Value> = self
             .job_shard
             .held_jobs()
@@ -663,14 +302,14 @@
             .collect();
         let unreadable: Vec<String> = self
             .coordination
-            .shelf
+            .records
             .iter()
             .filter(|(_, h)| matches!(h, Held::Unreadable(_)))
             .map(|(k, _)| k.head())
             .collect();
         json!({
-            "takes": self.takes_pacts(),
-            "records": self.coordination.shelf.iter().filter(|(_, h)| matches!(h, Held::Is(_))).count(),
+            "takes": self.takes_coordination(),
+            "records": self.coordination.records.iter().filter(|(_, h)| matches!(h, Held::Is(_))).count(),
             "jobs_held": self.job_shard.held_jobs().count(),
             "held": held,
             "unreadable": unreadable,
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -1,405 +1,278 @@
-//! Jobs that wait for others, at the edge of a controller: who may take them, checking what they name,
-//! and watching for ends.
+//! Jobs that wait for others: watching for the ends of the jobs they follow, and handing priorities on to those.
+//!
+//! [`Dependencies`] owns how far ends have been watched; which jobs wait is the job shard's. A job is never let go on
+//! anything but a final record.
 
-use super::coordination::Gate;
 use super::*;
 
-/// The form of peers' frames from which on jobs may follow others; `Message::InheritedPriorities` came with it.
-pub(super) const FORM: u64 = 2;
-/// The newest form that this version reads; it says so in its member's value. Version 1 says nothing. Form 3 adds
-/// `Message::Handoff` and `Message::HandoffAck`; form 4 pacts and loans.
-pub(super) const NEWEST: u64 = 4;
-/// The form from which on jobs may name pacts.
-pub(super) const PACTS: u64 = 4;
-/// Says which form every controller has read at one time, so that one that is merely away need not
-/// be waited for. It lies among the members' keys, which are read anyway; the first version skips it,
-/// since it is no member's name.
-pub(super) const FORMS_KEY: &str = "ring/m/*";
 /// How long a watch stays open. One whose answer is lost on the way costs that much and a little more.
 const WATCH: Micros = Micros::from_millis(2_000);
+/// A request that failed is repeated after so long.
+const RETRY: Micros = Micros::from_millis(300);
+/// A final record that can't be read is read again after so long.
+const RETRY_UNREADABLE: Micros = Micros::from_millis(5000);
 /// Ids remembered as accepted, so that a retry that follows a refusal gets further than it did.
 const KNOWN: usize = 5000;
 /// Most jobs that one may name: as many as can be looked up while a user goes on trying.
-pub(super) const MOST: usize = 250;
+pub(super) const MOST_DEPENDENCIES: usize = 250;
 
 /// How far the ends of jobs have been watched.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) enum Watch {
+enum Watch {
     /// Nothing waits.
     #[default]
     Off,
     /// The store is asked for its revision.
-    Asking,
-    /// All changes up to this revision have been seen; whether the next are being waited for.
-    At(u64, bool),
+    Starting,
+    /// All changes up to this revision have been seen; `waiting`: the store is asked for the next.
+    At { revision: u64, waiting: bool },
 }
 
 /// What this controller knows beside its waiting jobs.
 #[derive(Default)]
 pub(super) struct Dependencies {
-    pub(super) watch: Watch,
-    retry: Micros,
+    watch: Watch,
+    retry_at: Micros,
     /// Jobs that were found to be accepted and no services.
     known: BTreeSet<String>,
-    /// Per controller, its process and the newest form that it reads, by its member's value.
-    forms: Vec<(u64, u64)>,
-    /// The newest form that all have read at one time, by the record of that.
-    all_once: u64,
-    noting: bool,
-    /// Controllers that were last sent a list of needs that is not empty.
-    sent: BTreeSet<usize>,
+    /// Controllers that were last sent a list of priorities that is not empty.
+    inheritors: BTreeSet<usize>,
 }
 
-impl Controller {
-    /// Takes note of the forms that controllers read, from the members' values.
-    pub(super) fn note_forms(&mut self, rows: &[KeyValue], out: &mut Vec<Effect>) {
-        let f = &mut self.dependencies;
-        let reads = |r: &KeyValue| r.value.get("reads").and_then(Value::as_u64).unwrap_or(1);
-        f.forms = vec![(0, 0); self.settings.members.len()];
-        let mut store_version = 0;
-        for r in rows {
-            if r.key == FORMS_KEY {
-                f.all_once = f.all_once.max(reads(r));
-                store_version = r.store_version;
-            }
-            let name = r.key.strip_prefix("ring/m/");
-            let number = name.and_then(|n| self.settings.members.iter().position(|m| m == n));
-            if let (Some(n), Some(boot)) = (number, r.value.get("boot").and_then(Value::as_u64)) {
-                f.forms[n] = (boot, reads(r));
-                self.start_replica.note_form(boot, reads(r));
-            }
-        }
-        let all = f.forms.iter().map(|(_, form)| *form).min().unwrap_or(0).min(NEWEST);
-        if f.all_once < all && !f.noting && all >= FORM {
-            f.noting = true;
-            tracing::info!(form = all, "every controller reads the new form");
-            // Guards against one that is carried out late: an older form would stand for a newer one.
-            let c = Transaction {
-                conditions: vec![(FORMS_KEY.into(), store_version)],
-                puts: vec![(FORMS_KEY.into(), json!({ "reads": all }), None)],
-                ..Transaction::default()
-            };
-            self.ask_store(PendingStoreRequest::NoteForms(all), StoreRequest::Transaction(c), out);
-        }
-    }
-
-    pub(super) fn forms_noted(&mut self, form: u64, done: bool) {
-        self.dependencies.noting = false;
-        if done {
-            self.dependencies.all_once = self.dependencies.all_once.max(form);
-        }
-    }
-
-    /// Whether jobs that wait for others may be taken: no controller of the first version is there, and
-    /// none has yet to be replaced. One would run such a job at once, or take it without its list.
-    pub(super) fn takes_follows(&self) -> bool {
-        self.all_read(FORM)
-    }
-
-    /// The same for jobs that name a pact: an older controller would take one without what binds it.
-    pub(super) fn takes_pacts(&self) -> bool {
-        self.all_read(PACTS)
-    }
-
-    fn all_read(&self, least: u64) -> bool {
-        let f = &self.dependencies;
-        f.all_once >= least && f.forms.iter().all(|(_, form)| *form == 0 || *form >= least)
+impl Dependencies {
+    /// Whether ends are told of from here on.
+    pub(super) fn is_watching(&self) -> bool {
+        matches!(self.watch, Watch::At { .. })
     }
 
-    /// Why a job can't be taken yet, if an older controller is in the ring.
-    pub(super) fn not_yet(&self, spec: &JobSpec) -> Option<Reply> {
-        if spec.has_pact() && !self.takes_pacts() {
-            return Some(Reply::later("not every controller knows of releases and batches yet"));
+    fn note_known(&mut self, id: &str) {
+        if self.known.len() >= KNOWN {
+            self.known.clear();
         }
-        (!spec.follows.is_empty() && !self.takes_follows())
-            .then(|| Reply::later("not every controller can run jobs that follow others yet"))
-    }
-
-    /// Whether the process behind a peer's link reads this form: its member's value says so, and its frames
-    /// come from that process. One that was restarted as an older version has another number.
-    pub(super) fn reads(&self, peer: usize, least: u64) -> bool {
-        peer == self.settings.me
-            || self.dependencies.forms.get(peer).is_some_and(|(boot, form)| {
-                *form >= least && self.clocks.get(peer).is_some_and(|(b, _)| b == boot)
-            })
-    }
-
-    /// Whether it reads of jobs that follow others.
-    pub(super) fn reads_new(&self, peer: usize) -> bool {
-        self.reads(peer, FORM)
+        self.known.insert(id.to_owned());
     }
+}
 
-    /// Tells the owners of prerequisites how urgent the jobs are that wait for them: the whole list, so
+impl Controller {
+    /// Tells the leaders of jobs that others follow how urgent those are that wait for them: the whole list, so
     /// that a lost message heals. Called once in a digest period.
-    pub(super) fn say_needs(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        for p in self.membership.members.clone() {
-            if !self.reads_new(p) {
-                self.dependencies.sent.remove(&p);
+    pub(super) fn send_inherited_priorities(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        for peer in self.membership.members.clone() {
+            if !self.reads_dependencies(peer) {
+                self.dependencies.inheritors.remove(&peer);
                 continue;
             }
-            let list = self.job_shard.urges(p, &self.membership);
-            let said = !list.is_empty();
-            if !said && !self.dependencies.sent.contains(&p) {
-                continue;
-            }
-            if said {
-                self.dependencies.sent.insert(p);
+            let priorities = self.job_shard.urges(peer, &self.membership);
+            if priorities.is_empty() {
+                // The empty list is sent once: it takes back what was sent before.
+                if !self.dependencies.inheritors.remove(&peer) {
+                    continue;
+                }
             } else {
-                self.dependencies.sent.remove(&p);
+                self.dependencies.inheritors.insert(peer);
             }
-            if p == self.settings.me {
-                self.job_shard.urged_by(p, list);
+            if peer == self.settings.me {
+                self.job_shard.urged_by(peer, priorities);
             } else {
-                out.push(Effect::Send(p, self.envelope(now, p, Message::InheritedPriorities(list))));
+                self.send(now, peer, Message::InheritedPriorities(priorities), out);
             }
         }
     }
 
-    fn watches(&self) -> bool {
-        self.job_shard.watches() || self.pact_watches() || self.batches_watch()
+    /// Whether anything here waits for an end.
+    fn awaits_outcomes(&self) -> bool {
+        self.job_shard.watches() || self.awaits_members() || self.batches_watch()
     }
 
     /// Watches for the ends of jobs that others wait for, and reads those that no watch tells of.
-    pub(super) fn follow_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if now < self.dependencies.retry || now < self.store_pause {
+    pub(super) fn watch_outcomes(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        if now < self.dependencies.retry_at || now < self.state_store.paused_until {
             return;
         }
         match self.dependencies.watch {
-            Watch::Off if self.watches() && self.requests.take(now, 1.0, 0.1) => {
-                self.dependencies.watch = Watch::Asking;
-                self.ask_store(PendingStoreRequest::Revision, StoreRequest::Revision, out);
-            }
-            Watch::At(after, false) => {
-                if !self.watches() {
-                    self.dependencies.watch = Watch::Off;
-                } else if self.requests.take(now, 1.0, 0.1) {
-                    self.dependencies.watch = Watch::At(after, true);
-                    let r = StoreRequest::Watch("done/".into(), after, WATCH);
-                    self.ask_store(PendingStoreRequest::Watch, r, out);
-                }
+            Watch::Off if self.awaits_outcomes() && self.state_store.request_limiter.take(now, 1.0, 0.1) => {
+                self.dependencies.watch = Watch::Starting;
+                self.ask_store(PendingStoreRequest::ReadRevision, StoreRequest::Revision, out);
             }
+            Watch::At { revision, waiting: false } => self.extend_watch(now, revision, out),
             _ => {}
         }
-        if !matches!(self.dependencies.watch, Watch::At(..)) {
-            return;
+        if self.dependencies.is_watching() {
+            self.read_outcomes(now, out);
+        }
+    }
+
+    fn extend_watch(&mut self, now: Micros, revision: u64, out: &mut Vec<Effect>) {
+        if !self.awaits_outcomes() {
+            self.dependencies.watch = Watch::Off;
+        } else if self.state_store.request_limiter.take(now, 1.0, 0.1) {
+            self.dependencies.watch = Watch::At { revision, waiting: true };
+            let watch = StoreRequest::Watch("done/".into(), revision, WATCH);
+            self.ask_store(PendingStoreRequest::WatchOutcomes, watch, out);
         }
-        while self.in_flight.len() < IN_FLIGHT && self.requests.level(now) >= 0.2 {
-            let Some(p) = self.job_shard.next_unread() else { break };
-            self.requests.take(now, 1.0, 0.0);
-            self.ask_store(
-                PendingStoreRequest::ReadEnd(p.clone()),
-                StoreRequest::Get(format!("done/{p}")),
-                out,
-            );
+    }
+
+    fn read_outcomes(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        while self.state_store.in_flight.len() < IN_FLIGHT
+            && self.state_store.request_limiter.level(now) >= 0.2
+        {
+            let Some(job) = self.job_shard.next_unread() else { break };
+            self.state_store.request_limiter.take(now, 1.0, 0.0);
+            let read = StoreRequest::Get(format!("done/{job}"));
+            self.ask_store(PendingStoreRequest::ReadOutcome { job }, read, out);
         }
     }
 
     /// The watch, or the question that it begins with, is answered.
-    pub(super) fn watched(&mut self, now: Micros, a: StoreAnswer) {
-        match (self.dependencies.watch, a) {
-            (Watch::Asking, StoreAnswer::At(revision)) => {
+    pub(super) fn apply_watch_answer(&mut self, now: Micros, answer: StoreAnswer) {
+        match (self.dependencies.watch, answer) {
+            (Watch::Starting, StoreAnswer::At(revision)) => {
                 // Whatever ended before this must be read; whatever ends later will be told.
                 self.job_shard.unwatched();
-                self.pacts_unwatched();
+                self.reread_awaited_members();
                 self.batches_unwatched(now);
-                self.dependencies.watch = Watch::At(revision, false);
+                self.dependencies.watch = Watch::At { revision, waiting: false };
             }
-            (Watch::At(after, _), StoreAnswer::Changes(revision, written)) => {
-                self.dependencies.watch = Watch::At(after.max(revision), false);
-                for (key, value) in written {
-                    let Some(id) = key.strip_prefix("done/") else { continue };
-                    self.run_ended(id, &value);
-                    if self.job_shard.is_awaited(id) || self.pact_awaits(id) {
-                        self.end_read(now, id, &value);
-                    }
-                }
+            (Watch::At { revision, .. }, StoreAnswer::Changes(newest, written)) => {
+                let revision = revision.max(newest);
+                self.dependencies.watch = Watch::At { revision, waiting: false };
+                self.take_watched_outcomes(now, &written);
             }
-            (Watch::At(after, _), a) if a != StoreAnswer::TooOld => {
-                self.dependencies.retry = now + Micros::from_millis(300);
-                self.dependencies.watch = Watch::At(after, false);
+            (Watch::At { revision, .. }, answer) if answer != StoreAnswer::TooOld => {
+                self.dependencies.retry_at = now + RETRY;
+                self.dependencies.watch = Watch::At { revision, waiting: false };
             }
             _ => {
-                self.dependencies.retry = now + Micros::from_millis(300);
+                self.dependencies.retry_at = now + RETRY;
                 self.dependencies.watch = Watch::Off;
             }
         }
     }
 
-    fn end_read(&mut self, now: Micros, id: &str, value: &Value) {
+    fn take_watched_outcomes(&mut self, now: Micros, written: &[(String, Value)]) {
+        for (key, value) in written {
+            let Some(job) = key.strip_prefix("done/") else { continue };
+            self.run_ended(job, value);
+            if self.job_shard.is_awaited(job) || self.awaits_member(job) {
+                self.take_outcome(now, job, value);
+            }
+        }
+    }
+
+    fn take_outcome(&mut self, now: Micros, job: &str, value: &Value) {
         match read_end(value) {
-            Some((f, _)) => {
-                self.job_shard.note_time(self.wall);
-                self.job_shard.prerequisite_ended(id, f);
-                self.member_ended(id, f);
+            Some((outcome, _)) => {
+                self.job_shard.note_time(self.rounds.wall);
+                self.job_shard.prerequisite_ended(job, outcome);
+                self.apply_member_outcome(job, outcome);
             }
             None => {
-                tracing::error!(job = %id, "unreadable final record");
-                self.job_shard.read_again(id);
-                self.dependencies.retry = now + Micros::from_millis(5000);
+                tracing::error!(job = %job, "unreadable final record");
+                self.job_shard.read_again(job);
+                self.dependencies.retry_at = now + RETRY_UNREADABLE;
             }
         }
     }
 
-    /// The end of a prerequisite was read, or it has none yet.
-    pub(super) fn prerequisite_read(&mut self, now: Micros, id: &str, a: StoreAnswer) {
-        match a {
-            StoreAnswer::Got(Some(row)) => self.end_read(now, id, &row.value),
+    /// The final record of a job that others follow was read, or it has none yet.
+    pub(super) fn apply_dependency_outcome(&mut self, now: Micros, job: &str, answer: StoreAnswer) {
+        match answer {
+            StoreAnswer::Got(Some(row)) => self.take_outcome(now, job, &row.value),
             StoreAnswer::Got(None) => {}
             _ => {
-                self.job_shard.read_again(id);
-                self.dependencies.retry = now + Micros::from_millis(300);
+                self.job_shard.read_again(job);
+                self.dependencies.retry_at = now + RETRY;
             }
         }
     }
 
-    // ---- Checking a submission ----
-
-    fn is_known(&self, id: &str) -> bool {
-        let live = |j: &crate::job_shard::Job| j.spec.kind != JobKind::Service;
-        self.job_shard.jobs.get(id).is_some_and(live)
+    /// Whether a job is known to have been accepted, and to be no service.
+    fn is_known_dependency(&self, id: &str) -> bool {
+        self.job_shard.jobs.get(id).is_some_and(|job| job.spec.kind != JobKind::Service)
             || self.job_shard.final_of(id).is_some()
             || self.dependencies.known.contains(id)
     }
 
-    fn note_known(&mut self, id: &str) {
-        if self.dependencies.known.len() >= KNOWN {
-            self.dependencies.known.clear();
-        }
-        self.dependencies.known.insert(id.to_owned());
-    }
-
     /// Begins to look up the jobs that a submission names. Says why it can't be taken, if so.
-    pub(super) fn begin_check(
+    pub(super) fn begin_dependency_check(
         &mut self,
         now: Micros,
         id: &str,
         spec: &JobSpec,
         out: &mut Vec<Effect>,
     ) -> Result<BTreeSet<String>, Reply> {
-        let unknown: BTreeSet<String> = spec.follows.iter().filter(|p| !self.is_known(p)).cloned().collect();
-        if unknown.is_empty() {
-            return Ok(unknown);
-        }
+        let unknown: BTreeSet<String> =
+            spec.follows.iter().filter(|job| !self.is_known_dependency(job)).cloned().collect();
         // A long list must not use up what leases and releases need: as many are looked up as the budget
         // allows. They are remembered, so that each retry gets further.
-        for p in &unknown {
-            if !self.requests.take(now, 1.0, 0.3) {
+        for dependency in &unknown {
+            if !self.state_store.request_limiter.take(now, 1.0, 0.3) {
                 return Err(Reply::later("some of the jobs that it follows are still to be looked up"));
             }
-            let purpose = PendingStoreRequest::Check(id.to_owned(), p.clone());
-            self.ask_store(purpose, StoreRequest::Get(format!("job/{p}")), out);
+            let read = StoreRequest::Get(format!("job/{dependency}"));
+            let dependency = dependency.clone();
+            let pending = PendingStoreRequest::CheckDependency { job: id.to_owned(), dependency };
+            self.ask_store(pending, read, out);
         }
         Ok(unknown)
     }
 
-    /// The store was asked for a job that a submission names: for its live record first, then for its
-    /// end. In this order, since a job may end between the two.
-    pub(super) fn checked(
+    /// The store was asked for the live record of a job that a submission names. Its final record is read after that: in
+    /// this order, since a job may end between the two.
+    pub(super) fn apply_dependency_check(
         &mut self,
         now: Micros,
-        id: String,
-        p: String,
-        a: StoreAnswer,
-        end: bool,
+        job: String,
+        dependency: String,
+        answer: StoreAnswer,
         out: &mut Vec<Effect>,
     ) {
-        let found = match a {
-            StoreAnswer::Got(found) => found,
-            _ => return self.give_up(now, &id, Reply::later("a job that it follows could not be read"), out),
+        let StoreAnswer::Got(found) = answer else { return self.give_up_unread(now, &job, out) };
+        let Some(row) = found else {
+            let read = StoreRequest::Get(format!("done/{dependency}"));
+            self.state_store.request_limiter.take(now, 1.0, 0.0);
+            let pending = PendingStoreRequest::CheckDependencyOutcome { job, dependency };
+            return self.ask_store(pending, read, out);
         };
-        match found {
-            Some(row) => {
-                let gait = row.value.get("spec").and_then(|s| s.get("gait"));
-                if !end && gait.is_some_and(|g| g == "service") {
-                    let why = format!("follows: {p} is a service, which is never done");
-                    return self.refuse(id, why, out);
-                }
-                self.note_known(&p);
-                let Some(a) = self.accepting.get_mut(&id) else { return };
-                if a.unknown.remove(&p) && a.unknown.is_empty() {
-                    self.put_on_record(now, id, out);
-                }
-            }
-            None if !end => {
-                let get = StoreRequest::Get(format!("done/{p}"));
-                self.requests.take(now, 1.0, 0.0);
-                self.ask_store(PendingStoreRequest::CheckEnd(id, p), get, out);
-            }
-            None => self.refuse(id, format!("follows: {p} was never accepted"), out),
+        let kind = row.value.get("spec").and_then(|spec| spec.get("gait"));
+        if kind.is_some_and(|kind| kind == "service") {
+            let why = format!("follows: {dependency} is a service, which is never done");
+            return self.reject_submission(job, why, out);
         }
+        self.note_dependency(now, job, &dependency, out);
     }
 
-    /// A submission can never be taken, unless it was taken before: only the store can tell.
-    pub(super) fn refuse(&mut self, id: String, why: String, out: &mut Vec<Effect>) {
-        let Some(a) = self.accepting.get_mut(&id) else { return };
-        a.goes_out();
-        let c = Transaction {
-            conditions: vec![self.fence(), (format!("job/{id}"), 0), (format!("done/{id}"), 0)],
-            ..Transaction::default()
-        };
-        self.ask_store(PendingStoreRequest::Refuse(id, why), StoreRequest::Transaction(c), out);
-    }
-
-    /// The store has compared: if nothing of the job is on record it is refused for good.
-    pub(super) fn refused(
+    /// The store was asked for the final record of a job that a submission names and that has no live one.
+    pub(super) fn apply_dependency_outcome_check(
         &mut self,
         now: Micros,
-        id: String,
-        why: String,
-        a: StoreAnswer,
+        job: String,
+        dependency: String,
+        answer: StoreAnswer,
         out: &mut Vec<Effect>,
     ) {
-        match a {
-            StoreAnswer::Committed(_) => self.give_up(now, &id, Reply::error(422, &why), out),
-            a => {
-                let epoch = self.membership.epoch;
-                self.accepted(now, id, epoch, a, out);
+        match answer {
+            StoreAnswer::Got(Some(_)) => self.note_dependency(now, job, &dependency, out),
+            StoreAnswer::Got(None) => {
+                let why = format!("follows: {dependency} was never accepted");
+                self.reject_submission(job, why, out);
             }
+            _ => self.give_up_unread(now, &job, out),
         }
     }
 
-    pub(super) fn give_up(&mut self, now: Micros, id: &str, reply: Reply, out: &mut Vec<Effect>) {
-        let Some(a) = self.accepting.remove(id) else { return };
-        for o in a.origins {
-            self.reply(now, o, reply.clone(), out);
-        }
-        // What was compared is older than these requests: somebody else may have accepted it since.
-        for o in a.late {
-            self.reply(now, o, Reply::later("the job could not be put on record"), out);
-        }
+    fn give_up_unread(&mut self, now: Micros, job: &str, out: &mut Vec<Effect>) {
+        let reply = Reply::later("a job that it follows could not be read");
+        self.give_up_submission(now, job, &reply, out);
     }
 
-    /// Puts a checked submission on record, on condition of the pacts that it joins.
-    pub(super) fn put_on_record(&mut self, now: Micros, id: String, out: &mut Vec<Effect>) {
-        let Some(a) = self.accepting.get(&id) else { return };
-        if !a.unknown.is_empty() {
-            return;
-        }
-        if !self.membership.is_leader(now) {
-            return self.give_up(now, &id, Reply::later("not able to act"), out);
-        }
-        let joins = match self.joins(now, &id, out) {
-            Gate::Open(joins) => joins,
-            Gate::Wait => return,
-            Gate::Later(why) => return self.give_up(now, &id, Reply::later(&why), out),
-            Gate::Never(why) => return self.refuse(id, why, out),
-        };
-        let cost = if self.accepting.get(&id).is_some_and(|a| a.with.is_some()) { 2.0 } else { 1.0 };
-        if !self.writes.take(now, cost, 0.0) {
-            return self.give_up(now, &id, Reply::later("overloaded"), out);
+    /// A job that a submission names is on record: when all are, the submission is put on record too.
+    fn note_dependency(&mut self, now: Micros, job: String, dependency: &str, out: &mut Vec<Effect>) {
+        self.dependencies.note_known(dependency);
+        let Some(submission) = self.user_requests.submissions.get_mut(&job) else { return };
+        let unchecked = &mut submission.unchecked_dependencies;
+        if unchecked.remove(dependency) && unchecked.is_empty() {
+            self.put_on_record(now, job, out);
         }
-        let mut conditions = vec![self.fence(), (format!("job/{id}"), 0), (format!("done/{id}"), 0)];
-        let Some(a) = self.accepting.get_mut(&id) else { return };
-        a.goes_out();
-        let value = JobShard::new_record(&a.raw, &a.spec, a.wall);
-        conditions.extend(joins);
-        let mut puts = vec![(format!("job/{id}"), value, None)];
-        puts.extend(a.with.iter().map(|(key, record, _)| (key.head(), record.value(), None)));
-        let c = Transaction { conditions, puts, drops: Vec::new() };
-        self.ask_store(
-            PendingStoreRequest::Accept(id, self.membership.epoch),
-            StoreRequest::Transaction(c),
-            out,
-        );
     }
 }
--- a/src/controller/fencing_probe.rs
+++ b/src/controller/fencing_probe.rs
@@ -1,35 +1,43 @@
-//! After an epoch the machines that have yet to show its token are asked directly.
+//! After an epoch has been adopted, machines that have yet to show its fencing token are asked directly.
 
 use super::*;
 
 /// Machines asked at a time.
-const AT_A_TIME: usize = 40;
-/// Until so long after adopting an epoch. Later only machines that have just come up are unconfirmed; they report twice
-/// within a second by themselves.
-const WHILE: Micros = Micros::from_millis(12_000);
-/// What the former homes hand over comes first.
-const PARCELS: Micros = Micros::from_millis(250);
-const EVERY: Micros = Micros::from_millis(100);
+const BATCH: usize = 40;
+/// Until so long after adopting an epoch. Later only machines that have just come up are unconfirmed; they send two
+/// heartbeats within a second by themselves.
+const PROBE_WINDOW: Micros = Micros::from_millis(12_000);
+/// What the former leaders hand off comes first.
+const HANDOFF_GRACE: Micros = Micros::from_millis(250);
+const PROBE_PERIOD: Micros = Micros::from_millis(100);
+
+/// When machines are next probed.
+#[derive(Default)]
+pub(super) struct FencingProbes {
+    next_at: Micros,
+}
 
 impl Controller {
-    /// Asks the next few.
-    pub(super) fn greet(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let since = now.since(self.membership.adopted_at);
-        let due = now >= self.next_greeting && since >= PARCELS && since < WHILE;
-        if !due || self.load != Load::Done || !self.membership.is_leader(now) {
+    /// Probes the next few machines.
+    pub(super) fn send_fencing_probes(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let since_adoption = now.since(self.membership.adopted_at);
+        let due = now >= self.fencing_probes.next_at
+            && since_adoption >= HANDOFF_GRACE
+            && since_adoption < PROBE_WINDOW;
+        if !due || !self.record_loading.is_done() || !self.membership.is_leader(now) {
             return;
         }
-        self.next_greeting = now + EVERY;
-        let list = self.machine_shard.to_greet(now, AT_A_TIME);
-        if !list.is_empty() {
-            out.push(Effect::Greet(self.membership.epoch, list));
+        self.fencing_probes.next_at = now + PROBE_PERIOD;
+        let probes = self.machine_shard.to_greet(now, BATCH);
+        if !probes.is_empty() {
+            out.push(Effect::FencingProbe { epoch: self.membership.epoch, probes });
         }
     }
 
     /// A machine has answered.
-    pub(super) fn greeted(&mut self, now: Micros, r: &Heartbeat) {
-        if self.machine_shard.greeted(now, &self.membership, r) == Verdict::Deposed {
-            self.next_ring = now;
+    pub(super) fn apply_fencing_probe_answer(&mut self, now: Micros, heartbeat: &Heartbeat) {
+        if self.machine_shard.greeted(now, &self.membership, heartbeat) == Verdict::Deposed {
+            self.membership_loop.step_at_once(now);
         }
     }
 }
--- /dev/null
+++ b/src/controller/flap_damping/tests.rs
@@ -0,0 +1,36 @@
+//! How long a controller that comes and goes is kept out of the ring.
+
+use super::*;
+
+fn settings() -> Settings {
+    let text = "member = \"c1\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n\
+        [outside]\ncloud = \"10.0.0.9:1\"\nstate = \"10.0.0.9:2\"\n[settings.workers]\nreport_s = 3.0\n\
+        lease_s = 18.0\ngang_wait_s = 30.0\ngang_peer_s = 6.0\ncancel_s = 43.0\n[settings.state]\nrps = 100.0\n\
+        write_rps = 15.0\nvalue_kb = 4.0\ntxn_ops = 8\n[settings.cloud]\nrps = 5.0\nlist_lag_s = 8.0\n";
+    Settings::parse("test", text).expect("valid")
+}
+
+#[test]
+fn pauses_grow_with_each_join_and_are_forgotten() {
+    let (s, mut damping) = (settings(), FlapDamping::default());
+    let wall = |secs: u64| Micros(1_000_000_000_000 + secs * 1_000_000);
+    let mut record = json!({});
+    let mut old = EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] };
+    let mut pauses = Vec::new();
+    for boot in 0..8 {
+        let mut next = old.clone();
+        next.members = vec![("c0".into(), 1), ("c1".into(), boot)];
+        pauses.push(damping.pause(&s, wall(boot)).0 / 1_000_000);
+        damping.write(&s, wall(boot), &old, &next, &mut record);
+        damping.read(&record);
+        old = next;
+    }
+    assert_eq!(pauses, [0, 0, 0, 6, 12, 24, 48, 60]);
+    assert_eq!(damping.pause(&s, wall(80)), Micros(0));
+    assert_eq!(damping.pause(&s, wall(0).since(wall(0) + Micros(1))), Micros(0), "a clock that was set back");
+    // Who stays is not named again, and a list that can't be read holds nobody back.
+    damping.write(&s, wall(8), &old, &old, &mut record);
+    assert_eq!(record[KEY].as_array().map(Vec::len), Some(8));
+    damping.read(&json!({"came": 7}));
+    assert_eq!(damping.pause(&s, wall(8)), Micros(0));
+}
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -4,7 +4,7 @@
 mod permits;
 mod show;
 
-use super::coordination::{Gate, Operating};
+use super::coordination::{JoinDecision, OperatorRequest};
 use super::*;
 use crate::job_shard::dependencies::unpacked;
 use crate::job_shard::{Attempt, Hold, Job};
@@ -145,67 +145,73 @@
     /// The condition on which a submission that names a batch is taken. A run that names a newer version than the one on
     /// record raises it in the transaction that puts the run on record: a repeated submission that names another version
     /// fails on the run's record, and then raises nothing.
-    pub(super) fn batch_gate(&mut self, now: Micros, id: &str, _out: &mut Vec<Effect>) -> Gate {
-        let Some(a) = self.accepting.get_mut(id) else { return Gate::Open(Vec::new()) };
-        if a.with.take().is_some() {
+    pub(super) fn batch_gate(&mut self, now: Micros, id: &str, _out: &mut Vec<Effect>) -> JoinDecision {
+        let Some(a) = self.user_requests.submissions.get_mut(id) else {
+            return JoinDecision::Open(Vec::new());
+        };
+        if a.coordinated_write.take().is_some() {
             // The record had changed when this was to be put on record: one that is newer must be read.
-            a.since = now;
+            a.readings_since = now;
         }
-        let (since, spec) = (a.since, &a.spec);
+        let (since, spec) = (a.readings_since, &a.spec);
         if spec.batch.is_none() && spec.merges.is_none() {
-            return Gate::Open(Vec::new());
+            return JoinDecision::Open(Vec::new());
         }
         let Some(classes) = self.settings.operators.freshness.as_ref() else {
-            return Gate::Never("batch: batches are not switched on here".into());
+            return JoinDecision::Never("batch: batches are not switched on here".into());
         };
         if spec.merges.is_some() && !classes.merges(&spec.class) {
             let list: Vec<&str> = classes.merges.iter().map(String::as_str).collect();
             let (class, list) = (&spec.class, list.join(", "));
-            return Gate::Never(format!("merges: {class} writes no tables; those that may name it: {list}"));
+            return JoinDecision::Never(format!(
+                "merges: {class} writes no tables; those that may name it: {list}"
+            ));
         }
         if spec.merges.is_some() && spec.rotates() {
-            return Gate::Never("merges: a rotation can't be a merge as well".into());
+            return JoinDecision::Never("merges: a rotation can't be a merge as well".into());
         }
         let Some((key, version)) = spec.batch.as_ref().and_then(|b| Some((b.key()?, b.version))) else {
-            return Gate::Open(Vec::new());
+            return JoinDecision::Open(Vec::new());
         };
         // An older one is taken and is simply old: to refuse it would turn a repeated submission away, and it harms
         // nobody, since nothing that rests on it starts. Versions only rise, so any reading will do for that.
-        if matches!(self.pact(now, &key), Held::Is(r) if version <= r.version) {
-            return Gate::Open(Vec::new());
+        if matches!(self.coordination_record(now, &key), Held::Is(r) if version <= r.version) {
+            return JoinDecision::Open(Vec::new());
         }
-        if self.accepting.values().any(|a| a.with.as_ref().is_some_and(|(k, ..)| *k == key)) {
-            return Gate::Wait;
+        if self
+            .user_requests
+            .submissions
+            .values()
+            .any(|a| a.coordinated_write.as_ref().is_some_and(|write| write.key == key))
+        {
+            return JoinDecision::Wait;
         }
-        let next = match self.pact_since(now, &key, since) {
-            None | Some(Held::Unread) => return Gate::Wait,
-            Some(Held::Unreadable(why)) => return Gate::Later(format!("the record of its batch: {why}")),
+        let next = match self.coordination_record_since(now, &key, since) {
+            None | Some(Held::Unread) => return JoinDecision::Wait,
+            Some(Held::Unreadable(why)) => {
+                return JoinDecision::Later(format!("the record of its batch: {why}"));
+            }
             Some(Held::Absent) => Batch::first(version),
             Some(Held::Is(r)) => match Batch::read(&r).map(|b| b.put(version)) {
                 Ok(Ok(Put::Raised(next))) => next,
-                Ok(_) => return Gate::Open(Vec::new()),
-                Err(why) => return Gate::Later(format!("the record of its batch: {why}")),
+                Ok(_) => return JoinDecision::Open(Vec::new()),
+                Err(why) => return JoinDecision::Later(format!("the record of its batch: {why}")),
             },
         };
-        let condition = self.join_of(&key);
-        if let Some(a) = self.accepting.get_mut(id) {
-            a.with = Some((key, next.record(), now));
+        let condition = self.join_condition(&key);
+        if let Some(a) = self.user_requests.submissions.get_mut(id) {
+            a.coordinated_write = Some(CoordinatedWrite { key, record: next.record(), sent_at: now });
         }
-        Gate::Open(vec![condition])
+        JoinDecision::Open(vec![condition])
     }
 
     /// A run was put on record with a newer version of its batch.
-    pub(super) fn raised(
-        &mut self,
-        id: &str,
-        with: Option<(Key, CoordinationRecord, Micros)>,
-        store_version: u64,
-    ) {
-        let Some((key, record, sent)) = with else { return };
+    pub(super) fn raised(&mut self, id: &str, write: Option<CoordinatedWrite>, store_version: u64) {
+        let Some(CoordinatedWrite { key, record, sent_at }) = write else { return };
         tracing::info!(batch = %key.name(), version = record.version, by = id, "batch is at a newer version");
         self.freshness.counts.raised += 1;
         self.freshness.next = Micros(0);
-        self.coordination.shelf.committed(&key, sent, record, store_version);
+        self.coordination.records.committed(&key, sent_at, record, store_version);
     }
 
     // ---- What jobs say ----
@@ -229,14 +235,21 @@
         for id in due {
             self.freshness.unreadable.remove(&id);
         }
-        while self.in_flight.len() < IN_FLIGHT && now >= self.store_pause && self.requests.level(now) >= 0.3 {
+        while self.state_store.in_flight.len() < IN_FLIGHT
+            && now >= self.state_store.paused_until
+            && self.state_store.request_limiter.level(now) >= 0.3
+        {
             let Some(id) = self.freshness.unread.pop_first() else { break };
             if self.freshness.says.contains_key(&id) || !self.freshness.reading.insert(id.clone()) {
                 continue;
             }
-            self.requests.take(now, 1.0, 0.0);
+            self.state_store.request_limiter.take(now, 1.0, 0.0);
             let get = StoreRequest::Get(format!("job/{id}"));
-            self.ask_store(PendingStoreRequest::Fresh(PendingFreshnessRequest::Says(id, false)), get, out);
+            self.ask_store(
+                PendingStoreRequest::Freshness(PendingFreshnessRequest::Says(id, false)),
+                get,
+                out,
+            );
         }
     }
 
@@ -274,7 +287,11 @@
             // It may have ended between the two: in this order it is seen in one of them.
             StoreAnswer::Got(None) if !end => {
                 let get = StoreRequest::Get(format!("done/{id}"));
-                self.ask_store(PendingStoreRequest::Fresh(PendingFreshnessRequest::Says(id, true)), get, out);
+                self.ask_store(
+                    PendingStoreRequest::Freshness(PendingFreshnessRequest::Says(id, true)),
+                    get,
+                    out,
+                );
             }
             StoreAnswer::Got(None) => {
                 self.freshness.reading.remove(&id);
@@ -331,10 +348,7 @@
     /// Since when a census must have begun so that with what the watch has told since, all done runs are known.
     fn runs_since(&self, key: &Key) -> Option<Micros> {
         let (since, _) = self.freshness.runs.get(&key.head())?;
-        let watched = self
-            .freshness
-            .watched
-            .filter(|_| matches!(self.dependencies.watch, dependencies::Watch::At(..)))?;
+        let watched = self.freshness.watched.filter(|_| self.dependencies.is_watching())?;
         Some(watched.max(*since))
     }
 
@@ -427,12 +441,12 @@
                 .get(&id)
                 .cloned()
                 .unwrap_or(SeenRevision { since: now, ..SeenRevision::default() });
-            let held = self.pact(now, &key);
+            let held = self.coordination_record(now, &key);
             let verdict = self.verdict(&held, &merge, &key);
             let since = seen.since.max(Micros(now.0.saturating_sub(RECENT.0)));
-            let recent = self.coordination.shelf.get_since(&key, since).is_some();
+            let recent = self.coordination.records.get_since(&key, since).is_some();
             if !recent {
-                self.pact_since(now, &key, since);
+                self.coordination_record_since(now, &key, since);
             }
             match verdict {
                 Verdict::Fresh(_) => seen.stale = false,
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -76,7 +76,7 @@
             Attempt::Stands | Attempt::Stopping => {}
         }
         let (key, merge) = self.merge_of(&a.job)?;
-        let held = self.pact_since(now, &key, a.came)?;
+        let held = self.coordination_record_since(now, &key, a.came)?;
         let verdict = self.verdict(&held, &merge, &key);
         let writer = Writer { job: a.job.clone(), attempt: a.attempt, task };
         // What has ended makes room for what begins.
@@ -94,7 +94,7 @@
                 Some(Reply::error(409, "the attempt is being stopped"))
             }
             Answer::Write(next, p) => {
-                if self.change_pact(now, &key, next.record(), Vec::new(), None, out) {
+                if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
                     tracing::info!(job = %a.job, attempt = a.attempt, task = a.task, batch = %key.name(),
                         version = p.version, fence = p.fence, "permit to write");
                 }
@@ -127,14 +127,14 @@
     }
 
     pub(super) fn release_permits(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.writes.level(now) < 0.6 || !self.membership.others_have_stopped(now) {
+        if self.state_store.write_limiter.level(now) < 0.6 || !self.membership.others_have_stopped(now) {
             return;
         }
         self.freshness.released.retain(|_, t| now < *t);
         let over = |b: &Batch| b.release(|p| self.permit_over(p));
         let due: Vec<(Key, Batch)> = self
             .coordination
-            .shelf
+            .records
             .iter()
             .filter(|(k, _)| k.kind() == Sort::Batch && !self.freshness.released.contains_key(k))
             .filter_map(|(k, h)| match h {
@@ -144,9 +144,9 @@
             .collect();
         for (key, next) in due {
             // Read on until its permits are given back.
-            self.pact(now, &key);
+            self.coordination_record(now, &key);
             self.freshness.released.insert(key.clone(), now + RELEASE);
-            if self.change_pact(now, &key, next.record(), Vec::new(), None, out) {
+            if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
                 tracing::debug!(batch = %key.name(), held = next.permits.len(), "permits given back");
             }
         }
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -11,7 +11,7 @@
     pub(in crate::controller) fn batch_request(
         &mut self,
         now: Micros,
-        r: &Operating,
+        r: &OperatorRequest,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
         if !self.batches_on() {
@@ -39,7 +39,7 @@
             Ok(k) => k,
             Err(why) => return Some(Reply::error(400, &format!("name: {why}"))),
         };
-        let next = match self.pact_since(now, &key, began)? {
+        let next = match self.coordination_record_since(now, &key, began)? {
             Held::Unread => return None,
             Held::Absent => Batch::first(version),
             Held::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
@@ -53,19 +53,25 @@
             },
         };
         // Once it is on record the next round finds it there; if another change came first it is looked at anew.
-        if self.change_pact(now, &key, next.record(), Vec::new(), None, out) {
+        if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
             tracing::info!(batch = name, version, by = "operator", "batch is to be at a newer version");
             self.freshness.counts.raised += 1;
         }
         None
     }
 
-    fn show_batch(&mut self, now: Micros, r: &Operating, name: &str, out: &mut Vec<Effect>) -> Option<Reply> {
+    fn show_batch(
+        &mut self,
+        now: Micros,
+        r: &OperatorRequest,
+        name: &str,
+        out: &mut Vec<Effect>,
+    ) -> Option<Reply> {
         let key = match Key::new(Sort::Batch, name) {
             Ok(k) => k,
             Err(why) => return Some(Reply::error(400, &format!("name: {why}"))),
         };
-        let batch = match self.pact_since(now, &key, r.began)? {
+        let batch = match self.coordination_record_since(now, &key, r.began)? {
             Held::Unread => return None,
             Held::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
             Held::Absent => {
@@ -107,10 +113,10 @@
         if *over {
             return self.freshness.lists.remove(&ticket).map(|(_, rows, ..)| rows);
         }
-        if !*busy && rows.len() < LISTED && self.requests.take(now, 1.0, 0.2) {
+        if !*busy && rows.len() < LISTED && self.state_store.request_limiter.take(now, 1.0, 0.2) {
             *busy = true;
             let r = StoreRequest::List(Sort::Batch.prefix(), after.clone());
-            self.ask_store(PendingStoreRequest::Fresh(PendingFreshnessRequest::Heads(ticket)), r, out);
+            self.ask_store(PendingStoreRequest::Freshness(PendingFreshnessRequest::Heads(ticket)), r, out);
         }
         None
     }
--- a/src/controller/gpu_lending.rs
+++ b/src/controller/gpu_lending.rs
@@ -52,28 +52,28 @@
         if now >= self.loans.next_told {
             self.loans.next_told = now + READ;
             self.job_shard.note_lacks(now);
-            let told = self.job_shard.lending(now, self.wall);
+            let told = self.job_shard.lending(now, self.rounds.wall);
             for p in self.membership.members.clone() {
                 // An older process would drop the link.
                 if p != self.settings.me && self.reads(p, FORM) {
-                    out.push(Effect::Send(p, self.envelope(now, p, Message::Lending(told.clone()))));
+                    self.send(now, p, Message::Lending(told.clone()), out);
                 }
             }
         }
         self.job_shard.obey_loans(now);
-        if now < self.store_pause {
+        if now < self.state_store.paused_until {
             return;
         }
         let lost = self.loans.asked.is_some_and(|t| now.since(t) >= PATIENCE);
         if (self.loans.asked.is_none() || lost)
             && now >= self.loans.next_read
             && !self.loans.changing
-            && self.requests.take(now, 1.0, 0.2)
+            && self.state_store.request_limiter.take(now, 1.0, 0.2)
         {
             (self.loans.asked, self.loans.next_read) = (Some(now), now + READ);
             let list = StoreRequest::List(Pact::Loan.prefix(), String::new());
             self.ask_store(
-                PendingStoreRequest::Loan(PendingLoanRequest::List(self.membership.epoch, now)),
+                PendingStoreRequest::Lending(PendingLoanRequest::List(self.membership.epoch, now)),
                 list,
                 out,
             );
@@ -89,7 +89,7 @@
 
     /// The next change that a ledger needs from us.
     fn next_ledger(&self, now: Micros, terms: &LoanTerms) -> Option<(String, Ledger)> {
-        let (wall, m) = (self.wall, &self.membership);
+        let (wall, m) = (self.rounds.wall, &self.membership);
         for (team, (_, ledger, _)) in &self.loans.read {
             let tidy = ledger.tidy(wall.0, terms.back.0, |l| self.job_shard.loan_facts(l, m));
             let next = tidy.or_else(|| {
@@ -133,7 +133,9 @@
             Some((r, ..)) => CoordinationRecord { body, ..r.clone() },
             None => CoordinationRecord::open(1, body),
         };
-        if record.value().to_string().len() > self.settings.value_bytes || !self.writes.take(now, 1.0, 0.2) {
+        if record.value().to_string().len() > self.settings.value_bytes
+            || !self.state_store.write_limiter.take(now, 1.0, 0.2)
+        {
             return;
         }
         let mut conditions = vec![self.fence()];
@@ -149,7 +151,7 @@
             Transaction { conditions, puts: vec![(key.head(), record.value(), None)], drops: Vec::new() };
         self.loans.changing = true;
         let purpose = PendingLoanRequest::Change(self.membership.epoch, team.to_owned(), Box::new(record));
-        self.ask_store(PendingStoreRequest::Loan(purpose), StoreRequest::Transaction(commit), out);
+        self.ask_store(PendingStoreRequest::Lending(purpose), StoreRequest::Transaction(commit), out);
     }
 
     /// The state service has answered.
@@ -220,11 +222,11 @@
         let all = self.loans.read.iter().flat_map(|(team, (_, l, _))| l.loans.iter().map(move |l| (team, l)));
         let loans: Vec<Value> = all
             .map(|(team, l)| {
-                let for_s = self.wall.0.saturating_sub(l.since_us) / 1_000_000;
+                let for_s = self.rounds.wall.0.saturating_sub(l.since_us) / 1_000_000;
                 json!({
                     "id": l.id, "borrower": team, "job": l.job, "lender": l.lender, "from": l.from,
                     "machine": l.machine, "gpus": l.gpus as f64 / 1000.0, "cpus": l.cpus as f64 / 1000.0,
-                    "state": l.state, "for_s": for_s, "due_back": due(l, terms, self.wall),
+                    "state": l.state, "for_s": for_s, "due_back": due(l, terms, self.rounds.wall),
                 })
             })
             .collect();
--- a/src/controller/handoff/tests.rs
+++ b/src/controller/handoff/tests.rs
@@ -1,5 +1,6 @@
 //! Who leaves the ring, and in which epoch what it hands over counts.
 
+use super::super::peer_traffic::ClockReading;
 use super::*;
 use crate::machine_shard::Heartbeat;
 use crate::state_store::{KeyValue, StoreAnswer, StoreRequest, Transaction};
@@ -31,11 +32,11 @@
     n.job_shard.adopt(&n.membership, false);
     n.membership.confirmed_by_store(at(1000));
     for p in [1, 2] {
-        n.clocks[p] = (1, at(1));
+        n.peer_traffic.links[p].heard = ClockReading { boot: 1, clock: at(1) };
     }
     n.note_forms(&members(), &mut Vec::new());
-    n.lease = Some(LEASE);
-    n.registered = true;
+    n.membership_loop.lease = Some(LEASE);
+    n.membership_loop.registered = true;
     for i in 0..60 {
         let r = Heartbeat {
             machine: format!("i-{i:06}"),
@@ -74,19 +75,24 @@
     let epoch =
         KeyValue { key: EPOCH_KEY.into(), value: serde_json::to_value(r).expect("plain"), store_version };
     let mut out = Vec::new();
-    n.ring_answer(now, PendingStoreRequest::ReadEpoch(now), StoreAnswer::Got(Some(epoch)), &mut out);
+    n.apply_ring_answer(
+        now,
+        PendingRingRequest::ReadEpoch { asked_at: now },
+        StoreAnswer::Got(Some(epoch)),
+        &mut out,
+    );
     out.clear();
     let page = StoreAnswer::Page(members(), false);
-    n.ring_answer(now, PendingStoreRequest::ReadMembers(now), page, &mut out);
+    n.apply_ring_answer(now, PendingRingRequest::ListMembers { asked_at: now }, page, &mut out);
     out
 }
 
 /// The epochs in whose name parcels go out.
 fn parcels(n: &mut Controller, now: Micros) -> Vec<u64> {
     let mut out = Vec::new();
-    n.say_parcels(now, &mut out);
+    n.send_handoff_batches(now, &mut out);
     let of = |e: &Effect| match e {
-        Effect::Send(_, Frame { epoch, body: Message::Handoff { .. }, .. }) => Some(*epoch),
+        Effect::Send { frame: Frame { epoch, body: Message::Handoff { .. }, .. }, .. } => Some(*epoch),
         _ => None,
     };
     out.iter().filter_map(of).collect()
@@ -98,9 +104,9 @@
 fn what_is_handed_on_leaving_counts_in_the_next_epoch_and_in_no_later_one() {
     let mut n = node();
     leaves(&mut n);
-    n.ring_answer(
+    n.apply_ring_answer(
         at(1300),
-        PendingStoreRequest::Raise(record(8, &[1, 2])),
+        PendingRingRequest::RaiseEpoch { record: record(8, &[1, 2]) },
         StoreAnswer::Committed(8),
         &mut Vec::new(),
     );
@@ -108,9 +114,9 @@
     assert!(!first.is_empty() && first.iter().all(|e| *e == 8), "{first:?}");
     // Nobody has said that it has them, and the ring moves on.
     let epoch = KeyValue { key: EPOCH_KEY.into(), value: json!(record(9, &[1])), store_version: 9 };
-    n.ring_answer(
+    n.apply_ring_answer(
         at(3000),
-        PendingStoreRequest::ReadEpoch(at(3000)),
+        PendingRingRequest::ReadEpoch { asked_at: at(3000) },
         StoreAnswer::Got(Some(epoch)),
         &mut Vec::new(),
     );
@@ -123,9 +129,9 @@
 fn who_is_out_of_the_ring_hands_over_whoever_raised_the_epoch() {
     let mut n = node();
     leaves(&mut n);
-    n.ring_answer(
+    n.apply_ring_answer(
         at(1300),
-        PendingStoreRequest::Raise(record(8, &[1, 2])),
+        PendingRingRequest::RaiseEpoch { record: record(8, &[1, 2]) },
         StoreAnswer::Unknown,
         &mut Vec::new(),
     );
@@ -138,11 +144,11 @@
     n.handoff.leave(at(1200));
     n.step_down.leave(at(1200), Missing::Asked);
     n.membership.aside = true;
-    n.alive = vec![1, 2];
+    n.membership_loop.live_peers = vec![1, 2];
     let epoch = KeyValue { key: EPOCH_KEY.into(), value: json!(record(8, &[1, 2])), store_version: 8 };
-    n.ring_answer(
+    n.apply_ring_answer(
         at(1700),
-        PendingStoreRequest::ReadEpoch(at(1700)),
+        PendingRingRequest::ReadEpoch { asked_at: at(1700) },
         StoreAnswer::Got(Some(epoch)),
         &mut Vec::new(),
     );
@@ -150,7 +156,7 @@
     reads(&mut n, at(1702), &record(8, &[1, 2]), 8);
     assert!(!n.gone(at(1703)), "packed, and not taken");
     let numbers: Vec<u64> = (0..100).collect();
-    (1..3).for_each(|p| n.handoff.acknowledged(p, &numbers));
+    (1..3).for_each(|p| n.handoff.apply_acknowledgements(p, &numbers));
     assert!(n.gone(at(1704)));
     // Not from two epochs back: who raised the one between may have given its machines to others.
     let mut n = node();
@@ -166,11 +172,19 @@
     for (answer, again) in [(StoreAnswer::Unknown, true), (StoreAnswer::Refused, false)] {
         let mut n = node();
         leaves(&mut n);
-        n.ring_answer(at(1300), PendingStoreRequest::Raise(record(8, &[1, 2])), answer, &mut Vec::new());
+        n.apply_ring_answer(
+            at(1300),
+            PendingRingRequest::RaiseEpoch { record: record(8, &[1, 2]) },
+            answer,
+            &mut Vec::new(),
+        );
         n.step_down.back(at(9000));
         let out = reads(&mut n, at(9100), &record(7, &[0, 1, 2]), 7);
         let raises = out.iter().any(|e| match e {
-            Effect::Store(_, StoreRequest::Transaction(Transaction { conditions, puts, .. }), _) => {
+            Effect::Store {
+                request: StoreRequest::Transaction(Transaction { conditions, puts, .. }),
+                ..
+            } => {
                 // The epoch as it was read, and each member's key.
                 let keys = conditions[1..].iter().all(|(k, _)| k.starts_with("ring/m/"));
                 conditions[0] == (EPOCH_KEY.to_owned(), 7)
@@ -182,9 +196,9 @@
         });
         assert_eq!((raises, n.membership.aside), (again, again));
         if again {
-            n.ring_answer(
+            n.apply_ring_answer(
                 at(9200),
-                PendingStoreRequest::Raise(record(8, &[0, 1, 2])),
+                PendingRingRequest::RaiseEpoch { record: record(8, &[0, 1, 2]) },
                 StoreAnswer::Committed(9),
                 &mut Vec::new(),
             );
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,138 +1,193 @@
-//! Workers' reports and the answers that wait a little.
+//! Machines' heartbeats, and the answers that wait a little for something to say.
+//!
+//! [`HeldHeartbeats`] owns the heartbeats that are held. A machine gets commands, and has its lease renewed, from its leader
+//! alone, and only while the leaders of its tasks' jobs are in reach.
 
 use super::*;
 use crate::peer::TaskKey;
 
+/// Heartbeats whose answer waits for something to say.
+#[derive(Default)]
+pub(super) struct HeldHeartbeats {
+    /// The ticket of the answer, by machine.
+    tickets: BTreeMap<String, u64>,
+    /// The order in which they came.
+    order: VecDeque<HeldHeartbeat>,
+    /// Machines whose heartbeat is held because a leader of their tasks' jobs is out of reach.
+    owner_unreachable: BTreeSet<String>,
+}
+
+struct HeldHeartbeat {
+    came_at: Micros,
+    machine: String,
+    ticket: u64,
+}
+
+impl HeldHeartbeats {
+    fn hold(&mut self, now: Micros, machine: &str, ticket: u64) {
+        self.order.push_back(HeldHeartbeat { came_at: now, machine: machine.to_owned(), ticket });
+        self.tickets.insert(machine.to_owned(), ticket);
+    }
+
+    /// Takes out machines whose heartbeat has been held for as long as it may be.
+    fn take_expired(&mut self, now: Micros, longest: Micros) -> Vec<String> {
+        let mut expired = Vec::new();
+        while let Some(HeldHeartbeat { came_at, machine, ticket }) = self.order.front() {
+            let answered = self.tickets.get(machine) != Some(ticket);
+            if !answered && now.since(*came_at) < longest {
+                break;
+            }
+            if !answered {
+                expired.push(machine.clone());
+            }
+            self.order.pop_front();
+        }
+        expired
+    }
+}
+
 impl Controller {
-    pub(super) fn report(
+    /// A machine's heartbeat: answers it, or holds it.
+    pub(super) fn take_heartbeat(
+        &mut self,
+        now: Micros,
+        ticket: u64,
+        heartbeat: &Heartbeat,
+        out: &mut Vec<Effect>,
+    ) {
+        if let Some(reply) = self.answer_or_hold(now, ticket, heartbeat, out) {
+            out.push(Effect::Reply { ticket, reply });
+        }
+    }
+
+    fn answer_or_hold(
         &mut self,
         now: Micros,
         ticket: u64,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
-        self.step_down.worker(now, &r.machine);
-        if let Some(reply) = self.not_home(now, &r.machine) {
-            // A worker that has had its home's answers and comes here doesn't get them any more. Its
-            // home is told, since it may hear no worker at all and not know that they live.
-            let home = self.membership.machine_leader(&r.machine).filter(|&h| h != self.settings.me);
-            if let Some(strays) = home.and_then(|h| self.strays.get_mut(h)) {
-                strays.visit(&r.machine, (r.session, r.seq), r.token == self.membership.epoch);
-            }
+        self.step_down.worker(now, &heartbeat.machine);
+        if let Some(reply) = self.refuse_unless_machine_leader(now, &heartbeat.machine) {
+            self.note_misrouted_heartbeat(heartbeat);
             return Some(reply);
         }
-        match self.machine_shard.report(now, &self.membership, r) {
+        match self.machine_shard.report(now, &self.membership, heartbeat) {
             Verdict::Taken => {
-                // The worker has given up on an older report, or it would not have sent this one.
-                if let Some(old) = self.held.remove(&r.machine) {
-                    out.push(Effect::Reply(old, Reply::later("out of date")));
+                // The machine has given up on an older heartbeat, or it would not have sent this one.
+                if let Some(ticket) = self.held_heartbeats.tickets.remove(&heartbeat.machine) {
+                    out.push(Effect::Reply { ticket, reply: Reply::later("out of date") });
                 }
-                let (fleet, w, m, o) =
-                    (&self.autoscaler, &self.start_replica, &self.membership, &self.job_shard);
-                // Out of an owner's reach it waits too: right after a takeover the owner speaks in a moment.
-                if !self.machine_shard.in_reach(now, &r.machine) {
-                    self.unreached.insert(r.machine.clone());
-                } else if !self.machine_shard.may_wait(
-                    now,
-                    &r.machine,
-                    |k| fleet.room(k),
-                    |k| w.may_go(m, o, k, &r.machine),
-                ) {
-                    return Some(self.orders(&r.machine));
+                // Out of a job leader's reach it waits too: right after a failover the leader speaks in a moment.
+                if !self.machine_shard.in_reach(now, &heartbeat.machine) {
+                    self.held_heartbeats.owner_unreachable.insert(heartbeat.machine.clone());
+                } else if !self.may_hold(now, &heartbeat.machine) {
+                    return Some(self.command(&heartbeat.machine));
                 }
-                self.held_order.push_back((now, r.machine.clone(), ticket));
-                self.held.insert(r.machine.clone(), ticket);
+                self.held_heartbeats.hold(now, &heartbeat.machine, ticket);
                 None
             }
             Verdict::Stale => Some(Reply::later("out of date")),
             Verdict::Deposed => {
                 // Somebody has raised the epoch; find out.
-                self.next_ring = now;
+                self.membership_loop.step_at_once(now);
                 Some(Reply::later("a newer epoch is known"))
             }
         }
     }
 
-    /// The answer to a machine's report if this controller may not command it.
-    pub(super) fn not_home(&self, now: Micros, machine: &str) -> Option<Reply> {
+    /// A machine that has had its leader's answers and comes here doesn't get them any more. Its
+    /// leader is told, since it may hear no machine at all and not know that they live.
+    fn note_misrouted_heartbeat(&mut self, heartbeat: &Heartbeat) {
+        let leader = self.membership.machine_leader(&heartbeat.machine);
+        let leader = leader.filter(|&leader| leader != self.settings.me);
+        if let Some(link) = leader.and_then(|leader| self.peer_traffic.links.get_mut(leader)) {
+            let was_answered = heartbeat.token == self.membership.epoch;
+            link.misrouted.visit(&heartbeat.machine, (heartbeat.session, heartbeat.seq), was_answered);
+        }
+    }
+
+    /// Whether there is nothing yet to tell a machine.
+    fn may_hold(&self, now: Micros, machine: &str) -> bool {
+        let room = |kind: &str| self.autoscaler.room(kind);
+        self.machine_shard.may_wait(now, machine, room, |task| self.may_start(machine, task))
+    }
+
+    fn may_start(&self, machine: &str, task: &TaskKey) -> bool {
+        self.start_replica.may_start(&self.membership, &self.job_shard, task, machine)
+    }
+
+    /// The answer to a machine's heartbeat if this controller may not command it.
+    fn refuse_unless_machine_leader(&self, now: Micros, machine: &str) -> Option<Reply> {
         match self.membership.pass_machine_to(machine) {
-            Some(h) if h == self.settings.me => {
+            Some(leader) if leader == self.settings.me => {
                 let ours =
-                    self.membership.machine_leader(machine) == Some(h) && self.membership.is_leader(now);
+                    self.membership.machine_leader(machine) == Some(leader) && self.membership.is_leader(now);
                 (!ours).then(|| Reply::later("not entitled to act"))
             }
-            Some(h) => Some(Reply::json(421, &json!({"rider": self.membership.name(h)}))),
+            Some(leader) => Some(Reply::json(421, &json!({"rider": self.membership.name(leader)}))),
             None => Some(Reply::later("no home")),
         }
     }
 
-    /// The answer to a report that has waited, by what holds now.
-    fn answer(&mut self, now: Micros, machine: &str) -> Reply {
-        if let Some(reply) = self.not_home(now, machine) {
+    /// The answer to a heartbeat that has been held, by what holds now.
+    fn answer_held(&mut self, now: Micros, machine: &str) -> Reply {
+        if let Some(reply) = self.refuse_unless_machine_leader(now, machine) {
             return reply;
         }
-        // A 200 keeps its lease alive, and with it tasks of which the owner may have said that they are cancelled.
+        // A 200 keeps its lease alive, and with it tasks of which the leader may have said that they are cancelled.
         match self.machine_shard.in_reach(now, machine) {
-            true => self.orders(machine),
+            true => self.command(machine),
             false => Reply::later("the owner of one of its tasks is out of reach"),
         }
     }
 
-    pub(super) fn orders(&mut self, machine: &str) -> Reply {
-        let (w, m, o) = (&self.start_replica, &self.membership, &self.job_shard);
-        match self.machine_shard.orders(m, machine, |k| w.may_go(m, o, k, machine)) {
-            Some(o) => {
-                Reply { status: 200, body: serde_json::to_string(&o).unwrap_or_default(), retry_after: None }
+    /// The commands for a machine.
+    fn command(&mut self, machine: &str) -> Reply {
+        let (replica, membership, jobs) = (&self.start_replica, &self.membership, &self.job_shard);
+        let may_start = |task: &TaskKey| replica.may_start(membership, jobs, task, machine);
+        match self.machine_shard.orders(membership, machine, may_start) {
+            Some(commands) => {
+                let body = serde_json::to_string(&commands).unwrap_or_default();
+                Reply { status: 200, body, retry_after: None }
             }
             None => Reply::later("no such machine"),
         }
     }
 
-    /// Answers reports that were held back, once there is something to say or their time is up.
+    /// Answers heartbeats that were held, once there is something to say or their time is up.
     /// Looks only at machines that changed and at those held longest.
-    pub(super) fn held_reports(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    pub(super) fn answer_due_heartbeats(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let longest = Micros(self.settings.report.0 * 2 / 5);
-        let mut due: Vec<String> = Vec::new();
-        while let Some((since, name, ticket)) = self.held_order.front() {
-            let answered = self.held.get(name) != Some(ticket);
-            if !answered && now.since(*since) < longest {
-                break;
-            }
-            if !answered {
-                due.push(name.clone());
-            }
-            self.held_order.pop_front();
-        }
-        let (fleet, w, m, o) = (&self.autoscaler, &self.start_replica, &self.membership, &self.job_shard);
-        for name in self.machine_shard.fresh() {
-            let go = |k: &TaskKey| w.may_go(m, o, k, &name);
-            if self.held.contains_key(&name)
-                && self.machine_shard.in_reach(now, &name)
-                && !self.machine_shard.may_wait(now, &name, |k| fleet.room(k), go)
+        let mut due = self.held_heartbeats.take_expired(now, longest);
+        for machine in self.machine_shard.fresh() {
+            if self.held_heartbeats.tickets.contains_key(&machine)
+                && self.machine_shard.in_reach(now, &machine)
+                && !self.may_hold(now, &machine)
             {
-                due.push(name);
+                due.push(machine);
             }
         }
         if self.machine_shard.heard_owners() {
-            let home = &self.machine_shard;
-            let reached = self.unreached.extract_if(.., |name| home.in_reach(now, name));
-            due.extend(reached);
+            let machines = &self.machine_shard;
+            let waiting = &mut self.held_heartbeats.owner_unreachable;
+            due.extend(waiting.extract_if(.., |machine| machines.in_reach(now, machine)));
         }
-        for name in due {
-            let Some(ticket) = self.held.remove(&name) else { continue };
-            self.unreached.remove(&name);
-            let reply = self.answer(now, &name);
-            out.push(Effect::Reply(ticket, reply));
+        for machine in due {
+            let Some(ticket) = self.held_heartbeats.tickets.remove(&machine) else { continue };
+            self.held_heartbeats.owner_unreachable.remove(&machine);
+            let reply = self.answer_held(now, &machine);
+            out.push(Effect::Reply { ticket, reply });
         }
     }
 
-    /// The ring or the right to act has changed: whoever waits is answered by what holds now.
-    pub(super) fn release_held(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        self.held_order.clear();
-        self.unreached.clear();
-        for (name, ticket) in std::mem::take(&mut self.held) {
-            let reply = self.answer(now, &name);
-            out.push(Effect::Reply(ticket, reply));
+    /// The ring or the leadership has changed: whoever waits is answered by what holds now.
+    pub(super) fn release_held_heartbeats(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        self.held_heartbeats.order.clear();
+        self.held_heartbeats.owner_unreachable.clear();
+        for (machine, ticket) in std::mem::take(&mut self.held_heartbeats.tickets) {
+            let reply = self.answer_held(now, &machine);
+            out.push(Effect::Reply { ticket, reply });
         }
     }
 }
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -1,7 +1,7 @@
 //! Operators' requests about releases and batches, and why a job waits. Any controller answers, from the records
 //! themselves, by conditional changes.
 
-use super::coordination::Operating;
+use super::coordination::OperatorRequest;
 use super::*;
 use crate::server::operator_api::OpRequest;
 
@@ -14,9 +14,9 @@
     /// An operator's request has come.
     pub(super) fn operator(&mut self, now: Micros, ticket: u64, request: OpRequest, out: &mut Vec<Effect>) {
         if self.coordination.operating.len() >= MOST {
-            return out.push(Effect::Reply(ticket, Reply::later("overloaded")));
+            return out.push(Effect::Reply { ticket, reply: Reply::later("overloaded") });
         }
-        self.coordination.operating.push(Operating { ticket, request, began: now });
+        self.coordination.operating.push(OperatorRequest { ticket, request, began: now });
         self.operate(now, out);
     }
 
@@ -36,7 +36,7 @@
                 }
             };
             match reply {
-                Some(r) => out.push(Effect::Reply(o.ticket, r)),
+                Some(r) => out.push(Effect::Reply { ticket: o.ticket, reply: r }),
                 // A change under way answers when it is on record.
                 None if self.coordination.replying.remove(&o.ticket) => {}
                 None => self.coordination.operating.push(o),
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -1,18 +1,83 @@
-//! Frames from and to peers.
+//! Frames from and to other controllers.
+//!
+//! [`PeerTraffic`] owns what each was sent and has acknowledged. What a frame says counts in its own epoch alone, and none
+//! is sent under an epoch that this controller does not speak for.
 
+use super::membership::EpochReading;
 use super::*;
 use hazelsaddle_failover::start_replica::Changes;
 
+/// A reading of a process' clock.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct ClockReading {
+    pub(super) boot: u64,
+    pub(super) clock: Micros,
+}
+
+/// What has passed between this controller and another one, or itself.
+#[derive(Default)]
+pub(super) struct PeerLink {
+    /// The latest reading of its clock that was heard.
+    pub(super) heard: ClockReading,
+    /// When it was last sent our state.
+    state_sent_at: Micros,
+    /// The revision of our machines' state that it was last sent.
+    revision_sent: u64,
+    /// The revision of our machines' state that it says it holds.
+    pub(super) revision_acked: u64,
+    /// Whether it waits to hear which revision of its machines' state we hold.
+    owes_ack: bool,
+    /// Heartbeats of its machines that came here.
+    pub(super) misrouted: MisroutedHeartbeats,
+}
+
+/// What is said to other controllers, and when.
+pub(super) struct PeerTraffic {
+    /// By controller.
+    pub(super) links: Vec<PeerLink>,
+    demands_sent_at: Micros,
+}
+
+impl PeerTraffic {
+    pub(super) fn new(controllers: usize) -> PeerTraffic {
+        let links = (0..controllers).map(|_| PeerLink::default()).collect();
+        PeerTraffic { links, demands_sent_at: Micros(0) }
+    }
+
+    /// A new epoch: heartbeats that came here in the last one say nothing of it.
+    pub(super) fn forget_misrouted(&mut self) {
+        self.links.iter_mut().for_each(|link| link.misrouted = MisroutedHeartbeats::default());
+    }
+
+    /// A new epoch: everybody is sent everything again.
+    pub(super) fn forget_revisions(&mut self) {
+        for link in &mut self.links {
+            (link.revision_acked, link.revision_sent) = (0, 0);
+        }
+    }
+}
+
+/// Who has sent a frame, and when.
+struct Sender {
+    from: usize,
+    boot: u64,
+    /// The reading of our clock that it had heard.
+    echo: Micros,
+    /// The revision of our machines' state that it holds.
+    revision_seen: u64,
+    is_self: bool,
+}
+
 impl Controller {
-    /// The newest epoch that others may take it from us that we know. One that has stepped aside says
+    /// The newest epoch that others may take it from us that we know. One that has stepped down says
     /// so by naming the epoch without it: nobody need wait for its lease to end.
     pub(super) fn known_epoch(&self) -> (u64, Vec<u32>) {
-        let aside = self.membership.aside || self.flap_damping.aside();
-        if let (true, Some((record, ..))) = (aside, &self.seen)
+        let out_of_ring = self.membership.aside || self.flap_damping.is_out_of_ring();
+        if let (true, Some(EpochReading { record, .. })) = (out_of_ring, &self.membership_loop.newest_record)
             && record.epoch > self.membership.epoch
             && !self.membership.is_in(record)
         {
-            let number = |m: &(String, u64)| self.settings.members.iter().position(|n| *n == m.0);
+            let number = |member: &(String, u64)| self.settings.members.iter().position(|n| *n == member.0);
             // It may name an earlier process of ours. Guards against processes that are held back and wait for one another,
             // each heard as a member that is there.
             let others = record.members.iter().filter_map(number).filter(|n| *n != self.settings.me);
@@ -21,18 +86,18 @@
         let (epoch, members) = self.membership.stands_by();
         // Who has given way takes no part in that epoch, even if it names an earlier process of ours: to others its word
         // must not count as that of a member who is there.
-        let out = |&&m: &&usize| self.membership.gave_way() && m == self.settings.me;
-        (epoch, members.iter().filter(|m| !out(m)).map(|&m| m as u32).collect())
+        let is_out = |member: usize| self.membership.gave_way() && member == self.settings.me;
+        (epoch, members.iter().filter(|m| !is_out(**m)).map(|&m| m as u32).collect())
     }
 
-    /// Whether it speaks in the name of its epoch: the records are read, and it has neither stepped aside nor given way.
-    pub(super) fn takes_part(&self) -> bool {
-        let m = &self.membership;
-        self.load == Load::Done && m.epoch > 0 && !m.aside && !m.gave_way()
+    /// Whether it speaks in the name of its epoch: the records are read, and it has neither stepped down nor given way.
+    pub(super) fn speaks_for_epoch(&self) -> bool {
+        let membership = &self.membership;
+        self.record_loading.is_done() && membership.epoch > 0 && !membership.aside && !membership.gave_way()
     }
 
     pub(super) fn envelope(&self, now: Micros, to: usize, body: Message) -> Frame {
-        let (echo_boot, echo) = self.clocks.get(to).copied().unwrap_or_default();
+        let heard = self.peer_traffic.links.get(to).map(|link| link.heard).unwrap_or_default();
         let (epoch, members) = self.known_epoch();
         Frame {
             from: self.settings.me as u32,
@@ -40,185 +105,250 @@
             members,
             clock: now,
             boot: self.boot,
-            echo,
-            echo_boot,
+            echo: heard.clock,
+            echo_boot: heard.boot,
             digest_seen: self.job_shard.digest_seen(to, self.membership.epoch),
             body,
         }
     }
 
-    pub(super) fn frame(&mut self, now: Micros, f: Frame, out: &mut Vec<Effect>) {
-        let from = f.from as usize;
+    /// Sends a message to another controller.
+    pub(super) fn send(&self, now: Micros, to: usize, body: Message, out: &mut Vec<Effect>) {
+        out.push(Effect::Send { to, frame: self.envelope(now, to, body) });
+    }
+
+    /// The same, or keeps it in `own` if it is for this controller.
+    fn send_or_keep(
+        &self,
+        now: Micros,
+        to: usize,
+        body: Message,
+        own: &mut Vec<Frame>,
+        out: &mut Vec<Effect>,
+    ) {
+        let frame = self.envelope(now, to, body);
+        if to == self.settings.me { own.push(frame) } else { out.push(Effect::Send { to, frame }) }
+    }
+
+    /// Takes a frame of another controller, or of this one.
+    pub(super) fn take_frame(&mut self, now: Micros, frame: Frame, out: &mut Vec<Effect>) {
+        let from = frame.from as usize;
         if from >= self.settings.members.len() {
-            tracing::error!(from, "a frame from nobody");
+            tracing::error!(from, "frame from an unknown controller");
             return;
         }
-        // The reading of our clock that the sender had heard; what we say to ourselves needs none.
-        let mut echo = now;
-        if from != self.settings.me {
-            self.clocks[from] = (f.boot, f.clock);
-            echo = if f.echo_boot == self.boot && f.echo <= now { f.echo } else { Micros(0) };
-            self.membership.heard_from(from, f.epoch, echo);
-            self.step_down.echo(from, echo);
-            self.membership.spoke(now, from, f.epoch);
-            // By a member's word only: those that keep out of the ring would take one another's for it.
-            if f.members.contains(&f.from) {
-                self.membership.told(now, f.epoch, &f.members);
+        let is_self = from == self.settings.me;
+        // What we say to ourselves needs no echo.
+        let echo = if is_self { now } else { self.note_sender(now, from, &frame) };
+        // Who has given way to a newer epoch takes no part in its own any more.
+        let is_same_epoch =
+            frame.epoch == self.membership.epoch && frame.epoch > 0 && !self.membership.gave_way();
+        if is_same_epoch {
+            let acked = &mut self.peer_traffic.links[from].revision_acked;
+            *acked = (*acked).max(frame.digest_seen);
+        }
+        match frame.body {
+            // Who leaves the ring hands over in an epoch that it doesn't adopt. An older process of ours had other
+            // numbers.
+            Message::HandoffAck(numbers) if frame.echo_boot == self.boot => {
+                self.handoff.apply_acknowledgements(from, &numbers)
             }
-            if f.epoch > self.membership.epoch {
-                self.next_ring = self.next_ring.min(now);
+            Message::ForwardRequest { id, request } => {
+                self.take_user_request(now, Caller::Peer { peer: from, request: id }, request, out)
             }
-        }
-        // Who has given way to a newer epoch takes no part in its own any more.
-        let same = f.epoch == self.membership.epoch && f.epoch > 0 && !self.membership.gave_way();
-        if same {
-            self.acked[from] = self.acked[from].max(f.digest_seen);
-        }
-        match f.body {
-            Message::State(wishes, digest) if same => {
-                let fleet = &self.autoscaler;
-                if self.machine_shard.wanted(now, from, &wishes, &self.membership, |k| fleet.room(k)) {
-                    self.machine_shard.said(from, echo, f.digest_seen);
-                }
-                self.owe_ack[from] |= self.job_shard.digest(now, &self.membership, from, digest);
-                // What we hold of our own machines needs no frame.
-                if from == self.settings.me {
-                    self.acked[from] = self.job_shard.digest_seen(from, self.membership.epoch);
-                }
+            Message::ForwardResponse { id, reply } => {
+                self.apply_forward_response(now, frame.epoch, id, reply, out)
             }
-            Message::Demands(d) if same => self.autoscaler.demand(now, from, d),
-            Message::Reserve(list) if same && from != self.settings.me => {
-                self.job_shard.others_reserve(now, from, list);
+            message if is_same_epoch => {
+                let revision_seen = frame.digest_seen;
+                let sender = Sender { from, boot: frame.boot, echo, revision_seen, is_self };
+                self.take_epoch_message(now, &sender, message, out);
             }
+            _ => {}
+        }
+    }
+
+    /// Notes what the head of another controller's frame says; returns the reading of our clock that it had heard.
+    fn note_sender(&mut self, now: Micros, from: usize, frame: &Frame) -> Micros {
+        self.peer_traffic.links[from].heard = ClockReading { boot: frame.boot, clock: frame.clock };
+        let is_ours = frame.echo_boot == self.boot && frame.echo <= now;
+        let echo = if is_ours { frame.echo } else { Micros(0) };
+        self.membership.heard_from(from, frame.epoch, echo);
+        self.step_down.echo(from, echo);
+        self.membership.spoke(now, from, frame.epoch);
+        // By a member's word only: those that keep out of the ring would take one another's for it.
+        if frame.members.contains(&frame.from) {
+            self.membership.told(now, frame.epoch, &frame.members);
+        }
+        if frame.epoch > self.membership.epoch {
+            self.membership_loop.step_at_once(now);
+        }
+        echo
+    }
+
+    /// Takes a message that counts in our epoch.
+    fn take_epoch_message(&mut self, now: Micros, sender: &Sender, message: Message, out: &mut Vec<Effect>) {
+        let from = sender.from;
+        match message {
+            Message::State(desired, delta) => self.apply_peer_state(now, sender, &desired, delta),
+            Message::Demands(demands) => self.autoscaler.demand(now, from, demands),
+            Message::Reserve(list) if !sender.is_self => self.job_shard.others_reserve(now, from, list),
             Message::ScalingPlan { drain, gone, kept, kept_machines }
-                if same && self.membership.decider() == Some(from) =>
+                if self.membership.decider() == Some(from) =>
             {
                 self.job_shard.keep(kept, kept_machines);
                 self.machine_shard.fleet(&drain.into_iter().collect(), &gone);
             }
-            Message::MisroutedHeartbeats(list) if same => {
-                let (home, m) = (&self.machine_shard, &self.membership);
-                let ours = list
-                    .into_iter()
-                    .filter(|n| m.machine_leader(n) == Some(m.me) && home.is_gone(n) == Some(false));
-                self.step_down.stray(now, ours);
-            }
-            Message::Lending(told) if same && from != self.settings.me => {
-                self.job_shard.others_lend(now, from, told)
-            }
-            Message::InheritedPriorities(list) if same => self.job_shard.urged_by(from, list),
-            Message::Handoff { number, parcel } if same => self.parcel(now, from, f.boot, number, parcel),
-            Message::ReplicateStarts { rev, since, added, dropped } if same && from != self.settings.me => {
-                let c = Changes { rev, since, added, dropped };
-                if let Some(rev) = self.start_replica.heard(from, f.boot, c)
-                    && self.reads(from, handoff::FORM)
-                {
-                    out.push(Effect::Send(from, self.envelope(now, from, Message::StartsReplicated(rev))));
-                }
-            }
-            Message::StartsReplicated(rev) if same => self.noted(now, from, rev),
-            // Who leaves the ring hands over in an epoch that it doesn't adopt. An older process of ours had other
-            // numbers.
-            Message::HandoffAck(numbers) if f.echo_boot == self.boot => {
-                self.handoff.acknowledged(from, &numbers);
-            }
-            Message::ForwardRequest { id, request } => self.user(now, Caller::Peer(from, id), request, out),
-            Message::ForwardResponse { id, reply } => {
-                if let Some(a) = self.forwarded.remove(&id) {
-                    // One that is in a newer epoch than ours can't have started it in this one: that it is new stays worth
-                    // saying.
-                    if reply.status == 200 && f.epoch <= self.membership.epoch {
-                        self.standing_in.remove(a.request.job());
-                    }
-                    // An owner that has spent its share of the write budget is helped out by one that
-                    // has not.
-                    if let (503, Some(t), UserRequest::Submit(job, body)) =
-                        (reply.status, a.ticket, &a.request)
-                        && self.writes.level(now) >= 0.5
-                        && self.accept_unseen(now, Caller::Ticket(t), job, body, out)
-                    {
-                        return;
-                    }
-                    out.extend(a.ticket.map(|t| Effect::Reply(t, reply)));
-                }
+            Message::MisroutedHeartbeats(machines) => self.note_misrouted(now, machines),
+            Message::Lending(told) if !sender.is_self => self.job_shard.others_lend(now, from, told),
+            Message::InheritedPriorities(list) => self.job_shard.urged_by(from, list),
+            Message::Handoff { number, parcel } => self.take_batch(now, from, sender.boot, number, parcel),
+            Message::ReplicateStarts { rev, since, added, dropped } if !sender.is_self => {
+                self.replicate_starts(now, sender, Changes { rev, since, added, dropped }, out);
             }
+            Message::StartsReplicated(revision) => self.apply_replicated(now, from, revision),
             _ => {}
         }
     }
 
-    /// Sends what peers should know: at once when it changed, and every digest period.
-    pub(super) fn say(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let period = self.settings.digest;
-        let n = self.settings.members.len();
+    fn apply_peer_state(
+        &mut self,
+        now: Micros,
+        sender: &Sender,
+        desired: &DesiredState,
+        delta: MachineStatusDelta,
+    ) {
+        let from = sender.from;
+        let autoscaler = &self.autoscaler;
+        let room = |kind: &str| autoscaler.room(kind);
+        if self.machine_shard.wanted(now, from, desired, &self.membership, room) {
+            self.machine_shard.said(from, sender.echo, sender.revision_seen);
+        }
+        let owes_ack = self.job_shard.digest(now, &self.membership, from, delta);
+        self.peer_traffic.links[from].owes_ack |= owes_ack;
+        // What we hold of our own machines needs no frame.
+        if sender.is_self {
+            let held = self.job_shard.digest_seen(from, self.membership.epoch);
+            self.peer_traffic.links[from].revision_acked = held;
+        }
+    }
+
+    /// Another controller has heartbeats of machines that we lead: we may hear no machine at all.
+    fn note_misrouted(&mut self, now: Micros, machines: Vec<String>) {
+        let (shard, membership) = (&self.machine_shard, &self.membership);
+        let ours = machines.into_iter().filter(|name| {
+            membership.machine_leader(name) == Some(membership.me) && shard.is_gone(name) == Some(false)
+        });
+        self.step_down.stray(now, ours);
+    }
+
+    fn replicate_starts(
+        &mut self,
+        now: Micros,
+        sender: &Sender,
+        changes: Changes<ReplicatedItem>,
+        out: &mut Vec<Effect>,
+    ) {
+        let from = sender.from;
+        if let Some(revision) = self.start_replica.receive(from, sender.boot, changes)
+            && self.reads(from, handoff::FORM)
+        {
+            self.send(now, from, Message::StartsReplicated(revision), out);
+        }
+    }
+
+    /// Sends what other controllers should know: at once when it changed, and every digest period.
+    pub(super) fn send_state(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        if !self.speaks_for_epoch() {
+            return self.send_keep_alives(now, out);
+        }
         let mut own = Vec::new();
-        if !self.takes_part() {
-            for p in (0..n).filter(|&p| p != self.settings.me) {
-                if now.since(self.sent[p]) >= period {
-                    self.sent[p] = now;
-                    out.push(Effect::Send(p, self.envelope(now, p, Message::KeepAlive)));
-                }
+        for peer in 0..self.settings.members.len() {
+            self.send_state_to(now, peer, &mut own, out);
+        }
+        self.take_own_frames(now, own, out);
+        if now.since(self.peer_traffic.demands_sent_at) >= self.settings.digest {
+            self.peer_traffic.demands_sent_at = now;
+            self.send_periodic(now, out);
+        }
+    }
+
+    fn take_own_frames(&mut self, now: Micros, own: Vec<Frame>, out: &mut Vec<Effect>) {
+        for frame in own {
+            self.take_frame(now, frame, out);
+        }
+    }
+
+    fn send_keep_alives(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let peers = 0..self.settings.members.len();
+        for peer in peers.filter(|&peer| peer != self.settings.me) {
+            if now.since(self.peer_traffic.links[peer].state_sent_at) >= self.settings.digest {
+                self.peer_traffic.links[peer].state_sent_at = now;
+                self.send(now, peer, Message::KeepAlive, out);
             }
+        }
+    }
+
+    fn send_state_to(&mut self, now: Micros, peer: usize, own: &mut Vec<Frame>, out: &mut Vec<Effect>) {
+        let period = self.settings.digest;
+        // Changes are gathered for a moment: a frame costs more than what it says.
+        let gather = if peer == self.settings.me { period.0 / 25 } else { period.0 / 5 };
+        let link = &self.peer_traffic.links[peer];
+        let waited = now.since(link.state_sent_at);
+        let has_news = self.machine_shard.seq() > link.revision_sent || link.owes_ack;
+        if waited < period
+            && (waited.0 < gather || !(has_news || self.job_shard.has_news(peer, &self.membership)))
+        {
             return;
         }
-        for p in 0..n {
-            // Changes are gathered for a moment: a frame costs more than what it says.
-            let soon = if p == self.settings.me { period.0 / 25 } else { period.0 / 5 };
-            let gap = now.since(self.sent[p]);
-            let news = self.machine_shard.seq() > self.sent_seq[p] || self.owe_ack[p];
-            if gap < period && (gap.0 < soon || !(news || self.job_shard.has_news(p, &self.membership))) {
-                continue;
-            }
-            self.sent[p] = now;
-            self.sent_seq[p] = self.machine_shard.seq();
-            self.owe_ack[p] = false;
-            let wishes = match self.membership.members.contains(&p) {
-                true => self.job_shard.wanted(p, &self.membership),
-                false => DesiredState::default(),
-            };
-            let fleet = &self.autoscaler;
-            let digest =
-                self.machine_shard.digest(now, &self.membership, p, self.acked[p], |k| fleet.room(k));
-            let f = self.envelope(now, p, Message::State(wishes, digest));
-            if p == self.settings.me { own.push(f) } else { out.push(Effect::Send(p, f)) }
-        }
-        for f in own.drain(..) {
-            self.frame(now, f, out);
-        }
-        if now.since(self.sent_demands) >= period {
-            self.sent_demands = now;
-            self.say_needs(now, out);
-            for p in 0..n {
-                let list = self.strays[p].report();
-                if !list.is_empty() {
-                    out.push(Effect::Send(p, self.envelope(now, p, Message::MisroutedHeartbeats(list))));
-                }
-            }
-            for p in (0..n).filter(|&p| p != self.settings.me) {
-                let list = self.job_shard.reserved().to_vec();
-                out.push(Effect::Send(p, self.envelope(now, p, Message::Reserve(list))));
+        let link = &mut self.peer_traffic.links[peer];
+        link.state_sent_at = now;
+        link.revision_sent = self.machine_shard.seq();
+        link.owes_ack = false;
+        let acked = link.revision_acked;
+        let desired = match self.membership.members.contains(&peer) {
+            true => self.job_shard.wanted(peer, &self.membership),
+            false => DesiredState::default(),
+        };
+        let autoscaler = &self.autoscaler;
+        let room = |kind: &str| autoscaler.room(kind);
+        let delta = self.machine_shard.digest(now, &self.membership, peer, acked, room);
+        self.send_or_keep(now, peer, Message::State(desired, delta), own, out);
+    }
+
+    /// Sends what is sent once in a digest period.
+    fn send_periodic(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let peers = self.settings.members.len();
+        let mut own = Vec::new();
+        self.send_inherited_priorities(now, out);
+        for peer in 0..peers {
+            let machines = self.peer_traffic.links[peer].misrouted.report();
+            if !machines.is_empty() {
+                self.send(now, peer, Message::MisroutedHeartbeats(machines), out);
             }
-            if let Some(d) = self.membership.decider() {
-                let f = self.envelope(now, d, Message::Demands(self.job_shard.demands()));
-                if d == self.settings.me {
-                    own.push(f)
-                } else {
-                    out.push(Effect::Send(d, f))
-                }
-                if d == self.settings.me && self.autoscaler.steers {
-                    for p in 0..n {
-                        let drain = self.autoscaler.drain.iter().cloned().collect();
-                        let kept = self.autoscaler.kept.clone();
-                        let gone = self.autoscaler.gone();
-                        let kept_machines = self.autoscaler.reserve.clone().into_iter().collect();
-                        let f =
-                            self.envelope(now, p, Message::ScalingPlan { drain, gone, kept, kept_machines });
-                        if p == self.settings.me { own.push(f) } else { out.push(Effect::Send(p, f)) }
-                    }
+        }
+        for peer in (0..peers).filter(|&peer| peer != self.settings.me) {
+            let reserved = self.job_shard.reserved().to_vec();
+            self.send(now, peer, Message::Reserve(reserved), out);
+        }
+        if let Some(decider) = self.membership.decider() {
+            let demands = Message::Demands(self.job_shard.demands());
+            self.send_or_keep(now, decider, demands, &mut own, out);
+            if decider == self.settings.me && self.autoscaler.steers {
+                for peer in 0..peers {
+                    self.send_or_keep(now, peer, self.scaling_plan(), &mut own, out);
                 }
             }
         }
-        for f in own {
-            self.frame(now, f, out);
+        self.take_own_frames(now, own, out);
+    }
+
+    fn scaling_plan(&self) -> Message {
+        Message::ScalingPlan {
+            drain: self.autoscaler.drain.iter().cloned().collect(),
+            gone: self.autoscaler.gone(),
+            kept: self.autoscaler.kept.clone(),
+            kept_machines: self.autoscaler.reserve.clone().into_iter().collect(),
         }
     }
 }
--- /dev/null
+++ b/src/controller/record_loading.rs
@@ -0,0 +1,178 @@
+//! The reading of all records that begins each epoch.
+//!
+//! [`RecordLoading`] owns how far it has come. Until it is over this controller answers for no job.
+
+use super::*;
+
+/// A page that could not be read is asked for again after so long.
+const RETRY: Micros = Micros::from_millis(300);
+
+/// What is read, in this order.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) enum LoadStage {
+    Jobs,
+    Machines,
+    Quota,
+    /// Controllers that have started tasks without replication.
+    UnreplicatedStarts,
+    #[default]
+    Done,
+}
+
+impl LoadStage {
+    fn next(self) -> LoadStage {
+        match self {
+            LoadStage::Jobs => LoadStage::Machines,
+            LoadStage::Machines => LoadStage::Quota,
+            LoadStage::Quota => LoadStage::UnreplicatedStarts,
+            LoadStage::UnreplicatedStarts | LoadStage::Done => LoadStage::Done,
+        }
+    }
+
+    fn prefix(self) -> &'static str {
+        match self {
+            LoadStage::Jobs => "job/",
+            LoadStage::Machines => machine_registry::PREFIX,
+            LoadStage::Quota => "team/",
+            LoadStage::UnreplicatedStarts | LoadStage::Done => start_replica::PREFIX,
+        }
+    }
+}
+
+/// How far the reading of this epoch has come.
+#[derive(Default)]
+pub(super) struct RecordLoading {
+    pub(super) stage: LoadStage,
+    after_key: String,
+    request_in_flight: bool,
+    retry_at: Micros,
+    /// Machines that the registry's pages name.
+    machines: Vec<String>,
+}
+
+impl RecordLoading {
+    /// Begins anew: a new epoch has been adopted.
+    pub(super) fn restart(&mut self, now: Micros) {
+        *self = RecordLoading { stage: LoadStage::Jobs, retry_at: now, ..RecordLoading::default() };
+    }
+
+    pub(super) fn is_done(&self) -> bool {
+        self.stage == LoadStage::Done
+    }
+}
+
+impl Controller {
+    /// Asks for the next page.
+    pub(super) fn load_records(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let loading = &self.record_loading;
+        if loading.is_done()
+            || loading.request_in_flight
+            || now < loading.retry_at
+            || self.membership.epoch == 0
+        {
+            return;
+        }
+        if !self.state_store.request_limiter.take(now, 1.0, 0.0) {
+            return;
+        }
+        self.record_loading.request_in_flight = true;
+        let stage = self.record_loading.stage;
+        let request = StoreRequest::List(stage.prefix().into(), self.record_loading.after_key.clone());
+        let pending = PendingStoreRequest::LoadPage { stage, epoch: self.membership.epoch };
+        self.ask_store(pending, request, out);
+    }
+
+    /// A page has come, or could not be read.
+    pub(super) fn apply_load_page(&mut self, now: Micros, stage: LoadStage, epoch: u64, answer: StoreAnswer) {
+        if epoch != self.membership.epoch {
+            return;
+        }
+        self.record_loading.request_in_flight = false;
+        let StoreAnswer::Page(rows, more) = answer else {
+            self.record_loading.retry_at = now + RETRY;
+            return;
+        };
+        if let Some(last) = rows.last() {
+            self.record_loading.after_key = last.key.clone();
+        }
+        for row in rows {
+            self.load_row(now, stage, row);
+        }
+        if more {
+            return;
+        }
+        self.record_loading.after_key.clear();
+        self.record_loading.stage = stage.next();
+        if self.record_loading.is_done() {
+            self.finish_loading(now);
+        }
+    }
+
+    fn load_row(&mut self, now: Micros, stage: LoadStage, row: KeyValue) {
+        match stage {
+            LoadStage::Jobs => {
+                self.take_job_row(row);
+            }
+            LoadStage::Machines => self.load_registry_page(now, &row),
+            LoadStage::Quota => {
+                if let Some(team) = row.key.strip_prefix("team/") {
+                    self.quota.take(team, Some((&row.value, row.store_version)));
+                }
+            }
+            LoadStage::UnreplicatedStarts | LoadStage::Done => self.load_unreplicated_starts(&row),
+        }
+    }
+
+    fn load_registry_page(&mut self, now: Micros, row: &KeyValue) {
+        let Some(machines) = machine_registry::read(&row.value) else {
+            tracing::error!(key = %row.key, "unreadable page of the machine registry");
+            return;
+        };
+        self.machine_registry.take(&row.key, &machines, row.store_version);
+        for (name, entry) in machines {
+            if self.membership.machine_leader(&name) == Some(self.settings.me) {
+                self.machine_shard.recorded(now, &name, entry);
+            }
+            self.record_loading.machines.push(name);
+        }
+    }
+
+    fn finish_loading(&mut self, now: Micros) {
+        let machines = std::mem::take(&mut self.record_loading.machines);
+        self.job_shard.load_done(machines.into_iter());
+        let (jobs, ..) = self.job_shard.counts();
+        tracing::info!(
+            epoch = self.membership.epoch,
+            jobs,
+            machines = self.job_shard.unheard(),
+            "records loaded"
+        );
+        self.take_handed_jobs(now);
+    }
+
+    /// Takes a job's live record; false if it can't be read, in which case nothing may be said of the job.
+    pub(super) fn take_job_row(&mut self, row: KeyValue) -> bool {
+        let Some(id) = row.key.strip_prefix("job/") else { return false };
+        if self.membership.job_leader(id) != Some(self.settings.me) {
+            return true;
+        }
+        match JobShard::read_record(&row.value) {
+            Some((raw, spec, accepted, done)) if spec.id == id => {
+                // Of one that we know the latest write may be our own, and says nothing of what it had before us.
+                let unknown = !self.job_shard.jobs.contains_key(id);
+                self.job_shard.insert(raw, spec, accepted, done, row.store_version, false);
+                if unknown
+                    && self.job_shard.jobs.contains_key(id)
+                    && row.store_version > self.membership.store_version
+                {
+                    self.job_shard.maybe_new(self.rounds.last_round, id);
+                }
+                true
+            }
+            _ => {
+                tracing::error!(job = id, "unreadable job record");
+                false
+            }
+        }
+    }
+}
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -1,7 +1,7 @@
 //! Releases: opened by calendar with the first submission, joined, closed, counted, and only then rotated. What a set is
 //! and when a rotation may start is `hazelsaddle_release`'s; here its records are read and written.
 
-use super::coordination::{Gate, Members, Operating};
+use super::coordination::{JoinDecision, Members, OperatorRequest};
 use super::*;
 use crate::job_shard::Hold;
 use crate::server::operator_api::OpRequest;
@@ -80,20 +80,20 @@
     }
 
     /// The condition on which a submission joins its release.
-    pub(super) fn release_gate(&mut self, now: Micros, id: &str, out: &mut Vec<Effect>) -> Gate {
-        let Some(a) = self.accepting.get(id) else { return Gate::Wait };
-        let Some(mut says) = a.spec.release.clone() else { return Gate::Open(Vec::new()) };
+    pub(super) fn release_gate(&mut self, now: Micros, id: &str, out: &mut Vec<Effect>) -> JoinDecision {
+        let Some(a) = self.user_requests.submissions.get(id) else { return JoinDecision::Wait };
+        let Some(mut says) = a.spec.release.clone() else { return JoinDecision::Open(Vec::new()) };
         if !self.releases_on() {
-            return Gate::Never("release: no calendar is set here".into());
+            return JoinDecision::Never("release: no calendar is set here".into());
         }
-        let (began, class, wall) = (a.began, a.spec.class.clone(), self.wall.0);
+        let (began, class, wall) = (a.came_at, a.spec.class.clone(), self.rounds.wall.0);
         if says.night.is_none() {
             if self.coordination.listed.is_none() {
-                return Gate::Wait;
+                return JoinDecision::Wait;
             }
             let sets: Vec<(Phase, Release)> = self
                 .coordination
-                .shelf
+                .records
                 .iter()
                 .filter_map(|(_, h)| match h {
                     Held::Is(r) => Some((r.phase, Release::read(r).ok()?)),
@@ -103,35 +103,37 @@
             let sets = sets.iter().map(|(p, r)| (*p, r));
             match join::night(&self.settings.operators.calendars, sets, &says, wall) {
                 Ok(night) => says.night = Some(night),
-                Err(e) => return Gate::Never(format!("release: {e}")),
+                Err(e) => return JoinDecision::Never(format!("release: {e}")),
             }
             // From here on the job names its night, also on record.
-            if let Some(a) = self.accepting.get_mut(id) {
-                a.raw["release"] = says.value();
+            if let Some(a) = self.user_requests.submissions.get_mut(id) {
+                a.description["release"] = says.value();
                 a.spec.release = Some(says.clone());
             }
         }
-        let Some(key) = says.key() else { return Gate::Never("release: it has no such night".into()) };
-        let held = self.pact(now, &key);
+        let Some(key) = says.key() else {
+            return JoinDecision::Never("release: it has no such night".into());
+        };
+        let held = self.coordination_record(now, &key);
         match join::may_join(&held, &self.settings.operators.calendars, &says, &class, wall) {
             // A rotation is no member: nobody waits for it.
             Join::Now if says.stage == hazelsaddle_release::calendar::Stage::Rotation => {
-                Gate::Open(Vec::new())
+                JoinDecision::Open(Vec::new())
             }
             // Guards against one that joins while the set closes: what was read must still be on record.
-            Join::Now => Gate::Open(vec![self.join_of(&key)]),
+            Join::Now => JoinDecision::Open(vec![self.join_condition(&key)]),
             Join::Open(record) => {
-                if !self.pact_changing(&key) {
+                if !self.is_record_changing(&key) {
                     tracing::info!(title = %says.title, night = ?says.night, first = id, "release opened");
-                    self.change_pact(now, &key, record, Vec::new(), None, out);
+                    self.change_record(now, &key, record, Vec::new(), None, out);
                 }
-                Gate::Wait
+                JoinDecision::Wait
             }
-            Join::Later(_) => Gate::Wait,
+            Join::Later(_) => JoinDecision::Wait,
             // A refusal is for good, so it must not rest on what was read before the question came.
-            Join::Refused(why) => match self.pact_since(now, &key, began) {
-                Some(_) => Gate::Never(format!("release: {why}")),
-                None => Gate::Wait,
+            Join::Refused(why) => match self.coordination_record_since(now, &key, began) {
+                Some(_) => JoinDecision::Never(format!("release: {why}")),
+                None => JoinDecision::Wait,
             },
         }
     }
@@ -144,9 +146,9 @@
         self.inherit_dues();
         let sets: Vec<(Key, CoordinationRecord)> = self
             .coordination
-            .shelf
+            .records
             .iter()
-            .filter(|(k, _)| self.keeps_pact(k))
+            .filter(|(k, _)| self.keeps_record(k))
             .filter_map(|(k, h)| match h {
                 Held::Is(r) if k.kind() == hazelsaddle_coordination::record::Kind::Release => {
                     Some((k.clone(), r.clone()))
@@ -155,7 +157,7 @@
             })
             .collect();
         for (key, record) in sets {
-            if !self.pact_changing(&key) {
+            if !self.is_record_changing(&key) {
                 self.keep_release(now, &key, &record, out);
             }
         }
@@ -179,7 +181,7 @@
             }
         }
         self.job_shard.releases_need(needs);
-        let live: BTreeSet<&Key> = self.coordination.shelf.iter().map(|(k, _)| k).collect();
+        let live: BTreeSet<&Key> = self.coordination.records.iter().map(|(k, _)| k).collect();
         self.releases.closed_at.retain(|(k, _), _| live.contains(k));
         self.releases.pages.retain(|(k, _), _| live.contains(k));
         self.releases.checked.retain(|k, _| live.contains(k));
@@ -192,8 +194,8 @@
         let members: Vec<(String, Key)> =
             members.filter_map(|(id, j)| Some((id.clone(), j.spec.release.as_ref()?.key()?))).collect();
         for (id, key) in members {
-            let shelf = &self.coordination.shelf;
-            let due = *dues.entry(key).or_insert_with_key(|key| match shelf.get(key) {
+            let records = &self.coordination.records;
+            let due = *dues.entry(key).or_insert_with_key(|key| match records.get(key) {
                 Held::Is(r) => priority_inheritance::of_set(&Release::read(r).ok()?, [])?.due.map(Micros),
                 _ => None,
             });
@@ -207,7 +209,7 @@
         if body.rotated {
             return;
         }
-        if body.is_late(self.wall.0) && self.releases.late.insert((key.clone(), record.version)) {
+        if body.is_late(self.rounds.wall.0) && self.releases.late.insert((key.clone(), record.version)) {
             tracing::info!(title = %body.title, night = %body.night, phase = ?record.phase, "release late: its rotation is due and has not started");
         }
         match record.phase {
@@ -218,11 +220,11 @@
                     known.and_then(|k| k.get(&m.id)).is_some_and(|m| m.stands != Stands::Cancelled)
                 };
                 let members: Vec<Member> = known.map(seen).unwrap_or_default();
-                let Some(by) = body.to_close(members.iter().filter(|m| there(m)), self.wall.0) else {
+                let Some(by) = body.to_close(members.iter().filter(|m| there(m)), self.rounds.wall.0) else {
                     return;
                 };
                 let Ok(next) = set::closing(record, by) else { return };
-                if self.change_pact(now, key, next, Vec::new(), None, out) {
+                if self.change_record(now, key, next, Vec::new(), None, out) {
                     tracing::info!(title = %body.title, night = %body.night, by = by.word(), "release closing");
                 }
             }
@@ -232,7 +234,7 @@
                 let Some(found) = self.census_since(key, since).cloned() else { return };
                 match set::closed(key, record, &found, self.settings.value_bytes) {
                     Ok((pages, next)) => {
-                        if self.change_pact(now, key, next, pages, None, out) {
+                        if self.change_record(now, key, next, pages, None, out) {
                             tracing::info!(title = %body.title, night = %body.night, members = found.len(), "release closed");
                         }
                     }
@@ -245,17 +247,17 @@
 
     /// Looks at what a held rotation waits for, and lets it go when its release is on record as complete.
     fn hold_rotation(&mut self, now: Micros, id: &str, key: &Key, out: &mut Vec<Effect>) -> Known {
-        let held = self.pact(now, key);
+        let held = self.coordination_record(now, key);
         let known = self.release_known(now, key, &held, out);
         match verdict(&held, known.members.as_deref(), |m| known.fact(m)) {
             // Only what is on record lets a task start: a controller that comes next must find the same.
             Readiness::Open => {
                 tracing::info!(job = id, record = %key.head(), "rotation released");
-                self.job_shard.note_time(self.wall);
+                self.job_shard.note_time(self.rounds.wall);
                 self.job_shard.lift(id);
             }
             Readiness::Ready(next) => {
-                if self.change_pact(now, key, next, Vec::new(), None, out) {
+                if self.change_record(now, key, next, Vec::new(), None, out) {
                     tracing::info!(job = id, record = %key.head(), "release complete");
                 }
             }
@@ -292,7 +294,7 @@
         let mut open: Vec<String> = Vec::new();
         for m in known.members.iter().flatten() {
             let by_census = found.get(&m.id).map(|f| f.stands).unwrap_or(Stands::Live);
-            let stands = by_census.max(self.end_of(&m.id).unwrap_or(Stands::Live));
+            let stands = by_census.max(self.member_outcome(&m.id).unwrap_or(Stands::Live));
             known.facts.insert(m.id.clone(), fact_of(stands));
             if stands == Stands::Live {
                 open.push(m.id.clone());
@@ -336,13 +338,16 @@
             if self.releases.asked.get(&this).is_some_and(|t| now < *t) {
                 continue;
             }
-            if self.in_flight.len() >= IN_FLIGHT || !self.requests.take(now, 1.0, 0.2) {
+            if self.state_store.in_flight.len() >= IN_FLIGHT
+                || !self.state_store.request_limiter.take(now, 1.0, 0.2)
+            {
                 break;
             }
             self.releases.asked.insert(this, now + Micros::from_millis(4000));
             let get = StoreRequest::Get(key.page(record.version, n));
-            let purpose = PendingRecordRequest::Members(key.clone(), record.version, n);
-            self.ask_store(PendingStoreRequest::Pact(purpose), get, out);
+            let purpose =
+                PendingRecordRequest::Members { key: key.clone(), version: record.version, page: n };
+            self.ask_store(PendingStoreRequest::Coordination(purpose), get, out);
         }
         None
     }
@@ -368,13 +373,13 @@
     pub(super) fn release_request(
         &mut self,
         now: Micros,
-        o: &Operating,
+        o: &OperatorRequest,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
         if !self.releases_on() {
             return Some(Reply::error(404, "releases are not switched on: no calendar is set here"));
         }
-        if !self.takes_pacts() {
+        if !self.takes_coordination() {
             return Some(Reply::later("not every controller knows of releases yet"));
         }
         let (title, night) = match &o.request {
@@ -398,7 +403,7 @@
         let Some(key) = release_ref::key(title, &night) else {
             return Some(Reply::error(400, "title: can't be the name of a release"));
         };
-        let held = self.pact_since(now, &key, o.began)?;
+        let held = self.coordination_record_since(now, &key, o.began)?;
         let record = match &held {
             Held::Absent => return Some(Reply::error(404, &format!("no release of {title} on {night}"))),
             Held::Is(record) => record.clone(),
@@ -417,7 +422,7 @@
                 let known = self.members_for(now, o, &key, &record, out)?;
                 let members = known.members.as_deref();
                 let shown =
-                    ReleaseStatus::of((title, &night), &held, members, |m| known.fact(m), self.wall.0);
+                    ReleaseStatus::of((title, &night), &held, members, |m| known.fact(m), self.rounds.wall.0);
                 let text = shown.to_string();
                 return Some(match serde_json::to_value(&shown) {
                     Ok(mut v) => {
@@ -438,7 +443,14 @@
                 let reply =
                     json!({"title": title, "night": night, "phase": next.phase, "version": next.version});
                 tracing::info!(title = %title, night = %night, request = ?o.request, "operator's change of a release");
-                self.change_pact(now, &key, next, Vec::new(), Some((ticket, Reply::json(200, &reply))), out);
+                self.change_record(
+                    now,
+                    &key,
+                    next,
+                    Vec::new(),
+                    Some((ticket, Reply::json(200, &reply))),
+                    out,
+                );
                 None
             }
         }
@@ -448,7 +460,7 @@
     fn members_for(
         &mut self,
         now: Micros,
-        o: &Operating,
+        o: &OperatorRequest,
         key: &Key,
         record: &CoordinationRecord,
         out: &mut Vec<Effect>,
@@ -474,10 +486,10 @@
     pub(super) fn release_status(&self) -> Vec<Value> {
         let of = |key: &Key| {
             let (title, night) = release_ref::named(key)?;
-            Some(match self.coordination.shelf.get(key) {
+            Some(match self.coordination.records.get(key) {
                 Held::Is(r) => match Release::read(r) {
                     Ok(b) => json!({"title": title, "night": night, "phase": r.phase, "version": r.version,
-                        "late": b.is_late(self.wall.0), "closed_by": b.closed_by, "waived": b.waived.len(),
+                        "late": b.is_late(self.rounds.wall.0), "closed_by": b.closed_by, "waived": b.waived.len(),
                         "rotated": b.rotated}),
                     Err(e) => json!({"title": title, "night": night, "unreadable": e.to_string()}),
                 },
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -11,9 +11,9 @@
         let mut out = Vec::new();
         let got =
             StoreAnswer::Got(value.map(|value| KeyValue { key: String::new(), value, store_version: 9 }));
-        n.peeked(at(2000), "wk-1".into(), Caller::Ticket(5), got, &mut out);
+        n.answer_poll_from_record(at(2000), "wk-1", Caller::Ticket(5), &got, &mut out);
         match &out[..] {
-            [Effect::Reply(5, r)] => (r.status, r.body.contains("\"stance\":\"pending\"")),
+            [Effect::Reply { ticket: 5, reply: r }] => (r.status, r.body.contains("\"stance\":\"pending\"")),
             other => panic!("{other:?}"),
         }
     };
@@ -30,7 +30,7 @@
     let mut n = node();
     n.membership.confirmed_by_store(NOW);
     n.job_shard.load_done(std::iter::empty());
-    n.load = Load::Done;
+    n.record_loading.stage = LoadStage::Done;
     let kind = json!({"sku":"k","vcpus":8,"cards":0,"ramGb":64,"cacheGb":10,"fetchGbPerS":1,"rate":1.0,"lowPrice":0.5,
         "startupS":5,"paddocks":["z"]});
     let types = [serde_json::from_value(kind).expect("a machine type")];
@@ -77,12 +77,12 @@
         let mut told = Told::default();
         for e in out {
             match e {
-                Effect::Reply(t, r) => {
+                Effect::Reply { ticket: t, reply: r } => {
                     let body: Value = serde_json::from_str(&r.body).unwrap_or_default();
                     told.answers.push((t, r.status, body["stance"].as_str().unwrap_or("").to_owned()));
                 }
-                Effect::Store(id, StoreRequest::Get(key), _) => told.reads.push((id, key)),
-                Effect::Store(id, StoreRequest::Transaction(c), _) => {
+                Effect::Store { id, request: StoreRequest::Get(key), .. } => told.reads.push((id, key)),
+                Effect::Store { id, request: StoreRequest::Transaction(c), .. } => {
                     told.commits.push((id, c.puts.into_iter().map(|p| p.0).collect()));
                 }
                 _ => {}
@@ -92,7 +92,7 @@
     }
 
     fn asked(n: &mut Controller, ticket: u64, r: UserRequest) -> Told {
-        Told::by(n, Event::User(ticket, r))
+        Told::by(n, Event::User { ticket, request: r })
     }
 
     fn one(self) -> (u64, u16, String) {
@@ -120,10 +120,10 @@
         joined.answers.is_empty() && joined.reads.is_empty(),
         "one reading of a job at a time: {joined:?}"
     );
-    let end = Told::by(&mut n, Event::Store(number, StoreAnswer::Got(None)));
-    let end = Told::by(&mut n, Event::Store(end.reads[0].0, StoreAnswer::Got(None)));
+    let end = Told::by(&mut n, Event::Store { id: number, answer: StoreAnswer::Got(None) });
+    let end = Told::by(&mut n, Event::Store { id: end.reads[0].0, answer: StoreAnswer::Got(None) });
     assert_eq!(end.answers, [(1, 404, String::new())]);
-    let again = Told::by(&mut n, Event::Store(end.reads[0].0, live(&id, 9)));
+    let again = Told::by(&mut n, Event::Store { id: end.reads[0].0, answer: live(&id, 9) });
     assert_eq!(again.one(), (2, 200, "pending".into()));
 }
 
@@ -132,11 +132,11 @@
 fn the_answer_to_an_earlier_reading_is_nobodys() {
     let (mut n, id) = owner(true);
     let (old, _) = Told::asked(&mut n, 1, query(&id)).reads.remove(0);
-    n.lookups.clear();
+    n.user_requests.lookups.clear();
     let (new, _) = Told::asked(&mut n, 2, query(&id)).reads.remove(0);
-    let told = Told::by(&mut n, Event::Store(old, StoreAnswer::Got(None)));
+    let told = Told::by(&mut n, Event::Store { id: old, answer: StoreAnswer::Got(None) });
     assert!(told.answers.is_empty() && told.reads.is_empty(), "{told:?}");
-    assert_eq!(Told::by(&mut n, Event::Store(new, live(&id, 9))).one().1, 200);
+    assert_eq!(Told::by(&mut n, Event::Store { id: new, answer: live(&id, 9) }).one().1, 200);
 }
 
 /// The record can be read, and the job be cancelled, before the answer to the write that accepted it is here.
@@ -145,20 +145,23 @@
     let (mut n, id) = owner(true);
     let (read, _) = Told::asked(&mut n, 1, query(&id)).reads.remove(0);
     let (accept, _) = Told::asked(&mut n, 2, submit(&id)).commits.remove(0);
-    assert_eq!(Told::by(&mut n, Event::Store(read, live(&id, 9))).one(), (1, 200, "pending".into()));
+    assert_eq!(
+        Told::by(&mut n, Event::Store { id: read, answer: live(&id, 9) }).one(),
+        (1, 200, "pending".into())
+    );
     // The epoch stands, so nobody else can have started it.
     n.job_shard.epoch_stands(NOW + Micros(1));
     assert!(Told::asked(&mut n, 3, UserRequest::Withdraw(id.clone())).answers.is_empty());
     let (_, end, store_version) = n.job_shard.next_write(NOW, true).expect("its end is due");
     let mut out = Vec::new();
-    n.commit_record(id.clone(), end, store_version, &mut out);
-    let Some(Effect::Store(write, ..)) = out.first() else { panic!("{out:?}") };
+    n.write_job(id.clone(), end, store_version, &mut out);
+    let Some(Effect::Store { id: write, .. }) = out.first() else { panic!("{out:?}") };
     assert_eq!(
-        Told::by(&mut n, Event::Store(*write, StoreAnswer::Committed(10))).one(),
+        Told::by(&mut n, Event::Store { id: *write, answer: StoreAnswer::Committed(10) }).one(),
         (3, 200, "aborted".into())
     );
     assert_eq!(
-        Told::by(&mut n, Event::Store(accept, StoreAnswer::Committed(9))).one(),
+        Told::by(&mut n, Event::Store { id: accept, answer: StoreAnswer::Committed(9) }).one(),
         (2, 200, "aborted".into())
     );
     assert_eq!(Told::asked(&mut n, 4, query(&id)).one(), (4, 200, "aborted".into()));
@@ -170,13 +173,19 @@
     let (mut n, id) = owner(false);
     let mut out = Vec::new();
     assert!(n.accept_unseen(NOW, Caller::Ticket(1), &id, &body(&id).to_string(), &mut out));
-    let Some(Effect::Store(accept, StoreRequest::Transaction(_), _)) = out.pop() else { panic!("{out:?}") };
+    let Some(Effect::Store { id: accept, request: StoreRequest::Transaction(_), .. }) = out.pop() else {
+        panic!("{out:?}")
+    };
     assert!(n.accept_unseen(NOW, Caller::Ticket(2), &id, &body(&id).to_string(), &mut out) && out.is_empty());
-    let told = Told::by(&mut n, Event::Store(accept, StoreAnswer::Committed(9)));
+    let told = Told::by(&mut n, Event::Store { id: accept, answer: StoreAnswer::Committed(9) });
     assert_eq!(told.answers, [(1, 201, "pending".into())]);
     let (peek, key) = &told.reads[0];
     assert_eq!(*key, format!("job/{id}"));
-    assert_eq!(Told::by(&mut n, Event::Store(*peek, StoreAnswer::Got(None))).one().1, 503, "it has ended");
+    assert_eq!(
+        Told::by(&mut n, Event::Store { id: *peek, answer: StoreAnswer::Got(None) }).one().1,
+        503,
+        "it has ended"
+    );
 }
 
 #[test]
@@ -184,11 +193,15 @@
     let odd = |id: &str| UserRequest::Submit(id.into(), json!({"uid": id, "breed": "b"}).to_string());
     let (mut n, id) = owner(true);
     let (read, _) = Told::asked(&mut n, 1, odd(&id)).reads.remove(0);
-    assert_eq!(Told::by(&mut n, Event::Store(read, live(&id, 9))).one(), (1, 200, "pending".into()));
+    assert_eq!(
+        Told::by(&mut n, Event::Store { id: read, answer: live(&id, 9) }).one(),
+        (1, 200, "pending".into())
+    );
     let (mut n, id) = owner(true);
     let (read, _) = Told::asked(&mut n, 1, odd(&id)).reads.remove(0);
-    let (end, _) = Told::by(&mut n, Event::Store(read, StoreAnswer::Got(None))).reads.remove(0);
-    assert_eq!(Told::by(&mut n, Event::Store(end, StoreAnswer::Got(None))).one().1, 400);
+    let (end, _) =
+        Told::by(&mut n, Event::Store { id: read, answer: StoreAnswer::Got(None) }).reads.remove(0);
+    assert_eq!(Told::by(&mut n, Event::Store { id: end, answer: StoreAnswer::Got(None) }).one().1, 400);
 }
 
 /// What this one has read of a job in an earlier epoch says nothing in this one: another owner may have ended it.
@@ -196,20 +209,19 @@
 fn what_was_read_in_an_earlier_epoch_brings_nothing_back() {
     let (mut n, id) = owner(true);
     let mut out = Vec::new();
-    n.ask_store(PendingStoreRequest::Verify(id.clone(), 6), StoreRequest::Get(format!("job/{id}")), &mut out);
-    let Some(Effect::Store(old, ..)) = out.first() else { panic!("{out:?}") };
-    Told::by(&mut n, Event::Store(*old, live(&id, 9)));
-    assert!(!n.job_shard.jobs.contains_key(&id));
-    // Nor does an acceptance that was sent in it.
-    n.accept(
-        NOW,
-        Caller::Ticket(1),
-        id.clone(),
-        JobSpec::from_value(&body(&id)).expect("valid"),
-        body(&id),
+    n.ask_store(
+        PendingStoreRequest::VerifyJob { job: id.clone(), epoch: 6 },
+        StoreRequest::Get(format!("job/{id}")),
         &mut out,
     );
+    let Some(Effect::Store { id: old, .. }) = out.first() else { panic!("{out:?}") };
+    Told::by(&mut n, Event::Store { id: *old, answer: live(&id, 9) });
+    assert!(!n.job_shard.jobs.contains_key(&id));
+    // Nor does an acceptance that was sent in it.
+    let spec = JobSpec::from_value(&body(&id)).expect("valid");
+    let job = NewJob { id: id.clone(), spec, description: body(&id) };
+    n.accept(NOW, Caller::Ticket(1), job, &mut out);
     n.job_shard.loaded = false;
-    n.accepted(NOW, id.clone(), 6, StoreAnswer::Committed(9), &mut out);
+    n.apply_acceptance(NOW, id.clone(), 6, StoreAnswer::Committed(9), &mut out);
     assert!(!n.job_shard.jobs.contains_key(&id));
 }
--- a/src/server.rs
+++ b/src/server.rs
@@ -6,7 +6,7 @@
 use self::http_api::Parsed;
 use crate::autoscaler::{CloudClient, CloudRequest};
 use crate::config::settings::Settings;
-use crate::controller::{Controller, Effect, Event};
+use crate::controller::{Controller, Effect, Event, StoreLane};
 use crate::machine_shard::FencingProbe;
 use crate::peer::{self, Frame, Reply};
 use crate::state_store::{StoreClient, StoreRequest};
@@ -82,7 +82,7 @@
         match http_api::parse(ticket, &method, &url, |limit| http_api::body(request.as_reader(), limit)) {
             Parsed::Answer(r) => answer(request, r),
             Parsed::Event(e) => {
-                let tx = if matches!(e, Event::Heartbeat(..)) { &tx } else { &first };
+                let tx = if matches!(e, Event::Heartbeat { .. }) { &tx } else { &first };
                 if tx.len() >= QUEUE {
                     answer(request, Reply::later("overloaded"));
                 } else if tx.send(Inbound::Request(ticket, request, e)).is_err() {
@@ -138,7 +138,7 @@
             let client = StoreClient::new(addr, STORE_PATIENCE);
             while let Ok((id, r)) = line.recv() {
                 let a = client.call(&r);
-                if tx.send(Inbound::Event(Event::Store(id, a))).is_err() {
+                if tx.send(Inbound::Event(Event::Store { id, answer: a })).is_err() {
                     return;
                 }
             }
@@ -151,7 +151,7 @@
         let client = CloudClient::new(addr);
         while let Ok(r) = cloud_rx.recv() {
             let a = client.call(&r);
-            if back.send(Inbound::Event(Event::Cloud(r, a))).is_err() {
+            if back.send(Inbound::Event(Event::Cloud { request: r, answer: a })).is_err() {
                 return;
             }
         }
@@ -181,7 +181,7 @@
                     continue;
                 }
                 if let Some(r) = http_api::greet(&agent, epoch, &g)
-                    && tx.send(Inbound::Event(Event::Greeted(r))).is_err()
+                    && tx.send(Inbound::Event(Event::FencingProbeAnswered(r))).is_err()
                 {
                     return;
                 }
@@ -235,26 +235,26 @@
                 Effect::Probe(addresses) => {
                     let _ = probe_tx.try_send(addresses);
                 }
-                Effect::Greet(epoch, list) => {
+                Effect::FencingProbe { epoch, probes: list } => {
                     newest.store(epoch, Ordering::Relaxed);
                     for g in list {
                         let _ = greet_tx.send((epoch, g));
                     }
                 }
-                Effect::Reply(ticket, r) => {
+                Effect::Reply { ticket, reply: r } => {
                     if let Some(request) = open.remove(&ticket) {
                         answer(request, r);
                     }
                 }
-                Effect::Send(p, f) => {
+                Effect::Send { to: p, frame: f } => {
                     if let Some(link) = links.get(&p) {
                         peer::enqueue(link, f);
                     }
                 }
-                Effect::Store(id, r, ring) => {
+                Effect::Store { id, request: r, lane } => {
                     let line = match &r {
                         StoreRequest::Watch(..) => &watch_tx,
-                        _ if ring => &ring_tx,
+                        _ if lane == StoreLane::Membership => &ring_tx,
                         _ => &store_tx,
                     };
                     let _ = line.send((id, r));
