--- a/src/server/http_api.rs
+++ b/src/server/http_api.rs
@@ -41,7 +41,7 @@
             return match read_body(REPORT_LIMIT) {
                 Err(r) => Parsed::Answer(r),
                 Ok(body) => match serde_json::from_str::<Heartbeat>(&body) {
-                    Ok(r) => Parsed::Event(Event::Heartbeat(ticket, r)),
+                    Ok(r) => Parsed::Event(Event::Heartbeat { ticket, heartbeat: r }),
                     Err(e) => {
                         tracing::error!(reason = %e, "malformed report");
                         Parsed::Answer(Reply::error(400, &e.to_string()))
@@ -53,10 +53,12 @@
             return match read_body(BODY_LIMIT) {
                 Err(r) => Parsed::Answer(r),
                 Ok(body) => match JobSpec::parse(&body) {
-                    Ok(s) => Parsed::Event(Event::User(ticket, UserRequest::Submit(s.id, body))),
+                    Ok(s) => Parsed::Event(Event::User { ticket, request: UserRequest::Submit(s.id, body) }),
                     Err(e) => match named(&body) {
                         // It may repeat a job that was accepted with another body: its record is read first.
-                        Some(id) => Parsed::Event(Event::User(ticket, UserRequest::Submit(id, body))),
+                        Some(id) => {
+                            Parsed::Event(Event::User { ticket, request: UserRequest::Submit(id, body) })
+                        }
                         None => Parsed::Answer(Reply::error(e.status(), &e.to_string())),
                     },
                 },
@@ -67,10 +69,10 @@
     }
     if path.starts_with("/ops/") {
         if let Some(id) = path.strip_prefix("/ops/why/").filter(|id| get && is_job_id(id)) {
-            return Parsed::Event(Event::User(ticket, UserRequest::Why(id.into())));
+            return Parsed::Event(Event::User { ticket, request: UserRequest::Why(id.into()) });
         }
         return match operator_api::parse(method, url, read_body) {
-            Ok(r) => Parsed::Event(Event::Operator(ticket, r)),
+            Ok(r) => Parsed::Event(Event::Operator { ticket, request: r }),
             Err(r) => Parsed::Answer(r),
         };
     }
@@ -81,7 +83,7 @@
         return match operator_api::permit(url) {
             Some((attempt, task)) => {
                 let what = format!("{attempt}/{task}");
-                Parsed::Event(Event::User(ticket, UserRequest::Permit(id.into(), what)))
+                Parsed::Event(Event::User { ticket, request: UserRequest::Permit(id.into(), what) })
             }
             None => Parsed::Answer(Reply::error(400, "attempt and task must be whole numbers")),
         };
@@ -94,8 +96,8 @@
         return Parsed::Answer(Reply::error(404, "no such job"));
     }
     match (withdraw, get, post) {
-        (false, true, _) => Parsed::Event(Event::User(ticket, UserRequest::Query(id.into()))),
-        (true, _, true) => Parsed::Event(Event::User(ticket, UserRequest::Withdraw(id.into()))),
+        (false, true, _) => Parsed::Event(Event::User { ticket, request: UserRequest::Query(id.into()) }),
+        (true, _, true) => Parsed::Event(Event::User { ticket, request: UserRequest::Withdraw(id.into()) }),
         _ => no_method(),
     }
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -593,14 +593,16 @@
         let wall = self.wall();
         for effect in std::mem::take(&mut self.out) {
             let event = match effect {
-                Effect::Reply(ticket, reply) => {
+                Effect::Reply { ticket, reply } => {
                     self.answers.push((ticket, reply));
                     continue;
                 }
-                Effect::Store(id, request, _) => Event::Store(id, self.service.answer(request)),
+                Effect::Store { id, request, .. } => {
+                    Event::Store { id, answer: self.service.answer(request) }
+                }
                 Effect::Cloud(request) => {
                     let answer = Play::cloud(&request);
-                    Event::Cloud(request, answer)
+                    Event::Cloud { request, answer }
                 }
                 _ => continue,
             };
@@ -639,7 +641,7 @@
 
     /// The answer to a user as it goes out: status, body, and when to come back.
     fn user(&mut self, request: UserRequest) -> Value {
-        let r = self.ask(|ticket| Event::User(ticket, request));
+        let r = self.ask(|ticket| Event::User { ticket, request });
         told(&r)
     }
 
@@ -709,7 +711,7 @@
     fn heartbeats(&mut self, play: &mut Play, most: usize) {
         for _ in 0..most {
             let report = self.report();
-            let reply = play.ask(|ticket| Event::Heartbeat(ticket, report));
+            let reply = play.ask(|ticket| Event::Heartbeat { ticket, heartbeat: report });
             play.rounds(10);
             if reply.status != 200 {
                 continue;
@@ -761,7 +763,8 @@
     note("query when done", play.query("wk-000001"));
     note("withdraw when done", play.withdraw("wk-000001"));
     note("submit when done", play.submit(&small("wk-000001")));
-    let withdrawn = play.begin(|ticket| Event::User(ticket, UserRequest::Withdraw("wk-000002".into())));
+    let withdrawn =
+        play.begin(|ticket| Event::User { ticket, request: UserRequest::Withdraw("wk-000002".into()) });
     worker.heartbeats(&mut play, 8);
     let reply = play.answered(withdrawn).expect("an answer");
     note("withdraw while it runs", told(&reply));
@@ -807,8 +810,8 @@
     worker.seq -= 1;
     let (late, mut newer) = (worker.report(), worker.report());
     newer.token += 1;
-    let late = play.ask(|ticket| Event::Heartbeat(ticket, late));
-    let newer = play.ask(|ticket| Event::Heartbeat(ticket, newer));
+    let late = play.ask(|ticket| Event::Heartbeat { ticket, heartbeat: late });
+    let newer = play.ask(|ticket| Event::Heartbeat { ticket, heartbeat: newer });
     let forms = vec![("late".into(), told(&late)), ("newer epoch".into(), told(&newer))];
     same(&[("refusals", forms)]);
 }
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -92,10 +92,13 @@
     node.membership.confirmed_by_store(at(1));
     node.reconcile(at(2), at(2), &mut Vec::new());
     let status = |e: Option<Effect>| match e {
-        Some(Effect::Reply(7, r)) => Some((r.status, r.retry_after)),
+        Some(Effect::Reply { ticket: 7, reply: r }) => Some((r.status, r.retry_after)),
         other => panic!("{other:?}"),
     };
-    let answer = |code| Effect::Reply(7, Reply::json(code, &serde_json::json!({"rein": EPOCH, "calls": []})));
+    let answer = |code| Effect::Reply {
+        ticket: 7,
+        reply: Reply::json(code, &serde_json::json!({"rein": EPOCH, "calls": []})),
+    };
     let give_back = || Effect::Cloud(CloudRequest::Return(vec!["i-1".into()]));
     assert_eq!(status(node.vetted(at(2), answer(200))), Some((200, None)));
     assert!(node.vetted(at(2), give_back()).is_some());
--- a/tests/world/batches.rs
+++ b/tests/world/batches.rs
@@ -204,7 +204,7 @@
             let ticket = self.serial;
             self.tickets.insert(ticket, Ticket::Writer(Question { job, attempt, fresh, raised }));
             let n = self.rng.random_range(0..3usize);
-            self.later(1000, What::Controller(n, 0, Event::User(ticket, request)));
+            self.later(1000, What::Controller(n, 0, Event::User { ticket, request }));
         }
     }
 
@@ -243,7 +243,7 @@
         self.serial += 1;
         let ticket = self.serial;
         self.tickets.insert(ticket, Ticket::Asked);
-        self.later(1, What::Controller(n, 0, Event::Operator(ticket, request)));
+        self.later(1, What::Controller(n, 0, Event::Operator { ticket, request }));
         ticket
     }
 
--- a/tests/world/compound.rs
+++ b/tests/world/compound.rs
@@ -169,7 +169,7 @@
         let (its, others) = std::mem::take(&mut self.watches).into_iter().partition(|w| w.0 == n);
         self.watches = others;
         for (n, boot, id, ..) in its {
-            self.later(1000, What::Controller(n, boot, Event::Store(id, StoreAnswer::Refused)));
+            self.later(1000, What::Controller(n, boot, Event::Store { id, answer: StoreAnswer::Refused }));
         }
     }
 
@@ -218,12 +218,14 @@
     pub(crate) fn ask_store(&mut self, n: usize, id: u64, r: StoreRequest, delay: Option<u64>) {
         const LIMIT: u64 = 2 * S;
         let boot = self.boots[n];
-        let unknown =
-            |w: &mut World| w.later(LIMIT, What::Controller(n, boot, Event::Store(id, StoreAnswer::Unknown)));
+        let unknown = |w: &mut World| {
+            w.later(LIMIT, What::Controller(n, boot, Event::Store { id, answer: StoreAnswer::Unknown }))
+        };
         let Some(delay) = delay else { return unknown(self) };
         if self.is_refused(n) {
             self.compound.refusals += 1;
-            return self.later(delay, What::Controller(n, boot, Event::Store(id, StoreAnswer::Refused)));
+            return self
+                .later(delay, What::Controller(n, boot, Event::Store { id, answer: StoreAnswer::Refused }));
         }
         if self.loses_answer(n, &r, delay) {
             return unknown(self);
@@ -291,7 +293,7 @@
         self.compound.earlier += usize::from(w.session > report.session);
         // Nobody waits for its answer.
         self.serial += 1;
-        self.drive(target, Event::Heartbeat(self.serial, report));
+        self.drive(target, Event::Heartbeat { ticket: self.serial, heartbeat: report });
     }
 
     /// Looks at what leaves a controller for a user: from a 200 that says that a job is cancelled on, its tasks have
--- a/tests/world/days/releases.rs
+++ b/tests/world/days/releases.rs
@@ -18,7 +18,7 @@
             self.serial += 1;
             let ticket = self.serial;
             self.tickets.insert(ticket, Ticket::Asked);
-            self.later(1, What::Controller(n, 0, Event::Operator(ticket, request.clone())));
+            self.later(1, What::Controller(n, 0, Event::Operator { ticket, request: request.clone() }));
             let end = self.now + 12 * S;
             while self.now < end && !self.answers.contains_key(&ticket) {
                 let next = self.now + S / 10;
--- a/tests/world/days/restarts.rs
+++ b/tests/world/days/restarts.rs
@@ -154,9 +154,14 @@
             body: Message::KeepAlive,
         };
         node.step(now, now, Event::Frame(Box::new(f)), &mut out);
-        node.step(now, now, Event::User(1, UserRequest::Query("wk-000001".into())), &mut out);
+        node.step(
+            now,
+            now,
+            Event::User { ticket: 1, request: UserRequest::Query("wk-000001".into()) },
+            &mut out,
+        );
         let number = |e: &Effect| match e {
-            Effect::Send(_, f) => match &f.body {
+            Effect::Send { frame: f, .. } => match &f.body {
                 Message::ForwardRequest { id, .. } => Some(*id),
                 _ => None,
             },
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -416,26 +416,27 @@
 /// Whatever of an effect goes over the wire changes its line.
 #[test]
 fn lines_tell_effects_apart() {
-    let store = |r: StoreRequest| Effect::Store(1, r, false);
+    let store = |r: StoreRequest| Effect::Store { id: 1, request: r, lane: StoreLane::Records };
     let commit = |c: Transaction| store(StoreRequest::Transaction(c));
     let put = |v: Value, lease| {
         commit(Transaction { puts: vec![("a".into(), v, lease)], ..Transaction::default() })
     };
-    let greet = |token, addr: &str, session| {
-        Effect::Greet(token, vec![FencingProbe { machine: "i-1".into(), addr: addr.into(), session }])
+    let greet = |token, addr: &str, session| Effect::FencingProbe {
+        epoch: token,
+        probes: vec![FencingProbe { machine: "i-1".into(), addr: addr.into(), session }],
     };
     let rent = |count, spot| {
         let (name, kind, zone) = ("r".into(), "large".into(), "a".into());
         Effect::Cloud(CloudRequest::Rent(hazelsaddle::autoscaler::ScaleOut { name, kind, zone, spot, count }))
     };
     let all = [
-        Effect::Reply(1, Reply::error(503, "later")),
-        Effect::Reply(1, Reply::later("later")),
-        Effect::Reply(2, Reply::later("later")),
-        Effect::Reply(1, Reply::error(404, "later")),
+        Effect::Reply { ticket: 1, reply: Reply::error(503, "later") },
+        Effect::Reply { ticket: 1, reply: Reply::later("later") },
+        Effect::Reply { ticket: 2, reply: Reply::later("later") },
+        Effect::Reply { ticket: 1, reply: Reply::error(404, "later") },
         store(StoreRequest::Get("a".into())),
-        Effect::Store(2, StoreRequest::Get("a".into()), false),
-        Effect::Store(1, StoreRequest::Get("a".into()), true),
+        Effect::Store { id: 2, request: StoreRequest::Get("a".into()), lane: StoreLane::Records },
+        Effect::Store { id: 1, request: StoreRequest::Get("a".into()), lane: StoreLane::Membership },
         store(StoreRequest::Get("b".into())),
         store(StoreRequest::List("a".into(), String::new())),
         store(StoreRequest::List("a".into(), "b".into())),
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -215,7 +215,7 @@
         let (ticket, node) = (self.serial, look.node);
         self.tickets.insert(ticket, Ticket::Look(look));
         let delay = self.rng.random_range(100..3000);
-        self.later(delay, What::Controller(node, 0, Event::User(ticket, request)));
+        self.later(delay, What::Controller(node, 0, Event::User { ticket, request }));
     }
 
     /// A look was answered; the register has been asked before.
--- a/tests/world/lost.rs
+++ b/tests/world/lost.rs
@@ -408,7 +408,7 @@
         c.forgotten +=
             usize::from(report.tasks.iter().any(|r| r.why.as_deref() == Some("done") && !lists(r)));
         self.serial += 1;
-        self.drive(n, Event::Heartbeat(self.serial, report));
+        self.drive(n, Event::Heartbeat { ticket: self.serial, heartbeat: report });
     }
 
     /// The cloud's answer to a rental may be lost although it was carried out.
@@ -435,7 +435,7 @@
         }
         self.serial += 1;
         self.tickets.insert(self.serial, Ticket::Poll(id.to_owned(), n, self.now));
-        let ask = Event::User(self.serial, UserRequest::Query(id.to_owned()));
+        let ask = Event::User { ticket: self.serial, request: UserRequest::Query(id.to_owned()) };
         self.later(1, What::Controller(n, self.boots[n], ask));
     }
 }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -4,7 +4,7 @@
 use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest, Listed};
 use hazelsaddle::config::operators::Operators;
 use hazelsaddle::config::settings::Settings;
-use hazelsaddle::controller::{Controller, Effect, Event};
+use hazelsaddle::controller::{Controller, Effect, Event, StoreLane};
 use hazelsaddle::machine_shard::{FencingProbe, Heartbeat, HeartbeatTask};
 use hazelsaddle::peer::{Message, Reply, UserRequest};
 use hazelsaddle::spec::{JobSpec, MachineType};
--- a/tests/world/net.rs
+++ b/tests/world/net.rs
@@ -4,7 +4,7 @@
 
 impl World {
     pub(crate) fn later(&mut self, delay: u64, what: What) {
-        if let What::Controller(n, _, Event::User(ticket, request)) = &what {
+        if let What::Controller(n, _, Event::User { ticket, request }) = &what {
             self.note_sent(*ticket, *n, request);
         }
         self.serial += 1;
@@ -80,8 +80,8 @@
         }
         let boot = self.boots[n];
         match e {
-            Effect::Reply(t, reply) if self.kept_from_users(n, t, &reply) => {}
-            Effect::Reply(t, reply) => match self.tickets.remove(&t) {
+            Effect::Reply { ticket: t, reply } if self.kept_from_users(n, t, &reply) => {}
+            Effect::Reply { ticket: t, reply } => match self.tickets.remove(&t) {
                 Some(ticket @ Ticket::Look(_)) => {
                     self.note_told(n, &reply);
                     self.tickets.insert(t, ticket);
@@ -112,7 +112,7 @@
                 Some(Ticket::Probe(n)) => self.balancer.told(self.now, n, reply.status == 200),
                 None => {}
             },
-            Effect::Send(p, frame) => {
+            Effect::Send { to: p, frame } => {
                 if self.limited[p] || self.limited[n] {
                     let new = match &frame.body {
                         Message::InheritedPriorities(_)
@@ -153,21 +153,26 @@
                     }
                 }
             }
-            Effect::Store(id, StoreRequest::Watch(prefix, after, wait), _) => {
+            Effect::Store { id, request: StoreRequest::Watch(prefix, after, wait), .. } => {
                 let until = self.now + wait.0;
                 if self.is_refused(n) {
                     self.compound.refusals += 1;
-                    return self
-                        .later(1000, What::Controller(n, boot, Event::Store(id, StoreAnswer::Refused)));
+                    return self.later(
+                        1000,
+                        What::Controller(n, boot, Event::Store { id, answer: StoreAnswer::Refused }),
+                    );
                 }
                 if self.now >= self.outage_until && self.travel(End::Controller(n), End::Store).is_some() {
                     self.watches.push((n, boot, id, prefix, after, until));
                 } else {
-                    self.later(2 * S, What::Controller(n, boot, Event::Store(id, StoreAnswer::Unknown)));
+                    self.later(
+                        2 * S,
+                        What::Controller(n, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
+                    );
                 }
             }
-            Effect::Store(id, r, ring) => {
-                let line = self.ring_line(n, ring);
+            Effect::Store { id, request: r, lane } => {
+                let line = self.ring_line(n, lane == StoreLane::Membership);
                 let delay = self.travel(End::Controller(n), End::Store).map(|d| d + line);
                 let r = self.written_by(n, r);
                 self.ask_store(n, id, r, delay);
@@ -178,7 +183,7 @@
                 let there = there && self.reaches_any(n, &names);
                 self.later(S, What::Controller(n, boot, Event::Probed(there)));
             }
-            Effect::Greet(token, list) => {
+            Effect::FencingProbe { epoch: token, probes: list } => {
                 for g in list {
                     let Some(i) = self.workers.iter().position(|w| w.name == g.machine) else { continue };
                     if let Some(d) = self.worker_reached_in(n, i) {
@@ -207,10 +212,12 @@
                 if let Some(wait) = wait {
                     match self.travel(End::Store, End::Controller(n)) {
                         Some(d) if d < 2 * S => {
-                            self.later(d + wait, What::Controller(n, boot, Event::Store(id, a)))
+                            self.later(d + wait, What::Controller(n, boot, Event::Store { id, answer: a }))
                         }
-                        _ => self
-                            .later(2 * S, What::Controller(n, boot, Event::Store(id, StoreAnswer::Unknown))),
+                        _ => self.later(
+                            2 * S,
+                            What::Controller(n, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
+                        ),
                     }
                 }
             }
@@ -226,7 +233,7 @@
             What::Cloud(n, boot, r) => {
                 let a = self.cloud(&r);
                 let a = self.rental_answer(&r, a);
-                self.later(80_000, What::Controller(n, boot, Event::Cloud(r, a)));
+                self.later(80_000, What::Controller(n, boot, Event::Cloud { request: r, answer: a }));
             }
             What::Effects(n, boot, out) => {
                 if boot == self.boots[n] {
--- a/tests/world/outside.rs
+++ b/tests/world/outside.rs
@@ -75,8 +75,13 @@
                 Some(news) => news,
             };
             match self.travel(End::Store, End::Controller(n)) {
-                Some(d) if d < 2 * S => self.later(d, What::Controller(n, boot, Event::Store(id, a))),
-                _ => self.later(4 * S, What::Controller(n, boot, Event::Store(id, StoreAnswer::Unknown))),
+                Some(d) if d < 2 * S => {
+                    self.later(d, What::Controller(n, boot, Event::Store { id, answer: a }))
+                }
+                _ => self.later(
+                    4 * S,
+                    What::Controller(n, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
+                ),
             }
         }
     }
--- a/tests/world/register.rs
+++ b/tests/world/register.rs
@@ -103,7 +103,7 @@
     /// What comes of a request at the controller's HTTP edge: it goes on, or is answered there.
     pub(crate) fn at_edge(&mut self, n: usize, event: Event) -> Option<Event> {
         let (ticket, body) = match &event {
-            Event::User(ticket, UserRequest::Submit(_, body)) => (*ticket, body.clone()),
+            Event::User { ticket, request: UserRequest::Submit(_, body) } => (*ticket, body.clone()),
             _ => return Some(event),
         };
         if self.nodes[n].is_none() || self.now < self.hung[n] {
@@ -112,7 +112,7 @@
         match http_api::parse(ticket, "POST", "/v1/jobs", |_| Ok(body)) {
             Parsed::Event(e) => Some(e),
             Parsed::Answer(reply) => {
-                self.effect(n, Effect::Reply(ticket, reply));
+                self.effect(n, Effect::Reply { ticket, reply });
                 None
             }
         }
--- a/tests/world/silence.rs
+++ b/tests/world/silence.rs
@@ -117,7 +117,7 @@
                 self.silence.asked(now, &id, None);
                 self.serial += 1;
                 self.tickets.insert(self.serial, Ticket::Poll(id.clone(), n, now));
-                let ask = Event::User(self.serial, UserRequest::Query(id.clone()));
+                let ask = Event::User { ticket: self.serial, request: UserRequest::Query(id.clone()) };
                 self.later(1000, What::Controller(n, self.boots[n], ask));
             }
         }
--- a/tests/world/trace.rs
+++ b/tests/world/trace.rs
@@ -48,21 +48,23 @@
 /// requests) stand before it.
 fn wire(effect: &Effect) -> (&'static str, Vec<u8>) {
     match effect {
-        Effect::Reply(ticket, reply) => {
+        Effect::Reply { ticket, reply } => {
             let retry_after = reply.retry_after.map(|s| format!("Retry-After: {s}\n")).unwrap_or_default();
             let head = format!("{ticket}\n{}\nContent-Type: application/json\n{retry_after}\n", reply.status);
             (KINDS[0], [head.as_bytes(), reply.body.as_bytes()].concat())
         }
-        Effect::Send(peer, frame) => {
+        Effect::Send { to: peer, frame } => {
             let bytes = frame.encode().expect("frames can be encoded");
             (KINDS[1], [format!("{peer}\n").as_bytes(), &bytes].concat())
         }
-        Effect::Store(id, request, ring) => {
-            (KINDS[2], format!("{id} {}\n{}", u8::from(*ring), store_request(request)).into_bytes())
-        }
+        Effect::Store { id, request, lane } => (
+            KINDS[2],
+            format!("{id} {}\n{}", u8::from(*lane == StoreLane::Membership), store_request(request))
+                .into_bytes(),
+        ),
         Effect::Cloud(request) => (KINDS[3], cloud_request(request).into_bytes()),
         Effect::Probe(addresses) => (KINDS[4], joined(addresses).into_bytes()),
-        Effect::Greet(token, list) => {
+        Effect::FencingProbe { epoch: token, probes: list } => {
             let one = |g: &FencingProbe| {
                 let body = json!({"rein": token, "ride": g.session, "calls": []});
                 joined(&[g.machine.clone(), format!("POST http://{}/do\n{body}", g.addr)])
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -67,7 +67,7 @@
             return None;
         }
         let weight = match e {
-            Effect::Store(_, StoreRequest::Transaction(c), _) => {
+            Effect::Store { request: StoreRequest::Transaction(c), .. } => {
                 let first = c.puts.first().map_or("", |p| p.0.as_str());
                 match first.split('/').next().unwrap_or("") {
                     "ring" => 10.0,
@@ -75,7 +75,11 @@
                     _ => 1.0,
                 }
             }
-            Effect::Send(_, f) if matches!(f.body, Message::Handoff { .. } | Message::HandoffAck(_)) => 5.0,
+            Effect::Send { frame: f, .. }
+                if matches!(f.body, Message::Handoff { .. } | Message::HandoffAck(_)) =>
+            {
+                5.0
+            }
             _ => return None,
         };
         self.rng.random_bool((self.brittle * weight).min(1.0)).then(|| self.rng.random_bool(0.5))
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -105,7 +105,7 @@
             let ticket = self.serial;
             j.latest = ticket;
             self.tickets.insert(ticket, Ticket::User(id, kind));
-            self.later(1000, What::Controller(n, 0, Event::User(ticket, request)));
+            self.later(1000, What::Controller(n, 0, Event::User { ticket, request }));
         }
         // A job that nobody has submitted must not be known to anyone.
         if self.rng.random_bool(0.02) {
@@ -115,7 +115,11 @@
             let n = self.rng.random_range(0..3usize);
             self.later(
                 1000,
-                What::Controller(n, 0, Event::User(ticket, UserRequest::Query("wk-999999".into()))),
+                What::Controller(
+                    n,
+                    0,
+                    Event::User { ticket, request: UserRequest::Query("wk-999999".into()) },
+                ),
             );
         }
     }
@@ -127,7 +131,7 @@
         (j.latest, j.submitted) = (ticket, true);
         let request = UserRequest::Submit(id.into(), j.body.clone());
         self.tickets.insert(ticket, Ticket::User(id.into(), 's'));
-        self.later(1000, What::Controller(n, 0, Event::User(ticket, request)));
+        self.later(1000, What::Controller(n, 0, Event::User { ticket, request }));
     }
 
     /// The user of a job asks a controller to cancel it.
@@ -137,7 +141,10 @@
         let j = self.jobs.get_mut(id).expect("a job");
         (j.latest, j.cancel_asked) = (ticket, true);
         self.tickets.insert(ticket, Ticket::User(id.into(), 'w'));
-        self.later(1000, What::Controller(n, 0, Event::User(ticket, UserRequest::Withdraw(id.into()))));
+        self.later(
+            1000,
+            What::Controller(n, 0, Event::User { ticket, request: UserRequest::Withdraw(id.into()) }),
+        );
     }
 
     /// Asks a controller and waits for its answer.
@@ -145,7 +152,7 @@
         self.serial += 1;
         let ticket = self.serial;
         self.tickets.insert(ticket, Ticket::Asked);
-        self.later(1, What::Controller(n, 0, Event::User(ticket, request)));
+        self.later(1, What::Controller(n, 0, Event::User { ticket, request }));
         let end = self.now + 5 * S;
         while self.now < end {
             let next = self.now + S / 10;
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -39,7 +39,7 @@
         let report = self.commanded(i, token, &g);
         self.lost.spoken += usize::from(now < self.workers[i].mute_until);
         if let Some(d) = self.worker_heard_in(i, n) {
-            self.later(d, What::Controller(n, boot, Event::Greeted(report)));
+            self.later(d, What::Controller(n, boot, Event::FencingProbeAnswered(report)));
         }
     }
 
@@ -271,7 +271,10 @@
                 self.copy_report(i, target, &report);
                 self.keep_report(i, &report);
                 if let Some(d) = self.worker_heard_in(i, target) {
-                    self.later(d, What::Controller(target, 0, Event::Heartbeat(ticket, report)));
+                    self.later(
+                        d,
+                        What::Controller(target, 0, Event::Heartbeat { ticket, heartbeat: report }),
+                    );
                 }
             }
         }
--- a/tests/world/zones.rs
+++ b/tests/world/zones.rs
@@ -114,7 +114,7 @@
     /// connections to one that it can't reach; until it knows they lead nowhere. `boot` is not 0 for one that is asked
     /// by name.
     pub(crate) fn arrives(&mut self, n: usize, boot: u64, e: &Event) -> Option<usize> {
-        if !matches!(e, Event::User(..) | Event::Ready(_) | Event::Operator(..)) {
+        if !matches!(e, Event::User { .. } | Event::Ready(_) | Event::Operator { .. }) {
             return Some(n);
         }
         let Some(cut) = self.cut_between(Some(SEATS[n]), None) else { return Some(n) };
@@ -141,14 +141,17 @@
         const NOBODY: u64 = u64::MAX;
         let boot = self.boots[n];
         if self.now < self.zones.cloud_out {
-            return self.later(80_000, What::Controller(n, boot, Event::Cloud(r, CloudAnswer::Failed)));
+            return self.later(
+                80_000,
+                What::Controller(n, boot, Event::Cloud { request: r, answer: CloudAnswer::Failed }),
+            );
         }
         let more = self.across(Some(SEATS[n]), None);
         if more == Some(0) {
             return self.later(80_000, What::Cloud(n, boot, r));
         }
         self.zones.stopped[2] += 1;
-        let failed = Event::Cloud(r.clone(), CloudAnswer::Failed);
+        let failed = Event::Cloud { request: r.clone(), answer: CloudAnswer::Failed };
         self.later(CLOUD_PATIENCE, What::Controller(n, boot, failed));
         if let Some(more) = more {
             self.later(more + 80_000, What::Cloud(n, NOBODY, r));
