--- a/src/controller.rs
+++ b/src/controller.rs
@@ -35,6 +35,7 @@
 pub use self::handoff::LEAVING;
 use self::heartbeats::HeldHeartbeats;
 use self::membership::{MembershipLoop, PendingRingRequest};
+pub use self::operator_requests::{OperatorCommand, ReleaseSelector};
 use self::peer_traffic::PeerTraffic;
 use self::record_loading::{LoadStage, RecordLoading};
 use self::release::Releases;
@@ -50,10 +51,10 @@
 use crate::membership::{EpochRecord, Membership};
 use crate::peer::{DesiredState, Frame, MachineStatusDelta, Message, ReplicatedItem, Reply, UserRequest};
 use crate::quota::{AllocationWrite, QuotaLedger};
-use crate::server::operator_api::OpRequest;
 use crate::spec::{JobKind, JobSpec};
 use crate::state_store::{KeyValue, RateLimiter, StoreAnswer, StoreRequest, Transaction};
 use crate::units::{Micros, Ranges};
+use crate::wire::users::submission::stored_description;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -95,7 +96,7 @@
         /// Where the answer goes.
         ticket: u64,
         /// The request.
-        request: OpRequest,
+        request: OperatorCommand,
     },
     /// A health probe, with its ticket.
     Ready(u64),
@@ -416,8 +417,8 @@
         }
         self.rounds.next_scheduling_pass = now + PASS_PERIOD;
         self.job_shard.replan = false;
-        self.job_shard.plan(now, self.rounds.wall, &self.membership, &self.quota);
-        self.job_shard.make_room(now, &self.membership);
+        self.job_shard.run_scheduling_pass(now, self.rounds.wall, &self.membership, &self.quota);
+        self.job_shard.preempt_tasks(now, &self.membership);
     }
 
     /// The autoscaler's next request to the cloud, if one is due.
@@ -426,9 +427,9 @@
             return;
         }
         let decides = self.membership.decider() == Some(self.settings.me);
-        let heard = self.job_shard.all_homes_heard(&self.membership);
+        let heard = self.job_shard.has_heard_all_machine_shards(&self.membership);
         let machines: Vec<_> = self.job_shard.machines(self.membership.epoch).filter(|_| decides).collect();
-        let rebuilt = self.job_shard.rebuilt();
+        let rebuilt = self.job_shard.is_rebuilt();
         let members = &self.membership.members;
         let request = self.autoscaler.next(now, decides, &machines, heard, rebuilt, members);
         out.extend(request.map(Effect::Cloud));
@@ -452,44 +453,3 @@
     };
     Some((f, v.get("done").and_then(Value::as_u64).and_then(|n| u32::try_from(n).ok()).unwrap_or(0)))
 }
-
-/// Only the fields of a description that are read, each job that it follows once, and the pacts that it names.
-fn trimmed(raw: &Value, spec: &JobSpec) -> Value {
-    const KEPT: [&str; 20] = [
-        "uid",
-        "breed",
-        "herd",
-        "gait",
-        "rank",
-        "strides",
-        "vcpus",
-        "cards",
-        "ramGb",
-        "tack",
-        "imageGb",
-        "breedsOfStall",
-        "paddock",
-        "together",
-        "scatter",
-        "borrowed",
-        "rideS",
-        "restS",
-        "unsaddleS",
-        "dueS",
-    ];
-    let Some(map) = raw.as_object() else { return Value::Null };
-    let kept = map.iter().filter(|(k, _)| KEPT.contains(&k.as_str()));
-    let mut kept: serde_json::Map<String, Value> = kept.map(|(k, v)| (k.clone(), v.clone())).collect();
-    if !spec.follows.is_empty() {
-        kept.insert("follows".into(), json!(spec.follows));
-    }
-    if let Some(r) = &spec.release {
-        kept.insert("release".into(), r.value());
-    }
-    for (key, batch) in [("batch", &spec.batch), ("merges", &spec.merges)] {
-        if let Some(b) = batch {
-            kept.insert(key.into(), json!({"name": b.name, "version": b.version}));
-        }
-    }
-    Value::Object(kept)
-}
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -90,7 +90,7 @@
 /// An operator's request that is under way.
 pub(super) struct OperatorRequest {
     pub(super) ticket: u64,
-    pub(super) request: OpRequest,
+    pub(super) request: OperatorCommand,
     pub(super) began: Micros,
 }
 
@@ -187,7 +187,12 @@
 
     /// The conditions on which a submission may be put on record.
     pub(super) fn gate_submission(&mut self, now: Micros, id: &str, out: &mut Vec<Effect>) -> JoinDecision {
-        if !self.user_requests.submissions.get(id).is_some_and(|submission| submission.spec.has_pact()) {
+        if !self
+            .user_requests
+            .submissions
+            .get(id)
+            .is_some_and(|submission| submission.spec.has_coordination_record())
+        {
             return JoinDecision::Open(Vec::new());
         }
         // Guards against an older controller that has joined since the submission came.
--- a/src/controller/coordination/census.rs
+++ b/src/controller/coordination/census.rs
@@ -26,7 +26,7 @@
     let mut records = Vec::new();
     if let Some(release) = says.get("release")
         && let (Some(title), Some(night)) = (text(release, "title"), text(release, "night"))
-        && let Some(key) = hazelsaddle_release::release_ref::key(&title, &night)
+        && let Some(key) = hazelsaddle_release::release_ref::release_key(&title, &night)
     {
         records.push((key.head(), release.clone()));
     }
--- a/src/controller/coordination/readings.rs
+++ b/src/controller/coordination/readings.rs
@@ -72,7 +72,7 @@
                 tracing::error!(key = %row.key, "the key of a coordination record can't be read");
                 continue;
             };
-            if let Some((title, night)) = hazelsaddle_release::release_ref::named(&key) {
+            if let Some((title, night)) = hazelsaddle_release::release_ref::title_and_night(&key) {
                 let latest = self.coordination.latest.entry(title.to_owned()).or_default();
                 if latest.as_str() < night {
                     *latest = night.to_owned();
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -62,7 +62,7 @@
                 self.dependencies.inheritors.remove(&peer);
                 continue;
             }
-            let priorities = self.job_shard.urges(peer, &self.membership);
+            let priorities = self.job_shard.priorities_needed_of(peer, &self.membership);
             if priorities.is_empty() {
                 // The empty list is sent once: it takes back what was sent before.
                 if !self.dependencies.inheritors.remove(&peer) {
@@ -72,7 +72,7 @@
                 self.dependencies.inheritors.insert(peer);
             }
             if peer == self.settings.me {
-                self.job_shard.urged_by(peer, priorities);
+                self.job_shard.apply_needed_priorities(peer, priorities);
             } else {
                 self.send(now, peer, Message::InheritedPriorities(priorities), out);
             }
@@ -81,7 +81,7 @@
 
     /// Whether anything here waits for an end.
     fn awaits_outcomes(&self) -> bool {
-        self.job_shard.watches() || self.awaits_members() || self.batches_watch()
+        self.job_shard.awaits_ends() || self.awaits_members() || self.batches_watch()
     }
 
     /// Watches for the ends of jobs that others wait for, and reads those that no watch tells of.
@@ -116,7 +116,7 @@
         while self.state_store.in_flight.len() < IN_FLIGHT
             && self.state_store.request_limiter.level(now) >= 0.2
         {
-            let Some(job) = self.job_shard.next_unread() else { break };
+            let Some(job) = self.job_shard.next_unread_prerequisite() else { break };
             self.state_store.request_limiter.take(now, 1.0, 0.0);
             let read = StoreRequest::Get(format!("done/{job}"));
             self.ask_store(PendingStoreRequest::ReadOutcome { job }, read, out);
@@ -128,7 +128,7 @@
         match (self.dependencies.watch, answer) {
             (Watch::Starting, StoreAnswer::At(revision)) => {
                 // Whatever ended before this must be read; whatever ends later will be told.
-                self.job_shard.unwatched();
+                self.job_shard.reread_prerequisites();
                 self.reread_awaited_members();
                 self.batches_unwatched(now);
                 self.dependencies.watch = Watch::At { revision, waiting: false };
@@ -163,12 +163,12 @@
         match read_end(value) {
             Some((outcome, _)) => {
                 self.job_shard.note_time(self.rounds.wall);
-                self.job_shard.prerequisite_ended(job, outcome);
+                self.job_shard.apply_prerequisite_end(job, outcome);
                 self.apply_member_outcome(job, outcome);
             }
             None => {
                 tracing::error!(job = %job, "unreadable final record");
-                self.job_shard.read_again(job);
+                self.job_shard.retry_prerequisite_read(job);
                 self.dependencies.retry_at = now + RETRY_UNREADABLE;
             }
         }
@@ -180,7 +180,7 @@
             StoreAnswer::Got(Some(row)) => self.take_outcome(now, job, &row.value),
             StoreAnswer::Got(None) => {}
             _ => {
-                self.job_shard.read_again(job);
+                self.job_shard.retry_prerequisite_read(job);
                 self.dependencies.retry_at = now + RETRY;
             }
         }
@@ -189,7 +189,7 @@
     /// Whether a job is known to have been accepted, and to be no service.
     fn is_known_dependency(&self, id: &str) -> bool {
         self.job_shard.jobs.get(id).is_some_and(|job| job.spec.kind != JobKind::Service)
-            || self.job_shard.final_of(id).is_some()
+            || self.job_shard.outcome_of(id).is_some()
             || self.dependencies.known.contains(id)
     }
 
--- a/src/controller/frame_forms.rs
+++ b/src/controller/frame_forms.rs
@@ -103,7 +103,7 @@
 
     /// Why a job can't be taken yet, if an older controller is in the ring.
     pub(super) fn why_it_must_wait_for_upgrade(&self, spec: &JobSpec) -> Option<Reply> {
-        if spec.has_pact() && !self.takes_coordination() {
+        if spec.has_coordination_record() && !self.takes_coordination() {
             return Some(Reply::later("not every controller knows of releases and batches yet"));
         }
         (!spec.follows.is_empty() && !self.takes_dependencies())
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -7,15 +7,14 @@
 use super::coordination::{JoinDecision, OperatorRequest};
 use super::*;
 use crate::job_shard::dependencies::unpacked;
-use crate::job_shard::{Attempt, Hold, Job};
-use crate::server::operator_api::OpRequest;
+use crate::job_shard::{AttemptStatus, Hold, Job};
 use hazelsaddle_coordination::census::Stands;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Sort};
 use hazelsaddle_coordination::record_cache::Held;
-use hazelsaddle_freshness::batch::{Batch, Permit, Put, Writer};
-use hazelsaddle_freshness::guard::{self, Answer, Merge, Verdict};
+use hazelsaddle_freshness::batch::{Batch, Permit, VersionChange, Writer};
+use hazelsaddle_freshness::guard::{self, Merge, PermitAnswer, Verdict};
 use hazelsaddle_freshness::settings::{Settings as Classes, nearest};
-use hazelsaddle_freshness::upstream::{Known, Look, Of, Run, Says};
+use hazelsaddle_freshness::upstream::{BatchVersion, JobDeclaration, JobKnowledge, Run, UpstreamFindings};
 
 /// Merges are looked at so often, and at once when something is new.
 const PAUSE: Micros = Micros::from_millis(300);
@@ -38,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum PendingFreshnessRequest {
     /// What a job says: its live record, then its final one.
-    Says(String, bool),
+    Declaration(String, bool),
     /// A page of batches, for an operator's ticket.
     Heads(u64),
 }
@@ -78,7 +77,7 @@
     next: Micros,
     merges: BTreeMap<String, SeenRevision>,
     /// What jobs of other owners, or ended ones, say.
-    says: BTreeMap<String, Says>,
+    says: BTreeMap<String, JobDeclaration>,
     /// Records to be read, and those being read.
     unread: BTreeSet<String>,
     reading: BTreeSet<String>,
@@ -96,7 +95,7 @@
 }
 
 /// What a record of a job says, live or final; None: it can't be read.
-fn says_of(record: &Value, end: bool) -> Option<Says> {
+fn says_of(record: &Value, end: bool) -> Option<JobDeclaration> {
     let (text, says) = if end {
         read_end(record)?;
         (record.get("says").cloned().unwrap_or_default(), record.get("says").is_some())
@@ -108,21 +107,26 @@
     };
     // It ended before classes were kept, or while the guard was off.
     if !says {
-        return Some(Says::default());
+        return Some(JobDeclaration::default());
     }
     let batch = match text.get("batch") {
         None => None,
-        Some(b) => {
-            Some(Of { name: b.get("name")?.as_str()?.to_owned(), version: b.get("version")?.as_u64()? })
-        }
+        Some(b) => Some(BatchVersion {
+            name: b.get("name")?.as_str()?.to_owned(),
+            version: b.get("version")?.as_u64()?,
+        }),
     };
     let follows = text.get("follows").and_then(Value::as_str).map(unpacked).unwrap_or_default();
-    Some(Says { class: text.get("breed").and_then(Value::as_str).map(str::to_owned), batch, follows })
+    Some(JobDeclaration {
+        class: text.get("breed").and_then(Value::as_str).map(str::to_owned),
+        batch,
+        follows,
+    })
 }
 
-fn says_of_job(j: &Job) -> Says {
-    let batch = j.spec.batch.as_ref().map(|b| Of { name: b.name.clone(), version: b.version });
-    Says { class: Some(j.spec.class.clone()), batch, follows: j.followed() }
+fn says_of_job(j: &Job) -> JobDeclaration {
+    let batch = j.spec.batch.as_ref().map(|b| BatchVersion { name: b.name.clone(), version: b.version });
+    JobDeclaration { class: Some(j.spec.class.clone()), batch, follows: j.followed() }
 }
 
 fn run_of(job: &str, says: &Value) -> Option<Run> {
@@ -167,7 +171,7 @@
                 "merges: {class} writes no tables; those that may name it: {list}"
             ));
         }
-        if spec.merges.is_some() && spec.rotates() {
+        if spec.merges.is_some() && spec.is_rotation() {
             return JoinDecision::Never("merges: a rotation can't be a merge as well".into());
         }
         let Some((key, version)) = spec.batch.as_ref().and_then(|b| Some((b.key()?, b.version))) else {
@@ -192,8 +196,8 @@
                 return JoinDecision::Later(format!("the record of its batch: {why}"));
             }
             Some(Held::Absent) => Batch::first(version),
-            Some(Held::Is(r)) => match Batch::read(&r).map(|b| b.put(version)) {
-                Ok(Ok(Put::Raised(next))) => next,
+            Some(Held::Is(r)) => match Batch::read(&r).map(|b| b.put_version(version)) {
+                Ok(Ok(VersionChange::Raised(next))) => next,
                 Ok(_) => return JoinDecision::Open(Vec::new()),
                 Err(why) => return JoinDecision::Later(format!("the record of its batch: {why}")),
             },
@@ -218,14 +222,14 @@
 
     /// What is known of a job. All that a merge follows is done on record before it is looked at here, so whatever is
     /// upstream of it has ended, also where a live record was the last that was read.
-    fn known_of(&self, id: &str) -> Known {
+    fn known_of(&self, id: &str) -> JobKnowledge {
         if let Some(j) = self.job_shard.jobs.get(id) {
-            return Known::Ended(says_of_job(j));
+            return JobKnowledge::Ended(says_of_job(j));
         }
         match self.freshness.says.get(id) {
-            Some(s) => Known::Ended(s.clone()),
-            None if self.freshness.unreadable.contains_key(id) => Known::Unreadable,
-            None => Known::Unread,
+            Some(s) => JobKnowledge::Ended(s.clone()),
+            None if self.freshness.unreadable.contains_key(id) => JobKnowledge::Unreadable,
+            None => JobKnowledge::Unread,
         }
     }
 
@@ -246,7 +250,7 @@
             self.state_store.request_limiter.take(now, 1.0, 0.0);
             let get = StoreRequest::Get(format!("job/{id}"));
             self.ask_store(
-                PendingStoreRequest::Freshness(PendingFreshnessRequest::Says(id, false)),
+                PendingStoreRequest::Freshness(PendingFreshnessRequest::Declaration(id, false)),
                 get,
                 out,
             );
@@ -262,7 +266,7 @@
         out: &mut Vec<Effect>,
     ) {
         let (id, end) = match p {
-            PendingFreshnessRequest::Says(id, end) => (id, end),
+            PendingFreshnessRequest::Declaration(id, end) => (id, end),
             PendingFreshnessRequest::Heads(ticket) => return self.listed(ticket, a),
         };
         match a {
@@ -288,7 +292,7 @@
             StoreAnswer::Got(None) if !end => {
                 let get = StoreRequest::Get(format!("done/{id}"));
                 self.ask_store(
-                    PendingStoreRequest::Freshness(PendingFreshnessRequest::Says(id, true)),
+                    PendingStoreRequest::Freshness(PendingFreshnessRequest::Declaration(id, true)),
                     get,
                     out,
                 );
@@ -379,11 +383,14 @@
     fn verdict(&mut self, held: &Held, merge: &Merge, key: &Key) -> Verdict {
         let runs = self.runs_of(key);
         let Some(classes) = self.classes() else {
-            return Verdict::Unknown(guard::Why::Record("the guard is not switched on here".into()));
+            return Verdict::Unknown(guard::UnknownCause::RecordUnreadable(
+                "the guard is not switched on here".into(),
+            ));
         };
-        let (found, _) = hazelsaddle_freshness::upstream::closure(&merge.follows, |id| self.known_of(id));
+        let (found, _) =
+            hazelsaddle_freshness::upstream::upstream_closure(&merge.follows, |id| self.known_of(id));
         let unread: Vec<String> =
-            found.into_iter().filter(|(_, k)| *k == Known::Unread).map(|(id, _)| id).collect();
+            found.into_iter().filter(|(_, k)| *k == JobKnowledge::Unread).map(|(id, _)| id).collect();
         let verdict = merge.verdict(classes, held, |id| self.known_of(id), &runs);
         self.freshness.unread.extend(unread);
         verdict
@@ -392,7 +399,7 @@
     fn merge_of(&self, id: &str) -> Option<(Key, Merge)> {
         let j = self.job_shard.jobs.get(id)?;
         let m = j.spec.merges.as_ref()?;
-        let of = Of { name: m.name.clone(), version: m.version };
+        let of = BatchVersion { name: m.name.clone(), version: m.version };
         Some((m.key()?, Merge { of, follows: j.followed() }))
     }
 
@@ -428,7 +435,11 @@
             .job_shard
             .jobs
             .iter()
-            .filter(|(_, j)| j.spec.merges.is_some() && j.ending.is_none() && j.waits_for().next().is_none())
+            .filter(|(_, j)| {
+                j.spec.merges.is_some()
+                    && j.pending_outcome.is_none()
+                    && j.unfinished_prerequisites().next().is_none()
+            })
             .map(|(id, _)| id.clone())
             .collect();
         self.freshness.merges.retain(|id, _| ids.binary_search(id).is_ok());
@@ -472,7 +483,7 @@
         let Some(j) = self.job_shard.jobs.get(id) else { return };
         if verdict.may_start() && recent {
             if matches!(j.hold(), Some(Hold::Batch(_))) {
-                self.job_shard.lift(id);
+                self.job_shard.lift_hold(id);
             }
             return;
         }
@@ -482,7 +493,7 @@
         };
         if j.hold().is_none_or(|h| h.why() != why) {
             tracing::info!(job = id, reason = %why, "merge is held");
-            self.job_shard.hold(id, Hold::Batch(why));
+            self.job_shard.hold_job(id, Hold::Batch(why));
         }
         if known && matches!(verdict, Verdict::Stale(..)) {
             let writes = |task: Option<u32>, attempt: u64| {
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn told(l: &Look) -> Value {
+fn told(l: &UpstreamFindings) -> Value {
     let old = l.old.iter().map(|o| {
         json!({"job": o.job, "class": o.class, "batch": o.read.as_ref().map(|r| &r.name),
             "version": o.read.as_ref().map(|r| r.version)})
@@ -65,15 +65,15 @@
         if !self.answers_for(now, &a.job) {
             return Some(Reply::later("taking over"));
         }
-        let Some(j) = self.job_shard.jobs.get(&a.job).filter(|j| j.ending.is_none()) else {
+        let Some(j) = self.job_shard.jobs.get(&a.job).filter(|j| j.pending_outcome.is_none()) else {
             return Some(Reply::error(409, "the job has ended"));
         };
         let task = (j.spec.kind != JobKind::Gang).then_some(a.task);
-        let standing = self.job_shard.attempt(&a.job, task, a.attempt);
+        let standing = self.job_shard.attempt_status(&a.job, task, a.attempt);
         match standing {
-            Attempt::Over => return Some(Reply::error(409, "no such attempt runs")),
-            Attempt::Unknown => return Some(Reply::later("taking over")),
-            Attempt::Stands | Attempt::Stopping => {}
+            AttemptStatus::Over => return Some(Reply::error(409, "no such attempt runs")),
+            AttemptStatus::Unknown => return Some(Reply::later("taking over")),
+            AttemptStatus::Stands | AttemptStatus::Stopping => {}
         }
         let (key, merge) = self.merge_of(&a.job)?;
         let held = self.coordination_record_since(now, &key, a.came)?;
@@ -81,30 +81,30 @@
         let writer = Writer { job: a.job.clone(), attempt: a.attempt, task };
         // What has ended makes room for what begins.
         let known = match &held {
-            Held::Is(r) => Batch::read(r).ok().and_then(|b| b.release(|p| self.permit_over(p))),
+            Held::Is(r) => Batch::read(r).ok().and_then(|b| b.release_permits(|p| self.permit_over(p))),
             _ => None,
         };
         let held = known.map_or(held, |b| Held::Is(b.record()));
-        match guard::permit(&verdict, &held, &writer, self.settings.value_bytes) {
-            Answer::Holds(p) => {
+        match guard::decide_permit(&verdict, &held, &writer, self.settings.value_bytes) {
+            PermitAnswer::AlreadyHeld(p) => {
                 let batch = merge.of.name;
                 Some(Reply::json(200, &json!({"batch": batch, "version": p.version, "fence": p.fence})))
             }
-            Answer::Write(..) if standing == Attempt::Stopping => {
+            PermitAnswer::Record(..) if standing == AttemptStatus::Stopping => {
                 Some(Reply::error(409, "the attempt is being stopped"))
             }
-            Answer::Write(next, p) => {
+            PermitAnswer::Record(next, p) => {
                 if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
                     tracing::info!(job = %a.job, attempt = a.attempt, task = a.task, batch = %key.name(),
                         version = p.version, fence = p.fence, "permit to write");
                 }
                 None
             }
-            Answer::Stale(..) if !self.runs_known(&key) => {
+            PermitAnswer::Stale(..) if !self.runs_known(&key) => {
                 self.mark_stale(now, &a.job, &key);
                 None
             }
-            Answer::Stale(version, look) => {
+            PermitAnswer::Stale(version, look) => {
                 tracing::info!(job = %a.job, attempt = a.attempt, reason = %verdict.reason(), "permit refused");
                 let mut body = told(&look);
                 body["error"] = verdict.reason().into();
@@ -113,9 +113,9 @@
                 self.freshness.next = Micros(0);
                 Some(Reply::json(409, &body))
             }
-            Answer::Overtaken => Some(Reply::error(409, "a newer attempt of the task writes")),
+            PermitAnswer::Superseded => Some(Reply::error(409, "a newer attempt of the task writes")),
             // Records are still being read: within its patience.
-            Answer::Later(_) => None,
+            PermitAnswer::Retry(_) => None,
         }
     }
 
@@ -123,7 +123,7 @@
     fn permit_over(&self, p: &Permit) -> bool {
         self.job_shard.loaded
             && self.membership.job_leader(&p.job) == Some(self.settings.me)
-            && self.job_shard.attempt(&p.job, p.task, p.attempt) == Attempt::Over
+            && self.job_shard.attempt_status(&p.job, p.task, p.attempt) == AttemptStatus::Over
     }
 
     pub(super) fn release_permits(&mut self, now: Micros, out: &mut Vec<Effect>) {
@@ -131,7 +131,7 @@
             return;
         }
         self.freshness.released.retain(|_, t| now < *t);
-        let over = |b: &Batch| b.release(|p| self.permit_over(p));
+        let over = |b: &Batch| b.release_permits(|p| self.permit_over(p));
         let due: Vec<(Key, Batch)> = self
             .coordination
             .records
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -18,8 +18,8 @@
             return Some(Reply::error(404, "batches are not switched on here"));
         }
         match &r.request {
-            OpRequest::PutBatch(name, version) => self.put_batch(now, r.began, name, *version, out),
-            OpRequest::Batch(name) => self.show_batch(now, r, name, out),
+            OperatorCommand::PutBatch { name, version } => self.put_batch(now, r.began, name, *version, out),
+            OperatorCommand::ShowBatch { name } => self.show_batch(now, r, name, out),
             _ => {
                 let rows = self.list_batches(now, r.ticket, out)?;
                 Some(Reply::json(200, &json!({"batches": rows})))
@@ -43,13 +43,13 @@
             Held::Unread => return None,
             Held::Absent => Batch::first(version),
             Held::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
-            Held::Is(r) => match Batch::read(&r).map(|b| b.put(version)) {
+            Held::Is(r) => match Batch::read(&r).map(|b| b.put_version(version)) {
                 Err(why) => return Some(Reply::error(409, &why.to_string())),
                 Ok(Err(why)) => return Some(Reply::error(409, &why.to_string())),
-                Ok(Ok(Put::Same)) => {
+                Ok(Ok(VersionChange::Unchanged)) => {
                     return Some(Reply::json(200, &json!({"batch": name, "version": version})));
                 }
-                Ok(Ok(Put::Raised(next))) => next,
+                Ok(Ok(VersionChange::Raised(next))) => next,
             },
         };
         // Once it is on record the next round finds it there; if another change came first it is looked at anew.
--- a/src/controller/gpu_lending.rs
+++ b/src/controller/gpu_lending.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::config::operators::LoanTerms;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Pact};
-use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, State};
+use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, LoanState};
 
 /// The form from which on controllers say what their jobs could lend.
 pub(super) const FORM: u64 = 4;
@@ -51,8 +51,8 @@
         let Some(terms) = self.settings.operators.loans.clone() else { return };
         if now >= self.loans.next_told {
             self.loans.next_told = now + READ;
-            self.job_shard.note_lacks(now);
-            let told = self.job_shard.lending(now, self.rounds.wall);
+            self.job_shard.note_gpu_shortfalls(now);
+            let told = self.job_shard.lending_offer(now, self.rounds.wall);
             for p in self.membership.members.clone() {
                 // An older process would drop the link.
                 if p != self.settings.me && self.reads(p, FORM) {
@@ -60,7 +60,7 @@
                 }
             }
         }
-        self.job_shard.obey_loans(now);
+        self.job_shard.enforce_loans(now);
         if now < self.state_store.paused_until {
             return;
         }
@@ -91,10 +91,10 @@
     fn next_ledger(&self, now: Micros, terms: &LoanTerms) -> Option<(String, Ledger)> {
         let (wall, m) = (self.rounds.wall, &self.membership);
         for (team, (_, ledger, _)) in &self.loans.read {
-            let tidy = ledger.tidy(wall.0, terms.back.0, |l| self.job_shard.loan_facts(l, m));
+            let tidy = ledger.advance(wall.0, terms.back.0, |l| self.job_shard.loan_facts(l, m));
             let next = tidy.or_else(|| {
                 let due = self.job_shard.loans_due(now, wall, team, ledger, m, &self.quota);
-                ledger.give_back(wall.0, &due)
+                ledger.begin_return(wall.0, &due)
             });
             if let Some(next) = next {
                 return Some((team.clone(), next));
@@ -103,7 +103,7 @@
         if !self.loans.unreadable.is_empty() {
             return None;
         }
-        let t = self.job_shard.takings(now, wall, m, &self.quota)?;
+        let t = self.job_shard.next_taking(now, wall, m, &self.quota)?;
         let none = Ledger::default();
         let mut next = self.loans.read.get(&t.team).map_or(&none, |(_, l, _)| l).clone();
         let others: Vec<&Ledger> =
@@ -213,7 +213,7 @@
 
     fn tell_ledgers(&mut self, sent: Micros) {
         let ledgers = self.loans.read.iter().map(|(t, (_, l, _))| (t.clone(), l.clone())).collect();
-        self.job_shard.loans_read(sent, ledgers);
+        self.job_shard.apply_ledgers(sent, ledgers);
     }
 
     /// Who lent what to whom, and when it is due back, for operators.
@@ -239,12 +239,12 @@
 fn due(l: &Loan, terms: &LoanTerms, wall: Micros) -> String {
     let left = |after: u64| (l.since_us + after).saturating_sub(wall.0) / 1_000_000;
     match l.state {
-        State::Taking => "not yet in use".into(),
-        State::Held if left(terms.stay.0) > 0 => {
+        LoanState::Taking => "not yet in use".into(),
+        LoanState::Held if left(terms.stay.0) > 0 => {
             format!("with the replica, or from {} s on if the lender is short", left(terms.stay.0))
         }
-        State::Held => "with the replica, or once the lender is short".into(),
-        State::Returning => format!("now; kept for the lender for {} s more", left(terms.back.0)),
+        LoanState::Held => "with the replica, or once the lender is short".into(),
+        LoanState::Returning => format!("now; kept for the lender for {} s more", left(terms.back.0)),
     }
 }
 
--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -186,7 +186,7 @@
     }
 
     fn pack(&mut self, now: Micros, next: &Membership) {
-        let jobs = self.job_shard.hand_over(next);
+        let jobs = self.job_shard.handoff_batches(next);
         let machines = self.machine_shard.hand_over(now, next);
         let (of_jobs, of_machines) = (
             jobs.values().map(|p| p.jobs.len()).sum::<usize>(),
@@ -239,7 +239,7 @@
     fn note_failover_complete(&mut self, now: Micros) {
         if let Some(since) = self.handoff.failover_since
             && self.job_shard.loaded
-            && self.job_shard.in_doubt() == 0
+            && self.job_shard.unresolved_job_count() == 0
         {
             self.handoff.failover_since = None;
             let handoff = &self.handoff;
@@ -249,7 +249,7 @@
                 handed_jobs = handoff.taken_jobs,
                 handed_machines = handoff.taken_machines,
                 replicated_jobs = self.start_replica.taken(),
-                unheard = self.job_shard.unheard(),
+                unheard = self.job_shard.unconfirmed_machine_count(),
                 "failover complete: every job's starts are known"
             );
         }
@@ -293,7 +293,7 @@
             return;
         }
         for (_, HandedJobs { jobs, unresolved }) in self.handoff.jobs.unpack() {
-            self.handoff.taken_jobs += self.job_shard.handed(now, jobs, &unresolved);
+            self.handoff.taken_jobs += self.job_shard.accept_handoff(now, jobs, &unresolved);
         }
         self.use_replicated_starts(now);
     }
@@ -301,10 +301,10 @@
     /// How this epoch's failover stands, for operators.
     pub(super) fn failover_status(&self, now: Micros) -> Value {
         let handoff = &self.handoff;
-        let waits: Vec<&String> = self.job_shard.unheard_machines(SHOWN).collect();
+        let waits: Vec<&String> = self.job_shard.unconfirmed_machines(SHOWN).collect();
         json!({
             "under_way_s": handoff.failover_since.map(|t| now.since(t).secs()),
-            "jobs_in_doubt": self.job_shard.in_doubt(),
+            "jobs_in_doubt": self.job_shard.unresolved_job_count(),
             "jobs_handed_to_us": handoff.taken_jobs,
             "machines_handed_to_us": handoff.taken_machines,
             "jobs_witnessed": self.start_replica.taken(),
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -396,7 +396,7 @@
             self.adopt_epoch(now, record, *store_version, out);
         }
         if record.epoch == self.membership.epoch {
-            self.job_shard.epoch_stands(reading.asked_at);
+            self.job_shard.confirm_epoch(reading.asked_at);
             // It came back before it had left: its place is still its own.
             self.membership.aside = false;
             return self.ask_ring(renewal, StoreRequest::Renew(reading.lease), out);
@@ -427,7 +427,7 @@
         self.report_lost_controllers(now, record, follows);
         self.machine_shard
             .adopt(now, &self.membership, follows, |job| ring_before.owner(&format!("job/{job}")));
-        self.job_shard.adopt(&self.membership, follows);
+        self.job_shard.adopt_epoch(&self.membership, follows);
         self.restart_coordination();
         self.batches_anew();
         self.loans_anew();
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -107,7 +107,7 @@
             boot: self.boot,
             echo: heard.clock,
             echo_boot: heard.boot,
-            digest_seen: self.job_shard.digest_seen(to, self.membership.epoch),
+            digest_seen: self.job_shard.applied_status_sequence(to, self.membership.epoch),
             body,
         }
     }
@@ -192,16 +192,18 @@
         match message {
             Message::State(desired, delta) => self.apply_peer_state(now, sender, &desired, delta),
             Message::Demands(demands) => self.autoscaler.demand(now, from, demands),
-            Message::Reserve(list) if !sender.is_self => self.job_shard.others_reserve(now, from, list),
+            Message::Reserve(list) if !sender.is_self => {
+                self.job_shard.apply_peer_reservations(now, from, list)
+            }
             Message::ScalingPlan { drain, gone, kept, kept_machines }
                 if self.membership.decider() == Some(from) =>
             {
-                self.job_shard.keep(kept, kept_machines);
+                self.job_shard.apply_autoscaler_reservations(kept, kept_machines);
                 self.machine_shard.fleet(&drain.into_iter().collect(), &gone);
             }
             Message::MisroutedHeartbeats(machines) => self.note_misrouted(now, machines),
-            Message::Lending(told) if !sender.is_self => self.job_shard.others_lend(now, from, told),
-            Message::InheritedPriorities(list) => self.job_shard.urged_by(from, list),
+            Message::Lending(told) if !sender.is_self => self.job_shard.apply_peer_lending(now, from, told),
+            Message::InheritedPriorities(list) => self.job_shard.apply_needed_priorities(from, list),
             Message::Handoff { number, parcel } => self.take_batch(now, from, sender.boot, number, parcel),
             Message::ReplicateStarts { rev, since, added, dropped } if !sender.is_self => {
                 self.replicate_starts(now, sender, Changes { rev, since, added, dropped }, out);
@@ -224,11 +226,11 @@
         if self.machine_shard.wanted(now, from, desired, &self.membership, room) {
             self.machine_shard.said(from, sender.echo, sender.revision_seen);
         }
-        let owes_ack = self.job_shard.digest(now, &self.membership, from, delta);
+        let owes_ack = self.job_shard.apply_machine_status(now, &self.membership, from, delta);
         self.peer_traffic.links[from].owes_ack |= owes_ack;
         // What we hold of our own machines needs no frame.
         if sender.is_self {
-            let held = self.job_shard.digest_seen(from, self.membership.epoch);
+            let held = self.job_shard.applied_status_sequence(from, self.membership.epoch);
             self.peer_traffic.links[from].revision_acked = held;
         }
     }
@@ -297,7 +299,7 @@
         let waited = now.since(link.state_sent_at);
         let has_news = self.machine_shard.seq() > link.revision_sent || link.owes_ack;
         if waited < period
-            && (waited.0 < gather || !(has_news || self.job_shard.has_news(peer, &self.membership)))
+            && (waited.0 < gather || !(has_news || self.job_shard.has_changes_for(peer, &self.membership)))
         {
             return;
         }
@@ -307,7 +309,7 @@
         link.owes_ack = false;
         let acked = link.revision_acked;
         let desired = match self.membership.members.contains(&peer) {
-            true => self.job_shard.wanted(peer, &self.membership),
+            true => self.job_shard.next_desired_state(peer, &self.membership),
             false => DesiredState::default(),
         };
         let autoscaler = &self.autoscaler;
@@ -328,7 +330,7 @@
             }
         }
         for peer in (0..peers).filter(|&peer| peer != self.settings.me) {
-            let reserved = self.job_shard.reserved().to_vec();
+            let reserved = self.job_shard.reservations().to_vec();
             self.send(now, peer, Message::Reserve(reserved), out);
         }
         if let Some(decider) = self.membership.decider() {
--- a/src/controller/record_loading.rs
+++ b/src/controller/record_loading.rs
@@ -139,12 +139,12 @@
 
     fn finish_loading(&mut self, now: Micros) {
         let machines = std::mem::take(&mut self.record_loading.machines);
-        self.job_shard.load_done(machines.into_iter());
-        let (jobs, ..) = self.job_shard.counts();
+        self.job_shard.finish_loading(machines.into_iter());
+        let (jobs, ..) = self.job_shard.task_counts();
         tracing::info!(
             epoch = self.membership.epoch,
             jobs,
-            machines = self.job_shard.unheard(),
+            machines = self.job_shard.unconfirmed_machine_count(),
             "records loaded"
         );
         self.take_handed_jobs(now);
@@ -160,12 +160,12 @@
             Some((raw, spec, accepted, done)) if spec.id == id => {
                 // Of one that we know the latest write may be our own, and says nothing of what it had before us.
                 let unknown = !self.job_shard.jobs.contains_key(id);
-                self.job_shard.insert(raw, spec, accepted, done, row.store_version, false);
+                self.job_shard.insert_job(raw, spec, accepted, done, row.store_version, false);
                 if unknown
                     && self.job_shard.jobs.contains_key(id)
                     && row.store_version > self.membership.store_version
                 {
-                    self.job_shard.maybe_new(self.rounds.last_round, id);
+                    self.job_shard.await_epoch_check(self.rounds.last_round, id);
                 }
                 true
             }
--- a/src/controller/record_writes.rs
+++ b/src/controller/record_writes.rs
@@ -24,7 +24,7 @@
             return;
         }
         self.state_store.next_quota_pass = now + QUOTA_PERIOD;
-        let needs = self.job_shard.needs(&self.quota);
+        let needs = self.job_shard.quota_needs(&self.quota);
         for team in self.quota.reads(now, &needs) {
             let read = StoreRequest::Get(format!("team/{team}"));
             self.ask_store(PendingStoreRequest::ReadQuota { team }, read, out);
@@ -37,7 +37,7 @@
                 &team,
                 needs.get(&team).unwrap_or(&none),
                 |job| membership.job_leader(job) == Some(me),
-                |job| self.job_shard.released(job),
+                |job| self.job_shard.has_released_resources(job),
                 self.settings.value_bytes,
             );
             let Some(write) = write else { continue };
@@ -100,12 +100,12 @@
     }
 
     fn verify_jobs(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        while let Some(id) = self.job_shard.next_verify() {
+        while let Some(id) = self.job_shard.next_reread() {
             if !self.state_store.request_limiter.take(now, 2.0, 0.2) {
                 break;
             }
             if let Some(job) = self.job_shard.jobs.get_mut(&id) {
-                job.writing = true;
+                job.write_in_flight = true;
             }
             let read = StoreRequest::Get(format!("job/{id}"));
             let pending = PendingStoreRequest::VerifyJob { job: id, epoch: self.membership.epoch };
@@ -148,13 +148,13 @@
     ) {
         match (answer, write) {
             (StoreAnswer::Committed(store_version), RecordWrite::Progress(_, kept)) => {
-                self.job_shard.progress_written(now, job, kept, store_version);
+                self.job_shard.confirm_progress(now, job, kept, store_version);
             }
             (StoreAnswer::Committed(_), RecordWrite::End(outcome, _)) => {
                 self.finish_job(now, job, outcome, out);
             }
             (answer, write) => {
-                self.job_shard.write_failed(now, job, answer == StoreAnswer::Refused);
+                self.job_shard.fail_write(now, job, answer == StoreAnswer::Refused);
                 if matches!(write, RecordWrite::End(..)) {
                     for caller in self.user_requests.cancellations.remove(job).unwrap_or_default() {
                         let reply = Reply::later("the job's end could not be put on record");
@@ -181,7 +181,7 @@
         match answer {
             StoreAnswer::Got(Some(row)) => {
                 if let Some(job) = self.job_shard.jobs.get_mut(&id) {
-                    job.writing = false;
+                    job.write_in_flight = false;
                     self.take_job_row(row);
                 }
             }
@@ -189,7 +189,7 @@
                 let read = StoreRequest::Get(format!("done/{id}"));
                 self.ask_store(PendingStoreRequest::VerifyOutcome { job: id, epoch }, read, out);
             }
-            _ => self.job_shard.write_failed(now, &id, false),
+            _ => self.job_shard.fail_write(now, &id, false),
         }
     }
 
@@ -209,7 +209,7 @@
                 Some((outcome, _)) => self.finish_job(now, job, outcome, out),
                 None => tracing::error!(job = %job, "unreadable final record"),
             },
-            _ => self.job_shard.write_failed(now, job, false),
+            _ => self.job_shard.fail_write(now, job, false),
         }
     }
 
@@ -241,7 +241,10 @@
         let (machines, jobs, membership) = (&self.machine_shard, &self.job_shard, &self.membership);
         self.machine_registry.prune(|name| match machines.is_gone(name) {
             Some(gone) => gone,
-            None => membership.machine_leader(name) != Some(membership.me) && jobs.gone(name, membership),
+            None => {
+                membership.machine_leader(name) != Some(membership.me)
+                    && jobs.is_machine_gone(name, membership)
+            }
         });
         let acked: Vec<u64> = self
             .membership
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -141,7 +141,7 @@
             Mode::Off | Mode::Exempt => true,
             Mode::Required | Mode::RecordingExemption => {
                 m.job_leader(&key.job) != Some(m.me)
-                    || owner.vouched(machine, key).is_some_and(|item| self.outgoing.witnessed(&item))
+                    || owner.replicated_start(machine, key).is_some_and(|item| self.outgoing.witnessed(&item))
             }
         }
     }
@@ -336,7 +336,7 @@
                 Ring::new(&self.settings.members, &members)
             };
             let rings: Vec<Ring> = combined.rings.iter().map(ring).collect();
-            let helped = self.job_shard.witnessed(now, lost, &rings, &combined.items);
+            let helped = self.job_shard.apply_start_replicas(now, lost, &rings, &combined.items);
             let (epoch, items) = (combined.epoch, combined.items.len());
             tracing::info!(epoch, lost = %self.settings.members[lost], jobs = helped, items, "replicated starts adopted");
             self.start_replica.taken += helped;
@@ -357,8 +357,8 @@
             return;
         }
         // What the machine shards are to hear is noted here too.
-        self.job_shard.has_news(self.settings.me, &self.membership);
-        for (item, there) in self.job_shard.vouch_changes() {
+        self.job_shard.has_changes_for(self.settings.me, &self.membership);
+        for (item, there) in self.job_shard.take_replication_changes() {
             self.start_replica.outgoing.set(item, there);
         }
         let mut all_wait = true;
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -6,12 +6,12 @@
     /// How things stand, for operators.
     pub fn status(&mut self, now: Micros) -> Value {
         let m = &self.membership;
-        let (jobs, placed, left) = self.job_shard.counts();
-        let (bad_jobs, bad_machines) = self.job_shard.suspects(now);
+        let (jobs, placed, left) = self.job_shard.task_counts();
+        let (bad_jobs, bad_machines) = self.job_shard.quarantined(now);
         let (known, machines) = self.machine_shard.counts();
         let waiting = self.job_shard.waiting_jobs();
         let shown = |j: &&crate::job_shard::Job| {
-            let on: Vec<&str> = j.waits_for().take(SHOWN).collect();
+            let on: Vec<&str> = j.unfinished_prerequisites().take(SHOWN).collect();
             json!({"job": j.spec.id, "waits_for": on, "for_s": self.rounds.wall.since(j.accepted_wall).secs()})
         };
         let oldest: Vec<Value> = waiting.iter().take(SHOWN).map(shown).collect();
@@ -28,7 +28,7 @@
             "aside": self.step_down.away().map(|a| format!("{a:?}").to_lowercase()),
             "decider": m.decider().map(|d| m.name(d)),
             "records_read": self.job_shard.loaded,
-            "machines_unheard": self.job_shard.unheard(),
+            "machines_unheard": self.job_shard.unconfirmed_machine_count(),
             "takeover": self.failover_status(now),
             "home": {"machines": machines, "known": known},
             "jobs": {"live": jobs, "tasks_placed": placed, "tasks_left": left},
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -150,14 +150,14 @@
                 }
                 UserRequest::Submit(..) | UserRequest::Query(_) => {}
             }
-        } else if matches!(request, UserRequest::Permit(..)) && self.job_shard.final_of(&id).is_some() {
+        } else if matches!(request, UserRequest::Permit(..)) && self.job_shard.outcome_of(&id).is_some() {
             return Some(Reply::error(409, "the job has ended"));
         }
         if let Some(state) = self.job_state(&id) {
             return Some(match request {
                 UserRequest::Withdraw(_) => {
                     let outcome =
-                        self.job_shard.final_of(&id).map_or(JobOutcome::Done, |(outcome, _)| outcome);
+                        self.job_shard.outcome_of(&id).map_or(JobOutcome::Done, |(outcome, _)| outcome);
                     Reply::json(200, &users::outcome(&id, outcome))
                 }
                 _ => state,
@@ -203,10 +203,10 @@
 
     /// How a job stands, if it is known here.
     fn job_state(&self, id: &str) -> Option<Reply> {
-        let mut body = if let Some((stance, done, running)) = self.job_shard.stance(id) {
+        let mut body = if let Some((stance, done, running)) = self.job_shard.user_status(id) {
             users::job_state(id, stance, done, running)
         } else {
-            let (outcome, done) = self.job_shard.final_of(id)?;
+            let (outcome, done) = self.job_shard.outcome_of(id)?;
             users::job_state(id, users::stance_of(outcome), done, 0)
         };
         let log_stores = &self.settings.operators.log_stores;
@@ -218,7 +218,7 @@
 
     /// A job's end is on record: it leaves the shard, and who waits for its cancellation is told.
     pub(super) fn finish_job(&mut self, now: Micros, id: &str, outcome: JobOutcome, out: &mut Vec<Effect>) {
-        self.job_shard.ended(id, outcome);
+        self.job_shard.end_job(id, outcome);
         let callers = self.user_requests.cancellations.remove(id).unwrap_or_default();
         self.reply_to_all(now, callers, &Reply::json(200, &users::outcome(id, outcome)), out);
     }
--- a/src/controller/user_requests/forwarding.rs
+++ b/src/controller/user_requests/forwarding.rs
@@ -70,8 +70,9 @@
             UserRequest::Query(_) | UserRequest::Withdraw(_) => return true,
             UserRequest::Why(_) | UserRequest::Permit(..) => return false,
         };
-        !JobSpec::parse(body)
-            .is_ok_and(|spec| spec.has_pact() || (!spec.follows.is_empty() && !self.reads_dependencies(peer)))
+        !JobSpec::parse(body).is_ok_and(|spec| {
+            spec.has_coordination_record() || (!spec.follows.is_empty() && !self.reads_dependencies(peer))
+        })
     }
 
     fn forward(
--- a/src/controller/user_requests/lookups.rs
+++ b/src/controller/user_requests/lookups.rs
@@ -99,7 +99,7 @@
             StoreAnswer::Got(None) => true,
             StoreAnswer::Got(Some(row)) => match read_end(&row.value) {
                 Some((outcome, done)) => {
-                    self.job_shard.remember_final(job, outcome, done);
+                    self.job_shard.remember_outcome(job, outcome, done);
                     true
                 }
                 None => {
@@ -131,7 +131,7 @@
     }
 
     fn is_on_hand(&self, id: &str) -> bool {
-        self.job_shard.jobs.contains_key(id) || self.job_shard.final_of(id).is_some()
+        self.job_shard.jobs.contains_key(id) || self.job_shard.outcome_of(id).is_some()
     }
 
     /// The answer about a job of which nothing is on record.
@@ -142,7 +142,7 @@
             Ok(spec) => spec,
             Err(error) => return Reply::error(error.status(), &error.to_string()),
         };
-        match self.why_it_can_never_run(&trimmed(&raw, &spec), &spec) {
+        match self.why_it_can_never_run(&stored_description(&raw, &spec), &spec) {
             Some(why) => Reply::error(422, &why),
             None => self
                 .why_it_must_wait_for_upgrade(&spec)
--- a/src/controller/user_requests/submissions.rs
+++ b/src/controller/user_requests/submissions.rs
@@ -90,7 +90,7 @@
         }
         let raw: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let Ok(spec) = JobSpec::from_value(&raw) else { return false };
-        let description = trimmed(&raw, &spec);
+        let description = stored_description(&raw, &spec);
         if self.why_it_can_never_run(&description, &spec).is_some()
             || self.why_it_must_wait_for_upgrade(&spec).is_some()
         {
@@ -121,7 +121,7 @@
         if self.autoscaler.types.is_empty() {
             return Decision::Refused(Reply::later("machine types are not known yet"));
         }
-        let description = trimmed(&raw, &spec);
+        let description = stored_description(&raw, &spec);
         if self.why_it_must_wait_for_upgrade(&spec).is_some()
             || self.why_it_can_never_run(&description, &spec).is_some()
         {
@@ -309,10 +309,17 @@
             }
         } else if is_current {
             let none_done = Ranges::default();
-            self.job_shard.insert(description.clone(), spec, accepted_wall, none_done, store_version, true);
+            self.job_shard.insert_job(
+                description.clone(),
+                spec,
+                accepted_wall,
+                none_done,
+                store_version,
+                true,
+            );
         }
         // The end may have been told meanwhile: the record can be read before the answer to its write is here.
-        let ended = self.job_shard.final_of(id).and_then(|_| self.job_state(id));
+        let ended = self.job_shard.outcome_of(id).and_then(|_| self.job_state(id));
         let reply = ended.unwrap_or_else(|| Reply::json(201, &users::accepted(id)));
         self.reply_to_all(now, callers, &reply, out);
         self.answer_as_known(now, id, &description, late_callers, out);
--- /dev/null
+++ b/src/job_shard/outcomes.rs
@@ -0,0 +1,107 @@
+//! How jobs end, and what is remembered of those that have.
+
+use super::JobShard;
+use super::retired_starts::Retirement;
+use crate::peer::DesiredAction;
+use crate::spec::JobKind;
+use std::collections::{BTreeMap, VecDeque};
+
+/// Outcomes kept in memory; older ones are read from the store.
+const REMEMBERED_OUTCOMES: usize = 2000;
+
+/// How a job ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum JobOutcome {
+    /// All its tasks are done.
+    Done,
+    /// Its user cancelled it.
+    Cancelled,
+}
+
+/// The outcomes that were last put on record or read.
+#[derive(Debug, Default)]
+pub(super) struct RememberedOutcomes {
+    /// By job, with the number of completed tasks.
+    by_job: BTreeMap<String, (JobOutcome, u32)>,
+    /// The oldest first.
+    order: VecDeque<String>,
+}
+
+impl RememberedOutcomes {
+    pub(super) fn contains(&self, id: &str) -> bool {
+        self.by_job.contains_key(id)
+    }
+
+    pub(super) fn clear(&mut self) {
+        self.by_job.clear();
+        self.order.clear();
+    }
+
+    fn insert(&mut self, id: &str, outcome: JobOutcome, done: u32) {
+        if self.by_job.insert(id.into(), (outcome, done)).is_none() {
+            self.order.push_back(id.into());
+            if self.order.len() > REMEMBERED_OUTCOMES
+                && let Some(old) = self.order.pop_front()
+            {
+                self.by_job.remove(&old);
+            }
+        }
+    }
+}
+
+impl JobShard {
+    /// How a job ended and how many of its tasks had completed, if that is remembered.
+    pub fn outcome_of(&self, id: &str) -> Option<(JobOutcome, u32)> {
+        self.outcomes.by_job.get(id).copied()
+    }
+
+    /// Remembers the outcome of a job that the store has on record.
+    pub fn remember_outcome(&mut self, id: &str, outcome: JobOutcome, done: u32) {
+        self.outcomes.insert(id, outcome, done);
+    }
+
+    /// The job's end is on record: it is live no more, and its starts are cleared away. Called twice, it does nothing
+    /// the second time.
+    pub fn end_job(&mut self, id: &str, outcome: JobOutcome) {
+        // Whoever waits for it must hear even if it was not ours any more: the store has its end.
+        self.apply_prerequisite_end(id, outcome);
+        let Some(job) = self.jobs.remove(id) else { return };
+        self.start_replication.jobs_changed = true;
+        self.end_queue.remove(id, &job);
+        self.forget_prerequisites(id, &job);
+        self.failures.forget(id);
+        tracing::info!(job = id, end = ?outcome, tasks = job.spec.tasks, "job ended");
+        self.remember_outcome(id, outcome, job.done.len());
+        for (index, assignment) in job.assignments {
+            self.unindex_assignment(&assignment.machine, id, index);
+            self.retire_start(id, index, &assignment, Retirement::stopped(job.spec.room));
+        }
+        for (key, start) in self.retired_starts.of_job_mut(id) {
+            if !start.alive && start.action != DesiredAction::Forget {
+                start.action = DesiredAction::Forget;
+                self.delivery.mark_changed(&key.machine, &key.job, key.index, key.attempt);
+            }
+        }
+        self.replan = true;
+    }
+
+    /// A task has completed. A gang completes as a whole. Replicas of a service never do.
+    pub(super) fn complete_task(&mut self, id: &str, index: u32) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        match job.spec.kind {
+            JobKind::Array => {
+                if index < job.spec.tasks {
+                    job.done.insert(index);
+                }
+            }
+            JobKind::Gang => {
+                for index in 0..job.spec.tasks {
+                    job.done.insert(index);
+                }
+            }
+            JobKind::Service => {}
+        }
+        self.end_queue.mark_changed(id);
+        self.replan = true;
+    }
+}
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -2,6 +2,8 @@
 //!
 //! The protocol's words for a job's state stand here alone: `uid`, `stance`.
 
+pub mod submission;
+
 use crate::job_shard::JobOutcome;
 use serde_json::{Value, json};
 
