--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -6,7 +6,7 @@
 use super::http_api;
 use super::inbox::{Inbound, Inbox};
 use super::outbound::Outbound;
-use crate::controller::{Controller, Effect, Event};
+use crate::controller::{Controller, Effect, Event, StoreLane};
 use crate::peer::Reply;
 use crate::units::Micros;
 use std::collections::HashMap;
@@ -94,12 +94,14 @@
         for effect in effects.drain(..) {
             let Some(effect) = self.controller.vetted(self.clock(), effect) else { continue };
             match effect {
-                Effect::Reply(id, reply) => self.respond(id, reply),
-                Effect::Send(member, frame) => self.outbound.send_frame(member, frame),
-                Effect::Store(id, request, ring) => self.outbound.call_store(id, request, ring),
+                Effect::Reply { ticket: id, reply } => self.respond(id, reply),
+                Effect::Send { to: member, frame } => self.outbound.send_frame(member, frame),
+                Effect::Store { id, request, lane } => {
+                    self.outbound.call_store(id, request, lane == StoreLane::Membership)
+                }
                 Effect::Cloud(request) => self.outbound.call_cloud(request),
                 Effect::Probe(addresses) => self.outbound.probe_any(addresses),
-                Effect::Greet(epoch, probes) => self.outbound.send_fencing_probes(epoch, probes),
+                Effect::FencingProbe { epoch, probes } => self.outbound.send_fencing_probes(epoch, probes),
             }
         }
         self.effects = effects;
--- a/src/server/http_api.rs
+++ b/src/server/http_api.rs
@@ -95,7 +95,7 @@
 }
 
 fn user_request(request_id: u64, request: UserRequest) -> Dispatch {
-    Dispatch::Event(Event::User(request_id, request))
+    Dispatch::Event(Event::User { ticket: request_id, request })
 }
 
 /// `POST /hello`.
@@ -105,7 +105,7 @@
         Err(reply) => return Dispatch::Reply(reply),
     };
     match serde_json::from_str::<Heartbeat>(&body) {
-        Ok(heartbeat) => Dispatch::Event(Event::Heartbeat(request_id, heartbeat)),
+        Ok(heartbeat) => Dispatch::Event(Event::Heartbeat { ticket: request_id, heartbeat }),
         Err(e) => {
             tracing::error!(reason = %e, "malformed heartbeat");
             Dispatch::Reply(Reply::error(400, &e.to_string()))
@@ -141,7 +141,7 @@
         return user_request(request_id, UserRequest::Why(id.into()));
     }
     match operator_api::parse(method, url, read_body) {
-        Ok(request) => Dispatch::Event(Event::Operator(request_id, request)),
+        Ok(request) => Dispatch::Event(Event::Operator { ticket: request_id, request }),
         Err(reply) => Dispatch::Reply(reply),
     }
 }
--- a/src/server/inbox.rs
+++ b/src/server/inbox.rs
@@ -76,7 +76,7 @@
     /// Queues a request, heartbeats behind all others.
     #[must_use]
     pub(super) fn send_request(&self, id: u64, request: tiny_http::Request, event: Event) -> Admission {
-        let queue = if matches!(event, Event::Heartbeat(..)) { &self.ordinary } else { &self.urgent };
+        let queue = if matches!(event, Event::Heartbeat { .. }) { &self.ordinary } else { &self.urgent };
         if queue.len() >= REQUEST_LIMIT {
             return Admission::Overloaded(request);
         }
--- a/src/server/outbound.rs
+++ b/src/server/outbound.rs
@@ -135,7 +135,7 @@
     let client = StoreClient::new(address, STORE_TIMEOUT);
     while let Ok(StoreCall { id, request }) = calls.recv() {
         let answer = client.call(&request);
-        if inbox.send_urgent(Event::Store(id, answer)).is_err() {
+        if inbox.send_urgent(Event::Store { id, answer }).is_err() {
             return;
         }
     }
@@ -151,7 +151,7 @@
         let client = CloudClient::new(address);
         while let Ok(request) = requests.recv() {
             let answer = client.call(&request);
-            if inbox.send(Event::Cloud(request, answer)).is_err() {
+            if inbox.send(Event::Cloud { request, answer }).is_err() {
                 return;
             }
         }
@@ -194,7 +194,7 @@
             continue;
         }
         if let Some(heartbeat) = worker_probe::send_fencing_token(&agent, epoch, &probe)
-            && inbox.send(Event::Greeted(heartbeat)).is_err()
+            && inbox.send(Event::FencingProbeAnswered(heartbeat)).is_err()
         {
             return;
         }
