--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -8,7 +8,7 @@
 use crate::machine_view::MachineSnapshot;
 use crate::peer::{Demand, InventoryState};
 use crate::spec::{MachineType, Types};
-use crate::state_store::{RateLimiter, call};
+use crate::state_store::{RateLimiter, http_exchange};
 use crate::units::{Micros, Resources};
 use serde::Deserialize;
 use serde_json::json;
@@ -131,8 +131,8 @@
     /// Carries out a request.
     pub fn call(&self, r: &CloudRequest) -> CloudAnswer {
         let base = &self.base;
-        let get = |url: String| call(&self.agent, "GET", &url, None);
-        let post = |url: String, body| call(&self.agent, "POST", &url, Some(body));
+        let get = |url: String| http_exchange(&self.agent, "GET", &url, None);
+        let post = |url: String, body| http_exchange(&self.agent, "POST", &url, Some(body));
         match r {
             CloudRequest::Types => {
                 read(get(format!("{base}/flavors")), |t: TypeList| CloudAnswer::Types(t.types))
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -73,7 +73,8 @@
     let mut last = Failed(1, "no controller is named".into());
     for addr in &asked.controller {
         let url = format!("http://{addr}{path}");
-        let Some((status, text)) = crate::state_store::call(&agent, method, &url, body.map(Value::to_string))
+        let Some((status, text)) =
+            crate::state_store::http_exchange(&agent, method, &url, body.map(Value::to_string))
         else {
             last = Failed(1, format!("{addr} does not answer"));
             continue;
--- a/src/server/http_api.rs
+++ b/src/server/http_api.rs
@@ -121,7 +121,7 @@
 /// Whether a worker at this address answers.
 pub fn reachable(addr: &str) -> bool {
     let agent = ureq::AgentBuilder::new().timeout(std::time::Duration::from_secs(1)).redirects(0).build();
-    crate::state_store::call(&agent, "GET", &format!("http://{addr}/inspect"), None)
+    crate::state_store::http_exchange(&agent, "GET", &format!("http://{addr}/inspect"), None)
         .is_some_and(|(s, _)| s == 200)
 }
 
@@ -143,7 +143,7 @@
     for _ in 0..2 {
         let body = serde_json::json!({"rein": epoch, "ride": session, "calls": []}).to_string();
         let (_, text) =
-            crate::state_store::call(agent, "POST", &format!("http://{}/do", g.addr), Some(body))?;
+            crate::state_store::http_exchange(agent, "POST", &format!("http://{}/do", g.addr), Some(body))?;
         let r: Heartbeat = serde_json::from_str(&text).ok()?;
         if r.token >= epoch || r.session == session {
             return Some(r);
