--- a/src/controller.rs
+++ b/src/controller.rs
@@ -27,7 +27,7 @@
 pub use self::handoff::LEAVING;
 use self::release::Releases;
 use self::start_replica::StartReplica;
-use crate::autoscaler::{Autoscaler, CloudAnswer, CloudRequest};
+use crate::autoscaler::{Autoscaler, CloudAnswer, CloudRequest, FleetView};
 use crate::config::settings::Settings;
 use crate::job_shard::{JobOutcome, JobShard, RecordWrite};
 use crate::machine_registry::{self, MachineRegistry, PageWrite};
@@ -382,8 +382,8 @@
                 }
             }
             Event::Cloud(r, a) => {
-                let before = (r == CloudRequest::Types).then(|| self.autoscaler.types.clone());
-                self.autoscaler.answer(now, &r, a);
+                let before = (r == CloudRequest::MachineTypes).then(|| self.autoscaler.types.clone());
+                self.autoscaler.apply_answer(now, &r, a);
                 if before.is_some_and(|t| t != self.autoscaler.types) {
                     self.machine_shard.touch_all();
                 }
@@ -420,8 +420,8 @@
             Effect::Reply(t, r) if (200..300).contains(&r.status) => {
                 Some(Effect::Reply(t, Reply::later("not entitled to act any more")))
             }
-            Effect::Cloud(r @ (CloudRequest::Rent(_) | CloudRequest::Return(_))) => {
-                self.autoscaler.answer(now, &r, CloudAnswer::Failed);
+            Effect::Cloud(r @ (CloudRequest::ScaleOut(_) | CloudRequest::ScaleIn(_))) => {
+                self.autoscaler.apply_answer(now, &r, CloudAnswer::Failed);
                 None
             }
             other => Some(other),
@@ -459,18 +459,21 @@
             self.team_loop(now, out);
             self.loan_loop(now, out);
             self.record_loop(now, out);
-            if self.autoscaler.due(now) {
+            if self.autoscaler.is_due(now) {
                 let decider = self.membership.decider() == Some(self.settings.me);
-                let heard = self.job_shard.all_homes_heard(&self.membership);
                 let machines: Vec<_> =
                     self.job_shard.machines(self.membership.epoch).filter(|_| decider).collect();
-                let rebuilt = self.job_shard.rebuilt();
-                let r =
-                    self.autoscaler.next(now, decider, &machines, heard, rebuilt, &self.membership.members);
-                out.extend(r.map(Effect::Cloud));
+                let fleet = decider.then(|| FleetView {
+                    machines: &machines,
+                    all_reported: self.job_shard.all_homes_heard(&self.membership),
+                    rebuilt: self.job_shard.rebuilt(),
+                    members: &self.membership.members,
+                });
+                let request = self.autoscaler.next_request(now, fleet);
+                out.extend(request.map(Effect::Cloud));
             }
         } else if self.autoscaler.types.is_empty()
-            && let Some(r) = self.autoscaler.next(now, false, &[], false, false, &[])
+            && let Some(r) = self.autoscaler.next_request(now, None)
         {
             out.push(Effect::Cloud(r));
         }
@@ -525,7 +528,7 @@
             "pacts": self.pact_status(),
             "batches": self.batch_status(),
             "suspected": {"jobs": bad_jobs, "machines": bad_machines},
-            "overdue": self.autoscaler.overdue,
+            "overdue": self.autoscaler.overdue(),
             "teams": teams,
             "store": {"requests_left": self.requests.level(now), "writes_left": self.writes.level(now), "in_flight": self.in_flight.len()},
         });
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -35,7 +35,7 @@
                 } else if !self.machine_shard.may_wait(
                     now,
                     &r.machine,
-                    |k| fleet.room(k),
+                    |k| fleet.resources_of(k),
                     |k| w.may_go(m, o, k, &r.machine),
                 ) {
                     return Some(self.orders(&r.machine));
@@ -108,7 +108,7 @@
             let go = |k: &TaskKey| w.may_go(m, o, k, &name);
             if self.held.contains_key(&name)
                 && self.machine_shard.in_reach(now, &name)
-                && !self.machine_shard.may_wait(now, &name, |k| fleet.room(k), go)
+                && !self.machine_shard.may_wait(now, &name, |k| fleet.resources_of(k), go)
             {
                 due.push(name);
             }
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -77,7 +77,8 @@
         match f.body {
             Message::State(wishes, digest) if same => {
                 let fleet = &self.autoscaler;
-                if self.machine_shard.wanted(now, from, &wishes, &self.membership, |k| fleet.room(k)) {
+                if self.machine_shard.wanted(now, from, &wishes, &self.membership, |k| fleet.resources_of(k))
+                {
                     self.machine_shard.said(from, echo, f.digest_seen);
                 }
                 self.owe_ack[from] |= self.job_shard.digest(now, &self.membership, from, digest);
@@ -86,7 +87,7 @@
                     self.acked[from] = self.job_shard.digest_seen(from, self.membership.epoch);
                 }
             }
-            Message::Demands(d) if same => self.autoscaler.demand(now, from, d),
+            Message::Demands(d) if same => self.autoscaler.record_demand(now, from, d),
             Message::Reserve(list) if same && from != self.settings.me => {
                 self.job_shard.others_reserve(now, from, list);
             }
@@ -177,7 +178,7 @@
             };
             let fleet = &self.autoscaler;
             let digest =
-                self.machine_shard.digest(now, &self.membership, p, self.acked[p], |k| fleet.room(k));
+                self.machine_shard.digest(now, &self.membership, p, self.acked[p], |k| fleet.resources_of(k));
             let f = self.envelope(now, p, Message::State(wishes, digest));
             if p == self.settings.me { own.push(f) } else { out.push(Effect::Send(p, f)) }
         }
@@ -204,12 +205,12 @@
                 } else {
                     out.push(Effect::Send(d, f))
                 }
-                if d == self.settings.me && self.autoscaler.steers {
+                if d == self.settings.me && self.autoscaler.can_publish() {
                     for p in 0..n {
-                        let drain = self.autoscaler.drain.iter().cloned().collect();
-                        let kept = self.autoscaler.kept.clone();
-                        let gone = self.autoscaler.gone();
-                        let kept_machines = self.autoscaler.reserve.clone().into_iter().collect();
+                        let drain = self.autoscaler.draining();
+                        let kept = self.autoscaler.reserved_classes();
+                        let gone = self.autoscaler.removed();
+                        let kept_machines = self.autoscaler.reserved_machines();
                         let f =
                             self.envelope(now, p, Message::ScalingPlan { drain, gone, kept, kept_machines });
                         if p == self.settings.me { own.push(f) } else { out.push(Effect::Send(p, f)) }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -582,10 +582,12 @@
         let kind = json!({"sku":"k8","vcpus":8,"cards":0,"ramGb":64,"cacheGb":10,"fetchGbPerS":1,"rate":1.0,
             "lowPrice":0.5,"startupS":5,"paddocks":["z"]});
         match request {
-            CloudRequest::Types => CloudAnswer::Types(vec![serde_json::from_value(kind).expect("a type")]),
+            CloudRequest::MachineTypes => {
+                CloudAnswer::MachineTypes(vec![serde_json::from_value(kind).expect("a type")])
+            }
             CloudRequest::List(_) => CloudAnswer::Page(Vec::new(), false),
-            CloudRequest::Rent(_) => CloudAnswer::NoCapacity,
-            CloudRequest::Return(_) => CloudAnswer::Failed,
+            CloudRequest::ScaleOut(_) => CloudAnswer::NoCapacity,
+            CloudRequest::ScaleIn(_) => CloudAnswer::Failed,
         }
     }
 
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -89,11 +89,11 @@
     ]);
     let c = CloudClient::new(addr);
     let rental = ScaleOut { name: "r-17".into(), kind: "g8".into(), zone: "a".into(), spot: true, count: 12 };
-    let rent = CloudRequest::Rent(rental);
-    assert_eq!(c.call(&rent), CloudAnswer::Rented(vec!["i-000231".into()]));
+    let rent = CloudRequest::ScaleOut(rental);
+    assert_eq!(c.call(&rent), CloudAnswer::ScaledOut(vec!["i-000231".into()]));
     assert_eq!(c.call(&rent), CloudAnswer::NoCapacity);
     assert_eq!(c.call(&rent), CloudAnswer::Failed);
-    assert_eq!(c.call(&CloudRequest::Return(vec!["i-000231".into()])), CloudAnswer::Returned);
+    assert_eq!(c.call(&CloudRequest::ScaleIn(vec!["i-000231".into()])), CloudAnswer::ScaledIn);
     let asked = asked.join().expect("the stand-in ended well");
     let expected = json!({"hire": "r-17", "stallKind": "g8", "paddock": "a", "borrowed": true, "count": 12});
     assert_eq!(asked[0], ("POST".into(), "/rentals".into(), expected));
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -96,7 +96,7 @@
         other => panic!("{other:?}"),
     };
     let answer = |code| Effect::Reply(7, Reply::json(code, &serde_json::json!({"rein": EPOCH, "calls": []})));
-    let give_back = || Effect::Cloud(CloudRequest::Return(vec!["i-1".into()]));
+    let give_back = || Effect::Cloud(CloudRequest::ScaleIn(vec!["i-1".into()]));
     assert_eq!(status(node.vetted(at(2), answer(200))), Some((200, None)));
     assert!(node.vetted(at(2), give_back()).is_some());
     // A lease of six seconds has run out; nothing has happened in between.
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -2,7 +2,7 @@
 //! workers, the cloud and the state service are stand-ins that never fail; a digest or a wish of another controller
 //! takes a step or two. Seeds alone decide what is asked.
 
-use hazelsaddle::autoscaler::{Autoscaler, CloudAnswer, CloudRequest, Listed};
+use hazelsaddle::autoscaler::{Autoscaler, CloudAnswer, CloudMachine, CloudRequest, FleetView};
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::{JobShard, RecordWrite};
 use hazelsaddle::machine_view::MachineSnapshot;
@@ -260,7 +260,7 @@
                 self.owners[j].others_reserve(now, i, list.clone());
             }
             let d = self.owners[i].demands();
-            self.autoscaler.demand(now, i, d);
+            self.autoscaler.record_demand(now, i, d);
         }
         let digests = self
             .machines
@@ -270,17 +270,18 @@
         let seen: Vec<MachineSnapshot> = digests.collect();
         let all: Vec<&MachineSnapshot> = seen.iter().collect();
         for _ in 0..4 {
-            let Some(r) = self.autoscaler.next(now, true, &all, true, true, &[0, 1, 2]) else { break };
+            let fleet = FleetView { machines: &all, all_reported: true, rebuilt: true, members: &[0, 1, 2] };
+            let Some(r) = self.autoscaler.next_request(now, Some(fleet)) else { break };
             let answer = match &r {
-                CloudRequest::Types => CloudAnswer::Types(self.types.clone()),
-                CloudRequest::List(_) => CloudAnswer::Page(Vec::<Listed>::new(), false),
-                CloudRequest::Rent(_) => CloudAnswer::NoCapacity,
-                CloudRequest::Return(_) => CloudAnswer::Failed,
+                CloudRequest::MachineTypes => CloudAnswer::MachineTypes(self.types.clone()),
+                CloudRequest::List(_) => CloudAnswer::Page(Vec::<CloudMachine>::new(), false),
+                CloudRequest::ScaleOut(_) => CloudAnswer::NoCapacity,
+                CloudRequest::ScaleIn(_) => CloudAnswer::Failed,
             };
-            self.autoscaler.answer(now, &r, answer);
+            self.autoscaler.apply_answer(now, &r, answer);
         }
         for o in &mut self.owners {
-            o.keep(self.autoscaler.kept.clone(), self.autoscaler.reserve.clone().into_iter().collect());
+            o.keep(self.autoscaler.reserved_classes(), self.autoscaler.reserved_machines());
         }
     }
 
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -426,7 +426,13 @@
     };
     let rent = |count, spot| {
         let (name, kind, zone) = ("r".into(), "large".into(), "a".into());
-        Effect::Cloud(CloudRequest::Rent(hazelsaddle::autoscaler::ScaleOut { name, kind, zone, spot, count }))
+        Effect::Cloud(CloudRequest::ScaleOut(hazelsaddle::autoscaler::ScaleOut {
+            name,
+            kind,
+            zone,
+            spot,
+            count,
+        }))
     };
     let all = [
         Effect::Reply(1, Reply::error(503, "later")),
@@ -451,14 +457,14 @@
         commit(Transaction { conditions: vec![("a".into(), 1)], ..Transaction::default() }),
         commit(Transaction { conditions: vec![("a".into(), 2)], ..Transaction::default() }),
         commit(Transaction { drops: vec!["a".into()], ..Transaction::default() }),
-        Effect::Cloud(CloudRequest::Types),
+        Effect::Cloud(CloudRequest::MachineTypes),
         Effect::Cloud(CloudRequest::List(String::new())),
         Effect::Cloud(CloudRequest::List("a".into())),
         rent(1, false),
         rent(1, true),
         rent(2, false),
-        Effect::Cloud(CloudRequest::Return(vec!["a".into()])),
-        Effect::Cloud(CloudRequest::Return(vec!["a".into(), "b".into()])),
+        Effect::Cloud(CloudRequest::ScaleIn(vec!["a".into()])),
+        Effect::Cloud(CloudRequest::ScaleIn(vec!["a".into(), "b".into()])),
         Effect::Probe(vec!["ab".into()]),
         Effect::Probe(vec!["a".into(), "b".into()]),
         greet(1, "a", 1),
--- a/tests/world/lost.rs
+++ b/tests/world/lost.rs
@@ -414,7 +414,7 @@
     /// The cloud's answer to a rental may be lost although it was carried out.
     pub(crate) fn rental_answer(&mut self, r: &CloudRequest, a: CloudAnswer) -> CloudAnswer {
         let (share, until) = self.lost.rentals;
-        let rented = matches!((r, &a), (CloudRequest::Rent(_), CloudAnswer::Rented(_)));
+        let rented = matches!((r, &a), (CloudRequest::ScaleOut(_), CloudAnswer::ScaledOut(_)));
         if !rented || self.now >= until || !self.rng.random_bool(share) {
             return a;
         }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -1,7 +1,7 @@
 //! A simulated world (store, cloud, workers, users, a network that loses, delays and holds back)
 //! that drives the controllers' own code with seeded troubles and checks the rules after each step.
 
-use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest, Listed};
+use hazelsaddle::autoscaler::{CloudAnswer, CloudMachine, CloudRequest};
 use hazelsaddle::config::operators::Operators;
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::controller::{Controller, Effect, Event};
--- a/tests/world/outside.rs
+++ b/tests/world/outside.rs
@@ -115,9 +115,9 @@
 
     pub(crate) fn cloud(&mut self, r: &CloudRequest) -> CloudAnswer {
         match r {
-            CloudRequest::Types => CloudAnswer::Types(types(self.shape)),
+            CloudRequest::MachineTypes => CloudAnswer::MachineTypes(types(self.shape)),
             CloudRequest::List(after) => {
-                let listed = |w: &Worker| Listed {
+                let listed = |w: &Worker| CloudMachine {
                     name: w.name.clone(),
                     kind: w.kind.clone(),
                     zone: w.zone.clone(),
@@ -136,9 +136,9 @@
                 let old = |w: &&Worker| !w.gone && w.name > *after && w.rented + 8 * S <= self.now;
                 CloudAnswer::Page(self.workers.iter().filter(old).map(listed).collect(), false)
             }
-            CloudRequest::Rent(r) => {
+            CloudRequest::ScaleOut(r) => {
                 if let Some(names) = self.rentals.get(&r.name) {
-                    return CloudAnswer::Rented(names.clone());
+                    return CloudAnswer::ScaledOut(names.clone());
                 }
                 let here = self.workers.iter().filter(|w| !w.gone && w.zone == r.zone).count();
                 let spots = self.workers.iter().filter(|w| !w.gone && w.zone == r.zone && w.spot).count();
@@ -163,14 +163,14 @@
                     })
                     .collect();
                 self.rentals.insert(r.name.clone(), names.clone());
-                CloudAnswer::Rented(names)
+                CloudAnswer::ScaledOut(names)
             }
-            CloudRequest::Return(names) => {
+            CloudRequest::ScaleIn(names) => {
                 for w in self.workers.iter_mut().filter(|w| names.contains(&w.name)) {
                     w.gone = true;
                     w.tasks.clear();
                 }
-                CloudAnswer::Returned
+                CloudAnswer::ScaledIn
             }
         }
     }
--- a/tests/world/trace.rs
+++ b/tests/world/trace.rs
@@ -114,14 +114,14 @@
 /// A request to the cloud: method, path and body as its client sends them.
 fn cloud_request(request: &CloudRequest) -> String {
     match request {
-        CloudRequest::Types => "GET /flavors\n".into(),
+        CloudRequest::MachineTypes => "GET /flavors\n".into(),
         CloudRequest::List(after) if after.is_empty() => "GET /rentals?limit=500\n".into(),
         CloudRequest::List(after) => format!("GET /rentals?after={after}&limit=500\n"),
-        CloudRequest::Rent(ScaleOut { name, kind, zone, spot, count }) => {
+        CloudRequest::ScaleOut(ScaleOut { name, kind, zone, spot, count }) => {
             let body =
                 json!({"hire": name, "stallKind": kind, "paddock": zone, "borrowed": spot, "count": count});
             format!("POST /rentals\n{body}")
         }
-        CloudRequest::Return(names) => format!("POST /rentals/return\n{}", json!({ "stalls": names })),
+        CloudRequest::ScaleIn(names) => format!("POST /rentals/return\n{}", json!({ "stalls": names })),
     }
 }
