--- a/src/controller.rs
+++ b/src/controller.rs
@@ -35,7 +35,7 @@
 use crate::membership::step_down::{MisroutedHeartbeats, StepDown};
 use crate::membership::{EpochRecord, Membership};
 use crate::peer::{DesiredState, Frame, Message, Reply, UserRequest};
-use crate::quota::{AllocationWrite, QuotaLedger};
+use crate::quota::{AllocationInput, AllocationWrite, QuotaLedger};
 use crate::spec::{JobKind, JobSpec};
 use crate::state_store::{KeyValue, RateLimiter, StoreAnswer, StoreRequest, Transaction};
 use crate::units::{Micros, Ranges};
@@ -508,8 +508,8 @@
         let oldest: Vec<Value> = waiting.iter().take(SHOWN).map(shown).collect();
         let teams: BTreeMap<&str, Value> = self
             .quota
-            .list()
-            .map(|(n, g, used)| (n, json!({"guaranteed_cpus": g.cpus as f64 / 1000.0, "claimed_cpus": used.cpus as f64 / 1000.0})))
+            .usage()
+            .map(|team| (team.team, json!({"guaranteed_cpus": team.guarantee.cpus as f64 / 1000.0, "claimed_cpus": team.allocated.cpus as f64 / 1000.0})))
             .collect();
         let mut status = json!({
             "member": self.settings.member,
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -283,8 +283,8 @@
         self.loans_anew();
         // All records are read again, by everybody.
         self.standing_in.clear();
-        self.quota.unread();
-        self.machine_registry.unread();
+        self.quota.begin_epoch();
+        self.machine_registry.begin_epoch();
         self.acked.fill(0);
         self.sent_seq.fill(0);
         self.release_held(now, out);
--- a/src/controller/state_store_io.rs
+++ b/src/controller/state_store_io.rs
@@ -54,11 +54,11 @@
                     self.take_job_row(row);
                 }
                 Load::Machines => {
-                    let Some(list) = machine_registry::read(&row.value) else {
+                    let Ok(list) = machine_registry::read_page(&row.value) else {
                         tracing::error!(key = %row.key, "unreadable page of machines");
                         continue;
                     };
-                    self.machine_registry.take(&row.key, &list, row.store_version);
+                    self.machine_registry.apply_page(&row.key, &list, row.store_version);
                     for (name, r) in list {
                         if self.membership.machine_leader(&name) == Some(self.settings.me) {
                             self.machine_shard.recorded(now, &name, r);
@@ -68,7 +68,7 @@
                 }
                 Load::QuotaLedger => {
                     if let Some(team) = row.key.strip_prefix("team/") {
-                        self.quota.take(team, Some((&row.value, row.store_version)));
+                        self.quota.apply_record(team, Some((&row.value, row.store_version)));
                     }
                 }
                 _ => self.unwitnessed_on_record(&row),
@@ -240,24 +240,24 @@
             },
             PendingStoreRequest::MachineRegistry(epoch, w) if epoch == self.membership.epoch => match a {
                 StoreAnswer::Committed(store_version) => {
-                    self.machine_registry.written(&w, store_version);
+                    self.machine_registry.commit_write(&w, store_version);
                     for n in &w.names {
                         self.machine_shard.on_record(n);
                     }
                 }
-                a => self.machine_registry.failed(w.page, a == StoreAnswer::Refused),
+                a => self.machine_registry.fail_write(w.page, a == StoreAnswer::Refused),
             },
             PendingStoreRequest::ReadPage(epoch, page) if epoch == self.membership.epoch => {
                 let read = match &a {
                     StoreAnswer::Got(None) => Some((0, Vec::new())),
                     StoreAnswer::Got(Some(row)) => {
-                        Some((row.store_version, machine_registry::read(&row.value).unwrap_or_default()))
+                        Some((row.store_version, machine_registry::read_page(&row.value).unwrap_or_default()))
                     }
                     _ => None,
                 };
                 let read = read.as_ref().map(|(store_version, rows)| (*store_version, rows.as_slice()));
                 // Guards against machines that get no work for as long as no write of their page is answered.
-                for n in self.machine_registry.read_back(page, read) {
+                for n in self.machine_registry.apply_read_back(page, read) {
                     self.machine_shard.on_record(&n);
                 }
             }
@@ -265,17 +265,17 @@
             PendingStoreRequest::MachineRegistry(..) | PendingStoreRequest::ReadPage(..) => {}
             PendingStoreRequest::Claim(w) => match a {
                 StoreAnswer::Committed(store_version) => {
-                    self.quota.committed(w, store_version);
+                    self.quota.commit_write(w, store_version);
                     self.job_shard.replan = true;
                 }
-                StoreAnswer::Conflict(_) | StoreAnswer::Refused => self.quota.failed(&w, true),
-                _ => self.quota.failed(&w, false),
+                StoreAnswer::Conflict(_) | StoreAnswer::Refused => self.quota.fail_write(&w, true),
+                _ => self.quota.fail_write(&w, false),
             },
             PendingStoreRequest::ReadTeam(team) => match a {
                 StoreAnswer::Got(row) => {
-                    self.quota.take(&team, row.as_ref().map(|r| (&r.value, r.store_version)))
+                    self.quota.apply_record(&team, row.as_ref().map(|r| (&r.value, r.store_version)))
                 }
-                _ => self.quota.reread(&team),
+                _ => self.quota.require_read(&team),
             },
         }
     }
@@ -310,7 +310,7 @@
         }
         self.next_team_plan = now + Micros::from_millis(100);
         let needs = self.job_shard.needs(&self.quota);
-        for team in self.quota.reads(now, &needs) {
+        for team in self.quota.next_reads(now, &needs) {
             self.ask_store(
                 PendingStoreRequest::ReadTeam(team.clone()),
                 StoreRequest::Get(format!("team/{team}")),
@@ -318,25 +318,25 @@
             );
         }
         let none = Vec::new();
-        for team in self.quota.names() {
+        for team in self.quota.team_names() {
             let m = &self.membership;
             let me = self.settings.me;
             let list = needs.get(&team).unwrap_or(&none);
-            let w = self.quota.plan(
-                now,
-                &team,
-                list,
-                |j| m.job_leader(j) == Some(me),
-                |j| self.job_shard.released(j),
-                self.settings.value_bytes,
-            );
+            let input = AllocationInput {
+                team: &team,
+                needs: list,
+                is_ours: &|job| m.job_leader(job) == Some(me),
+                is_released: &|job| self.job_shard.released(job),
+                value_bytes: self.settings.value_bytes,
+            };
+            let w = self.quota.next_write(now, &input);
             let Some(w) = w else { continue };
             if !self.writes.take(now, 1.0, 0.5) {
                 break;
             }
-            self.quota.sent(now, &w);
+            self.quota.begin_write(now, &w);
             let c = Transaction {
-                conditions: vec![self.fence(), (format!("team/{team}"), w.store_version)],
+                conditions: vec![self.fence(), (format!("team/{team}"), w.base_version)],
                 puts: vec![(format!("team/{team}"), w.value.clone(), None)],
                 drops: Vec::new(),
             };
@@ -376,12 +376,12 @@
     /// Keeps our pages of the roll of machines.
     pub(super) fn roll_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for (name, r) in self.machine_shard.to_record() {
-            self.machine_registry.add(&name, &r);
+            self.machine_registry.register(&name, &r);
         }
         if now >= self.next_prune {
             self.next_prune = now + Micros::from_millis(5000);
             let (home, owner, m) = (&self.machine_shard, &self.job_shard, &self.membership);
-            self.machine_registry.prune(|n| match home.is_gone(n) {
+            self.machine_registry.remove_gone(|n| match home.is_gone(n) {
                 Some(gone) => gone,
                 None => m.machine_leader(n) != Some(m.me) && owner.gone(n, m),
             });
@@ -397,7 +397,7 @@
             let Some(w) = self.machine_registry.next_write(spare) else { break };
             self.writes.take(now, 1.0, 0.0);
             let mut c = Transaction {
-                conditions: vec![self.fence(), (w.key.clone(), w.store_version)],
+                conditions: vec![self.fence(), (w.key.clone(), w.base_version)],
                 ..Transaction::default()
             };
             match &w.value {
--- a/src/job_shard.rs
+++ b/src/job_shard.rs
@@ -453,7 +453,7 @@
             footing: if self.guaranteed.contains_key(&spec.team) {
                 QuotaTier::Unknown
             } else {
-                QuotaTier::Unpromised
+                QuotaTier::NoGuarantee
             },
             spec,
             raw,
--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -202,7 +202,7 @@
         let Some(terms) = &self.loans.terms else { return out };
         for (id, j) in &self.jobs {
             // Work within its team's guarantee, or of which that is not known, is never offered.
-            let lent = matches!(j.footing, QuotaTier::Beyond | QuotaTier::Unpromised);
+            let lent = matches!(j.footing, QuotaTier::Beyond | QuotaTier::NoGuarantee);
             if !lent || j.spec.room.gpus <= 0 || j.ending.is_some() || j.placed.is_empty() {
                 continue;
             }
@@ -259,7 +259,7 @@
             if self.blame.suspected(id) || self.blame.waits(now, id) || now < j.not_before {
                 continue;
             }
-            let claimed = teams.claim(&j.spec.team, id) - self.in_use(id, j);
+            let claimed = teams.usable(&j.spec.team, id) - self.in_use(id, j);
             let may =
                 Resources { memory: i64::MAX / 4, ..claimed }.count_of(j.spec.room).clamp(0, 10_000) as u32;
             let missing = (j.spec.tasks - j.placed.len() as u32).min(may);
@@ -373,7 +373,7 @@
     fn give(&mut self, l: &Loan) {
         let Some(j) = self.jobs.get_mut(&l.from) else { return };
         // Guards work that has come to lie within its guarantee since it was offered.
-        if !matches!(j.footing, QuotaTier::Beyond | QuotaTier::Unpromised) || j.ending.is_some() {
+        if !matches!(j.footing, QuotaTier::Beyond | QuotaTier::NoGuarantee) || j.ending.is_some() {
             return;
         }
         let grace = if j.spec.checkpoint.0 > 0 { j.spec.save } else { Micros(0) };
@@ -455,7 +455,7 @@
         if lacks.is_empty() {
             return Vec::new();
         }
-        let (used, guarantee) = (teams.used(team).gpus, self.guaranteed.get(team).map_or(0, |g| g.gpus));
+        let (used, guarantee) = (teams.allocated(team).gpus, self.guaranteed.get(team).map_or(0, |g| g.gpus));
         let stands = |job: &str, machine: &str| match self
             .jobs
             .get(job)
--- a/src/job_shard/preemption.rs
+++ b/src/job_shard/preemption.rs
@@ -36,7 +36,7 @@
 /// How long work within a guarantee waits before it asks for room: not at all where some work has no guarantee, else
 /// until what ends by itself would have made room.
 pub(super) fn short_after(teams: &QuotaLedger) -> Micros {
-    let all = teams.names().iter().all(|t| teams.guaranteed(t));
+    let all = teams.team_names().iter().all(|t| teams.has_guarantee(t));
     Micros::from_millis(if all { 5_000 } else { 0 })
 }
 
@@ -64,8 +64,10 @@
             let left = i64::from(j.spec.tasks - j.done.len());
             let need = Resources { memory: 0, ..j.spec.room.times(left) };
             let was =
-                std::mem::replace(&mut j.footing, teams.footing(&j.spec.team, id, j.accepted_wall, need));
-            if tier::shown(j.spec.priority, was) != tier::shown(j.spec.priority, j.footing) {
+                std::mem::replace(&mut j.footing, teams.tier_of(&j.spec.team, id, j.accepted_wall, need));
+            if tier::effective_priority(j.spec.priority, was)
+                != tier::effective_priority(j.spec.priority, j.footing)
+            {
                 for (&idx, p) in &j.placed {
                     touch(&mut self.touched, &p.machine, id, idx, p.attempt);
                 }
@@ -112,7 +114,7 @@
                 // work is stopped, and not at once.
                 let saves = j.spec.checkpoint.0 > 0;
                 if !matches!(p.want, DesiredAction::Stop(_))
-                    && tier::may_stop(j.spec.priority, j.footing, saves, r.priority, stood)
+                    && tier::may_preempt(j.spec.priority, j.footing, saves, r.priority, stood)
                 {
                     ours.push((p.since, id.clone(), *idx));
                 }
--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -100,7 +100,7 @@
             let placed = placed.filter(|(p, _)| p.attempt == key.attempt && p.machine == *machine);
             let (room, want, priority, image) = if let Some((p, (spec, footing))) = placed {
                 p.asked = p.asked.min(rev);
-                (spec.room, p.want, tier::shown(spec.priority, footing), spec.image_hash)
+                (spec.room, p.want, tier::effective_priority(spec.priority, footing), spec.image_hash)
             } else if let Some(l) = self.leftovers.get_mut(&left) {
                 l.asked = l.asked.min(rev);
                 (l.room, l.want, l.priority, 0)
--- a/src/job_shard/reservations.rs
+++ b/src/job_shard/reservations.rs
@@ -157,7 +157,7 @@
         // nowhere and keep all others out. On a large fleet several may, where what is in their way can be stopped,
         // or where they have waited for long: one after the other the last would wait for ever. Machines that
         // nothing less urgent may use anyway don't count.
-        let several = due || j.footing == QuotaTier::Unpromised;
+        let several = due || j.footing == QuotaTier::NoGuarantee;
         let most = || {
             let would_do = places.iter().filter(|p| p.allowed(s)).count();
             if due { would_do / 8 } else { (would_do / 2).min(places.len() / 6) }
@@ -171,7 +171,7 @@
         k.kept += open;
         let mut out = Vec::new();
         if age >= self.patience(s) {
-            let asks = tier::asks(s.priority, j.footing);
+            let asks = tier::preempting_priority(s.priority, j.footing);
             for machine in &names {
                 let r =
                     |priority, evict| Reservation { machine: machine.clone(), priority, need: s.room, evict };
@@ -349,7 +349,7 @@
         let machines: Vec<MachineStatus> = (0..40).map(|i| machine(i, "a", &[(0, 4000)])).collect();
         let keep = |taken: usize| {
             let taken = (0..taken).map(|i| format!("i-{i:02}")).collect();
-            keep_places(&mut places(&machines), &gang(24, 1), QuotaTier::Unpromised, false, &[], &taken).0
+            keep_places(&mut places(&machines), &gang(24, 1), QuotaTier::NoGuarantee, false, &[], &taken).0
         };
         assert_eq!(keep(0).len(), 24);
         assert!(keep(16).iter().all(|n| n.as_str() >= "i-16") && keep(16).len() == 24);
--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -4,7 +4,7 @@
 use super::reservations::FIRST_LOT;
 use super::*;
 use crate::peer::MachineStatus;
-use crate::quota::{Need, QuotaLedger};
+use crate::quota::{QuotaLedger, QuotaNeed};
 use crate::scheduler::placement::{self, ZoneCounts};
 /// Run time after which older tasks begin to count for less.
 pub(super) const RUN_MEMORY: Micros = Micros::from_millis(4_000_000);
@@ -73,11 +73,11 @@
     }
 
     /// What our jobs need of their teams, per team in the order in which they should get it.
-    pub fn needs(&self, teams: &QuotaLedger) -> BTreeMap<String, Vec<Need>> {
-        let mut out: BTreeMap<String, Vec<Need>> = BTreeMap::new();
+    pub fn needs(&self, teams: &QuotaLedger) -> BTreeMap<String, Vec<QuotaNeed>> {
+        let mut out: BTreeMap<String, Vec<QuotaNeed>> = BTreeMap::new();
         for id in self.order() {
             let Some(j) = self.jobs.get(&id) else { continue };
-            if !teams.limited(&j.spec.team) {
+            if !teams.is_limited(&j.spec.team) {
                 continue;
             }
             let mut left = j.spec.tasks.saturating_sub(j.done.len()) as usize;
@@ -96,15 +96,15 @@
             let at = if first { 0 } else { list.len() };
             list.insert(
                 at,
-                Need {
+                QuotaNeed {
                     in_use: self.in_use(&id, j),
-                    one: Resources { memory: 0, ..j.spec.room },
-                    more: match self.blame.suspected(&id) && j.spec.kind == JobKind::Array {
+                    per_task: Resources { memory: 0, ..j.spec.room },
+                    more_tasks: match self.blame.suspected(&id) && j.spec.kind == JobKind::Array {
                         true => i64::from(j.placed.is_empty()),
                         false => left.saturating_sub(j.placed.len()) as i64,
                     },
-                    whole: j.spec.kind != JobKind::Array,
-                    settled: j.settled(),
+                    all_or_nothing: j.spec.kind != JobKind::Array,
+                    is_settled: j.settled(),
                     priority: if first { u8::MAX } else { j.spec.priority },
                     accepted: j.accepted_wall,
                     job: id,
@@ -116,14 +116,14 @@
         // One that waits uses nothing, but an old controller may have claimed room for it: left to it, that
         // would be missing to the very job that it waits for.
         for (id, j) in self.jobs.iter().filter(|(_, j)| (j.ending.is_some() || j.waits()) && j.settled()) {
-            if teams.limited(&j.spec.team) {
-                out.entry(j.spec.team.clone()).or_default().push(Need {
+            if teams.is_limited(&j.spec.team) {
+                out.entry(j.spec.team.clone()).or_default().push(QuotaNeed {
                     job: id.clone(),
-                    one: Resources { memory: 0, ..j.spec.room },
+                    per_task: Resources { memory: 0, ..j.spec.room },
                     in_use: self.in_use(id, j),
-                    more: 0,
-                    whole: true,
-                    settled: true,
+                    more_tasks: 0,
+                    all_or_nothing: true,
+                    is_settled: true,
                     priority: 0,
                     accepted: j.accepted_wall,
                 });
@@ -177,12 +177,12 @@
                 continue;
             }
             let spec = j.spec.clone();
-            let whole = self.horizon(j, teams.guaranteed(&spec.team), Micros(0));
+            let whole = self.horizon(j, teams.has_guarantee(&spec.team), Micros(0));
             self.note_shape(now, &spec, whole);
             let Some(j) = self.jobs.get(&id) else { continue };
             let age = wall.since(j.ready_wall());
             let one = j.spec.room;
-            let claim = teams.claim(&j.spec.team, &id);
+            let claim = teams.usable(&j.spec.team, &id);
             let in_use = self.in_use(&id, j);
             let claim_left = Resources { memory: i64::MAX / 4, ..claim - in_use };
             let mut counts = ZoneCounts::new();
@@ -307,7 +307,7 @@
                     count: unplaced,
                     estimate: likely(&self.ran, s),
                     priority: s.priority,
-                    horizon: self.horizon(j, teams.guaranteed(&s.team), age),
+                    horizon: self.horizon(j, teams.has_guarantee(&s.team), age),
                     together: if s.kind == JobKind::Gang { s.tasks } else { 1 },
                 });
             }
--- a/src/job_shard/unresolved_starts.rs
+++ b/src/job_shard/unresolved_starts.rs
@@ -57,14 +57,14 @@
             // is not.
             let expected = (there * hidden).div_ceil(all.saturating_sub(hidden).max(1));
             let lacking = if gang && there > 0 { 0 } else { lacking.saturating_sub(expected) };
-            let claim = teams.claim(&spec.team, &id) - self.in_use(&id, j);
+            let claim = teams.usable(&spec.team, &id) - self.in_use(&id, j);
             let allowed =
                 Resources { memory: i64::MAX / 4, ..claim }.count_of(spec.room).clamp(0, lacking as i64);
             if allowed == 0 || (gang && allowed < i64::from(spec.tasks)) {
                 continue;
             }
             let age = wall.since(j.ready_wall());
-            let guaranteed = teams.guaranteed(&spec.team);
+            let guaranteed = teams.has_guarantee(&spec.team);
             let (horizon, whole) = (self.horizon(j, guaranteed, age), self.horizon(j, guaranteed, Micros(0)));
             let hopeless = full.iter().any(|f| placement::no_easier(&spec, f));
             let found = match hopeless {
--- a/src/machine_registry.rs
+++ b/src/machine_registry.rs
@@ -1,7 +1,10 @@
-//! The roll of machines: before anything is started on a machine its name is on record, so that
-//! after a takeover it is asked for. Names are kept many to a page, since the state service counts
-//! changes and not bytes: at a change a machine, hundreds of machines would take it half a minute.
-//! Each controller writes pages of its own, and says which of its names may go.
+//! The machine registry: the durable list of machines. Before anything is started on a machine its name is on record, so
+//! that after a failover it is asked for.
+//!
+//! Names are kept many to a page, since the state service counts changes and not bytes: at a change a machine, hundreds
+//! of machines would take half a minute. Each controller owns pages of its own, writes no others, and says which of its
+//! names may go. A page must never be written without its version as a precondition: a write that is applied late would
+//! take away names that a newer one has added.
 
 use crate::machine_shard::MachineRecord;
 use serde_json::{Map, Value, json};
@@ -9,26 +12,63 @@
 
 /// Where pages are kept.
 pub const PREFIX: &str = "mach/";
+/// Bytes of a page without names.
+const EMPTY_PAGE_BYTES: usize = 2;
+/// Bytes between an entry and the next, and between a name and what is known of its machine.
+const SEPARATOR_BYTES: usize = 2;
+/// A page is written to take names off once one in so many of them is gone, if the write budget allows.
+const STALE_FRACTION: usize = 4;
 
+/// A page that is not of the form in which pages are written.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum MalformedPage {
+    /// It is not a map of machines.
+    #[error("the page is not a map of machines")]
+    NotAMap,
+    /// What stands at a name is no machine.
+    #[error("the entry of {0} is not a machine")]
+    Entry(String),
+}
+
+/// What a page waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum PageState {
     Idle,
     Writing,
     /// A write's fate is unknown: the page's version must be read before the next.
-    Lost,
+    Unknown,
     Reading,
 }
 
 #[derive(Debug)]
 struct Page {
-    names: BTreeMap<String, MachineRecord>,
+    machines: BTreeMap<String, MachineRecord>,
     bytes: usize,
-    store_version: u64,
+    version: u64,
     /// It differs from what the store has. Names that may go don't count: they can wait.
-    dirty: bool,
+    is_dirty: bool,
     /// How many names the store's page has that are gone.
     stale: usize,
-    state: State,
+    state: PageState,
+}
+
+impl Page {
+    fn new() -> Page {
+        Page {
+            machines: BTreeMap::new(),
+            bytes: EMPTY_PAGE_BYTES,
+            version: 0,
+            is_dirty: true,
+            stale: 0,
+            state: PageState::Idle,
+        }
+    }
+
+    fn value(&self) -> Option<Value> {
+        let entries: Map<String, Value> =
+            self.machines.iter().map(|(name, machine)| (name.clone(), entry(machine))).collect();
+        (!entries.is_empty()).then_some(Value::Object(entries))
+    }
 }
 
 /// A page to write.
@@ -38,9 +78,8 @@
     pub page: u32,
     /// Its key.
     pub key: String,
-    /// The version it builds on. Without this condition a write that is applied late would take
-    /// away names that a newer one has added.
-    pub store_version: u64,
+    /// The version that it builds on: the precondition of the write.
+    pub base_version: u64,
     /// The page; None if nothing is left on it.
     pub value: Option<Value>,
     /// The names on it.
@@ -50,196 +89,217 @@
 /// This controller's pages.
 pub struct MachineRegistry {
     member: String,
-    limit: usize,
+    value_bytes: usize,
     pages: BTreeMap<u32, Page>,
-    at: BTreeMap<String, u32>,
-}
-
-fn entry(r: &MachineRecord) -> Value {
-    json!([r.kind, r.zone, r.spot, r.addr])
+    /// By machine, the page on which it stands.
+    page_of: BTreeMap<String, u32>,
 }
 
 /// Reads a page: names and what is known of the machines.
-pub fn read(v: &Value) -> Option<Vec<(String, MachineRecord)>> {
-    let row = |(name, v): (&String, &Value)| {
-        let (kind, zone, spot, addr) = serde_json::from_value(v.clone()).ok()?;
-        Some((name.clone(), MachineRecord { kind, zone, spot, addr }))
+///
+/// # Errors
+/// If the value is not a page.
+pub fn read_page(page: &Value) -> Result<Vec<(String, MachineRecord)>, MalformedPage> {
+    let entries = page.as_object().ok_or(MalformedPage::NotAMap)?;
+    let machine = |(name, entry): (&String, &Value)| {
+        let (kind, zone, spot, addr) =
+            serde_json::from_value(entry.clone()).map_err(|_| MalformedPage::Entry(name.clone()))?;
+        Ok((name.clone(), MachineRecord { kind, zone, spot, addr }))
     };
-    v.as_object()?.iter().map(row).collect()
+    entries.iter().map(machine).collect()
 }
 
 impl MachineRegistry {
-    /// No pages yet; a page has at most `limit` bytes.
-    pub fn new(member: &str, limit: usize) -> MachineRegistry {
-        MachineRegistry { member: member.into(), limit, pages: BTreeMap::new(), at: BTreeMap::new() }
+    /// No pages yet; a page has at most `value_bytes`.
+    #[must_use]
+    pub fn new(member: &str, value_bytes: usize) -> MachineRegistry {
+        MachineRegistry {
+            member: member.into(),
+            value_bytes,
+            pages: BTreeMap::new(),
+            page_of: BTreeMap::new(),
+        }
+    }
+
+    /// The number of a page of ours, by its key.
+    fn own_page(&self, key: &str) -> Option<u32> {
+        let (member, number) = key.strip_prefix(PREFIX)?.rsplit_once('/')?;
+        if member == self.member { number.parse().ok() } else { None }
     }
 
-    fn own(&self, key: &str) -> Option<u32> {
-        let (member, page) = key.strip_prefix(PREFIX)?.rsplit_once('/')?;
-        (member == self.member).then(|| page.parse().ok()).flatten()
+    fn key(&self, number: u32) -> String {
+        format!("{PREFIX}{}/{number}", self.member)
     }
 
     /// A new epoch: all pages are read again.
-    pub fn unread(&mut self) {
-        for p in self.pages.values_mut() {
-            p.store_version = 0;
-            p.dirty = true;
-            p.state = State::Idle;
+    pub fn begin_epoch(&mut self) {
+        for page in self.pages.values_mut() {
+            page.version = 0;
+            page.is_dirty = true;
+            page.state = PageState::Idle;
         }
     }
 
-    /// Takes a page as the store has it, if it is ours.
-    pub fn take(&mut self, key: &str, rows: &[(String, MachineRecord)], store_version: u64) {
-        let Some(n) = self.own(key) else { return };
-        for (name, r) in rows {
+    /// Takes a page and its version as the store has it, if it is ours.
+    pub fn apply_page(&mut self, key: &str, machines: &[(String, MachineRecord)], version: u64) {
+        let Some(number) = self.own_page(key) else { return };
+        for (name, machine) in machines {
             // A name stands on one page only.
-            if !self.at.contains_key(name) {
-                self.put(n, name, r);
+            if !self.page_of.contains_key(name) {
+                self.insert(number, name, machine);
             }
         }
-        let Some(p) = self.pages.get_mut(&n) else { return };
-        p.store_version = store_version;
-        p.dirty = p.names.len() != rows.len() || rows.iter().any(|(name, _)| !p.names.contains_key(name));
+        let Some(page) = self.pages.get_mut(&number) else { return };
+        page.version = version;
+        page.is_dirty = page.machines.len() != machines.len()
+            || machines.iter().any(|(name, _)| !page.machines.contains_key(name));
     }
 
-    fn put(&mut self, n: u32, name: &str, r: &MachineRecord) {
-        let p = self.pages.entry(n).or_insert_with(|| Page {
-            names: BTreeMap::new(),
-            bytes: 2,
-            store_version: 0,
-            dirty: true,
-            stale: 0,
-            state: State::Idle,
-        });
-        p.bytes += size(name, r);
-        p.names.insert(name.into(), r.clone());
-        p.dirty = true;
-        self.at.insert(name.into(), n);
-    }
-
-    /// Puts a machine on the roll.
-    pub fn add(&mut self, name: &str, r: &MachineRecord) {
-        // A page from before the limits fell stays as it is until enough of its names are gone: it can't be
-        // written, and what it names is on record. A name of it that must be written goes on another as well.
-        let limit = self.limit;
-        let page = self.at.get(name).and_then(|n| self.pages.get_mut(n));
-        if let Some(p) = page.filter(|p| p.bytes <= limit) {
-            // Its caller doesn't know that it is on record, so it is written again.
-            p.dirty = true;
+    fn insert(&mut self, number: u32, name: &str, machine: &MachineRecord) {
+        let page = self.pages.entry(number).or_insert_with(Page::new);
+        page.bytes += entry_bytes(name, machine);
+        page.machines.insert(name.into(), machine.clone());
+        page.is_dirty = true;
+        self.page_of.insert(name.into(), number);
+    }
+
+    /// Puts a machine on record. One that is there already is written again: the caller doesn't know that it is.
+    pub fn register(&mut self, name: &str, machine: &MachineRecord) {
+        // A page from before the limit on values fell stays as it is until enough of its names are gone: it can't be
+        // written, and what it names is on record. A name of it that must be written goes on another page as well.
+        let value_bytes = self.value_bytes;
+        let page = self.page_of.get(name).and_then(|number| self.pages.get_mut(number));
+        if let Some(page) = page.filter(|page| page.bytes <= value_bytes) {
+            page.is_dirty = true;
             return;
         }
-        // One that is to be written anyway, else the emptiest that is half empty, which takes those that come
-        // next as well: names that fill the gaps of many pages cost a change each, and machines come by the
-        // dozen.
-        let room = |p: &Page| p.bytes + size(name, r) <= if p.dirty { self.limit } else { self.limit / 2 };
-        let free = self.pages.iter().filter(|(_, p)| room(p));
-        let free = free.min_by_key(|(n, p)| (!p.dirty, p.bytes, **n)).map(|(n, _)| *n);
-        let next = || (0..).find(|n| !self.pages.contains_key(n)).unwrap_or(0);
-        self.put(free.unwrap_or_else(next), name, r);
+        let number = self.page_for(entry_bytes(name, machine));
+        self.insert(number, name, machine);
+    }
+
+    /// The page for an entry of this length: one that is to be written anyway, else the emptiest that is half empty,
+    /// which takes those that come next as well, else a new one. Names that fill the gaps of many pages cost a change
+    /// each, and machines come by the dozen.
+    fn page_for(&self, bytes: usize) -> u32 {
+        let has_space = |page: &Page| {
+            page.bytes + bytes <= if page.is_dirty { self.value_bytes } else { self.value_bytes / 2 }
+        };
+        let fitting = self.pages.iter().filter(|(_, page)| has_space(page));
+        let best = fitting.min_by_key(|(number, page)| (!page.is_dirty, page.bytes, **number));
+        let unused = || (0..).find(|number| !self.pages.contains_key(number)).unwrap_or(0);
+        best.map_or_else(unused, |(number, _)| *number)
     }
 
     /// Takes names off that are certainly gone. Their pages are written with the next change.
-    pub fn prune(&mut self, gone: impl Fn(&str) -> bool) {
-        let limit = self.limit;
-        for p in self.pages.values_mut() {
-            let (before, bytes) = (p.names.len(), &mut p.bytes);
-            let too_long = *bytes > limit;
-            p.names.retain(|name, r| {
-                let stays = !gone(name);
+    pub fn remove_gone(&mut self, is_gone: impl Fn(&str) -> bool) {
+        let value_bytes = self.value_bytes;
+        for page in self.pages.values_mut() {
+            let (names_before, bytes) = (page.machines.len(), &mut page.bytes);
+            let was_too_long = *bytes > value_bytes;
+            page.machines.retain(|name, machine| {
+                let stays = !is_gone(name);
                 if !stays {
-                    *bytes -= size(name, r);
+                    *bytes -= entry_bytes(name, machine);
                 }
                 stays
             });
-            p.stale += before - p.names.len();
+            let removed = names_before - page.machines.len();
+            page.stale += removed;
             // An empty page goes at once, and one that fits again is written while it does.
-            p.dirty |= p.names.len() < before && (p.names.is_empty() || (too_long && p.bytes <= limit));
+            let fits_again = was_too_long && page.bytes <= value_bytes;
+            page.is_dirty |= removed > 0 && (page.machines.is_empty() || fits_again);
         }
-        self.at.retain(|name, _| !gone(name));
-    }
-
-    /// The next page to write; with `spare` budget also one that has become empty and may go.
-    pub fn next_write(&mut self, spare: bool) -> Option<PageWrite> {
-        let member = &self.member;
-        let limit = self.limit;
-        // Names that are gone go with the next change; where they make up much of a page, from what is spare.
-        let worn = |p: &Page| spare && p.stale * 4 > p.names.len();
-        let fits = |p: &Page| {
-            (p.dirty || worn(p))
-                && p.state == State::Idle
-                && p.bytes <= limit
-                && (spare || !p.names.is_empty())
+        self.page_of.retain(|name, _| !is_gone(name));
+    }
+
+    /// The next page to write; with `has_spare_budget` also one that has become empty and may go, or many of whose names
+    /// are gone. It counts as under way until `commit_write` or `fail_write`.
+    #[must_use]
+    pub fn next_write(&mut self, has_spare_budget: bool) -> Option<PageWrite> {
+        let value_bytes = self.value_bytes;
+        let is_worn = |page: &Page| has_spare_budget && page.stale * STALE_FRACTION > page.machines.len();
+        let is_due = |page: &Page| {
+            (page.is_dirty || is_worn(page))
+                && page.state == PageState::Idle
+                && page.bytes <= value_bytes
+                && (has_spare_budget || !page.machines.is_empty())
         };
-        let (&n, p) = self.pages.iter_mut().find(|(_, p)| fits(p))?;
-        p.state = State::Writing;
-        p.dirty = false;
-        p.stale = 0;
-        let map: Map<String, Value> = p.names.iter().map(|(n, r)| (n.clone(), entry(r))).collect();
-        Some(PageWrite {
-            page: n,
-            key: format!("{PREFIX}{member}/{n}"),
-            store_version: p.store_version,
-            value: (!map.is_empty()).then_some(Value::Object(map)),
-            names: p.names.keys().cloned().collect(),
-        })
-    }
-
-    /// The next page whose version must be read.
+        let (&number, page) = self.pages.iter_mut().find(|(_, page)| is_due(page))?;
+        page.state = PageState::Writing;
+        page.is_dirty = false;
+        page.stale = 0;
+        let (base_version, value) = (page.version, page.value());
+        let names = page.machines.keys().cloned().collect();
+        Some(PageWrite { page: number, key: self.key(number), base_version, value, names })
+    }
+
+    /// The next page whose version must be read, with its key. It counts as under way until `apply_read_back`.
+    #[must_use]
     pub fn next_read(&mut self) -> Option<(u32, String)> {
-        let (&n, p) = self.pages.iter_mut().find(|(_, p)| p.state == State::Lost)?;
-        p.state = State::Reading;
-        Some((n, format!("{PREFIX}{}/{n}", self.member)))
+        let (&number, page) = self.pages.iter_mut().find(|(_, page)| page.state == PageState::Unknown)?;
+        page.state = PageState::Reading;
+        Some((number, self.key(number)))
     }
 
     /// A write was applied, with the page's new version.
-    pub fn written(&mut self, w: &PageWrite, store_version: u64) {
-        let Some(p) = self.pages.get_mut(&w.page) else { return };
-        p.state = State::Idle;
-        p.store_version = if w.value.is_some() { store_version } else { 0 };
-        if p.names.is_empty() && w.value.is_none() {
-            self.pages.remove(&w.page);
+    pub fn commit_write(&mut self, write: &PageWrite, version: u64) {
+        let Some(page) = self.pages.get_mut(&write.page) else { return };
+        page.state = PageState::Idle;
+        page.version = if write.value.is_some() { version } else { 0 };
+        if page.machines.is_empty() && write.value.is_none() {
+            self.pages.remove(&write.page);
         }
     }
 
-    /// A write had no effect (`certain`), or nobody knows.
-    pub fn failed(&mut self, page: u32, certain: bool) {
-        if let Some(p) = self.pages.get_mut(&page) {
-            p.state = if certain { State::Idle } else { State::Lost };
-            p.dirty = true;
+    /// A write had no effect (`is_certain`), or nobody knows.
+    pub fn fail_write(&mut self, page: u32, is_certain: bool) {
+        if let Some(page) = self.pages.get_mut(&page) {
+            page.state = if is_certain { PageState::Idle } else { PageState::Unknown };
+            page.is_dirty = true;
         }
     }
 
-    /// A page was read after a write without an answer: its version, and what stands on it. Says which of its names are known
-    /// by that to be on record.
+    /// A page was read after a write without an answer: its version, and what stands on it; None if it could not be
+    /// read. Returns which of its names are known by that to be on record.
     ///
     /// They are if the version has moved on: what was sent before builds on an older one and can't be carried out any
     /// more. While it has not, a late write may yet take away what is read.
-    pub fn read_back(&mut self, page: u32, read: Option<(u64, &[(String, MachineRecord)])>) -> Vec<String> {
-        let Some(p) = self.pages.get_mut(&page) else { return Vec::new() };
-        let Some((store_version, rows)) = read else {
-            p.state = State::Lost;
+    #[must_use]
+    pub fn apply_read_back(
+        &mut self,
+        page: u32,
+        read: Option<(u64, &[(String, MachineRecord)])>,
+    ) -> Vec<String> {
+        let Some(page) = self.pages.get_mut(&page) else { return Vec::new() };
+        let Some((version, machines)) = read else {
+            page.state = PageState::Unknown;
             return Vec::new();
         };
-        p.state = State::Idle;
-        if store_version == p.store_version {
+        page.state = PageState::Idle;
+        if version == page.version {
             return Vec::new();
         }
-        p.store_version = store_version;
-        let ours = rows.iter().filter(|(name, r)| p.names.get(name) == Some(r));
-        let ours: Vec<String> = ours.map(|(name, _)| name.clone()).collect();
-        p.stale = rows.len() - ours.len();
-        p.dirty = ours.len() < p.names.len() || p.names.is_empty();
-        ours
+        page.version = version;
+        let same = machines.iter().filter(|(name, machine)| page.machines.get(name) == Some(machine));
+        let recorded: Vec<String> = same.map(|(name, _)| name.clone()).collect();
+        page.stale = machines.len() - recorded.len();
+        page.is_dirty = recorded.len() < page.machines.len() || page.machines.is_empty();
+        recorded
     }
 
-    /// Names on our pages, for tests and the status.
+    /// Names on our pages.
+    #[must_use]
     pub fn names(&self) -> BTreeSet<&str> {
-        self.at.keys().map(String::as_str).collect()
+        self.page_of.keys().map(String::as_str).collect()
     }
 }
 
-fn size(name: &str, r: &MachineRecord) -> usize {
-    entry(r).to_string().len() + json!(name).to_string().len() + 2
+fn entry(machine: &MachineRecord) -> Value {
+    json!([machine.kind, machine.zone, machine.spot, machine.addr])
+}
+
+fn entry_bytes(name: &str, machine: &MachineRecord) -> usize {
+    entry(machine).to_string().len() + json!(name).to_string().len() + SEPARATOR_BYTES
 }
 
 #[cfg(test)]
--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -8,7 +8,7 @@
 use hazelsaddle::machine_shard::MachineRecord;
 use hazelsaddle::membership::EpochRecord;
 use hazelsaddle::peer::*;
-use hazelsaddle::quota::{Need, QuotaLedger};
+use hazelsaddle::quota::{AllocationInput, QuotaLedger, QuotaNeed};
 use hazelsaddle::spec::JobSpec;
 use hazelsaddle::units::{Micros, Ranges, Resources};
 use serde_json::{Map, Value, json};
@@ -357,45 +357,49 @@
     let claims = &all["stored"]["team/t"];
     assert!(claims.to_string().len() > 2048);
     let mut teams = QuotaLedger::new(&s.teams);
-    teams.take("t", Some((claims, 5)));
+    teams.apply_record("t", Some((claims, 5)));
     let held = claims.as_object().expect("claims").len();
-    assert_eq!(teams.used("t").cpus, 15_000 * held as i64, "every claim counts");
+    assert_eq!(teams.allocated("t").cpus, 15_000 * held as i64, "every claim counts");
     let one = Resources { cpus: 15_000, gpus: 0, memory: 0 };
-    let need = |i: usize| Need {
+    let need = |i: usize| QuotaNeed {
         job: format!("wk-9{i:05}"),
-        one,
+        per_task: one,
         in_use: Resources::default(),
-        settled: true,
-        more: 1,
-        whole: true,
+        is_settled: true,
+        more_tasks: 1,
+        all_or_nothing: true,
         priority: 0,
         accepted: Micros(1_790_000_000_000_000),
     };
-    let needs: Vec<Need> = (0..200).map(need).collect();
+    let needs: Vec<QuotaNeed> = (0..200).map(need).collect();
     let ended = |left: usize| move |job: &str| job[3..].parse::<usize>().expect("a number") >= left * 7;
-    let plan =
-        |left: usize| teams.plan(Micros(60_000_000), "t", &needs, |_| true, ended(left), s.value_bytes);
+    let plan = |left: usize| {
+        let (needs, value_bytes) = (&needs[..], s.value_bytes);
+        let input =
+            AllocationInput { team: "t", needs, is_ours: &|_| true, is_released: &ended(left), value_bytes };
+        teams.next_write(Micros(60_000_000), &input)
+    };
     assert!(plan(held - 3).is_none(), "too long still: it waits until more jobs have ended");
     let w = plan(10).expect("most have ended");
-    let jobs = w.claims.len();
+    let jobs = w.allocations.len();
     assert!(w.value.to_string().len() <= 2048 && jobs > 20, "as many as a value holds: {jobs}");
 
     let key = "mach/c0/0";
-    let rows = machine_registry::read(&all["stored"][key]).expect("a page");
+    let rows = machine_registry::read_page(&all["stored"][key]).expect("a page");
     assert!(all["stored"][key].to_string().len() > 2048);
-    let mut roll = MachineRegistry::new("c0", s.value_bytes);
-    roll.take(key, &rows, 9);
-    assert_eq!(roll.names().len(), rows.len());
+    let mut registry = MachineRegistry::new("c0", s.value_bytes);
+    registry.apply_page(key, &rows, 9);
+    assert_eq!(registry.names().len(), rows.len());
     let new = MachineRecord { kind: "k".into(), zone: "z".into(), spot: false, addr: "10.0.0.1:1".into() };
-    roll.add("i-900000", &new);
+    registry.register("i-900000", &new);
     // One of the long page must be written anew: it goes on another page, and stays on the long one.
-    roll.add(&rows[0].0, &rows[0].1);
-    let w = roll.next_write(true).expect("a page");
-    assert!(w.key != key && w.names.len() == 2 && w.store_version == 0);
-    assert!(roll.next_write(true).is_none(), "the long page is left alone");
-    roll.written(&w, 10);
-    roll.prune(|n| rows[10..].iter().any(|(name, _)| name == n));
-    let w = roll.next_write(true).expect("it fits again");
-    assert_eq!((w.key.as_str(), w.store_version, w.names.len()), (key, 9, 10));
+    registry.register(&rows[0].0, &rows[0].1);
+    let w = registry.next_write(true).expect("a page");
+    assert!(w.key != key && w.names.len() == 2 && w.base_version == 0);
+    assert!(registry.next_write(true).is_none(), "the long page is left alone");
+    registry.commit_write(&w, 10);
+    registry.remove_gone(|n| rows[10..].iter().any(|(name, _)| name == n));
+    let w = registry.next_write(true).expect("it fits again");
+    assert_eq!((w.key.as_str(), w.base_version, w.names.len()), (key, 9, 10));
     assert!(w.value.expect("a page").to_string().len() <= 2048);
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -14,7 +14,7 @@
 use hazelsaddle::machine_shard::{Heartbeat, HeartbeatTask, MachineRecord};
 use hazelsaddle::membership::EpochRecord;
 use hazelsaddle::peer::*;
-use hazelsaddle::quota::{Need, QuotaLedger};
+use hazelsaddle::quota::{AllocationInput, QuotaLedger, QuotaNeed};
 use hazelsaddle::spec::JobSpec;
 use hazelsaddle::state_store::{KeyValue, StoreAnswer, StoreRequest, Transaction};
 use hazelsaddle::units::{Micros, Ranges, Resources};
@@ -302,35 +302,38 @@
 }
 
 fn page_of(rows: &[(String, MachineRecord)]) -> Value {
-    let mut roll = MachineRegistry::new("c0", 2048);
+    let mut registry = MachineRegistry::new("c0", 2048);
     for (name, record) in rows {
-        roll.add(name, record);
+        registry.register(name, record);
     }
-    let write = roll.next_write(true).expect("a page");
+    let write = registry.next_write(true).expect("a page");
     assert_eq!(write.key, "mach/c0/0");
     write.value.expect("not empty")
 }
 
-fn need(job: &str, each: i64, accepted: Micros) -> Need {
-    Need {
+fn need(job: &str, each: i64, accepted: Micros) -> QuotaNeed {
+    QuotaNeed {
         job: job.into(),
-        one: Resources { cpus: each, gpus: 0, memory: 0 },
+        per_task: Resources { cpus: each, gpus: 0, memory: 0 },
         in_use: Resources::default(),
-        settled: true,
-        more: 2,
-        whole: true,
+        is_settled: true,
+        more_tasks: 2,
+        all_or_nothing: true,
         priority: 3,
         accepted,
     }
 }
 
 /// What an owner of only these jobs makes of a team's record.
-fn team_after(record: &Value, needs: &[Need]) -> Value {
+fn team_after(record: &Value, needs: &[QuotaNeed]) -> Value {
     let s = settings();
     let mut teams = QuotaLedger::new(&s.teams);
-    teams.take("vision", Some((record, 5)));
+    teams.apply_record("vision", Some((record, 5)));
     let mine = |job: &str| needs.iter().any(|n| n.job == job);
-    let write = teams.plan(Micros(60_000_000), "vision", needs, mine, |_| false, s.value_bytes);
+    let value_bytes = s.value_bytes;
+    let input =
+        AllocationInput { team: "vision", needs, is_ours: &mine, is_released: &|_| false, value_bytes };
+    let write = teams.next_write(Micros(60_000_000), &input);
     write.expect("a change").value
 }
 
@@ -450,7 +453,7 @@
     assert_eq!(read, epoch());
     again("epoch", serde_json::to_value(read).expect("plain"));
 
-    let rows = machine_registry::read(&golden["machines"]).expect("a page");
+    let rows = machine_registry::read_page(&golden["machines"]).expect("a page");
     assert_eq!(rows, machines().map(|(n, r)| (n.to_owned(), r)));
     again("machines", page_of(&rows));
 
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -11,7 +11,7 @@
     DesiredAction, DesiredState, InventoryState, MachineStatus, MachineStatusDelta, ObservedTask, TaskExit,
     TaskKey, TaskPhase,
 };
-use hazelsaddle::quota::QuotaLedger;
+use hazelsaddle::quota::{AllocationInput, QuotaLedger};
 use hazelsaddle::spec::{JobKind, JobSpec, MachineType};
 use hazelsaddle::units::{Micros, Ranges, Resources};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -169,7 +169,7 @@
         for i in 0..3 {
             let follows = self.members[i].adopt(self.now, &record, self.store_version);
             self.owners[i].adopt(&self.members[i], follows);
-            self.quota[i].unread();
+            self.quota[i].begin_epoch();
             self.seen[i] = [0; 3];
             for (id, raw) in &self.raws {
                 let a = &self.jobs[id];
@@ -288,25 +288,32 @@
     fn claims(&mut self, i: usize) {
         let now = self.now;
         let needs = self.owners[i].needs(&self.quota[i]);
-        for team in self.quota[i].reads(now, &needs) {
+        for team in self.quota[i].next_reads(now, &needs) {
             let row = self.record.get(&team);
-            self.quota[i].take(&team, row.map(|(v, m)| (v, *m)));
+            self.quota[i].apply_record(&team, row.map(|(v, m)| (v, *m)));
         }
-        for team in self.quota[i].names() {
+        for team in self.quota[i].team_names() {
             let list = needs.get(&team).cloned().unwrap_or_default();
             let m = &self.members[i];
             let owner = &self.owners[i];
             let mine = |j: &str| m.job_leader(j) == Some(i);
-            let w = self.quota[i].plan(now, &team, &list, mine, |j| owner.released(j), 4096);
+            let input = AllocationInput {
+                team: &team,
+                needs: &list,
+                is_ours: &mine,
+                is_released: &|j| owner.released(j),
+                value_bytes: 4096,
+            };
+            let w = self.quota[i].next_write(now, &input);
             let Some(w) = w else { continue };
-            self.quota[i].sent(now, &w);
-            if self.record.get(&team).map_or(0, |r| r.1) != w.store_version {
-                self.quota[i].failed(&w, true);
+            self.quota[i].begin_write(now, &w);
+            if self.record.get(&team).map_or(0, |r| r.1) != w.base_version {
+                self.quota[i].fail_write(&w, true);
                 continue;
             }
             self.store_version += 1;
             self.record.insert(team.clone(), (w.value.clone(), self.store_version));
-            self.quota[i].committed(w, self.store_version);
+            self.quota[i].commit_write(w, self.store_version);
         }
     }
 
