--- a/src/units.rs
+++ b/src/units.rs
@@ -1,10 +1,16 @@
-//! Time, amounts of machine room, and sets of task numbers.
+//! Quantities that all modules share: time, amounts of machine resources, and sets of task numbers.
 
 pub use hazelsaddle_cluster::time::Micros;
 use rkyv::{Archive, Deserialize, Serialize};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Room on a machine, or what a task takes of it, in thousandths so that sums are exact.
+/// Thousandths in a processor, GPU or gigabyte.
+const MILLI: f64 = 1000.0;
+/// Slack for fractions that binary numbers can't hold, in thousandths.
+const ROUNDING: f64 = 1e-6;
+
+/// What a machine has, or a task takes of it, in thousandths so that sums are exact.
 #[derive(
     Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
@@ -18,109 +24,129 @@
 }
 
 impl Resources {
-    /// Rounds up, so that a sum of tasks never hides a fraction.
+    /// From processors, GPUs and gigabytes. Rounds up, so that a sum of tasks never hides a fraction.
+    #[must_use]
     pub fn need(cpus: f64, gpus: f64, memory: f64) -> Resources {
-        let up = |x: f64| (x * 1000.0 - 1e-6).ceil() as i64;
-        Resources { cpus: up(cpus), gpus: up(gpus), memory: up(memory) }
+        let round_up = |amount: f64| (amount * MILLI - ROUNDING).ceil() as i64;
+        Resources { cpus: round_up(cpus), gpus: round_up(gpus), memory: round_up(memory) }
     }
+
     /// Whether `self` has room for `other`.
+    #[must_use]
     pub fn holds(self, other: Resources) -> bool {
         self.cpus >= other.cpus && self.gpus >= other.gpus && self.memory >= other.memory
     }
+
     /// The larger of each.
-    pub fn max(self, o: Resources) -> Resources {
+    #[must_use]
+    pub fn max(self, other: Resources) -> Resources {
         Resources {
-            cpus: self.cpus.max(o.cpus),
-            gpus: self.gpus.max(o.gpus),
-            memory: self.memory.max(o.memory),
+            cpus: self.cpus.max(other.cpus),
+            gpus: self.gpus.max(other.gpus),
+            memory: self.memory.max(other.memory),
         }
     }
+
     /// The smaller of each.
-    pub fn min(self, o: Resources) -> Resources {
+    #[must_use]
+    pub fn min(self, other: Resources) -> Resources {
         Resources {
-            cpus: self.cpus.min(o.cpus),
-            gpus: self.gpus.min(o.gpus),
-            memory: self.memory.min(o.memory),
+            cpus: self.cpus.min(other.cpus),
+            gpus: self.gpus.min(other.gpus),
+            memory: self.memory.min(other.memory),
         }
     }
-    /// `n` times this.
-    pub fn times(self, n: i64) -> Resources {
-        Resources { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
+
+    /// `count` times this.
+    #[must_use]
+    pub fn times(self, count: i64) -> Resources {
+        Resources { cpus: self.cpus * count, gpus: self.gpus * count, memory: self.memory * count }
     }
+
     /// How many of `one` fit. What takes nothing fits more often than any job has tasks, but not so often that a sum over
     /// machines overflows.
+    #[must_use]
     pub fn count_of(self, one: Resources) -> i64 {
-        let part = |have: i64, each: i64| if each <= 0 { i64::from(u32::MAX) } else { have.max(0) / each };
-        part(self.cpus, one.cpus).min(part(self.gpus, one.gpus)).min(part(self.memory, one.memory))
+        let count = |have: i64, each: i64| if each <= 0 { i64::from(u32::MAX) } else { have.max(0) / each };
+        count(self.cpus, one.cpus).min(count(self.gpus, one.gpus)).min(count(self.memory, one.memory))
     }
 }
 
 impl std::ops::Add for Resources {
     type Output = Resources;
-    fn add(self, o: Resources) -> Resources {
-        Resources { cpus: self.cpus + o.cpus, gpus: self.gpus + o.gpus, memory: self.memory + o.memory }
+    fn add(self, other: Resources) -> Resources {
+        Resources {
+            cpus: self.cpus + other.cpus,
+            gpus: self.gpus + other.gpus,
+            memory: self.memory + other.memory,
+        }
     }
 }
 
 impl std::ops::Sub for Resources {
     type Output = Resources;
-    fn sub(self, o: Resources) -> Resources {
-        Resources { cpus: self.cpus - o.cpus, gpus: self.gpus - o.gpus, memory: self.memory - o.memory }
+    fn sub(self, other: Resources) -> Resources {
+        Resources {
+            cpus: self.cpus - other.cpus,
+            gpus: self.gpus - other.gpus,
+            memory: self.memory - other.memory,
+        }
     }
 }
 
 /// A set of task numbers kept as ranges: a job of 100,000 tasks that is mostly done stays small.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ranges {
-    /// First number of a range to its last.
+    /// The first number of a range, and its last. Ranges never touch.
     spans: BTreeMap<u32, u32>,
     len: u32,
 }
 
 impl Ranges {
     /// How many numbers are in the set.
+    #[must_use]
     pub fn len(&self) -> u32 {
         self.len
     }
+
     /// Whether the set is empty.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
-    /// Whether `n` is in the set.
-    pub fn contains(&self, n: u32) -> bool {
-        self.spans.range(..=n).next_back().is_some_and(|(_, &end)| end >= n)
+
+    /// Whether `number` is in the set.
+    #[must_use]
+    pub fn contains(&self, number: u32) -> bool {
+        self.spans.range(..=number).next_back().is_some_and(|(_, &last)| last >= number)
     }
-    /// Adds `n`; false if it was there.
-    pub fn insert(&mut self, n: u32) -> bool {
-        if self.contains(n) {
+
+    /// Adds `number`; false if it was there.
+    pub fn insert(&mut self, number: u32) -> bool {
+        if self.contains(number) {
             return false;
         }
         self.len += 1;
-        let mut start = n;
-        let mut end = n;
-        if n > 0
-            && let Some((&s, &e)) = self.spans.range(..n).next_back()
-            && e == n - 1
-        {
-            start = s;
-        }
-        if let Some(&e) = n.checked_add(1).and_then(|m| self.spans.get(&m)) {
-            self.spans.remove(&(n + 1));
-            end = e;
-        }
-        self.spans.insert(start, end);
+        let before = self.spans.range(..number).next_back().map(|(&first, &last)| (first, last));
+        let first = match before {
+            Some((first, last)) if last == number - 1 => first,
+            _ => number,
+        };
+        let after = number.checked_add(1).and_then(|next| self.spans.remove(&next));
+        self.spans.insert(first, after.unwrap_or(number));
         true
     }
+
     /// The numbers below `total` that are not in the set, in order.
     pub fn gaps(&self, total: u32) -> impl Iterator<Item = u32> + '_ {
         let mut next = 0u32;
         let mut spans = self.spans.iter().peekable();
         std::iter::from_fn(move || {
-            while let Some(&(&s, &e)) = spans.peek() {
-                if next < s {
+            while let Some(&(&first, &last)) = spans.peek() {
+                if next < first {
                     break;
                 }
-                next = next.max(e.saturating_add(1));
+                next = next.max(last.saturating_add(1));
                 spans.next();
             }
             if next >= total {
@@ -130,74 +156,52 @@
             Some(next - 1)
         })
     }
-    /// As text such as `0-4,7`, at most `limit` bytes long; longer sets lose their shortest
-    /// ranges. That is safe where the set says what is known to be done: a task left out is
-    /// asked for again and ends at once with the result that it kept.
+
+    /// As text such as `0-4,7`, at most `limit` bytes long; longer sets lose their shortest ranges. That is safe where
+    /// the set says what is known to be done: a task left out is asked for again and ends at once with the result that
+    /// it kept.
+    #[must_use]
     pub fn encode(&self, limit: usize) -> String {
-        let mut parts: Vec<(u32, u32)> = self.spans.iter().map(|(&s, &e)| (s, e)).collect();
-        let width = |&(s, e): &(u32, u32)| format!("{s}-{e},").len();
-        let mut size: usize = parts.iter().map(width).sum();
+        let mut spans: Vec<(u32, u32)> = self.spans.iter().map(|(&first, &last)| (first, last)).collect();
+        let width = |&(first, last): &(u32, u32)| format!("{first}-{last},").len();
+        let mut size: usize = spans.iter().map(width).sum();
         if size > limit {
-            parts.sort_by_key(|&(s, e)| std::cmp::Reverse(e - s));
+            spans.sort_by_key(|&(first, last)| Reverse(last - first));
             while size > limit
-                && let Some(p) = parts.pop()
+                && let Some(shortest) = spans.pop()
             {
-                size -= width(&p);
+                size -= width(&shortest);
             }
-            parts.sort_unstable();
+            spans.sort_unstable();
         }
-        let text: Vec<String> =
-            parts.iter().map(|&(s, e)| if s == e { s.to_string() } else { format!("{s}-{e}") }).collect();
-        text.join(",")
+        let text = |&(first, last): &(u32, u32)| {
+            if first == last { first.to_string() } else { format!("{first}-{last}") }
+        };
+        spans.iter().map(text).collect::<Vec<String>>().join(",")
     }
+
     /// Reads what `encode` wrote; None if it is not of that form or names a task from `total` on.
+    #[must_use]
     pub fn decode(text: &str, total: u32) -> Option<Ranges> {
-        let mut out = Ranges::default();
-        for part in text.split(',').filter(|p| !p.is_empty()) {
-            let (s, e) = match part.split_once('-') {
-                Some((s, e)) => (s.parse().ok()?, e.parse().ok()?),
+        let mut ranges = Ranges::default();
+        for part in text.split(',').filter(|part| !part.is_empty()) {
+            let (first, last): (u32, u32) = match part.split_once('-') {
+                Some((first, last)) => (first.parse().ok()?, last.parse().ok()?),
                 None => {
-                    let n: u32 = part.parse().ok()?;
-                    (n, n)
+                    let number = part.parse().ok()?;
+                    (number, number)
                 }
             };
-            if s > e || e >= total {
+            if first > last || last >= total {
                 return None;
             }
-            for n in s..=e {
-                out.insert(n);
+            for number in first..=last {
+                ranges.insert(number);
             }
         }
-        Some(out)
+        Some(ranges)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::{RngExt, SeedableRng, rngs::StdRng};
-
-    #[test]
-    fn ranges_agree_with_a_plain_set() {
-        for seed in 0..20 {
-            let mut rng = StdRng::seed_from_u64(seed);
-            let mut ranges = Ranges::default();
-            let mut plain = std::collections::BTreeSet::new();
-            for _ in 0..200 {
-                let n = rng.random_range(0..150u32);
-                assert_eq!(ranges.insert(n), plain.insert(n));
-                assert_eq!(ranges.len() as usize, plain.len());
-            }
-            let gaps: Vec<u32> = ranges.gaps(150).collect();
-            let expect: Vec<u32> = (0..150).filter(|n| !plain.contains(n)).collect();
-            assert_eq!(gaps, expect);
-            assert_eq!(Ranges::decode(&ranges.encode(10_000), 150), Some(ranges.clone()));
-            let short = ranges.encode(40);
-            assert!(short.len() <= 40);
-            let part = Ranges::decode(&short, 150).expect("what was written is read");
-            assert!((0..150).all(|n| !part.contains(n) || plain.contains(&n)));
-        }
-        assert_eq!(Ranges::decode("3-1", 10), None);
-        assert_eq!(Ranges::decode("9-10", 10), None);
-    }
-}
+mod tests;
