--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -203,8 +203,8 @@
             if !self.reads(p, FORM) {
                 continue;
             }
-            for (number, parcel) in self.handoff.out.due(now, p, pause) {
-                out.push(Effect::Send(p, self.envelope(now, p, Message::Handoff { number, parcel })));
+            for (number, batch) in self.handoff.out.due(now, p, pause) {
+                out.push(Effect::Send(p, self.envelope(now, p, Message::Handoff { number, batch })));
             }
             let owed = std::mem::take(&mut self.handoff.owed[p]);
             if !owed.is_empty() {
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -42,7 +42,7 @@
             boot: self.boot,
             echo,
             echo_boot,
-            digest_seen: self.job_shard.digest_seen(to, self.membership.epoch),
+            sequence_seen: self.job_shard.digest_seen(to, self.membership.epoch),
             body,
         }
     }
@@ -72,14 +72,14 @@
         // Who has given way to a newer epoch takes no part in its own any more.
         let same = f.epoch == self.membership.epoch && f.epoch > 0 && !self.membership.gave_way();
         if same {
-            self.acked[from] = self.acked[from].max(f.digest_seen);
+            self.acked[from] = self.acked[from].max(f.sequence_seen);
         }
         match f.body {
             Message::State(wishes, digest) if same => {
                 let fleet = &self.autoscaler;
                 if self.machine_shard.wanted(now, from, &wishes, &self.membership, |k| fleet.resources_of(k))
                 {
-                    self.machine_shard.said(from, echo, f.digest_seen);
+                    self.machine_shard.said(from, echo, f.sequence_seen);
                 }
                 self.owe_ack[from] |= self.job_shard.digest(now, &self.membership, from, digest);
                 // What we hold of our own machines needs no frame.
@@ -108,9 +108,11 @@
                 self.job_shard.others_lend(now, from, told)
             }
             Message::InheritedPriorities(list) if same => self.job_shard.urged_by(from, list),
-            Message::Handoff { number, parcel } if same => self.parcel(now, from, f.boot, number, parcel),
-            Message::ReplicateStarts { rev, since, added, dropped } if same && from != self.settings.me => {
-                let c = Changes { rev, since, added, dropped };
+            Message::Handoff { number, batch } if same => self.parcel(now, from, f.boot, number, batch),
+            Message::ReplicateStarts { revision, base_revision, added, removed }
+                if same && from != self.settings.me =>
+            {
+                let c = Changes { rev: revision, since: base_revision, added, dropped: removed };
                 if let Some(rev) = self.start_replica.heard(from, f.boot, c)
                     && self.reads(from, handoff::FORM)
                 {
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -349,7 +349,16 @@
             if let Some(Changes { rev, since, added, dropped }) = w.told.tell(p) {
                 out.push(Effect::Send(
                     p,
-                    self.envelope(now, p, Message::ReplicateStarts { rev, since, added, dropped }),
+                    self.envelope(
+                        now,
+                        p,
+                        Message::ReplicateStarts {
+                            revision: rev,
+                            base_revision: since,
+                            added,
+                            removed: dropped,
+                        },
+                    ),
                 ));
             }
         }
--- a/src/job_shard.rs
+++ b/src/job_shard.rs
@@ -683,7 +683,12 @@
         rev_seen: u64,
         machines: Vec<MachineStatus>,
     ) -> MachineStatusDelta {
-        MachineStatusDelta { seq: (m.epoch << 32) + seq, since: 0, rev_seen, machines }
+        MachineStatusDelta {
+            sequence: (m.epoch << 32) + seq,
+            base_sequence: 0,
+            revision_seen: rev_seen,
+            machines,
+        }
     }
 
     /// An owner of one job, and one machine with room as its home describes it.
@@ -726,15 +731,15 @@
             let now = Micros::from_millis(1000);
             owner.digest(now, &m, 0, whole(&m, 1, 0, vec![machine.clone()]));
             owner.plan(now, now, &m, &teams);
-            let DesiredState { rev, list: wanted, .. } = owner.wanted(0, &m);
-            assert_eq!(wanted[0].want, DesiredAction::Run);
+            let DesiredState { revision: rev, list: wanted, .. } = owner.wanted(0, &m);
+            assert_eq!(wanted[0].action, DesiredAction::Run);
             machine.tasks = vec![ObservedTask { key: wanted[0].key.clone(), phase: TaskPhase::Running }];
             machine.notice = Some(Micros::from_millis(9000));
             owner.digest(now, &m, 0, whole(&m, 2, rev, vec![machine]));
             owner.make_room(now, &m);
             // What stays as it was is not said again.
             let expected = stops.then_some(DesiredAction::Stop(Micros::from_millis(5000)));
-            assert_eq!(owner.wanted(0, &m).list.first().map(|w| w.want), expected);
+            assert_eq!(owner.wanted(0, &m).list.first().map(|w| w.action), expected);
         }
     }
 
@@ -752,9 +757,9 @@
         // Not yet seen by the home, so it is said again.
         assert_eq!(owner.wanted(0, &m).list.len(), 400);
         let seen = MachineStatusDelta {
-            seq: (m.epoch << 32) + 2,
-            since: 0,
-            rev_seen: first.rev + 1,
+            sequence: (m.epoch << 32) + 2,
+            base_sequence: 0,
+            revision_seen: first.revision + 1,
             machines: Vec::new(),
         };
         let on = |d: &MachineStatus| {
@@ -770,7 +775,12 @@
         assert!(owner.wanted(0, &m).list.is_empty());
         let mut one = on(&fleet[7]);
         one.tasks[0].phase = TaskPhase::Exited(TaskExit::Stopped(false));
-        let change = MachineStatusDelta { seq: seen.seq + 1, since: seen.seq, machines: vec![one], ..seen };
+        let change = MachineStatusDelta {
+            sequence: seen.sequence + 1,
+            base_sequence: seen.sequence,
+            machines: vec![one],
+            ..seen
+        };
         assert!(owner.digest(now, &m, 0, change));
         assert_eq!(owner.wanted(0, &m).list.len(), 1);
     }
@@ -855,7 +865,7 @@
         let now = Micros::from_millis(1000);
         owner.digest(now, &m, 0, whole(&m, 1, 0, vec![machine.clone()]));
         owner.plan(now, now, &m, &teams);
-        let DesiredState { rev, list: wanted, .. } = owner.wanted(0, &m);
+        let DesiredState { revision: rev, list: wanted, .. } = owner.wanted(0, &m);
         let old = TaskKey { attempt: 5, ..wanted[0].key.clone() };
         machine.tasks = vec![running(&old), running(&wanted[0].key)];
         owner.digest(now, &m, 0, whole(&m, 2, rev, vec![machine.clone()]));
@@ -866,7 +876,7 @@
         owner.plan(later, later, &m, &teams);
         let wanted = owner.wanted(0, &m).list;
         assert_eq!(wanted.len(), 1);
-        assert_eq!((&wanted[0].key, wanted[0].want), (&old, DesiredAction::Stop(Micros(0))));
+        assert_eq!((&wanted[0].key, wanted[0].action), (&old, DesiredAction::Stop(Micros(0))));
         // It counts towards its team's room all the while.
         assert_eq!(owner.in_use("wk-1", &owner.jobs["wk-1"]).cpus, 2000);
     }
@@ -877,12 +887,12 @@
         let now = Micros::from_millis(1000);
         owner.digest(now, &m, 0, whole(&m, 1, 0, vec![machine.clone()]));
         owner.plan(now, now, &m, &teams);
-        let DesiredState { rev, list: wanted, .. } = owner.wanted(0, &m);
+        let DesiredState { revision: rev, list: wanted, .. } = owner.wanted(0, &m);
         let done = ObservedTask { key: wanted[0].key.clone(), phase: TaskPhase::Exited(TaskExit::Done) };
         machine.tasks = vec![done, running(&wanted[1].key)];
         let want_of = |owner: &mut JobShard| {
             let list = owner.wanted(0, &m).list;
-            list.iter().find(|w| w.key.index == 0).map(|w| w.want)
+            list.iter().find(|w| w.key.index == 0).map(|w| w.action)
         };
         for seq in 2..5 {
             owner.digest(now, &m, 0, whole(&m, seq, rev, vec![machine.clone()]));
@@ -907,7 +917,7 @@
         // The home has not yet had our wishes of this epoch; whatever it has seen is of the last.
         owner.digest(now, &m, 0, whole(&m, 1, u64::MAX - 1, vec![machine.clone()]));
         assert_eq!(owner.counts().1, 1);
-        let rev = owner.wanted(0, &m).rev;
+        let rev = owner.wanted(0, &m).revision;
         owner.digest(now, &m, 0, whole(&m, 2, rev, vec![machine]));
         assert_eq!(owner.counts().1, 0, "now its absence is an answer");
     }
--- a/src/job_shard/cancellation/tests.rs
+++ b/src/job_shard/cancellation/tests.rs
@@ -39,11 +39,11 @@
 fn what_runs_does_not_hold_up_the_end() {
     let (m, _, mut owner, machine, w) = asked(raw("batch", 2, 0.0));
     let tasks = w.list.iter().map(|w| running(&w.key)).collect();
-    owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, listed(&machine, tasks)));
+    owner.digest(at(1100), &m, 0, whole(&m, 2, w.revision, listed(&machine, tasks)));
     cancel(&mut owner);
     assert!(ends(&mut owner, at(1200)));
     assert!(
-        owner.wanted(0, &m).list.iter().all(|w| w.want != DesiredAction::Stop(Micros(0))),
+        owner.wanted(0, &m).list.iter().all(|w| w.action != DesiredAction::Stop(Micros(0))),
         "not before it is on record"
     );
 }
@@ -54,16 +54,16 @@
     let (m, _, mut owner, machine, w) = asked(raw("batch", 2, 0.0));
     let queued =
         w.list.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Queued }).collect();
-    owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, listed(&machine, queued)));
+    owner.digest(at(1100), &m, 0, whole(&m, 2, w.revision, listed(&machine, queued)));
     cancel(&mut owner);
     assert!(!ends(&mut owner, at(1200)));
     let stops = owner.wanted(0, &m);
     assert!(
-        stops.list.len() == 2 && stops.list.iter().all(|w| w.want == DesiredAction::Stop(Micros(0))),
+        stops.list.len() == 2 && stops.list.iter().all(|w| w.action == DesiredAction::Stop(Micros(0))),
         "{stops:?}"
     );
     assert!(!ends(&mut owner, at(1300)), "its home has yet to say so");
-    owner.digest(at(1400), &m, 0, whole(&m, 3, stops.rev, listed(&machine, Vec::new())));
+    owner.digest(at(1400), &m, 0, whole(&m, 3, stops.revision, listed(&machine, Vec::new())));
     assert!(ends(&mut owner, at(1400)));
 }
 
@@ -73,10 +73,10 @@
     for arrives in [true, false] {
         let (m, _, mut owner, machine, w) = asked(raw("batch", 1, 0.0));
         let as_ = |phase| listed(&machine, vec![ObservedTask { key: w.list[0].key.clone(), phase }]);
-        owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, as_(TaskPhase::Queued)));
+        owner.digest(at(1100), &m, 0, whole(&m, 2, w.revision, as_(TaskPhase::Queued)));
         cancel(&mut owner);
         assert!(!ends(&mut owner, at(1200)));
-        let rev = owner.wanted(0, &m).rev;
+        let rev = owner.wanted(0, &m).revision;
         owner.digest(at(1300), &m, 0, whole(&m, 3, rev, as_(TaskPhase::InDoubt)));
         owner.wanted(0, &m);
         assert!(!ends(&mut owner, at(1300)));
@@ -137,14 +137,14 @@
 #[test]
 fn a_gang_that_is_cancelled_while_it_is_held_does_not_begin() {
     let (m, teams, mut owner, machine, w) = asked(raw("group", 2, 0.0));
-    assert!(w.list.iter().all(|w| w.want == DesiredAction::Hold));
+    assert!(w.list.iter().all(|w| w.action == DesiredAction::Hold));
     cancel(&mut owner);
     let held = w.list.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Held }).collect();
-    owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, listed(&machine, held)));
+    owner.digest(at(1100), &m, 0, whole(&m, 2, w.revision, listed(&machine, held)));
     owner.plan(at(1200), at(1200), &m, &teams);
     let stops = owner.wanted(0, &m);
     assert!(
-        stops.list.len() == 2 && stops.list.iter().all(|w| w.want == DesiredAction::Stop(Micros(0))),
+        stops.list.len() == 2 && stops.list.iter().all(|w| w.action == DesiredAction::Stop(Micros(0))),
         "{stops:?}"
     );
 }
@@ -156,7 +156,7 @@
     let left_alone = |owner: &mut JobShard| owner.refusals.current(at(1500), &m);
     cancel(&mut owner);
     assert!(!ends(&mut owner, at(1200)));
-    let rev = owner.wanted(0, &m).rev.max(w.rev);
+    let rev = owner.wanted(0, &m).revision.max(w.revision);
     owner.digest(at(1400), &m, 0, whole(&m, 3, rev, listed(&machine, Vec::new())));
     assert!(ends(&mut owner, at(1400)) && left_alone(&mut owner).is_empty());
 }
@@ -214,11 +214,12 @@
         phase: TaskPhase::Exited(TaskExit::Done),
     };
     let one = vec![exited(&w.list[0]), running(&w.list[1].key)];
-    owner.digest(at(1100), &m, 0, whole(&m, 2, w.rev, listed(&machine, one)));
+    owner.digest(at(1100), &m, 0, whole(&m, 2, w.revision, listed(&machine, one)));
     let (id, write, _) = owner.next_write(at(1200), false).expect("progress is due");
     let RecordWrite::Progress(_, kept) = write else { panic!("not an end") };
     owner.progress_written(at(1210), &id, kept, 9);
-    let all: MachineStatusDelta = whole(&m, 3, w.rev, listed(&machine, w.list.iter().map(exited).collect()));
+    let all: MachineStatusDelta =
+        whole(&m, 3, w.revision, listed(&machine, w.list.iter().map(exited).collect()));
     owner.digest(at(1300), &m, 0, all);
     assert!(matches!(owner.next_write(at(1400), true), Some((_, RecordWrite::End(JobOutcome::Done, _), _))));
 }
--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -83,9 +83,9 @@
         let rev = self.revs[home] + 1;
         self.revs[home] = rev;
         self.dirty[home] = false;
-        let seen = self.views[home].rev_seen(m.epoch);
+        let seen = self.views[home].revision_seen(m.epoch);
         let since = if seen > m.epoch << 32 { seen } else { 0 };
-        let mut out = DesiredState { rev, since, ..DesiredState::default() };
+        let mut out = DesiredState { revision: rev, base_revision: since, ..DesiredState::default() };
         let mut first = Vec::new();
         let mut unacked = std::mem::take(&mut self.unacked[home]);
         unacked.retain(|_, r| *r > since);
@@ -105,14 +105,14 @@
                 l.asked = l.asked.min(rev);
                 (l.room, l.want, l.priority, 0)
             } else {
-                out.dropped.push((machine.clone(), key.clone()));
+                out.removed.push((machine.clone(), key.clone()));
                 continue;
             };
             out.list.push(DesiredTask {
                 key: key.clone(),
                 machine: machine.clone(),
                 room,
-                want,
+                action: want,
                 priority,
                 image,
             });
@@ -124,7 +124,7 @@
 
     /// The state of a home that we hold.
     pub fn digest_seen(&self, home: usize, epoch: u64) -> u64 {
-        self.views.get(home).map_or(0, |v| v.seq(epoch))
+        self.views.get(home).map_or(0, |v| v.sequence(epoch))
     }
 
     /// Takes a home's digest: the truth about our tasks on its machines. Says whether it brought
@@ -134,9 +134,9 @@
         if !self.loaded {
             return false;
         }
-        let Some(news) = v.take(now, m.epoch, d) else { return false };
+        let Some(news) = v.apply_delta(now, m.epoch, d) else { return false };
         let mut names = news.names;
-        if news.whole {
+        if news.is_whole {
             let theirs = |n: &&String| m.machine_leader(n) == Some(from);
             names.extend(self.by_machine.keys().filter(theirs).cloned());
             names.extend(self.unheard.iter().filter(theirs).cloned());
@@ -161,7 +161,7 @@
     }
 
     pub(super) fn machine_news(&mut self, now: Micros, m: &Membership, view: &MachineView, name: &str) {
-        let rev_seen = view.rev_seen(m.epoch);
+        let rev_seen = view.revision_seen(m.epoch);
         // A home that has read the records names every machine that was ever given a task; one
         // that it doesn't name is gone.
         let seen = view.machines(m.epoch).and_then(|v| v.get(name));
--- a/src/job_shard/reservations.rs
+++ b/src/job_shard/reservations.rs
@@ -67,7 +67,7 @@
             if let Some(j) = self.jobs.get(&key.job)
                 && let Some(p) = j.placed.get(&key.index)
                 && (p.attempt == key.attempt && p.machine == *machine)
-                && p.asked > m.machine_leader(machine).map_or(0, |h| views[h].rev_seen(m.epoch))
+                && p.asked > m.machine_leader(machine).map_or(0, |h| views[h].revision_seen(m.epoch))
                 && counted.insert((machine, key))
             {
                 let sum = unseen.entry(machine).or_default();
--- a/src/job_shard/unresolved_starts.rs
+++ b/src/job_shard/unresolved_starts.rs
@@ -144,7 +144,7 @@
         // Less those seen, those that may well be on the unheard one, and those that fit beside two on the one open.
         assert_eq!(asked(&mut owner, 2000), 100 - 38 - 2 - 2);
         assert!(
-            owner.wanted(0, &m).list.iter().all(|w| w.want != DesiredAction::Run),
+            owner.wanted(0, &m).list.iter().all(|w| w.action != DesiredAction::Run),
             "nothing of it is placed"
         );
         assert_eq!(owner.in_doubt(), 1);
--- a/src/machine_shard.rs
+++ b/src/machine_shard.rs
@@ -438,7 +438,7 @@
                     priority: w.map_or(0, |w| w.priority),
                     image: w.map_or(0, |w| w.image),
                     phase,
-                    want: w.map(|w| w.want),
+                    want: w.map(|w| w.action),
                     sent_to: (0, 0),
                     standpoint,
                 }
@@ -567,14 +567,14 @@
         m: &Membership,
         capacity: impl Fn(&str) -> Option<Resources>,
     ) -> bool {
-        if self.revs.get(from).is_none_or(|&r| w.rev <= r || w.since > r) {
+        if self.revs.get(from).is_none_or(|&r| w.revision <= r || w.base_revision > r) {
             return false;
         }
-        self.revs[from] = w.rev;
-        if w.since == 0 {
+        self.revs[from] = w.revision;
+        if w.base_revision == 0 {
             self.forget_unlisted(from, &w.list, m);
         }
-        for (machine, key) in &w.dropped {
+        for (machine, key) in &w.removed {
             self.decided.remove(key);
             if let Some(e) = self.early.get_mut(machine) {
                 e.remove(key);
@@ -656,18 +656,18 @@
             e.room = Some(w.room);
             e.priority = w.priority;
             e.image = w.image;
-            if e.phase == TaskPhase::Held && w.want == DesiredAction::Run {
+            if e.phase == TaskPhase::Held && w.action == DesiredAction::Run {
                 e.phase = TaskPhase::Queued;
             }
-            e.want = Some(w.want);
+            e.want = Some(w.action);
             // A held or queued start that is to be stopped never goes out.
-            if !e.on_machine() && !matches!(w.want, DesiredAction::Hold | DesiredAction::Run) {
+            if !e.on_machine() && !matches!(w.action, DesiredAction::Hold | DesiredAction::Run) {
                 x.entries.remove(&w.key);
             }
             self.changes.touch(&w.machine, &mut x.version);
             return;
         }
-        if !matches!(w.want, DesiredAction::Hold | DesiredAction::Run) {
+        if !matches!(w.action, DesiredAction::Hold | DesiredAction::Run) {
             if self.machines.get(&w.machine).is_none_or(|x| x.standing == InventoryState::Unconfirmed) {
                 self.early.entry(w.machine.clone()).or_default().insert(w.key.clone(), w.clone());
             }
@@ -689,7 +689,7 @@
         let twin = x.entries.iter().any(|(k, e)| k.job == w.key.job && k.index == w.key.index && e.alive());
         let fits = x.free(total).is_some_and(|f| f.holds(w.room));
         if x.open(now, self.patience) && fits && !twin {
-            let phase = if w.want == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
+            let phase = if w.action == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
             let mut standpoint = OwnerBasis::new(Some(from), self.changes.seq + 1);
             standpoint.named();
             let entry = Entry {
@@ -697,7 +697,7 @@
                 priority: w.priority,
                 image: w.image,
                 phase,
-                want: Some(w.want),
+                want: Some(w.action),
                 sent_to: (0, 0),
                 standpoint,
             };
@@ -851,7 +851,12 @@
             })
             .collect();
         let rev_seen = self.revs.get(to).copied().unwrap_or(0);
-        MachineStatusDelta { seq: self.changes.seq, since, rev_seen, machines }
+        MachineStatusDelta {
+            sequence: self.changes.seq,
+            base_sequence: since,
+            revision_seen: rev_seen,
+            machines,
+        }
     }
 
     /// How many machines are known, and how many there are.
--- a/src/machine_shard/handoff.rs
+++ b/src/machine_shard/handoff.rs
@@ -41,7 +41,7 @@
                         priority: e.priority,
                         image: e.image,
                         phase: e.phase,
-                        want: e.want,
+                        action: e.want,
                         sent_to: e.sent_to,
                     })
                     .collect(),
@@ -90,7 +90,7 @@
                 priority: t.priority,
                 image: t.image,
                 phase: t.phase,
-                want: t.want,
+                want: t.action,
                 sent_to: t.sent_to,
                 standpoint: OwnerBasis::new(m.job_leader(&t.key.job), next),
             };
@@ -106,7 +106,7 @@
         for (key, w) in self.early.remove(&h.name).unwrap_or_default() {
             if let Some(e) = x.entries.get_mut(&key) {
                 e.standpoint.named();
-                (e.room, e.priority, e.image, e.want) = (Some(w.room), w.priority, w.image, Some(w.want));
+                (e.room, e.priority, e.image, e.want) = (Some(w.room), w.priority, w.image, Some(w.action));
             }
         }
         x.standing = InventoryState::Known;
--- a/src/machine_shard/owner_liveness/tests.rs
+++ b/src/machine_shard/owner_liveness/tests.rs
@@ -68,7 +68,7 @@
     fn hears_state(&mut self, now: Micros, owner: usize, echo: Micros, list: Vec<DesiredTask>, seen: u64) {
         let since = self.revs[owner];
         self.revs[owner] += 1;
-        let w = DesiredState { rev: since + 1, since, list, dropped: Vec::new() };
+        let w = DesiredState { revision: since + 1, base_revision: since, list, removed: Vec::new() };
         let m = self.m.clone();
         assert!(self.home.wanted(now, owner, &w, &m, |_| Some(ROOM)), "nothing is missing");
         self.home.said(owner, echo, seen);
@@ -130,8 +130,12 @@
     let job = t.job(1);
     t.report(at(2000), &machine, &[(&format!("{job}/0"), 1, "running")]);
     let key = TaskKey { job, index: 0, attempt: 1 };
-    let stop =
-        DesiredTask { key, machine: machine.clone(), want: DesiredAction::Stop(Micros(0)), ..want(1, 1000) };
+    let stop = DesiredTask {
+        key,
+        machine: machine.clone(),
+        action: DesiredAction::Stop(Micros(0)),
+        ..want(1, 1000)
+    };
     t.hears(at(3000), 1, at(2900), vec![stop]);
     assert!(t.home.in_reach(at(900_000), &machine));
     let m = t.m.clone();
--- a/src/machine_shard/tests.rs
+++ b/src/machine_shard/tests.rs
@@ -44,13 +44,13 @@
         key: TaskKey { job: "wk-1".into(), index: 0, attempt },
         machine: "i-1".into(),
         room: Resources { cpus, gpus: 0, memory: 0 },
-        want: DesiredAction::Run,
+        action: DesiredAction::Run,
         priority: 0,
         image: 0,
     }
 }
 pub(super) fn whole(rev: u64, list: Vec<DesiredTask>) -> DesiredState {
-    DesiredState { rev, since: 0, list, dropped: Vec::new() }
+    DesiredState { revision: rev, base_revision: 0, list, removed: Vec::new() }
 }
 pub(super) fn starts(home: &mut MachineShard, m: &Membership) -> usize {
     let orders = home.orders(m, "i-1", |_| true).expect("known");
@@ -114,9 +114,9 @@
             let r = MachineRecord { kind: "k".into(), zone: "z".into(), spot: false, addr: String::new() };
             home.recorded(Micros(9), "i-1", r);
         }
-        let stop = DesiredTask { want: DesiredAction::Stop(Micros(0)), ..want(1, 3000) };
+        let stop = DesiredTask { action: DesiredAction::Stop(Micros(0)), ..want(1, 3000) };
         let keep = DesiredTask {
-            want: DesiredAction::Keep,
+            action: DesiredAction::Keep,
             key: TaskKey { job: "wk-1".into(), index: 1, attempt: 1 },
             ..want(1, 500)
         };
--- a/src/machine_view.rs
+++ b/src/machine_view.rs
@@ -1,13 +1,16 @@
-//! What an owner sees of the machines of all homes: their digests put together.
+//! What a job shard sees of the machines: for each machine shard, its machines as it last described them.
+//!
+//! The view is owned by the job shard. It only ever says what a machine shard said: nothing here concludes that a task or
+//! machine is gone because time has passed.
 
 use crate::peer::{MachineStatus, MachineStatusDelta};
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine as its home last described it, with the spans turned into points of our own clock.
+/// A machine as its shard last described it, with the spans turned into points of our own clock.
 #[derive(Clone, Debug)]
 pub struct MachineSnapshot {
-    digest: MachineStatus,
+    status: MachineStatus,
     /// When the cloud takes it away.
     pub notice_at: Option<Micros>,
     /// Since when it has been without a task.
@@ -19,283 +22,135 @@
 impl std::ops::Deref for MachineSnapshot {
     type Target = MachineStatus;
     fn deref(&self) -> &MachineStatus {
-        &self.digest
+        &self.status
     }
 }
 
 impl MachineSnapshot {
     /// A machine as described just now.
-    pub fn new(now: Micros, d: MachineStatus) -> MachineSnapshot {
-        let ago = |t: Micros| Micros(now.0.saturating_sub(t.0));
+    #[must_use]
+    pub fn new(now: Micros, status: MachineStatus) -> MachineSnapshot {
+        let ago = |span: Micros| Micros(now.0.saturating_sub(span.0));
         MachineSnapshot {
-            notice_at: d.notice.map(|t| now + t),
-            idle_since: d.idle.map(ago),
-            silent_since: d.silent.map(ago),
-            digest: d,
+            notice_at: status.notice.map(|span| now + span),
+            idle_since: status.idle.map(ago),
+            silent_since: status.silent.map(ago),
+            status,
         }
     }
+
     /// How long it has been without a task; zero if it has one.
+    #[must_use]
     pub fn idle_for(&self, now: Micros) -> Micros {
-        self.idle_since.map_or(Micros(0), |t| now.since(t))
+        self.idle_since.map_or(Micros(0), |since| now.since(since))
     }
-    /// How long it has been silent; zero if it missed no reports.
+
+    /// How long it has been silent; zero if it missed no heartbeats.
+    #[must_use]
     pub fn silent_for(&self, now: Micros) -> Micros {
-        self.silent_since.map_or(Micros(0), |t| now.since(t))
+        self.silent_since.map_or(Micros(0), |since| now.since(since))
     }
 }
 
-/// What is known of one home's machines in one epoch.
+/// What is known of one machine shard's machines in one epoch.
 #[derive(Debug, Default)]
 pub struct MachineView {
     epoch: u64,
-    seq: u64,
-    rev_seen: u64,
+    sequence: u64,
+    revision_seen: u64,
     machines: BTreeMap<String, MachineSnapshot>,
-    /// Machines on which starts were asked for, by the message that did: once the home has seen
-    /// that message, what it does not name is an answer too.
+    /// Machines on which starts were asked for, by the revision that did: once the machine shard has seen that revision,
+    /// what it does not name is an answer too.
     awaiting: BTreeMap<u64, Vec<String>>,
 }
 
-/// What a digest brought.
+/// What a delta changed.
 #[derive(Debug, PartialEq)]
 pub struct StatusChange {
     /// Machines to look at.
     pub names: BTreeSet<String>,
     /// The whole state came: machines that it does not name are gone.
-    pub whole: bool,
+    pub is_whole: bool,
 }
 
 impl MachineView {
-    /// The home's state that is held, 0 if none of this epoch.
-    pub fn seq(&self, epoch: u64) -> u64 {
-        if self.epoch == epoch { self.seq } else { 0 }
+    /// The sequence of the machine shard's state that is held, 0 if none of this epoch.
+    #[must_use]
+    pub fn sequence(&self, epoch: u64) -> u64 {
+        if self.epoch == epoch { self.sequence } else { 0 }
     }
-    /// Our latest message that the home had seen, 0 if none of this epoch.
-    pub fn rev_seen(&self, epoch: u64) -> u64 {
-        if self.epoch == epoch { self.rev_seen } else { 0 }
+
+    /// The latest revision of our desired state that the machine shard had seen, 0 if none of this epoch.
+    #[must_use]
+    pub fn revision_seen(&self, epoch: u64) -> u64 {
+        if self.epoch == epoch { self.revision_seen } else { 0 }
     }
-    /// The machines, if the home has spoken in this epoch.
+
+    /// The machines, if the machine shard has spoken in this epoch.
+    #[must_use]
     pub fn machines(&self, epoch: u64) -> Option<&BTreeMap<String, MachineSnapshot>> {
         (self.epoch == epoch).then_some(&self.machines)
     }
-    /// A message that asks for starts on these machines goes out.
-    pub fn await_answer(&mut self, rev: u64, machines: Vec<String>) {
+
+    /// The revision that asks for starts on these machines goes out.
+    pub fn await_answer(&mut self, revision: u64, machines: Vec<String>) {
         if !machines.is_empty() {
-            self.awaiting.insert(rev, machines);
+            self.awaiting.insert(revision, machines);
         }
     }
-    /// A new epoch: answers to older messages don't come any more.
+
+    /// A new epoch: answers to older revisions don't come any more.
     pub fn forget_awaited(&mut self) {
         self.awaiting.clear();
     }
 
-    /// Takes a digest; None if it is older than what is held, or builds on something that is not.
-    /// Nothing need be done about that: the sender hears what is held, and builds on it next time.
-    pub fn take(&mut self, now: Micros, epoch: u64, d: MachineStatusDelta) -> Option<StatusChange> {
-        let first = self.epoch != epoch;
-        if (first && d.since != 0) || (!first && (d.seq < self.seq || d.since > self.seq)) {
+    /// Applies a delta; None if it is older than what is held, or builds on something that is not. Nothing need be done
+    /// about that: the sender hears what is held, and builds on it next time.
+    pub fn apply_delta(
+        &mut self,
+        now: Micros,
+        epoch: u64,
+        delta: MachineStatusDelta,
+    ) -> Option<StatusChange> {
+        let is_first = self.epoch != epoch;
+        let is_whole = delta.base_sequence == 0;
+        let is_outdated = delta.sequence < self.sequence || delta.base_sequence > self.sequence;
+        if (is_first && !is_whole) || (!is_first && is_outdated) {
             return None;
         }
         let mut names = BTreeSet::new();
-        if d.since == 0 {
-            let old = std::mem::take(&mut self.machines);
-            // What an older epoch's home named may have another home now, which alone can tell
-            // whether it is gone.
-            if first {
-                self.rev_seen = 0;
+        if is_whole {
+            let before = std::mem::take(&mut self.machines);
+            // What the machine shard of an older epoch named may have another leader now, which alone can tell whether
+            // it is gone.
+            if is_first {
+                self.revision_seen = 0;
             } else {
-                names.extend(old.into_keys());
+                names.extend(before.into_keys());
             }
         }
         self.epoch = epoch;
-        self.seq = d.seq;
-        self.rev_seen = self.rev_seen.max(d.rev_seen);
-        for m in d.machines {
-            names.insert(m.name.clone());
-            self.machines.insert(m.name.clone(), MachineSnapshot::new(now, m));
+        self.sequence = delta.sequence;
+        self.revision_seen = self.revision_seen.max(delta.revision_seen);
+        for status in delta.machines {
+            names.insert(status.name.clone());
+            self.machines.insert(status.name.clone(), MachineSnapshot::new(now, status));
         }
-        while let Some(e) = self.awaiting.first_entry()
-            && *e.key() <= self.rev_seen
+        names.extend(self.answered());
+        Some(StatusChange { names, is_whole })
+    }
+
+    /// Takes off the machines on which starts were asked for by revisions that the machine shard has seen.
+    fn answered(&mut self) -> BTreeSet<String> {
+        let mut machines = BTreeSet::new();
+        while let Some(oldest) = self.awaiting.first_entry()
+            && *oldest.key() <= self.revision_seen
         {
-            names.extend(e.remove());
+            machines.extend(oldest.remove());
         }
-        Some(StatusChange { names, whole: d.since == 0 })
+        machines
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::config::settings::Settings;
-    use crate::machine_shard::{Heartbeat, HeartbeatTask, MachineShard};
-    use crate::membership::{EpochRecord, Membership};
-    use crate::peer::{DesiredAction, DesiredState, DesiredTask, TaskKey};
-    use crate::units::Resources;
-    use rand::{RngExt, SeedableRng, rngs::StdRng};
-
-    fn parts() -> (Membership, MachineShard) {
-        let text = "member = \"c0\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n[outside]\ncloud = \"10.0.0.9:1\"\n\
-            state = \"10.0.0.9:2\"\n[settings.workers]\nreport_s = 3.0\nlease_s = 18.0\ngang_wait_s = 30.0\n\
-            gang_peer_s = 6.0\ncancel_s = 43.0\n[settings.state]\nrps = 100.0\nwrite_rps = 15.0\nvalue_kb = 4.0\n\
-            txn_ops = 8\n[settings.cloud]\nrps = 5.0\nlist_lag_s = 8.0\n";
-        let s = Settings::parse("test", text).expect("valid");
-        let mut m = Membership::new(&s, 1);
-        m.adopt(Micros(1), &EpochRecord { epoch: 7, members: vec![("c0".into(), 1)] }, 1);
-        let mut home = MachineShard::new(&s);
-        home.adopt(Micros(1), &m, false, |_| None);
-        (m, home)
-    }
-
-    fn report(machine: usize, seq: u64, tasks: &BTreeSet<(u32, u64)>) -> Heartbeat {
-        let tasks = tasks
-            .iter()
-            .map(|&(index, attempt)| HeartbeatTask {
-                task: format!("wk-1/{index}"),
-                attempt,
-                state: "running".into(),
-                why: None,
-                saved: None,
-            })
-            .collect();
-        Heartbeat {
-            machine: format!("i-{machine}"),
-            addr: String::new(),
-            kind: "k".into(),
-            zone: "z".into(),
-            spot: false,
-            session: 1,
-            seq,
-            token: 7,
-            notice_s: None,
-            tasks,
-        }
-    }
-
-    /// Digests and wishes get lost, repeated and overtaken. Once one round gets through, the owner's
-    /// view is the home's state, to the letter, and the home holds just the starts that are wanted.
-    #[test]
-    fn a_view_agrees_with_its_home_whatever_happens_to_messages() {
-        for seed in 0..60 {
-            let mut rng = StdRng::seed_from_u64(seed);
-            let (m, mut home) = parts();
-            let room = |_: &str| Some(Resources { cpus: 64_000, gpus: 0, memory: 64_000 });
-            let mut view = MachineView::default();
-            let mut now = Micros(1_000_000);
-            let mut digests: Vec<MachineStatusDelta> = Vec::new();
-            let mut wishes: Vec<DesiredState> = Vec::new();
-            // The owner's side, reduced to its bare rule: all that changed since the last answer.
-            let mut wanted: BTreeMap<(String, TaskKey), u64> = BTreeMap::new();
-            let mut gone: BTreeMap<(String, TaskKey), u64> = BTreeMap::new();
-            let (mut rev, mut seqs) = (7u64 << 32, 0u64);
-            for _ in 0..150 {
-                now = now + Micros::from_millis(50);
-                match rng.random_range(0..7) {
-                    0 | 1 => {
-                        let machine = rng.random_range(0..6);
-                        let tasks = (0..rng.random_range(0..3u32)).map(|i| (i, 9)).collect();
-                        seqs += 1;
-                        home.report(now, &m, &report(machine, seqs, &tasks));
-                    }
-                    2 => {
-                        let machine = format!("i-{}", rng.random_range(0..7));
-                        let key = TaskKey { job: "wk-1".into(), index: 50, attempt: rev };
-                        wanted.insert((machine, key), rev + 1);
-                    }
-                    3 => {
-                        if let Some(k) = wanted.keys().next().cloned() {
-                            wanted.remove(&k);
-                            gone.insert(k, rev + 1);
-                        }
-                    }
-                    4 => {
-                        rev += 1;
-                        let since = view.rev_seen(7);
-                        let since = if since > 7 << 32 { since } else { 0 };
-                        let list = wanted
-                            .iter()
-                            .filter(|(_, r)| **r > since)
-                            .map(|((machine, key), _)| DesiredTask {
-                                key: key.clone(),
-                                machine: machine.clone(),
-                                room: Resources { cpus: 1000, gpus: 0, memory: 0 },
-                                want: DesiredAction::Hold,
-                                priority: 0,
-                                image: 0,
-                            })
-                            .collect();
-                        let dropped =
-                            gone.iter().filter(|(_, r)| **r > since).map(|(k, _)| k.clone()).collect();
-                        wishes.push(DesiredState { rev, since, list, dropped });
-                    }
-                    5 => digests.push(home.digest(now, &m, 0, view.seq(7), room)),
-                    _ => home.tick(now, &m),
-                }
-                if !digests.is_empty() && rng.random_bool(0.4) {
-                    let i = rng.random_range(0..digests.len());
-                    let d = if rng.random_bool(0.3) { digests[i].clone() } else { digests.swap_remove(i) };
-                    view.take(now, 7, d);
-                }
-                if !wishes.is_empty() && rng.random_bool(0.4) {
-                    let i = rng.random_range(0..wishes.len());
-                    let w = if rng.random_bool(0.3) { wishes[i].clone() } else { wishes.swap_remove(i) };
-                    home.wanted(now, 0, &w, &m, room);
-                }
-            }
-            view.take(now, 7, home.digest(now, &m, 0, view.seq(7), room));
-            let whole = home.digest(now, &m, 0, 0, room);
-            assert_eq!(whole.since, 0);
-            let seen = view.machines(7).expect("spoken");
-            assert_eq!(seen.len(), whole.machines.len(), "seed {seed}");
-            for w in whole.machines {
-                let s = &seen[&w.name];
-                // Spans count from when each was sent.
-                let plain = |d: &MachineStatus| MachineStatus { idle: None, silent: None, ..d.clone() };
-                assert_eq!(plain(s), plain(&w), "seed {seed}");
-                assert_eq!((s.idle.is_some(), s.silent.is_some()), (w.idle.is_some(), w.silent.is_some()));
-                for t in w.tasks.iter().filter(|t| t.key.index == 50) {
-                    let key = (w.name.clone(), t.key.clone());
-                    let newer = gone.get(&key).is_some_and(|&r| r > view.rev_seen(7));
-                    assert!(wanted.contains_key(&key) || newer, "seed {seed}: {key:?} is wanted no more");
-                }
-            }
-        }
-    }
-
-    /// Found by the simulated world: after a new epoch a machine that had moved to another home was
-    /// taken for gone, since its old home named it no more, and its tasks were started again.
-    #[test]
-    fn machines_of_an_older_epoch_are_no_news_of_the_new_one() {
-        let (m, mut home) = parts();
-        let room = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
-        home.report(Micros(10), &m, &report(1, 1, &BTreeSet::new()));
-        home.report(Micros(10), &m, &report(2, 1, &BTreeSet::new()));
-        let mut view = MachineView::default();
-        let all = home.digest(Micros(20), &m, 0, 0, room);
-        view.take(Micros(30), 7, all.clone());
-        let mut moved = MachineStatusDelta { seq: (8 << 32) + 1, ..all };
-        moved.machines.truncate(1);
-        let news = view.take(Micros(40), 8, moved).expect("a new epoch");
-        assert_eq!(news.names, BTreeSet::from(["i-1".to_owned()]));
-    }
-
-    /// The cost of a digest is that of what changed, not of the fleet.
-    #[test]
-    fn a_digest_of_a_large_home_names_only_what_changed() {
-        let (m, mut home) = parts();
-        for i in 0..300 {
-            home.report(Micros(10), &m, &report(i, 1, &BTreeSet::new()));
-        }
-        let room = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
-        let mut view = MachineView::default();
-        let first = home.digest(Micros(20), &m, 0, 0, room);
-        assert_eq!(first.machines.len(), 300);
-        view.take(Micros(30), 7, first);
-        home.report(Micros(40), &m, &report(5, 2, &BTreeSet::from([(1, 3)])));
-        for i in 10..300 {
-            home.report(Micros(40), &m, &report(i, 2, &BTreeSet::new()));
-        }
-        let next = home.digest(Micros(50), &m, 0, view.seq(7), room);
-        assert_eq!(next.machines.iter().map(|d| d.name.as_str()).collect::<Vec<_>>(), ["i-5"]);
-        assert_eq!(view.take(Micros(60), 7, next).map(|n| n.names.len()), Some(1));
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/peer/demand.rs
@@ -0,0 +1,29 @@
+//! Job shard to autoscaler: work that finds no machine.
+
+use crate::units::{Micros, Resources};
+use rkyv::{Archive, Deserialize, Serialize};
+
+/// Tasks of one shape that a job shard can't place for want of machines.
+#[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
+pub struct Demand {
+    /// What one takes.
+    pub room: Resources,
+    /// Allowed machine types; empty: any.
+    pub kinds: Vec<String>,
+    /// The only allowed zone.
+    pub zone: Option<String>,
+    /// All of a gang must be in one zone.
+    pub one_zone: bool,
+    /// Whether spot machines will do.
+    pub spot: bool,
+    /// How many. 0: none waits, but such work was seen of late.
+    pub count: u32,
+    /// Estimated run time of one.
+    pub estimate: Micros,
+    /// Priority, higher first.
+    pub priority: u8,
+    /// How long this work may queue before a machine is worth adding for it; 0: it should start at once.
+    pub horizon: Micros,
+    /// How many must run at the same time: a gang's size, otherwise one.
+    pub together: u32,
+}
--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -48,7 +48,7 @@
         boot: 11,
         echo: Micros(4_000_002),
         echo_boot: 12,
-        digest_seen: (7 << 32) + 3,
+        sequence_seen: (7 << 32) + 3,
         body,
     }
 }
@@ -56,17 +56,17 @@
 /// The values that the fixtures were made of.
 fn frames() -> Vec<(&'static str, Frame)> {
     let key = |index| TaskKey { job: "wk-000412".into(), index, attempt: (7 << 24) + 2 };
-    let want = |i, want| DesiredTask {
+    let want = |i, action| DesiredTask {
         key: key(i),
         machine: "i-000231".into(),
         room: room(2),
-        want,
+        action,
         priority: 12,
         image: 99,
     };
     let wishes = DesiredState {
-        rev: (7 << 32) + 4,
-        since: (7 << 32) + 1,
+        revision: (7 << 32) + 4,
+        base_revision: (7 << 32) + 1,
         list: vec![
             want(0, DesiredAction::Hold),
             want(1, DesiredAction::Run),
@@ -74,7 +74,7 @@
             want(3, DesiredAction::Stop(Micros(4_000_000))),
             want(4, DesiredAction::Forget),
         ],
-        dropped: vec![("i-000007".into(), key(5))],
+        removed: vec![("i-000007".into(), key(5))],
     };
     let phases = [
         TaskPhase::Held,
@@ -111,9 +111,9 @@
         tasks: phases.iter().zip(0..).map(|(p, i)| ObservedTask { key: key(i), phase: *p }).collect(),
     };
     let digest = MachineStatusDelta {
-        seq: (7 << 32) + 9,
-        since: 0,
-        rev_seen: (7 << 32) + 4,
+        sequence: (7 << 32) + 9,
+        base_sequence: 0,
+        revision_seen: (7 << 32) + 4,
         machines: vec![
             machine("i-000231", InventoryState::Known),
             machine("i-2", InventoryState::Unconfirmed),
@@ -193,7 +193,7 @@
         priority: 12,
         image: 99,
         phase: TaskPhase::Running,
-        want: Some(DesiredAction::Keep),
+        action: Some(DesiredAction::Keep),
         sent_to: (1, 88),
     };
     let machine = MachineHandoff {
@@ -227,16 +227,17 @@
         fresh: vec!["wk-000413".into()],
     };
     let job = JobHandoff { id: "wk-000412".into(), done: "0-2".into(), starts: vec![start], doubt: Some(0) };
-    let parcel = HandoffBatch {
+    let batch = HandoffBatch {
         jobs: vec![job],
         doubts: vec![vec!["i-000007".into()]],
         machines: vec![machine],
         testimony: vec![testimony],
         gone: vec!["i-000005".into()],
     };
-    let vouch = Message::ReplicateStarts { rev: 5, since: 4, added: items.clone(), dropped: items };
+    let vouch =
+        Message::ReplicateStarts { revision: 5, base_revision: 4, added: items.clone(), removed: items };
     for body in [
-        Message::Handoff { number: 4, parcel },
+        Message::Handoff { number: 4, batch },
         Message::HandoffAck(vec![4, 5]),
         vouch,
         Message::StartsReplicated(5),
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -105,21 +105,33 @@
             }
         };
         let machines = (0..MACHINES).map(digest).collect();
-        o.digest(now, m, 0, MachineStatusDelta { seq: (m.epoch << 32) + seq, since: 0, rev_seen, machines });
+        o.digest(
+            now,
+            m,
+            0,
+            MachineStatusDelta {
+                sequence: (m.epoch << 32) + seq,
+                base_sequence: 0,
+                revision_seen: rev_seen,
+                machines,
+            },
+        );
     }
 
     /// The machines do what was wished; those that aren't known get nothing.
     fn obey(&mut self, wishes: &DesiredState, known: &[bool]) {
         for on in &mut self.on {
             let listed = |k: &TaskKey| wishes.list.iter().any(|w| w.key == *k);
-            let dropped = |k: &TaskKey| wishes.dropped.iter().any(|(_, d)| d == k);
-            on.retain(|k, p| *p != TaskPhase::Held || !(dropped(k) || (wishes.since == 0 && !listed(k))));
+            let dropped = |k: &TaskKey| wishes.removed.iter().any(|(_, d)| d == k);
+            on.retain(|k, p| {
+                *p != TaskPhase::Held || !(dropped(k) || (wishes.base_revision == 0 && !listed(k)))
+            });
         }
         for w in &wishes.list {
             let i: usize = w.machine[2..].parse().expect("a number");
             let durable = self.store.end || self.store.done.contains(w.key.index);
             let phase = self.on[i].get(&w.key).copied();
-            match (w.want, phase) {
+            match (w.action, phase) {
                 (DesiredAction::Hold, None) if known[i] && self.decided.insert(w.key.clone()) => {
                     self.on[i].insert(w.key.clone(), TaskPhase::Held);
                 }
@@ -257,7 +269,7 @@
             owner.make_room(now, &m);
             let w = owner.wanted(0, &m);
             if self.rng.random_bool(0.7) {
-                seen = w.rev;
+                seen = w.revision;
                 self.obey(&w, &known);
             }
             if let Some(id) = owner.next_verify()
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -87,7 +87,7 @@
         boot: 11,
         echo: Micros(4_000_002),
         echo_boot: 12,
-        digest_seen: (7 << 32) + 3,
+        sequence_seen: (7 << 32) + 3,
         body,
     }
 }
@@ -107,7 +107,7 @@
         priority: 12,
         image: 99,
         phase: TaskPhase::Exited(TaskExit::Stopped(true)),
-        want: Some(DesiredAction::Stop(Micros(4_000_000))),
+        action: Some(DesiredAction::Stop(Micros(4_000_000))),
         sent_to: (1, 88),
     };
     MachineHandoff {
@@ -132,7 +132,7 @@
     vec![ReplicatedItem::Job("wk-000412".into()), start]
 }
 
-fn parcel() -> HandoffBatch {
+fn batch() -> HandoffBatch {
     let start = StartHandoff {
         index: 3,
         attempt: (7 << 24) + 2,
@@ -179,10 +179,11 @@
 fn frames() -> Vec<(&'static str, Frame)> {
     let id = || "wk-000412".to_owned();
     let ask = |request| Message::ForwardRequest { id: 9, request };
-    let vouch = Message::ReplicateStarts { rev: 5, since: 4, added: vouched(), dropped: vouched() };
+    let vouch =
+        Message::ReplicateStarts { revision: 5, base_revision: 4, added: vouched(), removed: vouched() };
     [
         ("needed", Message::InheritedPriorities(vec![(id(), 2), ("wk-1".into(), 1)])),
-        ("hand_over", Message::Handoff { number: 4, parcel: parcel() }),
+        ("hand_over", Message::Handoff { number: 4, batch: batch() }),
         ("taken", Message::HandoffAck(vec![4, 5])),
         ("vouch", vouch),
         ("noted", Message::StartsReplicated(5)),
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -85,14 +85,14 @@
         key: TaskKey { job: t.job.clone(), index: 0, attempt },
         machine: t.machine.clone(),
         room: Resources { cpus: 3000, gpus: 0, memory: 0 },
-        want,
+        action: want,
         priority: 0,
         image: 0,
     }
 }
 
 fn whole(rev: u64, list: Vec<DesiredTask>) -> DesiredState {
-    DesiredState { rev, since: 0, list, dropped: Vec::new() }
+    DesiredState { revision: rev, base_revision: 0, list, removed: Vec::new() }
 }
 
 /// The old home, which has just sent out a start, and the new one.
@@ -269,7 +269,7 @@
 fn hear(o: &mut JobShard, t: &Two, seq: u64, free: &MachineStatus, others: &[(&str, InventoryState)]) {
     for from in 0..2 {
         // The home has seen what it was last told, if it was told anything.
-        let rev_seen = if seq == 1 { 0 } else { o.wanted(from, &t.new).rev };
+        let rev_seen = if seq == 1 { 0 } else { o.wanted(from, &t.new).revision };
         let none = Resources::default();
         let other = |&(name, standing): &(&str, InventoryState)| MachineStatus {
             name: name.into(),
@@ -280,7 +280,12 @@
         };
         let all = others.iter().map(other).chain([free.clone()]);
         let machines = all.filter(|d| t.new.machine_leader(&d.name) == Some(from)).collect();
-        let d = MachineStatusDelta { seq: (t.new.epoch << 32) + seq, since: 0, rev_seen, machines };
+        let d = MachineStatusDelta {
+            sequence: (t.new.epoch << 32) + seq,
+            base_sequence: 0,
+            revision_seen: rev_seen,
+            machines,
+        };
         o.digest(at(5.0), &t.new, from, d);
     }
 }
@@ -288,7 +293,7 @@
 fn placed(o: &mut JobShard, t: &Two, teams: &QuotaLedger, now: f64) -> Vec<u32> {
     o.plan(at(now), at(now), &t.new, teams);
     let mut all: Vec<DesiredTask> = (0..2).flat_map(|h| o.wanted(h, &t.new).list).collect();
-    all.retain(|w| w.want == DesiredAction::Run || w.want == DesiredAction::Hold);
+    all.retain(|w| w.action == DesiredAction::Run || w.action == DesiredAction::Hold);
     let mut out: Vec<u32> = all.iter().map(|w| w.key.index).collect();
     out.sort_unstable();
     out.dedup();
@@ -376,7 +381,7 @@
     let job = JobHandoff { id: t.job.clone(), done: String::new(), starts, doubt: None };
     o.handed(at(5.1), vec![job], &[]);
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty());
-    let stops: Vec<DesiredAction> = (0..2).flat_map(|h| o.wanted(h, &t.new).list).map(|w| w.want).collect();
+    let stops: Vec<DesiredAction> = (0..2).flat_map(|h| o.wanted(h, &t.new).list).map(|w| w.action).collect();
     assert_eq!(stops, [DesiredAction::Stop(Micros(0))]);
     hear(
         &mut o,
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -116,7 +116,7 @@
         boot: 8,
         echo: Micros(6),
         echo_boot: 9,
-        digest_seen: 0,
+        sequence_seen: 0,
         body: Message::KeepAlive,
     };
     peer::enqueue(&peer::dial(addr), frame.clone());
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -55,31 +55,39 @@
         key: TaskKey { job: "wk-1".into(), index: 0, attempt: 1 },
         machine: "i-1".into(),
         room: Resources { cpus: 1000, gpus: 0, memory: 1000 },
-        want: DesiredAction::Run,
+        action: DesiredAction::Run,
         priority: 0,
         image: 0,
     };
-    let ahead =
-        DesiredState { rev: first + 5, since: first + 4, list: vec![wish.clone()], dropped: Vec::new() };
+    let ahead = DesiredState {
+        revision: first + 5,
+        base_revision: first + 4,
+        list: vec![wish.clone()],
+        removed: Vec::new(),
+    };
     assert!(!home.wanted(Micros(3), 0, &ahead, &m, room));
     let digest = home.digest(Micros(4), &m, 0, 0, room);
     assert!(digest.machines[0].tasks.is_empty());
-    assert!(digest.rev_seen < first, "what was dropped must not count as seen");
-    assert!(home.wanted(Micros(5), 0, &DesiredState { since: 0, ..ahead }, &m, room));
+    assert!(digest.revision_seen < first, "what was dropped must not count as seen");
+    assert!(home.wanted(Micros(5), 0, &DesiredState { base_revision: 0, ..ahead }, &m, room));
     assert_eq!(home.digest(Micros(6), &m, 0, 0, room).machines[0].tasks[0].key, wish.key);
 
     let mut view = MachineView::default();
-    let later = MachineStatusDelta { since: digest.seq, seq: digest.seq + 2, ..digest.clone() };
-    assert_eq!(view.take(Micros(7), EPOCH, later), None, "nothing of this epoch is held yet");
-    assert!(view.take(Micros(8), EPOCH, digest.clone()).is_some());
+    let later = MachineStatusDelta {
+        base_sequence: digest.sequence,
+        sequence: digest.sequence + 2,
+        ..digest.clone()
+    };
+    assert_eq!(view.apply_delta(Micros(7), EPOCH, later), None, "nothing of this epoch is held yet");
+    assert!(view.apply_delta(Micros(8), EPOCH, digest.clone()).is_some());
     let gap = MachineStatusDelta {
-        since: digest.seq + 1,
-        seq: digest.seq + 2,
+        base_sequence: digest.sequence + 1,
+        sequence: digest.sequence + 2,
         machines: Vec::new(),
         ..digest.clone()
     };
-    assert_eq!(view.take(Micros(9), EPOCH, gap), None);
-    assert_eq!(view.seq(EPOCH), digest.seq, "the sender goes on building on what is held");
+    assert_eq!(view.apply_delta(Micros(9), EPOCH, gap), None);
+    assert_eq!(view.sequence(EPOCH), digest.sequence, "the sender goes on building on what is held");
 }
 
 /// A process may stand still between a decision and its effect while its lease runs out. Found missing
--- a/tests/old_reports.rs
+++ b/tests/old_reports.rs
@@ -254,7 +254,7 @@
             key: TaskKey { job: job.clone(), index: 0, attempt },
             machine: machine.clone(),
             room: Resources { cpus: 1000, gpus: 0, memory: 1000 },
-            want,
+            action: want,
             priority: 0,
             image: 0,
         };
@@ -274,7 +274,7 @@
             list.push(wish((reign.m.epoch << 24) + reign.starts, DesiredAction::Run));
         }
         reign.rev += 1;
-        let wishes = DesiredState { rev: reign.rev, since: 0, list, dropped: Vec::new() };
+        let wishes = DesiredState { revision: reign.rev, base_revision: 0, list, removed: Vec::new() };
         let m = reign.m.clone();
         reign.home.wanted(at(now), 0, &wishes, &m, |_| Some(ROOM));
         let Some(d) = digest(&reign) else { continue };
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -324,13 +324,13 @@
                 later.push((at, from, home, w));
                 continue;
             }
-            self.seen[home][from] = self.seen[home][from].max(w.rev);
+            self.seen[home][from] = self.seen[home][from].max(w.revision);
             for x in w.list {
                 let m = self.machines.iter_mut().find(|m| m.name == x.machine).expect("a machine");
                 let shown = x.priority;
                 if let Some(e) = m.entries.get_mut(&x.key) {
                     e.priority = shown;
-                    match (x.want, e.phase) {
+                    match (x.action, e.phase) {
                         (DesiredAction::Forget, _) => {
                             m.entries.remove(&x.key);
                             continue;
@@ -344,22 +344,22 @@
                         }
                         _ => {}
                     }
-                    e.want = x.want;
-                } else if matches!(x.want, DesiredAction::Run | DesiredAction::Hold) {
+                    e.want = x.action;
+                } else if matches!(x.action, DesiredAction::Run | DesiredAction::Hold) {
                     self.placed += 1;
                     if m.alive && m.free().holds(x.room) {
                         let phase =
-                            if x.want == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
+                            if x.action == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
                         m.entries.insert(
                             x.key,
-                            Entry { room: x.room, priority: shown, phase, want: x.want, since: now },
+                            Entry { room: x.room, priority: shown, phase, want: x.action, since: now },
                         );
                     } else {
                         self.refused += 1;
                     }
                 }
             }
-            for (machine, key) in w.dropped {
+            for (machine, key) in w.removed {
                 let m = self.machines.iter_mut().find(|m| m.name == machine).expect("a machine");
                 if m.entries.get(&key).is_some_and(|e| matches!(e.phase, TaskPhase::Held | TaskPhase::Queued))
                 {
@@ -382,8 +382,12 @@
                 let here = self.machines.iter().filter(|x| m.machine_leader(&x.name) == Some(home));
                 let machines = here.map(|x| x.digest(m, to)).collect();
                 let rev_seen = self.seen[home][to];
-                let d =
-                    MachineStatusDelta { seq: (self.epoch << 32) + self.seq, since: 0, rev_seen, machines };
+                let d = MachineStatusDelta {
+                    sequence: (self.epoch << 32) + self.seq,
+                    base_sequence: 0,
+                    revision_seen: rev_seen,
+                    machines,
+                };
                 if home == to {
                     self.owners[to].digest(now, &self.members[to], home, d);
                 } else {
--- a/tests/world/days/restarts.rs
+++ b/tests/world/days/restarts.rs
@@ -150,7 +150,7 @@
             boot: 7,
             echo: Micros(0),
             echo_boot: 0,
-            digest_seen: 0,
+            sequence_seen: 0,
             body: Message::KeepAlive,
         };
         node.step(now, now, Event::Frame(Box::new(f)), &mut out);
