--- a/src/machine_view/tests.rs
+++ b/src/machine_view/tests.rs
@@ -14,9 +14,9 @@
     let s = Settings::parse("test", text).expect("valid");
     let mut m = Membership::new(&s, 1);
     m.adopt(Micros(1), &EpochRecord { epoch: 7, members: vec![("c0".into(), 1)] }, 1);
-    let mut home = MachineShard::new(&s);
-    home.adopt(Micros(1), &m, false, |_| None);
-    (m, home)
+    let mut shard = MachineShard::new(&s);
+    shard.adopt(Micros(1), &m, false, |_| None);
+    (m, shard)
 }
 
 fn report(machine: usize, seq: u64, tasks: &BTreeSet<(u32, u64)>) -> Heartbeat {
@@ -44,19 +44,19 @@
     }
 }
 
-/// Digests and wishes get lost, repeated and overtaken. Once one round gets through, the owner's
-/// view is the home's state, to the letter, and the home holds just the starts that are wanted.
+/// Deltas and desired states get lost, repeated and overtaken. Once one round gets through, the job shard's view is the
+/// machine shard's state, to the letter, and the machine shard holds just the starts that are wanted.
 #[test]
-fn a_view_agrees_with_its_home_whatever_happens_to_messages() {
+fn view_agrees_with_its_machine_shard_whatever_happens_to_messages() {
     for seed in 0..60 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let (m, mut home) = parts();
+        let (m, mut shard) = parts();
         let room = |_: &str| Some(Resources { cpus: 64_000, gpus: 0, memory: 64_000 });
         let mut view = MachineView::default();
         let mut now = Micros(1_000_000);
-        let mut digests: Vec<MachineStatusDelta> = Vec::new();
-        let mut wishes: Vec<DesiredState> = Vec::new();
-        // The owner's side, reduced to its bare rule: all that changed since the last answer.
+        let mut deltas: Vec<MachineStatusDelta> = Vec::new();
+        let mut desired: Vec<DesiredState> = Vec::new();
+        // The job shard's side, reduced to its bare rule: all that changed since the last answer.
         let mut wanted: BTreeMap<(String, TaskKey), u64> = BTreeMap::new();
         let mut gone: BTreeMap<(String, TaskKey), u64> = BTreeMap::new();
         let (mut rev, mut seqs) = (7u64 << 32, 0u64);
@@ -67,7 +67,7 @@
                     let machine = rng.random_range(0..6);
                     let tasks = (0..rng.random_range(0..3u32)).map(|i| (i, 9)).collect();
                     seqs += 1;
-                    home.report(now, &m, &report(machine, seqs, &tasks));
+                    shard.report(now, &m, &report(machine, seqs, &tasks));
                 }
                 2 => {
                     let machine = format!("i-{}", rng.random_range(0..7));
@@ -97,24 +97,29 @@
                         })
                         .collect();
                     let dropped = gone.iter().filter(|(_, r)| **r > since).map(|(k, _)| k.clone()).collect();
-                    wishes.push(DesiredState { revision: rev, base_revision: since, list, removed: dropped });
+                    desired.push(DesiredState {
+                        revision: rev,
+                        base_revision: since,
+                        list,
+                        removed: dropped,
+                    });
                 }
-                5 => digests.push(home.digest(now, &m, 0, view.sequence(7), room)),
-                _ => home.tick(now, &m),
+                5 => deltas.push(shard.digest(now, &m, 0, view.sequence(7), room)),
+                _ => shard.tick(now, &m),
             }
-            if !digests.is_empty() && rng.random_bool(0.4) {
-                let i = rng.random_range(0..digests.len());
-                let d = if rng.random_bool(0.3) { digests[i].clone() } else { digests.swap_remove(i) };
-                view.apply_delta(now, 7, d);
+            if !deltas.is_empty() && rng.random_bool(0.4) {
+                let i = rng.random_range(0..deltas.len());
+                let delta = if rng.random_bool(0.3) { deltas[i].clone() } else { deltas.swap_remove(i) };
+                view.apply_delta(now, 7, delta);
             }
-            if !wishes.is_empty() && rng.random_bool(0.4) {
-                let i = rng.random_range(0..wishes.len());
-                let w = if rng.random_bool(0.3) { wishes[i].clone() } else { wishes.swap_remove(i) };
-                home.wanted(now, 0, &w, &m, room);
+            if !desired.is_empty() && rng.random_bool(0.4) {
+                let i = rng.random_range(0..desired.len());
+                let state = if rng.random_bool(0.3) { desired[i].clone() } else { desired.swap_remove(i) };
+                shard.wanted(now, 0, &state, &m, room);
             }
         }
-        view.apply_delta(now, 7, home.digest(now, &m, 0, view.sequence(7), room));
-        let whole = home.digest(now, &m, 0, 0, room);
+        view.apply_delta(now, 7, shard.digest(now, &m, 0, view.sequence(7), room));
+        let whole = shard.digest(now, &m, 0, 0, room);
         assert_eq!(whole.base_sequence, 0);
         let seen = view.machines(7).expect("spoken");
         assert_eq!(seen.len(), whole.machines.len(), "seed {seed}");
@@ -133,40 +138,40 @@
     }
 }
 
-/// Found by the simulated world: after a new epoch a machine that had moved to another home was
-/// taken for gone, since its old home named it no more, and its tasks were started again.
+/// After a new epoch the old leader names a machine no more that has moved to another one: that must not be taken for
+/// the machine's end, or its tasks would be started again.
 #[test]
-fn machines_of_an_older_epoch_are_no_news_of_the_new_one() {
-    let (m, mut home) = parts();
+fn machines_of_an_older_epoch_say_nothing_about_the_new_one() {
+    let (m, mut shard) = parts();
     let room = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
-    home.report(Micros(10), &m, &report(1, 1, &BTreeSet::new()));
-    home.report(Micros(10), &m, &report(2, 1, &BTreeSet::new()));
+    shard.report(Micros(10), &m, &report(1, 1, &BTreeSet::new()));
+    shard.report(Micros(10), &m, &report(2, 1, &BTreeSet::new()));
     let mut view = MachineView::default();
-    let all = home.digest(Micros(20), &m, 0, 0, room);
+    let all = shard.digest(Micros(20), &m, 0, 0, room);
     view.apply_delta(Micros(30), 7, all.clone());
     let mut moved = MachineStatusDelta { sequence: (8 << 32) + 1, ..all };
     moved.machines.truncate(1);
-    let news = view.apply_delta(Micros(40), 8, moved).expect("a new epoch");
-    assert_eq!(news.names, BTreeSet::from(["i-1".to_owned()]));
+    let change = view.apply_delta(Micros(40), 8, moved).expect("a new epoch");
+    assert_eq!(change.names, BTreeSet::from(["i-1".to_owned()]));
 }
 
-/// The cost of a digest is that of what changed, not of the fleet.
+/// The cost of a delta is that of what changed, not of the fleet.
 #[test]
-fn a_digest_of_a_large_home_names_only_what_changed() {
-    let (m, mut home) = parts();
+fn delta_of_a_large_shard_names_only_what_changed() {
+    let (m, mut shard) = parts();
     for i in 0..300 {
-        home.report(Micros(10), &m, &report(i, 1, &BTreeSet::new()));
+        shard.report(Micros(10), &m, &report(i, 1, &BTreeSet::new()));
     }
     let room = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
     let mut view = MachineView::default();
-    let first = home.digest(Micros(20), &m, 0, 0, room);
+    let first = shard.digest(Micros(20), &m, 0, 0, room);
     assert_eq!(first.machines.len(), 300);
     view.apply_delta(Micros(30), 7, first);
-    home.report(Micros(40), &m, &report(5, 2, &BTreeSet::from([(1, 3)])));
+    shard.report(Micros(40), &m, &report(5, 2, &BTreeSet::from([(1, 3)])));
     for i in 10..300 {
-        home.report(Micros(40), &m, &report(i, 2, &BTreeSet::new()));
+        shard.report(Micros(40), &m, &report(i, 2, &BTreeSet::new()));
     }
-    let next = home.digest(Micros(50), &m, 0, view.sequence(7), room);
+    let next = shard.digest(Micros(50), &m, 0, view.sequence(7), room);
     assert_eq!(next.machines.iter().map(|d| d.name.as_str()).collect::<Vec<_>>(), ["i-5"]);
     assert_eq!(view.apply_delta(Micros(60), 7, next).map(|n| n.names.len()), Some(1));
 }
--- a/src/quota/allocation_notes/tests.rs
+++ b/src/quota/allocation_notes/tests.rs
@@ -53,10 +53,10 @@
             let gang = QuotaNeed { accepted: Micros(9_000_000), ..need("a1", 0, 8, true) };
             let gang: &[QuotaNeed] = if s > 20 { std::slice::from_ref(&gang) } else { &[] };
             two.round(Micros::from_millis(s * 1000), [gang, &[array]]);
-            let claimed = two.ledgers[0].allocation("t", "a1").cpus;
+            let allocated = two.ledgers[0].allocation("t", "a1").cpus;
             let sum: i64 = two.store.0.as_object().unwrap().values().map(|v| v[0].as_i64().unwrap()).sum();
             assert!(sum <= 10_000, "{}", two.store.0);
-            if claimed == 8000 {
+            if allocated == 8000 {
                 at = at.or(Some(s));
             }
         }
