--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -23,7 +23,9 @@
     for address in &controllers.controller {
         let url = format!("http://{address}{path}");
         let address = address.clone();
-        let Some((status, text)) = state_store::call(&agent, method, &url, body.map(Value::to_string)) else {
+        let Some((status, text)) =
+            state_store::http_exchange(&agent, method, &url, body.map(Value::to_string))
+        else {
             last = CliError::NoAnswer { address };
             continue;
         };
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -42,7 +42,7 @@
 use self::start_replica::StartReplica;
 use self::state_store_io::{PendingStoreRequest, StateStoreIo};
 use self::user_requests::{Caller, CoordinatedWrite, StandIns, UserRequests};
-use crate::autoscaler::{Autoscaler, CloudAnswer, CloudRequest};
+use crate::autoscaler::{Autoscaler, CloudAnswer, CloudRequest, FleetView};
 use crate::config::settings::Settings;
 use crate::job_shard::{JobOutcome, JobShard, RecordWrite};
 use crate::machine_registry::{self, MachineRegistry, PageWrite};
@@ -51,7 +51,7 @@
 use crate::membership::step_down::StepDown;
 use crate::membership::{EpochRecord, Membership};
 use crate::peer::{DesiredState, Frame, MachineStatusDelta, Message, ReplicatedItem, Reply, UserRequest};
-use crate::quota::{AllocationWrite, QuotaLedger};
+use crate::quota::{AllocationInput, AllocationWrite, QuotaLedger};
 use crate::spec::{JobKind, JobSpec};
 use crate::state_store::{KeyValue, RateLimiter, StoreAnswer, StoreRequest, Transaction};
 use crate::units::{Micros, Ranges};
@@ -323,8 +323,8 @@
     }
 
     fn take_cloud_answer(&mut self, now: Micros, request: &CloudRequest, answer: CloudAnswer) {
-        let types_before = (*request == CloudRequest::Types).then(|| self.autoscaler.types.clone());
-        self.autoscaler.answer(now, request, answer);
+        let types_before = (*request == CloudRequest::MachineTypes).then(|| self.autoscaler.types.clone());
+        self.autoscaler.apply_answer(now, request, answer);
         if types_before.is_some_and(|types| types != self.autoscaler.types) {
             self.machine_shard.mark_all_changed();
         }
@@ -356,8 +356,8 @@
             Effect::Reply { ticket, reply } if (200..300).contains(&reply.status) => {
                 Some(Effect::Reply { ticket, reply: Reply::later("not entitled to act any more") })
             }
-            Effect::Cloud(request @ (CloudRequest::Rent(_) | CloudRequest::Return(_))) => {
-                self.autoscaler.answer(now, &request, CloudAnswer::Failed);
+            Effect::Cloud(request @ (CloudRequest::ScaleOut(_) | CloudRequest::ScaleIn(_))) => {
+                self.autoscaler.apply_answer(now, &request, CloudAnswer::Failed);
                 None
             }
             other => Some(other),
@@ -424,22 +424,25 @@
 
     /// The autoscaler's next request to the cloud, if one is due.
     fn scale(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if !self.autoscaler.due(now) {
+        if !self.autoscaler.is_due(now) {
             return;
         }
         let decides = self.membership.autoscaler() == Some(self.settings.me);
-        let heard = self.job_shard.has_heard_all_machine_shards(&self.membership);
         let machines: Vec<_> = self.job_shard.machines(self.membership.epoch).filter(|_| decides).collect();
-        let rebuilt = self.job_shard.is_rebuilt();
-        let members = &self.membership.members;
-        let request = self.autoscaler.next(now, decides, &machines, heard, rebuilt, members);
+        let fleet = decides.then(|| FleetView {
+            machines: &machines,
+            all_reported: self.job_shard.has_heard_all_machine_shards(&self.membership),
+            rebuilt: self.job_shard.is_rebuilt(),
+            members: &self.membership.members,
+        });
+        let request = self.autoscaler.next_request(now, fleet);
         out.extend(request.map(Effect::Cloud));
     }
 
     /// Who doesn't act must know the machine types too: it may have to accept jobs.
     fn learn_machine_types(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if self.autoscaler.types.is_empty() {
-            let request = self.autoscaler.next(now, false, &[], false, false, &[]);
+            let request = self.autoscaler.next_request(now, None);
             out.extend(request.map(Effect::Cloud));
         }
     }
--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -223,8 +223,8 @@
             if !self.reads(peer, FORM) {
                 continue;
             }
-            for (number, parcel) in self.handoff.outbox.take_due(now, peer, pause) {
-                self.send(now, peer, Message::Handoff { number, parcel }, out);
+            for (number, batch) in self.handoff.outbox.take_due(now, peer, pause) {
+                self.send(now, peer, Message::Handoff { number, batch }, out);
             }
             let owed = std::mem::take(&mut self.handoff.owed_acks[peer]);
             if !owed.is_empty() {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -109,7 +109,7 @@
 
     /// Whether there is nothing yet to tell a machine.
     fn may_hold(&self, now: Micros, machine: &str) -> bool {
-        let room = |kind: &str| self.autoscaler.room(kind);
+        let room = |kind: &str| self.autoscaler.resources_of(kind);
         self.machine_shard.can_hold_response(now, machine, room, |task| self.may_start(machine, task))
     }
 
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -110,7 +110,7 @@
             boot: self.boot,
             echo: heard.clock,
             echo_boot: heard.boot,
-            digest_seen: self.job_shard.applied_status_sequence(to, self.membership.epoch),
+            sequence_seen: self.job_shard.applied_status_sequence(to, self.membership.epoch),
             body,
         }
     }
@@ -148,7 +148,7 @@
             frame.epoch == self.membership.epoch && frame.epoch > 0 && !self.membership.has_yielded();
         if is_same_epoch {
             let acked = &mut self.peer_traffic.links[from].revision_acked;
-            *acked = (*acked).max(frame.digest_seen);
+            *acked = (*acked).max(frame.sequence_seen);
         }
         match frame.body {
             // Who leaves the ring hands over in an epoch that it doesn't adopt. An older process of ours had other
@@ -163,7 +163,7 @@
                 self.apply_forward_response(now, frame.epoch, id, reply, out)
             }
             message if is_same_epoch => {
-                let revision_seen = frame.digest_seen;
+                let revision_seen = frame.sequence_seen;
                 let sender = Sender { from, boot: frame.boot, echo, revision_seen, is_self };
                 self.take_epoch_message(now, &sender, message, out);
             }
@@ -194,7 +194,7 @@
         let from = sender.from;
         match message {
             Message::State(desired, delta) => self.apply_peer_state(now, sender, &desired, delta),
-            Message::Demands(demands) => self.autoscaler.demand(now, from, demands),
+            Message::Demands(demands) => self.autoscaler.record_demand(now, from, demands),
             Message::Reserve(list) if !sender.is_self => {
                 self.job_shard.apply_peer_reservations(now, from, list)
             }
@@ -207,8 +207,8 @@
             Message::MisroutedHeartbeats(machines) => self.note_misrouted(now, machines),
             Message::Lending(told) if !sender.is_self => self.job_shard.apply_peer_lending(now, from, told),
             Message::InheritedPriorities(list) => self.job_shard.apply_needed_priorities(from, list),
-            Message::Handoff { number, parcel } => self.take_batch(now, from, sender.boot, number, parcel),
-            Message::ReplicateStarts { rev: revision, since: base_revision, added, dropped }
+            Message::Handoff { number, batch } => self.take_batch(now, from, sender.boot, number, batch),
+            Message::ReplicateStarts { revision, base_revision, added, removed: dropped }
                 if !sender.is_self =>
             {
                 self.replicate_starts(
@@ -232,7 +232,7 @@
     ) {
         let from = sender.from;
         let autoscaler = &self.autoscaler;
-        let room = |kind: &str| autoscaler.room(kind);
+        let room = |kind: &str| autoscaler.resources_of(kind);
         if self.machine_shard.apply_desired_state(now, from, desired, &self.membership, room) {
             self.machine_shard.note_owner_message(from, sender.echo, sender.revision_seen);
         }
@@ -323,7 +323,7 @@
             false => DesiredState::default(),
         };
         let autoscaler = &self.autoscaler;
-        let room = |kind: &str| autoscaler.room(kind);
+        let room = |kind: &str| autoscaler.resources_of(kind);
         let delta = self.machine_shard.status_delta(now, &self.membership, peer, acked, room);
         self.send_or_keep(now, peer, Message::State(desired, delta), own, out);
     }
@@ -346,7 +346,7 @@
         if let Some(decider) = self.membership.autoscaler() {
             let demands = Message::Demands(self.job_shard.demands());
             self.send_or_keep(now, decider, demands, &mut own, out);
-            if decider == self.settings.me && self.autoscaler.steers {
+            if decider == self.settings.me && self.autoscaler.can_publish() {
                 for peer in 0..peers {
                     self.send_or_keep(now, peer, self.scaling_plan(), &mut own, out);
                 }
@@ -357,10 +357,10 @@
 
     fn scaling_plan(&self) -> Message {
         Message::ScalingPlan {
-            drain: self.autoscaler.drain.iter().cloned().collect(),
-            gone: self.autoscaler.gone(),
-            kept: self.autoscaler.kept.clone(),
-            kept_machines: self.autoscaler.reserve.clone().into_iter().collect(),
+            drain: self.autoscaler.draining(),
+            gone: self.autoscaler.removed(),
+            kept: self.autoscaler.reserved_classes(),
+            kept_machines: self.autoscaler.reserved_machines(),
         }
     }
 }
--- a/src/controller/record_loading.rs
+++ b/src/controller/record_loading.rs
@@ -116,7 +116,7 @@
             LoadStage::Machines => self.load_registry_page(now, &row),
             LoadStage::Quota => {
                 if let Some(team) = row.key.strip_prefix("team/") {
-                    self.quota.take(team, Some((&row.value, row.store_version)));
+                    self.quota.apply_record(team, Some((&row.value, row.store_version)));
                 }
             }
             LoadStage::UnreplicatedStarts | LoadStage::Done => self.load_unreplicated_starts(&row),
@@ -124,11 +124,11 @@
     }
 
     fn load_registry_page(&mut self, now: Micros, row: &KeyValue) {
-        let Some(machines) = machine_registry::read(&row.value) else {
+        let Ok(machines) = machine_registry::read_page(&row.value) else {
             tracing::error!(key = %row.key, "unreadable page of the machine registry");
             return;
         };
-        self.machine_registry.take(&row.key, &machines, row.store_version);
+        self.machine_registry.apply_page(&row.key, &machines, row.store_version);
         for (name, entry) in machines {
             if self.membership.machine_leader(&name) == Some(self.settings.me) {
                 self.machine_shard.load_record(now, &name, entry);
--- a/src/controller/record_writes.rs
+++ b/src/controller/record_writes.rs
@@ -25,29 +25,29 @@
         }
         self.state_store.next_quota_pass = now + QUOTA_PERIOD;
         let needs = self.job_shard.quota_needs(&self.quota);
-        for team in self.quota.reads(now, &needs) {
+        for team in self.quota.next_reads(now, &needs) {
             let read = StoreRequest::Get(format!("team/{team}"));
             self.ask_store(PendingStoreRequest::ReadQuota { team }, read, out);
         }
         let none = Vec::new();
-        for team in self.quota.names() {
+        for team in self.quota.team_names() {
             let (membership, me) = (&self.membership, self.settings.me);
-            let write = self.quota.plan(
-                now,
-                &team,
-                needs.get(&team).unwrap_or(&none),
-                |job| membership.job_leader(job) == Some(me),
-                |job| self.job_shard.has_released_resources(job),
-                self.settings.value_bytes,
-            );
+            let input = AllocationInput {
+                team: &team,
+                needs: needs.get(&team).unwrap_or(&none),
+                is_ours: &|job| membership.job_leader(job) == Some(me),
+                is_released: &|job| self.job_shard.has_released_resources(job),
+                value_bytes: self.settings.value_bytes,
+            };
+            let write = self.quota.next_write(now, &input);
             let Some(write) = write else { continue };
             if !self.state_store.write_limiter.take(now, 1.0, 0.5) {
                 break;
             }
-            self.quota.sent(now, &write);
+            self.quota.begin_write(now, &write);
             let key = format!("team/{team}");
             let transaction = Transaction {
-                conditions: vec![self.fence(), (key.clone(), write.store_version)],
+                conditions: vec![self.fence(), (key.clone(), write.base_version)],
                 puts: vec![(key, write.value.clone(), None)],
                 drops: Vec::new(),
             };
@@ -59,20 +59,20 @@
     pub(super) fn apply_allocation_write(&mut self, write: AllocationWrite, answer: StoreAnswer) {
         match answer {
             StoreAnswer::Committed(store_version) => {
-                self.quota.committed(write, store_version);
+                self.quota.commit_write(write, store_version);
                 self.job_shard.replan = true;
             }
-            StoreAnswer::Conflict(_) | StoreAnswer::Refused => self.quota.failed(&write, true),
-            _ => self.quota.failed(&write, false),
+            StoreAnswer::Conflict(_) | StoreAnswer::Refused => self.quota.fail_write(&write, true),
+            _ => self.quota.fail_write(&write, false),
         }
     }
 
     pub(super) fn apply_quota_record(&mut self, team: &str, answer: &StoreAnswer) {
         match answer {
             StoreAnswer::Got(row) => {
-                self.quota.take(team, row.as_ref().map(|row| (&row.value, row.store_version)))
+                self.quota.apply_record(team, row.as_ref().map(|row| (&row.value, row.store_version)))
             }
-            _ => self.quota.reread(team),
+            _ => self.quota.require_read(team),
         }
     }
 
@@ -216,7 +216,7 @@
     /// Keeps our pages of the machine registry.
     fn keep_registry(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for (name, entry) in self.machine_shard.take_unregistered() {
-            self.machine_registry.add(&name, &entry);
+            self.machine_registry.register(&name, &entry);
         }
         if now >= self.state_store.next_registry_prune {
             self.state_store.next_registry_prune = now + REGISTRY_PRUNE_PERIOD;
@@ -239,7 +239,7 @@
 
     fn prune_registry(&mut self) {
         let (machines, jobs, membership) = (&self.machine_shard, &self.job_shard, &self.membership);
-        self.machine_registry.prune(|name| match machines.is_gone(name) {
+        self.machine_registry.remove_gone(|name| match machines.is_gone(name) {
             Some(gone) => gone,
             None => {
                 membership.machine_leader(name) != Some(membership.me)
@@ -257,7 +257,7 @@
 
     fn write_registry_page(&mut self, epoch: u64, write: PageWrite, out: &mut Vec<Effect>) {
         let mut transaction = Transaction {
-            conditions: vec![self.fence(), (write.key.clone(), write.store_version)],
+            conditions: vec![self.fence(), (write.key.clone(), write.base_version)],
             ..Transaction::default()
         };
         match &write.value {
@@ -275,12 +275,12 @@
         }
         match answer {
             StoreAnswer::Committed(store_version) => {
-                self.machine_registry.written(write, store_version);
+                self.machine_registry.commit_write(write, store_version);
                 for name in &write.names {
                     self.machine_shard.confirm_registered(name);
                 }
             }
-            answer => self.machine_registry.failed(write.page, answer == StoreAnswer::Refused),
+            answer => self.machine_registry.fail_write(write.page, answer == StoreAnswer::Refused),
         }
     }
 
@@ -291,13 +291,13 @@
         let read = match answer {
             StoreAnswer::Got(None) => Some((0, Vec::new())),
             StoreAnswer::Got(Some(row)) => {
-                Some((row.store_version, machine_registry::read(&row.value).unwrap_or_default()))
+                Some((row.store_version, machine_registry::read_page(&row.value).unwrap_or_default()))
             }
             _ => None,
         };
         let read = read.as_ref().map(|(store_version, rows)| (*store_version, rows.as_slice()));
         // Guards against machines that get no work for as long as no write of their page is answered.
-        for name in self.machine_registry.read_back(page, read) {
+        for name in self.machine_registry.apply_read_back(page, read) {
             self.machine_shard.confirm_registered(&name);
         }
     }
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -408,7 +408,7 @@
         self.start_replica.last_sent[peer] = now;
         let delta = self.start_replica.outgoing.next_delta(peer);
         if let Some(ReplicationDelta { revision, base_revision, added, dropped }) = delta {
-            let message = Message::ReplicateStarts { rev: revision, since: base_revision, added, dropped };
+            let message = Message::ReplicateStarts { revision, base_revision, added, removed: dropped };
             self.send(now, peer, message, out);
         }
     }
@@ -429,7 +429,7 @@
         let key = format!("{PREFIX}{}", self.settings.member);
         let transaction = Transaction {
             conditions: vec![self.fence()],
-            puts: vec![(key, json!({"epoch": epoch}), None)],
+            puts: vec![(key, json!( { "epoch":epoch } ), None)],
             ..Transaction::default()
         };
         // It goes out whatever is left of the budget: without it this controller starts nothing on its machines.
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -1,6 +1,7 @@
 //! How a controller stands, for operators: the body of `/status`.
 
 use super::*;
+use crate::units::Resources;
 
 impl Controller {
     /// How things stand, for operators.
@@ -17,15 +18,20 @@
         let oldest: Vec<Value> = waiting.iter().take(SHOWN).map(shown).collect();
         let teams: BTreeMap<&str, Value> = self
             .quota
-            .list()
-            .map(|(n, g, used)| (n, json!({"guaranteed_cpus": g.cpus as f64 / 1000.0, "claimed_cpus": used.cpus as f64 / 1000.0})))
+            .usage()
+            .map(|team| {
+                let cpus = |resources: Resources| resources.cpus as f64 / 1000.0;
+                let usage =
+                    json!({"guaranteed_cpus": cpus(team.guarantee), "claimed_cpus": cpus(team.allocated)});
+                (team.team, usage)
+            })
             .collect();
         let mut status = json!({
             "member": self.settings.member,
             "epoch": m.epoch,
             "members": m.members.iter().map(|&i| m.name(i)).collect::<Vec<_>>(),
             "acting": m.is_leader(now),
-            "aside": self.step_down.absence_reason().map(|a| format!("{a:?}").to_lowercase()),
+            "aside": self.step_down.absence_reason().map(|reason| reason.to_string()),
             "decider": m.autoscaler().map(|d| m.name(d)),
             "records_read": self.job_shard.loaded,
             "machines_unheard": self.job_shard.unconfirmed_machine_count(),
@@ -37,7 +43,7 @@
             "pacts": self.coordination_status(),
             "batches": self.batch_status(),
             "suspected": {"jobs": bad_jobs, "machines": bad_machines},
-            "overdue": self.autoscaler.overdue,
+            "overdue": self.autoscaler.overdue(),
             "teams": teams,
             "store": {"requests_left": self.state_store.request_limiter.level(now), "writes_left": self.state_store.write_limiter.level(now), "in_flight": self.state_store.in_flight.len()},
         });
--- a/src/job_shard/cancellation/tests.rs
+++ b/src/job_shard/cancellation/tests.rs
@@ -53,7 +53,7 @@
         at(1100),
         &membership,
         0,
-        whole_status(&membership, 2, w.rev, listed(&machine, tasks)),
+        whole_status(&membership, 2, w.revision, listed(&machine, tasks)),
     );
     cancel(&mut shard);
     assert!(ends(&mut shard, at(1200)));
@@ -62,7 +62,7 @@
             .next_desired_state(0, &membership)
             .list
             .iter()
-            .all(|w| w.want != DesiredAction::Stop(Micros(0))),
+            .all(|w| w.action != DesiredAction::Stop(Micros(0))),
         "not before it is on record"
     );
 }
@@ -77,13 +77,13 @@
         at(1100),
         &membership,
         0,
-        whole_status(&membership, 2, w.rev, listed(&machine, queued)),
+        whole_status(&membership, 2, w.revision, listed(&machine, queued)),
     );
     cancel(&mut shard);
     assert!(!ends(&mut shard, at(1200)));
     let stops = shard.next_desired_state(0, &membership);
     assert!(
-        stops.list.len() == 2 && stops.list.iter().all(|w| w.want == DesiredAction::Stop(Micros(0))),
+        stops.list.len() == 2 && stops.list.iter().all(|w| w.action == DesiredAction::Stop(Micros(0))),
         "{stops:?}"
     );
     assert!(!ends(&mut shard, at(1300)), "its leader has yet to say so");
@@ -91,7 +91,7 @@
         at(1400),
         &membership,
         0,
-        whole_status(&membership, 3, stops.rev, listed(&machine, Vec::new())),
+        whole_status(&membership, 3, stops.revision, listed(&machine, Vec::new())),
     );
     assert!(ends(&mut shard, at(1400)));
 }
@@ -106,11 +106,11 @@
             at(1100),
             &membership,
             0,
-            whole_status(&membership, 2, w.rev, as_(TaskPhase::Queued)),
+            whole_status(&membership, 2, w.revision, as_(TaskPhase::Queued)),
         );
         cancel(&mut shard);
         assert!(!ends(&mut shard, at(1200)));
-        let rev = shard.next_desired_state(0, &membership).rev;
+        let rev = shard.next_desired_state(0, &membership).revision;
         shard.apply_machine_status(
             at(1300),
             &membership,
@@ -181,19 +181,19 @@
 #[test]
 fn a_gang_that_is_cancelled_while_it_is_held_does_not_begin() {
     let (membership, quota, mut shard, machine, w) = started(raw("group", 2, 0.0));
-    assert!(w.list.iter().all(|w| w.want == DesiredAction::Hold));
+    assert!(w.list.iter().all(|w| w.action == DesiredAction::Hold));
     cancel(&mut shard);
     let held = w.list.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Held }).collect();
     shard.apply_machine_status(
         at(1100),
         &membership,
         0,
-        whole_status(&membership, 2, w.rev, listed(&machine, held)),
+        whole_status(&membership, 2, w.revision, listed(&machine, held)),
     );
     shard.run_scheduling_pass(at(1200), at(1200), &membership, &quota);
     let stops = shard.next_desired_state(0, &membership);
     assert!(
-        stops.list.len() == 2 && stops.list.iter().all(|w| w.want == DesiredAction::Stop(Micros(0))),
+        stops.list.len() == 2 && stops.list.iter().all(|w| w.action == DesiredAction::Stop(Micros(0))),
         "{stops:?}"
     );
 }
@@ -205,7 +205,7 @@
     let left_alone = |shard: &mut JobShard| shard.placement_refusals.refusing(at(1500), &membership);
     cancel(&mut shard);
     assert!(!ends(&mut shard, at(1200)));
-    let rev = shard.next_desired_state(0, &membership).rev.max(w.rev);
+    let rev = shard.next_desired_state(0, &membership).revision.max(w.revision);
     shard.apply_machine_status(
         at(1400),
         &membership,
@@ -272,13 +272,13 @@
         at(1100),
         &membership,
         0,
-        whole_status(&membership, 2, w.rev, listed(&machine, one)),
+        whole_status(&membership, 2, w.revision, listed(&machine, one)),
     );
     let (id, write, _) = shard.next_write(at(1200), false).expect("progress is due");
     let RecordWrite::Progress(_, kept) = write else { panic!("not an end") };
     shard.confirm_progress(at(1210), &id, kept, 9);
     let all: MachineStatusDelta =
-        whole_status(&membership, 3, w.rev, listed(&machine, w.list.iter().map(exited).collect()));
+        whole_status(&membership, 3, w.revision, listed(&machine, w.list.iter().map(exited).collect()));
     shard.apply_machine_status(at(1300), &membership, 0, all);
     assert!(matches!(shard.next_write(at(1400), true), Some((_, RecordWrite::End(JobOutcome::Done, _), _))));
 }
--- a/src/job_shard/epoch_adoption.rs
+++ b/src/job_shard/epoch_adoption.rs
@@ -45,7 +45,7 @@
             released_wall: dependencies::released_at(&raw),
             own_priority: spec.priority,
             reserved_machines: Vec::new(),
-            quota_tier: QuotaTier::Unpromised,
+            quota_tier: QuotaTier::NoGuarantee,
             spec,
             raw,
         }
--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -95,7 +95,7 @@
 
 /// Whether a job's tasks run beyond what its team is guaranteed. Of one of which that is not known nothing is lent.
 fn is_lendable(job: &Job) -> bool {
-    matches!(job.quota_tier, QuotaTier::Beyond | QuotaTier::Unpromised)
+    matches!(job.quota_tier, QuotaTier::Beyond | QuotaTier::NoGuarantee)
 }
 
 impl Loans {
@@ -373,7 +373,7 @@
 
     /// Replicas without a place that a job's quota allows.
     fn replicas_missing(&self, id: &str, job: &Job, quota: &QuotaLedger) -> u32 {
-        let allowance = quota.claim(&job.spec.team, id) - self.resources_in_use(id, job);
+        let allowance = quota.usable(&job.spec.team, id) - self.resources_in_use(id, job);
         let allowance = Resources { memory: i64::MAX / 4, ..allowance };
         let allowed = allowance.count_of(job.spec.room).clamp(0, MOST_REPLICAS) as u32;
         (job.spec.tasks - job.assignments.len() as u32).min(allowed)
@@ -581,7 +581,7 @@
             return Vec::new();
         }
         let guarantee = self.guarantees.get(team).map_or(0, |guarantee| guarantee.gpus);
-        let borrower = Borrower { used: quota.used(team).gpus, guarantee };
+        let borrower = Borrower { used: quota.allocated(team).gpus, guarantee };
         let is_ours = |id: &str| membership.job_leader(id) == Some(self.me);
         let standing = |id: &str, machine: &str| match self.jobs.get(id).filter(|_| is_ours(id)) {
             Some(job) => ReplicasOnLoan {
--- a/src/job_shard/places.rs
+++ b/src/job_shard/places.rs
@@ -50,7 +50,7 @@
     ) -> BTreeMap<&str, Resources> {
         let seen_by_leader_of = |machine: &str| {
             let leader = membership.machine_leader(machine);
-            leader.map_or(0, |leader| views[leader].rev_seen(membership.epoch))
+            leader.map_or(0, |leader| views[leader].revision_seen(membership.epoch))
         };
         let mut unseen: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut counted = BTreeSet::new();
--- a/src/job_shard/preemption.rs
+++ b/src/job_shard/preemption.rs
@@ -71,7 +71,7 @@
 /// How long work within a guarantee waits before borrowed room is reclaimed for it: not at all where some work has no
 /// guarantee, else until what ends by itself would have made room.
 pub(super) fn reclaim_delay(quota: &QuotaLedger) -> Micros {
-    let all_guaranteed = quota.names().iter().all(|team| quota.guaranteed(team));
+    let all_guaranteed = quota.team_names().iter().all(|team| quota.has_guarantee(team));
     if all_guaranteed { RECLAIM_DELAY } else { Micros(0) }
 }
 
@@ -98,9 +98,9 @@
                 continue;
             }
             let need = Resources { memory: 0, ..job.spec.room.times(i64::from(job.unfinished_tasks())) };
-            let shown_before = tier::shown(job.spec.priority, job.quota_tier);
-            job.quota_tier = quota.footing(&job.spec.team, id, job.accepted_wall, need);
-            if shown_before != tier::shown(job.spec.priority, job.quota_tier) {
+            let shown_before = tier::effective_priority(job.spec.priority, job.quota_tier);
+            job.quota_tier = quota.tier_of(&job.spec.team, id, job.accepted_wall, need);
+            if shown_before != tier::effective_priority(job.spec.priority, job.quota_tier) {
                 for (&index, assignment) in &job.assignments {
                     self.delivery.mark_changed(&assignment.machine, id, index, assignment.attempt);
                 }
@@ -177,7 +177,7 @@
             // less than what is lost by stopping tasks that never save: of what has one, only borrowed
             // work is stopped, and not at once.
             if !assignment.is_stopping()
-                && tier::may_stop(job.spec.priority, job.quota_tier, job.can_save(), request.priority, age)
+                && tier::may_preempt(job.spec.priority, job.quota_tier, job.can_save(), request.priority, age)
             {
                 tasks.push((assignment.phase_since, id.clone(), *index));
             }
--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -70,7 +70,7 @@
             snapshot,
             inventory: snapshot.map_or(InventoryState::Gone, |machine| machine.standing),
             tasks: snapshot.map_or(&[], |machine| &machine.tasks),
-            seen_revision: view.rev_seen(epoch),
+            seen_revision: view.revision_seen(epoch),
         }
     }
 
@@ -120,10 +120,10 @@
     /// The next message to a leader of machines: all that changed since the last one that it says it has seen.
     pub fn next_desired_state(&mut self, leader: usize, membership: &Membership) -> DesiredState {
         self.has_changes_for(leader, membership);
-        let seen = self.views[leader].rev_seen(membership.epoch);
+        let seen = self.views[leader].revision_seen(membership.epoch);
         let since = if seen > membership.epoch << 32 { seen } else { 0 };
         let (rev, changes) = self.delivery.next_message(leader, since);
-        let mut state = DesiredState { rev, since, ..DesiredState::default() };
+        let mut state = DesiredState { revision: rev, base_revision: since, ..DesiredState::default() };
         let mut newly_named = Vec::new();
         for (start, named_in) in changes {
             if *named_in == UNSENT {
@@ -132,25 +132,25 @@
             }
             let MachineStart { machine, task: key } = start;
             let retired = RetiredStartKey::new(&key.job, key.index, machine, key.attempt);
-            let (room, want, priority, image) = if let Some(job) = self.jobs.get_mut(&key.job)
+            let (room, action, priority, image) = if let Some(job) = self.jobs.get_mut(&key.job)
                 && let Some(assignment) = job.assignments.get_mut(&key.index)
                 && assignment.is_start(machine, key.attempt)
             {
                 assignment.first_revision = assignment.first_revision.min(rev);
-                let priority = tier::shown(job.spec.priority, job.quota_tier);
+                let priority = tier::effective_priority(job.spec.priority, job.quota_tier);
                 (job.spec.room, assignment.action, priority, job.spec.image_hash)
             } else if let Some(retired) = self.retired_starts.get_mut(&retired) {
                 retired.first_revision = retired.first_revision.min(rev);
                 (retired.room, retired.action, retired.priority, 0)
             } else {
-                state.dropped.push((machine.clone(), key.clone()));
+                state.removed.push((machine.clone(), key.clone()));
                 continue;
             };
             state.list.push(DesiredTask {
                 key: key.clone(),
                 machine: machine.clone(),
                 room,
-                want,
+                action,
                 priority,
                 image,
             });
@@ -161,7 +161,7 @@
 
     /// The state of a leader's machines that we hold, by its sequence number.
     pub fn applied_status_sequence(&self, leader: usize, epoch: u64) -> u64 {
-        self.views.get(leader).map_or(0, |view| view.seq(epoch))
+        self.views.get(leader).map_or(0, |view| view.sequence(epoch))
     }
 
     /// Takes the status of a leader's machines: the truth about our tasks there. Returns whether it brought
@@ -177,9 +177,9 @@
         if !self.loaded {
             return false;
         }
-        let Some(change) = view.take(now, membership.epoch, delta) else { return false };
+        let Some(change) = view.apply_delta(now, membership.epoch, delta) else { return false };
         let mut names = change.names;
-        if change.whole {
+        if change.is_whole {
             names.extend(self.machines_with_starts_of(membership, from));
         }
         if names.is_empty() {
--- a/src/job_shard/reservations.rs
+++ b/src/job_shard/reservations.rs
@@ -59,7 +59,7 @@
         if self.withheld == 0 {
             return true;
         }
-        if !overdue && job.quota_tier != QuotaTier::Unpromised {
+        if !overdue && job.quota_tier != QuotaTier::NoGuarantee {
             return false;
         }
         let usable = places.iter().filter(|place| place.is_allowed(&job.spec)).count();
@@ -149,7 +149,7 @@
 
 /// What the other leaders of jobs are told of a reserved machine.
 fn announcements(machine: &str, spec: &JobSpec, quota_tier: QuotaTier, overdue: bool) -> Vec<Reservation> {
-    let preempting = tier::asks(spec.priority, quota_tier);
+    let preempting = tier::preempting_priority(spec.priority, quota_tier);
     let reservation =
         |priority, evict| Reservation { machine: machine.to_owned(), priority, need: spec.room, evict };
     let mut announced = vec![reservation(spec.priority, preempting == spec.priority)];
--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -202,7 +202,7 @@
         let lacking = plan.unplaced.saturating_sub(self.loans.covers(pass.now, id));
         if lacking > 0 {
             let spec = &candidate.job.spec;
-            let horizon = self.horizon(candidate.job, pass.quota.guaranteed(&spec.team), candidate.age);
+            let horizon = self.horizon(candidate.job, pass.quota.has_guarantee(&spec.team), candidate.age);
             let demand = self.demand_of(spec, lacking, horizon);
             self.demands.push(demand);
         }
@@ -230,14 +230,14 @@
     fn note_shape_of(&mut self, pass: &Pass, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
-        let horizon = self.horizon(job, pass.quota.guaranteed(&spec.team), Micros(0));
+        let horizon = self.horizon(job, pass.quota.has_guarantee(&spec.team), Micros(0));
         self.note_shape(pass.now, &spec, horizon);
     }
 
     /// All that decides where a job's tasks may go.
     fn candidate<'a>(&'a self, pass: &Pass, id: &'a str) -> Option<Candidate<'a>> {
         let job = self.jobs.get(id)?;
-        let claim = pass.quota.claim(&job.spec.team, id);
+        let claim = pass.quota.usable(&job.spec.team, id);
         let mut zone_counts = ZoneCounts::new();
         for assignment in job.assignments.values() {
             *zone_counts.entry(assignment.zone.clone()).or_default() += 1;
--- a/src/job_shard/tests.rs
+++ b/src/job_shard/tests.rs
@@ -28,7 +28,12 @@
     rev_seen: u64,
     machines: Vec<MachineStatus>,
 ) -> MachineStatusDelta {
-    MachineStatusDelta { seq: (membership.epoch << 32) + seq, since: 0, rev_seen, machines }
+    MachineStatusDelta {
+        sequence: (membership.epoch << 32) + seq,
+        base_sequence: 0,
+        revision_seen: rev_seen,
+        machines,
+    }
 }
 
 /// The leader of one job, and one machine with room as its own leader describes it.
@@ -76,15 +81,15 @@
             whole_status(&membership, 1, 0, vec![machine.clone()]),
         );
         shard.run_scheduling_pass(now, now, &membership, &quota);
-        let DesiredState { rev, list: wanted, .. } = shard.next_desired_state(0, &membership);
-        assert_eq!(wanted[0].want, DesiredAction::Run);
+        let DesiredState { revision: rev, list: wanted, .. } = shard.next_desired_state(0, &membership);
+        assert_eq!(wanted[0].action, DesiredAction::Run);
         machine.tasks = vec![ObservedTask { key: wanted[0].key.clone(), phase: TaskPhase::Running }];
         machine.notice = Some(Micros::from_millis(9000));
         shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 2, rev, vec![machine]));
         shard.preempt_tasks(now, &membership);
         // What stays as it was is not said again.
         let expected = stops.then_some(DesiredAction::Stop(Micros::from_millis(5000)));
-        assert_eq!(shard.next_desired_state(0, &membership).list.first().map(|w| w.want), expected);
+        assert_eq!(shard.next_desired_state(0, &membership).list.first().map(|w| w.action), expected);
     }
 }
 
@@ -102,9 +107,9 @@
     // Not seen yet, so it is named again.
     assert_eq!(shard.next_desired_state(0, &membership).list.len(), 400);
     let seen = MachineStatusDelta {
-        seq: (membership.epoch << 32) + 2,
-        since: 0,
-        rev_seen: first.rev + 1,
+        sequence: (membership.epoch << 32) + 2,
+        base_sequence: 0,
+        revision_seen: first.revision + 1,
         machines: Vec::new(),
     };
     let on = |d: &MachineStatus| {
@@ -120,7 +125,12 @@
     assert!(shard.next_desired_state(0, &membership).list.is_empty());
     let mut one = on(&fleet[7]);
     one.tasks[0].phase = TaskPhase::Exited(TaskExit::Stopped(false));
-    let change = MachineStatusDelta { seq: seen.seq + 1, since: seen.seq, machines: vec![one], ..seen };
+    let change = MachineStatusDelta {
+        sequence: seen.sequence + 1,
+        base_sequence: seen.sequence,
+        machines: vec![one],
+        ..seen
+    };
     assert!(shard.apply_machine_status(now, &membership, 0, change));
     assert_eq!(shard.next_desired_state(0, &membership).list.len(), 1);
 }
@@ -204,7 +214,7 @@
     let now = Micros::from_millis(1000);
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 1, 0, vec![machine.clone()]));
     shard.run_scheduling_pass(now, now, &membership, &quota);
-    let DesiredState { rev, list: wanted, .. } = shard.next_desired_state(0, &membership);
+    let DesiredState { revision: rev, list: wanted, .. } = shard.next_desired_state(0, &membership);
     let old = TaskKey { attempt: 5, ..wanted[0].key.clone() };
     machine.tasks = vec![running(&old), running(&wanted[0].key)];
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 2, rev, vec![machine.clone()]));
@@ -215,7 +225,7 @@
     shard.run_scheduling_pass(later, later, &membership, &quota);
     let wanted = shard.next_desired_state(0, &membership).list;
     assert_eq!(wanted.len(), 1);
-    assert_eq!((&wanted[0].key, wanted[0].want), (&old, DesiredAction::Stop(Micros(0))));
+    assert_eq!((&wanted[0].key, wanted[0].action), (&old, DesiredAction::Stop(Micros(0))));
     // It counts towards its team's quota all the while.
     assert_eq!(shard.resources_in_use("wk-1", &shard.jobs["wk-1"]).cpus, 2000);
 }
@@ -226,12 +236,12 @@
     let now = Micros::from_millis(1000);
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 1, 0, vec![machine.clone()]));
     shard.run_scheduling_pass(now, now, &membership, &quota);
-    let DesiredState { rev, list: wanted, .. } = shard.next_desired_state(0, &membership);
+    let DesiredState { revision: rev, list: wanted, .. } = shard.next_desired_state(0, &membership);
     let done = ObservedTask { key: wanted[0].key.clone(), phase: TaskPhase::Exited(TaskExit::Done) };
     machine.tasks = vec![done, running(&wanted[1].key)];
     let want_of = |shard: &mut JobShard| {
         let list = shard.next_desired_state(0, &membership).list;
-        list.iter().find(|w| w.key.index == 0).map(|w| w.want)
+        list.iter().find(|w| w.key.index == 0).map(|w| w.action)
     };
     for seq in 2..5 {
         shard.apply_machine_status(
@@ -266,7 +276,7 @@
         whole_status(&membership, 1, u64::MAX - 1, vec![machine.clone()]),
     );
     assert_eq!(shard.task_counts().1, 1);
-    let rev = shard.next_desired_state(0, &membership).rev;
+    let rev = shard.next_desired_state(0, &membership).revision;
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 2, rev, vec![machine]));
     assert_eq!(shard.task_counts().1, 0, "now its absence is an answer");
 }
--- a/src/job_shard/unresolved_starts.rs
+++ b/src/job_shard/unresolved_starts.rs
@@ -43,7 +43,7 @@
                 continue;
             }
             let spec = job.spec.clone();
-            let guaranteed = pass.quota.guaranteed(&spec.team);
+            let guaranteed = pass.quota.has_guarantee(&spec.team);
             let horizon = self.horizon(job, guaranteed, pass.wall.since(job.ready_wall()));
             let whole_horizon = self.horizon(job, guaranteed, Micros(0));
             let unplaced = try_to_place(pass, &mut exhausted, &spec, lacking);
@@ -75,7 +75,7 @@
         // is not.
         let expected = (there * hidden).div_ceil(pass.machine_count.saturating_sub(hidden).max(1));
         let lacking = if gang && there > 0 { 0 } else { lacking.saturating_sub(expected) };
-        let allowance = pass.quota.claim(&spec.team, id) - self.resources_in_use(id, job);
+        let allowance = pass.quota.usable(&spec.team, id) - self.resources_in_use(id, job);
         let allowance = Resources { memory: i64::MAX / 4, ..allowance };
         let allowed = allowance.count_of(spec.room).clamp(0, lacking as i64);
         if gang && allowed < i64::from(spec.tasks) { 0 } else { allowed as usize }
--- a/src/job_shard/unresolved_starts/tests.rs
+++ b/src/job_shard/unresolved_starts/tests.rs
@@ -43,7 +43,7 @@
     // Less those seen, those that may well be on the unheard one, and those that fit beside two on the one open.
     assert_eq!(asked(&mut shard, 2000), 100 - 38 - 2 - 2);
     assert!(
-        shard.next_desired_state(0, &membership).list.iter().all(|w| w.want != DesiredAction::Run),
+        shard.next_desired_state(0, &membership).list.iter().all(|w| w.action != DesiredAction::Run),
         "nothing of it is placed"
     );
     assert_eq!(shard.unresolved_job_count(), 1);
--- a/src/machine_shard/admission.rs
+++ b/src/machine_shard/admission.rs
@@ -16,14 +16,18 @@
         membership: &Membership,
         capacity: impl Fn(&str) -> Option<Resources>,
     ) -> bool {
-        if self.owner_revisions.get(from).is_none_or(|&held| state.rev <= held || state.since > held) {
+        if self
+            .owner_revisions
+            .get(from)
+            .is_none_or(|&held| state.revision <= held || state.base_revision > held)
+        {
             return false;
         }
-        self.owner_revisions[from] = state.rev;
-        if state.since == 0 {
+        self.owner_revisions[from] = state.revision;
+        if state.base_revision == 0 {
             self.drop_unlisted(from, &state.list, membership);
         }
-        for (machine, key) in &state.dropped {
+        for (machine, key) in &state.removed {
             self.decided_starts.remove(key);
             if let Some(pending) = self.pending_desired.get_mut(machine) {
                 pending.remove(key);
@@ -89,7 +93,7 @@
         if self.update_task(desired) {
             return;
         }
-        if matches!(desired.want, DesiredAction::Hold | DesiredAction::Run) {
+        if matches!(desired.action, DesiredAction::Hold | DesiredAction::Run) {
             self.decide_start(now, from, desired, capacity);
         } else {
             self.keep_for_first_heartbeat(desired);
@@ -101,11 +105,11 @@
         let Some(machine) = self.machines.get_mut(&desired.machine) else { return false };
         let Some(task) = machine.tasks.get_mut(&desired.key) else { return false };
         task.apply_desired(desired);
-        if task.phase == TaskPhase::Held && desired.want == DesiredAction::Run {
+        if task.phase == TaskPhase::Held && desired.action == DesiredAction::Run {
             task.phase = TaskPhase::Queued;
         }
         // A held or queued start that is to be stopped never goes out.
-        if !task.may_be_on_machine() && !matches!(desired.want, DesiredAction::Hold | DesiredAction::Run) {
+        if !task.may_be_on_machine() && !matches!(desired.action, DesiredAction::Hold | DesiredAction::Run) {
             machine.tasks.remove(&desired.key);
         }
         self.changes.record(&desired.machine, &mut machine.revision);
@@ -147,7 +151,7 @@
             tracing::debug!(machine = %desired.machine, job = %desired.key.job, task = desired.key.index, fits, has_twin, "start refused");
             return;
         }
-        let phase = if desired.want == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
+        let phase = if desired.action == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
         let mut task = TaskEntry::new(phase, OwnerBasis::new(Some(from), self.changes.revision + 1));
         task.apply_desired(desired);
         machine.tasks.insert(desired.key.clone(), task);
--- a/src/machine_shard/handoff.rs
+++ b/src/machine_shard/handoff.rs
@@ -116,7 +116,7 @@
                 priority: task.priority,
                 image: task.image,
                 phase: task.phase,
-                desired: task.want,
+                desired: task.action,
                 sent_with: task.sent_to.into(),
                 owner_basis: owner_basis(&task.key),
             };
@@ -141,7 +141,7 @@
             priority: self.priority,
             image: self.image,
             phase: self.phase,
-            want: self.desired,
+            action: self.desired,
             sent_to: self.sent_with.into(),
         }
     }
--- a/src/machine_shard/machine.rs
+++ b/src/machine_shard/machine.rs
@@ -49,7 +49,7 @@
         self.resources = Some(desired.room);
         self.priority = desired.priority;
         self.image = desired.image;
-        self.desired = Some(desired.want);
+        self.desired = Some(desired.action);
     }
 
     /// Whether the start has gone out, so that the task may be on the machine.
--- a/src/machine_shard/status_delta.rs
+++ b/src/machine_shard/status_delta.rs
@@ -95,7 +95,12 @@
             })
             .collect();
         let rev_seen = self.owner_revisions.get(to).copied().unwrap_or(0);
-        MachineStatusDelta { seq: self.changes.revision, since, rev_seen, machines }
+        MachineStatusDelta {
+            sequence: self.changes.revision,
+            base_sequence: since,
+            revision_seen: rev_seen,
+            machines,
+        }
     }
 
     fn machine_status(
--- a/src/scheduler/reservations/tests.rs
+++ b/src/scheduler/reservations/tests.rs
@@ -61,7 +61,7 @@
     let machines: Vec<MachineStatus> = (0..40).map(|i| machine(i, "a", &[(0, 4000)])).collect();
     let reserved = |taken: usize| {
         let taken = (0..taken).map(|i| format!("i-{i:02}")).collect();
-        reserve(&machines, &gang(24, 1), QuotaTier::Unpromised, false, &taken)
+        reserve(&machines, &gang(24, 1), QuotaTier::NoGuarantee, false, &taken)
     };
     assert_eq!(reserved(0).len(), 24);
     assert!(reserved(16).iter().all(|n| n.as_str() >= "i-16") && reserved(16).len() == 24);
--- a/src/server/worker_probe.rs
+++ b/src/server/worker_probe.rs
@@ -20,7 +20,7 @@
 /// Whether a worker at this address answers.
 pub(super) fn is_reachable(address: &str) -> bool {
     let agent = ureq::AgentBuilder::new().timeout(REACHABLE_TIMEOUT).redirects(0).build();
-    state_store::call(&agent, "GET", &format!("http://{address}/inspect"), None)
+    state_store::http_exchange(&agent, "GET", &format!("http://{address}/inspect"), None)
         .is_some_and(|(status, _)| status == 200)
 }
 
@@ -41,7 +41,7 @@
     let mut incarnation = probe.incarnation;
     for _ in 0..FENCING_ATTEMPTS {
         let body = fencing_probe_body(epoch, incarnation);
-        let (_, text) = state_store::call(agent, "POST", &url, Some(body))?;
+        let (_, text) = state_store::http_exchange(agent, "POST", &url, Some(body))?;
         let heartbeat: Heartbeat = serde_json::from_str(&text).ok()?;
         if heartbeat.token >= epoch || heartbeat.incarnation == incarnation {
             return Some(heartbeat);
--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -8,7 +8,7 @@
 use hazelsaddle::machine_shard::MachineRecord;
 use hazelsaddle::membership::EpochRecord;
 use hazelsaddle::peer::*;
-use hazelsaddle::quota::{Need, QuotaLedger};
+use hazelsaddle::quota::{AllocationInput, QuotaLedger, QuotaNeed};
 use hazelsaddle::spec::JobSpec;
 use hazelsaddle::units::{Micros, Ranges, Resources};
 use serde_json::{Map, Value, json};
@@ -48,7 +48,7 @@
         boot: 11,
         echo: Micros(4_000_002),
         echo_boot: 12,
-        digest_seen: (7 << 32) + 3,
+        sequence_seen: (7 << 32) + 3,
         body,
     }
 }
@@ -56,17 +56,17 @@
 /// The values that the fixtures were made of.
 fn frames() -> Vec<(&'static str, Frame)> {
     let key = |index| TaskKey { job: "wk-000412".into(), index, attempt: (7 << 24) + 2 };
-    let want = |i, want| DesiredTask {
+    let want = |i, action| DesiredTask {
         key: key(i),
         machine: "i-000231".into(),
         room: room(2),
-        want,
+        action,
         priority: 12,
         image: 99,
     };
     let wishes = DesiredState {
-        rev: (7 << 32) + 4,
-        since: (7 << 32) + 1,
+        revision: (7 << 32) + 4,
+        base_revision: (7 << 32) + 1,
         list: vec![
             want(0, DesiredAction::Hold),
             want(1, DesiredAction::Run),
@@ -74,7 +74,7 @@
             want(3, DesiredAction::Stop(Micros(4_000_000))),
             want(4, DesiredAction::Forget),
         ],
-        dropped: vec![("i-000007".into(), key(5))],
+        removed: vec![("i-000007".into(), key(5))],
     };
     let phases = [
         TaskPhase::Held,
@@ -111,9 +111,9 @@
         tasks: phases.iter().zip(0..).map(|(p, i)| ObservedTask { key: key(i), phase: *p }).collect(),
     };
     let digest = MachineStatusDelta {
-        seq: (7 << 32) + 9,
-        since: 0,
-        rev_seen: (7 << 32) + 4,
+        sequence: (7 << 32) + 9,
+        base_sequence: 0,
+        revision_seen: (7 << 32) + 4,
         machines: vec![
             machine("i-000231", InventoryState::Known),
             machine("i-2", InventoryState::Unconfirmed),
@@ -193,7 +193,7 @@
         priority: 12,
         image: 99,
         phase: TaskPhase::Running,
-        want: Some(DesiredAction::Keep),
+        action: Some(DesiredAction::Keep),
         sent_to: (1, 88),
     };
     let machine = MachineHandoff {
@@ -227,16 +227,17 @@
         fresh: vec!["wk-000413".into()],
     };
     let job = JobHandoff { id: "wk-000412".into(), done: "0-2".into(), starts: vec![start], doubt: Some(0) };
-    let parcel = HandoffBatch {
+    let batch = HandoffBatch {
         jobs: vec![job],
         doubts: vec![vec!["i-000007".into()]],
         machines: vec![machine],
         testimony: vec![testimony],
         gone: vec!["i-000005".into()],
     };
-    let vouch = Message::ReplicateStarts { rev: 5, since: 4, added: items.clone(), dropped: items };
+    let vouch =
+        Message::ReplicateStarts { revision: 5, base_revision: 4, added: items.clone(), removed: items };
     for body in [
-        Message::Handoff { number: 4, parcel },
+        Message::Handoff { number: 4, batch },
         Message::HandoffAck(vec![4, 5]),
         vouch,
         Message::StartsReplicated(5),
@@ -357,45 +358,49 @@
     let claims = &all["stored"]["team/t"];
     assert!(claims.to_string().len() > 2048);
     let mut teams = QuotaLedger::new(&s.teams);
-    teams.take("t", Some((claims, 5)));
+    teams.apply_record("t", Some((claims, 5)));
     let held = claims.as_object().expect("claims").len();
-    assert_eq!(teams.used("t").cpus, 15_000 * held as i64, "every claim counts");
+    assert_eq!(teams.allocated("t").cpus, 15_000 * held as i64, "every claim counts");
     let one = Resources { cpus: 15_000, gpus: 0, memory: 0 };
-    let need = |i: usize| Need {
+    let need = |i: usize| QuotaNeed {
         job: format!("wk-9{i:05}"),
-        one,
+        per_task: one,
         in_use: Resources::default(),
-        settled: true,
-        more: 1,
-        whole: true,
+        is_settled: true,
+        more_tasks: 1,
+        all_or_nothing: true,
         priority: 0,
         accepted: Micros(1_790_000_000_000_000),
     };
-    let needs: Vec<Need> = (0..200).map(need).collect();
+    let needs: Vec<QuotaNeed> = (0..200).map(need).collect();
     let ended = |left: usize| move |job: &str| job[3..].parse::<usize>().expect("a number") >= left * 7;
-    let plan =
-        |left: usize| teams.plan(Micros(60_000_000), "t", &needs, |_| true, ended(left), s.value_bytes);
+    let plan = |left: usize| {
+        let (needs, value_bytes) = (&needs[..], s.value_bytes);
+        let input =
+            AllocationInput { team: "t", needs, is_ours: &|_| true, is_released: &ended(left), value_bytes };
+        teams.next_write(Micros(60_000_000), &input)
+    };
     assert!(plan(held - 3).is_none(), "too long still: it waits until more jobs have ended");
     let w = plan(10).expect("most have ended");
-    let jobs = w.claims.len();
+    let jobs = w.allocations.len();
     assert!(w.value.to_string().len() <= 2048 && jobs > 20, "as many as a value holds: {jobs}");
 
     let key = "mach/c0/0";
-    let rows = machine_registry::read(&all["stored"][key]).expect("a page");
+    let rows = machine_registry::read_page(&all["stored"][key]).expect("a page");
     assert!(all["stored"][key].to_string().len() > 2048);
-    let mut roll = MachineRegistry::new("c0", s.value_bytes);
-    roll.take(key, &rows, 9);
-    assert_eq!(roll.names().len(), rows.len());
+    let mut registry = MachineRegistry::new("c0", s.value_bytes);
+    registry.apply_page(key, &rows, 9);
+    assert_eq!(registry.names().len(), rows.len());
     let new = MachineRecord { kind: "k".into(), zone: "z".into(), spot: false, addr: "10.0.0.1:1".into() };
-    roll.add("i-900000", &new);
+    registry.register("i-900000", &new);
     // One of the long page must be written anew: it goes on another page, and stays on the long one.
-    roll.add(&rows[0].0, &rows[0].1);
-    let w = roll.next_write(true).expect("a page");
-    assert!(w.key != key && w.names.len() == 2 && w.store_version == 0);
-    assert!(roll.next_write(true).is_none(), "the long page is left alone");
-    roll.written(&w, 10);
-    roll.prune(|n| rows[10..].iter().any(|(name, _)| name == n));
-    let w = roll.next_write(true).expect("it fits again");
-    assert_eq!((w.key.as_str(), w.store_version, w.names.len()), (key, 9, 10));
+    registry.register(&rows[0].0, &rows[0].1);
+    let w = registry.next_write(true).expect("a page");
+    assert!(w.key != key && w.names.len() == 2 && w.base_version == 0);
+    assert!(registry.next_write(true).is_none(), "the long page is left alone");
+    registry.commit_write(&w, 10);
+    registry.remove_gone(|n| rows[10..].iter().any(|(name, _)| name == n));
+    let w = registry.next_write(true).expect("it fits again");
+    assert_eq!((w.key.as_str(), w.base_version, w.names.len()), (key, 9, 10));
     assert!(w.value.expect("a page").to_string().len() <= 2048);
 }
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -61,9 +61,7 @@
     }
 
     fn spec(&self) -> (serde_json::Value, JobSpec) {
-        let raw = json!({"uid":JOB,"breed":"b","herd":"t","gait":self.kind,"rank":"high","strides":self.tasks,
-            "vcpus":2.0,"cards":0,"ramGb":1.0,"tack":"i","imageGb":1,"together":false,"scatter":false,
-            "borrowed":true,"rideS":1,"restS":0,"unsaddleS":0});
+        let raw = json!( { "uid":JOB, "breed":"b", "herd":"t", "gait":self.kind, "rank":"high", "strides":self.tasks, "vcpus":2.0, "cards":0, "ramGb":1.0, "tack":"i", "imageGb":1, "together":false, "scatter":false, "borrowed":true, "rideS":1, "restS":0, "unsaddleS":0 } );
         let spec = JobSpec::from_value(&raw).expect("valid");
         (raw, spec)
     }
@@ -109,7 +107,12 @@
             now,
             m,
             0,
-            MachineStatusDelta { seq: (m.epoch << 32) + seq, since: 0, rev_seen, machines },
+            MachineStatusDelta {
+                sequence: (m.epoch << 32) + seq,
+                base_sequence: 0,
+                revision_seen: rev_seen,
+                machines,
+            },
         );
     }
 
@@ -117,14 +120,16 @@
     fn obey(&mut self, wishes: &DesiredState, known: &[bool]) {
         for on in &mut self.on {
             let listed = |k: &TaskKey| wishes.list.iter().any(|w| w.key == *k);
-            let dropped = |k: &TaskKey| wishes.dropped.iter().any(|(_, d)| d == k);
-            on.retain(|k, p| *p != TaskPhase::Held || !(dropped(k) || (wishes.since == 0 && !listed(k))));
+            let dropped = |k: &TaskKey| wishes.removed.iter().any(|(_, d)| d == k);
+            on.retain(|k, p| {
+                *p != TaskPhase::Held || !(dropped(k) || (wishes.base_revision == 0 && !listed(k)))
+            });
         }
         for w in &wishes.list {
             let i: usize = w.machine[2..].parse().expect("a number");
             let durable = self.store.end || self.store.done.contains(w.key.index);
             let phase = self.on[i].get(&w.key).copied();
-            match (w.want, phase) {
+            match (w.action, phase) {
                 (DesiredAction::Hold, None) if known[i] && self.decided.insert(w.key.clone()) => {
                     self.on[i].insert(w.key.clone(), TaskPhase::Held);
                 }
@@ -262,7 +267,7 @@
             owner.preempt_tasks(now, &m);
             let w = owner.next_desired_state(0, &m);
             if self.rng.random_bool(0.7) {
-                seen = w.rev;
+                seen = w.revision;
                 self.obey(&w, &known);
             }
             if let Some(id) = owner.next_reread()
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -55,31 +55,39 @@
         key: TaskKey { job: "wk-1".into(), index: 0, attempt: 1 },
         machine: "i-1".into(),
         room: Resources { cpus: 1000, gpus: 0, memory: 1000 },
-        want: DesiredAction::Run,
+        action: DesiredAction::Run,
         priority: 0,
         image: 0,
     };
-    let ahead =
-        DesiredState { rev: first + 5, since: first + 4, list: vec![wish.clone()], dropped: Vec::new() };
+    let ahead = DesiredState {
+        revision: first + 5,
+        base_revision: first + 4,
+        list: vec![wish.clone()],
+        removed: Vec::new(),
+    };
     assert!(!home.apply_desired_state(Micros(3), 0, &ahead, &m, room));
     let digest = home.status_delta(Micros(4), &m, 0, 0, room);
     assert!(digest.machines[0].tasks.is_empty());
-    assert!(digest.rev_seen < first, "what was dropped must not count as seen");
-    assert!(home.apply_desired_state(Micros(5), 0, &DesiredState { since: 0, ..ahead }, &m, room));
+    assert!(digest.revision_seen < first, "what was dropped must not count as seen");
+    assert!(home.apply_desired_state(Micros(5), 0, &DesiredState { base_revision: 0, ..ahead }, &m, room));
     assert_eq!(home.status_delta(Micros(6), &m, 0, 0, room).machines[0].tasks[0].key, wish.key);
 
     let mut view = MachineView::default();
-    let later = MachineStatusDelta { since: digest.seq, seq: digest.seq + 2, ..digest.clone() };
-    assert_eq!(view.take(Micros(7), EPOCH, later), None, "nothing of this epoch is held yet");
-    assert!(view.take(Micros(8), EPOCH, digest.clone()).is_some());
+    let later = MachineStatusDelta {
+        base_sequence: digest.sequence,
+        sequence: digest.sequence + 2,
+        ..digest.clone()
+    };
+    assert_eq!(view.apply_delta(Micros(7), EPOCH, later), None, "nothing of this epoch is held yet");
+    assert!(view.apply_delta(Micros(8), EPOCH, digest.clone()).is_some());
     let gap = MachineStatusDelta {
-        since: digest.seq + 1,
-        seq: digest.seq + 2,
+        base_sequence: digest.sequence + 1,
+        sequence: digest.sequence + 2,
         machines: Vec::new(),
         ..digest.clone()
     };
-    assert_eq!(view.take(Micros(9), EPOCH, gap), None);
-    assert_eq!(view.seq(EPOCH), digest.seq, "the sender goes on building on what is held");
+    assert_eq!(view.apply_delta(Micros(9), EPOCH, gap), None);
+    assert_eq!(view.sequence(EPOCH), digest.sequence, "the sender goes on building on what is held");
 }
 
 /// A process may stand still between a decision and its effect while its lease runs out. Found missing
@@ -97,9 +105,9 @@
     };
     let answer = |code| Effect::Reply {
         ticket: 7,
-        reply: Reply::json(code, &serde_json::json!({"rein": EPOCH, "calls": []})),
+        reply: Reply::json(code, &serde_json::json!( { "rein":EPOCH, "calls":[] } )),
     };
-    let give_back = || Effect::Cloud(CloudRequest::Return(vec!["i-1".into()]));
+    let give_back = || Effect::Cloud(CloudRequest::ScaleIn(vec!["i-1".into()]));
     assert_eq!(status(node.vetted(at(2), answer(200))), Some((200, None)));
     assert!(node.vetted(at(2), give_back()).is_some());
     // A lease of six seconds has run out; nothing has happened in between.
@@ -113,10 +121,7 @@
 #[test]
 fn prerequisites_that_are_no_list_of_job_ids_are_malformed() {
     let parse = |follows: serde_json::Value| {
-        let body = json!({"uid": "wk-1", "breed": "b", "herd": "t", "gait": "batch", "rank": "idle", "strides": 1,
-            "vcpus": 1.0, "cards": 0, "ramGb": 1.0, "tack": "i", "imageGb": 1, "together": false, "scatter": false,
-            "borrowed": false, "rideS": 1, "restS": 0, "unsaddleS": 0, "follows": follows})
-        .to_string();
+        let body = json!( { "uid":"wk-1", "breed":"b", "herd":"t", "gait":"batch", "rank":"idle", "strides":1, "vcpus":1.0, "cards":0, "ramGb":1.0, "tack":"i", "imageGb":1, "together":false, "scatter":false, "borrowed":false, "rideS":1, "restS":0, "unsaddleS":0, "follows":follows } ) .to_string() ;
         // It names a job, so its record is looked for before it is turned down, by this status and these words.
         assert!(matches!(
             http_api::dispatch(1, "POST", "/v1/jobs", |_| Ok(body.clone())),
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -2,7 +2,7 @@
 //! workers, the cloud and the state service are stand-ins that never fail; a digest or a wish of another controller
 //! takes a step or two. Seeds alone decide what is asked.
 
-use hazelsaddle::autoscaler::{Autoscaler, CloudAnswer, CloudRequest, Listed};
+use hazelsaddle::autoscaler::{Autoscaler, CloudAnswer, CloudMachine, CloudRequest, FleetView};
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::{JobShard, RecordWrite};
 use hazelsaddle::machine_view::MachineSnapshot;
@@ -11,7 +11,7 @@
     DesiredAction, DesiredState, InventoryState, MachineStatus, MachineStatusDelta, ObservedTask, TaskExit,
     TaskKey, TaskPhase,
 };
-use hazelsaddle::quota::QuotaLedger;
+use hazelsaddle::quota::{AllocationInput, QuotaLedger};
 use hazelsaddle::spec::{JobKind, JobSpec, MachineType};
 use hazelsaddle::units::{Micros, Ranges, Resources};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -169,7 +169,7 @@
         for i in 0..3 {
             let follows = self.members[i].adopt_epoch(self.now, &record, self.store_version);
             self.owners[i].adopt_epoch(&self.members[i], follows);
-            self.quota[i].unread();
+            self.quota[i].begin_epoch();
             self.seen[i] = [0; 3];
             for (id, raw) in &self.raws {
                 let a = &self.jobs[id];
@@ -260,7 +260,7 @@
                 self.owners[j].apply_peer_reservations(now, i, list.clone());
             }
             let d = self.owners[i].demands();
-            self.autoscaler.demand(now, i, d);
+            self.autoscaler.record_demand(now, i, d);
         }
         let digests = self
             .machines
@@ -270,19 +270,20 @@
         let seen: Vec<MachineSnapshot> = digests.collect();
         let all: Vec<&MachineSnapshot> = seen.iter().collect();
         for _ in 0..4 {
-            let Some(r) = self.autoscaler.next(now, true, &all, true, true, &[0, 1, 2]) else { break };
+            let fleet = FleetView { machines: &all, all_reported: true, rebuilt: true, members: &[0, 1, 2] };
+            let Some(r) = self.autoscaler.next_request(now, Some(fleet)) else { break };
             let answer = match &r {
-                CloudRequest::Types => CloudAnswer::Types(self.types.clone()),
-                CloudRequest::List(_) => CloudAnswer::Page(Vec::<Listed>::new(), false),
-                CloudRequest::Rent(_) => CloudAnswer::NoCapacity,
-                CloudRequest::Return(_) => CloudAnswer::Failed,
+                CloudRequest::MachineTypes => CloudAnswer::MachineTypes(self.types.clone()),
+                CloudRequest::List(_) => CloudAnswer::Page(Vec::<CloudMachine>::new(), false),
+                CloudRequest::ScaleOut(_) => CloudAnswer::NoCapacity,
+                CloudRequest::ScaleIn(_) => CloudAnswer::Failed,
             };
-            self.autoscaler.answer(now, &r, answer);
+            self.autoscaler.apply_answer(now, &r, answer);
         }
         for o in &mut self.owners {
             o.apply_autoscaler_reservations(
-                self.autoscaler.kept.clone(),
-                self.autoscaler.reserve.clone().into_iter().collect(),
+                self.autoscaler.reserved_classes(),
+                self.autoscaler.reserved_machines(),
             );
         }
     }
@@ -290,25 +291,32 @@
     fn claims(&mut self, i: usize) {
         let now = self.now;
         let needs = self.owners[i].quota_needs(&self.quota[i]);
-        for team in self.quota[i].reads(now, &needs) {
+        for team in self.quota[i].next_reads(now, &needs) {
             let row = self.record.get(&team);
-            self.quota[i].take(&team, row.map(|(v, m)| (v, *m)));
+            self.quota[i].apply_record(&team, row.map(|(v, m)| (v, *m)));
         }
-        for team in self.quota[i].names() {
+        for team in self.quota[i].team_names() {
             let list = needs.get(&team).cloned().unwrap_or_default();
             let m = &self.members[i];
             let owner = &self.owners[i];
             let mine = |j: &str| m.job_leader(j) == Some(i);
-            let w = self.quota[i].plan(now, &team, &list, mine, |j| owner.has_released_resources(j), 4096);
+            let input = AllocationInput {
+                team: &team,
+                needs: &list,
+                is_ours: &mine,
+                is_released: &|j| owner.has_released_resources(j),
+                value_bytes: 4096,
+            };
+            let w = self.quota[i].next_write(now, &input);
             let Some(w) = w else { continue };
-            self.quota[i].sent(now, &w);
-            if self.record.get(&team).map_or(0, |r| r.1) != w.store_version {
-                self.quota[i].failed(&w, true);
+            self.quota[i].begin_write(now, &w);
+            if self.record.get(&team).map_or(0, |r| r.1) != w.base_version {
+                self.quota[i].fail_write(&w, true);
                 continue;
             }
             self.store_version += 1;
             self.record.insert(team.clone(), (w.value.clone(), self.store_version));
-            self.quota[i].committed(w, self.store_version);
+            self.quota[i].commit_write(w, self.store_version);
         }
     }
 
@@ -319,13 +327,13 @@
                 later.push((at, from, home, w));
                 continue;
             }
-            self.seen[home][from] = self.seen[home][from].max(w.rev);
+            self.seen[home][from] = self.seen[home][from].max(w.revision);
             for x in w.list {
                 let m = self.machines.iter_mut().find(|m| m.name == x.machine).expect("a machine");
                 let shown = x.priority;
                 if let Some(e) = m.entries.get_mut(&x.key) {
                     e.priority = shown;
-                    match (x.want, e.phase) {
+                    match (x.action, e.phase) {
                         (DesiredAction::Forget, _) => {
                             m.entries.remove(&x.key);
                             continue;
@@ -339,22 +347,22 @@
                         }
                         _ => {}
                     }
-                    e.want = x.want;
-                } else if matches!(x.want, DesiredAction::Run | DesiredAction::Hold) {
+                    e.want = x.action;
+                } else if matches!(x.action, DesiredAction::Run | DesiredAction::Hold) {
                     self.placed += 1;
                     if m.alive && m.free().holds(x.room) {
                         let phase =
-                            if x.want == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
+                            if x.action == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
                         m.entries.insert(
                             x.key,
-                            Entry { room: x.room, priority: shown, phase, want: x.want, since: now },
+                            Entry { room: x.room, priority: shown, phase, want: x.action, since: now },
                         );
                     } else {
                         self.refused += 1;
                     }
                 }
             }
-            for (machine, key) in w.dropped {
+            for (machine, key) in w.removed {
                 let m = self.machines.iter_mut().find(|m| m.name == machine).expect("a machine");
                 if m.entries.get(&key).is_some_and(|e| matches!(e.phase, TaskPhase::Held | TaskPhase::Queued))
                 {
@@ -377,8 +385,12 @@
                 let here = self.machines.iter().filter(|x| m.machine_leader(&x.name) == Some(home));
                 let machines = here.map(|x| x.digest(m, to)).collect();
                 let rev_seen = self.seen[home][to];
-                let d =
-                    MachineStatusDelta { seq: (self.epoch << 32) + self.seq, since: 0, rev_seen, machines };
+                let d = MachineStatusDelta {
+                    sequence: (self.epoch << 32) + self.seq,
+                    base_sequence: 0,
+                    revision_seen: rev_seen,
+                    machines,
+                };
                 if home == to {
                     self.owners[to].apply_machine_status(now, &self.members[to], home, d);
                 } else {
