--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -87,8 +87,9 @@
 
 impl Candidate<'_> {
     fn may_use(&self, machine: &MachineStatus, promised: &BTreeSet<String>) -> bool {
-        !self.excluded.contains(machine.name.as_str())
-            && !(self.avoids_promised && promised.contains(&machine.name))
+        let is_excluded = self.excluded.contains(machine.name.as_str());
+        let is_promised = self.avoids_promised && promised.contains(&machine.name);
+        !is_excluded && !is_promised
     }
 
     /// Whether its finding no room means that work no easier to place finds none either.
--- a/src/wire/workers/raw.rs
+++ b/src/wire/workers/raw.rs
@@ -3,6 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
+#[serde(expecting = "struct Report")]
 pub(super) struct Heartbeat {
     stall: String,
     #[serde(default)]
@@ -39,6 +40,7 @@
 }
 
 #[derive(Deserialize)]
+#[serde(expecting = "struct ReportedTask")]
 pub(super) struct HeartbeatTask {
     stride: String,
     mount: u64,
