--- a/crates/release/src/tests.rs
+++ b/crates/release/src/tests.rs
@@ -45,9 +45,9 @@
         (id.to_owned(), census::Member { state: CensusJobState::Live, declaration: says })
     };
     let mut all: BTreeMap<String, census::Member> =
-        [found("a", json!( { "title":"boldog-1", "stage":"rebuild", "expects":2 } ))].into();
-    all.extend(renders.iter().map(|id| found(id, json!( { "title":"boldog-1", "stage":"render" } ))));
-    all.extend([found("z", json!( { "title":"boldog-1", "stage":"rotation" } ))]);
+        [found("a", json!({"title": "boldog-1", "stage": "rebuild", "expects": 2}))].into();
+    all.extend(renders.iter().map(|id| found(id, json!({"title": "boldog-1", "stage": "render"}))));
+    all.extend([found("z", json!({"title": "boldog-1", "stage": "rotation"}))]);
     let key = release_key("boldog-1", "2026-12-01").expect("a key");
     let closing = set::close(&opened()).expect("open");
     let (pages, head) = set::finish_closing(&key, &closing, &all, 4096).expect("closing");
@@ -82,7 +82,7 @@
     assert!(ask(&CachedRecord::NotRead, &render, class, BEGINS).starts_with("later"));
     assert!(ask(&CachedRecord::Unreadable(Unreadable::Newer(9)), &render, class, BEGINS).contains("form 9"));
     let mut damaged = opened();
-    damaged.body = json!( { "title":7 } );
+    damaged.body = json!({"title": 7});
     assert!(
         ask(&CachedRecord::Present(damaged), &rotation, class, BEGINS).starts_with("later"),
         "never guessed"
@@ -274,9 +274,9 @@
     );
     assert!(set::reopen(&again).is_err());
     let mut rest = again.clone();
-    rest.body["newer"] = json!( { "x":1 } );
+    rest.body["newer"] = json!({"x": 1});
     let kept = set::close(&rest).expect("open");
-    assert_eq!(kept.body["newer"], json!( { "x":1 } ), "what other versions have put there stays");
+    assert_eq!(kept.body["newer"], json!({"x": 1}), "what other versions have put there stays");
 }
 
 #[test]
@@ -300,7 +300,9 @@
     );
     let v = serde_json::to_value(show(BEGINS)).expect("json");
     assert_eq!((&v["late"], &v["closed_by"]), (&json!(false), &json!("operator")));
-    let waits = json!([ { "cause":"live", "job":"b", "stage":"render", "text":"render b is not finished" } ]);
+    let waits = json!(
+        [{"cause": "live", "job": "b", "stage": "render", "text": "render b is not finished"}]
+    );
     assert_eq!(v["waits_for"], waits);
     let gone = ReleaseStatus::of(("boldog-1", "2026-12-01"), &CachedRecord::Absent, None, fact, BEGINS);
     assert_eq!((gone.state, gone.waits_for[0].text.as_str()), ("absent", "no render has joined yet"));
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -212,7 +212,12 @@
     /// A run was put on record with a newer version of its batch.
     pub(super) fn raised(&mut self, id: &str, write: Option<CoordinatedWrite>, store_version: u64) {
         let Some(CoordinatedWrite { key, record, sent_at }) = write else { return };
-        tracing::info!(batch = %key.name() , version = record.version, by = id, "batch is at a newer version");
+        tracing::info!(
+            batch = %key.name(),
+            version = record.version,
+            by = id,
+            "batch is at a newer version"
+        );
         self.freshness.counts.raised += 1;
         self.freshness.next = Micros(0);
         self.coordination.records.apply_commit(&key, sent_at, record, store_version);
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -3,8 +3,15 @@
 use super::*;
 
 fn told(l: &UpstreamFindings) -> Value {
-    let old = l.old.iter() .map( | o | { json!( { "job":o.job, "class":o.class, "batch":o.read.as_ref() .map( | r | &r.name) , "version":o.read.as_ref() .map( | r | r.version) } ) } ) ;
-    json!( { "old":old.collect::<Vec<_>>() , "missing":l.missing } )
+    let old = l.old.iter().map(|o| {
+        json!({
+            "job": o.job,
+            "class": o.class,
+            "batch": o.read.as_ref().map(|r| &r.name),
+            "version": o.read.as_ref().map(|r| r.version),
+        })
+    });
+    json!({"old": old.collect::<Vec<_>>(), "missing": l.missing})
 }
 
 impl Controller {
@@ -87,14 +94,22 @@
         match guard::decide_permit(&verdict, &held, &writer, self.settings.value_bytes) {
             PermitAnswer::AlreadyHeld(p) => {
                 let batch = merge.of.name;
-                Some(Reply::json(200, &json!( { "batch":batch, "version":p.version, "fence":p.fence } )))
+                Some(Reply::json(200, &json!({"batch": batch, "version": p.version, "fence": p.fence})))
             }
             PermitAnswer::Record(..) if standing == AttemptStatus::Stopping => {
                 Some(Reply::error(409, "the attempt is being stopped"))
             }
             PermitAnswer::Record(next, p) => {
                 if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
-                    tracing::info!(job = %a.job, attempt = a.attempt, task = a.task, batch = %key.name() , version = p.version, fence = p.fence, "permit to write");
+                    tracing::info!(
+                        job = %a.job,
+                        attempt = a.attempt,
+                        task = a.task,
+                        batch = %key.name(),
+                        version = p.version,
+                        fence = p.fence,
+                        "permit to write"
+                    );
                 }
                 None
             }
@@ -103,7 +118,12 @@
                 None
             }
             PermitAnswer::Stale(version, look) => {
-                tracing::info!(job = %a.job, attempt = a.attempt, reason = %verdict.reason() , "permit refused");
+                tracing::info!(
+                    job = %a.job,
+                    attempt = a.attempt,
+                    reason = %verdict.reason(),
+                    "permit refused"
+                );
                 let mut body = told(&look);
                 body["error"] = verdict.reason().into();
                 body["batch"] = merge.of.name.into();
@@ -146,7 +166,7 @@
             self.coordination_record(now, &key);
             self.freshness.released.insert(key.clone(), now + RELEASE);
             if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
-                tracing::debug!(batch = %key.name() , held = next.permits.len() , "permits given back");
+                tracing::debug!(batch = %key.name(), held = next.permits.len(), "permits given back");
             }
         }
     }
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn permit_value(p: &Permit) -> Value {
-    json!( { "job":p.job, "attempt":p.attempt, "task":p.task, "fence":p.fence, "version":p.version } )
+    json!({"job": p.job, "attempt": p.attempt, "task": p.task, "fence": p.fence, "version": p.version})
 }
 
 impl Controller {
@@ -22,7 +22,7 @@
             OperatorCommand::ShowBatch { name } => self.show_batch(now, r, name, out),
             _ => {
                 let rows = self.list_batches(now, r.ticket, out)?;
-                Some(Reply::json(200, &json!( { "batches":rows } )))
+                Some(Reply::json(200, &json!({"batches": rows})))
             }
         }
     }
@@ -47,7 +47,7 @@
                 Err(why) => return Some(Reply::error(409, &why.to_string())),
                 Ok(Err(why)) => return Some(Reply::error(409, &why.to_string())),
                 Ok(Ok(VersionChange::Unchanged)) => {
-                    return Some(Reply::json(200, &json!( { "batch":name, "version":version } )));
+                    return Some(Reply::json(200, &json!({"batch": name, "version": version})));
                 }
                 Ok(Ok(VersionChange::Raised(next))) => next,
             },
@@ -87,11 +87,34 @@
             },
         };
         // All from records, so that every controller gives the same answer.
-        let runs:Vec<Value>=self.census_since( &key, r.began) ?.iter() .map( | (id, m) | { let stands = match m.state { CensusJobState::Live => "live", CensusJobState::Done => "done", CensusJobState::Cancelled => "cancelled" } ; json!( { "job":id, "class":m.declaration["breed"], "version":m.declaration["version"], "stands":stands } ) } ) .collect() ;
+        let runs: Vec<Value> = self
+            .census_since(&key, r.began)?
+            .iter()
+            .map(|(id, m)| {
+                let stands = match m.state {
+                    CensusJobState::Live => "live",
+                    CensusJobState::Done => "done",
+                    CensusJobState::Cancelled => "cancelled",
+                };
+                json!({
+                    "job": id,
+                    "class": m.declaration["breed"],
+                    "version": m.declaration["version"],
+                    "stands": stands,
+                })
+            })
+            .collect();
         let permits: Vec<Value> = batch.permits.iter().map(permit_value).collect();
         let after: Vec<Value> =
-            batch.after.iter().map(|(v, f)| json!( { "version":v, "after_fence":f } )).collect();
-        let body = json!( { "batch":name, "version":batch.version, "fence":batch.fence, "permits":permits, "after":after, "runs":runs } );
+            batch.after.iter().map(|(v, f)| json!({"version": v, "after_fence": f})).collect();
+        let body = json!({
+            "batch": name,
+            "version": batch.version,
+            "fence": batch.fence,
+            "permits": permits,
+            "after": after,
+            "runs": runs,
+        });
         Some(Reply::json(200, &body))
     }
 
@@ -117,7 +140,7 @@
             if let Some(key) = Key::parse(&row.key) {
                 let version = CoordinationRecord::read(&row.value).map(|r| json!(r.version));
                 let version = version.unwrap_or_else(|why| json!(why.to_string()));
-                rows.push(json!( { "batch":key.name() , "version":version } ));
+                rows.push(json!({"batch": key.name(), "version": version}));
             }
             *after = row.key;
         }
@@ -127,6 +150,16 @@
     /// How batches stand, for operators.
     pub(in crate::controller) fn batch_status(&self) -> Value {
         let (f, c) = (&self.freshness, self.freshness.counts);
-        json!( { "on":self.batches_on() , "merges":f.merges.len() , "stale":f.merges.values() .filter( | s | s.stale) .count() , "asking":f.asking.len() , "permits":c.permits, "refused":c.refused, "stopped":c.stopped, "raised":c.raised, "unreadable":f.unreadable.keys() .take(SHOWN) .collect::<Vec<_>>() } )
+        json!({
+            "on": self.batches_on(),
+            "merges": f.merges.len(),
+            "stale": f.merges.values().filter(|s| s.stale).count(),
+            "asking": f.asking.len(),
+            "permits": c.permits,
+            "refused": c.refused,
+            "stopped": c.stopped,
+            "raised": c.raised,
+            "unreadable": f.unreadable.keys().take(SHOWN).collect::<Vec<_>>(),
+        })
     }
 }
--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -300,7 +300,16 @@
     pub(super) fn failover_status(&self, now: Micros) -> Value {
         let handoff = &self.handoff;
         let waits: Vec<&String> = self.job_shard.unconfirmed_machines(SHOWN).collect();
-        json!( { "under_way_s":handoff.failover_since.map( | t | now.since(t) .secs() ) , "jobs_in_doubt":self.job_shard.unresolved_job_count() , "jobs_handed_to_us":handoff.taken_jobs, "machines_handed_to_us":handoff.taken_machines, "jobs_witnessed":self.start_replica.taken() , "starts_await_a_witness":self.start_replica.holds_back() , "parcels_not_acknowledged":handoff.outbox.len() , "waits_for_machines":waits } )
+        json!({
+            "under_way_s": handoff.failover_since.map(|t| now.since(t).secs()),
+            "jobs_in_doubt": self.job_shard.unresolved_job_count(),
+            "jobs_handed_to_us": handoff.taken_jobs,
+            "machines_handed_to_us": handoff.taken_machines,
+            "jobs_witnessed": self.start_replica.taken(),
+            "starts_await_a_witness": self.start_replica.holds_back(),
+            "parcels_not_acknowledged": handoff.outbox.len(),
+            "waits_for_machines": waits,
+        })
     }
 }
 
--- a/src/controller/handoff/tests.rs
+++ b/src/controller/handoff/tests.rs
@@ -60,7 +60,7 @@
 /// The members' keys, each of which says that it reads the newest form.
 fn members() -> Vec<KeyValue> {
     let key = |i: usize| format!("ring/m/c{i}");
-    let row = |i| KeyValue { key: key(i), value: json!( { "boot":1, "reads":FORM } ), store_version: 1 };
+    let row = |i| KeyValue { key: key(i), value: json!({"boot": 1, "reads": FORM}), store_version: 1 };
     (0..3).map(row).collect()
 }
 
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -158,7 +158,7 @@
 
     /// The key that shows that this process lives, and whether it wants a place on the ring.
     fn own_key(&self, lease: u64, out_of_ring: bool) -> (String, Value, Option<u64>) {
-        let mut value = json!( { "boot":self.boot, "reads":frame_forms::NEWEST } );
+        let mut value = json!({"boot": self.boot, "reads": frame_forms::NEWEST});
         if out_of_ring {
             value["aside"] = true.into();
         }
@@ -424,7 +424,12 @@
         self.step_down.adopt_epoch(now);
         self.peer_traffic.forget_misrouted();
         let follows = self.membership.adopt_epoch(now, record, store_version);
-        tracing::info!(epoch = record.epoch, members = ?record.members.iter() .map( | (name, _) | name) .collect::<Vec<_>>() , follows, "epoch adopted");
+        tracing::info!(
+            epoch = record.epoch,
+            members = ?record.members.iter().map(|(name, _)| name).collect::<Vec<_>>(),
+            follows,
+            "epoch adopted"
+        );
         self.hand_off(now, follows);
         self.report_lost_controllers(now, record, follows);
         self.machine_shard
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -43,6 +43,14 @@
     facts: BTreeMap<String, MemberState>,
 }
 
+/// A release that an operator has named, with its record as it was read.
+struct SelectedRelease {
+    title: String,
+    night: String,
+    key: Key,
+    record: CoordinationRecord,
+}
+
 impl Known {
     fn fact(&self, id: &str) -> MemberState {
         self.facts.get(id).copied().unwrap_or(MemberState::Unread)
@@ -227,7 +235,12 @@
                 };
                 let Ok(next) = set::begin_closing(record, by) else { return };
                 if self.change_record(now, key, next, Vec::new(), None, out) {
-                    tracing::info!(title = %body.title, night = %body.night, by = by.word() , "release closing");
+                    tracing::info!(
+                        title = %body.title,
+                        night = %body.night,
+                        by = by.word(),
+                        "release closing"
+                    );
                 }
             }
             Phase::Closing => {
@@ -237,11 +250,16 @@
                 match set::finish_closing(key, record, &found, self.settings.value_bytes) {
                     Ok((pages, next)) => {
                         if self.change_record(now, key, next, pages, None, out) {
-                            tracing::info!(title = %body.title, night = %body.night, members = found.len() , "release closed");
+                            tracing::info!(
+                                title = %body.title,
+                                night = %body.night,
+                                members = found.len(),
+                                "release closed"
+                            );
                         }
                     }
                     Err(e) => {
-                        tracing::error!(record = %key.head() , reason = %e, "a release can't be closed")
+                        tracing::error!(record = %key.head(), reason = %e, "a release can't be closed")
                     }
                 }
             }
@@ -256,13 +274,13 @@
         match assess(&held, known.members.as_deref(), |m| known.fact(m)) {
             // Only what is on record lets a task start: a controller that comes next must find the same.
             Readiness::Open => {
-                tracing::info!(job = id, record = %key.head() , "rotation released");
+                tracing::info!(job = id, record = %key.head(), "rotation released");
                 self.job_shard.note_time(self.rounds.wall);
                 self.job_shard.lift_hold(id);
             }
             Readiness::Ready(next) => {
                 if self.change_record(now, key, next, Vec::new(), None, out) {
-                    tracing::info!(job = id, record = %key.head() , "release complete");
+                    tracing::info!(job = id, record = %key.head(), "release complete");
                 }
             }
             Readiness::Held { why } => {
@@ -332,7 +350,7 @@
             return match set::members_on_pages(pages.iter().flatten()) {
                 Ok(members) => Some(members),
                 Err(e) => {
-                    tracing::error!(record = %key.head() , reason = %e, "a page of members can't be read");
+                    tracing::error!(record = %key.head(), reason = %e, "a page of members can't be read");
                     None
                 }
             };
@@ -365,7 +383,7 @@
             }
         } else {
             if a == StoreAnswer::Got(None) {
-                tracing::error!(page = %key.page(version, n) , "a page of members is missing");
+                tracing::error!(page = %key.page(version, n), "a page of members is missing");
             }
             self.releases.asked.insert(this, now + AGAIN);
         }
@@ -377,7 +395,7 @@
     pub(super) fn release_request(
         &mut self,
         now: Micros,
-        o: &OperatorRequest,
+        request: &OperatorRequest,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
         if !self.releases_on() {
@@ -386,82 +404,109 @@
         if !self.takes_coordination() {
             return Some(Reply::later("not every controller knows of releases yet"));
         }
-        let ReleaseSelector { title, night } = match &o.request {
+        let selector = match &request.request {
             OperatorCommand::ShowRelease(release)
             | OperatorCommand::CloseRelease(release)
             | OperatorCommand::ReopenRelease(release)
             | OperatorCommand::Waive { release, .. } => release,
-            _ => {
-                if !self.list_since(o.began) {
-                    return None;
-                }
-                return Some(Reply::json(200, &json!( { "releases":self.release_status() } )));
+            _ => return self.list_releases(request),
+        };
+        let selected = match self.select_release(now, request, selector) {
+            Ok(selected) => selected,
+            Err(answer) => return answer,
+        };
+        let change = match &request.request {
+            OperatorCommand::CloseRelease(_) => set::close(&selected.record),
+            OperatorCommand::ReopenRelease(_) => set::reopen(&selected.record),
+            OperatorCommand::Waive { job, reason, .. } => {
+                let known = self.members_for(now, request, &selected.key, &selected.record, out)?;
+                set::waive(&selected.record, &known.members.unwrap_or_default(), job, reason)
             }
+            _ => return self.show_release(now, request, &selected, out),
         };
+        self.change_release(now, request, selected, change, out)
+    }
+
+    fn list_releases(&mut self, request: &OperatorRequest) -> Option<Reply> {
+        if !self.list_since(request.began) {
+            return None;
+        }
+        Some(Reply::json(200, &json!({"releases": self.release_status()})))
+    }
+
+    /// The record of the release that an operator names; otherwise the answer, or None if it is to be asked again.
+    fn select_release(
+        &mut self,
+        now: Micros,
+        request: &OperatorRequest,
+        selector: &ReleaseSelector,
+    ) -> Result<SelectedRelease, Option<Reply>> {
+        let ReleaseSelector { title, night } = selector;
         let night = match night {
-            Some(n) => n.clone(),
-            None if !self.list_since(o.began) => return None,
+            Some(night) => night.clone(),
+            None if !self.list_since(request.began) => return Err(None),
             None => match self.coordination.latest.get(title) {
-                Some(n) => n.clone(),
-                None => return Some(self.no_such_title(title)),
+                Some(night) => night.clone(),
+                None => return Err(Some(self.no_such_title(title))),
             },
         };
         let Some(key) = release_ref::release_key(title, &night) else {
-            return Some(Reply::error(400, "title: can't be the name of a release"));
+            return Err(Some(Reply::error(400, "title: can't be the name of a release")));
         };
-        let held = self.coordination_record_since(now, &key, o.began)?;
-        let record = match &held {
+        match self.coordination_record_since(now, &key, request.began).ok_or(None)? {
+            CachedRecord::Present(record) => Ok(SelectedRelease { title: title.clone(), night, key, record }),
             CachedRecord::Absent => {
-                return Some(Reply::error(404, &format!("no release of {title} on {night}")));
+                Err(Some(Reply::error(404, &format!("no release of {title} on {night}"))))
             }
-            CachedRecord::Present(record) => record.clone(),
-            CachedRecord::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
-            CachedRecord::NotRead => return None,
-        };
-        let ticket = o.ticket;
-        let change = match &o.request {
-            OperatorCommand::CloseRelease(_) => set::close(&record),
-            OperatorCommand::ReopenRelease(_) => set::reopen(&record),
-            OperatorCommand::Waive { job, reason, .. } => {
-                let members = self.members_for(now, o, &key, &record, out)?.members.unwrap_or_default();
-                set::waive(&record, &members, job, reason)
-            }
-            _ => {
-                let known = self.members_for(now, o, &key, &record, out)?;
-                let members = known.members.as_deref();
-                let shown =
-                    ReleaseStatus::of((title, &night), &held, members, |m| known.fact(m), self.rounds.wall.0);
-                let text = shown.to_string();
-                return Some(match serde_json::to_value(&shown) {
-                    Ok(mut v) => {
-                        v["text"] = text.into();
-                        Reply::json(200, &v)
-                    }
-                    Err(e) => Reply::error(500, &e.to_string()),
-                });
+            CachedRecord::Unreadable(why) => Err(Some(Reply::error(409, &why.to_string()))),
+            CachedRecord::NotRead => Err(None),
+        }
+    }
+
+    fn show_release(
+        &mut self,
+        now: Micros,
+        request: &OperatorRequest,
+        selected: &SelectedRelease,
+        out: &mut Vec<Effect>,
+    ) -> Option<Reply> {
+        let known = self.members_for(now, request, &selected.key, &selected.record, out)?;
+        let held = CachedRecord::Present(selected.record.clone());
+        let name = (selected.title.as_str(), selected.night.as_str());
+        let wall = self.rounds.wall.0;
+        let shown = ReleaseStatus::of(name, &held, known.members.as_deref(), |m| known.fact(m), wall);
+        Some(match serde_json::to_value(&shown) {
+            Ok(mut value) => {
+                value["text"] = shown.to_string().into();
+                Reply::json(200, &value)
             }
-        };
-        match change {
+            Err(e) => Reply::error(500, &e.to_string()),
+        })
+    }
+
+    /// Puts an operator's change on record; the operator is answered once it is there.
+    fn change_release(
+        &mut self,
+        now: Micros,
+        request: &OperatorRequest,
+        selected: SelectedRelease,
+        change: Result<CoordinationRecord, ChangeError>,
+        out: &mut Vec<Effect>,
+    ) -> Option<Reply> {
+        let next = match change {
+            Ok(next) => next,
             Err(e @ (ChangeError::Reason | ChangeError::NoMember { .. })) => {
-                Some(Reply::error(422, &e.to_string()))
+                return Some(Reply::error(422, &e.to_string()));
             }
-            Err(ChangeError::Counting) => Some(Reply::later(&ChangeError::Counting.to_string())),
-            Err(e) => Some(Reply::error(409, &e.to_string())),
-            Ok(next) => {
-                let reply =
-                    json!( { "title":title, "night":night, "phase":next.phase, "version":next.version } );
-                tracing::info!(title = %title, night = %night, request = ?o.request, "operator's change of a release");
-                self.change_record(
-                    now,
-                    &key,
-                    next,
-                    Vec::new(),
-                    Some((ticket, Reply::json(200, &reply))),
-                    out,
-                );
-                None
-            }
-        }
+            Err(e @ ChangeError::Counting) => return Some(Reply::later(&e.to_string())),
+            Err(e) => return Some(Reply::error(409, &e.to_string())),
+        };
+        let SelectedRelease { title, night, key, .. } = selected;
+        let body = json!({"title": title, "night": night, "phase": next.phase, "version": next.version});
+        tracing::info!(title = %title, night = %night, request = ?request.request, "operator's change of a release");
+        let answer = Some((request.ticket, Reply::json(200, &body)));
+        self.change_record(now, &key, next, Vec::new(), answer, out);
+        None
     }
 
     /// Members and how they stand, by a census that began after the question: None until it is over.
@@ -497,12 +542,21 @@
             Some(match self.coordination.records.get(key) {
                 CachedRecord::Present(r) => match Release::read(r) {
                     Ok(b) => {
-                        json!( { "title":title, "night":night, "phase":r.phase, "version":r.version, "late":b.is_late(self.rounds.wall.0) , "closed_by":b.closed_by, "waived":b.waived.len() , "rotated":b.rotated } )
+                        json!({
+                            "title": title,
+                            "night": night,
+                            "phase": r.phase,
+                            "version": r.version,
+                            "late": b.is_late(self.rounds.wall.0),
+                            "closed_by": b.closed_by,
+                            "waived": b.waived.len(),
+                            "rotated": b.rotated,
+                        })
                     }
-                    Err(e) => json!( { "title":title, "night":night, "unreadable":e.to_string() } ),
+                    Err(e) => json!({"title": title, "night": night, "unreadable": e.to_string()}),
                 },
                 CachedRecord::Unreadable(why) => {
-                    json!( { "title":title, "night":night, "unreadable":why.to_string() } )
+                    json!({"title": title, "night": night, "unreadable": why.to_string()})
                 }
                 CachedRecord::NotRead | CachedRecord::Absent => return None,
             })
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -429,7 +429,7 @@
         let key = format!("{PREFIX}{}", self.settings.member);
         let transaction = Transaction {
             conditions: vec![self.fence()],
-            puts: vec![(key, json!( { "epoch":epoch } ), None)],
+            puts: vec![(key, json!({"epoch": epoch}), None)],
             ..Transaction::default()
         };
         // It goes out whatever is left of the budget: without it this controller starts nothing on its machines.
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -17,10 +17,28 @@
             other => panic!("{other:?}"),
         }
     };
-    let raw = json!( { "uid":"wk-1", "breed":"b", "herd":"t", "gait":"batch", "rank":"idle", "strides":2, "vcpus":1.0, "cards":0, "ramGb":1.0, "tack":"i", "imageGb":1, "together":false, "scatter":false, "borrowed":false, "rideS":1, "restS":0, "unsaddleS":0 } );
+    let raw = json!({
+        "uid": "wk-1",
+        "breed": "b",
+        "herd": "t",
+        "gait": "batch",
+        "rank": "idle",
+        "strides": 2,
+        "vcpus": 1.0,
+        "cards": 0,
+        "ramGb": 1.0,
+        "tack": "i",
+        "imageGb": 1,
+        "together": false,
+        "scatter": false,
+        "borrowed": false,
+        "rideS": 1,
+        "restS": 0,
+        "unsaddleS": 0,
+    });
     assert_eq!(told(Some(JobShard::record(&raw, Micros(1), ""))), (200, true));
     assert_eq!(told(None).0, 503, "its end may be on record");
-    assert_eq!(told(Some(json!( { "end":"done", "done":2 } ))).0, 503);
+    assert_eq!(told(Some(json!({"end": "done", "done": 2}))).0, 503);
 }
 
 /// c0 with its records read and the machine types known, while nobody acts in an older epoch; and a job that it owns, or not.
@@ -29,7 +47,18 @@
     n.membership.renew_store_lease(NOW);
     n.job_shard.finish_loading(std::iter::empty());
     n.record_loading.stage = LoadStage::Done;
-    let kind = json!( { "sku":"k", "vcpus":8, "cards":0, "ramGb":64, "cacheGb":10, "fetchGbPerS":1, "rate":1.0, "lowPrice":0.5, "startupS":5, "paddocks":["z"] } );
+    let kind = json!({
+        "sku": "k",
+        "vcpus": 8,
+        "cards": 0,
+        "ramGb": 64,
+        "cacheGb": 10,
+        "fetchGbPerS": 1,
+        "rate": 1.0,
+        "lowPrice": 0.5,
+        "startupS": 5,
+        "paddocks": ["z"],
+    });
     let types = [serde_json::from_value(kind).expect("a machine type")];
     n.autoscaler.types = types.into_iter().map(|t: crate::spec::MachineType| (t.name.clone(), t)).collect();
     let team = crate::config::settings::TeamSettings {
@@ -49,7 +78,25 @@
 const NOW: Micros = Micros::from_millis(60_000);
 
 fn body(id: &str) -> Value {
-    json!( { "uid":id, "breed":"b", "herd":"t", "gait":"batch", "rank":"idle", "strides":2, "vcpus":1.0, "cards":0, "ramGb":1.0, "tack":"i", "imageGb":1, "together":false, "scatter":false, "borrowed":false, "rideS":1, "restS":0, "unsaddleS":0 } )
+    json!({
+        "uid": id,
+        "breed": "b",
+        "herd": "t",
+        "gait": "batch",
+        "rank": "idle",
+        "strides": 2,
+        "vcpus": 1.0,
+        "cards": 0,
+        "ramGb": 1.0,
+        "tack": "i",
+        "imageGb": 1,
+        "together": false,
+        "scatter": false,
+        "borrowed": false,
+        "rideS": 1,
+        "restS": 0,
+        "unsaddleS": 0,
+    })
 }
 
 fn live(id: &str, store_version: u64) -> StoreAnswer {
@@ -185,7 +232,7 @@
 
 #[test]
 fn a_repeat_that_lacks_a_field_is_turned_down_only_if_there_is_no_record() {
-    let odd = |id: &str| UserRequest::Submit(id.into(), json!( { "uid":id, "breed":"b" } ).to_string());
+    let odd = |id: &str| UserRequest::Submit(id.into(), json!({"uid": id, "breed": "b"}).to_string());
     let (mut n, id) = owner(true);
     let (read, _) = Told::asked(&mut n, 1, odd(&id)).reads.remove(0);
     assert_eq!(
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -61,7 +61,25 @@
     }
 
     fn spec(&self) -> (serde_json::Value, JobSpec) {
-        let raw = json!( { "uid":JOB, "breed":"b", "herd":"t", "gait":self.kind, "rank":"high", "strides":self.tasks, "vcpus":2.0, "cards":0, "ramGb":1.0, "tack":"i", "imageGb":1, "together":false, "scatter":false, "borrowed":true, "rideS":1, "restS":0, "unsaddleS":0 } );
+        let raw = json!({
+            "uid": JOB,
+            "breed": "b",
+            "herd": "t",
+            "gait": self.kind,
+            "rank": "high",
+            "strides": self.tasks,
+            "vcpus": 2.0,
+            "cards": 0,
+            "ramGb": 1.0,
+            "tack": "i",
+            "imageGb": 1,
+            "together": false,
+            "scatter": false,
+            "borrowed": true,
+            "rideS": 1,
+            "restS": 0,
+            "unsaddleS": 0,
+        });
         let spec = JobSpec::from_value(&raw).expect("valid");
         (raw, spec)
     }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -243,7 +243,25 @@
 }
 
 fn raw(id: &str, kind: &str, tasks: u32) -> Value {
-    json!( { "uid":id, "breed":"b", "herd":"t", "gait":kind, "rank":"high", "strides":tasks, "vcpus":2.0, "cards":0, "ramGb":1.0, "tack":"i", "imageGb":1, "together":true, "scatter":false, "borrowed":true, "rideS":1, "restS":0, "unsaddleS":0 } )
+    json!({
+        "uid": id,
+        "breed": "b",
+        "herd": "t",
+        "gait": kind,
+        "rank": "high",
+        "strides": tasks,
+        "vcpus": 2.0,
+        "cards": 0,
+        "ramGb": 1.0,
+        "tack": "i",
+        "imageGb": 1,
+        "together": true,
+        "scatter": false,
+        "borrowed": true,
+        "rideS": 1,
+        "restS": 0,
+        "unsaddleS": 0,
+    })
 }
 
 /// The new owner of a job, with a machine that has not been heard and one that has room.
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -105,7 +105,7 @@
     };
     let answer = |code| Effect::Reply {
         ticket: 7,
-        reply: Reply::json(code, &serde_json::json!( { "rein":EPOCH, "calls":[] } )),
+        reply: Reply::json(code, &serde_json::json!({"rein": EPOCH, "calls": []})),
     };
     let give_back = || Effect::Cloud(CloudRequest::ScaleIn(vec!["i-1".into()]));
     assert_eq!(status(node.vetted(at(2), answer(200))), Some((200, None)));
@@ -121,7 +121,27 @@
 #[test]
 fn prerequisites_that_are_no_list_of_job_ids_are_malformed() {
     let parse = |follows: serde_json::Value| {
-        let body = json!( { "uid":"wk-1", "breed":"b", "herd":"t", "gait":"batch", "rank":"idle", "strides":1, "vcpus":1.0, "cards":0, "ramGb":1.0, "tack":"i", "imageGb":1, "together":false, "scatter":false, "borrowed":false, "rideS":1, "restS":0, "unsaddleS":0, "follows":follows } ) .to_string() ;
+        let body = json!({
+            "uid": "wk-1",
+            "breed": "b",
+            "herd": "t",
+            "gait": "batch",
+            "rank": "idle",
+            "strides": 1,
+            "vcpus": 1.0,
+            "cards": 0,
+            "ramGb": 1.0,
+            "tack": "i",
+            "imageGb": 1,
+            "together": false,
+            "scatter": false,
+            "borrowed": false,
+            "rideS": 1,
+            "restS": 0,
+            "unsaddleS": 0,
+            "follows": follows,
+        })
+        .to_string();
         // It names a job, so its record is looked for before it is turned down, by this status and these words.
         assert!(matches!(
             http_api::dispatch(1, "POST", "/v1/jobs", |_| Ok(body.clone())),
