--- a/src/cli/why.rs
+++ b/src/cli/why.rs
@@ -3,6 +3,7 @@
 use super::client::{ask, one_line};
 use super::{CliError, ControllerArgs};
 use crate::wire::percent_encoding::percent_encode;
+use crate::wire::users;
 use serde_json::Value;
 
 /// Asks why a job waits; the text to print.
@@ -14,7 +15,7 @@
     if controllers.json {
         return Ok(one_line(&answer));
     }
-    let mut text = format!("{job}: {}\n", answer["stance"].as_str().unwrap_or("?"));
+    let mut text = format!("{job}: {}\n", users::state_in(&answer).unwrap_or("?"));
     let dependencies: Vec<&str> =
         answer["waits_for"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
     if !dependencies.is_empty() {
--- a/src/controller/coordination/census.rs
+++ b/src/controller/coordination/census.rs
@@ -2,6 +2,7 @@
 //! it found live.
 
 use super::*;
+use crate::wire::users;
 
 /// After a census that could not read every record the next one begins so much later.
 const PAUSE_UNREADABLE: Micros = Micros::from_millis(5000);
@@ -38,7 +39,7 @@
     {
         // Who looks for runs of a batch must know their classes.
         let mut batch = batch.clone();
-        batch["breed"] = says.get("breed").cloned().unwrap_or_default();
+        batch[users::CLASS] = says.get(users::CLASS).cloned().unwrap_or_default();
         records.push((key.head(), batch));
     }
     records
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -4,6 +4,7 @@
 //! anything but a final record.
 
 use super::*;
+use crate::wire::users;
 
 /// How long a watch stays open. One whose answer is lost on the way costs that much and a little more.
 const WATCH: Micros = Micros::from_millis(2_000);
@@ -234,8 +235,7 @@
             let pending = PendingStoreRequest::CheckDependencyOutcome { job, dependency };
             return self.ask_store(pending, read, out);
         };
-        let kind = row.value.get("spec").and_then(|spec| spec.get("gait"));
-        if kind.is_some_and(|kind| kind == "service") {
+        if row.value.get("spec").is_some_and(users::is_service) {
             let why = format!("follows: {dependency} is a service, which is never done");
             return self.reject_submission(job, why, out);
         }
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -8,6 +8,7 @@
 use super::*;
 use crate::job_shard::dependencies::unpacked;
 use crate::job_shard::{AttemptStatus, Hold, Job};
+use crate::wire::users;
 use hazelsaddle_coordination::census::CensusJobState;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind as Sort};
 use hazelsaddle_coordination::record_cache::CachedRecord;
@@ -100,9 +101,9 @@
         read_end(record)?;
         (record.get("says").cloned().unwrap_or_default(), record.get("says").is_some())
     } else {
-        let breed = record.get("spec")?.get("breed")?.clone();
+        let class = record.get("spec")?.get(users::CLASS)?.clone();
         let mut says = crate::job_shard::says_of_record(record).unwrap_or_else(|| json!({}));
-        says["breed"] = breed;
+        says[users::CLASS] = class;
         (says, true)
     };
     // It ended before classes were kept, or while the guard was off.
@@ -118,7 +119,7 @@
     };
     let follows = text.get("follows").and_then(Value::as_str).map(unpacked).unwrap_or_default();
     Some(JobDeclaration {
-        class: text.get("breed").and_then(Value::as_str).map(str::to_owned),
+        class: text.get(users::CLASS).and_then(Value::as_str).map(str::to_owned),
         batch,
         follows,
     })
@@ -131,7 +132,7 @@
 
 fn run_of(job: &str, says: &Value) -> Option<Run> {
     let version = says.get("version")?.as_u64()?;
-    Some(Run { job: job.to_owned(), class: says.get("breed")?.as_str()?.to_owned(), version })
+    Some(Run { job: job.to_owned(), class: says.get(users::CLASS)?.as_str()?.to_owned(), version })
 }
 
 impl Controller {
@@ -335,7 +336,7 @@
         let Some(b) = says.get("batch") else { return };
         let key = b.get("name").and_then(Value::as_str).and_then(|n| Key::new(Sort::Batch, n).ok());
         let mut b = b.clone();
-        b["breed"] = says.get("breed").cloned().unwrap_or_default();
+        b[users::CLASS] = says.get(users::CLASS).cloned().unwrap_or_default();
         if let Some(runs) = key.and_then(|k| self.freshness.runs.get_mut(&k.head()))
             && let Some(run) = run_of(id, &b)
         {
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -98,7 +98,7 @@
                 };
                 json!({
                     "job": id,
-                    "class": m.declaration["breed"],
+                    "class": m.declaration[users::CLASS],
                     "version": m.declaration["version"],
                     "stands": stands,
                 })
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -5,6 +5,7 @@
 
 use super::*;
 use crate::peer::TaskKey;
+use crate::wire::workers;
 
 /// Heartbeats whose answer waits for something to say.
 #[derive(Default)]
@@ -125,7 +126,7 @@
                     self.membership.machine_leader(machine) == Some(leader) && self.membership.is_leader(now);
                 (!ours).then(|| Reply::later("not entitled to act"))
             }
-            Some(leader) => Some(Reply::json(421, &json!({"rider": self.membership.name(leader)}))),
+            Some(leader) => Some(Reply::json(421, &workers::redirect(self.membership.name(leader)))),
             None => Some(Reply::later("no home")),
         }
     }
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -3,6 +3,7 @@
 
 use super::coordination::OperatorRequest;
 use super::*;
+use crate::wire::users;
 
 /// A release: its title, and the night on which it began.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -96,12 +97,10 @@
 
     /// Why a job of ours waits.
     pub(super) fn why(&self, id: &str) -> Option<Reply> {
-        let j = self.job_shard.jobs.get(id)?;
-        let on: Vec<&str> = j.unfinished_prerequisites().collect();
-        let stance = self.job_shard.user_status(id).map_or("pending", |s| s.0);
-        Some(Reply::json(
-            200,
-            &json!({"uid": id, "stance": stance, "waits_for": on, "held": j.hold().map(|h| h.why())}),
-        ))
+        let job = self.job_shard.jobs.get(id)?;
+        let prerequisites: Vec<&str> = job.unfinished_prerequisites().collect();
+        let state = self.job_shard.user_status(id).map_or(users::PENDING, |status| status.0);
+        let held = job.hold().map(|hold| hold.why());
+        Some(Reply::json(200, &users::waiting(id, state, &prerequisites, held)))
     }
 }
--- a/src/job_shard/dependencies/stored_form.rs
+++ b/src/job_shard/dependencies/stored_form.rs
@@ -4,6 +4,7 @@
 //! waits no more is a plain one. The texts and keys here are stored and never change.
 
 use crate::units::Micros;
+use crate::wire::users;
 use serde_json::{Map, Value, json};
 
 /// Stands in the stored description of a job that waits, in place of the machine types it allows.
@@ -53,7 +54,7 @@
     if says.is_empty() {
         return None;
     }
-    says.insert("breed".into(), raw.get("breed").cloned().unwrap_or_default());
+    says.insert(users::CLASS.into(), raw.get(users::CLASS).cloned().unwrap_or_default());
     Some(Value::Object(says))
 }
 
--- a/src/job_shard/records.rs
+++ b/src/job_shard/records.rs
@@ -8,6 +8,7 @@
 use crate::peer::DesiredAction;
 use crate::spec::JobSpec;
 use crate::units::{Micros, Ranges};
+use crate::wire::users;
 use serde_json::{Value, json};
 
 /// Bytes of a record beside the description and the completed tasks, with some to spare.
@@ -116,7 +117,7 @@
         job.write_in_flight = true;
         let mut record = JobShard::end_record(&job.raw, outcome, job.done.len());
         if self.class_in_end_records && record.get("says").is_none() {
-            record["says"] = json!({"breed": job.spec.class});
+            record["says"] = json!({users::CLASS: job.spec.class});
         }
         Some((id, RecordWrite::End(outcome, record), job.store_version))
     }
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,12 +1,19 @@
 //! Forms of the user API: the answers about jobs.
 //!
-//! The protocol's words for a job's state stand here alone: `uid`, `stance`.
+//! The protocol's words for a job and its state stand here alone: `uid`, `stance`, `breed`, `gait`.
 
 pub mod submission;
 
 use crate::job_shard::JobOutcome;
 use serde_json::{Value, json};
 
+/// The key of a job's class, in submissions and in records made of them.
+pub const CLASS: &str = "breed";
+/// The key of a job's kind, likewise.
+const KIND: &str = "gait";
+/// The key of a job's state in an answer.
+const STATE: &str = "stance";
+
 /// The protocol's word for a job that has been accepted and does not run.
 pub const PENDING: &str = "pending";
 
@@ -32,3 +39,18 @@
 pub fn outcome(job: &str, outcome: JobOutcome) -> Value {
     json!({"uid": job, "stance": stance_of(outcome)})
 }
+
+/// The answer to why a job waits: the jobs that it depends on, and what else holds it.
+pub fn waiting(job: &str, state: &str, prerequisites: &[&str], held: Option<&str>) -> Value {
+    json!({"uid": job, STATE: state, "waits_for": prerequisites, "held": held})
+}
+
+/// The word for a job's state in an answer, if it has one.
+pub fn state_in(answer: &Value) -> Option<&str> {
+    answer.get(STATE).and_then(Value::as_str)
+}
+
+/// Whether a submission, as it was stored, describes a service.
+pub fn is_service(submission: &Value) -> bool {
+    submission.get(KIND).is_some_and(|kind| kind == "service")
+}
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -9,6 +9,7 @@
 use crate::peer::{ObservedTask, TaskExit, TaskKey, TaskPhase};
 use crate::units::Micros;
 use serde::{Deserialize, Serialize, Serializer};
+use serde_json::{Value, json};
 
 mod raw;
 
@@ -166,6 +167,12 @@
     }
 }
 
+/// The answer to a worker that is to send its heartbeats to another controller.
+#[must_use]
+pub fn redirect(leader: &str) -> Value {
+    json!({"rider": leader})
+}
+
 /// The body of a fencing probe: the token and no command. The agent answers with a heartbeat.
 #[must_use]
 pub fn fencing_probe_body(token: u64, incarnation: u64) -> String {
