--- a/crates/logs/src/cli.rs
+++ b/crates/logs/src/cli.rs
@@ -85,6 +85,7 @@
     /// The list in force, and how each store is.
     Show {
         #[command(flatten)]
+        #[allow(missing_docs, reason = "a comment would become part of the help text")]
         at: Stores,
         /// One JSON document.
         #[arg(long)]
@@ -93,6 +94,7 @@
     /// Add a store that runs. It takes over its part of the ring in the background.
     Join {
         #[command(flatten)]
+        #[allow(missing_docs, reason = "a comment would become part of the help text")]
         at: Stores,
         /// Its name, as in its settings.
         #[arg(long)]
@@ -113,6 +115,7 @@
     /// Let a store hand over what it has; `show` tells when it is done.
     Leave {
         #[command(flatten)]
+        #[allow(missing_docs, reason = "a comment would become part of the help text")]
         at: Stores,
         /// Its name.
         name: String,
@@ -120,6 +123,7 @@
     /// Take a store off the list: one that has handed over everything, or whose disk is dead.
     Remove {
         #[command(flatten)]
+        #[allow(missing_docs, reason = "a comment would become part of the help text")]
         at: Stores,
         /// Its name.
         name: String,
@@ -171,6 +175,7 @@
     /// The files of a job: JOB, JOB/TASK or JOB/TASK/ATTEMPT.
     List {
         #[command(flatten)]
+        #[allow(missing_docs, reason = "a comment would become part of the help text")]
         at: Stores,
         /// Whose files.
         job: String,
@@ -181,6 +186,7 @@
     /// Fetch a file. It appears under its name only when it is whole and its hash is right.
     Get {
         #[command(flatten)]
+        #[allow(missing_docs, reason = "a comment would become part of the help text")]
         at: Stores,
         /// Whose file: JOB/TASK, or JOB/TASK/ATTEMPT.
         task: String,
--- a/crates/logs/src/replica/reads.rs
+++ b/crates/logs/src/replica/reads.rs
@@ -16,7 +16,7 @@
 /// Streams in one answer.
 const STREAMS: usize = 500;
 /// Bytes of chunks in one answer.
-pub const PAGE_BYTES: usize = 1 << 20;
+pub(crate) const PAGE_BYTES: usize = 1 << 20;
 /// Readers that wait for more; others get what there is at once.
 const WAITERS: usize = 5000;
 /// Longest wait.
--- a/crates/logs/src/wire.rs
+++ b/crates/logs/src/wire.rs
@@ -1,5 +1,7 @@
 //! What shippers and stores say to one another, as `rkyv` archives in frames (`hazelsaddle_cluster::transport`).
 
+#![allow(missing_docs, reason = "rkyv derives archived types whose fields have no comments")]
+
 use crate::chunk::Chunk;
 use crate::key::StreamKey;
 use crate::members::List;
--- a/crates/logs/tests/common/mod.rs
+++ b/crates/logs/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! A disk that forgets what was not synced, tears what was being written, fills up, and flips bits.
 
+#![allow(unreachable_pub, reason = "shared by test programs that each use a part")]
 // Each test program uses a part of it.
 #![allow(dead_code)]
 
--- a/src/cli/batches.rs
+++ b/src/cli/batches.rs
@@ -19,6 +19,7 @@
         /// The batch.
         name: String,
         #[command(flatten)]
+        #[allow(missing_docs, reason = "a comment would become part of the help text")]
         controllers: ControllerArgs,
     },
     /// Put a batch's version on record. It only rises; the same twice is fine.
@@ -29,6 +30,7 @@
         #[arg(long)]
         version: u64,
         #[command(flatten)]
+        #[allow(missing_docs, reason = "a comment would become part of the help text")]
         controllers: ControllerArgs,
     },
 }
--- a/src/cli/releases.rs
+++ b/src/cli/releases.rs
@@ -35,6 +35,7 @@
     /// Let a rotation do without a job, or without the renders that are `missing`.
     Waive {
         #[command(flatten)]
+        #[allow(missing_docs, reason = "a comment would become part of the help text")]
         which: ReleaseArgs,
         /// The job, or `missing`.
         #[arg(long)]
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,6 +1,6 @@
 //! The edge of a running controller: threads, HTTP, peers' sockets and signals.
 //!
-//! Edge threads do what blocks and feed what comes of it into the [`inbox`]; one thread, the [`event_loop`], owns the
+//! Edge threads do what blocks and feed what comes of it into the `inbox`; one thread, the `event_loop`, owns the
 //! [`Controller`] and everything that it knows. Nothing here decides anything about jobs or machines.
 //!
 //! The edge threads run until the process ends: they hold nothing that must be put away, and what they wait for may take
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -2,6 +2,8 @@
 //! workers, the cloud and the state service are stand-ins that never fail; a digest or a wish of another controller
 //! takes a step or two. Seeds alone decide what is asked.
 
+#![allow(unreachable_pub, reason = "shared by test programs that each use a part")]
+
 use hazelsaddle::autoscaler::{Autoscaler, CloudAnswer, CloudMachine, CloudRequest, FleetView};
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::{JobShard, RecordWrite};
