--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -1,7 +1,7 @@
 //! The autoscaler: adds machines for work that finds no room (scale-out) and gives back those that idle, never come up
 //! or have failed (scale-in).
 //!
-//! One controller leads it, the ring owner of a fixed key; only there does it ask the cloud for more than the machine
+//! One controller leads it, the leader of a fixed key on the ring; only there does it ask the cloud for more than the machine
 //! types. Its state is rebuilt from the cloud's list and from what job shards say after each change of leader. It does no
 //! I/O: `next_request` returns what to ask the cloud, one request at a time, and `apply_answer` takes what became of it.
 //! It must never give a machine back of which a shard may still expect something, nor use the name of a scale-out twice.
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -152,7 +152,7 @@
         records.changing.clear();
     }
 
-    /// Whether this controller does what a record needs by itself: the ring's owner of the head's key.
+    /// Whether this controller does what a record needs by itself: the leader of the head's key on the ring.
     pub(super) fn keeps_record(&self, key: &Key) -> bool {
         self.membership.ring.owner(&key.head()) == Some(self.settings.me)
     }
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -77,7 +77,7 @@
 pub(super) struct Freshness {
     next: Micros,
     merges: BTreeMap<String, SeenRevision>,
-    /// What jobs of other owners, or ended ones, say.
+    /// What jobs of other leaders, or ended ones, declare.
     says: BTreeMap<String, JobDeclaration>,
     /// Records to be read, and those being read.
     unread: BTreeSet<String>,
@@ -363,7 +363,7 @@
     }
 
     /// Whether all done runs under a batch are known here. Guards against refusing or stopping a merge that new runs have
-    /// made fresh: who has just become its owner knows only what it names itself.
+    /// made fresh: who has just become its leader knows only what it names itself.
     fn runs_known(&self, key: &Key) -> bool {
         let began = self.census_began(key);
         self.runs_since(key).is_some_and(|since| began.is_some_and(|b| b >= since))
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Whether a permit's attempt has certainly ended, as far as its job's owner knows; only that one says so.
+    /// Whether a permit's attempt has certainly ended, as far as its job's leader knows; only that one says so.
     fn permit_over(&self, p: &Permit) -> bool {
         self.job_shard.loaded
             && self.membership.job_leader(&p.job) == Some(self.settings.me)
--- a/src/controller/gpu_lending.rs
+++ b/src/controller/gpu_lending.rs
@@ -1,4 +1,4 @@
-//! Loans of GPUs at the edge of a controller: the teams' ledgers, read and changed, and what is said to the other owners.
+//! Loans of GPUs at the edge of a controller: the teams' ledgers, read and changed, and what is sent to the other leaders.
 //!
 //! One list reads all ledgers about once a second, so that they are seen together. Each change is on condition of the epoch
 //! record, of its own ledger's mark and of all the others', and a claim is on record before anything is stopped for it.
--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Packs what was heard of one that is there no more, for a job's new owner.
+    /// Packs the replicated starts of a controller that is gone, for a job's new leader.
     pub(super) fn pack_replicated_starts(&mut self, now: Micros, to: usize, starts: ReplicatedStarts) {
         self.outbox.push(now, to, HandoffBatch { testimony: vec![starts], ..HandoffBatch::default() });
     }
@@ -198,10 +198,14 @@
                 self.handoff.outbox.push(now, to, HandoffBatch { machines, ..HandoffBatch::default() });
             }
         }
-        for (to, HandoffBatch { jobs, doubts, .. }) in jobs {
+        for (to, HandoffBatch { jobs, unresolved_sets, .. }) in jobs {
             for jobs in pieces(jobs, |j: &JobHandoff| j.starts.len()) {
-                let doubts = doubts.clone();
-                self.handoff.outbox.push(now, to, HandoffBatch { jobs, doubts, ..HandoffBatch::default() });
+                let unresolved_sets = unresolved_sets.clone();
+                self.handoff.outbox.push(
+                    now,
+                    to,
+                    HandoffBatch { jobs, unresolved_sets, ..HandoffBatch::default() },
+                );
             }
         }
     }
@@ -279,7 +283,7 @@
                 from,
                 boot,
                 number,
-                HandedJobs { jobs: batch.jobs, unresolved: batch.doubts },
+                HandedJobs { jobs: batch.jobs, unresolved: batch.unresolved_sets },
             );
         }
         self.take_handed_jobs(now);
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -343,10 +343,10 @@
             let reserved = self.job_shard.reservations().to_vec();
             self.send(now, peer, Message::Reserve(reserved), out);
         }
-        if let Some(decider) = self.membership.autoscaler() {
+        if let Some(autoscaler) = self.membership.autoscaler() {
             let demands = Message::Demands(self.job_shard.demands());
-            self.send_or_keep(now, decider, demands, &mut own, out);
-            if decider == self.settings.me && self.autoscaler.can_publish() {
+            self.send_or_keep(now, autoscaler, demands, &mut own, out);
+            if autoscaler == self.settings.me && self.autoscaler.can_publish() {
                 for peer in 0..peers {
                     self.send_or_keep(now, peer, self.scaling_plan(), &mut own, out);
                 }
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -136,12 +136,18 @@
     }
 
     /// Whether a start may go out to one of our machines. One that another leader decided is known to that one too.
-    pub(super) fn may_start(&self, m: &Membership, owner: &JobShard, key: &TaskKey, machine: &str) -> bool {
+    pub(super) fn may_start(
+        &self,
+        m: &Membership,
+        job_shard: &JobShard,
+        key: &TaskKey,
+        machine: &str,
+    ) -> bool {
         match self.mode {
             Mode::Off | Mode::Exempt => true,
             Mode::Required | Mode::RecordingExemption => {
                 m.job_leader(&key.job) != Some(m.me)
-                    || owner
+                    || job_shard
                         .replicated_start(machine, key)
                         .is_some_and(|item| self.outgoing.is_replicated(&item))
             }
--- a/src/job_shard/dependencies.rs
+++ b/src/job_shard/dependencies.rs
@@ -106,7 +106,7 @@
             true => stored_form::followed(&self.raw),
         }
     }
-    /// Its description as stored: with all that it says of pacts.
+    /// Its description as stored: with all that it says of coordination records.
     pub fn raw(&self) -> &Value {
         &self.raw
     }
--- a/src/job_shard/dependencies/stored_form.rs
+++ b/src/job_shard/dependencies/stored_form.rs
@@ -11,7 +11,7 @@
 /// A controller of the first version doesn't know of prerequisites: it takes the job for one that no
 /// machine suits, so it keeps, shows and cancels it, and starts nothing.
 const HELD: &str = "(waits for other jobs)";
-/// The same for a job that is held for a pact, whether it follows others or not. Versions before form 4 would start
+/// The same for a job that is held by a coordination record, whether it follows others or not. Versions before form 4 would start
 /// one of the other sort as soon as all that it follows is done; this one suits no machine of theirs either.
 const HELD_FOR: &str = "(held for a pact)";
 const FOLLOWS_AFTER: &str = "followsAfter";
@@ -36,7 +36,7 @@
 }
 
 /// What a final record says of a job beside its end: what others may have to know of it for ever. None for jobs that
-/// name no pact and followed nobody.
+/// name no coordination record and followed nobody.
 pub(in crate::job_shard) fn says(raw: &Value) -> Option<Value> {
     let mut says = Map::new();
     for key in ["release", "batch", "merges"] {
@@ -58,7 +58,7 @@
     Some(Value::Object(says))
 }
 
-/// What a live job's record says of pacts, in the form of a final one's `says`; None if it says nothing.
+/// What a live job's record says of coordination records, in the form of a final one's `says`; None if it says nothing.
 pub fn says_of_record(record: &Value) -> Option<Value> {
     let spec = record.get("spec")?;
     let mut plain = spec.clone();
@@ -74,19 +74,19 @@
 }
 
 /// The description to be stored for a job that waits.
-pub(in crate::job_shard) fn held(raw: &Value, pact: bool) -> Value {
+pub(in crate::job_shard) fn held(raw: &Value, by_record: bool) -> Value {
     let Some(map) = raw.as_object() else { return raw.clone() };
     let mut map = map.clone();
-    if let Some(types) = map.insert(TYPES.into(), json!([if pact { HELD_FOR } else { HELD }]))
+    if let Some(types) = map.insert(TYPES.into(), json!([if by_record { HELD_FOR } else { HELD }]))
         && !types.is_null()
     {
         map.insert(TYPES_AFTER.into(), types);
     }
     if let Some(text) = map.get(FOLLOWS).and_then(packed) {
-        if pact {
+        if by_record {
             map.remove(FOLLOWS);
         }
-        map.insert(if pact { FOLLOWS_AFTER } else { FOLLOWS }.into(), text.into());
+        map.insert(if by_record { FOLLOWS_AFTER } else { FOLLOWS }.into(), text.into());
     }
     Value::Object(map)
 }
@@ -106,8 +106,8 @@
 pub(in crate::job_shard) fn restored(stored: &Value) -> Option<Value> {
     let map = stored.as_object()?;
     let held = map.get(TYPES).and_then(|t| t.get(0)).and_then(Value::as_str);
-    let pact = held == Some(HELD_FOR);
-    if !pact && held != Some(HELD) {
+    let by_record = held == Some(HELD_FOR);
+    if !by_record && held != Some(HELD) {
         return Some(stored.clone());
     }
     let mut map: Map<String, Value> = map.clone();
@@ -115,7 +115,7 @@
         Some(types) => map.insert(TYPES.into(), types),
         None => map.remove(TYPES),
     };
-    let ids = match pact {
+    let ids = match by_record {
         true => map.remove(FOLLOWS_AFTER),
         false => Some(map.remove(FOLLOWS)?),
     };
--- a/src/job_shard/handoff.rs
+++ b/src/job_shard/handoff.rs
@@ -38,13 +38,13 @@
 
     fn pack_job(&self, packed: &mut PackedBatch, id: &str, job: &Job) {
         let PackedBatch { batch, sets } = packed;
-        let doubt = match job.start_knowledge {
+        let unresolved_set = match job.start_knowledge {
             // The next leader reads the same records.
             StartKnowledge::RecordsUnread | StartKnowledge::AwaitsEpochCheck => return,
             StartKnowledge::Complete => None,
             StartKnowledge::AwaitsMachines(set) => Some(*sets.entry(set).or_insert_with(|| {
-                batch.doubts.push(self.unresolved_sets.machines(set).cloned().collect());
-                batch.doubts.len() as u32 - 1
+                batch.unresolved_sets.push(self.unresolved_sets.machines(set).cloned().collect());
+                batch.unresolved_sets.len() as u32 - 1
             })),
         };
         let assigned = job.assignments.iter().map(|(&index, assignment)| StartHandoff {
@@ -67,7 +67,7 @@
             id: id.to_owned(),
             done: job.done.encode(usize::MAX),
             starts: assigned.chain(retired).collect(),
-            doubt,
+            unresolved_set,
         });
     }
 
@@ -90,7 +90,7 @@
             .collect();
         let mut taken = 0;
         for handoff in jobs {
-            let start_knowledge = match handoff.doubt.map(|set| open.get(set as usize)) {
+            let start_knowledge = match handoff.unresolved_set.map(|set| open.get(set as usize)) {
                 None => StartKnowledge::Complete,
                 Some(Some(set)) => set.map_or(StartKnowledge::Complete, StartKnowledge::AwaitsMachines),
                 // It names a set that is not there: it says nothing.
--- a/src/peer/handoff.rs
+++ b/src/peer/handoff.rs
@@ -12,7 +12,7 @@
     /// Jobs, for their new leader.
     pub jobs: Vec<JobHandoff>,
     /// Sets of machines that may hold tasks of handed jobs unknown to the sender.
-    pub doubts: Vec<Vec<String>>,
+    pub unresolved_sets: Vec<Vec<String>>,
     /// Machines, for their new leader.
     pub machines: Vec<MachineHandoff>,
     /// What others had replicated with the sender.
@@ -32,7 +32,7 @@
     /// Starts that may be on a machine.
     pub starts: Vec<StartHandoff>,
     /// Which of the batch's sets of machines may hold other tasks of it; None: no machine does.
-    pub doubt: Option<u32>,
+    pub unresolved_set: Option<u32>,
 }
 
 /// A start that may be on a machine, or on its way there.
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -151,10 +151,15 @@
         items: vouched(),
         fresh: vec!["wk-000413".into()],
     };
-    let job = JobHandoff { id: "wk-000412".into(), done: "0-2".into(), starts: vec![start], doubt: Some(0) };
+    let job = JobHandoff {
+        id: "wk-000412".into(),
+        done: "0-2".into(),
+        starts: vec![start],
+        unresolved_set: Some(0),
+    };
     HandoffBatch {
         jobs: vec![job],
-        doubts: vec![vec!["i-000007".into()]],
+        unresolved_sets: vec![vec!["i-000007".into()]],
         machines: vec![handed_machine()],
         testimony: vec![testimony],
         gone: vec!["i-000005".into()],
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -355,7 +355,12 @@
     hear(&mut o, &t, 1, &free, &dark);
     assert_eq!(placed(&mut o, &t, &teams, 5.0), Vec::<u32>::new(), "any of them may be on two machines");
     let starts = vec![start(&t, 1, false), start(&t, 2, true)];
-    let job = |doubt| JobHandoff { id: t.job.clone(), done: "3".into(), starts: starts.clone(), doubt };
+    let job = |unresolved_set| JobHandoff {
+        id: t.job.clone(),
+        done: "3".into(),
+        starts: starts.clone(),
+        unresolved_set,
+    };
     assert_eq!(
         o.accept_handoff(at(5.1), vec![job(Some(9))], &[]),
         0,
@@ -377,7 +382,8 @@
     let dark = [(t.machine.as_str(), InventoryState::Unconfirmed), ("i-dark", InventoryState::Unconfirmed)];
     let (mut o, teams, free) = owner(&t, "batch", 2);
     hear(&mut o, &t, 1, &free, &dark);
-    let job = JobHandoff { id: t.job.clone(), done: String::new(), starts: Vec::new(), doubt: Some(0) };
+    let job =
+        JobHandoff { id: t.job.clone(), done: String::new(), starts: Vec::new(), unresolved_set: Some(0) };
     // One that the old owner waited for was never on record, or is gone: it is not waited for.
     o.accept_handoff(at(5.1), vec![job], &[vec![t.machine.clone(), "i-gone".into()]]);
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty());
@@ -418,7 +424,7 @@
     let (mut o, teams, free) = owner(&t, "group", 2);
     hear(&mut o, &t, 1, &free, &dark);
     let starts = vec![start(&t, 1, false)];
-    let job = JobHandoff { id: t.job.clone(), done: String::new(), starts, doubt: None };
+    let job = JobHandoff { id: t.job.clone(), done: String::new(), starts, unresolved_set: None };
     o.accept_handoff(at(5.1), vec![job], &[]);
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty());
     let stops: Vec<DesiredAction> =
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -494,8 +494,8 @@
             for n in 0..3 {
                 let now = w.clock(n);
                 let status = w.nodes[n].as_mut().expect("it is back").status(now);
-                let doubts = &status["takeover"]["jobs_in_doubt"];
-                assert!(!off || *doubts == 0, "seed {seed}, {n}: {status:#}");
+                let unresolved_sets = &status["takeover"]["jobs_in_doubt"];
+                assert!(!off || *unresolved_sets == 0, "seed {seed}, {n}: {status:#}");
             }
             settle(w, 420 * S);
         });
--- a/tests/world/days/rough.rs
+++ b/tests/world/days/rough.rs
@@ -4,7 +4,7 @@
 use crate::*;
 
 /// What a controller's status says of its takeover: jobs in doubt, and machines that it has not heard.
-fn doubts(w: &mut World, n: usize) -> (u64, u64) {
+fn unresolved_sets(w: &mut World, n: usize) -> (u64, u64) {
     let now = w.clock(n);
     let Some(node) = w.nodes[n].as_mut() else { return (u64::MAX, u64::MAX) };
     let status = node.status(now);
@@ -39,20 +39,20 @@
         let mut waited = 0;
         for quarter in 1..=4 {
             w.run(0, over + quarter * S / 4);
-            waited += (0..3).map(|n| doubts(&mut w, n).0).sum::<u64>();
+            waited += (0..3).map(|n| unresolved_sets(&mut w, n).0).sum::<u64>();
         }
         assert!(waited > 0, "seed {seed}: the pages name them and nobody knows better");
         let until = over + 6 * S;
         w.run(0, until);
         for n in 0..3 {
-            assert_eq!(doubts(&mut w, n), (0, 0), "seed {seed}, {n}");
+            assert_eq!(unresolved_sets(&mut w, n), (0, 0), "seed {seed}, {n}");
         }
         w.crash(seed as usize % 3);
         w.back_at[seed as usize % 3] = w.now + S / 5;
         let until = w.now + 4 * S;
         w.run(0, until);
         for n in 0..3 {
-            assert_eq!(doubts(&mut w, n), (0, 0), "seed {seed}, {n}: after one more restart");
+            assert_eq!(unresolved_sets(&mut w, n), (0, 0), "seed {seed}, {n}: after one more restart");
         }
         w.run(0, 420 * S);
         assert!(w.finished().is_empty(), "seed {seed}: {:?}", w.finished());
@@ -70,7 +70,7 @@
         let until = w.now + 2 * S;
         w.run(0, until);
         for n in 0..3 {
-            assert_eq!(doubts(&mut w, n), (0, 0), "seed {seed}, {n}");
+            assert_eq!(unresolved_sets(&mut w, n), (0, 0), "seed {seed}, {n}");
         }
         w.run(0, 420 * S);
         assert!(w.finished().is_empty(), "seed {seed}: {:?}", w.finished());
--- a/tests/world/days/takeovers.rs
+++ b/tests/world/days/takeovers.rs
@@ -155,8 +155,8 @@
         assert!(waits > 0, "seed {seed}: the dead ones are not known to be dead yet");
         // One that another has put on record since is new once the epoch was read again, which it is every second.
         let recent = w.jobs.values().filter(|j| j.accepted_at.is_some_and(|t| t + 3 * S / 2 > w.now)).count();
-        let doubts = takeover["jobs_in_doubt"].as_u64().expect("a number");
-        assert!(doubts <= recent as u64, "seed {seed}: {status:#}");
+        let unresolved_sets = takeover["jobs_in_doubt"].as_u64().expect("a number");
+        assert!(unresolved_sets <= recent as u64, "seed {seed}: {status:#}");
         helped += takeover["jobs_witnessed"].as_u64().expect("a number");
         w.run(0, 420 * S);
         assert!(w.finished().is_empty(), "seed {seed}: {:?}", w.finished());
