--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -15,7 +15,7 @@
 
 /// A worker's heartbeat, with its task list.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
-#[serde(from = "raw::Heartbeat")]
+#[serde(from = "raw::Report")]
 pub struct Heartbeat {
     /// The machine.
     pub machine: String,
@@ -58,7 +58,7 @@
 
 /// A task in a heartbeat, in the worker's words; `TryFrom` gives it as an [`ObservedTask`].
 #[derive(Deserialize, Clone, Debug, PartialEq)]
-#[serde(from = "raw::HeartbeatTask")]
+#[serde(from = "raw::ReportedTask")]
 pub struct HeartbeatTask {
     /// `job/index`.
     pub task: String,
--- a/src/wire/workers/raw.rs
+++ b/src/wire/workers/raw.rs
@@ -1,10 +1,9 @@
-//! The forms with the protocol's field names. Their struct names appear in error texts.
+//! The forms with the protocol's field names. `Report` and `ReportedTask` appear by name in the answer to a malformed body.
 
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
-#[serde(expecting = "struct Report")]
-pub(super) struct Heartbeat {
+pub(super) struct Report {
     stall: String,
     #[serde(default)]
     addr: String,
@@ -22,8 +21,8 @@
     strides: Vec<super::HeartbeatTask>,
 }
 
-impl From<Heartbeat> for super::Heartbeat {
-    fn from(raw: Heartbeat) -> super::Heartbeat {
+impl From<Report> for super::Heartbeat {
+    fn from(raw: Report) -> super::Heartbeat {
         super::Heartbeat {
             machine: raw.stall,
             addr: raw.addr,
@@ -40,8 +39,7 @@
 }
 
 #[derive(Deserialize)]
-#[serde(expecting = "struct ReportedTask")]
-pub(super) struct HeartbeatTask {
+pub(super) struct ReportedTask {
     stride: String,
     mount: u64,
     stance: String,
@@ -51,8 +49,8 @@
     saved: Option<bool>,
 }
 
-impl From<HeartbeatTask> for super::HeartbeatTask {
-    fn from(raw: HeartbeatTask) -> super::HeartbeatTask {
+impl From<ReportedTask> for super::HeartbeatTask {
+    fn from(raw: ReportedTask) -> super::HeartbeatTask {
         super::HeartbeatTask {
             task: raw.stride,
             attempt: raw.mount,
--- a/src/wire/workers/tests.rs
+++ b/src/wire/workers/tests.rs
@@ -30,9 +30,9 @@
         assert!(error.starts_with(&format!("missing field `{field}`")), "{error}");
     }
     let error = serde_json::from_str::<Heartbeat>("7").expect_err("no object").to_string();
-    assert_eq!(error, "invalid type: integer `7`, expected struct Heartbeat at line 1 column 1");
+    assert_eq!(error, "invalid type: integer `7`, expected struct Report at line 1 column 1");
     let error = serde_json::from_str::<Heartbeat>("[]").expect_err("nothing in it").to_string();
-    assert_eq!(error, "invalid length 0, expected struct Heartbeat with 10 elements at line 1 column 2");
+    assert_eq!(error, "invalid length 0, expected struct Report with 10 elements at line 1 column 2");
 }
 
 #[test]
