--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -1,10 +1,11 @@
-//! The autoscaler: adds machines for work that finds no room (scale-out) and gives back those that idle, never come up
-//! or have failed (scale-in).
+//! The autoscaler: adds machines for work that cannot be placed (scale-out) and removes machines that are idle, never
+//! came up or have failed (scale-in).
 //!
-//! One controller leads it, the leader of a fixed key on the ring; only there does it ask the cloud for more than the machine
-//! types. Its state is rebuilt from the cloud's list and from what job shards say after each change of leader. It does no
-//! I/O: `next_request` returns what to ask the cloud, one request at a time, and `apply_answer` takes what became of it.
-//! It must never give a machine back of which a shard may still expect something, nor use the name of a scale-out twice.
+//! It is active on one controller, the leader of a fixed key on the hash ring. Other controllers only ask the cloud
+//! for the machine types. After each change of leader the state is rebuilt from the cloud's machine list and from the
+//! demand that job shards report. The autoscaler does no I/O: `next_request` returns the next request to the cloud,
+//! one at a time, and `apply_answer` takes its result. It must never remove a machine on which a shard may still have
+//! tasks, and it must never reuse the name of a scale-out.
 
 mod cloud;
 mod demand;
@@ -17,7 +18,7 @@
 
 pub use self::cloud::{CloudAnswer, CloudClient, CloudMachine, CloudRequest, MachineState, ScaleOut};
 
-use self::demand::DemandBook;
+use self::demand::DemandReports;
 use self::inventory::Inventory;
 use self::reserved_capacity::ReservedCapacity;
 use self::scale_in::ScaleInState;
@@ -30,77 +31,77 @@
 use crate::units::{Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most machines in one scale-out.
+/// Most machines requested in one scale-out.
 const SCALE_OUT_LIMIT: u32 = 50;
-/// Most names in one scale-in.
+/// Most machines removed in one scale-in.
 const SCALE_IN_LIMIT: usize = 100;
-/// One in so many of the machines that would do is reserved for urgent gangs at the most.
+/// At most one in this many suitable machines is reserved for urgent gangs.
 const RESERVED_FRACTION: usize = 6;
-/// The same where guarantees promise the room to others too.
+/// The same where teams have guarantees, since the capacity is guaranteed to other work as well.
 const GUARANTEES_RESERVED_FRACTION: usize = RESERVED_FRACTION * 2;
-/// The part of the cloud's rate limit that one controller uses.
+/// The fraction of the cloud's rate limit that one controller uses.
 const RATE_LIMIT_FRACTION: f64 = 0.8;
-/// How often the machine types are read once they are known.
+/// How often the machine types are read again once they are known.
 const TYPES_INTERVAL: Micros = Micros::from_millis(60_000);
-/// How soon they are asked for again without an answer: while none is known, and later.
+/// Time until the request for the machine types is retried: while none is known, and later.
 const FIRST_TYPES_RETRY: Micros = Micros::from_millis(1_000);
 const TYPES_RETRY: Micros = Micros::from_millis(5_000);
-/// How long the autoscaler waits after a request that failed.
+/// How long the autoscaler sends no request after one that failed.
 const FAILURE_PAUSE: Micros = Micros::from_millis(1_000);
-/// How often it looks for something to change.
+/// How often it decides about scaling.
 const PASS_INTERVAL: Micros = Micros::from_millis(500);
-/// How long a new leader waits for every job shard's word before it says what is reserved.
-const PUBLISH_PATIENCE: Micros = Micros::from_millis(2_000);
-/// How often it logs what it sees.
+/// How long a new leader waits for the demand of every job shard before it publishes what is reserved.
+const PUBLISH_TIMEOUT: Micros = Micros::from_millis(2_000);
+/// How often it logs its state.
 const LOG_INTERVAL: Micros = Micros::from_millis(5_000);
-/// Boot time of a machine type that is not known, in seconds.
+/// Assumed boot time of an unknown machine type, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// What the leader of the autoscaler sees of the machines.
+/// The machines as the controller that leads the autoscaler sees them.
 #[derive(Clone, Copy)]
 pub struct FleetView<'a> {
-    /// All machine shards' machines.
+    /// The machines of all machine shards.
     pub machines: &'a [&'a MachineSnapshot],
-    /// Whether every machine shard has spoken since the epoch began.
+    /// Whether every machine shard has reported since the epoch began.
     pub all_reported: bool,
-    /// Whether every machine that may hold tasks has been heard: no failover is under way.
+    /// Whether every machine that may hold tasks has sent a heartbeat, so no failover is under way.
     pub rebuilt: bool,
-    /// The members of the epoch.
+    /// The members of the current epoch.
     pub members: &'a [usize],
 }
 
-/// What a controller knows of the cloud. Only the leader of the autoscaler acts; the others keep the machine types.
+/// The autoscaler's state on one controller. Only the leader scales; the others just keep the machine types.
 pub struct Autoscaler {
-    /// This process's random number, part of the names of scale-outs.
+    /// Boot ID of this process, part of the names of its scale-outs.
     boot: u64,
     rate_limiter: RateLimiter,
-    /// The machine types, once known.
+    /// The machine types; empty until they are known.
     pub types: Types,
     next_types: Micros,
-    /// Whether a request is out.
+    /// Whether a request has been sent and not answered yet.
     in_flight: bool,
     paused_until: Micros,
-    /// Since when this controller has led the autoscaler.
+    /// When this controller became the autoscaler's leader; None if it is not the leader.
     leader_since: Option<Micros>,
     next_pass: Micros,
     next_log: Micros,
-    /// Whether what is reserved rests on the word of all job shards.
+    /// Whether the reservations are based on the demand of all job shards.
     can_publish: bool,
-    demand: DemandBook,
+    demand: DemandReports,
     inventory: Inventory,
     reserved: ReservedCapacity,
     scale_out: ScaleOutState,
     scale_in: ScaleInState,
-    /// Whether teams have guarantees, so that capacity is kept for them.
+    /// Whether any team has a guarantee for which capacity is kept.
     has_guarantees: bool,
-    /// What the guarantees add up to.
+    /// Sum of the teams' guarantees.
     guaranteed: Resources,
-    /// How far the cloud's list may lag behind.
+    /// Longest lag of the cloud's machine list.
     list_lag: Micros,
 }
 
 impl Autoscaler {
-    /// Nothing known. `boot` is this process's random number.
+    /// An autoscaler without any state. `boot` is the boot ID of this process.
     #[must_use]
     pub fn new(boot: u64, settings: &Settings) -> Autoscaler {
         let guarantees = settings.teams.iter().map(|team| Resources::need(team.cpus, team.gpus, 0.0));
@@ -115,7 +116,7 @@
             next_pass: Micros(0),
             next_log: Micros(0),
             can_publish: false,
-            demand: DemandBook::default(),
+            demand: DemandReports::default(),
             inventory: Inventory::default(),
             reserved: ReservedCapacity::default(),
             scale_out: ScaleOutState::default(),
@@ -126,55 +127,55 @@
         }
     }
 
-    /// What a machine of this type has, if the type is known.
+    /// The total resources of a machine of this type, if the type is known.
     #[must_use]
     pub fn resources_of(&self, kind: &str) -> Option<Resources> {
         self.types.get(kind).map(MachineType::room)
     }
 
-    /// Takes what a member's job shard cannot place, in place of what it said before.
+    /// Records the work that a member's job shard cannot place. It replaces the shard's previous report.
     pub fn record_demand(&mut self, now: Micros, member: usize, demands: Vec<Demand>) {
         self.demand.record(now, member, demands);
     }
 
-    /// Whether `draining`, `reserved_classes` and `reserved_machines` are to be sent to the other controllers.
+    /// Whether `draining`, `reserved_classes` and `reserved_machines` may be sent to the other controllers.
     #[must_use]
     pub fn can_publish(&self) -> bool {
         self.can_publish
     }
 
-    /// Machines that are to take no new tasks.
+    /// Machines that must not get new tasks because they are being drained.
     #[must_use]
     pub fn draining(&self) -> Vec<String> {
         self.scale_in.draining.iter().cloned().collect()
     }
 
-    /// Machines whose scale-in the cloud has confirmed of late.
+    /// Machines whose scale-in the cloud has confirmed recently.
     #[must_use]
     pub fn removed(&self) -> Vec<String> {
         self.inventory.removed()
     }
 
-    /// Machine types, and whether spot, left to work of at least a priority.
+    /// Reserved classes of machines: the machine type, whether spot, and the lowest priority that may use them.
     #[must_use]
     pub fn reserved_classes(&self) -> Vec<(String, bool, u8)> {
         let classes = self.reserved.classes.iter();
         classes.map(|entry| (entry.class.kind.clone(), entry.class.spot, entry.priority)).collect()
     }
 
-    /// Machines left to work of at least a priority.
+    /// Reserved machines, each with the lowest priority that may use it.
     #[must_use]
     pub fn reserved_machines(&self) -> Vec<(String, u8)> {
         self.reserved.machines.clone().into_iter().collect()
     }
 
-    /// Machines that were added, are overdue and are not counted on any more.
+    /// Machines that were added but are overdue, so they no longer count as capacity.
     #[must_use]
     pub fn overdue(&self) -> &BTreeSet<String> {
         &self.scale_out.overdue
     }
 
-    /// Takes what became of the request that `next_request` returned last.
+    /// Applies the result of the request that `next_request` returned last.
     pub fn apply_answer(&mut self, now: Micros, request: &CloudRequest, answer: CloudAnswer) {
         self.in_flight = false;
         match (request, answer) {
@@ -189,7 +190,7 @@
                 self.apply_no_capacity(now, scale_out);
             }
             (CloudRequest::ScaleIn(names), CloudAnswer::ScaledIn) => self.apply_scale_in(now, names),
-            // A scale-out without a usable answer is repeated under its name until it has one.
+            // A scale-out without a usable answer is retried under the same name until it gets one.
             _ => self.paused_until = now + FAILURE_PAUSE,
         }
     }
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Whether `next_request` has anything to look at, so that nobody gathers machines for nothing.
+    /// Whether `next_request` may have something to do. Callers check this before they collect the machines.
     #[must_use]
     pub fn is_due(&self, now: Micros) -> bool {
         !self.in_flight
@@ -237,10 +238,10 @@
     }
 
     /// The next request to the cloud, if one is due. `fleet` is None on a controller that does not lead the autoscaler:
-    /// that one forgets what only the leader keeps up to date, and asks for the machine types alone.
+    /// it clears the state that only the leader keeps up to date, and requests nothing but the machine types.
     pub fn next_request(&mut self, now: Micros, fleet: Option<FleetView>) -> Option<CloudRequest> {
         if fleet.is_none() {
-            self.forget_leadership();
+            self.clear_leader_state();
         }
         if self.in_flight || now < self.paused_until {
             return None;
@@ -253,7 +254,7 @@
         Some(request)
     }
 
-    fn forget_leadership(&mut self) {
+    fn clear_leader_state(&mut self) {
         self.leader_since = None;
         self.can_publish = false;
         self.demand.clear();
@@ -262,12 +263,12 @@
         self.inventory.reset();
     }
 
-    fn may_call(&mut self, now: Micros) -> bool {
+    fn take_rate_token(&mut self, now: Micros) -> bool {
         self.rate_limiter.take(now, 1.0, 0.0)
     }
 
     fn types_request(&mut self, now: Micros) -> Option<CloudRequest> {
-        if now < self.next_types || !self.may_call(now) {
+        if now < self.next_types || !self.take_rate_token(now) {
             return None;
         }
         self.next_types = now + if self.types.is_empty() { FIRST_TYPES_RETRY } else { TYPES_RETRY };
@@ -278,18 +279,21 @@
         let leader_since = *self.leader_since.get_or_insert(now);
         self.inventory.prune_removed(now);
         if self.inventory.is_list_due(now) {
-            return self.may_call(now).then(|| CloudRequest::List(self.inventory.next_page(now)));
+            return self
+                .take_rate_token(now)
+                .then(|| CloudRequest::List(self.inventory.begin_next_page(now)));
         }
         if let Some(unconfirmed) = self.scale_out.unconfirmed.clone() {
-            return self.may_call(now).then_some(CloudRequest::ScaleOut(unconfirmed));
+            return self.take_rate_token(now).then_some(CloudRequest::ScaleOut(unconfirmed));
         }
-        if !fleet.all_reported || now < self.next_pass || self.types.is_empty() || !self.may_call(now) {
+        if !fleet.all_reported || now < self.next_pass || self.types.is_empty() || !self.take_rate_token(now)
+        {
             return None;
         }
         self.scaling_request(now, fleet, leader_since)
     }
 
-    /// Works out what is reserved, then what to give back, then what to add.
+    /// Updates the reservations, then decides on a scale-in, then on a scale-out.
     fn scaling_request(
         &mut self,
         now: Micros,
@@ -298,7 +302,7 @@
     ) -> Option<CloudRequest> {
         let machines: BTreeMap<&str, &MachineSnapshot> =
             fleet.machines.iter().map(|machine| (machine.name.as_str(), *machine)).collect();
-        self.can_publish = self.demand.has_all(fleet.members) || now.since(leader_since) > PUBLISH_PATIENCE;
+        self.can_publish = self.demand.has_all(fleet.members) || now.since(leader_since) > PUBLISH_TIMEOUT;
         self.update_reserved(now, fleet.machines);
         self.log_fleet(now, fleet.machines);
         let removals = self.next_scale_in(now, &machines, leader_since, fleet.rebuilt);
@@ -318,9 +322,9 @@
             return;
         }
         self.next_log = now + LOG_INTERVAL;
-        let open = || machines.iter().filter(|machine| machine.open);
-        let cpus: i64 = open().map(|machine| machine.total.cpus / 1000).sum();
-        let free_cpus: i64 = open().map(|machine| machine.free.cpus.max(0) / 1000).sum();
+        let schedulable = || machines.iter().filter(|machine| machine.open);
+        let cpus: i64 = schedulable().map(|machine| machine.total.cpus / 1000).sum();
+        let free_cpus: i64 = schedulable().map(|machine| machine.free.cpus.max(0) / 1000).sum();
         let demands = self.demand.fresh(now);
         let cpu_seconds = |d: &Demand| f64::from(d.count) * d.room.cpus as f64 / 1000.0 * d.estimate.secs();
         let queued_cpu_s = demands.iter().map(cpu_seconds).sum::<f64>() as i64;
--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: requests and answers in the code's own types, and the blocking client.
+//! Client of the cloud API: typed requests and answers, and a blocking HTTP client.
 
 use crate::spec::MachineType;
 use crate::state_store::http_exchange;
@@ -7,55 +7,55 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long a request may take.
+/// Timeout of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
-/// Most machines in a page of the list.
+/// Most machines in one page of the machine list.
 const PAGE_MACHINES: u32 = 500;
 
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudRequest {
-    /// The machine types and prices.
+    /// List the machine types and their prices.
     MachineTypes,
-    /// A page of the machine list: the machines behind this name, empty for the first page.
+    /// List a page of machines: those whose names come after this one; empty for the first page.
     List(String),
     /// Add machines.
     ScaleOut(ScaleOut),
-    /// Give machines back, by name. Names that the cloud doesn't know are ignored.
+    /// Remove machines, by name. The cloud ignores unknown names.
     ScaleIn(Vec<String>),
 }
 
-/// Machines to add. Under the same name the cloud adds them once, however often it is asked; a name is never used for
-/// another scale-out.
+/// Machines to add. The name makes the request idempotent: however often it is sent, the cloud adds the machines once.
+/// A name is never used for another scale-out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScaleOut {
-    /// The name.
+    /// The idempotency key.
     pub name: String,
     /// The machine type.
     pub kind: String,
     /// The zone.
     pub zone: String,
-    /// Spot or on-demand.
+    /// Whether the machines are spot machines.
     pub spot: bool,
-    /// How many.
+    /// How many machines to add.
     pub count: u32,
 }
 
-/// What the cloud says of a machine's state.
+/// A machine's state as listed by the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// It is paid for and doesn't report yet.
+    /// It is billed but sends no heartbeats yet.
     Booting,
-    /// It is up.
+    /// It is running.
     Running,
-    /// It never comes up, or has broken down.
+    /// It failed to boot, or has broken down.
     Failed,
 }
 
 /// A machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CloudMachine {
-    /// Its name. Names are in the order of creation.
+    /// Its name. Names sort in the order of creation.
     pub name: String,
     /// Its type.
     pub kind: String,
@@ -69,20 +69,20 @@
     pub age_s: f64,
 }
 
-/// What the cloud answers.
+/// An answer of the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudAnswer {
     /// The machine types.
     MachineTypes(Vec<MachineType>),
-    /// A page, and whether there is more.
+    /// A page of the machine list, and whether more pages follow.
     Page(Vec<CloudMachine>, bool),
-    /// Names of the machines that were added; may be fewer than asked for.
+    /// Names of the machines that were added; may be fewer than requested.
     ScaledOut(Vec<String>),
-    /// There are no machines of this type in this zone.
+    /// The cloud has no capacity for this machine type in this zone.
     NoCapacity,
-    /// The machines are gone.
+    /// The machines have been removed.
     ScaledIn,
-    /// Too many calls, an outage, or no usable answer.
+    /// The rate limit was exceeded, the cloud is unavailable, or there was no usable answer.
     Failed,
 }
 
@@ -93,18 +93,18 @@
 }
 
 impl CloudClient {
-    /// A client of the cloud at `addr`.
+    /// Creates a client of the cloud API at `addr`.
     #[must_use]
     pub fn new(addr: SocketAddrV4) -> CloudClient {
         let agent = ureq::AgentBuilder::new().timeout(REQUEST_TIMEOUT).redirects(0).build();
         CloudClient { agent, base: format!("http://{addr}") }
     }
 
-    /// Carries out a request, once. A failure is an answer too.
+    /// Sends a request once, without a retry. A failure is returned as `CloudAnswer::Failed`.
     #[must_use]
     pub fn call(&self, request: &CloudRequest) -> CloudAnswer {
         match request {
-            CloudRequest::MachineTypes => convert::<wire::MachineTypeList>(self.get("/flavors")),
+            CloudRequest::MachineTypes => parse_answer::<wire::MachineTypeList>(self.get("/flavors")),
             CloudRequest::List(after) => self.list(after),
             CloudRequest::ScaleOut(scale_out) => self.scale_out(scale_out),
             CloudRequest::ScaleIn(machines) => self.scale_in(machines),
@@ -113,7 +113,7 @@
 
     fn list(&self, after: &str) -> CloudAnswer {
         let after = if after.is_empty() { String::new() } else { format!("after={after}&") };
-        convert::<wire::MachinePage>(self.get(&format!("/rentals?{after}limit={PAGE_MACHINES}")))
+        parse_answer::<wire::MachinePage>(self.get(&format!("/rentals?{after}limit={PAGE_MACHINES}")))
     }
 
     fn scale_out(&self, scale_out: &ScaleOut) -> CloudAnswer {
@@ -123,7 +123,7 @@
                 tracing::error!(reason = %text, "cloud calls a scale-out malformed");
                 CloudAnswer::NoCapacity
             }
-            other => convert::<wire::CreatedMachines>(other),
+            other => parse_answer::<wire::CreatedMachines>(other),
         }
     }
 
@@ -143,8 +143,8 @@
     }
 }
 
-/// The answer that a body of this form stands for.
-fn convert<Form: DeserializeOwned + Into<CloudAnswer>>(response: Option<(u16, String)>) -> CloudAnswer {
+/// Parses a response body as `Form` and converts it to an answer.
+fn parse_answer<Form: DeserializeOwned + Into<CloudAnswer>>(response: Option<(u16, String)>) -> CloudAnswer {
     let Some((200, text)) = response else { return CloudAnswer::Failed };
     match serde_json::from_str::<Form>(&text).map_err(MalformedAnswer::from) {
         Ok(form) => form.into(),
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -1,82 +1,82 @@
-//! Demand: the work that job shards cannot place for want of machines, and the shapes of work seen of late.
+//! Demand: the work that job shards cannot place because machines are missing, and the task shapes seen recently.
 
 use crate::peer::Demand;
 use crate::units::{Micros, Resources};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// How long a job shard's word counts. Shards repeat it several times a second.
+/// How long a job shard's report is valid. Shards repeat it several times a second.
 const DEMAND_TTL: Micros = Micros::from_millis(3_000);
 
 impl Demand {
-    /// Whether machines of this type will do.
-    pub(super) fn accepts_kind(&self, kind: &str) -> bool {
+    /// Whether the work may run on machines of this type.
+    pub(super) fn can_run_on_type(&self, kind: &str) -> bool {
         self.kinds.is_empty() || self.kinds.iter().any(|allowed| allowed == kind)
     }
 
-    /// Whether machines of this type, zone and market will do.
-    pub(super) fn accepts(&self, kind: &str, zone: &str, spot: bool) -> bool {
-        self.accepts_kind(kind) && self.zone.as_ref().is_none_or(|only| only == zone) && spot <= self.spot
+    /// Whether the work may run on machines of this type in this zone, spot or on-demand.
+    pub(super) fn can_run_on(&self, kind: &str, zone: &str, spot: bool) -> bool {
+        self.can_run_on_type(kind) && self.zone.as_ref().is_none_or(|only| only == zone) && spot <= self.spot
     }
 
-    /// Whether this work may queue for a while before a machine is worth adding for it.
-    pub(super) fn may_queue(&self) -> bool {
+    /// Whether the work may queue for some time before a machine is added for it.
+    pub(super) fn can_queue(&self) -> bool {
         self.horizon.0 > 0 && self.estimate.0 > 0
     }
 }
 
-/// What one job shard said last.
+/// The latest report of one job shard.
 struct MemberDemand {
     received_at: Micros,
     demands: Vec<Demand>,
 }
 
-/// What queueable work is like of late.
+/// Averages of recent queueable work.
 #[derive(Clone, Copy)]
 pub(super) struct TypicalTask {
-    /// What a task takes.
+    /// Resources of one task.
     pub(super) resources: Resources,
-    /// How long it runs.
+    /// Run time of one task.
     pub(super) run_time: Micros,
-    /// How long it may queue.
+    /// How long the work may queue.
     pub(super) horizon: Micros,
 }
 
-/// All job shards' demand.
+/// The demand of all job shards.
 #[derive(Default)]
-pub(super) struct DemandBook {
+pub(super) struct DemandReports {
     by_member: BTreeMap<usize, MemberDemand>,
-    /// None until there was queueable work.
+    /// None until there has been queueable work.
     pub(super) typical: Option<TypicalTask>,
 }
 
-impl DemandBook {
-    /// Takes what a member's job shard says, in place of what it said before.
+impl DemandReports {
+    /// Records the report of a member's job shard. It replaces the shard's previous report.
     pub(super) fn record(&mut self, now: Micros, member: usize, demands: Vec<Demand>) {
         self.by_member.insert(member, MemberDemand { received_at: now, demands });
     }
 
-    /// Forgets what was said; what is typical stays.
+    /// Discards all reports but keeps the averages.
     pub(super) fn clear(&mut self) {
         self.by_member.clear();
     }
 
-    /// Whether all of these members have spoken.
+    /// Whether the job shards of all these members have reported.
     pub(super) fn has_all(&self, members: &[usize]) -> bool {
         members.iter().all(|member| self.by_member.contains_key(member))
     }
 
-    /// What was said of late, the most urgent first.
+    /// The demands of all reports that are still valid, the most urgent first.
     pub(super) fn fresh(&self, now: Micros) -> Vec<Demand> {
-        let fresh = self.by_member.values().filter(|said| now.since(said.received_at) < DEMAND_TTL);
-        let mut demands: Vec<Demand> = fresh.flat_map(|said| said.demands.iter().cloned()).collect();
+        let fresh = self.by_member.values().filter(|report| now.since(report.received_at) < DEMAND_TTL);
+        let mut demands: Vec<Demand> = fresh.flat_map(|report| report.demands.iter().cloned()).collect();
         demands.sort_by_key(|demand| (Reverse(demand.priority), demand.horizon));
         demands
     }
 
-    /// Moves the averages of queueable work towards these demands.
+    /// Updates the moving averages of queueable work with these demands.
     pub(super) fn update_typical(&mut self, demands: &[Demand]) {
-        for demand in demands.iter().filter(|demand| demand.may_queue()) {
+        for demand in demands.iter().filter(|demand| demand.can_queue()) {
             let typical = self.typical.get_or_insert(TypicalTask {
                 resources: demand.room,
                 run_time: demand.estimate,
--- a/src/autoscaler/headroom.rs
+++ b/src/autoscaler/headroom.rs
@@ -1,5 +1,5 @@
-//! Headroom: resources kept free so that work within a guarantee starts at once, and the zone in which a gang's machines
-//! come together.
+//! Headroom: resources kept free so that work within a guarantee starts immediately. Also chooses the zone in which the
+//! machines for a single-zone gang are added.
 
 use super::reserved_capacity::MAX_TASKS_PER_MACHINE;
 use super::scale_out::Capacity;
@@ -10,7 +10,8 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// What headroom is reckoned in. Processors beside GPUs don't count as such where there are machines without GPUs.
+/// The resource in which headroom is measured. If there are machine types without GPUs, the processors of GPU machines
+/// don't count as processor headroom.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Dimension {
     Cpus,
@@ -18,7 +19,7 @@
 }
 
 impl Dimension {
-    fn of(self, resources: Resources) -> i64 {
+    fn amount_in(self, resources: Resources) -> i64 {
         match self {
             Dimension::Cpus => resources.cpus,
             Dimension::Gpus => resources.gpus,
@@ -26,9 +27,9 @@
     }
 }
 
-/// Demand for the resources to keep free for guarantees: work within them should start at once, also when the next
-/// surge comes, and a machine takes long to boot.
-pub(super) fn headroom(
+/// Demand for the resources to keep free for guarantees. Work within a guarantee should start immediately even in a
+/// surge, and machines take long to boot.
+pub(super) fn headroom_demands(
     guaranteed: Resources,
     types: &Types,
     machines: &BTreeMap<&str, &MachineSnapshot>,
@@ -43,26 +44,27 @@
     machines: &BTreeMap<&str, &MachineSnapshot>,
     dimension: Dimension,
 ) -> Option<Demand> {
-    let wants_gpus = dimension == Dimension::Gpus;
-    let has_plain_types = types.values().any(|machine_type| machine_type.gpus <= 0.0);
-    let counts = |total: Resources| (total.gpus > 0) == wants_gpus || (!has_plain_types && !wants_gpus);
+    let is_for_gpus = dimension == Dimension::Gpus;
+    let has_types_without_gpus = types.values().any(|machine_type| machine_type.gpus <= 0.0);
+    let is_counted =
+        |total: Resources| (total.gpus > 0) == is_for_gpus || (!has_types_without_gpus && !is_for_gpus);
     let largest = types
         .values()
         .map(MachineType::room)
-        .filter(|total| counts(*total))
-        .max_by_key(|total| dimension.of(*total))?;
-    let open = || machines.values().filter(|machine| machine.open && counts(machine.total));
-    let free: i64 = open().map(|machine| dimension.of(machine.free).max(0)).sum();
-    let used: i64 = open().map(|machine| dimension.of(machine.total)).sum::<i64>() - free;
-    // Where little runs, little is kept free, and nothing where nothing runs.
-    let missing = crate::job_shard::headroom(dimension.of(guaranteed), used) - free;
+        .filter(|total| is_counted(*total))
+        .max_by_key(|total| dimension.amount_in(*total))?;
+    let schedulable = || machines.values().filter(|machine| machine.open && is_counted(machine.total));
+    let free: i64 = schedulable().map(|machine| dimension.amount_in(machine.free).max(0)).sum();
+    let used: i64 = schedulable().map(|machine| dimension.amount_in(machine.total)).sum::<i64>() - free;
+    // Headroom grows with the resources in use and is zero when nothing runs.
+    let missing = crate::job_shard::headroom(dimension.amount_in(guaranteed), used) - free;
     (missing > 0).then(|| Demand {
         room: largest,
         kinds: Vec::new(),
         zone: None,
         one_zone: false,
         spot: false,
-        count: u32::try_from(missing / dimension.of(largest).max(1) + 1).unwrap_or(u32::MAX),
+        count: u32::try_from(missing / dimension.amount_in(largest).max(1) + 1).unwrap_or(u32::MAX),
         estimate: Micros(0),
         priority: 0,
         horizon: Micros(0),
@@ -70,9 +72,10 @@
     })
 }
 
-/// The zone in which a gang that stays in one is to come together, if some is on its way already: where the most is
-/// arriving, unless that is too little and no more can be had there. Machines in several zones would be of no use.
-pub(super) fn zone_for(
+/// The zone in which to add machines for a single-zone gang, if machines for it are arriving already. It is the zone
+/// with the most arriving capacity, except when that is too little and the zone has no more capacity. Machines spread
+/// over several zones could not run the gang.
+pub(super) fn choose_gang_zone(
     demand: &Demand,
     types: &Types,
     arriving: &[Capacity],
@@ -83,7 +86,7 @@
     }
     let mut tasks_by_zone: BTreeMap<&str, i64> = BTreeMap::new();
     for Capacity { pool, resources } in arriving {
-        if demand.accepts(&pool.kind, &pool.zone, pool.spot) {
+        if demand.can_run_on(&pool.kind, &pool.zone, pool.spot) {
             let tasks = resources.count_of(demand.room).clamp(0, MAX_TASKS_PER_MACHINE);
             *tasks_by_zone.entry(&pool.zone).or_default() += tasks;
         }
@@ -95,8 +98,9 @@
     for zone in types.values().flat_map(|machine_type| &machine_type.zones).filter(is_allowed) {
         tasks_by_zone.entry(zone).or_default();
     }
-    let can_complete = |(zone, tasks): &(&str, i64)| *tasks >= i64::from(demand.count) || !is_exhausted(zone);
-    let best = tasks_by_zone.into_iter().filter(can_complete);
+    let can_complete_gang =
+        |(zone, tasks): &(&str, i64)| *tasks >= i64::from(demand.count) || !is_exhausted(zone);
+    let best = tasks_by_zone.into_iter().filter(can_complete_gang);
     best.max_by_key(|(zone, tasks)| (*tasks, Reverse(*zone))).map(|(zone, _)| zone.to_owned())
 }
 
--- a/src/autoscaler/inventory.rs
+++ b/src/autoscaler/inventory.rs
@@ -1,21 +1,23 @@
-//! Inventory: what the cloud's list names, what was added and doesn't report yet, and what was given back.
+//! Inventory: the machines in the cloud's list, the machines that were added but send no heartbeats yet, and the
+//! machines that were removed.
 //!
-//! The list lags, and is read in pages that may each be of another time. It is a hint: machines that report are known
-//! from their shards, and a machine is gone only once the cloud has confirmed a scale-in.
+//! The list lags behind, and its pages may be snapshots of different times, so it is only a hint. Machines that send
+//! heartbeats are known from their machine shards, and a machine counts as gone only once the cloud has confirmed its
+//! scale-in.
 
 use super::cloud::{CloudMachine, MachineState, ScaleOut};
 use crate::machine_view::MachineSnapshot;
 use crate::units::Micros;
 use std::collections::BTreeMap;
 
-/// How often the list is read.
+/// How often the cloud's machine list is read.
 const LIST_INTERVAL: Micros = Micros::from_millis(4_000);
-/// How long machines that are gone are named to the other controllers.
+/// How long removed machines are reported to the other controllers.
 const REMOVED_TTL: Micros = Micros::from_millis(60_000);
-/// How long an added machine that doesn't report counts as booting.
+/// How long an added machine without heartbeats counts as booting.
 const BOOTING_TTL: Micros = Micros::from_millis(300_000);
 
-/// A machine that was added and doesn't report yet.
+/// A machine that was added and sends no heartbeats yet.
 #[derive(Clone, Debug)]
 pub(super) struct BootingMachine {
     pub(super) kind: String,
@@ -24,22 +26,22 @@
     pub(super) since: Micros,
 }
 
-/// The machines as the cloud sees them.
+/// The machines as far as the cloud's answers show them.
 #[derive(Default)]
 pub(super) struct Inventory {
-    /// The last list that was read whole, by name.
+    /// The last list that was read completely, by machine name.
     pub(super) listed: Option<BTreeMap<String, CloudMachine>>,
-    /// The pages of the list that is being read.
+    /// The machines on the pages read so far of the next list.
     pages: Vec<CloudMachine>,
     next_list: Micros,
-    /// Added and not yet reporting, by name.
+    /// Machines that were added and send no heartbeats yet, by name.
     pub(super) booting: BTreeMap<String, BootingMachine>,
-    /// Machines whose scale-in was confirmed, and when.
+    /// Machines whose scale-in was confirmed, with the time of the confirmation.
     removed: BTreeMap<String, Micros>,
 }
 
 impl Inventory {
-    /// Forgets what only the autoscaler's leader keeps up to date.
+    /// Clears the state that only the autoscaler's leader keeps up to date.
     pub(super) fn reset(&mut self) {
         self.listed = None;
         self.booting.clear();
@@ -50,13 +52,13 @@
         !self.pages.is_empty() || now >= self.next_list || self.listed.is_none()
     }
 
-    /// Where the next page begins: behind this name.
-    pub(super) fn next_page(&mut self, now: Micros) -> String {
+    /// The name after which the next page begins; empty for the first page.
+    pub(super) fn begin_next_page(&mut self, now: Micros) -> String {
         self.next_list = now + LIST_INTERVAL;
         self.pages.last().map(|machine| machine.name.clone()).unwrap_or_default()
     }
 
-    /// Takes the page behind `after`; the last one completes the list.
+    /// Adds the page that begins after the name `after`. The last page completes the list.
     pub(super) fn apply_page(&mut self, now: Micros, after: &str, machines: Vec<CloudMachine>, more: bool) {
         if after.is_empty() {
             self.pages.clear();
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Notes the machines that a scale-out got.
+    /// Records the machines that a scale-out added.
     pub(super) fn add_booting(&mut self, now: Micros, scale_out: &ScaleOut, names: Vec<String>) {
         for name in names {
             let ScaleOut { kind, zone, spot, .. } = scale_out.clone();
@@ -77,14 +79,14 @@
         }
     }
 
-    /// Drops from the booting machines those that report, and those that are given up.
+    /// Drops booting machines that have sent a heartbeat, and those that have been booting for too long.
     pub(super) fn prune_booting(&mut self, now: Micros, machines: &BTreeMap<&str, &MachineSnapshot>) {
         self.booting.retain(|name, booting| {
             !machines.contains_key(name.as_str()) && now.since(booting.since) < BOOTING_TTL
         });
     }
 
-    /// Notes a machine as gone for certain.
+    /// Records that the cloud has confirmed the removal of a machine.
     pub(super) fn confirm_removed(&mut self, now: Micros, name: &str) {
         self.booting.remove(name);
         if let Some(listed) = &mut self.listed {
@@ -93,33 +95,33 @@
         self.removed.insert(name.to_owned(), now);
     }
 
-    /// Forgets machines that have been gone for long.
+    /// Drops machines that were removed more than `REMOVED_TTL` ago.
     pub(super) fn prune_removed(&mut self, now: Micros) {
         self.removed.retain(|_, at| now.since(*at) < REMOVED_TTL);
     }
 
-    /// Whether the cloud has confirmed of late that the machine is gone.
+    /// Whether the cloud has recently confirmed the removal of the machine.
     pub(super) fn is_removed(&self, name: &str) -> bool {
         self.removed.contains_key(name)
     }
 
-    /// The machines that were confirmed gone of late, by name.
+    /// Names of the machines whose removal was confirmed recently.
     pub(super) fn removed(&self) -> Vec<String> {
         self.removed.keys().cloned().collect()
     }
 
-    /// A machine as listed.
+    /// The list's entry for a machine.
     pub(super) fn get(&self, name: &str) -> Option<&CloudMachine> {
         self.listed.as_ref().and_then(|listed| listed.get(name))
     }
 
-    /// All listed machines, by name.
+    /// All listed machines, sorted by name.
     pub(super) fn iter(&self) -> impl Iterator<Item = &CloudMachine> {
         self.listed.iter().flat_map(BTreeMap::values)
     }
 
-    /// Whether the list calls the machine failed.
-    pub(super) fn has_failed(&self, name: &str) -> bool {
+    /// Whether the machine is listed as failed.
+    pub(super) fn is_listed_as_failed(&self, name: &str) -> bool {
         self.get(name).is_some_and(|machine| machine.state == MachineState::Failed)
     }
 }
--- a/src/autoscaler/reserved_capacity.rs
+++ b/src/autoscaler/reserved_capacity.rs
@@ -1,4 +1,5 @@
-//! Capacity left to urgent work: whole machine types on which alone it fits, or some machines for gangs of large tasks.
+//! Capacity reserved for urgent work: whole machine classes if the work fits on no others, or single machines for gangs
+//! of large tasks.
 
 use super::{Autoscaler, GUARANTEES_RESERVED_FRACTION, RESERVED_FRACTION};
 use crate::machine_view::MachineSnapshot;
@@ -6,14 +7,15 @@
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most tasks that one machine counts for, against overflow of sums.
+/// Upper bound for the tasks counted per machine, so that sums don't overflow.
 pub(super) const MAX_TASKS_PER_MACHINE: i64 = 10_000;
-/// In a fleet smaller than this a machine type may be reserved even if it is most of the fleet.
+/// In a fleet with fewer machines than this, a class may be reserved even if it makes up most of the fleet.
 const SMALL_FLEET_MACHINES: usize = 10;
-/// With this many times the machines that gangs should find at hand, reserving some of a type serves as well as all.
+/// A class with this many times the machines of `machines_at_hand` is not reserved as a whole, because reserving some
+/// of its machines is enough.
 const PLENTY_FACTOR: usize = 3;
 
-/// How many machines gangs of this shape should find at hand: two may come at a time.
+/// How many machines should be available for gangs of this shape: enough for two gangs at the same time.
 fn machines_at_hand(demand: &Demand) -> usize {
     demand.together as usize * 2
 }
@@ -26,7 +28,7 @@
 }
 
 impl MachineClass {
-    fn of(machine: &MachineSnapshot) -> MachineClass {
+    fn of_machine(machine: &MachineSnapshot) -> MachineClass {
         MachineClass { kind: machine.kind.clone(), spot: machine.spot }
     }
 
@@ -35,120 +37,128 @@
     }
 }
 
-/// A machine class left to work of at least a priority.
+/// A machine class reserved for work of at least a priority.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReservedClass {
     pub(super) class: MachineClass,
     pub(super) priority: u8,
 }
 
-/// What is left to urgent work.
+/// The capacity reserved for urgent work.
 #[derive(Default)]
 pub(super) struct ReservedCapacity {
     /// Classes that are reserved as a whole.
     pub(super) classes: Vec<ReservedClass>,
-    /// Single machines, with the priority from which on work may use them: room that comes together for gangs of large
-    /// tasks while small ones fill the rest.
+    /// Machines reserved one by one, each with the lowest priority that may use it. They collect free resources for
+    /// gangs of large tasks while small tasks use the rest of the fleet.
     pub(super) machines: BTreeMap<String, u8>,
-    /// From how many machines on a class is not reserved as a whole.
-    plenty: BTreeMap<MachineClass, usize>,
+    /// The number of machines from which on a class is not reserved as a whole.
+    plenty_machines: BTreeMap<MachineClass, usize>,
 }
 
 impl ReservedCapacity {
-    /// Whether the class is reserved as a whole, for whatever priority.
-    pub(super) fn has_class(&self, kind: &str, spot: bool) -> bool {
+    /// Whether the class is reserved as a whole, for any priority.
+    pub(super) fn is_class_reserved(&self, kind: &str, spot: bool) -> bool {
         self.classes.iter().any(|reserved| reserved.class.kind == kind && reserved.class.spot == spot)
     }
 
-    /// Whether the class is reserved for work that is more urgent than `priority`.
-    pub(super) fn excludes(&self, kind: &str, spot: bool, priority: u8) -> bool {
+    /// Whether the class is reserved for work of a higher priority than `priority`.
+    pub(super) fn is_reserved_from(&self, kind: &str, spot: bool, priority: u8) -> bool {
         let same = |class: &MachineClass| class.kind == kind && class.spot == spot;
         self.classes.iter().any(|reserved| same(&reserved.class) && reserved.priority > priority)
     }
 
-    /// From how many machines on the class is of use to other work too.
-    pub(super) fn plenty(&self, kind: &str, spot: bool) -> usize {
-        self.plenty.get(&MachineClass { kind: kind.to_owned(), spot }).copied().unwrap_or(0)
+    /// The number of machines from which on the class is available to other work as well.
+    pub(super) fn plenty_machines(&self, kind: &str, spot: bool) -> usize {
+        self.plenty_machines.get(&MachineClass { kind: kind.to_owned(), spot }).copied().unwrap_or(0)
     }
 }
 
-/// Machines of one zone that could be left to gangs of a shape: the best ones first.
+/// Machines of one zone that could be reserved for gangs of a shape, the best ones first.
 #[derive(Default)]
 struct ZoneCandidates<'a> {
-    /// Whether it is not reserved yet, its free processors (negated), its name.
+    /// For each machine: whether it is not reserved yet, its free processors (negated), its name.
     machines: Vec<(bool, i64, &'a str)>,
 }
 
 impl ZoneCandidates<'_> {
-    /// How many are reserved already, then how much is free: what makes one zone better than another.
+    /// The order in which zones are preferred: by the number of machines already reserved, then by free processors.
     fn score(&self) -> (usize, i64) {
-        let kept = self.machines.iter().filter(|(new, ..)| !new).count();
-        let free = self.machines.iter().map(|(_, missing, _)| -missing).sum();
-        (kept, free)
+        let reserved_count = self.machines.iter().filter(|(is_new, ..)| !is_new).count();
+        let free = self.machines.iter().map(|(_, negated_cpus, _)| -negated_cpus).sum();
+        (reserved_count, free)
     }
 }
 
 impl Autoscaler {
-    /// Works out anew what is left to urgent work.
+    /// Recomputes the capacity reserved for urgent work.
     pub(super) fn update_reserved(&mut self, now: Micros, machines: &[&MachineSnapshot]) {
         let demands = self.demand.fresh(now);
-        let lowest = demands.iter().map(|demand| demand.priority).min().unwrap_or(0);
+        let lowest_priority = demands.iter().map(|demand| demand.priority).min().unwrap_or(0);
         let classes = self.machine_classes();
-        let mut plenty = BTreeMap::new();
+        let mut plenty_machines = BTreeMap::new();
         let mut reserved = Vec::new();
-        for demand in demands.iter().filter(|demand| demand.priority > lowest) {
-            self.reserve_classes(demand, &classes, machines, &mut plenty, &mut reserved);
+        for demand in demands.iter().filter(|demand| demand.priority > lowest_priority) {
+            self.reserve_classes(demand, &classes, machines, &mut plenty_machines, &mut reserved);
         }
-        self.release_for_other_work(&demands, &classes, machines, &mut reserved);
+        self.lift_starving_reservations(&demands, &classes, machines, &mut reserved);
         self.reserved.classes = reserved;
-        self.reserved.plenty = plenty;
-        self.reserved.machines = self.choose_reserved_machines(&demands, lowest, machines);
+        self.reserved.plenty_machines = plenty_machines;
+        self.reserved.machines = self.choose_reserved_machines(&demands, lowest_priority, machines);
     }
 
     fn machine_classes(&self) -> BTreeSet<MachineClass> {
-        let both = |kind: &String| [false, true].map(|spot| MachineClass { kind: kind.clone(), spot });
-        self.types.values().flat_map(|machine_type| both(&machine_type.name)).collect()
+        let spot_and_on_demand =
+            |kind: &String| [false, true].map(|spot| MachineClass { kind: kind.clone(), spot });
+        self.types.values().flat_map(|machine_type| spot_and_on_demand(&machine_type.name)).collect()
     }
 
-    fn class_fits(&self, demand: &Demand, class: &MachineClass) -> bool {
+    fn can_run_on_class(&self, demand: &Demand, class: &MachineClass) -> bool {
         class.spot <= demand.spot
-            && demand.accepts_kind(&class.kind)
+            && demand.can_run_on_type(&class.kind)
             && self.resources_of(&class.kind).is_some_and(|resources| resources.holds(demand.room))
     }
 
-    /// Reserves the classes on which alone this shape fits, as long as they are the smaller part of the fleet: what is
-    /// reserved idles at times, and where it is most of the fleet that costs more than it gains.
+    /// Reserves the classes on which this shape fits if it fits on no others and they make up the smaller part of the
+    /// fleet. Reserved machines are idle at times; if they were most of the fleet, this would cost more than it gains.
     fn reserve_classes(
         &self,
         demand: &Demand,
         classes: &BTreeSet<MachineClass>,
         machines: &[&MachineSnapshot],
-        plenty: &mut BTreeMap<MachineClass, usize>,
+        plenty_machines: &mut BTreeMap<MachineClass, usize>,
         reserved: &mut Vec<ReservedClass>,
     ) {
-        let only: Vec<&MachineClass> =
-            classes.iter().filter(|class| self.class_fits(demand, class)).collect();
-        let in_only = |machine: &&&MachineSnapshot| only.iter().any(|class| class.contains(machine));
-        let part: i64 = machines.iter().filter(in_only).map(|machine| machine.total.cpus).sum();
-        let all: i64 = machines.iter().map(|machine| machine.total.cpus).sum();
-        let is_smaller_part = part * 2 <= all || machines.len() < SMALL_FLEET_MACHINES;
-        if only.is_empty() || only.len() * 2 > classes.len() || !is_smaller_part || classes.len() <= 2 {
+        let only_classes: Vec<&MachineClass> =
+            classes.iter().filter(|class| self.can_run_on_class(demand, class)).collect();
+        let is_in_only_classes =
+            |machine: &&&MachineSnapshot| only_classes.iter().any(|class| class.contains(machine));
+        let only_classes_cpus: i64 =
+            machines.iter().filter(is_in_only_classes).map(|machine| machine.total.cpus).sum();
+        let fleet_cpus: i64 = machines.iter().map(|machine| machine.total.cpus).sum();
+        let is_smaller_part = only_classes_cpus * 2 <= fleet_cpus || machines.len() < SMALL_FLEET_MACHINES;
+        if only_classes.is_empty()
+            || only_classes.len() * 2 > classes.len()
+            || !is_smaller_part
+            || classes.len() <= 2
+        {
             return;
         }
-        for class in only {
-            let open = machines.iter().filter(|machine| machine.open && class.contains(machine)).count();
-            let enough = plenty.entry(class.clone()).or_default();
-            *enough = (*enough).max(machines_at_hand(demand) * PLENTY_FACTOR);
+        for class in only_classes {
+            let schedulable =
+                machines.iter().filter(|machine| machine.open && class.contains(machine)).count();
+            let plenty_count = plenty_machines.entry(class.clone()).or_default();
+            *plenty_count = (*plenty_count).max(machines_at_hand(demand) * PLENTY_FACTOR);
             let entry = ReservedClass { class: class.clone(), priority: demand.priority };
-            if open < *enough && !reserved.contains(&entry) {
+            if schedulable < *plenty_count && !reserved.contains(&entry) {
                 reserved.push(entry);
             }
         }
     }
 
-    /// Work of lower priority must have somewhere else to go, or it would wait for ever; a few spot machines beside
-    /// many that idle are not enough.
-    fn release_for_other_work(
+    /// Lifts reservations that leave work of lower priority no other machines, since it would wait forever. A few spot
+    /// machines beside many idle reserved ones don't count as an alternative.
+    fn lift_starving_reservations(
         &self,
         demands: &[Demand],
         classes: &BTreeSet<MachineClass>,
@@ -156,47 +166,52 @@
         reserved: &mut Vec<ReservedClass>,
     ) {
         for demand in demands {
-            let is_left = |class: &MachineClass| {
+            let is_available = |class: &MachineClass| {
                 !reserved.iter().any(|other| other.class == *class && other.priority > demand.priority)
             };
-            let (mut fitting, mut open) = (0, 0);
+            let (mut fitting, mut available) = (0, 0);
             for machine in machines.iter().filter(|machine| machine.open) {
-                let class = MachineClass::of(machine);
-                if self.class_fits(demand, &class) {
+                let class = MachineClass::of_machine(machine);
+                if self.can_run_on_class(demand, &class) {
                     let slots = machine.total.count_of(demand.room).clamp(0, MAX_TASKS_PER_MACHINE);
                     fitting += slots;
-                    open += if is_left(&class) { slots } else { 0 };
+                    available += if is_available(&class) { slots } else { 0 };
                 }
             }
-            let left: Vec<&MachineClass> =
-                classes.iter().filter(|class| self.class_fits(demand, class) && is_left(class)).collect();
-            let only_few_spot = open * 4 < fitting && left.iter().all(|class| class.spot);
-            if only_few_spot || left.is_empty() {
+            let available_classes: Vec<&MachineClass> = classes
+                .iter()
+                .filter(|class| self.can_run_on_class(demand, class) && is_available(class))
+                .collect();
+            let is_only_few_spot =
+                available * 4 < fitting && available_classes.iter().all(|class| class.spot);
+            if is_only_few_spot || available_classes.is_empty() {
                 reserved.retain(|other| {
-                    other.priority <= demand.priority || !self.class_fits(demand, &other.class)
+                    other.priority <= demand.priority || !self.can_run_on_class(demand, &other.class)
                 });
             }
         }
     }
 
-    /// Machines to leave to gangs whose tasks take most of a machine: for the two largest of late at the most, in one
-    /// zone if they ask for that, and never more than a small part of those that would do. The same ones as before as
-    /// long as they serve, or one machine after another would be emptied; then those that are emptiest.
+    /// Chooses machines to reserve for gangs whose tasks take most of a machine: enough for two of the largest recent
+    /// gangs, in one zone if the gang requires that, and never more than a small fraction of the suitable machines.
+    /// Machines that are reserved already are preferred, otherwise one machine after another would be emptied; next
+    /// come those with the most free resources.
     fn choose_reserved_machines(
         &self,
         demands: &[Demand],
-        lowest: u8,
+        lowest_priority: u8,
         machines: &[&MachineSnapshot],
     ) -> BTreeMap<String, u8> {
         let mut chosen: BTreeMap<String, u8> = BTreeMap::new();
         let fraction = if self.has_guarantees { GUARANTEES_RESERVED_FRACTION } else { RESERVED_FRACTION };
-        for demand in demands.iter().filter(|demand| demand.priority > lowest && demand.together > 1) {
+        for demand in demands.iter().filter(|demand| demand.priority > lowest_priority && demand.together > 1)
+        {
             let fitting: Vec<&MachineSnapshot> = machines
                 .iter()
                 .copied()
                 .filter(|machine| {
                     machine.open
-                        && demand.accepts(&machine.kind, &machine.zone, machine.spot)
+                        && demand.can_run_on(&machine.kind, &machine.zone, machine.spot)
                         && machine.total.count_of(demand.room) == 1
                 })
                 .collect();
@@ -214,7 +229,8 @@
         chosen
     }
 
-    /// By zone, the machines that more urgent work leaves room on; one list for all if zones don't matter.
+    /// The machines, by zone, on which a task fits beside work of at least its priority; a single list if the gang may
+    /// span zones.
     fn zone_candidates<'a>(
         &self,
         demand: &Demand,
@@ -223,14 +239,14 @@
     ) -> BTreeMap<&'a str, ZoneCandidates<'a>> {
         let mut zones: BTreeMap<&str, ZoneCandidates> = BTreeMap::new();
         for machine in fitting {
-            // What is being stopped counts as gone, or it would lose its place while it is emptied.
-            let staying = machine.by_priority.iter().filter(|(priority, _)| *priority >= demand.priority);
-            let room = staying.fold(machine.total, |left, (_, taken)| left - *taken);
+            // Tasks that are being stopped don't count, or the machine would lose its reservation while it is emptied.
+            let counted = machine.by_priority.iter().filter(|(priority, _)| *priority >= demand.priority);
+            let remaining = counted.fold(machine.total, |left, (_, taken)| left - *taken);
             let is_draining = self.scale_in.draining.contains(&machine.name);
-            if room.holds(demand.room) && !is_draining && !chosen.contains_key(&machine.name) {
+            if remaining.holds(demand.room) && !is_draining && !chosen.contains_key(&machine.name) {
                 let zone = if demand.one_zone { machine.zone.as_str() } else { "" };
-                let new = !self.reserved.machines.contains_key(&machine.name);
-                let candidate = (new, -machine.free.cpus, machine.name.as_str());
+                let is_new = !self.reserved.machines.contains_key(&machine.name);
+                let candidate = (is_new, -machine.free.cpus, machine.name.as_str());
                 zones.entry(zone).or_default().machines.push(candidate);
             }
         }
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -1,7 +1,7 @@
-//! Scale-in: machines that have failed, never came up, idle for too long or are surplus.
+//! Scale-in: removes machines that have failed, never came up, have been idle for too long or are surplus.
 //!
-//! A machine that works is emptied first: it is named as draining, takes no new tasks, and goes back once its shard says
-//! that none is left.
+//! A working machine is drained first: it is announced as draining, gets no new tasks, and is removed once its machine
+//! shard reports that no task is left on it.
 
 use super::cloud::{CloudMachine, MachineState};
 use super::demand::TypicalTask;
@@ -12,85 +12,85 @@
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a fleet kept for guarantees idles before it counts as unused.
+/// How long all machines must be idle before a fleet kept for guarantees counts as unused.
 const UNUSED_FLEET_TIME: Micros = Micros::from_millis(20_000);
-/// How long a machine kept for guarantees may idle while there is work.
+/// How long a machine kept for guarantees may be idle while there is work.
 const GUARANTEES_IDLE_LIMIT: Micros = Micros::from_millis(900_000);
-/// How long the leader waits before it gives back listed machines that nobody reports.
+/// How long a new leader waits before it removes listed machines that no machine shard reports.
 const TAKEOVER_TIME: Micros = Micros::from_millis(20_000);
-/// How long a listed machine may take to report, beside three times its boot time.
+/// How long a listed machine may take to send its first heartbeat, in addition to three times its boot time.
 const FIRST_HEARTBEAT_SLACK: Micros = Micros::from_millis(10_000);
 /// How often machines are chosen as surplus.
 const SURPLUS_INTERVAL: Micros = Micros::from_millis(3_000);
-/// A machine costs this much time at least, so giving back a younger one saves nothing.
+/// The shortest time for which a machine is billed. Removing a younger one saves nothing.
 const MIN_BILLED_S: f64 = 60.0;
-/// The queue must be done within this part of the time that its work may queue before machines count as surplus.
+/// Machines are surplus only if the others finish the queue within this fraction of the time that its work may queue.
 const SURPLUS_QUEUE_FRACTION: f64 = 0.5;
-/// One in so many machines is chosen as surplus at a time, at the most.
+/// At most one in this many machines is chosen as surplus at a time.
 const SURPLUS_FRACTION: usize = 10;
 
-/// What is on its way out.
+/// State of the scale-in.
 pub(super) struct ScaleInState {
-    /// Machines that are to take no new tasks.
+    /// Machines that must not get new tasks.
     pub(super) draining: BTreeSet<String>,
-    /// Machines being emptied because the rest of the fleet is enough.
+    /// Machines being drained because the rest of the fleet is sufficient.
     pub(super) surplus: BTreeSet<String>,
     next_surplus: Micros,
-    /// A machine that has been silent for longer is given back.
+    /// A machine that has sent no heartbeat for longer than this is removed.
     silence_limit: Micros,
 }
 
 impl ScaleInState {
-    /// Nothing is on its way out. After twice the lease of an agent its tasks' lease has expired, and one that only hung
-    /// had time to come back.
-    pub(super) fn new(agent_lease: Micros) -> ScaleInState {
+    /// No machine is being removed. The silence limit is twice the worker's lease: by then the lease of the machine's
+    /// tasks has expired, and a worker that was only unresponsive has had time to recover.
+    pub(super) fn new(worker_lease: Micros) -> ScaleInState {
         ScaleInState {
             draining: BTreeSet::new(),
             surplus: BTreeSet::new(),
             next_surplus: Micros(0),
-            silence_limit: Micros(agent_lease.0 * 2),
+            silence_limit: Micros(worker_lease.0 * 2),
         }
     }
 }
 
-/// Queueable work and how fast the fleet gets through it.
+/// The queueable work and the load that it puts on the fleet.
 struct QueueLoad {
     typical: TypicalTask,
-    /// Run time of what queues, in microseconds.
+    /// Total run time of the queued tasks, in microseconds.
     queued: f64,
-    /// The same and what is left of the running tasks.
+    /// `queued` plus the estimated remaining run time of the running tasks, in microseconds.
     load: f64,
 }
 
 impl QueueLoad {
-    /// How many typical tasks a machine runs at once.
+    /// How many typical tasks a machine can run at the same time.
     fn slots(&self, machine: &MachineSnapshot) -> i64 {
         machine.total.count_of(self.typical.resources).clamp(0, MAX_TASKS_PER_MACHINE)
     }
 
-    /// How many more it could run now.
+    /// How many more typical tasks the machine could run now.
     fn free_slots(&self, machine: &MachineSnapshot) -> i64 {
         machine.free.count_of(self.typical.resources).clamp(0, MAX_TASKS_PER_MACHINE)
     }
 
-    /// How long this many slots take for all of it, in microseconds.
+    /// How long this many slots take for the whole load, in microseconds.
     fn time_with(&self, slots: i64) -> f64 {
         self.load / slots.max(1) as f64
     }
 }
 
 impl Autoscaler {
-    /// Machines to give back now; also settles which are to be emptied first. Until a failover is over (`rebuilt`),
-    /// work that waits for it asks for nothing and leaves machines idle that it needs a moment later: only what has
-    /// failed goes back.
+    /// Returns the machines to remove now, and updates the set of draining machines. Work that waits for a failover to
+    /// complete (`failover_complete`) reports no demand, so machines that it needs a moment later look idle. Until then
+    /// only failed machines are removed.
     pub(super) fn next_scale_in(
         &mut self,
         now: Micros,
         machines: &BTreeMap<&str, &MachineSnapshot>,
         leader_since: Micros,
-        rebuilt: bool,
+        failover_complete: bool,
     ) -> Vec<String> {
-        if rebuilt {
+        if failover_complete {
             self.update_surplus(now, machines);
         } else {
             self.scale_in.surplus.clear();
@@ -106,7 +106,7 @@
             }
             if self.has_failed(now, machine, complete_up_to) {
                 removals.push(name.clone());
-            } else if rebuilt && self.should_drain(now, machine, is_unused) {
+            } else if failover_complete && self.has_to_drain(now, machine, is_unused) {
                 draining.insert(name.clone());
                 if self.is_drained(machine) {
                     removals.push(name.clone());
@@ -114,36 +114,38 @@
             }
         }
         self.scale_in.draining = draining;
-        let never_up =
-            self.inventory.iter().filter(|listed| self.never_reported(now, listed, machines, leader_since));
+        let never_up = self
+            .inventory
+            .iter()
+            .filter(|listed| self.has_never_reported(now, listed, machines, leader_since));
         removals.extend(never_up.map(|listed| listed.name.clone()));
         self.inventory.prune_booting(now, machines);
         removals.truncate(SCALE_IN_LIMIT);
         removals
     }
 
-    /// Whether a machine is of no use any more, whatever its tasks.
+    /// Whether a machine has failed and is removed without being drained.
     fn has_failed(&self, now: Micros, machine: &MachineSnapshot, complete_up_to: Option<&str>) -> bool {
-        self.inventory.has_failed(&machine.name)
+        self.inventory.is_listed_as_failed(&machine.name)
             || machine.silent_for(now) > self.scale_in.silence_limit
-            // Whoever waits for one that is there no more has the cloud's word in a moment.
+            // The scale-in confirms that the machine is gone, so jobs need not wait for its lease to expire.
             || self.inventory.is_lost(machine, complete_up_to)
     }
 
-    fn should_drain(&self, now: Micros, machine: &MachineSnapshot, fleet_is_unused: bool) -> bool {
+    fn has_to_drain(&self, now: Micros, machine: &MachineSnapshot, is_unused: bool) -> bool {
         self.scale_in.surplus.contains(&machine.name)
-            || machine.idle_for(now) > self.idle_limit(machine, fleet_is_unused)
+            || machine.idle_for(now) > self.idle_limit(machine, is_unused)
             || (self.scale_in.draining.contains(&machine.name) && machine.busy == 0)
     }
 
-    /// How long a machine may idle. Keeping it is worth it as long as that costs less than booting one; one that urgent
-    /// work may need before another could boot is kept for longer.
-    fn idle_limit(&self, machine: &MachineSnapshot, fleet_is_unused: bool) -> Micros {
+    /// How long a machine may be idle. Keeping it is worthwhile as long as that costs less than booting a new one. A
+    /// machine that urgent work may need sooner than a new one could boot is kept longer.
+    fn idle_limit(&self, machine: &MachineSnapshot, is_unused: bool) -> Micros {
         let boot_time = self.boot_time(&machine.kind).0;
-        if self.has_guarantees && !fleet_is_unused {
+        if self.has_guarantees && !is_unused {
             GUARANTEES_IDLE_LIMIT
         } else if self.reserved.machines.contains_key(&machine.name)
-            || self.reserved.has_class(&machine.kind, machine.spot)
+            || self.reserved.is_class_reserved(&machine.kind, machine.spot)
         {
             Micros(boot_time * 5 / 4)
         } else {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Whether a machine was named as draining and its shard has confirmed that nothing is left on it.
+    /// Whether a machine was announced as draining and its shard has confirmed that no task is left on it.
     fn is_drained(&self, machine: &MachineSnapshot) -> bool {
         self.scale_in.draining.contains(&machine.name)
             && !machine.open
@@ -159,8 +161,9 @@
             && machine.standing == InventoryState::Known
     }
 
-    /// Whether a listed machine sends no heartbeats: it never came up, or is nobody's.
-    fn never_reported(
+    /// Whether a listed machine that no shard reports has failed or should have sent a heartbeat long ago: it never
+    /// came up, or no controller has a record of it.
+    fn has_never_reported(
         &self,
         now: Micros,
         listed: &CloudMachine,
@@ -175,8 +178,8 @@
             && (listed.state == MachineState::Failed || Micros::from_secs(listed.age_s) > limit)
     }
 
-    /// Chooses machines to empty: the dearest ones, when the rest of the fleet gets through the queue in a small part of
-    /// the time that the work may queue.
+    /// Chooses surplus machines to drain: the most expensive ones, if the rest of the fleet finishes the queue in a
+    /// small fraction of the time that the work may queue.
     pub(super) fn update_surplus(&mut self, now: Micros, machines: &BTreeMap<&str, &MachineSnapshot>) {
         let Autoscaler { scale_in, inventory, .. } = self;
         scale_in.surplus.retain(|name| machines.contains_key(name.as_str()) && !inventory.is_removed(name));
@@ -187,14 +190,15 @@
             return;
         }
         let queue_machines: Vec<&MachineSnapshot> =
-            machines.values().copied().filter(|machine| self.serves_queue(machine)).collect();
+            machines.values().copied().filter(|machine| self.can_serve_queue(machine)).collect();
         let queue = queue_load(typical, &demands, &queue_machines);
-        let open: Vec<&MachineSnapshot> = queue_machines.into_iter().filter(|machine| machine.open).collect();
-        let slots: i64 = open.iter().map(|machine| queue.slots(machine)).sum();
+        let schedulable: Vec<&MachineSnapshot> =
+            queue_machines.into_iter().filter(|machine| machine.open).collect();
+        let slots: i64 = schedulable.iter().map(|machine| queue.slots(machine)).sum();
         if queue.time_with(slots) > typical.horizon.0 as f64 {
             self.scale_in.surplus.clear();
         }
-        let chosen = self.choose_surplus(&open, &demands, &queue);
+        let chosen = self.choose_surplus(&schedulable, &demands, &queue);
         if !chosen.is_empty() {
             self.scale_in.next_surplus = now + SURPLUS_INTERVAL;
             tracing::debug!(machines = ?chosen, "machines are surplus");
@@ -202,36 +206,41 @@
         }
     }
 
-    /// Whether queueable work may use the machine.
-    fn serves_queue(&self, machine: &MachineSnapshot) -> bool {
+    /// Whether queueable work may run on the machine.
+    fn can_serve_queue(&self, machine: &MachineSnapshot) -> bool {
         machine.standing == InventoryState::Known
             && !self.reserved.machines.contains_key(&machine.name)
-            && !self.reserved.has_class(&machine.kind, machine.spot)
+            && !self.reserved.is_class_reserved(&machine.kind, machine.spot)
     }
 
-    /// Which of the open machines become surplus. One at a time, unless nothing queues and much of the fleet is empty:
-    /// a large fleet would idle for minutes after a surge.
+    /// Chooses which of the `schedulable` machines become surplus. Only one is chosen at a time, unless the queue is
+    /// empty and much of the fleet is free; otherwise a large fleet would be idle for minutes after a surge.
     fn choose_surplus(
         &self,
-        open: &[&MachineSnapshot],
+        schedulable: &[&MachineSnapshot],
         demands: &[Demand],
         queue: &QueueLoad,
     ) -> Vec<String> {
-        let staying: Vec<&MachineSnapshot> =
-            open.iter().copied().filter(|machine| !self.scale_in.surplus.contains(&machine.name)).collect();
+        let staying: Vec<&MachineSnapshot> = schedulable
+            .iter()
+            .copied()
+            .filter(|machine| !self.scale_in.surplus.contains(&machine.name))
+            .collect();
         let mut slots: i64 = staying.iter().map(|machine| queue.slots(machine)).sum();
         let mut free: i64 = staying.iter().map(|machine| queue.free_slots(machine)).sum();
         let mut chosen: Vec<String> = Vec::new();
-        for machine in self.dearest_first(&staying, queue) {
+        for machine in self.sort_by_price_per_slot(&staying, queue) {
             let own_slots = queue.slots(machine);
-            let much_is_empty = queue.queued <= 0.0 && (free - own_slots) * 3 > slots - own_slots;
-            if chosen.len() >= open.len() / SURPLUS_FRACTION || !(chosen.is_empty() || much_is_empty) {
+            let has_much_free = queue.queued <= 0.0 && (free - own_slots) * 3 > slots - own_slots;
+            if chosen.len() >= schedulable.len() / SURPLUS_FRACTION || !(chosen.is_empty() || has_much_free) {
                 break;
             }
-            let stays = |other: &MachineSnapshot| other.name != machine.name && !chosen.contains(&other.name);
-            // Every shape of work must still find a machine that it fits.
+            let is_staying =
+                |other: &MachineSnapshot| other.name != machine.name && !chosen.contains(&other.name);
+            // For every task shape at least one suitable machine must remain.
             let is_replaceable = demands.iter().all(|demand| {
-                !fits(demand, machine) || staying.iter().any(|other| stays(other) && fits(demand, other))
+                !can_fit_when_empty(demand, machine)
+                    || staying.iter().any(|other| is_staying(other) && can_fit_when_empty(demand, other))
             });
             let time = queue.time_with(slots - own_slots);
             if !is_replaceable || time >= queue.typical.horizon.0 as f64 * SURPLUS_QUEUE_FRACTION {
@@ -244,13 +253,13 @@
         chosen
     }
 
-    /// The machines whose return saves something, the dearest a slot first, and of equal ones the one with fewest tasks.
-    fn dearest_first<'a>(
+    /// The machines whose removal saves money, sorted by price per slot from the highest, then by the fewest tasks.
+    fn sort_by_price_per_slot<'a>(
         &self,
         machines: &[&'a MachineSnapshot],
         queue: &QueueLoad,
     ) -> Vec<&'a MachineSnapshot> {
-        let is_paid = |machine: &&&MachineSnapshot| {
+        let is_past_min_billing = |machine: &&&MachineSnapshot| {
             self.inventory.get(&machine.name).is_some_and(|listed| listed.age_s > MIN_BILLED_S)
         };
         let price = |machine: &MachineSnapshot| {
@@ -258,29 +267,30 @@
             let price = if machine.spot { machine_type.spot_price } else { machine_type.price };
             price / queue.slots(machine).max(1) as f64
         };
-        let mut dearest: Vec<&MachineSnapshot> = machines.iter().filter(is_paid).copied().collect();
-        dearest.sort_by(|one, other| price(other).total_cmp(&price(one)).then(one.busy.cmp(&other.busy)));
-        dearest
+        let mut by_price: Vec<&MachineSnapshot> =
+            machines.iter().filter(is_past_min_billing).copied().collect();
+        by_price.sort_by(|one, other| price(other).total_cmp(&price(one)).then(one.busy.cmp(&other.busy)));
+        by_price
     }
 }
 
-/// Whether there has been no work at all for a while. Room kept for guarantees is of use only while there is some.
-/// Machines that are gone are named until the next epoch and say nothing about that.
+/// Whether there has been no work at all for some time. Capacity kept for guarantees is useful only while there is
+/// work. Removed machines stay in the machine status until the next epoch, so they are left out.
 fn is_fleet_unused(now: Micros, machines: &BTreeMap<&str, &MachineSnapshot>) -> bool {
-    let mut there = machines.values().filter(|machine| machine.standing != InventoryState::Gone);
-    there.all(|machine| machine.busy == 0 && machine.idle_for(now) > UNUSED_FLEET_TIME)
+    let mut present = machines.values().filter(|machine| machine.standing != InventoryState::Gone);
+    present.all(|machine| machine.busy == 0 && machine.idle_for(now) > UNUSED_FLEET_TIME)
 }
 
 fn queue_load(typical: TypicalTask, demands: &[Demand], machines: &[&MachineSnapshot]) -> QueueLoad {
-    let busy: i64 = machines.iter().map(|machine| i64::from(machine.busy)).sum();
+    let running: i64 = machines.iter().map(|machine| i64::from(machine.busy)).sum();
     let queueable = demands.iter().filter(|demand| demand.horizon.0 > 0);
     let queued: f64 = queueable.map(|demand| f64::from(demand.count) * demand.estimate.0 as f64).sum();
-    // A running task has half of its time before it, on average.
-    let load = queued + busy as f64 * typical.run_time.0 as f64 / 2.0;
+    // On average a running task still has half of its run time left.
+    let load = queued + running as f64 * typical.run_time.0 as f64 / 2.0;
     QueueLoad { typical, queued, load }
 }
 
-/// Whether a task of this shape could ever run on the machine.
-fn fits(demand: &Demand, machine: &MachineSnapshot) -> bool {
-    demand.accepts(&machine.kind, &machine.zone, machine.spot) && machine.total.holds(demand.room)
+/// Whether a task of this shape fits on the machine when the machine is empty.
+fn can_fit_when_empty(demand: &Demand, machine: &MachineSnapshot) -> bool {
+    demand.can_run_on(&machine.kind, &machine.zone, machine.spot) && machine.total.holds(demand.room)
 }
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -1,7 +1,7 @@
-//! Scale-out: which machines the waiting work is worth, beside those that are there or on their way.
+//! Scale-out: decides which machines to add for the waiting work, given those that are present or arriving.
 
 use super::cloud::{MachineState, ScaleOut};
-use super::headroom::{headroom, zone_for};
+use super::headroom::{choose_gang_zone, headroom_demands};
 use super::{Autoscaler, SCALE_OUT_LIMIT};
 use crate::machine_view::MachineSnapshot;
 use crate::peer::Demand;
@@ -9,14 +9,14 @@
 use crate::units::{Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a pool without capacity is left alone.
+/// How long no machines are requested from a pool that had no capacity.
 const NO_CAPACITY_PAUSE: Micros = Micros::from_millis(15_000);
-/// A machine that doesn't report after this many times its boot time may never come.
+/// A machine that sends no heartbeat within this many times its boot time may never come up.
 const OVERDUE_BOOT_TIMES: u64 = 2;
-/// Shortest run time and queueing time that are reckoned with.
+/// Lower bound for the run times and queueing times used in estimates.
 const MIN_SPAN: Micros = Micros::from_millis(1_000);
 
-/// Where machines come from: a type in a zone, spot or on-demand.
+/// A pool of the cloud's machines: a machine type in a zone, spot or on-demand.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CapacityPool {
     pub(super) kind: String,
@@ -25,105 +25,106 @@
 }
 
 impl CapacityPool {
-    fn of(scale_out: &ScaleOut) -> CapacityPool {
+    fn of_scale_out(scale_out: &ScaleOut) -> CapacityPool {
         let ScaleOut { kind, zone, spot, .. } = scale_out.clone();
         CapacityPool { kind, zone, spot }
     }
 
-    fn is_for(&self, demand: &Demand) -> bool {
-        demand.accepts(&self.kind, &self.zone, self.spot)
+    fn can_serve(&self, demand: &Demand) -> bool {
+        demand.can_run_on(&self.kind, &self.zone, self.spot)
     }
 }
 
-/// A machine, or what is left of it.
+/// The resources of a machine, or what is left of them.
 #[derive(Clone, Debug)]
 pub(super) struct Capacity {
     pub(super) pool: CapacityPool,
     pub(super) resources: Resources,
 }
 
-/// What the scale-out did so far.
+/// State of the scale-out.
 #[derive(Default)]
 pub(super) struct ScaleOutState {
-    /// How many scale-outs this process has named.
-    named: u64,
-    /// Asked for, and no answer yet that settles it.
+    /// How many names for scale-outs this process has used.
+    names_used: u64,
+    /// A scale-out that was requested but whose outcome is not known yet.
     pub(super) unconfirmed: Option<ScaleOut>,
-    /// Pools that are left alone until a time.
-    no_capacity: BTreeMap<CapacityPool, Micros>,
-    /// Machines that were added and are not counted on any more.
+    /// Pools without capacity, with the time until which they are not used.
+    exhausted_pools: BTreeMap<CapacityPool, Micros>,
+    /// Machines that were added but are overdue, so they no longer count as capacity.
     pub(super) overdue: BTreeSet<String>,
 }
 
 impl ScaleOutState {
-    /// The cloud has no more of these.
+    /// Stops using the pool of a scale-out for a while because the cloud has no capacity there.
     pub(super) fn pause_pool(&mut self, now: Micros, scale_out: &ScaleOut) {
-        self.no_capacity.insert(CapacityPool::of(scale_out), now + NO_CAPACITY_PAUSE);
+        self.exhausted_pools.insert(CapacityPool::of_scale_out(scale_out), now + NO_CAPACITY_PAUSE);
     }
 
     fn is_exhausted(&self, kind: &str, zone: &str, spot: bool) -> bool {
         let pool = CapacityPool { kind: kind.to_owned(), zone: zone.to_owned(), spot };
-        self.no_capacity.contains_key(&pool)
+        self.exhausted_pools.contains_key(&pool)
     }
 }
 
-/// What there is for the waiting work, as far as more urgent work has not taken it.
+/// The capacity available to waiting work, without what more urgent work has claimed.
 struct Supply {
-    /// Machines that take new tasks.
-    open: Vec<Capacity>,
-    /// Machines on their way.
+    /// Schedulable machines.
+    schedulable: Vec<Capacity>,
+    /// Machines that were added but are not up yet.
     arriving: Vec<Capacity>,
-    /// Run time of the queueable work so far, in microseconds.
+    /// Total run time of the queueable work processed so far, in microseconds.
     queued: f64,
 }
 
-/// What supply leaves of a demand.
+/// The part of a demand that the supply does not cover.
 struct Shortfall {
-    /// How many tasks.
+    /// Number of tasks.
     tasks: i64,
-    /// The only zone in which machines are of use.
+    /// The only zone in which machines would help, if there is one.
     only_zone: Option<String>,
 }
 
 impl Autoscaler {
-    /// The next scale-out that the waiting work is worth.
+    /// The next scale-out for the waiting work, if one is worthwhile.
     pub(super) fn next_scale_out(
         &mut self,
         now: Micros,
         machines: &BTreeMap<&str, &MachineSnapshot>,
     ) -> Option<ScaleOut> {
-        self.scale_out.no_capacity.retain(|_, until| now < *until);
+        self.scale_out.exhausted_pools.retain(|_, until| now < *until);
         let arriving = self.arriving_capacity(now, machines);
-        let mut supply = Supply { open: self.open_capacity(machines), arriving, queued: 0.0 };
+        let mut supply = Supply { schedulable: self.schedulable_capacity(machines), arriving, queued: 0.0 };
         let mut demands = self.demand.fresh(now);
         demands.retain(|demand| demand.count > 0);
-        demands.extend(headroom(self.guaranteed, &self.types, machines));
+        demands.extend(headroom_demands(self.guaranteed, &self.types, machines));
         let cheapest = demands.iter().find_map(|demand| {
             let shortfall = self.shortfall(demand, &mut supply)?;
             self.cheapest_scale_out(demand, &shortfall, &supply)
         });
         cheapest.map(|scale_out| {
-            self.scale_out.named += 1;
-            let name = format!("r-{:016x}-{}", self.boot, self.scale_out.named);
+            self.scale_out.names_used += 1;
+            let name = format!("r-{:016x}-{}", self.boot, self.scale_out.names_used);
             ScaleOut { name, ..scale_out }
         })
     }
 
-    /// Machines on their way: added by us, or listed and not reporting. One that is overdue may never come, so it is
-    /// replaced; but only a few at a time, or a surge would be added twice when all of it is late.
+    /// The machines that are arriving: those that this controller added, and listed ones that send no heartbeats yet.
+    /// An overdue machine may never come up, so it is not counted and gets replaced. Only a few machines count as
+    /// overdue at a time, otherwise all machines of a surge would be added twice when they are late.
     fn arriving_capacity(
         &mut self,
         now: Micros,
         machines: &BTreeMap<&str, &MachineSnapshot>,
     ) -> Vec<Capacity> {
-        let most_overdue = (machines.len() / 10).max(2);
+        let max_overdue = (machines.len() / 10).max(2);
         let mut overdue: BTreeSet<String> = BTreeSet::new();
         let mut is_overdue = |name: &String, age: Micros, boot_time: Micros| {
-            let late = age.0 > boot_time.0 * OVERDUE_BOOT_TIMES && overdue.len() < most_overdue;
-            if late {
+            let is_late = age.0 > boot_time.0 * OVERDUE_BOOT_TIMES && overdue.len() < max_overdue;
+            if is_late {
                 overdue.insert(name.clone());
             }
-            late
+            is_late
         };
         let mut arriving = Vec::new();
         let capacity = |kind: &String, zone: &String, spot: bool| Capacity {
@@ -136,11 +137,11 @@
             }
         }
         for listed in self.inventory.iter() {
-            let counted = machines.contains_key(listed.name.as_str())
+            let is_counted = machines.contains_key(listed.name.as_str())
                 || self.inventory.booting.contains_key(&listed.name)
                 || self.inventory.is_removed(&listed.name);
             if listed.state != MachineState::Failed
-                && !counted
+                && !is_counted
                 && !is_overdue(&listed.name, Micros::from_secs(listed.age_s), self.boot_time(&listed.kind))
             {
                 arriving.push(capacity(&listed.kind, &listed.zone, listed.spot));
@@ -153,58 +154,60 @@
         arriving
     }
 
-    /// Machines that take new tasks and are left to no gang.
-    fn open_capacity(&self, machines: &BTreeMap<&str, &MachineSnapshot>) -> Vec<Capacity> {
-        let is_open = |m: &&&MachineSnapshot| m.open && !self.reserved.machines.contains_key(&m.name);
+    /// Schedulable machines that are not reserved for a gang.
+    fn schedulable_capacity(&self, machines: &BTreeMap<&str, &MachineSnapshot>) -> Vec<Capacity> {
+        let is_schedulable = |m: &&&MachineSnapshot| m.open && !self.reserved.machines.contains_key(&m.name);
         let capacity = |m: &&MachineSnapshot| Capacity {
             pool: CapacityPool { kind: m.kind.clone(), zone: m.zone.clone(), spot: m.spot },
             resources: m.total,
         };
-        machines.values().filter(is_open).map(capacity).collect()
+        machines.values().filter(is_schedulable).map(capacity).collect()
     }
 
-    /// What supply leaves of a demand; None if that is nothing.
+    /// The part of a demand that the supply does not cover; None if it covers all of it.
     fn shortfall(&self, demand: &Demand, supply: &mut Supply) -> Option<Shortfall> {
-        let shortfall = if demand.may_queue() {
+        let shortfall = if demand.can_queue() {
             Shortfall { tasks: self.queue_excess(demand, supply)?, only_zone: None }
         } else {
-            self.unmet_at_once(demand, &mut supply.arriving)
+            self.immediate_shortfall(demand, &mut supply.arriving)
         };
         (shortfall.tasks > 0).then_some(shortfall)
     }
 
-    /// Work that may queue is weighed against what the machines there are get done in that time; only the excess is
-    /// worth a machine, which earns nothing while it boots.
+    /// Compares queueable work with what the present and arriving machines can run in the time that it may queue.
+    /// Machines are added only for the excess, because they cost money while they boot.
     fn queue_excess(&self, demand: &Demand, supply: &mut Supply) -> Option<i64> {
-        let estimate = demand.estimate.max(MIN_SPAN).0 as f64;
-        let horizon = demand.horizon.max(MIN_SPAN).0 as f64;
-        // The last of the queue should have run by then. How long that takes is taken from the queue as a whole: one
-        // long job at its end must not add machines for all before it.
-        let usual = self.demand.typical.map_or(estimate, |typical| typical.run_time.0 as f64);
-        let window = (horizon - usual / 2.0).max(horizon / 2.0);
+        let run_time = demand.estimate.max(MIN_SPAN).0 as f64;
+        let max_queue_time = demand.horizon.max(MIN_SPAN).0 as f64;
+        // The last queued task should have finished within `max_queue_time`. Its run time is taken from the average of the
+        // queue, so that one long job at the end does not add machines for all the work before it.
+        let typical_run_time = self.demand.typical.map_or(run_time, |typical| typical.run_time.0 as f64);
+        let window = (max_queue_time - typical_run_time / 2.0).max(max_queue_time / 2.0);
         let slots = |capacity: &Capacity| capacity.resources.count_of(demand.room);
         let is_usable = |capacity: &&Capacity| {
             let CapacityPool { kind, spot, .. } = &capacity.pool;
-            capacity.pool.is_for(demand) && !self.reserved.excludes(kind, *spot, demand.priority)
+            capacity.pool.can_serve(demand) && !self.reserved.is_reserved_from(kind, *spot, demand.priority)
         };
-        let open: i64 = supply.open.iter().filter(is_usable).map(slots).sum();
-        let arriving: i64 = supply.arriving.iter().filter(|c| c.pool.is_for(demand)).map(slots).sum();
+        let schedulable: i64 = supply.schedulable.iter().filter(is_usable).map(slots).sum();
+        let arriving: i64 =
+            supply.arriving.iter().filter(|capacity| capacity.pool.can_serve(demand)).map(slots).sum();
         let tasks = i64::from(demand.count);
-        supply.queued += tasks as f64 * estimate;
-        let excess = supply.queued - (open + arriving) as f64 * window;
+        supply.queued += tasks as f64 * run_time;
+        let excess = supply.queued - (schedulable + arriving) as f64 * window;
         (excess > 0.0).then(|| tasks.min((excess / window).ceil() as i64))
     }
 
-    /// Work that must start at once: what is there is taken already, so only what arrives counts, once.
-    fn unmet_at_once(&self, demand: &Demand, arriving: &mut [Capacity]) -> Shortfall {
-        let only_zone = zone_for(demand, &self.types, arriving, |zone| {
-            let fitting = |t: &&MachineType| demand.accepts(&t.name, zone, false);
+    /// The shortfall of work that must start immediately. Present machines are taken already, so only arriving capacity
+    /// counts, and each part of it for one demand only.
+    fn immediate_shortfall(&self, demand: &Demand, arriving: &mut [Capacity]) -> Shortfall {
+        let only_zone = choose_gang_zone(demand, &self.types, arriving, |zone| {
+            let fitting = |t: &&MachineType| demand.can_run_on(&t.name, zone, false);
             self.types.values().filter(fitting).all(|t| self.scale_out.is_exhausted(&t.name, zone, false))
         });
         let mut tasks = i64::from(demand.count);
         for Capacity { pool, resources } in arriving {
             let is_in_zone = only_zone.as_ref().is_none_or(|zone| *zone == pool.zone);
-            if tasks > 0 && pool.is_for(demand) && is_in_zone {
+            if tasks > 0 && pool.can_serve(demand) && is_in_zone {
                 let served = resources.count_of(demand.room).clamp(0, tasks);
                 *resources = *resources - demand.room.times(served);
                 tasks -= served;
@@ -213,7 +216,7 @@
         Shortfall { tasks, only_zone }
     }
 
-    /// The cheapest way to get machines for this much of a demand.
+    /// The cheapest scale-out that covers the shortfall of a demand.
     fn cheapest_scale_out(
         &self,
         demand: &Demand,
@@ -235,7 +238,8 @@
                     let option = ScaleOut { name: String::new(), kind, zone, spot, count };
                     if self.is_eligible(demand, shortfall, supply, &option) {
                         let price = if spot { machine_type.spot_price } else { machine_type.price };
-                        // For a large backlog the price of room counts, for a small one that of the machines it takes.
+                        // For a large backlog the price of the needed capacity counts, for a small one that of whole
+                        // machines.
                         options.push((price * f64::from(count).max(exact_count), option));
                     }
                 }
@@ -244,7 +248,7 @@
         options.into_iter().min_by(|(one, _), (other, _)| one.total_cmp(other)).map(|(_, cheapest)| cheapest)
     }
 
-    /// Whether a scale-out would help this demand, and its pool has machines.
+    /// Whether a scale-out would help this demand and its pool has capacity.
     fn is_eligible(
         &self,
         demand: &Demand,
@@ -254,15 +258,18 @@
     ) -> bool {
         let ScaleOut { kind, zone, spot, count, .. } = option;
         let is_in_zone = shortfall.only_zone.as_ref().is_none_or(|only| only == zone);
-        if !demand.accepts(kind, zone, *spot) || !is_in_zone || self.scale_out.is_exhausted(kind, zone, *spot)
+        if !demand.can_run_on(kind, zone, *spot)
+            || !is_in_zone
+            || self.scale_out.is_exhausted(kind, zone, *spot)
         {
             return false;
         }
-        // What is reserved from this work is of use to it only once there is plenty.
-        let same = |capacity: &&Capacity| capacity.pool.kind == *kind && capacity.pool.spot == *spot;
-        let there = supply.open.iter().filter(same).count()
-            + supply.arriving.iter().filter(same).count()
+        // A class reserved for higher priorities helps this work only once the class has plenty of machines.
+        let is_same_class = |capacity: &&Capacity| capacity.pool.kind == *kind && capacity.pool.spot == *spot;
+        let class_machines = supply.schedulable.iter().filter(is_same_class).count()
+            + supply.arriving.iter().filter(is_same_class).count()
             + *count as usize;
-        !self.reserved.excludes(kind, *spot, demand.priority) || there >= self.reserved.plenty(kind, *spot)
+        !self.reserved.is_reserved_from(kind, *spot, demand.priority)
+            || class_machines >= self.reserved.plenty_machines(kind, *spot)
     }
 }
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -1,5 +1,5 @@
 use super::demand::TypicalTask;
-use super::headroom::headroom;
+use super::headroom::headroom_demands;
 use super::inventory::BootingMachine;
 use super::*;
 use crate::peer::InventoryState;
@@ -53,9 +53,9 @@
     assert_eq!(autoscaler.reserved_classes(), [("large".to_owned(), false, 2)]);
 }
 
-/// Work that may use on-demand machines only starves if all of them are left to more urgent work.
+/// Work that may only use on-demand machines would starve if all of them were reserved for more urgent work.
 #[test]
-fn no_class_is_reserved_from_work_that_has_nowhere_else_to_go() {
+fn no_class_is_reserved_if_other_work_would_have_no_machines() {
     let autoscaler = autoscaler(vec![demand(4.0, false, 1), demand(1.0, false, 0), demand(1.0, true, 0)]);
     assert_eq!(autoscaler.reserved_classes(), Vec::new());
 }
@@ -85,9 +85,9 @@
     list.iter().map(|machine| (machine.name.as_str(), machine)).collect()
 }
 
-/// If all on-demand machines were left to gangs, arrays would have a few spot machines.
+/// If all on-demand machines were reserved for gangs, job arrays would be left with a few spot machines.
 #[test]
-fn few_spot_machines_do_not_count_as_somewhere_else_to_go() {
+fn few_spot_machines_are_no_alternative_to_a_reserved_class() {
     let gang = Demand { room: Resources::need(96.0, 8.0, 1.0), together: 4, ..demand(96.0, false, 11) };
     let array = Demand { room: Resources::need(8.0, 1.0, 1.0), ..demand(8.0, true, 10) };
     let reserved = |spots: usize| {
@@ -108,43 +108,44 @@
     assert_eq!((reserved(2), reserved(8)), (0, 1));
 }
 
-/// Small tasks on all big machines but a few: gangs find those few, and the rest is not idle.
+/// Reserving a few of many large machines is enough for gangs, and small tasks can use the rest. The choice must be
+/// stable, or one machine after another would be emptied.
 #[test]
-fn of_many_large_machines_some_are_reserved_for_gangs_and_stay_the_same() {
+fn some_of_many_large_machines_are_reserved_for_gangs_and_the_choice_is_stable() {
     let mut autoscaler =
         autoscaler(vec![Demand { together: 3, ..demand(30.0, false, 2) }, demand(1.0, true, 0)]);
     let mut seen: Vec<MachineSnapshot> =
         (0..60).map(|i| machine(i, "large", if i < 6 { 20.0 } else { 2.0 }, 32.0)).collect();
     autoscaler.update_reserved(Micros(2), &seen.iter().collect::<Vec<_>>());
-    assert_eq!(autoscaler.reserved_classes(), Vec::new(), "enough of them that a part will do");
+    assert_eq!(autoscaler.reserved_classes(), Vec::new(), "there are enough machines to reserve only some");
     let first = autoscaler.reserved.machines.clone();
     assert_eq!(first.len(), 6, "two gangs of three");
-    assert!(first.keys().all(|n| n.as_str() < "i-006"), "those that are emptiest");
+    assert!(first.keys().all(|n| n.as_str() < "i-006"), "the machines with the most free resources");
     seen.extend((60..70).map(|i| machine(i, "large", 32.0, 32.0)));
     autoscaler.update_reserved(Micros(3), &seen.iter().collect::<Vec<_>>());
     assert_eq!(
         autoscaler.reserved.machines, first,
-        "a choice that moved on would empty one machine after another"
+        "a choice that changes would empty one machine after another"
     );
     autoscaler.update_reserved(Micros(4), &seen[..8].iter().collect::<Vec<_>>());
-    assert!(!autoscaler.reserved.classes.is_empty(), "of a few, all are left to the gangs");
+    assert!(!autoscaler.reserved.classes.is_empty(), "if there are only a few, the whole class is reserved");
 }
 
 #[test]
-fn headroom_follows_what_runs_and_ends_with_it() {
+fn headroom_depends_on_used_resources_and_is_zero_when_idle() {
     let autoscaler = autoscaler(vec![]);
-    let promised = Resources { cpus: 1_000_000, ..Resources::default() };
+    let guaranteed = Resources { cpus: 1_000_000, ..Resources::default() };
     let full: Vec<MachineSnapshot> = (0..20).map(|i| machine(i, "large", 0.0, 32.0)).collect();
-    // A quarter of 640 in use, which is less than a fifth of 1,000: 160, five machines.
+    // A quarter of the 640 processors in use, which is less than a fifth of the guaranteed 1,000: 160, five machines.
     assert_eq!(
-        headroom(promised, &autoscaler.types, &by_name(&full)).first().map(|d| (d.count, d.spot)),
+        headroom_demands(guaranteed, &autoscaler.types, &by_name(&full)).first().map(|d| (d.count, d.spot)),
         Some((6, false))
     );
     let idle: Vec<MachineSnapshot> = (0..20).map(|i| machine(i, "large", 32.0, 32.0)).collect();
-    assert!(headroom(promised, &autoscaler.types, &by_name(&idle)).is_empty());
+    assert!(headroom_demands(guaranteed, &autoscaler.types, &by_name(&idle)).is_empty());
 }
 
-/// One machine every few seconds would keep a large fleet for minutes after a surge.
+/// If only one machine every few seconds became surplus, a large fleet would be idle for minutes after a surge.
 #[test]
 fn clear_surplus_is_chosen_in_batches_unless_work_queues() {
     let mut autoscaler = autoscaler(vec![]);
@@ -179,8 +180,8 @@
     assert_eq!(autoscaler.scale_in.surplus.len(), 1);
 }
 
-/// A machine that never comes up must not hold up the work it was added for until it is given back. All of them late at
-/// once must not be added again.
+/// The work for which a machine was added must not wait until a machine that never comes up has been removed. But if all
+/// machines of a surge are late at the same time, they must not all be added again.
 #[test]
 fn overdue_machine_is_replaced_but_not_a_whole_surge() {
     for (added, replaced) in [(1u64, 1), (20, 2)] {
@@ -196,16 +197,16 @@
             autoscaler.record_demand(now, 0, vec![waiting.clone()]);
             autoscaler.next_scale_out(now, &BTreeMap::new()).map(|r| (r.kind, r.count))
         };
-        assert_eq!(scale_out(50), None, "boots take 40 s");
-        let room = scale_out(90).map(|(kind, n)| n * if kind == "large" { 8 } else { 1 });
-        assert_eq!(room, Some(8 * replaced), "{added} added");
+        assert_eq!(scale_out(50), None, "a boot takes 40 s");
+        let added_slots = scale_out(90).map(|(kind, n)| n * if kind == "large" { 8 } else { 1 });
+        assert_eq!(added_slots, Some(8 * replaced), "{added} added");
     }
 }
 
-/// While failovers follow one another in a surge, the work that waits for them asks for nothing: machines that idle for
-/// want of it must not be given back and added anew.
+/// Work that waits for a failover reports no demand. The machines that are idle meanwhile must not be removed, or they
+/// would be added again a moment later.
 #[test]
-fn during_a_failover_only_failed_machines_are_given_back() {
+fn during_a_failover_only_failed_machines_are_removed() {
     let mut autoscaler = autoscaler(vec![]);
     let late = Micros(200_000_000);
     let mut seen: Vec<MachineSnapshot> = (0..9).map(|i| machine(i, "small", 4.0, 4.0)).collect();
@@ -213,14 +214,17 @@
         (machine.idle_since, machine.silent_since) = (Some(Micros(1)), (i == 4).then_some(Micros(1)));
     }
     let by_name = by_name(&seen);
-    assert_eq!(autoscaler.next_scale_in(late, &by_name, Micros(1), false), ["i-004"], "the silent one");
-    assert!(autoscaler.scale_in.draining.is_empty(), "the others stay open to the work that waits");
+    assert_eq!(autoscaler.next_scale_in(late, &by_name, Micros(1), false), ["i-004"], "the silent machine");
+    assert!(
+        autoscaler.scale_in.draining.is_empty(),
+        "the other machines stay schedulable for the waiting work"
+    );
     autoscaler.next_scale_in(late, &by_name, Micros(1), true);
-    assert_eq!(autoscaler.scale_in.draining.len(), 8, "a moment later they may go");
+    assert_eq!(autoscaler.scale_in.draining.len(), 8, "after the failover they may be drained");
 }
 
 #[test]
-fn scale_out_without_an_answer_is_repeated_under_its_name() {
+fn unanswered_scale_out_is_retried_under_the_same_name() {
     let mut autoscaler = autoscaler(vec![]);
     let waiting = Demand { count: 9, ..demand(1.0, false, 1) };
     autoscaler.inventory.listed = Some(BTreeMap::new());
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,10 +1,11 @@
-//! What controllers say to one another: framed TCP, each message an `rkyv` archive that is validated on arrival.
+//! The protocol between controllers: length-prefixed frames over TCP. Each frame is an `rkyv` archive that the receiver
+//! validates.
 //!
-//! A message holds all that changed since the state that its receiver last confirmed, so a lost, repeated or overtaken
-//! one costs a delay and nothing else. The modules are by sender and receiver.
+//! State messages hold everything that has changed since the state that the receiver last confirmed, so losing,
+//! repeating or reordering them causes only a delay. There is one module per pair of sender and receiver.
 //!
-//! Controllers of several versions run beside each other during an upgrade: the order and the types of fields and
-//! variants never change, and new ones come behind. Names are not in the bytes.
+//! Controllers of different versions run side by side during an upgrade. The order and the types of fields and variants
+//! therefore never change, and new ones are appended. Names are not encoded and may change.
 
 mod demand;
 mod desired_state;
@@ -20,7 +21,7 @@
 pub use desired_state::{DesiredAction, DesiredState, DesiredTask};
 pub use frame::{Frame, Message};
 pub use handoff::{HandoffBatch, JobHandoff, MachineHandoff, StartHandoff, TaskHandoff};
-/// The links that carry frames.
+/// The TCP connections that carry frames.
 pub use hazelsaddle_cluster::transport::{dial, enqueue, listen};
 pub use machine_status::{InventoryState, MachineStatus, MachineStatusDelta, ObservedTask};
 pub use replication::{ReplicatedItem, ReplicatedStarts};
--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -1,29 +1,29 @@
-//! Job shard to autoscaler: work that finds no machine.
+//! Job shard to autoscaler: work for which there is no machine.
 
 use crate::units::{Micros, Resources};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Tasks of one shape that a job shard can't place for want of machines.
+/// Tasks of one shape that a job shard can't place because machines are missing.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Demand {
-    /// What one takes.
+    /// Resources of one task.
     pub room: Resources,
-    /// Allowed machine types; empty: any.
+    /// Allowed machine types; empty if any is allowed.
     pub kinds: Vec<String>,
-    /// The only allowed zone.
+    /// The only allowed zone, if there is one.
     pub zone: Option<String>,
-    /// All of a gang must be in one zone.
+    /// Whether all tasks must run in the same zone.
     pub one_zone: bool,
-    /// Whether spot machines will do.
+    /// Whether spot machines are allowed.
     pub spot: bool,
-    /// How many. 0: none waits, but such work was seen of late.
+    /// Number of waiting tasks. 0 if none waits but such work was seen recently.
     pub count: u32,
-    /// Estimated run time of one.
+    /// Estimated run time of one task.
     pub estimate: Micros,
     /// Priority, higher first.
     pub priority: u8,
-    /// How long this work may queue before a machine is worth adding for it; 0: it should start at once.
+    /// How long this work may queue before a machine is added for it; 0 if it should start immediately.
     pub horizon: Micros,
-    /// How many must run at the same time: a gang's size, otherwise one.
+    /// How many tasks must run at the same time: the gang's size, otherwise 1.
     pub together: u32,
 }
--- a/src/peer/desired_state.rs
+++ b/src/peer/desired_state.rs
@@ -1,50 +1,50 @@
-//! Job shard to machine shard: the starts that are wanted on the receiver's machines.
+//! Job shard to machine shard: the desired state of task attempts on the receiver's machines.
 
 use super::task::TaskKey;
 use crate::units::{Micros, Resources};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// What a job shard wants of a start that it has placed.
+/// The desired state of an attempt that a job shard has placed.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DesiredAction {
-    /// Hold room for it, don't start it yet (gangs).
+    /// Reserve its resources but don't start it yet (gangs).
     Hold,
     /// Start it.
     Run,
-    /// It was seen on the machine: keep it, never start it anew.
+    /// Keep an attempt that was observed on the machine, but never start it again.
     Keep,
-    /// Stop it, giving it this long to save its progress.
+    /// Stop it, with this much time to save its progress.
     Stop(Micros),
-    /// Its end is on record: let the agent forget it.
+    /// Tell the worker to drop it, because its end has been stored.
     Forget,
 }
 
-/// A start that a job shard has placed on a machine of the receiver's.
+/// An attempt that a job shard has placed on one of the receiver's machines.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct DesiredTask {
-    /// Which start.
+    /// The attempt.
     pub key: TaskKey,
-    /// On which machine.
+    /// The machine.
     pub machine: String,
-    /// What it takes.
+    /// The resources that it uses.
     pub room: Resources,
-    /// What is wanted.
+    /// The desired state.
     pub action: DesiredAction,
     /// Effective priority of the job, higher first.
     pub priority: u8,
-    /// Hash of the image's name.
+    /// Hash of the container image's name.
     pub image: u64,
 }
 
-/// What the sender wants on the receiver's machines: all that changed since a revision.
+/// The sender's desired state on the receiver's machines: everything that has changed since a revision.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct DesiredState {
-    /// Grows with every such message.
+    /// Increases with every such message.
     pub revision: u64,
-    /// The receiver's state on which the change builds; 0: this is the whole state.
+    /// The revision held by the receiver to which the change applies; 0 if this is the full state.
     pub base_revision: u64,
-    /// The starts that are new or changed.
+    /// The attempts that are new or changed.
     pub list: Vec<DesiredTask>,
-    /// The starts no longer wanted, by machine.
+    /// The attempts that are no longer desired, each with its machine.
     pub removed: Vec<(String, TaskKey)>,
 }
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,4 +1,4 @@
-//! The frame that every message travels in, and which frames make an older one superfluous.
+//! The frame around every message, and the rule for which frames replace an older one in a send queue.
 
 use super::demand::Demand;
 use super::desired_state::DesiredState;
@@ -11,108 +11,113 @@
 use hazelsaddle_cluster::transport::{self, Framed};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The body of a frame. What the first version reads, up to `KeepAlive`, must keep its layout: it runs beside
-/// this one during an upgrade. New kinds come behind, none larger than the largest of the first form, or all
-/// would change. `tests/compat.rs` compares with what the first version wrote.
+/// The body of a frame. The variants up to `KeepAlive` are those of format version 1 and must keep their layout,
+/// because controllers of that version run beside this one during an upgrade. New variants are appended. None may be
+/// larger than the largest of format version 1, or the layout of all would change. `tests/compat.rs` compares the
+/// encoding with what version 1 wrote.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub enum Message {
     /// Between job shards and machine shards, in both directions.
     State(DesiredState, MachineStatusDelta),
-    /// Job shard to autoscaler: what can't be placed, and shapes of jobs seen of late (count 0).
+    /// Job shard to autoscaler: the tasks that can't be placed, and the task shapes seen recently (count 0).
     Demands(Vec<Demand>),
-    /// Job shard to job shards: machines reserved for its waiting work.
+    /// Job shard to the other job shards: the machines that the sender reserves for its waiting work.
     Reserve(Vec<Reservation>),
-    /// Autoscaler to all: machines to take no new tasks for, and machines that the cloud has taken.
+    /// Autoscaler to all controllers: draining, removed and reserved machines.
     ScalingPlan {
-        /// Machines about to be given back.
+        /// Machines that must not get new tasks because they are about to be removed.
         drain: Vec<String>,
         /// Machines whose scale-in the cloud has confirmed.
         gone: Vec<String>,
-        /// Types (and whether spot) left to work of at least a priority, which fits nowhere else.
+        /// Reserved classes of machines (machine type, whether spot), each with the lowest priority that may use it.
         kept: Vec<(String, bool, u8)>,
-        /// Machines left to work of at least a priority.
+        /// Reserved machines, each with the lowest priority that may use it.
         kept_machines: Vec<(String, u8)>,
     },
     /// A user's request forwarded to the job's leader.
     ForwardRequest {
-        /// The sender's number for it.
+        /// The sender's id for the request.
         id: u64,
         /// The request.
         request: UserRequest,
     },
-    /// The leader's answer to it.
+    /// The leader's answer to a forwarded request.
     ForwardResponse {
-        /// The number it was asked under.
+        /// The id of the request.
         id: u64,
         /// The answer.
         reply: Reply,
     },
-    /// To a machine shard: machines of its whose heartbeats came to the sender and were sent on.
+    /// To a machine shard: those of its machines whose heartbeats were sent to the sender of this message, which
+    /// redirected them.
     MisroutedHeartbeats(Vec<String>),
-    /// Only what every frame says: epoch and clocks.
+    /// Carries only the epoch and the clocks that are in every frame.
     KeepAlive,
-    /// From form 2 on: to the leader of jobs that the sender's waiting jobs need, how urgent those are.
-    /// Sent only to processes that read form 2: the others would drop the link.
+    /// Since format version 2: to the leader of the dependencies of the sender's waiting jobs, the priorities that
+    /// these dependencies inherit. Sent only to processes that can read version 2; others would close the
+    /// connection.
     InheritedPriorities(Vec<(String, u8)>),
-    /// From form 3 on: what the sender knew of jobs and machines that are the receiver's in this epoch and were the
-    /// sender's in the one directly before it.
+    /// Since format version 3: hand-off of jobs and machines that the sender led in the previous epoch and the receiver
+    /// leads in this one.
     Handoff {
-        /// The sender's number for it.
+        /// The sender's number for the batch.
         number: u64,
-        /// What it holds.
+        /// The jobs and machines.
         batch: HandoffBatch,
     },
-    /// From form 3 on: the sender has these batches of the receiver's.
+    /// Since format version 3: acknowledges the receiver's hand-off batches with these numbers.
     HandoffAck(Vec<u64>),
-    /// From form 3 on, to a replica: what the sender alone decides and alone carries out.
+    /// Since format version 3, to a replica: the attempts for which the sender leads both the job and the machine, so
+    /// that no other controller has a record of them.
     ReplicateStarts {
-        /// Grows with every such message.
+        /// Increases with every such message.
         revision: u64,
-        /// The receiver's state on which the change builds; 0: this is the whole state.
+        /// The revision held by the receiver to which the change applies; 0 if this is the full state.
         base_revision: u64,
-        /// Items that are new.
+        /// New items.
         added: Vec<ReplicatedItem>,
-        /// Items that are no more.
+        /// Items that no longer apply.
         removed: Vec<ReplicatedItem>,
     },
-    /// From form 3 on: the sender holds what that revision of the receiver's said.
+    /// Since format version 3: acknowledges that the sender holds the receiver's replicated state at this revision.
     StartsReplicated(u64),
-    /// From form 4 on, where operators have switched loans on: what the sender's jobs could lend, and what they lack.
+    /// Since format version 4, if operators have enabled GPU lending: which GPUs the sender's jobs could lend, and
+    /// which resources they lack.
     Lending(Lending),
 }
 
-/// What travels between controllers. Every frame also confirms to the receiver which epoch the
-/// sender knows, and how much of the receiver's clock it has heard.
+/// The unit of communication between controllers. Beside the message, every frame tells the receiver which epoch the
+/// sender has adopted and the latest reading of the receiver's clock that the sender has received.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// The sender's number.
+    /// The sender's member number.
     pub from: u32,
     /// The epoch the sender has adopted.
     pub epoch: u64,
-    /// Its members, by number.
+    /// The member numbers of that epoch.
     pub members: Vec<u32>,
-    /// The sender's steady clock.
+    /// The sender's monotonic clock.
     pub clock: Micros,
-    /// Which process the sender is.
+    /// Boot ID of the sender's process; it changes with a restart.
     pub boot: u64,
-    /// The latest clock reading of the receiver that the sender has had.
+    /// The latest reading of the receiver's clock that the sender has received.
     pub echo: Micros,
-    /// Which process of the receiver that reading came from: a restarted one may count anew.
+    /// Boot ID of the receiver's process that sent this reading. After a restart the clock may begin again.
     pub echo_boot: u64,
-    /// The sequence of the receiver's machine status that the sender holds in this epoch; 0: none yet.
+    /// The sequence of the receiver's machine status that the sender holds in this epoch; 0 if it holds none yet.
     pub sequence_seen: u64,
-    /// The rest.
+    /// The message.
     pub body: Message,
 }
 
 impl Frame {
-    /// The frame as bytes, with its length in front.
+    /// Encodes the frame, preceded by its length.
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
         transport::encode(self)
     }
 
-    /// Reads the bytes behind the length; None if they are no valid frame.
+    /// Decodes the bytes after the length; None if they are not a valid frame.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Frame> {
         transport::decode(bytes)
@@ -128,8 +133,9 @@
         Frame::decode(bytes)
     }
 
-    /// What holds all that changed since the state that its receiver confirmed covers what was said before it, and so
-    /// does a list that is sent whole. Batches, requests, answers and misrouted heartbeats are said once.
+    /// A message with everything that has changed since the state confirmed by the receiver replaces an older one,
+    /// and so does a message with a complete list. Hand-off batches and their acknowledgements, requests, answers and
+    /// misrouted heartbeats are sent only once, so they are never replaced.
     fn replaces(&self, older: &Frame) -> bool {
         use Message::*;
         if self.boot != older.boot || self.epoch < older.epoch {
--- a/src/peer/handoff.rs
+++ b/src/peer/handoff.rs
@@ -1,4 +1,4 @@
-//! Leader of the epoch before to its successor: jobs and machines handed over.
+//! Leader in the previous epoch to its successor: hand-off of jobs and machines.
 
 use super::desired_state::DesiredAction;
 use super::replication::ReplicatedStarts;
@@ -6,41 +6,41 @@
 use crate::units::{Micros, Resources};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Jobs and machines handed over. The sender commands none of them any more.
+/// Jobs and machines that are handed over. The sender no longer sends commands for any of them.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct HandoffBatch {
     /// Jobs, for their new leader.
     pub jobs: Vec<JobHandoff>,
-    /// Sets of machines that may hold tasks of handed jobs unknown to the sender.
+    /// Sets of machines that may hold tasks of the handed-over jobs that the sender has no record of.
     pub unresolved_sets: Vec<Vec<String>>,
     /// Machines, for their new leader.
     pub machines: Vec<MachineHandoff>,
-    /// What others had replicated with the sender.
+    /// What former members had replicated to the sender.
     pub testimony: Vec<ReplicatedStarts>,
-    /// Machines of the receiver's that the cloud has taken back for certain: pages of the machine registry still name
-    /// them.
+    /// Machines led by the receiver that the cloud has certainly removed although pages of the machine registry still
+    /// list them.
     pub gone: Vec<String>,
 }
 
-/// A job as its leader of the epoch before knew it.
+/// A job, as known to its leader in the previous epoch.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct JobHandoff {
     /// The job.
     pub id: String,
-    /// Its completed tasks, also those not yet on record, as ranges.
+    /// Its completed tasks as ranges, including those not stored in the state store yet.
     pub done: String,
-    /// Starts that may be on a machine.
+    /// Attempts that may be on a machine.
     pub starts: Vec<StartHandoff>,
-    /// Which of the batch's sets of machines may hold other tasks of it; None: no machine does.
+    /// Index of the batch's set of machines that may hold other tasks of the job; None if no machine does.
     pub unresolved_set: Option<u32>,
 }
 
-/// A start that may be on a machine, or on its way there.
+/// An attempt that may be on a machine or on its way there.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct StartHandoff {
     /// The task's number.
     pub index: u32,
-    /// Which start.
+    /// The attempt's number.
     pub attempt: u64,
     /// The machine.
     pub machine: String,
@@ -48,11 +48,11 @@
     pub zone: String,
     /// Whether it is being stopped.
     pub stopping: bool,
-    /// Where it stood, if its machine's shard had said.
+    /// Its phase, if the machine shard has reported one.
     pub phase: Option<TaskPhase>,
 }
 
-/// A machine as its leader of the epoch before knew it.
+/// A machine, as known to its leader in the previous epoch.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct MachineHandoff {
     /// The machine.
@@ -63,42 +63,43 @@
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Where it takes direct commands.
+    /// The address at which its worker accepts direct commands.
     pub addr: String,
-    /// Whether its name is on record.
+    /// Whether it is stored in the machine registry.
     pub on_record: bool,
-    /// Whether its tasks were exactly those listed here, or on their way with an answer to the latest heartbeat.
+    /// Whether the machine's tasks are exactly those listed here, some of them possibly still on their way in the
+    /// response to the latest heartbeat.
     pub known: bool,
-    /// Incarnation and number of its latest heartbeat.
+    /// Incarnation and sequence number of its latest heartbeat.
     pub last: (u64, u64),
-    /// How long ago, as of packing, the latest heartbeat came; if it is not known: how long ago nobody could have
-    /// answered it any more.
+    /// Time from the latest heartbeat to the packing of this batch. If the tasks are not known: time since the last
+    /// moment at which another controller could have answered a heartbeat of the machine.
     pub silent: Micros,
-    /// Time until the cloud takes it away, if that was announced.
+    /// Time until the cloud terminates the machine, if the cloud has announced that.
     pub notice: Option<Micros>,
-    /// How long it has been without a task, if it is.
+    /// How long it has had no task; None if it has one.
     pub idle: Option<Micros>,
-    /// Images that it is likely to have.
+    /// Hashes of the names of the images that are probably cached on it.
     pub images: Vec<u64>,
     /// Its tasks.
     pub tasks: Vec<TaskHandoff>,
 }
 
-/// A task on a handed machine.
+/// A task on a machine that is handed over.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct TaskHandoff {
-    /// Which start.
+    /// The attempt.
     pub key: TaskKey,
-    /// What it takes, if its job's shard has said.
+    /// The resources that it uses, if its job shard has reported them.
     pub room: Option<Resources>,
     /// Priority of its job.
     pub priority: u8,
     /// Hash of its image's name.
     pub image: u64,
-    /// Where it stands.
+    /// Its phase.
     pub phase: TaskPhase,
-    /// What its job's shard wants.
+    /// The job shard's desired state, if there is one.
     pub action: Option<DesiredAction>,
-    /// Incarnation and number of the heartbeat with whose answer the start went out.
+    /// Incarnation and sequence number of the heartbeat in whose response the start command was sent.
     pub sent_to: (u64, u64),
 }
--- a/src/peer/machine_status.rs
+++ b/src/peer/machine_status.rs
@@ -4,27 +4,27 @@
 use crate::units::{Micros, Resources};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A start on a machine of the sender's.
+/// An attempt on one of the sender's machines.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ObservedTask {
-    /// Which start.
+    /// The attempt.
     pub key: TaskKey,
-    /// Where it stands.
+    /// Its phase.
     pub phase: TaskPhase,
 }
 
 /// Whether a machine's task list is complete.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InventoryState {
-    /// It may hold tasks that its shard doesn't know of.
+    /// The machine may hold tasks that its machine shard has no record of.
     Unconfirmed,
-    /// Its tasks are exactly those listed.
+    /// The machine's tasks are exactly those listed.
     Known,
-    /// It is gone for good, with all its tasks.
+    /// The machine has been removed for good, and its tasks with it.
     Gone,
 }
 
-/// A machine, with those of its tasks whose jobs the receiver leads. Spans are as of sending.
+/// A machine, with those of its tasks whose jobs the receiver leads. Durations are as of sending.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct MachineStatus {
     /// The machine.
@@ -37,36 +37,36 @@
     pub spot: bool,
     /// Whether the list of its tasks is complete.
     pub standing: InventoryState,
-    /// Whether it takes new tasks.
+    /// Whether new tasks may be placed on it.
     pub open: bool,
-    /// Time until the cloud takes it away, if that was announced.
+    /// Time until the cloud terminates the machine, if the cloud has announced that.
     pub notice: Option<Micros>,
-    /// What is free of it.
+    /// Its free resources.
     pub free: Resources,
-    /// All that it has.
+    /// Its capacity.
     pub total: Resources,
-    /// What is taken by tasks of each priority that aren't being stopped.
+    /// Resources used at each priority, without tasks that are being stopped.
     pub by_priority: Vec<(u8, Resources)>,
-    /// Images that it is likely to have, by the hashes of their names.
+    /// Hashes of the names of the images that are probably cached on it.
     pub images: Vec<u64>,
-    /// How many tasks of any job are on it or accepted for it.
+    /// Number of tasks, of any job, that are on it or accepted for it.
     pub busy: u32,
-    /// How long it has been without a task, if it is.
+    /// How long it has had no task; None if it has one.
     pub idle: Option<Micros>,
-    /// How long it has been silent, if it missed heartbeats.
+    /// Time since the latest heartbeat, if heartbeats were missed.
     pub silent: Option<Micros>,
-    /// The receiver's tasks on it.
+    /// Its tasks whose jobs the receiver leads.
     pub tasks: Vec<ObservedTask>,
 }
 
-/// The sender's machines: all that changed since a state.
+/// The sender's machines: everything that has changed since a sequence number.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct MachineStatusDelta {
-    /// Grows with every change of a machine.
+    /// Increases with every change of a machine.
     pub sequence: u64,
-    /// The receiver's state on which the change builds; 0: this is the whole state.
+    /// The sequence number held by the receiver to which the change applies; 0 if this is the full state.
     pub base_sequence: u64,
-    /// The latest revision of the receiver's desired state that this state takes account of.
+    /// The latest revision of the receiver's desired state that the sender had applied.
     pub revision_seen: u64,
     /// The machines that changed.
     pub machines: Vec<MachineStatus>,
--- a/src/peer/replication.rs
+++ b/src/peer/replication.rs
@@ -1,43 +1,46 @@
-//! Leader to replica: starts that are replicated before they take effect, because the same controller decides and carries
-//! them out; and a replica's word to the successor once that controller is gone.
+//! Leader to replica: attempts that are replicated before their start commands are sent, because the same controller
+//! leads the job and the machine. Replica to the new leader: what a controller had replicated before it left the
+//! epoch.
 
 use super::task::TaskKey;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// What would be lost with a controller that leads both a job and the machine that runs it.
+/// State that would be lost with a controller that leads both a job and the machine that runs it.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[rkyv(derive(Debug))]
 pub enum ReplicatedItem {
-    /// Every start of this job that may be alive on the sender's own machines is among the items.
+    /// States that the items include every attempt of this job that may be alive on the sender's own machines.
     Job(String),
-    /// A start that may be on a machine.
+    /// An attempt that may be on a machine.
     Start {
-        /// Which start.
+        /// The attempt.
         key: TaskKey,
         /// The machine.
         machine: String,
-        /// Its zone.
+        /// The machine's zone.
         zone: String,
     },
 }
 
-/// What a replica that was a member of the epoch before heard of a member that is not one any more.
+/// Report of a replica, a member of the previous epoch, on what a former member had replicated to it.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ReplicatedStarts {
-    /// The one that is not a member any more.
+    /// The member number of the former member.
     pub of: u32,
     /// The last epoch of which it was a member.
     pub epoch: u64,
-    /// That epoch's members. Only together do they hold all that was replicated.
+    /// The members of that epoch. Everything replicated is known only from the reports of all of them together.
     pub members: Vec<u32>,
-    /// The epoch in which the sender last heard of it, 0: never.
+    /// The epoch in which the sender last received replicated state from the former member; 0 if it never did.
     pub heard_in: u64,
-    /// That epoch's members.
+    /// The members of the epoch `last_contact_epoch`.
     pub heard_with: Vec<u32>,
-    /// The epoch from which on the sender has adopted every one, and in each of which starts had to be replicated.
+    /// The first epoch of the unbroken series of epochs that the sender has adopted and in which attempts had to be
+    /// replicated before they started.
     pub since: u64,
-    /// What was heard of jobs that the receiver leads now.
+    /// The replicated items of jobs that the receiver leads now.
     pub items: Vec<ReplicatedItem>,
-    /// Jobs that the sender accepted in that last epoch in its place: nobody can have started them before.
+    /// Jobs that the sender accepted during `last_epoch` on behalf of the former member, so no attempt of them can have
+    /// started before.
     pub fresh: Vec<String>,
 }
--- a/src/peer/scheduling.rs
+++ b/src/peer/scheduling.rs
@@ -1,58 +1,59 @@
-//! Job shard to job shard: machines reserved for waiting work, and GPUs that can be lent.
+//! Job shard to job shard: reservations of machines for waiting work, and GPUs that can be lent.
 
 use crate::units::{Micros, Resources};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A machine that a job shard reserves for waiting work: others place nothing of lower priority there.
+/// A machine that a job shard reserves for waiting work. Other job shards place no work of lower priority on it.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Reservation {
     /// The machine.
     pub machine: String,
     /// Priority of the work.
     pub priority: u8,
-    /// What it needs there.
+    /// Resources that the work needs on the machine.
     pub need: Resources,
-    /// Whether tasks of lower priority are to be preempted for it.
+    /// Whether tasks of lower priority must be preempted for the work.
     pub evict: bool,
 }
 
-/// What the sender's jobs run on GPUs beyond their teams' guarantees, and what work within a guarantee lacks.
+/// The sender's jobs that use GPUs beyond their teams' guarantees, and the resources that work within a guarantee
+/// lacks.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct Lending {
-    /// Jobs some of whose room could be had.
+    /// Jobs from which GPUs could be reclaimed.
     pub jobs: Vec<Lendable>,
-    /// By team: what its work within its guarantee lacks, and for how long it has.
+    /// By team: the resources that its work within the guarantee lacks, and for how long it has lacked them.
     pub lacks: Vec<(String, Resources, Micros)>,
 }
 
-/// A job some of whose room could be had.
+/// A job from which GPUs could be reclaimed by preempting some of its tasks.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Lendable {
     /// The job.
     pub job: String,
     /// Its team.
     pub team: String,
-    /// Its priority, without what a guarantee adds.
+    /// Its priority, without the bonus of a guarantee.
     pub rank: u8,
-    /// Whether it is a gang, which is stopped whole.
+    /// Whether it is a gang, whose tasks can only be stopped all together.
     pub gang: bool,
-    /// What each task takes.
+    /// Resources of one task.
     pub room: Resources,
     /// Its tasks.
     pub tasks: Vec<LendableTask>,
 }
 
-/// One task of such a job.
+/// A task of a `LendableJob`.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct LendableTask {
     /// Its number.
     pub index: u32,
-    /// Which start.
+    /// The attempt's number.
     pub attempt: u64,
     /// The machine.
     pub machine: String,
-    /// Run time that would be lost, in milliseconds.
+    /// Run time that would be lost by preempting it, in milliseconds.
     pub lost_ms: u64,
-    /// Whether it must be left alone for now.
+    /// Whether it must not be preempted at present.
     pub fixed: bool,
 }
--- a/src/peer/task.rs
+++ b/src/peer/task.rs
@@ -1,8 +1,8 @@
-//! What several messages say of a task: which start it is, and where it stands.
+//! Types shared by several messages: the identity of a task attempt, and its phase.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// One start of one task.
+/// Identifies one attempt of one task.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[rkyv(derive(Debug))]
 pub struct TaskKey {
@@ -10,18 +10,18 @@
     pub job: String,
     /// The task's number.
     pub index: u32,
-    /// Which start. Later starts of a task have higher numbers.
+    /// The attempt's number. Later attempts of a task have higher numbers.
     pub attempt: u64,
 }
 
-/// Where a start stands, as the leader of its machine sees it.
+/// The phase of an attempt, as seen by the leader of its machine.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskPhase {
-    /// Room is held for it.
+    /// Resources are reserved for it.
     Held,
-    /// Accepted; the command goes out with the next answer to the machine.
+    /// It is accepted. The start command is sent with the response to the machine's next heartbeat.
     Queued,
-    /// The command is out; whether it arrived is not yet known.
+    /// The start command was sent, but it is not known yet whether it arrived.
     InDoubt,
     /// Waiting for its image.
     Fetching,
@@ -36,7 +36,7 @@
 }
 
 impl TaskPhase {
-    /// Whether the agent is known to have had the command.
+    /// Whether the worker is known to have received the start command.
     #[must_use]
     pub fn arrived(self) -> bool {
         !matches!(self, TaskPhase::Held | TaskPhase::Queued | TaskPhase::InDoubt)
@@ -50,16 +50,16 @@
     Done,
     /// Stopped by command; whether it saved its progress.
     Stopped(bool),
-    /// Another task of the gang is gone.
+    /// It stopped because another task of its gang had ended or disappeared.
     Peers,
-    /// The gang was not complete in time.
+    /// It did not start because its gang was not complete in time.
     Alone,
-    /// Failed.
+    /// It failed.
     Error,
-    /// The agent refused it for want of room.
+    /// The worker refused it because the machine had not enough free resources.
     NoRoom,
-    /// The agent has another attempt of it.
+    /// The worker refused it because another attempt of the task is still on the machine.
     Busy,
-    /// The agent knows no such task.
+    /// The worker has no such task.
     Unknown,
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -4,9 +4,9 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 #[test]
-fn frames_survive_encoding_and_malformed_ones_are_refused() {
+fn frame_round_trips_and_malformed_frames_do_not_panic() {
     let key = TaskKey { job: "wk-1".into(), index: 3, attempt: 9 };
-    let f = Frame {
+    let frame = Frame {
         from: 1,
         epoch: 7,
         members: vec![0, 1],
@@ -41,8 +41,8 @@
             },
         ),
     };
-    let bytes = f.encode().unwrap();
-    assert_eq!(Frame::decode(&bytes[4..]), Some(f));
+    let bytes = frame.encode().unwrap();
+    assert_eq!(Frame::decode(&bytes[4..]), Some(frame));
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..2000 {
         let mut broken = bytes[4..].to_vec();
@@ -56,9 +56,9 @@
     assert_eq!(Frame::decode(&[]), None);
 }
 
-/// What is said once must not give way to a newer frame, and nothing to an older one.
+/// A message that is sent only once must not be replaced by a newer frame, and no message by an older one.
 #[test]
-fn frame_is_replaced_only_by_one_that_says_it_again() {
+fn frame_is_replaced_only_by_a_newer_one_that_covers_it() {
     let frame = |epoch: u64, boot: u64, body: Message| Frame {
         from: 1,
         epoch,
@@ -83,7 +83,7 @@
     let old = frame(7, 1, state(5, 5));
     assert!(frame(7, 1, state(6, 5)).replaces(&old) && frame(8, 1, state(1, 1)).replaces(&old));
     assert!(!frame(7, 1, state(4, 6)).replaces(&old) && !frame(6, 1, state(9, 9)).replaces(&old));
-    assert!(!frame(7, 2, state(6, 6)).replaces(&old), "another process counts anew");
+    assert!(!frame(7, 2, state(6, 6)).replaces(&old), "another process numbers its messages anew");
     assert!(frame(7, 1, replicate(3)).replaces(&frame(7, 1, replicate(2))));
     assert!(!frame(7, 1, replicate(2)).replaces(&frame(7, 1, replicate(3))));
     let once = [
--- a/src/peer/user_request.rs
+++ b/src/peer/user_request.rs
@@ -1,25 +1,25 @@
-//! Any controller to the leader of a job, and back: users' requests and their answers.
+//! Any controller to the leader of a job, and back: forwarded user requests and their replies.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
 /// A user's request.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub enum UserRequest {
-    /// Submit: the job's id, and the checked body as the user sent it.
+    /// Submit a job: its id, and the validated body as the user sent it.
     Submit(String, String),
     /// Query a job.
     Query(String),
     /// Cancel a job.
     Withdraw(String),
-    /// From form 4 on: why a job waits.
+    /// Since format version 4: query why a job waits.
     Why(String),
-    /// From form 4 on: whether a task's attempt may write, as `ATTEMPT/TASK`. Text, so that the older kinds keep
-    /// their layout.
+    /// Since format version 4: query whether an attempt of a task may write its output. The second field is
+    /// `ATTEMPT/TASK`, as text so that the layout of the older variants stays the same.
     Permit(String, String),
 }
 
 impl UserRequest {
-    /// What it asks for, for logs.
+    /// The kind of the request, for logs.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The job it is about.
+    /// The id of the job that the request is about.
     #[must_use]
     pub fn job(&self) -> &str {
         match self {
@@ -44,31 +44,31 @@
     }
 }
 
-/// An answer to a user or agent.
+/// A reply to a user or a worker.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
     /// JSON.
     pub body: String,
-    /// Seconds after which to come back.
+    /// Seconds after which the client should retry.
     pub retry_after: Option<u32>,
 }
 
 impl Reply {
-    /// An answer with a body.
+    /// A reply with a JSON body.
     #[must_use]
     pub fn json(status: u16, body: &serde_json::Value) -> Reply {
         Reply { status, body: body.to_string(), retry_after: None }
     }
 
-    /// An error with its reason.
+    /// An error reply with its reason.
     #[must_use]
     pub fn error(status: u16, reason: &str) -> Reply {
         Reply::json(status, &serde_json::json!({ "error": reason }))
     }
 
-    /// Not now; come back.
+    /// A 503 reply that asks the client to retry after a second.
     #[must_use]
     pub fn later(reason: &str) -> Reply {
         Reply { retry_after: Some(1), ..Reply::error(503, reason) }
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -1,18 +1,19 @@
-//! Quota: what each job may use of its team's limit, which work lies within its team's guarantee, and what may be
-//! preempted for whom.
+//! Quota: how much of its team's limit each job may use, which jobs are within their team's guarantee, and which tasks
+//! may be preempted for which work.
 //!
-//! - `ledger` keeps the teams' records as last seen and follows the writes to them.
-//! - `allocation` works out the next change of a record.
-//! - `allocation_notes` is the form of an entry in a record.
-//! - `tier` holds the rules of fair share and preemption.
+//! - `ledger` caches the teams' records and tracks the writes to them.
+//! - `allocation` computes the next change of a record.
+//! - `allocation_notes` is the format of an entry in a record.
+//! - `tier` has the rules of fair share and preemption.
 //!
-//! Allocations are batched: a job is allotted room in its team's record before any of its tasks starts, and the room is
-//! given back only when the tasks are known to be gone. They are kept by job, not by controller: when a job changes its
-//! leader its allocation goes along. The record also says in which order a team's jobs came, so that all controllers
-//! agree on which lie within the guarantee, and for which job others are to leave room.
+//! A team's record in the state store holds the allocations of its jobs. Resources are allocated to a job before
+//! any of its tasks starts, and are released only when the tasks are known to be gone. Allocations belong to jobs,
+//! not to controllers, so they stay valid when a job changes its leader. The record also holds the order in which the
+//! jobs were accepted, so that all controllers agree on which jobs are within the guarantee, and the requests of jobs
+//! for which other controllers must leave resources free.
 //!
-//! Each controller writes for the jobs that it leads, by compare-and-swap. It must never let a job start more than the
-//! least that any write which may yet be applied leaves it.
+//! Each controller changes the entries of the jobs that it leads, by compare-and-swap. It must never let a job use more
+//! than the smallest allocation that the record and any write that may still be applied leave it.
 
 mod allocation;
 mod allocation_notes;
@@ -24,10 +25,10 @@
 
 use crate::units::Resources;
 
-/// What a team or job without a limit may use: so much that sums of it don't overflow.
+/// The limit of a team without one. Small enough that sums of it don't overflow.
 const UNLIMITED: i64 = i64::MAX / 4;
 
-/// `from` without `taken`. Memory is not limited.
+/// `from` minus `taken`, with unlimited memory, because quotas don't limit memory.
 fn remaining(from: Resources, taken: Resources) -> Resources {
     Resources { memory: UNLIMITED, ..from - taken }
 }
--- a/src/quota/allocation.rs
+++ b/src/quota/allocation.rs
@@ -1,4 +1,4 @@
-//! The next change of a team's record: what is given back, what is allotted anew, and for whom room is left.
+//! Computes the next change of a team's record: released resources, new allocations, and requests of waiting jobs.
 
 use super::allocation_notes::{AllocationNote, QueuePlace, QuotaRequest};
 use super::ledger::TeamQuota;
@@ -8,36 +8,36 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long room that nobody lacks may stay allotted.
+/// Least time from a write to one that only releases resources, while the team is far from its limit.
 const RELAXED_RELEASE_INTERVAL: Micros = Micros::from_millis(20_000);
-/// How soon room that somebody waits for is given back.
+/// Least time from a write to one that only releases resources, while a job of another controller waits for quota.
 const URGENT_RELEASE_INTERVAL: Micros = Micros::from_millis(1_000);
-/// How often what a job waits for is put on record again: a controller of the first version takes it out with every
-/// write, and the two must not take turns at it.
+/// Least time between two writes of a job's request. A controller of version 1 drops requests with every write, so
+/// without this limit the two controllers would overwrite each other all the time.
 const REQUEST_INTERVAL: Micros = Micros::from_millis(20_000);
-/// Most bytes that an allocation takes in a record, beside the job's name.
+/// Most bytes of a new entry in a record, without the job's id.
 const ENTRY_BYTES: usize = 64;
-/// Most bytes by which one becomes longer when it grows.
+/// Most bytes by which an entry becomes longer when its allocation grows.
 const GROWTH_BYTES: usize = 8;
 
-/// What one job could use.
+/// The resources that one job uses and could use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaNeed {
     /// The job.
     pub job: String,
-    /// What one task takes.
+    /// Resources of one task.
     pub per_task: Resources,
-    /// What its tasks use now, unresolved and exiting ones included.
+    /// Resources used by its tasks now, including unresolved and exiting ones.
     pub in_use: Resources,
-    /// Whether that is all: false while machines that may hold tasks of it have not been heard.
+    /// Whether `in_use` is complete. False while machines that may hold tasks of the job have not sent a heartbeat.
     pub is_settled: bool,
     /// How many more tasks could be started.
     pub more_tasks: i64,
-    /// Whether all of them are needed at once.
+    /// Whether all of these tasks must start together, as in a gang.
     pub all_or_nothing: bool,
     /// The job's priority.
     pub priority: u8,
-    /// When it was accepted, by the time of day.
+    /// When it was accepted, in wall-clock time.
     pub accepted: Micros,
 }
 
@@ -46,7 +46,7 @@
         Resources { memory: 0, ..self.in_use + self.per_task.times(self.more_tasks) }
     }
 
-    /// Its place among jobs that wait for the team's room.
+    /// Its place in the queue for the team's quota.
     fn place(&self) -> QueuePlace<'_> {
         QueuePlace {
             priority: Reverse(self.priority),
@@ -56,17 +56,18 @@
     }
 }
 
-/// What a change of a team's record is worked out from.
+/// Input for computing a change of a team's record.
 pub struct AllocationInput<'a> {
     /// The team.
     pub team: &'a str,
-    /// Our live jobs, in the order in which they should get room.
+    /// The live jobs that this controller leads, in the order in which they should get resources.
     pub needs: &'a [QuotaNeed],
     /// Whether this controller leads the job.
     pub is_ours: &'a dyn Fn(&str) -> bool,
-    /// Whether an allocation may be dropped for a job of ours that is not live: all its tasks must be gone.
+    /// Whether the allocation of a job that this controller leads and that is no longer live may be released, because
+    /// all its tasks are gone.
     pub is_released: &'a dyn Fn(&str) -> bool,
-    /// Most bytes that a record may have.
+    /// Maximum size of a record in bytes.
     pub value_bytes: usize,
 }
 
@@ -75,40 +76,40 @@
 pub struct AllocationWrite {
     /// The team.
     pub team: String,
-    /// The record's version that it builds on.
+    /// The version of the record to which the change applies.
     pub base_version: u64,
-    /// The new record.
+    /// The new record, encoded.
     pub value: Value,
-    /// The same, for when it is committed.
+    /// The allocations in the new record.
     pub allocations: BTreeMap<String, Resources>,
     pub(super) notes: BTreeMap<String, AllocationNote>,
 }
 
-/// A job of another controller that waits for room.
+/// A job of another controller that waits for quota.
 #[derive(Clone, Copy)]
 struct WaitingJob<'a> {
     place: QueuePlace<'a>,
     lacking: Resources,
 }
 
-/// One pass over a team's record.
+/// One computation of a change of a team's record.
 pub(super) struct AllocationPass<'a> {
     team: &'a TeamQuota,
     input: &'a AllocationInput<'a>,
-    /// The allocations as they are to be.
+    /// The new allocations.
     allocations: BTreeMap<String, Resources>,
     notes: BTreeMap<String, AllocationNote>,
-    /// Jobs of other controllers that wait for room, those that are to have it first in front.
+    /// Jobs of other controllers that wait for quota, in the order of the queue.
     waiting: Vec<WaitingJob<'a>>,
-    /// Room that nobody is allotted.
+    /// Quota that is not allocated.
     free: Resources,
-    /// How much was given back.
+    /// Quota that was released.
     released: Resources,
-    /// Whether a job was allotted more.
+    /// Whether an allocation was increased.
     has_grown: bool,
-    /// The first of our jobs that needs all at once and lacks some.
+    /// The first job led by this controller that needs all its resources at once and lacks some.
     requester: Option<&'a QuotaNeed>,
-    /// How long the record is, at the most.
+    /// Upper bound of the size of the new record.
     bytes: usize,
 }
 
@@ -128,26 +129,27 @@
         }
     }
 
-    /// The change that the record needs, if it is worth a write now.
+    /// Computes the change of the record. None if no write is needed now.
     pub(super) fn run(mut self, now: Micros) -> Option<AllocationWrite> {
         self.drop_ended();
         self.shrink_unused();
-        self.forget_requests();
+        self.clear_requests();
         let used = sum(self.allocations.values());
         self.free = remaining(self.team.limit, used);
-        // Without a count of the bytes, jobs that a record has no space for would keep even what shrinks from being
-        // written.
-        self.bytes = record(&self.allocations, &self.notes).to_string().len();
+        // The size is tracked because a record that grows beyond the limit can't be written at all, so not even
+        // released resources could be stored.
+        self.bytes = encode_record(&self.allocations, &self.notes).to_string().len();
         for index in 0..self.input.needs.len() {
-            self.grow(index);
+            self.grow_allocation(index);
         }
-        self.leave_room();
+        self.release_for_waiting_jobs();
         self.complete_notes();
-        if !self.is_worth_a_write(now, used) {
+        if !self.is_write_due(now, used) {
             return None;
         }
-        let value = record(&self.allocations, &self.notes);
-        // A record from before the limit on values fell may be too long still: it waits until more jobs have ended.
+        let value = encode_record(&self.allocations, &self.notes);
+        // A record written before the limit was lowered may still be too long. It is written after more jobs have
+        // ended.
         if value.to_string().len() > self.input.value_bytes {
             return None;
         }
@@ -160,21 +162,22 @@
         })
     }
 
-    /// Drops the allocations of our jobs that have ended and all of whose tasks are gone.
+    /// Drops the allocations of jobs led by this controller that have ended and whose tasks are all gone.
     fn drop_ended(&mut self) {
         let AllocationInput { needs, is_ours, is_released, .. } = self.input;
         let live: BTreeSet<&str> = needs.iter().map(|need| need.job.as_str()).collect();
         self.allocations.retain(|job, allocation| {
-            let stays = !is_ours(job) || live.contains(job.as_str()) || !is_released(job);
-            if !stays {
+            let is_kept = !is_ours(job) || live.contains(job.as_str()) || !is_released(job);
+            if !is_kept {
                 self.released = self.released + *allocation;
             }
-            stays
+            is_kept
         });
     }
 
-    /// Shrinks what is no longer of use, but only down to what is in use. What that is must be known: tasks on machines
-    /// that have not been heard since a failover use room too, whatever is asked for the job meanwhile.
+    /// Shrinks allocations that a job no longer needs, but never below the resources in use. Jobs whose use is not
+    /// known completely are skipped: tasks on machines that have not sent a heartbeat since a failover use resources
+    /// too.
     fn shrink_unused(&mut self) {
         for need in self.input.needs.iter().filter(|need| need.is_settled) {
             let Some(allocation) = self.allocations.get_mut(&need.job) else { continue };
@@ -185,8 +188,8 @@
         }
     }
 
-    /// Forgets what our own jobs waited for, which is worked out anew.
-    fn forget_requests(&mut self) {
+    /// Clears the requests of jobs led by this controller, since they are computed again.
+    fn clear_requests(&mut self) {
         let (is_ours, allocations) = (self.input.is_ours, &self.allocations);
         self.notes.retain(|job, note| {
             if is_ours(job) {
@@ -196,39 +199,39 @@
         });
     }
 
-    /// Allots to the job of this index what it lacks, or as much of that as is of use to it. Jobs that the record has no
-    /// space for wait until others are done.
-    fn grow(&mut self, index: usize) {
+    /// Allocates to the job at `index` the resources that it lacks, or the part of them that it can use. A job for
+    /// which the record has no space waits until other jobs have ended.
+    fn grow_allocation(&mut self, index: usize) {
         let need = &self.input.needs[index];
         let is_new = !self.allocations.contains_key(&need.job);
         let added_bytes = if is_new { need.job.len() + ENTRY_BYTES } else { GROWTH_BYTES };
         if self.bytes + added_bytes > self.input.value_bytes {
             return;
         }
-        let held = self.allocations.get(&need.job).copied().unwrap_or_default();
-        let lacking = need.target() - held;
+        let current = self.allocations.get(&need.job).copied().unwrap_or_default();
+        let lacking = need.target() - current;
         let lacking = Resources { cpus: lacking.cpus.max(0), gpus: lacking.gpus.max(0), memory: 0 };
         if lacking.cpus <= 0 && lacking.gpus <= 0 {
             return;
         }
-        // What less urgent jobs of ours don't use goes to one that can't do with less.
+        // A job that needs all its resources at once gets the unused allocations of less urgent jobs.
         if need.all_or_nothing && !self.free.holds(lacking) {
-            self.take_back(self.input.needs[index + 1..].iter(), lacking);
+            self.release_unused(self.input.needs[index + 1..].iter(), lacking);
         }
         let Some(added) = self.available_to(need, lacking) else {
-            self.note_requester(need, lacking);
+            self.set_requester(need, lacking);
             return;
         };
         if added.cpus > 0 || added.gpus > 0 {
             self.free = self.free - added;
             self.bytes += added_bytes;
-            self.allocations.insert(need.job.clone(), held + added);
+            self.allocations.insert(need.job.clone(), current + added);
             self.has_grown = true;
         }
     }
 
-    /// How much of what a job lacks it can have, beside what is left to other controllers' jobs that come first; None if
-    /// it needs all of it and that is not there.
+    /// How much of the resources that a job lacks it can get, without those left for earlier jobs of other controllers.
+    /// None if it needs all of them and not all are available.
     fn available_to(&self, need: &QuotaNeed, lacking: Resources) -> Option<Resources> {
         let place = need.place();
         let earlier = self.waiting.iter().filter(|job| job.place < place).map(|job| &job.lacking);
@@ -243,40 +246,40 @@
         }
     }
 
-    /// Keeps room for the first of our jobs that needs all at once. Otherwise it might never begin: smaller ones would
-    /// take each bit of room that comes free, here and on other controllers, and it would never be enough at one time.
-    fn note_requester(&mut self, need: &'a QuotaNeed, lacking: Resources) {
+    /// Reserves resources for the first job that needs all of them at once and lacks some. Otherwise it might never
+    /// start: smaller jobs, here and on other controllers, would take all released resources before there are enough.
+    fn set_requester(&mut self, need: &'a QuotaNeed, lacking: Resources) {
         if self.requester.is_none() && self.team.limit.holds(need.target()) {
             self.requester = Some(need);
             self.free = remaining(self.free, lacking);
         }
     }
 
-    /// Gives what less urgent jobs of ours don't use to those of other controllers that wait.
-    fn leave_room(&mut self) {
+    /// Releases the unused allocations of less urgent jobs for waiting jobs of other controllers.
+    fn release_for_waiting_jobs(&mut self) {
         let needs = self.input.needs;
         for WaitingJob { place, lacking } in self.waiting.clone() {
             if !self.free.holds(lacking) {
-                self.take_back(needs.iter().filter(|need| need.place() > place), lacking);
+                self.release_unused(needs.iter().filter(|need| need.place() > place), lacking);
             }
             self.free = remaining(self.free, lacking);
         }
     }
 
-    /// Takes back what `from`, the last first, are allotted and don't use, until there is room for `lacking`.
-    /// Allocations never shrink below what is in use.
-    fn take_back(&mut self, from: impl DoubleEndedIterator<Item = &'a QuotaNeed>, lacking: Resources) {
+    /// Releases unused allocations of the jobs in `from`, the last one first, until `lacking` is free. Allocations
+    /// never shrink below the resources in use.
+    fn release_unused(&mut self, from: impl DoubleEndedIterator<Item = &'a QuotaNeed>, lacking: Resources) {
         for need in from.rev() {
             if self.free.holds(lacking) {
                 return;
             }
-            // Guards against an allocation below what runs: of a job taken over, tasks that we don't know of may be
-            // alive.
+            // Prevents an allocation below the actual use: a job taken over from another leader may have running tasks
+            // that this controller has no record of yet.
             if !need.is_settled {
                 continue;
             }
             let Some(allocation) = self.allocations.get_mut(&need.job) else { continue };
-            // Of a gang's allocation a part is of no use to it.
+            // A gang can't use a part of its allocation, so all of it is released.
             let kept = if need.all_or_nothing {
                 Resources::default()
             } else {
@@ -289,7 +292,7 @@
         }
     }
 
-    /// Writes down when our jobs were accepted, and what the first of them waits for.
+    /// Records when the jobs led by this controller were accepted, and the request of the requester.
     fn complete_notes(&mut self) {
         self.allocations.retain(|_, allocation| allocation.cpus > 0 || allocation.gpus > 0);
         for need in self.input.needs.iter().filter(|need| self.allocations.contains_key(&need.job)) {
@@ -297,8 +300,8 @@
             note.accepted = Some(tier::accepted_seconds(need.accepted));
         }
         if let Some(need) = self.requester {
-            let held = self.allocations.get(&need.job).copied().unwrap_or_default();
-            let request = QuotaRequest { lacking: need.target() - held, priority: need.priority };
+            let current = self.allocations.get(&need.job).copied().unwrap_or_default();
+            let request = QuotaRequest { lacking: need.target() - current, priority: need.priority };
             let accepted = Some(tier::accepted_seconds(need.accepted));
             self.notes.insert(need.job.clone(), AllocationNote { accepted, request: Some(request) });
         }
@@ -306,27 +309,28 @@
         self.notes.retain(|job, note| allocations.contains_key(job) || note.request.is_some());
     }
 
-    fn is_worth_a_write(&self, now: Micros, used: Resources) -> bool {
-        // A write whose fate is unknown binds us to the lesser of two allocations until the version moves on.
-        let is_due = self.team.needs_settling(now) || self.has_new_request(now);
-        is_due || (self.allocations != self.team.allocations && !self.can_wait(now, used))
+    fn is_write_due(&self, now: Micros, used: Resources) -> bool {
+        // A write with an unknown outcome limits jobs to the smaller of two allocations until the version increases.
+        let is_due = self.team.is_settling_due(now) || self.has_changed_requests(now);
+        is_due || (self.allocations != self.team.allocations && !self.can_be_delayed(now, used))
     }
 
-    /// What a job waits for is worth a write, but not over and over.
-    fn has_new_request(&self, now: Micros) -> bool {
+    /// Whether the set of requesting jobs has changed. Added requests are rate-limited, see `REQUEST_INTERVAL`.
+    fn has_changed_requests(&self, now: Micros) -> bool {
         let requesters = |notes: &BTreeMap<String, AllocationNote>| -> Vec<String> {
-            let ours = notes.iter().filter(|(job, note)| note.request.is_some() && (self.input.is_ours)(job));
-            ours.map(|(job, _)| job.clone()).collect()
+            let local_requests =
+                notes.iter().filter(|(job, note)| note.request.is_some() && (self.input.is_ours)(job));
+            local_requests.map(|(job, _)| job.clone()).collect()
         };
         let (before, after) = (requesters(&self.team.notes), requesters(&self.notes));
         before.iter().any(|job| !after.contains(job))
             || (before != after && self.team.last_request.is_none_or(|at| now >= at + REQUEST_INTERVAL))
     }
 
-    /// A change that only gives room back can wait and be lumped together, or go along with one that takes some. Where
-    /// nobody is near the limit, for long: with many teams such changes would take most of the write budget, and jobs'
-    /// ends would wait for theirs.
-    fn can_wait(&self, now: Micros, used: Resources) -> bool {
+    /// Whether the change only releases resources and can be delayed, so that it is batched with others or combined
+    /// with a new allocation. The delay is long while the team is far from its limit: with many teams such changes
+    /// would use most of the write budget and delay the records of ended jobs.
+    fn can_be_delayed(&self, now: Micros, used: Resources) -> bool {
         if self.has_grown {
             return false;
         }
@@ -345,7 +349,7 @@
     }
 }
 
-/// The jobs of other controllers that wait for room which the team's limit allows.
+/// The jobs of other controllers that wait for quota and fit into the team's limit.
 fn waiting_jobs<'a>(team: &'a TeamQuota, input: &AllocationInput) -> Vec<WaitingJob<'a>> {
     let others = team.notes.iter().filter(|(job, _)| !(input.is_ours)(job));
     let waiting = others.filter_map(|(job, note)| {
@@ -357,13 +361,17 @@
     waiting
 }
 
-/// A team's record as it is stored.
-fn record(allocations: &BTreeMap<String, Resources>, notes: &BTreeMap<String, AllocationNote>) -> Value {
+/// Encodes a team's record.
+fn encode_record(
+    allocations: &BTreeMap<String, Resources>,
+    notes: &BTreeMap<String, AllocationNote>,
+) -> Value {
     let note = |job: &str| notes.get(job).copied().unwrap_or_default();
-    let allotted = allocations.iter().map(|(job, allocation)| (job.clone(), note(job).entry(*allocation)));
+    let allocated =
+        allocations.iter().map(|(job, allocation)| (job.clone(), note(job).encode_entry(*allocation)));
     let waiting = notes
         .iter()
         .filter(|(job, note)| note.request.is_some() && !allocations.contains_key(*job))
-        .map(|(job, note)| (job.clone(), note.entry(Resources::default())));
-    Value::Object(allotted.chain(waiting).collect())
+        .map(|(job, note)| (job.clone(), note.encode_entry(Resources::default())));
+    Value::Object(allocated.chain(waiting).collect())
 }
--- a/src/quota/allocation_notes/tests.rs
+++ b/src/quota/allocation_notes/tests.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Two job shards with jobs of one team, and what the record says.
+/// Two job shards with jobs of one team, and the team's record with its version.
 struct TwoShards {
     ledgers: [QuotaLedger; 2],
     store: (Value, u64),
@@ -19,8 +19,8 @@
             for team in ledger.next_reads(now, &all) {
                 ledger.apply_record(&team, Some((&self.store.0, self.store.1)));
             }
-            let mine = |j: &str| j.starts_with(["a", "b"][shard]);
-            let Some(write) = next_write(ledger, now, needs, mine, |_| true) else { continue };
+            let is_led_locally = |job: &str| job.starts_with(["a", "b"][shard]);
+            let Some(write) = next_write(ledger, now, needs, is_led_locally, |_| true) else { continue };
             ledger.begin_write(now, &write);
             if write.base_version == self.store.1 {
                 self.store = (write.value.clone(), write.base_version + 1);
@@ -32,41 +32,46 @@
     }
 }
 
-/// Arrays of a team must not take each bit of room that comes free, or hold all of it in vain, so that its gangs never
-/// get enough at one time.
+/// A gang must get its resources even if job arrays of its team take every resource that is released, or hold unused
+/// allocations of the whole limit.
 #[test]
-fn gang_gets_its_teams_room_however_many_small_jobs_there_are() {
-    for held_in_vain in [true, false] {
+fn gang_gets_quota_despite_competing_small_jobs() {
+    for holds_unused in [true, false] {
         let mut two = TwoShards {
             ledgers: [QuotaLedger::new(&team(10.0)), QuotaLedger::new(&team(10.0))],
             store: (json!({}), 1),
         };
-        let (mut running, mut at) = (0, None);
-        for s in 1..120u64 {
-            // The array of the second shard runs what it may, one task of it ends each second, and more come.
-            if !held_in_vain {
-                let may = two.ledgers[1].usable("t", "b1").cpus / 1000;
-                running = (running - 1).max(0).max(may.min(running + 2));
-                running = if s % 3 == 0 { running - 1 } else { running }.max(0);
+        let (mut running, mut allocated_at) = (0, None);
+        for second in 1..120u64 {
+            // The array of the second shard has many waiting tasks and starts a few of them each second, as far as its
+            // quota allows. One or two of its tasks end each second.
+            if !holds_unused {
+                let allowed = two.ledgers[1].usable("t", "b1").cpus / 1000;
+                running = (running - 1).max(0).max(allowed.min(running + 2));
+                running = if second % 3 == 0 { running - 1 } else { running }.max(0);
             }
             let array = QuotaNeed { priority: 0, ..need("b1", running, 50, false) };
             let gang = QuotaNeed { accepted: Micros(9_000_000), ..need("a1", 0, 8, true) };
-            let gang: &[QuotaNeed] = if s > 20 { std::slice::from_ref(&gang) } else { &[] };
-            two.round(Micros::from_millis(s * 1000), [gang, &[array]]);
+            let gang: &[QuotaNeed] = if second > 20 { std::slice::from_ref(&gang) } else { &[] };
+            two.round(Micros::from_millis(second * 1000), [gang, &[array]]);
             let allocated = two.ledgers[0].allocation("t", "a1").cpus;
-            let sum: i64 = two.store.0.as_object().unwrap().values().map(|v| v[0].as_i64().unwrap()).sum();
-            assert!(sum <= 10_000, "{}", two.store.0);
+            let total: i64 = two.store.0.as_object().unwrap().values().map(|v| v[0].as_i64().unwrap()).sum();
+            assert!(total <= 10_000, "{}", two.store.0);
             if allocated == 8000 {
-                at = at.or(Some(s));
+                allocated_at = allocated_at.or(Some(second));
             }
         }
-        assert!(at.is_some_and(|s| s < 80), "held in vain: {held_in_vain}: {at:?}");
+        assert!(
+            allocated_at.is_some_and(|second| second < 80),
+            "unused allocations: {holds_unused}: {allocated_at:?}"
+        );
     }
 }
 
-/// The allocation of a job taken over covers tasks that its new leader doesn't know of yet.
+/// The allocation of a job taken over from another leader must also cover running tasks of which its new leader has no
+/// record yet.
 #[test]
-fn room_is_not_given_back_while_tasks_may_run_that_nobody_knows_of() {
+fn quota_is_not_released_while_unknown_tasks_may_run() {
     for settled in [true, false] {
         let mut ledger = QuotaLedger::new(&team(10.0));
         ledger.apply_record("t", Some((&json!({"a": [10_000, 0, 5], "b": [0, 0, 6, 8000, 0, 1]}), 4)));
@@ -76,26 +81,26 @@
         assert_eq!(
             write.map(|write| write.allocations["a"].cpus),
             settled.then_some(2000),
-            "what the gang lacks, and no more"
+            "exactly the resources that the gang lacks are released"
         );
     }
 }
 
-/// The first version reads two numbers of an allocation and writes two.
+/// Controllers of version 1 read only the first two numbers of an entry and write only these.
 #[test]
 fn record_without_the_order_of_jobs_is_read_and_completed() {
-    let mut s = team(10.0);
-    s[0].cpus = 6.0;
-    let mut ledger = QuotaLedger::new(&s);
+    let mut teams = team(10.0);
+    teams[0].cpus = 6.0;
+    let mut ledger = QuotaLedger::new(&teams);
     ledger.apply_record("t", Some((&json!({"a": [5000, 0], "z": [3000, 0], "w": [0, 0]}), 4)));
     let tier = |ledger: &QuotaLedger, job: &str| {
-        let at = if job == "a" { 5_000_000 } else { 7_000_000 };
-        ledger.tier_of("t", job, Micros(at), Resources::default())
+        let accepted_us = if job == "a" { 5_000_000 } else { 7_000_000 };
+        ledger.tier_of("t", job, Micros(accepted_us), Resources::default())
     };
-    assert_eq!(tier(&ledger, "a"), QuotaTier::Unknown, "whether the other came first is not said");
+    assert_eq!(tier(&ledger, "a"), QuotaTier::Unknown, "the record does not say which job is earlier");
     let late = Micros::from_millis(60_000);
     let none = next_write(&ledger, late, &[need("a", 5, 0, false)], |j| j == "a", |_| true);
-    assert!(none.is_none(), "the order alone is not worth a write");
+    assert!(none.is_none(), "a missing order alone does not cause a write");
     let write = next_write(&ledger, late, &[need("a", 5, 1, false)], |j| j == "a", |_| true).unwrap();
     assert_eq!(write.value, json!({"a": [6000, 0, 5], "z": [3000, 0]}));
     ledger.apply_record("t", Some((&json!({"a": [3000, 0, 5], "z": [3000, 0, 7]}), 5)));
--- a/src/quota/ledger.rs
+++ b/src/quota/ledger.rs
@@ -1,4 +1,4 @@
-//! The teams' records as last seen, and the writes to them that are under way.
+//! Cache of the teams' records, and the state of the writes to them.
 
 use super::allocation::{AllocationInput, AllocationPass, AllocationWrite, QuotaNeed};
 use super::allocation_notes::AllocationNote;
@@ -9,52 +9,52 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// How often a record is read while a job of ours lacks room.
+/// How often a record is read while a job led by this controller lacks quota.
 const READ_INTERVAL: Micros = Micros::from_millis(2_000);
-/// How often the record of a team that has little left is read for what other controllers' jobs wait for.
+/// How often the record of a team near its limit is read to find the requests of other controllers' jobs.
 const CROWDED_READ_INTERVAL: Micros = Micros::from_millis(10_000);
-/// How long small changes of a record wait after a write.
+/// How long small changes of a record are delayed after a write.
 const WRITE_INTERVAL: Micros = Micros::from_millis(3_000);
 
-/// A write that may be applied, now or later: only while the record is at the version that it builds on.
+/// A write that may be applied now or later, as long as the record is at the write's base version.
 #[derive(Clone, Debug)]
 struct UnsettledWrite {
     base_version: u64,
-    /// What it leaves each job.
+    /// The allocations after the write, by job.
     allocations: BTreeMap<String, Resources>,
 }
 
-/// A team's limit and what its record says.
+/// A team's limit and guarantee, and the contents of its record.
 #[derive(Clone, Debug)]
 pub(super) struct TeamQuota {
     pub(super) limit: Resources,
     guarantee: Resources,
-    /// By job, what it may use.
+    /// The allocations, by job.
     pub(super) allocations: BTreeMap<String, Resources>,
-    /// By job, what else the record says of it.
+    /// The other parts of the entries, by job.
     pub(super) notes: BTreeMap<String, AllocationNote>,
     pub(super) version: u64,
     /// Whether the record has been read in this epoch.
     is_read: bool,
-    /// Whether a request for the record is out.
+    /// Whether a read or write of the record is in flight.
     is_busy: bool,
-    /// The write under way.
+    /// The write in flight.
     in_flight: Option<UnsettledWrite>,
-    /// Writes on top of this version that got no answer and may yet be applied, and the least that they leave each job:
-    /// until the version moves on, nothing may be started beyond that.
+    /// The writes that got no answer and may still be applied, combined: the latest base version, and the smallest
+    /// allocation of each job. Until the record's version exceeds the base version, jobs may use no more than that.
     unanswered: Option<UnsettledWrite>,
-    /// When the record may next be read to see whether others gave room back.
+    /// When the record may be read again to see whether other controllers have released resources.
     next_read: Micros,
     pub(super) next_write: Micros,
     pub(super) last_write: Micros,
-    /// When we last put on record what a job of ours waits for.
+    /// When this controller last wrote a request of one of its jobs.
     pub(super) last_request: Option<Micros>,
 }
 
 impl TeamQuota {
     fn new(settings: &TeamSettings) -> TeamQuota {
         TeamQuota {
-            limit: limit(settings.cpus_max, settings.gpus_max),
+            limit: team_limit(settings.cpus_max, settings.gpus_max),
             guarantee: Resources::need(settings.cpus, settings.gpus, 0.0),
             allocations: BTreeMap::new(),
             notes: BTreeMap::new(),
@@ -70,13 +70,13 @@
         }
     }
 
-    /// Whether a write may go out: the record has been read, and nothing is under way.
+    /// Whether a write may be sent: the record has been read, and no request is in flight.
     pub(super) fn can_write(&self) -> bool {
         self.is_read && !self.is_busy
     }
 
-    /// Whether writing again, even the same, would settle a write whose fate is unknown.
-    pub(super) fn needs_settling(&self, now: Micros) -> bool {
+    /// Whether a write with unknown outcome should be settled by another write, even one without changes.
+    pub(super) fn is_settling_due(&self, now: Micros) -> bool {
         self.unanswered.is_some() && now >= self.next_write
     }
 
@@ -84,12 +84,12 @@
         sum(self.allocations.values())
     }
 
-    /// Nobody knows what became of the write under way: it binds beside those that have no answer already.
+    /// Adds the write in flight to the unanswered writes, because its outcome is unknown.
     fn mark_unanswered(&mut self) {
         let Some(mut write) = self.in_flight.take() else { return };
         if let Some(older) = &self.unanswered {
-            // Each of them can be applied only on its own version. The record is at one of the two at most, and which
-            // is seen when it is read.
+            // Each write can be applied only at its own base version. The record can be at no more than one of the two
+            // versions, which the next read shows.
             write.allocations.retain(|job, allocation| {
                 let Some(left) = older.allocations.get(job) else { return false };
                 *allocation = Resources { memory: 0, ..Resources::min(*allocation, *left) };
@@ -100,7 +100,7 @@
         self.unanswered = Some(write);
     }
 
-    /// The record is at this version: what builds on an older one has been applied, or never will be.
+    /// Drops the writes with an older base version than the record's version: they have been applied, or never will be.
     fn settle_older(&mut self, version: u64) {
         for write in [&mut self.in_flight, &mut self.unanswered] {
             if write.as_ref().is_some_and(|write| version > write.base_version) {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The least that the record and every write which may be applied leave a job.
+    /// The smallest allocation of a job in the record and in all writes that may still be applied.
     fn usable(&self, job: &str) -> Resources {
         let unsettled = [&self.in_flight, &self.unanswered].into_iter().flatten();
         let recorded = self.allocations.get(job).copied().unwrap_or_default();
@@ -120,24 +120,24 @@
     }
 }
 
-/// What a team has in the settings and on record.
+/// A team's guarantee in the settings and its stored allocations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamUsage<'a> {
     /// The team.
     pub team: &'a str,
     /// Its guarantee.
     pub guarantee: Resources,
-    /// What its jobs are allotted.
+    /// Sum of the allocations of its jobs.
     pub allocated: Resources,
 }
 
-/// The teams' records as last seen.
+/// Cache of the teams' records.
 pub struct QuotaLedger {
     teams: BTreeMap<String, TeamQuota>,
 }
 
 impl QuotaLedger {
-    /// Nothing read yet.
+    /// Creates a ledger that has not read any record.
     #[must_use]
     pub fn new(settings: &[TeamSettings]) -> QuotaLedger {
         let teams = settings.iter().map(|team| (team.name.clone(), TeamQuota::new(team)));
@@ -150,7 +150,8 @@
         self.teams.keys().cloned().collect()
     }
 
-    /// Whether the team has a limit or a guarantee at all; without either nothing is allotted.
+    /// Whether the team has a limit or a guarantee. Without either its jobs need no allocations. True for unknown
+    /// teams.
     #[must_use]
     pub fn is_limited(&self, team: &str) -> bool {
         self.has_guarantee(team)
@@ -166,8 +167,8 @@
         self.teams.get(team).is_some_and(|team| team.guarantee.cpus > 0 || team.guarantee.gpus > 0)
     }
 
-    /// How a job stands to its team's guarantee, by the record: beside all that the team's earlier jobs are allotted.
-    /// `need` is what it takes while it has no allocation on record.
+    /// Whether a job is within its team's guarantee according to the record, given the allocations of the team's
+    /// earlier jobs. `need` is used as the job's allocation while it has no stored allocation.
     #[must_use]
     pub fn tier_of(&self, team: &str, job: &str, accepted: Micros, need: Resources) -> QuotaTier {
         let Some(team) = self.teams.get(team) else { return QuotaTier::NoGuarantee };
@@ -180,7 +181,7 @@
         tier::tier_of(team.guarantee, (tier::accepted_seconds(accepted), job), taken, others)
     }
 
-    /// What the job may use now.
+    /// The resources that the job may use now.
     #[must_use]
     pub fn usable(&self, team: &str, job: &str) -> Resources {
         if !self.is_limited(team) {
@@ -190,19 +191,19 @@
         Resources { memory: UNLIMITED, ..usable }
     }
 
-    /// What one job is allotted on record.
+    /// The job's stored allocation.
     #[must_use]
     pub fn allocation(&self, team: &str, job: &str) -> Resources {
         self.teams.get(team).and_then(|team| team.allocations.get(job)).copied().unwrap_or_default()
     }
 
-    /// What all jobs of a team are allotted on record.
+    /// Sum of the stored allocations of a team's jobs.
     #[must_use]
     pub fn allocated(&self, team: &str) -> Resources {
         self.teams.get(team).map(TeamQuota::allocated).unwrap_or_default()
     }
 
-    /// All teams, by name.
+    /// The usage of all teams, sorted by name.
     pub fn usage(&self) -> impl Iterator<Item = TeamUsage<'_>> {
         self.teams.iter().map(|(name, team)| TeamUsage {
             team: name,
@@ -211,7 +212,7 @@
         })
     }
 
-    /// A new epoch: all records must be read anew, and answers to older requests don't come any more.
+    /// Begins a new epoch: all records must be read again, and no answers to earlier requests will come.
     pub fn begin_epoch(&mut self) {
         for team in self.teams.values_mut() {
             team.mark_unanswered();
@@ -220,14 +221,14 @@
         }
     }
 
-    /// Takes a team's record and its version as the store has it, None if there is no record. A record that can't be
-    /// read counts as not read.
+    /// Applies a team's record and version as read from the store; None if there is no record. A malformed record
+    /// counts as not read.
     pub fn apply_record(&mut self, team: &str, record: Option<(&Value, u64)>) {
         let Some(quota) = self.teams.get_mut(team) else { return };
         quota.is_busy = false;
         let version = record.map_or(0, |(_, version)| version);
-        // Guards against an answer that was overtaken: a record only goes forward and is never taken away. What it says
-        // may be more than a job has been left since.
+        // Ignores an answer that arrives after a newer one. The version only increases and a record is never deleted,
+        // and an older record may hold larger allocations than jobs have now.
         if version < quota.version {
             return;
         }
@@ -239,7 +240,7 @@
         quota.allocations.clear();
         quota.notes.clear();
         for (job, entry) in entries {
-            let Some((allocation, note)) = AllocationNote::read_entry(entry) else {
+            let Some((allocation, note)) = AllocationNote::decode_entry(entry) else {
                 tracing::error!(team, job, "malformed quota allocation");
                 continue;
             };
@@ -253,7 +254,7 @@
         quota.settle_older(version);
     }
 
-    /// The record must be read again, as soon as possible.
+    /// Requires that the record is read again as soon as possible.
     pub fn require_read(&mut self, team: &str) {
         if let Some(team) = self.teams.get_mut(team) {
             team.is_busy = false;
@@ -262,8 +263,9 @@
         }
     }
 
-    /// Teams whose record is to be read now: not read in this epoch, or short of room that others may have given back.
-    /// Each of them counts as busy until `apply_record` or `require_read`.
+    /// The teams whose records must be read now: those not read in this epoch, those with a job that lacks quota which
+    /// other controllers may have released, and those near their limit with unused allocations that other jobs may have
+    /// requested. Each of them counts as busy until `apply_record` or `require_read`.
     #[must_use]
     pub fn next_reads(&mut self, now: Micros, needs: &BTreeMap<String, Vec<QuotaNeed>>) -> Vec<String> {
         let mut due = Vec::new();
@@ -273,16 +275,18 @@
             }
             let needs = needs.get(&name).map_or(&[][..], Vec::as_slice);
             let is_short = needs.iter().any(|need| self.is_short(&name, need));
-            let holds_unused = needs.iter().any(|need| {
+            let has_unused = needs.iter().any(|need| {
                 let allocation = Resources { memory: 0, ..self.allocation(&name, &need.job) };
                 !need.in_use.holds(allocation)
             });
             let Some(team) = self.teams.get_mut(&name) else { continue };
-            // Whoever holds allocations that it doesn't use hears of nothing that would make it read.
+            // A controller with unused allocations has no other reason to read the record and see the requests of
+            // others.
             let used = team.allocated();
             let is_crowded = used.cpus > team.limit.cpus / 4 * 3 || used.gpus > team.limit.gpus / 4 * 3;
-            let may_be_asked = holds_unused && is_crowded && now >= team.next_read + CROWDED_READ_INTERVAL;
-            if !team.is_busy && now >= team.next_read && (!team.is_read || is_short || may_be_asked) {
+            let is_request_check_due =
+                has_unused && is_crowded && now >= team.next_read + CROWDED_READ_INTERVAL;
+            if !team.is_busy && now >= team.next_read && (!team.is_read || is_short || is_request_check_due) {
                 team.next_read = now + READ_INTERVAL;
                 team.is_busy = true;
                 due.push(name);
@@ -291,14 +295,14 @@
         due
     }
 
-    /// Whether a job could start more tasks than it is allotted room for.
+    /// Whether a job could start more tasks than its allocation allows.
     fn is_short(&self, team: &str, need: &QuotaNeed) -> bool {
         let running = need.in_use.cpus / need.per_task.cpus.max(1);
         need.more_tasks > 0 && self.usable(team, &need.job).count_of(need.per_task) <= running
     }
 
-    /// The change that a team's record needs, if any, and if it may be written now. It counts only once `begin_write` is
-    /// called.
+    /// The next write of a team's record, if one is needed and may be sent now. It takes effect only when
+    /// `begin_write` is called.
     #[must_use]
     pub fn next_write(&self, now: Micros, input: &AllocationInput) -> Option<AllocationWrite> {
         let team = self.teams.get(input.team)?;
@@ -308,7 +312,7 @@
         AllocationPass::new(team, input).run(now)
     }
 
-    /// Notes that a write goes out.
+    /// Records that a write is sent.
     pub fn begin_write(&mut self, now: Micros, write: &AllocationWrite) {
         let Some(team) = self.teams.get_mut(&write.team) else { return };
         team.is_busy = true;
@@ -322,7 +326,7 @@
         team.next_write = now + WRITE_INTERVAL;
     }
 
-    /// A write was committed, and the record is at this version.
+    /// Records that a write was committed and the record is at this version.
     pub fn commit_write(&mut self, write: AllocationWrite, version: u64) {
         let Some(team) = self.teams.get_mut(&write.team) else { return };
         team.is_busy = false;
@@ -334,7 +338,8 @@
         team.settle_older(team.version);
     }
 
-    /// A write ended without effect (`is_certain`), or nobody knows how: the record is read again.
+    /// Records that a write failed. With `is_certain` it was not applied, otherwise its outcome is unknown. The
+    /// record is read again.
     pub fn fail_write(&mut self, write: &AllocationWrite, is_certain: bool) {
         self.require_read(&write.team);
         let Some(team) = self.teams.get_mut(&write.team) else { return };
@@ -344,8 +349,8 @@
         if !team.in_flight.as_ref().is_some_and(is_same) {
             return;
         }
-        // Guards against taking one write's end for that of another: an earlier one without an answer may be applied
-        // yet, whatever became of this one.
+        // Only the write in flight is settled. Earlier unanswered writes may still be applied, whatever the outcome of
+        // this one.
         if is_certain {
             team.in_flight = None;
         } else {
@@ -354,8 +359,9 @@
     }
 }
 
-/// A team's limit; what is not limited in the settings is unlimited.
-fn limit(cpus: f64, gpus: f64) -> Resources {
-    let part = |limit: f64| if limit > 0.0 { (limit * 1000.0 + 1e-6) as i64 } else { UNLIMITED };
-    Resources { cpus: part(cpus), gpus: part(gpus), memory: UNLIMITED }
+/// A team's limit. A value of 0 in the settings means unlimited.
+fn team_limit(cpus: f64, gpus: f64) -> Resources {
+    let limit_or_unlimited =
+        |limit: f64| if limit > 0.0 { (limit * 1000.0 + 1e-6) as i64 } else { UNLIMITED };
+    Resources { cpus: limit_or_unlimited(cpus), gpus: limit_or_unlimited(gpus), memory: UNLIMITED }
 }
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -4,10 +4,10 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-pub(super) fn team(max: f64) -> Vec<TeamSettings> {
-    vec![TeamSettings { name: "t".into(), cpus: 0.0, cpus_max: max, gpus: 0.0, gpus_max: 0.0 }]
+pub(super) fn team(cpus_max: f64) -> Vec<TeamSettings> {
+    vec![TeamSettings { name: "t".into(), cpus: 0.0, cpus_max, gpus: 0.0, gpus_max: 0.0 }]
 }
-pub(super) fn need(job: &str, in_use: i64, more: i64, whole: bool) -> QuotaNeed {
+pub(super) fn need(job: &str, in_use: i64, more_tasks: i64, all_or_nothing: bool) -> QuotaNeed {
     let per_task = Resources { cpus: 1000, gpus: 0, memory: 500 };
     let in_use = Resources { memory: 0, ..per_task.times(in_use) };
     QuotaNeed {
@@ -15,9 +15,9 @@
         per_task,
         in_use,
         is_settled: true,
-        more_tasks: more,
-        all_or_nothing: whole,
-        priority: u8::from(whole),
+        more_tasks,
+        all_or_nothing,
+        priority: u8::from(all_or_nothing),
         accepted: Micros(5_000_000),
     }
 }
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn two_shards_never_allot_more_than_the_limit() {
+fn two_shards_never_allocate_more_than_the_limit() {
     use rand::{RngExt, SeedableRng, rngs::StdRng};
     for seed in 0..30 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn write_of_unknown_fate_binds_until_it_is_settled() {
+fn write_with_unknown_outcome_limits_use_until_it_is_settled() {
     let mut ledger = QuotaLedger::new(&team(10.0));
     ledger.apply_record("t", Some((&json!({"a": [5000, 0]}), 4)));
     let late = Micros::from_millis(60_000);
@@ -76,7 +76,7 @@
     ledger.begin_write(late, &write);
     ledger.fail_write(&write, false);
     ledger.apply_record("t", Some((&json!({"a": [5000, 0]}), 4)));
-    assert_eq!(ledger.usable("t", "a").cpus, 2000, "the shrunken allocation may yet be applied");
+    assert_eq!(ledger.usable("t", "a").cpus, 2000, "the unanswered write may still be applied");
     let later = Micros::from_millis(70_000);
     let write =
         next_write(&ledger, later, &[need("a", 2, 3, false)], |_| true, |_| true).expect("written again");
@@ -85,33 +85,33 @@
     assert_eq!(ledger.usable("t", "a").cpus, 5000);
 }
 
-/// Many teams that give room back every few seconds on all controllers would take most of the write budget, and
-/// cancellations would wait to be put on record.
+/// If all controllers released resources of many teams every few seconds, these writes would use most of the write budget
+/// and delay the records of cancellations.
 #[test]
-fn room_that_nobody_lacks_is_given_back_in_batches() {
+fn unneeded_quota_is_released_in_batches() {
     let writes = |limit: f64| {
         let mut ledger = QuotaLedger::new(&team(limit));
         ledger.apply_record("t", Some((&json!({"a": [900_000, 0]}), 4)));
-        let (mut version, mut n) = (4, 0);
-        for s in 60..120u64 {
-            let now = Micros::from_millis(s * 1000);
-            let need = need("a", 900 - s as i64, 0, false);
+        let (mut version, mut write_count) = (4, 0);
+        for second in 60..120u64 {
+            let now = Micros::from_millis(second * 1000);
+            let need = need("a", 900 - second as i64, 0, false);
             let Some(write) = next_write(&ledger, now, &[need], |_| true, |_| true) else { continue };
             ledger.begin_write(now, &write);
-            (version, n) = (version + 1, n + 1);
+            (version, write_count) = (version + 1, write_count + 1);
             ledger.commit_write(write, version);
         }
-        n
+        write_count
     };
     assert_eq!(writes(4000.0), 3, "far from the limit");
-    assert_eq!(writes(1000.0), 20, "near it others may wait for the room");
+    assert_eq!(writes(1000.0), 20, "near the limit other jobs may wait for the resources");
 }
 
-/// An array that has begun long ago and whose tasks its new leader has yet to hear of may be taken for one that waits and
-/// asks for a first task alone. The rest of its allocation must not go to others while its tasks run
-/// (simulated cluster, seed 4539).
+/// After a failover a job array with running tasks may look to its new leader like a waiting job that needs only a first
+/// task, because the machines have not sent heartbeats yet. The rest of its allocation must not go to other jobs while
+/// its tasks run (simulated cluster, seed 4539).
 #[test]
-fn allocation_of_an_unsettled_job_never_shrinks() {
+fn allocation_never_shrinks_while_use_is_unknown() {
     for settled in [false, true] {
         let mut ledger = QuotaLedger::new(&team(10.0));
         ledger.apply_record("t", Some((&json!({"a": [8000, 0]}), 4)));
@@ -129,31 +129,31 @@
     ledger.apply_record("t", Some((&json!({"a": [5000, 0], "gone": [3000, 0]}), 4)));
     let late = Micros::from_millis(60_000);
     let write = next_write(&ledger, late, &[need("a", 4, 0, false)], |_| true, |_| false).unwrap();
-    assert_eq!(write.allocations["a"].cpus, 4000, "down to what is in use");
-    assert_eq!(write.allocations["gone"].cpus, 3000, "tasks not known to be gone");
+    assert_eq!(write.allocations["a"].cpus, 4000, "shrinks to the resources in use");
+    assert_eq!(write.allocations["gone"].cpus, 3000, "its tasks are not known to be gone");
     let write = next_write(&ledger, late, &[need("a", 4, 0, false)], |_| true, |_| true).unwrap();
     assert!(!write.allocations.contains_key("gone"));
     assert!(
         next_write(&ledger, late, &[need("a", 5, 9, true)], |_| true, |_| false).is_none(),
-        "a gang gets all or none"
+        "a gang gets all its resources or none"
     );
 }
 
-/// Writes go unanswered, are refused, or are applied late, after newer ones; reads are overtaken; epochs change: what runs
-/// never takes more than the limit. A refusal of the next write must not let go of an earlier one that has no answer and
-/// may be applied after that, nor must an answer that was overtaken bring back an allocation that has shrunk.
+/// Writes get no answer, are refused, or are applied late, reads arrive out of order, and epochs change. The running
+/// tasks must never use more than the limit. A refusal of a write must not discard an earlier unanswered write that may
+/// still be applied, and an outdated read must not restore an allocation that has shrunk since.
 #[test]
-fn allocations_hold_whatever_is_carried_out_late() {
+fn limit_holds_when_writes_and_reads_arrive_late() {
     use rand::{RngExt, SeedableRng, rngs::StdRng};
-    let mut most = 0;
+    let mut max_running = 0;
     for seed in 0..400 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut store: (Value, u64) = (json!({}), 1);
         let mut ledgers = [QuotaLedger::new(&team(10.0)), QuotaLedger::new(&team(10.0))];
         let mut running: BTreeMap<String, i64> = BTreeMap::new();
-        // By shard: writes that may be applied yet, with whether their answer will come, and answers of reads under way.
-        let mut late: Vec<(usize, AllocationWrite)> = Vec::new();
-        let mut answers: Vec<(usize, Value, u64)> = Vec::new();
+        // By shard: unanswered writes that may still be applied, and answers to reads that have not arrived yet.
+        let mut unanswered_writes: Vec<(usize, AllocationWrite)> = Vec::new();
+        let mut pending_reads: Vec<(usize, Value, u64)> = Vec::new();
         let apply = |store: &mut (Value, u64), write: &AllocationWrite| {
             let fits = write.base_version == store.1;
             if fits {
@@ -167,29 +167,31 @@
             let prefix = ["a", "b"][shard];
             let jobs: Vec<String> = (0..3).map(|i| format!("{prefix}{i}")).collect();
             match rng.random_range(0..12) {
-                0 if !late.is_empty() => {
-                    let (_, write) = late.swap_remove(rng.random_range(0..late.len()));
+                0 if !unanswered_writes.is_empty() => {
+                    let (_, write) =
+                        unanswered_writes.swap_remove(rng.random_range(0..unanswered_writes.len()));
                     apply(&mut store, &write);
                 }
-                1 | 2 if !answers.is_empty() => {
-                    let (to, value, version) = answers.swap_remove(rng.random_range(0..answers.len()));
-                    ledgers[to].apply_record("t", Some((&value, version)));
+                1 | 2 if !pending_reads.is_empty() => {
+                    let (reader, value, version) =
+                        pending_reads.swap_remove(rng.random_range(0..pending_reads.len()));
+                    ledgers[reader].apply_record("t", Some((&value, version)));
                 }
-                // A new epoch fences what was sent before; everybody reads anew.
+                // A new epoch fences earlier requests, and all shards read the record again.
                 3 if rng.random_bool(0.2) => {
-                    late.clear();
+                    unanswered_writes.clear();
                     for (i, ledger) in ledgers.iter_mut().enumerate() {
                         ledger.begin_epoch();
-                        answers.push((i, store.0.clone(), store.1));
+                        pending_reads.push((i, store.0.clone(), store.1));
                     }
                 }
                 4..7 => {
                     let job = &jobs[rng.random_range(0..3usize)];
-                    let n = running.entry(job.clone()).or_default();
+                    let running_tasks = running.entry(job.clone()).or_default();
                     if rng.random_bool(0.5) {
-                        *n = (*n - 1).max(0);
-                    } else if ledgers[shard].usable("t", job).cpus >= (*n + 1) * 1000 {
-                        *n += 1;
+                        *running_tasks = (*running_tasks - 1).max(0);
+                    } else if ledgers[shard].usable("t", job).cpus >= (*running_tasks + 1) * 1000 {
+                        *running_tasks += 1;
                     }
                 }
                 _ => {
@@ -198,10 +200,12 @@
                         .map(|j| need(j, running.get(j).copied().unwrap_or(0), rng.random_range(0..8), false))
                         .collect();
                     let by_team = BTreeMap::from([("t".to_owned(), needs)]);
-                    let mine = |j: &str| j.starts_with(prefix);
-                    let Some(write) = next_write(&ledgers[shard], now, &by_team["t"], mine, |_| true) else {
+                    let is_led_locally = |job: &str| job.starts_with(prefix);
+                    let Some(write) =
+                        next_write(&ledgers[shard], now, &by_team["t"], is_led_locally, |_| true)
+                    else {
                         for _ in ledgers[shard].next_reads(now, &by_team) {
-                            answers.push((shard, store.0.clone(), store.1));
+                            pending_reads.push((shard, store.0.clone(), store.1));
                         }
                         continue;
                     };
@@ -210,7 +214,7 @@
                         0 => ledgers[shard].fail_write(&write, true),
                         1 | 2 => {
                             ledgers[shard].fail_write(&write, false);
-                            late.push((shard, write));
+                            unanswered_writes.push((shard, write));
                         }
                         3 => {
                             apply(&mut store, &write);
@@ -223,10 +227,13 @@
                     }
                 }
             }
-            let all: i64 = running.values().sum();
-            assert!(all <= 10, "seed {seed}, step {step}: {all} tasks run of a team that may run 10");
-            most = most.max(all);
+            let total_running: i64 = running.values().sum();
+            assert!(
+                total_running <= 10,
+                "seed {seed}, step {step}: {total_running} tasks run of a team that may run 10"
+            );
+            max_running = max_running.max(total_running);
         }
     }
-    assert_eq!(most, 10, "the limit is reached");
+    assert_eq!(max_running, 10, "the limit is reached");
 }
