--- a/src/quota/tier.rs
+++ b/src/quota/tier.rs
@@ -1,58 +1,59 @@
-//! Fair share: which work lies within its team's guarantee, and what may be preempted for whom. It is decided here alone,
-//! for processors and GPUs alike. Every controller goes by the same facts, the allocations in the team's record, so all
-//! come to the same answer about a job.
+//! Fair share: which jobs are within their team's guarantee, and which tasks may be preempted for which work. All these
+//! rules are in this module, for processors and GPUs alike. All controllers apply them to the allocations in the team's
+//! record, so they agree about every job.
 //!
-//! Source: PROTOCOL, "Preemption" and "How aims are counted".
+//! Specified in PROTOCOL, "Preemption" and "How aims are counted".
 
 use crate::spec::GUARANTEED;
 use crate::units::{Micros, Resources};
 
-/// How long work within a guarantee waits for a machine before borrowed work there is preempted: first what saves its
-/// progress, then what would begin anew. Most room comes free by itself within the first of them.
+/// How long work within a guarantee waits for a machine before tasks beyond a guarantee are preempted there: first
+/// tasks that save their progress, later those that would start over. Most resources become free without preemption
+/// within the first interval.
 const PREEMPT_SAVING_AFTER: Micros = Micros::from_millis(5_000);
 const PREEMPT_ALL_AFTER: Micros = Micros::from_millis(30_000);
 
-/// How a job stands to its team's guarantee.
+/// Whether a job is within its team's guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum QuotaTier {
-    /// Its team has none.
+    /// Its team has no guarantee.
     #[default]
     NoGuarantee,
     /// It fits into the guarantee together with the team's earlier unfinished jobs.
     Within,
-    /// It doesn't: what it uses is borrowed.
+    /// It does not fit into the guarantee, so the resources that it uses are borrowed.
     Beyond,
-    /// The record doesn't say which jobs are earlier, and that would decide it.
+    /// It depends on which jobs are earlier, and that is missing in the record.
     Unknown,
 }
 
-/// A job's place in its team's order: when it was accepted, in seconds, then its id. Seconds, because that is what the
-/// record has; of two jobs of one second the id decides, the same way for everybody.
-pub type Place<'a> = (u64, &'a str);
+/// A job's place in its team's order: when it was accepted, in seconds, then its id. The record holds whole seconds;
+/// for jobs accepted in the same second the id decides, so all controllers use the same order.
+pub type TeamOrder<'a> = (u64, &'a str);
 
-/// An unfinished job of a team, as the team's record has it.
+/// An unfinished job in a team's record.
 #[derive(Clone, Copy)]
 pub struct TeamJob<'a> {
     /// The job.
     pub id: &'a str,
-    /// When it was accepted, in seconds, if the record says so.
+    /// When it was accepted, in seconds, if the record has it.
     pub accepted: Option<u64>,
-    /// What it is allotted.
+    /// Its allocation.
     pub allocated: Resources,
 }
 
-/// When a job was accepted, as the record has it.
+/// Converts the time at which a job was accepted to the whole seconds of the record.
 #[must_use]
 pub fn accepted_seconds(accepted: Micros) -> u64 {
     accepted.0 / 1_000_000
 }
 
-/// How the job at `place` that takes `taken` stands beside the team's other unfinished jobs. What the job takes none of
-/// doesn't count against it.
+/// The tier of the job at `place` with the allocation `taken`, given the team's other unfinished jobs. Only resources
+/// that the job itself uses are checked against the guarantee.
 #[must_use]
 pub fn tier_of<'a>(
     guarantee: Resources,
-    place: Place,
+    place: TeamOrder,
     taken: Resources,
     jobs: impl Iterator<Item = TeamJob<'a>>,
 ) -> QuotaTier {
@@ -67,15 +68,16 @@
                 at_most = at_most + job.allocated;
             }
             Some(_) => {}
-            // A controller of an older form has written the record and left the time out.
+            // A controller of version 1 has written the record without this time.
             None => at_most = at_most + job.allocated,
         }
     }
     let fits = |sum: Resources| {
-        // GPUs without a guarantee are borrowed. Where GPUs alone are guaranteed, processors come along with them.
-        let gpus = taken.gpus <= 0 || (guarantee.gpus > 0 && sum.gpus <= guarantee.gpus);
-        let cpus = if guarantee.cpus > 0 { sum.cpus <= guarantee.cpus } else { taken.gpus > 0 };
-        gpus && cpus
+        // GPUs without a guarantee are always borrowed. If only GPUs are guaranteed, processors are included for jobs
+        // that use GPUs.
+        let gpus_fit = taken.gpus <= 0 || (guarantee.gpus > 0 && sum.gpus <= guarantee.gpus);
+        let cpus_fit = if guarantee.cpus > 0 { sum.cpus <= guarantee.cpus } else { taken.gpus > 0 };
+        gpus_fit && cpus_fit
     };
     match (fits(at_least), fits(at_most)) {
         (_, true) => QuotaTier::Within,
@@ -84,15 +86,15 @@
     }
 }
 
-/// The priority at which others see a job's tasks on a machine: what is borrowed has its job's own priority alone, so
-/// that work within a guarantee counts its room as room that can be had.
+/// The priority that other job shards see for a job's tasks on a machine. Tasks beyond the guarantee have only the
+/// job's own priority, without the bonus, so that work within a guarantee counts their resources as preemptible.
 #[must_use]
 pub fn effective_priority(priority: u8, tier: QuotaTier) -> u8 {
     if tier == QuotaTier::Beyond { priority % GUARANTEED } else { priority }
 }
 
-/// The priority with which waiting work may have others preempted. Only what lies within a guarantee has more than its
-/// job's own.
+/// The priority with which waiting work may preempt other tasks. Work that is beyond its guarantee, or may be, has only
+/// the job's own priority, without the bonus.
 #[must_use]
 pub fn preempting_priority(priority: u8, tier: QuotaTier) -> u8 {
     match tier {
@@ -101,8 +103,9 @@
     }
 }
 
-/// Whether a task may be preempted for work of the preempting priority `by` that has waited for this machine for
-/// `waited`. `saves`: whether it keeps its progress. Work within its guarantee is never preempted for other teams' work.
+/// Whether a task may be preempted for work with the preempting priority `by` that has waited for this machine for
+/// `waited`. `saves` tells whether the task saves its progress. Work within its guarantee is never preempted for the
+/// work of other teams.
 #[must_use]
 pub fn may_preempt(priority: u8, tier: QuotaTier, saves: bool, by: u8, waited: Micros) -> bool {
     match tier {
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -1,7 +1,8 @@
-//! The state service that all controllers share: requests and answers, the blocking client, and the rate limit.
+//! Access to the state store that all controllers share: typed requests and answers, a blocking client, and a rate
+//! limiter.
 //!
-//! The controller's event loop owns which request goes out when; the client only carries a request out and says what
-//! became of it. Nothing here retries: whether a request without an answer may be sent again depends on what it is for.
+//! The controller's event loop decides which request is sent when; the client only sends a request and returns its
+//! result. Nothing here retries, because whether an unanswered request may be repeated depends on its purpose.
 
 mod client;
 mod rate_limiter;
--- a/src/state_store/client.rs
+++ b/src/state_store/client.rs
@@ -1,4 +1,4 @@
-//! The blocking client of the state service.
+//! Blocking HTTP client of the state store.
 
 use super::request::{StoreAnswer, StoreRequest, Transaction};
 use crate::units::Micros;
@@ -8,15 +8,15 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Most keys in a page. The service's pages end at 512 KiB, whatever their number.
+/// Most keys in one page. The service also limits a page to 512 KiB.
 const PAGE_KEYS: u32 = 200;
-/// Most bytes of an answer that are read, against answers without an end.
+/// Most bytes read of an answer. Protects against answers that never end.
 const MAX_ANSWER_BYTES: u64 = 8 << 20;
 
-/// A status and a body; None if there was no complete answer.
+/// The status and body of an answer; None if there was no complete answer.
 type HttpAnswer = Option<(u16, String)>;
 
-/// A blocking client; each thread has its own.
+/// A blocking client. Each thread uses its own.
 pub struct StoreClient {
     agent: ureq::Agent,
     base: String,
@@ -24,7 +24,7 @@
 }
 
 impl StoreClient {
-    /// A client of the service at `addr`, which gives up on a request after `timeout`.
+    /// Creates a client of the service at `addr`, with a timeout for each request.
     #[must_use]
     pub fn new(addr: SocketAddrV4, timeout: Duration) -> StoreClient {
         let agent = ureq::AgentBuilder::new()
@@ -36,7 +36,8 @@
         StoreClient { agent, base: format!("http://{addr}"), timeout }
     }
 
-    /// Carries out a request, once. A failure is an answer too: `Refused` or `Unknown`.
+    /// Sends a request once, without a retry. A failure is returned as `StoreAnswer::Refused` or
+    /// `StoreAnswer::Unknown`.
     #[must_use]
     pub fn call(&self, request: &StoreRequest) -> StoreAnswer {
         match request {
@@ -52,9 +53,9 @@
 
     fn get_key(&self, key: &str) -> StoreAnswer {
         match self.get(&format!("{}/store/{key}", self.base)) {
-            Some((200, text)) => convert(&text, |row: KeyRow| StoreAnswer::Got(Some(row.into()))),
+            Some((200, text)) => parse_answer(&text, |row: KeyRow| StoreAnswer::Got(Some(row.into()))),
             Some((404, _)) => StoreAnswer::Got(None),
-            other => failure(other),
+            other => failure_answer(other),
         }
     }
 
@@ -64,47 +65,51 @@
             url.push_str(&format!("&after={after}"));
         }
         match self.get(&url) {
-            Some((200, text)) => convert(&text, |page: wire::KeyPage| page.into()),
-            other => failure(other),
+            Some((200, text)) => parse_answer(&text, |page: wire::KeyPage| page.into()),
+            other => failure_answer(other),
         }
     }
 
     fn commit(&self, transaction: &Transaction) -> StoreAnswer {
         match self.post(&format!("{}/commit", self.base), wire::commit_body(transaction)) {
-            Some((200, text)) => convert(&text, |at: wire::RevisionForm| StoreAnswer::Committed(at.revision)),
-            Some((409, text)) => convert(&text, |f: wire::FailedKeys| StoreAnswer::Conflict(f.failed)),
+            Some((200, text)) => {
+                parse_answer(&text, |at: wire::RevisionResponse| StoreAnswer::Committed(at.revision))
+            }
+            Some((409, text)) => parse_answer(&text, |f: wire::FailedKeys| StoreAnswer::Conflict(f.failed)),
             Some((400, text)) if text.contains(wire::NO_SUCH_LEASE) => StoreAnswer::NoLease,
             Some((400, text)) => {
                 tracing::error!(reason = %text, "state store calls a transaction malformed");
                 StoreAnswer::Refused
             }
-            other => failure(other),
+            other => failure_answer(other),
         }
     }
 
     fn read_revision(&self) -> StoreAnswer {
         match self.get(&format!("{}/store?prefix=ring/epoch&limit=1", self.base)) {
-            Some((200, text)) => convert(&text, |at: wire::RevisionForm| StoreAnswer::At(at.revision)),
-            other => failure(other),
+            Some((200, text)) => {
+                parse_answer(&text, |at: wire::RevisionResponse| StoreAnswer::At(at.revision))
+            }
+            other => failure_answer(other),
         }
     }
 
     fn watch(&self, prefix: &str, after: u64, wait: Micros) -> StoreAnswer {
         let wait_ms = wait.0 / 1000;
         let url = format!("{}/changes?prefix={prefix}&after={after}&waitMs={wait_ms}", self.base);
-        // The service answers late on purpose: the request's own timeout comes on top of the wait.
+        // The service delays its answer by up to `wait`, so the timeout is added to that.
         let request = self.agent.get(&url).timeout(self.timeout + Duration::from_micros(wait.0));
         match read_answer(request.call()) {
-            Some((200, text)) => convert(&text, |changes: wire::Changes| changes.into()),
+            Some((200, text)) => parse_answer(&text, |changes: wire::Changes| changes.into()),
             Some((410, _)) => StoreAnswer::TooOld,
-            other => failure(other),
+            other => failure_answer(other),
         }
     }
 
     fn grant_lease(&self, ms: u64) -> StoreAnswer {
         match self.post(&format!("{}/grants", self.base), wire::grant_body(ms)) {
-            Some((200, text)) => convert(&text, |lease: wire::Lease| StoreAnswer::Granted(lease.id)),
-            other => failure(other),
+            Some((200, text)) => parse_answer(&text, |lease: wire::Lease| StoreAnswer::Granted(lease.id)),
+            other => failure_answer(other),
         }
     }
 
@@ -112,7 +117,7 @@
         match self.post(&format!("{}/grants/{lease}/renew", self.base), "{}".into()) {
             Some((200, _)) => StoreAnswer::Renewed,
             Some((404, _)) => StoreAnswer::NoLease,
-            other => failure(other),
+            other => failure_answer(other),
         }
     }
 
@@ -125,7 +130,8 @@
     }
 }
 
-/// One HTTP exchange: status and body, whatever the status; None if there was no complete answer.
+/// Sends one HTTP request and returns the status and body of the answer, for any status; None if there was no complete
+/// answer.
 pub fn http_exchange(agent: &ureq::Agent, method: &str, url: &str, body: Option<String>) -> HttpAnswer {
     let request = agent.request(method, url);
     let result = match body {
@@ -143,8 +149,9 @@
     Some((status, text))
 }
 
-/// The answer that a body stands for. A body that can't be read says nothing about what was carried out.
-fn convert<Form: DeserializeOwned>(text: &str, answer: impl FnOnce(Form) -> StoreAnswer) -> StoreAnswer {
+/// Parses a response body as `Form` and converts it to an answer. After a malformed body the outcome of the request is
+/// unknown.
+fn parse_answer<Form: DeserializeOwned>(text: &str, answer: impl FnOnce(Form) -> StoreAnswer) -> StoreAnswer {
     match serde_json::from_str(text).map_err(MalformedAnswer::from) {
         Ok(form) => answer(form),
         Err(error) => {
@@ -154,7 +161,7 @@
     }
 }
 
-fn failure(answer: HttpAnswer) -> StoreAnswer {
+fn failure_answer(answer: HttpAnswer) -> StoreAnswer {
     match answer {
         Some((429 | 503, _)) => StoreAnswer::Refused,
         _ => StoreAnswer::Unknown,
--- a/src/state_store/rate_limiter.rs
+++ b/src/state_store/rate_limiter.rs
@@ -1,11 +1,11 @@
-//! The rate limit that a controller keeps to with an outside service.
+//! Rate limiter for a controller's requests to an external service.
 
 use crate::units::Micros;
 
-/// Slack for sums of fractions of a token.
+/// Tolerance for rounding errors in sums of fractions of a token.
 const ROUNDING: f64 = 1e-9;
 
-/// A token bucket that holds one second's worth, at least one token.
+/// A token bucket that holds the tokens of one second, and at least one token.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     tokens_per_second: f64,
@@ -14,7 +14,7 @@
 }
 
 impl RateLimiter {
-    /// A full bucket.
+    /// Creates a limiter with a full bucket.
     #[must_use]
     pub fn new(tokens_per_second: f64) -> RateLimiter {
         RateLimiter { tokens_per_second, available: tokens_per_second.max(1.0), refilled_at: Micros(0) }
@@ -30,8 +30,8 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Takes `tokens` if `reserve` (a share of the bucket, 0 to 1) stays behind, and says whether it did. An amount
-    /// larger than the bucket passes when the bucket is full and leaves a debt.
+    /// Takes `tokens` if at least the fraction `reserve` (0 to 1) of the bucket remains, and returns whether it did. An
+    /// amount larger than the bucket is granted when the bucket is full and leaves a negative balance.
     pub fn take(&mut self, now: Micros, tokens: f64, reserve: f64) -> bool {
         self.refill(now);
         let capacity = self.capacity();
@@ -42,7 +42,7 @@
         true
     }
 
-    /// How full the bucket is, from 0 to 1; 0 while it is in debt.
+    /// The fill level of the bucket, from 0 to 1; 0 while the balance is negative.
     pub fn level(&mut self, now: Micros) -> f64 {
         self.refill(now);
         (self.available / self.capacity()).max(0.0)
--- a/src/state_store/request.rs
+++ b/src/state_store/request.rs
@@ -1,40 +1,40 @@
-//! Requests to the state service and what became of them, in the code's own types.
+//! Typed requests to the state store, and their results.
 
 use crate::units::Micros;
 use serde_json::Value;
 
-/// A request to the state service.
+/// A request to the state store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreRequest {
     /// Read a key.
     Get(String),
-    /// Read a page of the keys with this prefix, from behind the second key on (empty: from the first one on).
+    /// Read a page of the keys with a prefix: (prefix, key after which the page begins; empty for the first page).
     List(String, String),
-    /// An atomic, conditional change.
+    /// Make an atomic, conditional change.
     Transaction(Transaction),
-    /// A new lease of that many milliseconds.
+    /// Grant a new lease with this duration in milliseconds.
     Grant(u64),
-    /// Renew a lease.
+    /// Renew the lease with this id.
     Renew(u64),
-    /// The store's present revision.
+    /// Read the store's current revision.
     Revision,
-    /// Wait until a key with this prefix has changed after a revision, for that long at most.
+    /// Wait until a key with a prefix changes after a revision: (prefix, revision, longest wait).
     Watch(String, u64, Micros),
 }
 
-/// An atomic change: it is made as a whole if every precondition holds, and not at all otherwise.
+/// An atomic change. It is applied completely if every precondition holds, and not at all otherwise.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Transaction {
-    /// Keys and the versions they must have; 0: the key must not exist.
+    /// Preconditions: keys and the versions they must have; 0 if the key must not exist.
     pub conditions: Vec<(String, u64)>,
-    /// Keys to write, with a lease if the key is to end with it.
+    /// Keys to write, with their values and optionally the lease with which the key expires.
     pub puts: Vec<(String, Value, Option<u64>)>,
     /// Keys to delete.
     pub drops: Vec<String>,
 }
 
 impl Transaction {
-    /// How much of the write budget it takes: one for each key that is written or deleted.
+    /// The cost in tokens of the write rate limiter: one for each key that is written or deleted.
     #[must_use]
     pub fn cost(&self) -> f64 {
         (self.puts.len() + self.drops.len()) as f64
@@ -52,31 +52,31 @@
     pub store_version: u64,
 }
 
-/// What became of a request.
+/// The result of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreAnswer {
-    /// The key's value, or none.
+    /// The key with its value; None if it does not exist.
     Got(Option<KeyValue>),
-    /// A page; whether there is more.
+    /// A page of keys, and whether more pages follow.
     Page(Vec<KeyValue>, bool),
-    /// The change was made, at this revision.
+    /// The transaction was committed at this revision.
     Committed(u64),
-    /// A precondition failed, for these keys.
+    /// The transaction was not applied because the preconditions on these keys failed.
     Conflict(Vec<String>),
-    /// The lease named does not exist any more.
+    /// The lease in the request no longer exists.
     NoLease,
-    /// A new lease.
+    /// A lease was granted, with this id.
     Granted(u64),
     /// The lease was renewed.
     Renewed,
-    /// The store's present revision.
+    /// The store's current revision.
     At(u64),
-    /// The revision up to which the store has looked, and the keys that were written, with values.
+    /// The revision up to which changes are included, and the keys that were written, with their values.
     Changes(u64, Vec<(String, Value)>),
-    /// The changes asked for are no longer kept.
+    /// The requested changes have been compacted and can no longer be read.
     TooOld,
-    /// Certainly not carried out (429, 503, or a transaction that the service calls malformed).
+    /// The request was certainly not carried out (429, 503, or the service called the transaction malformed).
     Refused,
-    /// No usable answer: it may have been carried out, or may yet be.
+    /// There was no usable answer. The request may have been carried out, or may still be carried out later.
     Unknown,
 }
--- a/src/state_store/tests.rs
+++ b/src/state_store/tests.rs
@@ -11,7 +11,10 @@
         }
     }
     assert!((50.0..=58.0).contains(&taken), "{taken}");
-    assert!(limiter.take(Micros::from_millis(5000), 2.0, 0.0), "the reserve is there");
-    assert!(limiter.take(Micros::from_millis(7000), 30.0, 0.0), "an oversized one passes when full");
-    assert!(!limiter.take(Micros::from_millis(7100), 1.0, 0.0), "and leaves a debt");
+    assert!(limiter.take(Micros::from_millis(5000), 2.0, 0.0), "the reserve is available");
+    assert!(limiter.take(Micros::from_millis(7000), 30.0, 0.0), "a full bucket grants an oversized amount");
+    assert!(
+        !limiter.take(Micros::from_millis(7100), 1.0, 0.0),
+        "an oversized amount leaves a negative balance"
+    );
 }
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,16 +1,16 @@
-//! Quantities that all modules share: time, amounts of machine resources, and sets of task numbers.
+//! Types shared by all modules: time, amounts of resources, and sets of task numbers.
 
 pub use hazelsaddle_cluster::time::Micros;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Thousandths in a processor, GPU or gigabyte.
+/// Thousandths per processor, GPU or gigabyte.
 const MILLI: f64 = 1000.0;
-/// Slack for fractions that binary numbers can't hold, in thousandths.
+/// Tolerance for decimal fractions without an exact binary representation, in thousandths.
 const ROUNDING: f64 = 1e-6;
 
-/// What a machine has, or a task takes of it, in thousandths so that sums are exact.
+/// Resources of a machine or a task, in thousandths so that sums are exact.
 #[derive(
     Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
@@ -24,20 +24,21 @@
 }
 
 impl Resources {
-    /// From processors, GPUs and gigabytes. Rounds up, so that a sum of tasks never hides a fraction.
+    /// Creates resources from processors, GPUs and gigabytes. Amounts are rounded up, so that the sum of many tasks is
+    /// never below their actual need.
     #[must_use]
     pub fn need(cpus: f64, gpus: f64, memory: f64) -> Resources {
         let round_up = |amount: f64| (amount * MILLI - ROUNDING).ceil() as i64;
         Resources { cpus: round_up(cpus), gpus: round_up(gpus), memory: round_up(memory) }
     }
 
-    /// Whether `self` has room for `other`.
+    /// Whether `other` fits into `self` in every dimension.
     #[must_use]
     pub fn holds(self, other: Resources) -> bool {
         self.cpus >= other.cpus && self.gpus >= other.gpus && self.memory >= other.memory
     }
 
-    /// The larger of each.
+    /// The maximum in every dimension.
     #[must_use]
     pub fn max(self, other: Resources) -> Resources {
         Resources {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The smaller of each.
+    /// The minimum in every dimension.
     #[must_use]
     pub fn min(self, other: Resources) -> Resources {
         Resources {
@@ -57,14 +58,14 @@
         }
     }
 
-    /// `count` times this.
+    /// These resources multiplied by `count`.
     #[must_use]
     pub fn times(self, count: i64) -> Resources {
         Resources { cpus: self.cpus * count, gpus: self.gpus * count, memory: self.memory * count }
     }
 
-    /// How many of `one` fit. What takes nothing fits more often than any job has tasks, but not so often that a sum over
-    /// machines overflows.
+    /// How often `one` fits into `self`. If `one` is zero, the result exceeds the number of tasks of any job, but a sum
+    /// over machines doesn't overflow.
     #[must_use]
     pub fn count_of(self, one: Resources) -> i64 {
         let count = |have: i64, each: i64| if each <= 0 { i64::from(u32::MAX) } else { have.max(0) / each };
@@ -94,16 +95,16 @@
     }
 }
 
-/// A set of task numbers kept as ranges: a job of 100,000 tasks that is mostly done stays small.
+/// A set of task numbers stored as ranges, so that the set of a job with 100,000 mostly completed tasks stays small.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ranges {
-    /// The first number of a range, and its last. Ranges never touch.
+    /// The last number of each range, by its first. Ranges are never adjacent.
     spans: BTreeMap<u32, u32>,
     len: u32,
 }
 
 impl Ranges {
-    /// How many numbers are in the set.
+    /// The number of elements.
     #[must_use]
     pub fn len(&self) -> u32 {
         self.len
@@ -121,7 +122,7 @@
         self.spans.range(..=number).next_back().is_some_and(|(_, &last)| last >= number)
     }
 
-    /// Adds `number`; false if it was there.
+    /// Adds `number`; returns false if the set contained it already.
     pub fn insert(&mut self, number: u32) -> bool {
         if self.contains(number) {
             return false;
@@ -137,7 +138,7 @@
         true
     }
 
-    /// The numbers below `total` that are not in the set, in order.
+    /// The numbers below `total` that are not in the set, in ascending order.
     pub fn gaps(&self, total: u32) -> impl Iterator<Item = u32> + '_ {
         let mut next = 0u32;
         let mut spans = self.spans.iter().peekable();
@@ -157,9 +158,9 @@
         })
     }
 
-    /// As text such as `0-4,7`, at most `limit` bytes long; longer sets lose their shortest ranges. That is safe where
-    /// the set says what is known to be done: a task left out is asked for again and ends at once with the result that
-    /// it kept.
+    /// Encodes the set as text such as `0-4,7` of at most `limit` bytes. Sets that are too long lose their shortest
+    /// ranges. That is safe for completed tasks: a task that was left out is started again and ends immediately,
+    /// because its result is kept.
     #[must_use]
     pub fn encode(&self, limit: usize) -> String {
         let mut spans: Vec<(u32, u32)> = self.spans.iter().map(|(&first, &last)| (first, last)).collect();
@@ -180,7 +181,7 @@
         spans.iter().map(text).collect::<Vec<String>>().join(",")
     }
 
-    /// Reads what `encode` wrote; None if it is not of that form or names a task from `total` on.
+    /// Decodes the output of `encode`; None if it is malformed or contains a number that is not below `total`.
     #[must_use]
     pub fn decode(text: &str, total: u32) -> Option<Ranges> {
         let mut ranges = Ranges::default();
--- a/src/units/tests.rs
+++ b/src/units/tests.rs
@@ -2,7 +2,7 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 #[test]
-fn ranges_agree_with_a_plain_set() {
+fn task_index_set_agrees_with_a_plain_set() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut ranges = Ranges::default();
@@ -18,7 +18,7 @@
         assert_eq!(Ranges::decode(&ranges.encode(10_000), 150), Some(ranges.clone()));
         let short = ranges.encode(40);
         assert!(short.len() <= 40);
-        let part = Ranges::decode(&short, 150).expect("what was written is read");
+        let part = Ranges::decode(&short, 150).expect("the encoded set can be decoded");
         assert!((0..150).all(|n| !part.contains(n) || plain.contains(&n)));
     }
     assert_eq!(Ranges::decode("3-1", 10), None);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,7 +1,7 @@
-//! The protocol's forms, a module for each peer system.
+//! Wire formats of the HTTP protocol, with one module per external system.
 //!
-//! Only these modules know the protocol's field names and words. Each form has one conversion to the types that the rest
-//! of the code uses; what can't be converted is a typed error that says what was wrong.
+//! The protocol's field names and values occur only in these modules. Each format has one conversion to the types that
+//! the rest of the code uses; input that can't be converted is a typed error with the reason.
 
 pub mod cloud;
 pub mod operators;
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,6 +1,6 @@
-//! Forms of the cloud API: machine types, inventory, scale out and in.
+//! Wire formats of the cloud API: machine types, the machine list, scale-out and scale-in.
 //!
-//! Source: PROTOCOL, the headings on the cloud. Texts that are sent have their keys in alphabetical order.
+//! Specified in PROTOCOL, in the sections on the cloud. Request bodies have their keys in alphabetical order.
 
 pub mod machine_type;
 
@@ -9,10 +9,10 @@
 use serde::Deserialize;
 use serde_json::json;
 
-/// How the cloud says that it has no more machines of a type in a zone.
+/// Text in the cloud's error response if it has no more machines of a type in a zone.
 pub(crate) const NO_CAPACITY: &str = "no capacity";
 
-/// An answer of the cloud whose body is not of the form that its status promises.
+/// The body of a successful response of the cloud is malformed.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub(crate) struct MalformedAnswer(#[from] serde_json::Error);
@@ -55,7 +55,7 @@
 }
 
 impl From<&str> for MachineState {
-    /// A word that is not known says that the machine is there and is paid for.
+    /// An unknown state counts as running, because the machine exists and is billed.
     fn from(word: &str) -> MachineState {
         match word {
             "booting" => MachineState::Booting,
@@ -80,7 +80,7 @@
     }
 }
 
-/// The names of the machines that a scale-out got.
+/// The names of the machines that a scale-out added.
 #[derive(Deserialize)]
 pub(crate) struct CreatedMachines {
     #[serde(rename = "stalls")]
@@ -93,13 +93,13 @@
     }
 }
 
-/// The body of a scale-out.
+/// The request body of a scale-out.
 pub(crate) fn scale_out_body(scale_out: &ScaleOut) -> String {
     let ScaleOut { name, kind, zone, spot, count } = scale_out;
     json!({"hire": name, "stallKind": kind, "paddock": zone, "borrowed": spot, "count": count}).to_string()
 }
 
-/// The body of a scale-in.
+/// The request body of a scale-in.
 pub(crate) fn scale_in_body(machines: &[String]) -> String {
     json!({ "stalls": machines }).to_string()
 }
--- a/src/wire/cloud/machine_type.rs
+++ b/src/wire/cloud/machine_type.rs
@@ -1,4 +1,4 @@
-//! A machine type as the cloud lists it.
+//! Wire format of a machine type in the cloud API.
 
 use crate::spec;
 use serde::Deserialize;
--- a/src/wire/operators.rs
+++ b/src/wire/operators.rs
@@ -1,4 +1,4 @@
-//! Bodies of operators' requests below `/ops/`. The names of the types are in the texts of errors.
+//! Request bodies of the operator API below `/ops/`. The names of the types appear in error messages to operators.
 
 use serde::Deserialize;
 
@@ -7,7 +7,7 @@
 pub struct Release {
     /// The title.
     pub title: String,
-    /// The night, YYYY-MM-DD; without it the latest.
+    /// The night as YYYY-MM-DD; the latest night if it is missing.
     #[serde(default)]
     pub night: Option<String>,
 }
@@ -17,12 +17,12 @@
 pub struct Waive {
     /// The title.
     pub title: String,
-    /// The night, YYYY-MM-DD; without it the latest.
+    /// The night as YYYY-MM-DD; the latest night if it is missing.
     #[serde(default)]
     pub night: Option<String>,
-    /// The job, or `missing`.
+    /// The id of the job to waive, or `missing` for all missing renders.
     pub job: String,
-    /// Why the rotation may do without it.
+    /// Why the rotation may start without it.
     pub why: String,
 }
 
--- a/src/wire/percent_encoding.rs
+++ b/src/wire/percent_encoding.rs
@@ -1,6 +1,6 @@
-//! Percent encoding of what a URL's path or query can't hold.
+//! Percent-encoding of characters that are not allowed in the path or query of a URL.
 
-/// Decodes a part of a URL; None if it is malformed or not UTF-8.
+/// Decodes a component of a URL; None if it is malformed or not UTF-8.
 #[must_use]
 pub fn percent_decode(text: &str) -> Option<String> {
     let mut bytes = Vec::new();
@@ -17,7 +17,7 @@
     String::from_utf8(bytes).ok()
 }
 
-/// Encodes a part of a URL.
+/// Encodes a component of a URL.
 #[must_use]
 pub fn percent_encode(text: &str) -> String {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
--- a/src/wire/state_store.rs
+++ b/src/wire/state_store.rs
@@ -1,15 +1,15 @@
-//! Forms of the state service: keys and versions, transactions, leases, watches.
+//! Wire formats of the state store: keys and versions, transactions, leases, watches.
 //!
-//! Source: PROTOCOL, the headings on the state service. Texts that are sent have their keys in alphabetical order.
+//! Specified in PROTOCOL, in the sections on the state service. Request bodies have their keys in alphabetical order.
 
 use crate::state_store::{KeyValue, StoreAnswer, Transaction};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// How the service says that a transaction names a lease which has ended.
+/// Text in the service's error response if a transaction uses a lease that has expired.
 pub(crate) const NO_SUCH_LEASE: &str = "no such lease";
 
-/// An answer of the state service whose body is not of the form that its status promises.
+/// The body of a successful response of the state store is malformed.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub(crate) struct MalformedAnswer(#[from] serde_json::Error);
@@ -52,14 +52,14 @@
     pub(crate) failed: Vec<String>,
 }
 
-/// The store's revision, in the answer to a commit or a list.
+/// The store's revision in the response to a commit or a list request.
 #[derive(Deserialize)]
-pub(crate) struct RevisionForm {
+pub(crate) struct RevisionResponse {
     #[serde(rename = "ledger")]
     pub(crate) revision: u64,
 }
 
-/// What was written after a revision.
+/// The changes after a revision.
 #[derive(Deserialize)]
 pub(crate) struct Changes {
     #[serde(rename = "ledger")]
@@ -68,7 +68,7 @@
     events: Vec<Change>,
 }
 
-/// One change: a key that was written, or something else that does not matter here.
+/// One change: a key that was written, or another kind of change, which is ignored.
 #[derive(Deserialize)]
 struct Change {
     #[serde(rename = "write")]
@@ -92,7 +92,7 @@
     pub(crate) id: u64,
 }
 
-/// The body of an atomic change.
+/// The request body of a transaction.
 pub(crate) fn commit_body(transaction: &Transaction) -> String {
     let preconditions: Vec<Value> =
         transaction.conditions.iter().map(|(key, version)| json!({"k": key, "mark": version})).collect();
@@ -105,7 +105,7 @@
     json!({"if": preconditions, "writes": writes}).to_string()
 }
 
-/// The body of a request for a lease.
+/// The request body of a lease grant.
 pub(crate) fn grant_body(ms: u64) -> String {
     json!({ "lifeMs": ms }).to_string()
 }
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,23 +1,23 @@
-//! Forms of the user API: the answers about jobs.
+//! Wire formats of the user API: responses about jobs.
 //!
-//! The protocol's words for a job and its state stand here alone: `uid`, `stance`, `breed`, `gait`.
+//! The protocol's names for a job's id, state, class and kind are `uid`, `stance`, `breed` and `gait`.
 
 pub mod submission;
 
 use crate::job_shard::JobOutcome;
 use serde_json::{Value, json};
 
-/// The key of a job's class, in submissions and in records made of them.
+/// The key of a job's class in submissions and in records derived from them.
 pub const CLASS: &str = "breed";
-/// The key of a job's kind, likewise.
+/// The key of a job's kind in submissions and in records derived from them.
 const KIND: &str = "gait";
-/// The key of a job's state in an answer.
+/// The key of a job's state in a response.
 const STATE: &str = "stance";
 
-/// The protocol's word for a job that has been accepted and does not run.
+/// The protocol's state of a job that has been accepted and is not running yet.
 pub const PENDING: &str = "pending";
 
-/// The protocol's word for how a job has ended.
+/// The protocol's state of a job with this outcome.
 pub fn stance_of(outcome: JobOutcome) -> &'static str {
     match outcome {
         JobOutcome::Done => "done",
@@ -25,32 +25,32 @@
     }
 }
 
-/// How a job stands: its state, and how many of its tasks are done and run.
+/// The response to a status query: the job's state, and how many of its tasks are done and running.
 pub fn job_state(job: &str, stance: &str, done: u32, running: u32) -> Value {
     json!({"uid": job, "stance": stance, "done": done, "running": running})
 }
 
-/// The answer to a submission that is on record.
+/// The response to a submission that has been stored.
 pub fn accepted(job: &str) -> Value {
     json!({"uid": job, "stance": PENDING})
 }
 
-/// The answer to a cancellation: how the job has ended.
+/// The response to a cancellation, with the outcome of the job.
 pub fn outcome(job: &str, outcome: JobOutcome) -> Value {
     json!({"uid": job, "stance": stance_of(outcome)})
 }
 
-/// The answer to why a job waits: the jobs that it depends on, and what else holds it.
+/// The response to the query why a job waits: its state, the jobs that it waits for, and any other reason.
 pub fn waiting(job: &str, state: &str, prerequisites: &[&str], held: Option<&str>) -> Value {
     json!({"uid": job, STATE: state, "waits_for": prerequisites, "held": held})
 }
 
-/// The word for a job's state in an answer, if it has one.
+/// Reads a job's state from a response, if it has one.
 pub fn state_in(answer: &Value) -> Option<&str> {
     answer.get(STATE).and_then(Value::as_str)
 }
 
-/// Whether a submission, as it was stored, describes a service.
+/// Whether a stored submission is for a service.
 pub fn is_service(submission: &Value) -> bool {
     submission.get(KIND).is_some_and(|kind| kind == "service")
 }
--- a/src/wire/users/submission.rs
+++ b/src/wire/users/submission.rs
@@ -1,7 +1,7 @@
-//! A submission: the body of `POST /v1/jobs` (PROTOCOL, "POST /v1/jobs").
+//! Job submissions: the body of `POST /v1/jobs` (PROTOCOL, "POST /v1/jobs").
 //!
-//! The body is kept as the job's description, in the protocol's own terms: what is stored can be read again by
-//! [`JobSpec::from_value`], and an answer can repeat it.
+//! The body is stored as the job's description, with the protocol's field names. [`JobSpec::from_value`] reads the
+//! stored description as well, and a response can return it unchanged.
 
 use crate::spec::{Batch, JobKind, JobSpec, is_job_id};
 use crate::units::{Micros, Resources};
@@ -11,20 +11,20 @@
 
 /// Longest body accepted, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
-/// Most tasks that a job may have.
+/// Most tasks of a job.
 const TASK_LIMIT: u64 = 100_000;
-/// Longest text of a field, in bytes.
-const TEXT_LIMIT: usize = 200;
-/// Largest amount of a field.
+/// Longest value of a text field, in bytes.
+const TEXT_LIMIT_BYTES: usize = 200;
+/// Largest value of a numeric field.
 const AMOUNT_LIMIT: f64 = 1e9;
-/// Most machine types that a job may name.
+/// Most machine types in the list of allowed types.
 const MACHINE_TYPE_LIMIT: usize = 1000;
-/// Seed of the hash of an image's name. Hashes go to other controllers, so it stays.
+/// Seed for the hash of an image's name. It must not change, because hashes are sent to other controllers.
 const IMAGE_HASH_SEED: u64 = 1;
 
-/// The fields that the protocol defines without an extension; a stored description has no others but those of
+/// The fields of the protocol without its extensions. Beside these, a stored description has only the fields of
 /// dependencies, releases and batches.
-const PLAIN_FIELDS: [&str; 20] = [
+const BASE_FIELDS: [&str; 20] = [
     "uid",
     "breed",
     "herd",
@@ -47,37 +47,37 @@
     "dueS",
 ];
 
-/// Why a submission is malformed. The texts name the protocol's fields: users read them.
+/// Why a submission is malformed. The messages are sent to users, so they use the protocol's field names.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SubmissionError {
-    /// A field is missing or has a wrong value.
+    /// A field is missing or has an invalid value.
     #[error("{field}: {problem}")]
     Field {
         /// The field.
         field: &'static str,
-        /// What is wrong with it.
+        /// The reason.
         problem: &'static str,
     },
-    /// A field that has fields of its own is malformed: the text names the inner field.
+    /// A field with inner fields is malformed. The message names the inner field.
     #[error("{0}")]
     Member(String),
-    /// The body as a whole can't be read.
+    /// The body is malformed as a whole.
     #[error("{0}")]
     Body(&'static str),
 }
 
 impl SubmissionError {
-    /// The protocol's status for a malformed submission.
+    /// The HTTP status for a malformed submission.
     pub fn status(&self) -> u16 {
         400
     }
 }
 
 impl JobSpec {
-    /// Reads the body of a submission.
+    /// Parses the body of a submission.
     ///
     /// # Errors
-    /// If it is too long, is not JSON, or a field is missing or wrong.
+    /// If the body is too long or not JSON, or a field is missing or invalid.
     pub fn parse(body: &str) -> Result<JobSpec, SubmissionError> {
         if body.len() > BODY_LIMIT {
             return Err(SubmissionError::Body("the body is over 64 KiB"));
@@ -87,10 +87,10 @@
         JobSpec::from_value(&value)
     }
 
-    /// Reads a description: a submission's body, or what is stored of it.
+    /// Reads a job description: the body of a submission, or its stored form.
     ///
     /// # Errors
-    /// The first field, in the order of the checks, that is missing or wrong.
+    /// Reports the first field, in the order of the checks, that is missing or invalid.
     pub fn from_value(value: &Value) -> Result<JobSpec, SubmissionError> {
         JobSpec::try_from(value)
     }
@@ -106,7 +106,7 @@
         let priority = fields.priority()?;
         let tasks = fields.task_count()?;
         let room = Resources::need(fields.amount("vcpus")?, fields.amount("cards")?, fields.amount("ramGb")?);
-        // It has to be valid; nothing depends on it.
+        // Validated because the protocol requires it, but not used.
         fields.amount("imageGb")?;
         let kinds = fields.machine_types()?;
         let zone = fields.get("paddock").map(|_| fields.text("paddock")).transpose()?;
@@ -138,12 +138,13 @@
     }
 }
 
-/// The description that is stored of a submission: its fields as they came, without those that mean nothing here. Fields
-/// of dependencies, releases and batches are those that were read.
+/// The description of a job that is stored: the submitted fields without unknown ones. The fields of dependencies,
+/// releases and batches are written from the parsed specification.
 pub fn stored_description(submitted: &Value, spec: &JobSpec) -> Value {
     let Some(fields) = submitted.as_object() else { return Value::Null };
-    let plain = fields.iter().filter(|(field, _)| PLAIN_FIELDS.contains(&field.as_str()));
-    let mut stored: Map<String, Value> = plain.map(|(field, value)| (field.clone(), value.clone())).collect();
+    let base_fields = fields.iter().filter(|(field, _)| BASE_FIELDS.contains(&field.as_str()));
+    let mut stored: Map<String, Value> =
+        base_fields.map(|(field, value)| (field.clone(), value.clone())).collect();
     if !spec.follows.is_empty() {
         stored.insert("follows".into(), json!(spec.follows));
     }
@@ -158,13 +159,13 @@
     Value::Object(stored)
 }
 
-/// The job that a body names, be the rest of it malformed.
+/// The id of the job in a submission's body, even if other fields are malformed.
 pub fn named_job(body: &str) -> Option<String> {
     let value: Value = serde_json::from_str(body).ok()?;
     value.get("uid")?.as_str().filter(|id| is_job_id(id)).map(str::to_owned)
 }
 
-/// The fields of a body; a field that is null counts as missing.
+/// The fields of a submission's body. A null field counts as missing.
 struct Fields<'a>(&'a Map<String, Value>);
 
 impl Fields<'_> {
@@ -179,7 +180,7 @@
     fn text(&self, field: &'static str) -> Result<String, SubmissionError> {
         let wrong = |problem| SubmissionError::Field { field, problem };
         let text = self.required(field)?.as_str().ok_or(wrong("must be a string"))?;
-        if text.is_empty() || text.len() > TEXT_LIMIT {
+        if text.is_empty() || text.len() > TEXT_LIMIT_BYTES {
             return Err(wrong("must have 1 to 200 bytes"));
         }
         Ok(text.to_owned())
@@ -250,13 +251,13 @@
         let problem = "must be a list of type names, or null";
         let wrong = SubmissionError::Field { field: "breedsOfStall", problem };
         let list = value.as_array().filter(|list| !list.is_empty() && list.len() <= MACHINE_TYPE_LIMIT);
-        list.and_then(|list| texts(list)).ok_or(wrong)
+        list.and_then(|list| strings(list)).ok_or(wrong)
     }
 
     fn dependencies(&self) -> Result<Vec<String>, SubmissionError> {
         let Some(value) = self.get("follows") else { return Ok(Vec::new()) };
         let wrong = SubmissionError::Field { field: "follows", problem: "must be a list of job ids" };
-        let ids = value.as_array().and_then(|list| texts(list));
+        let ids = value.as_array().and_then(|list| strings(list));
         let mut ids = ids.filter(|ids| ids.iter().all(|id| is_job_id(id))).ok_or(wrong)?;
         ids.sort_unstable();
         ids.dedup();
@@ -282,8 +283,8 @@
     }
 }
 
-/// The texts of a list; None if anything else is in it.
-fn texts(list: &[Value]) -> Option<Vec<String>> {
+/// The strings of a list; None if it has any other element.
+fn strings(list: &[Value]) -> Option<Vec<String>> {
     list.iter().map(|value| value.as_str().map(str::to_owned)).collect()
 }
 
--- a/src/wire/users/submission/tests.rs
+++ b/src/wire/users/submission/tests.rs
@@ -9,22 +9,22 @@
 }
 
 #[test]
-fn each_missing_or_wrong_field_is_named() {
+fn error_names_each_missing_or_invalid_field() {
     assert!(JobSpec::from_value(&body()).is_ok());
     let optional = ["breedsOfStall", "paddock", "dueS"];
     for key in body().as_object().unwrap().keys() {
-        let mut b = body();
-        b.as_object_mut().unwrap().remove(key);
+        let mut submission = body();
+        submission.as_object_mut().unwrap().remove(key);
         if optional.contains(&key.as_str()) {
-            assert!(JobSpec::from_value(&b).is_ok(), "{key}");
+            assert!(JobSpec::from_value(&submission).is_ok(), "{key}");
         } else {
-            let e = JobSpec::from_value(&b).unwrap_err().to_string();
-            assert!(e.starts_with(key.as_str()), "{e}");
+            let error = JobSpec::from_value(&submission).unwrap_err().to_string();
+            assert!(error.starts_with(key.as_str()), "{error}");
         }
         for wrong in [json!({}), json!([1]), json!(-1.0), json!("")] {
-            b[key] = wrong;
-            let e = JobSpec::from_value(&b).unwrap_err().to_string();
-            assert!(e.starts_with(key.as_str()), "{e}");
+            submission[key] = wrong;
+            let error = JobSpec::from_value(&submission).unwrap_err().to_string();
+            assert!(error.starts_with(key.as_str()), "{error}");
         }
     }
     for text in ["", "[]", "7", "{", "nul"] {
@@ -33,11 +33,11 @@
 }
 
 #[test]
-fn malformed_releases_and_batches_are_named() {
-    let with = |key: &str, v: Value| {
-        let mut b = body();
-        b[key] = v;
-        JobSpec::from_value(&b)
+fn error_names_malformed_releases_and_batches() {
+    let with = |key: &str, value: Value| {
+        let mut submission = body();
+        submission[key] = value;
+        JobSpec::from_value(&submission)
     };
     let long = "x".repeat(120);
     for (key, wrong) in [
@@ -55,12 +55,12 @@
         ("merges", json!({"name": "", "version": 1})),
         ("merges", json!([])),
     ] {
-        let e = with(key, wrong.clone()).expect_err("malformed").to_string();
-        assert!(e.starts_with(key), "{wrong}: {e}");
+        let error = with(key, wrong.clone()).expect_err("malformed").to_string();
+        assert!(error.starts_with(key), "{wrong}: {error}");
     }
-    let s =
+    let spec =
         with("release", json!({"title": "t", "stage": "rotation", "night": "2026-12-01"})).expect("valid");
-    assert!(s.is_rotation() && s.has_coordination_record());
-    assert_eq!(s.release.and_then(|r| r.key()).map(|k| k.head()), Some("pact/r/t@2026-12-01".into()));
-    assert!(with("batch", Value::Null).is_ok_and(|s| !s.has_coordination_record()));
+    assert!(spec.is_rotation() && spec.has_coordination_record());
+    assert_eq!(spec.release.and_then(|r| r.key()).map(|k| k.head()), Some("pact/r/t@2026-12-01".into()));
+    assert!(with("batch", Value::Null).is_ok_and(|spec| !spec.has_coordination_record()));
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,10 +1,9 @@
-//! Forms that workers send and receive: heartbeats, commands, probes.
+//! Wire formats of the worker protocol: heartbeats, commands, fencing probes.
 //!
-//! This is the only module with the field names and words of the workers' protocol. The raw forms
-//! are private; a [`Heartbeat`] is read through them, a [`HeartbeatResponse`] and the body of a fencing probe are written
-//! through them.
-//! Unknown fields are ignored. A task whose name or state can't be read is an [`UnreadableTask`] and invalidates neither
-//! the heartbeat nor its other tasks.
+//! The field names and values of the worker protocol occur only in this module. The raw formats are private: a
+//! [`Heartbeat`] is deserialized through them, a [`HeartbeatResponse`] and the body of a fencing probe are serialized
+//! through them. Unknown fields are ignored. A task whose name or state can't be read is an [`UnreadableTask`] and
+//! invalidates neither the heartbeat nor its other tasks.
 
 use crate::peer::{ObservedTask, TaskExit, TaskKey, TaskPhase};
 use crate::units::Micros;
@@ -19,7 +18,7 @@
 pub struct Heartbeat {
     /// The machine.
     pub machine: String,
-    /// Where it takes direct commands; empty if it takes none.
+    /// The address at which its worker accepts direct commands; empty if it accepts none.
     pub addr: String,
     /// Its type.
     pub kind: String,
@@ -27,58 +26,58 @@
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// The agent's incarnation; grows when its lease has expired.
+    /// The worker's incarnation. It increases after the worker's lease has expired.
     pub incarnation: u64,
-    /// Grows with each message of an incarnation.
+    /// Increases with each message of an incarnation.
     pub sequence: u64,
-    /// Highest fencing token that the agent has seen.
+    /// The highest fencing token that the worker has received.
     pub token: u64,
-    /// Seconds until the cloud takes the machine, if that was announced.
+    /// Seconds until the cloud terminates the machine, if the cloud has announced that.
     pub notice_s: Option<f64>,
     /// Its tasks.
     pub tasks: Vec<HeartbeatTask>,
 }
 
 impl Heartbeat {
-    /// Which of the worker's messages this is.
+    /// Identifies this message among those of the worker.
     #[must_use]
     pub fn id(&self) -> HeartbeatId {
         HeartbeatId { incarnation: self.incarnation, sequence: self.sequence }
     }
 }
 
-/// Which of a worker's messages one is; later messages are greater.
+/// Identifies a message of a worker. Later messages have greater ids.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatId {
-    /// The agent's incarnation.
+    /// The worker's incarnation.
     pub incarnation: u64,
     /// The message's number within it, from 1.
     pub sequence: u64,
 }
 
-/// A task in a heartbeat, in the worker's words; `TryFrom` gives it as an [`ObservedTask`].
+/// A task in a heartbeat, with the values of the worker protocol. `TryFrom` converts it to an [`ObservedTask`].
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(from = "raw::ReportedTask")]
 pub struct HeartbeatTask {
-    /// `job/index`.
+    /// The task's name, `job/index`.
     pub task: String,
-    /// Which start.
+    /// The attempt's number.
     pub attempt: u64,
-    /// The word for its state.
+    /// The protocol's name of its state.
     pub state: String,
-    /// The word for the cause of its end.
+    /// The protocol's name of the cause of its end.
     pub cause: Option<String>,
-    /// Whether it saved before it ended.
+    /// Whether it saved its progress before it ended.
     pub saved: Option<bool>,
 }
 
 /// Why a task in a heartbeat can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnreadableTask {
-    /// Its name is not a job and an index with a slash in between.
+    /// Its name is not of the form `job/index`.
     #[error("the task's name is not of the form job/index")]
     Name,
-    /// Its state is none that the protocol knows.
+    /// Its state is not defined by the protocol.
     #[error("the task's state is unknown")]
     State,
 }
@@ -101,7 +100,7 @@
     }
 }
 
-/// The end that a cause stands for; one that is missing or unknown is an error of the task.
+/// Converts the cause of a task's end. A missing or unknown cause counts as an error of the task.
 fn read_exit(cause: Option<&str>, saved: bool) -> TaskExit {
     match cause {
         Some("done") => TaskExit::Done,
@@ -120,7 +119,7 @@
 pub struct HeartbeatResponse {
     /// The fencing token: the epoch.
     pub token: u64,
-    /// What to do, in order.
+    /// The commands, in the order of execution.
     pub commands: Vec<Command>,
 }
 
@@ -135,14 +134,14 @@
 pub enum Command {
     /// Start the task.
     Run(TaskKey),
-    /// Stop the task, giving it this long to save.
+    /// Stop the task, with this much time to save its progress.
     Kill(TaskKey, Micros),
-    /// The task's end is on record: list it no more.
+    /// Drop the task from the heartbeats, because its end has been stored.
     Forget(TaskKey),
 }
 
 impl Command {
-    /// The protocol's word for it.
+    /// The protocol's name of the command.
     #[must_use]
     pub fn verb(&self) -> &'static str {
         match self {
@@ -152,7 +151,7 @@
         }
     }
 
-    /// The start that it is about.
+    /// The attempt that the command is for.
     #[must_use]
     pub fn task(&self) -> &TaskKey {
         match self {
@@ -167,13 +166,13 @@
     }
 }
 
-/// The answer to a worker that is to send its heartbeats to another controller.
+/// The response that redirects a worker's heartbeats to another controller.
 #[must_use]
 pub fn redirect(leader: &str) -> Value {
     json!({"rider": leader})
 }
 
-/// The body of a fencing probe: the token and no command. The agent answers with a heartbeat.
+/// The body of a fencing probe: the fencing token and no commands. The worker answers with a heartbeat.
 #[must_use]
 pub fn fencing_probe_body(token: u64, incarnation: u64) -> String {
     serde_json::to_string(&raw::FencingProbe { calls: [], rein: token, ride: incarnation })
--- a/src/wire/workers/raw.rs
+++ b/src/wire/workers/raw.rs
@@ -1,4 +1,5 @@
-//! The forms with the protocol's field names. `Report` and `ReportedTask` appear by name in the answer to a malformed body.
+//! Raw formats with the protocol's field names. The type names `Report` and `ReportedTask` appear in the error
+//! response to a malformed body.
 
 use serde::{Deserialize, Serialize};
 
@@ -98,7 +99,7 @@
     }
 }
 
-/// The fields are sorted by their names, as in a JSON map of `serde_json`.
+/// The fields are sorted by name, like the keys of a `serde_json` map.
 #[derive(Serialize)]
 pub(super) struct FencingProbe {
     pub(super) calls: [(); 0],
--- a/src/wire/workers/tests.rs
+++ b/src/wire/workers/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_heartbeat_is_read_with_its_defaults_and_unknown_fields_are_ignored() {
+fn heartbeat_is_read_with_defaults_and_unknown_fields_are_ignored() {
     let text =
         r#"{"stall":"i-1","stallKind":"k","paddock":"z","ride":3,"hoofbeat":8,"rein":9,"colour":"bay"}"#;
     let read: Heartbeat = serde_json::from_str(text).expect("a heartbeat");
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_is_missing_in_a_heartbeat_is_named_in_the_protocols_words() {
+fn missing_heartbeat_field_is_reported_under_its_protocol_name() {
     for field in ["stall", "stallKind", "paddock", "ride", "hoofbeat", "rein"] {
         let mut body = serde_json::json!({
             "stall": "i-1", "stallKind": "k", "paddock": "z", "ride": 3, "hoofbeat": 8, "rein": 9
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn each_state_and_cause_has_its_phase() {
+fn states_and_causes_are_mapped_to_phases() {
     let phase = |state, cause| ObservedTask::try_from(&task("a/b/7", state, cause)).map(|t| t.phase);
     assert_eq!(phase("pulling", None), Ok(TaskPhase::Fetching));
     assert_eq!(phase("waiting", None), Ok(TaskPhase::Waiting));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn responses_and_probes_are_written_byte_for_byte() {
+fn responses_and_probes_are_serialized_exactly() {
     let commands = vec![
         Command::Forget(key(1)),
         Command::Kill(key(2), Micros::from_millis(2500)),
