--- a/crates/cluster/src/time.rs
+++ b/crates/cluster/src/time.rs
@@ -24,7 +24,7 @@
     }
 
     /// As seconds.
-    pub fn secs(self) -> f64 {
+    pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
@@ -35,12 +35,12 @@
 
     /// This span lengthened so that it covers its length on a clock that drifts by the
     /// protocol's 0.05% against ours, on both sides, with some room.
-    pub fn stretched(self) -> Micros {
+    pub fn plus_drift(self) -> Micros {
         Micros(self.0 + self.0 / DRIFT_ALLOWANCE)
     }
 
     /// This span shortened by the same allowance.
-    pub fn shortened(self) -> Micros {
+    pub fn minus_drift(self) -> Micros {
         Micros(self.0 - self.0 / DRIFT_ALLOWANCE)
     }
 }
--- a/crates/coordination/src/census.rs
+++ b/crates/coordination/src/census.rs
@@ -11,9 +11,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Key prefix of live jobs' records.
-pub const LIVE: &str = "job/";
+pub const LIVE_JOB_PREFIX: &str = "job/";
 /// Key prefix of final records.
-pub const ENDS: &str = "done/";
+pub const FINAL_RECORD_PREFIX: &str = "done/";
 
 /// How a member stands. The order is that of certainty: a later state supersedes an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
 
 /// What a job's record says of coordination records.
 #[derive(Clone, Debug, PartialEq)]
-pub struct JobReading {
+pub struct JobMemberships {
     /// The coordination records that it joined, by head key, with what it declares about each.
     pub joined: Vec<(String, Value)>,
     /// How it stands.
@@ -107,8 +107,8 @@
 
     fn prefix(&self) -> Option<&'static str> {
         match self.part {
-            Part::Live => Some(LIVE),
-            Part::Ends => Some(ENDS),
+            Part::Live => Some(LIVE_JOB_PREFIX),
+            Part::Ends => Some(FINAL_RECORD_PREFIX),
             Part::Complete => None,
         }
     }
@@ -119,7 +119,7 @@
         &mut self,
         rows: impl IntoIterator<Item = (String, Value)>,
         more: bool,
-        read: impl Fn(&str, &Value) -> Option<JobReading>,
+        read: impl Fn(&str, &Value) -> Option<JobMemberships>,
     ) {
         let Some(prefix) = self.prefix() else { return };
         for (key, value) in rows {
@@ -137,8 +137,8 @@
         }
     }
 
-    fn add_job(&mut self, id: &str, reading: JobReading) {
-        let JobReading { joined, state } = reading;
+    fn add_job(&mut self, id: &str, reading: JobMemberships) {
+        let JobMemberships { joined, state } = reading;
         for (record, declaration) in joined {
             if !self.records.contains(&record) {
                 continue;
--- a/crates/coordination/src/census/tests.rs
+++ b/crates/coordination/src/census/tests.rs
@@ -2,14 +2,14 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-fn read(_: &str, v: &Value) -> Option<JobReading> {
+fn read(_: &str, v: &Value) -> Option<JobMemberships> {
     let joined = vec![(v["pact"].as_str()?.to_owned(), json!(1))];
     let state = match v["end"].as_str() {
         None => CensusJobState::Live,
         Some("done") => CensusJobState::Done,
         Some(_) => CensusJobState::Cancelled,
     };
-    Some(JobReading { joined, state })
+    Some(JobMemberships { joined, state })
 }
 
 #[test]
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 
 /// The form that this version of the program writes. A newer one is not understood and holds up what rests on it.
-pub const FORM: u64 = 1;
+pub const FORMAT_VERSION: u64 = 1;
 /// Key prefix of all heads of records; pages don't, so that a list of heads is short.
 pub const HEADS: &str = "pact/";
 /// Key prefix of all pages.
@@ -86,13 +86,13 @@
 
     /// The head's key in the state service.
     #[must_use]
-    pub fn head(&self) -> String {
+    pub fn head_key(&self) -> String {
         format!("{}{}", self.kind.prefix(), self.name)
     }
 
     /// A page's key. It names the version, so that a page that is written late never stands among those of another.
     #[must_use]
-    pub fn page(&self, version: u64, number: usize) -> String {
+    pub fn page_key(&self, version: u64, number: usize) -> String {
         format!("{PAGES}{}/{}/{version}/{number:05}", self.kind.code(), self.name)
     }
 }
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unreadable {
     /// A newer version of this program wrote it.
-    #[error("the record has form {0}, and this controller reads forms up to {FORM}")]
+    #[error("the record has form {0}, and this controller reads forms up to {FORMAT_VERSION}")]
     Newer(u64),
     /// It is damaged.
     #[error("the record can't be read: {0} is missing or wrong")]
@@ -159,7 +159,7 @@
         let number =
             |key: &'static str| value.get(key).and_then(Value::as_u64).ok_or(Unreadable::Damaged(key));
         let form = number("form")?;
-        if form > FORM {
+        if form > FORMAT_VERSION {
             return Err(Unreadable::Newer(form));
         }
         let phase = value.get("phase").cloned().and_then(|phase| serde_json::from_value(phase).ok());
@@ -173,8 +173,8 @@
 
     /// The value to be written.
     #[must_use]
-    pub fn value(&self) -> Value {
-        json!({"form": FORM, "version": self.version, "phase": self.phase, "pages": self.pages, "body": self.body})
+    pub fn to_value(&self) -> Value {
+        json!({"form": FORMAT_VERSION, "version": self.version, "phase": self.phase, "pages": self.pages, "body": self.body})
     }
 
     /// Whether `next` may follow on this record. To be asked before every write: it is what makes a decision that was once
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     /// If it would go back.
-    pub fn allows(&self, next: &CoordinationRecord) -> Result<(), TransitionError> {
+    pub fn check_transition(&self, next: &CoordinationRecord) -> Result<(), TransitionError> {
         if next.version < self.version {
             return Err(TransitionError::Version(self.version));
         }
@@ -199,7 +199,7 @@
 /// Splits a list into the values of pages, none longer than `bytes`, with the number of items that fit into no page:
 /// those are left out, an error of whoever made them.
 #[must_use]
-pub fn pages(items: impl IntoIterator<Item = Value>, bytes: usize) -> (Vec<Value>, usize) {
+pub fn split_into_pages(items: impl IntoIterator<Item = Value>, bytes: usize) -> (Vec<Value>, usize) {
     let mut pages: Vec<Vec<Value>> = Vec::new();
     let (mut free, mut left_out) = (0usize, 0);
     for item in items {
@@ -217,16 +217,16 @@
             page.push(item);
         }
     }
-    (pages.into_iter().map(|items| json!({"form": FORM, "items": items})).collect(), left_out)
+    (pages.into_iter().map(|items| json!({"form": FORMAT_VERSION, "items": items})).collect(), left_out)
 }
 
 /// Reads a page.
 ///
 /// # Errors
 /// If it is of a newer form, or damaged.
-pub fn items(page: &Value) -> Result<&[Value], Unreadable> {
+pub fn read_page_items(page: &Value) -> Result<&[Value], Unreadable> {
     match page.get("form").and_then(Value::as_u64) {
-        Some(form) if form > FORM => return Err(Unreadable::Newer(form)),
+        Some(form) if form > FORMAT_VERSION => return Err(Unreadable::Newer(form)),
         Some(_) => {}
         None => return Err(Unreadable::Damaged("form")),
     }
--- a/crates/coordination/src/record_cache.rs
+++ b/crates/coordination/src/record_cache.rs
@@ -68,13 +68,13 @@
 
 impl RecordCache {
     /// The record is of use here: it is read once, and then again as [`RecordCache::due`] says. Does nothing if it is held.
-    pub fn want(&mut self, key: &Key) {
+    pub fn track(&mut self, key: &Key) {
         self.entries.entry(key.clone()).or_insert_with(Entry::new);
     }
 
     /// A reading that begins no earlier than `now` is wanted, as soon as possible.
-    pub fn want_since(&mut self, key: &Key, now: Micros) {
-        self.want(key);
+    pub fn require_read_since(&mut self, key: &Key, now: Micros) {
+        self.track(key);
         if let Some(entry) = self.entries.get_mut(key) {
             entry.wanted_since = entry.wanted_since.max(now);
             entry.next_read = Micros(0);
@@ -89,7 +89,7 @@
     /// Up to `most` records to read now: those never read, those that a newer reading is wanted of, and the others once the
     /// time that their last reading set has come. What was read longest ago goes first.
     #[must_use]
-    pub fn due(&self, now: Micros, most: usize) -> Vec<Key> {
+    pub fn due_reads(&self, now: Micros, most: usize) -> Vec<Key> {
         let mut due: Vec<(Micros, Key)> = self
             .entries
             .iter()
--- a/crates/failover/src/start_replica.rs
+++ b/crates/failover/src/start_replication.rs
@@ -103,7 +103,7 @@
 
     /// A replica is not needed for now: what it holds may grow old, and it is sent the whole set when it is next sent
     /// anything. Without this the changes that it is not sent would pile up.
-    pub fn forget(&mut self, peer: usize) {
+    pub fn reset_replica(&mut self, peer: usize) {
         if let Some(replica) = self.replicas.get_mut(&peer) {
             *replica = Replica::new(self.revision);
         }
--- a/crates/failover/src/start_replica/tests.rs
+++ b/crates/failover/src/start_replication/tests.rs
@@ -41,7 +41,7 @@
                         back.extend(receivers[p - 1].apply(c).map(|rev| (p, rev)));
                     }
                 }
-                6 if !calm && rng.random_bool(0.1) => sender.forget(2),
+                6 if !calm && rng.random_bool(0.1) => sender.reset_replica(2),
                 _ if !back.is_empty() => {
                     let (p, rev) = back.swap_remove(rng.random_range(0..back.len()));
                     if calm || rng.random_bool(0.8) {
--- a/crates/freshness/src/batch.rs
+++ b/crates/freshness/src/batch.rs
@@ -55,7 +55,7 @@
     /// Permits that are held.
     pub permits: Vec<Permit>,
     /// `(V, F)`: V is the first version recorded while the permit with fence F was held, so the write under F came before V.
-    pub after: Vec<(u64, u64)>,
+    pub outdated_writes: Vec<(u64, u64)>,
 }
 
 /// What putting a version on record changes.
@@ -91,7 +91,7 @@
 impl Batch {
     /// A batch that was never on record.
     #[must_use]
-    pub fn first(version: u64) -> Batch {
+    pub fn new(version: u64) -> Batch {
         Batch { version, ..Batch::default() }
     }
 
@@ -102,13 +102,19 @@
     pub fn read(record: &CoordinationRecord) -> Result<Batch, Unreadable> {
         let body: Body =
             serde_json::from_value(record.body.clone()).map_err(|_| Unreadable::Damaged("body"))?;
-        Ok(Batch { version: record.version, fence: body.fence, permits: body.permits, after: body.after })
+        Ok(Batch {
+            version: record.version,
+            fence: body.fence,
+            permits: body.permits,
+            outdated_writes: body.after,
+        })
     }
 
     /// The record to be written.
     #[must_use]
     pub fn record(&self) -> CoordinationRecord {
-        let body: Value = json!({"fence": self.fence, "permits": self.permits, "after": self.after});
+        let body: Value =
+            json!({"fence": self.fence, "permits": self.permits, "after": self.outdated_writes});
         CoordinationRecord::open(self.version, body)
     }
 
@@ -126,8 +132,8 @@
         let mut next = Batch { version, ..self.clone() };
         for permit in &self.permits {
             // The first newer version is enough: those after it came after the write as well.
-            if !self.after.iter().any(|(_, fence)| *fence == permit.fence) {
-                next.after.push((version, permit.fence));
+            if !self.outdated_writes.iter().any(|(_, fence)| *fence == permit.fence) {
+                next.outdated_writes.push((version, permit.fence));
             }
         }
         next.drop_oldest_ended_writes();
@@ -158,7 +164,7 @@
         next.permits.push(permit.clone());
         next.drop_oldest_ended_writes();
         if next.longest_record() > value_limit {
-            next.after.retain(|(_, fence)| next.permits.iter().any(|held| held.fence == *fence));
+            next.outdated_writes.retain(|(_, fence)| next.permits.iter().any(|held| held.fence == *fence));
             if next.longest_record() > value_limit {
                 return PermitGrant::RecordFull;
             }
@@ -168,7 +174,7 @@
 
     /// How long the record gets if a newer version comes: that must always fit.
     fn longest_record(&self) -> usize {
-        self.record().value().to_string().len() + self.permits.len() * AFTER_ENTRY_BYTES
+        self.record().to_value().to_string().len() + self.permits.len() * AFTER_ENTRY_BYTES
     }
 
     /// The permit that a writer holds.
@@ -189,9 +195,9 @@
     fn drop_oldest_ended_writes(&mut self) {
         let permits = &self.permits;
         let is_held = |fence: u64| permits.iter().any(|permit| permit.fence == fence);
-        let ended = self.after.iter().filter(|(_, fence)| !is_held(*fence)).count();
+        let ended = self.outdated_writes.iter().filter(|(_, fence)| !is_held(*fence)).count();
         let mut surplus = ended.saturating_sub(ENDED_WRITE_LIMIT);
-        self.after.retain(|(_, fence)| {
+        self.outdated_writes.retain(|(_, fence)| {
             let is_dropped = surplus > 0 && !is_held(*fence);
             surplus -= usize::from(is_dropped);
             !is_dropped
--- a/crates/freshness/src/guard.rs
+++ b/crates/freshness/src/guard.rs
@@ -4,7 +4,7 @@
 
 use crate::batch::{Batch, Permit, PermitGrant, Writer};
 use crate::settings::Settings;
-use crate::upstream::{BatchVersion, JobKnowledge, Run, UpstreamFindings, inspect_upstream};
+use crate::upstream::{BatchVersion, JobLookup, Run, UpstreamFindings, inspect_upstream};
 use hazelsaddle_coordination::record_cache::CachedRecord;
 use std::collections::BTreeSet;
 
@@ -52,19 +52,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Merge {
     /// The batch and the version that it claims.
-    pub of: BatchVersion,
+    pub batch: BatchVersion,
     /// The jobs that it follows.
-    pub follows: Vec<String>,
+    pub dependencies: Vec<String>,
 }
 
 impl Merge {
     /// What the records say of it: `held` is the batch's, `job` gives those of jobs, `runs` are the done runs of the batch.
     #[must_use]
-    pub fn verdict(
+    pub fn assess(
         &self,
         settings: &Settings,
         held: &CachedRecord,
-        job: impl Fn(&str) -> JobKnowledge,
+        job: impl Fn(&str) -> JobLookup,
         runs: &BTreeSet<Run>,
     ) -> Verdict {
         let record = match held {
@@ -76,11 +76,11 @@
             CachedRecord::Present(record) => record,
         };
         // A merge follows its batch: once that is at a newer version, only runs of that version count.
-        if record.version < self.of.version {
+        if record.version < self.batch.version {
             return Verdict::Unknown(UnknownCause::NotYetOnRecord(record.version));
         }
-        let of = BatchVersion { name: self.of.name.clone(), version: record.version };
-        let found = inspect_upstream(settings, &of, &self.follows, job, runs);
+        let of = BatchVersion { name: self.batch.name.clone(), version: record.version };
+        let found = inspect_upstream(settings, &of, &self.dependencies, job, runs);
         // A run of a newer version was accepted with that on record: this reading of the batch's record is older.
         if found.ahead {
             return Verdict::Unknown(UnknownCause::RecordUnread);
@@ -94,7 +94,7 @@
         if !found.unread.is_empty() {
             return Verdict::Unknown(UnknownCause::JobsUnread(found.unread.len()));
         }
-        if !found.old.is_empty() || !found.missing.is_empty() {
+        if !found.stale_runs.is_empty() || !found.missing_classes.is_empty() {
             return Verdict::Stale(of.version, found);
         }
         match found.unfinished.first() {
@@ -131,8 +131,8 @@
             Verdict::Fresh(version) => format!("all that it rests on is of version {version}"),
             Verdict::Unknown(cause) => cause.to_string(),
             Verdict::Stale(version, found) => {
-                let stale = found.old.iter().map(ToString::to_string);
-                let missing = found.missing.iter().map(|class| format!("no run of {class}"));
+                let stale = found.stale_runs.iter().map(ToString::to_string);
+                let missing = found.missing_classes.iter().map(|class| format!("no run of {class}"));
                 let list: Vec<String> = stale.chain(missing).collect();
                 format!("the batch is at version {version}: {}", list.join(", "))
             }
@@ -146,7 +146,7 @@
     /// 200: it holds this permit, on record already.
     AlreadyHeld(Permit),
     /// 200, but only once this batch is on record, written on condition that the record is unchanged.
-    Record(Batch, Permit),
+    GrantAfterWrite(Batch, Permit),
     /// 409: the batch's version, and what is stale or missing.
     Stale(u64, UpstreamFindings),
     /// 409: a newer attempt of the task writes.
@@ -180,7 +180,7 @@
     }
     match batch.grant_permit(writer, value_limit) {
         PermitGrant::AlreadyHeld(permit) => PermitAnswer::AlreadyHeld(permit),
-        PermitGrant::New(next, permit) => PermitAnswer::Record(next, permit),
+        PermitGrant::New(next, permit) => PermitAnswer::GrantAfterWrite(next, permit),
         PermitGrant::Superseded => PermitAnswer::Superseded,
         PermitGrant::RecordFull => PermitAnswer::Retry("too many permits are held".into()),
     }
--- a/crates/freshness/src/guard/tests.rs
+++ b/crates/freshness/src/guard/tests.rs
@@ -8,19 +8,19 @@
     s
 }
 fn merge() -> Merge {
-    Merge { of: BatchVersion { name: "b".into(), version: 7 }, follows: vec!["s".into()] }
+    Merge { batch: BatchVersion { name: "b".into(), version: 7 }, dependencies: vec!["s".into()] }
 }
-fn at(version: u64) -> impl Fn(&str) -> JobKnowledge {
+fn at(version: u64) -> impl Fn(&str) -> JobLookup {
     move |_| {
         let batch = Some(BatchVersion { name: "b".into(), version });
-        JobKnowledge::Ended(JobDeclaration { class: Some("split".into()), batch, follows: vec![] })
+        JobLookup::Ended(JobDeclaration { class: Some("split".into()), batch, dependencies: vec![] })
     }
 }
 fn held(version: u64) -> CachedRecord {
-    CachedRecord::Present(Batch::first(version).record())
+    CachedRecord::Present(Batch::new(version).record())
 }
 fn verdict(held: &CachedRecord, read: u64, runs: &[Run]) -> Verdict {
-    merge().verdict(&settings(), held, at(read), &runs.iter().cloned().collect())
+    merge().assess(&settings(), held, at(read), &runs.iter().cloned().collect())
 }
 
 #[test]
@@ -39,19 +39,20 @@
         let v = verdict(&h, 7, &[]);
         assert!(matches!(v, Verdict::Unknown(_)) && !v.may_start(), "{h:?}");
     }
-    let v = |k: JobKnowledge| merge().verdict(&settings(), &held(7), |_| k.clone(), &BTreeSet::new());
-    assert_eq!(v(JobKnowledge::Unread), Verdict::Unknown(UnknownCause::JobsUnread(1)));
-    assert_eq!(v(JobKnowledge::Unreadable), Verdict::Unknown(UnknownCause::JobUnreadable("s".into())));
-    let JobKnowledge::Ended(says) = at(7)("s") else { panic!("not ended") };
-    assert_eq!(v(JobKnowledge::Live(says)), Verdict::Unknown(UnknownCause::Unfinished("s".into())));
+    let v = |k: JobLookup| merge().assess(&settings(), &held(7), |_| k.clone(), &BTreeSet::new());
+    assert_eq!(v(JobLookup::Unread), Verdict::Unknown(UnknownCause::JobsUnread(1)));
+    assert_eq!(v(JobLookup::Unreadable), Verdict::Unknown(UnknownCause::JobUnreadable("s".into())));
+    let JobLookup::Ended(says) = at(7)("s") else { panic!("not ended") };
+    assert_eq!(v(JobLookup::Live(says)), Verdict::Unknown(UnknownCause::Unfinished("s".into())));
     let w = Writer { job: "m".into(), attempt: 1, task: None };
-    assert!(!v(JobKnowledge::Unread).must_stop(&held(7), &w), "what is not known stops nothing");
+    assert!(!v(JobLookup::Unread).must_stop(&held(7), &w), "what is not known stops nothing");
 }
 
 #[test]
 fn a_write_under_way_is_neither_stopped_nor_refused() {
     let w = Writer { job: "m".into(), attempt: 1, task: None };
-    let PermitAnswer::Record(b, p) = decide_permit(&verdict(&held(7), 7, &[]), &held(7), &w, 2000) else {
+    let PermitAnswer::GrantAfterWrite(b, p) = decide_permit(&verdict(&held(7), 7, &[]), &held(7), &w, 2000)
+    else {
         panic!("no permit")
     };
     let Ok(crate::batch::VersionChange::Raised(b)) = b.put_version(8) else { panic!("not raised") };
--- a/crates/freshness/src/settings.rs
+++ b/crates/freshness/src/settings.rs
@@ -53,7 +53,7 @@
             "sources" => &mut self.sources,
             "merges" => &mut self.merges,
             "required" => &mut self.required,
-            _ => return Err(SettingError::Key(nearest(key, KEYS).unwrap_or("sources"))),
+            _ => return Err(SettingError::Key(find_nearest(key, KEYS).unwrap_or("sources"))),
         };
         for name in value.split(',').map(str::trim).filter(|p| !p.is_empty()) {
             if name.len() > CLASS_NAME_LIMIT || name.contains(|c: char| c.is_whitespace() || c.is_control()) {
@@ -82,14 +82,14 @@
 
     /// Whether jobs of this class may name `merges`.
     #[must_use]
-    pub fn merges(&self, class: &str) -> bool {
+    pub fn can_merge(&self, class: &str) -> bool {
         self.merges.is_empty() || self.merges.contains(class)
     }
 }
 
 /// The known name with the fewest changes to this one.
 #[must_use]
-pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn find_nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let distance = |other: &str| {
         let other: Vec<char> = other.chars().collect();
         let mut row: Vec<usize> = (0..=other.len()).collect();
--- a/crates/freshness/src/settings/tests.rs
+++ b/crates/freshness/src/settings/tests.rs
@@ -13,5 +13,5 @@
     s.required = BTreeSet::new();
     s.merges.insert("oris-oqu".into());
     assert_eq!(s.check(), Err(("merges", SettingError::Both("oris-oqu".into()))));
-    assert!(!s.merges("bet-bolu") && Settings::default().merges("bet-bolu"));
+    assert!(!s.can_merge("bet-bolu") && Settings::default().can_merge("bet-bolu"));
 }
--- a/crates/freshness/src/upstream.rs
+++ b/crates/freshness/src/upstream.rs
@@ -26,12 +26,12 @@
     /// The batch that it is a run of.
     pub batch: Option<BatchVersion>,
     /// The jobs that it follows.
-    pub follows: Vec<String>,
+    pub dependencies: Vec<String>,
 }
 
 /// What is known of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JobKnowledge {
+pub enum JobLookup {
     /// Its record was not read yet.
     Unread,
     /// Its record can't be read, or is missing, though the job was accepted.
@@ -61,7 +61,7 @@
     /// Its class, if it is known.
     pub class: Option<String>,
     /// What it read: another version, another batch, or nothing that it declares.
-    pub read: Option<BatchVersion>,
+    pub declared_batch: Option<BatchVersion>,
 }
 
 impl std::fmt::Display for StaleRun {
@@ -70,7 +70,7 @@
         if let Some(class) = &self.class {
             write!(f, " ({class})")?;
         }
-        match &self.read {
+        match &self.declared_batch {
             Some(of) => write!(f, " read version {} of {}", of.version, of.name),
             None => write!(f, " says no version"),
         }
@@ -81,9 +81,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamFindings {
     /// Runs that are stale and not superseded.
-    pub old: Vec<StaleRun>,
+    pub stale_runs: Vec<StaleRun>,
     /// Classes that are required and of which there is no run.
-    pub missing: Vec<String>,
+    pub missing_classes: Vec<String>,
     /// Jobs whose records are still to be read.
     pub unread: Vec<String>,
     /// Jobs whose records can't be read.
@@ -100,8 +100,8 @@
 #[must_use]
 pub fn upstream_closure(
     follows: &[String],
-    job: impl Fn(&str) -> JobKnowledge,
-) -> (BTreeMap<String, JobKnowledge>, bool) {
+    job: impl Fn(&str) -> JobLookup,
+) -> (BTreeMap<String, JobLookup>, bool) {
     let mut found = BTreeMap::new();
     let mut pending: Vec<String> = follows.to_vec();
     while let Some(id) = pending.pop() {
@@ -113,8 +113,8 @@
             return (found, true);
         }
         let known = job(&id);
-        if let JobKnowledge::Live(declaration) | JobKnowledge::Ended(declaration) = &known {
-            pending.extend(declaration.follows.iter().cloned());
+        if let JobLookup::Live(declaration) | JobLookup::Ended(declaration) = &known {
+            pending.extend(declaration.dependencies.iter().cloned());
         }
         found.insert(id, known);
     }
@@ -131,7 +131,7 @@
     settings: &Settings,
     of: &BatchVersion,
     follows: &[String],
-    job: impl Fn(&str) -> JobKnowledge,
+    job: impl Fn(&str) -> JobLookup,
     runs: &BTreeSet<Run>,
 ) -> UpstreamFindings {
     let (upstream, too_many) = upstream_closure(follows, job);
@@ -149,29 +149,31 @@
     }
     // What is not yet read may be of a class that is required.
     let missing = settings.required.iter().filter(|class| !classes.contains(class.as_str()));
-    findings.missing = missing.cloned().collect();
-    findings.missing.retain(|class| !take_spare(&mut spare, class));
-    findings.old.retain(|run| !run.class.as_deref().is_some_and(|class| take_spare(&mut spare, class)));
+    findings.missing_classes = missing.cloned().collect();
+    findings.missing_classes.retain(|class| !take_spare(&mut spare, class));
+    findings
+        .stale_runs
+        .retain(|run| !run.class.as_deref().is_some_and(|class| take_spare(&mut spare, class)));
     findings
 }
 
 impl UpstreamFindings {
     /// Notes what is not known of a job, or not done. Returns what the job declares, if that is known.
-    fn note_state<'a>(&mut self, id: &str, known: &'a JobKnowledge) -> Option<&'a JobDeclaration> {
+    fn note_state<'a>(&mut self, id: &str, known: &'a JobLookup) -> Option<&'a JobDeclaration> {
         match known {
-            JobKnowledge::Unread => {
+            JobLookup::Unread => {
                 self.unread.push(id.to_owned());
                 None
             }
-            JobKnowledge::Unreadable => {
+            JobLookup::Unreadable => {
                 self.unreadable.push(id.to_owned());
                 None
             }
-            JobKnowledge::Live(declaration) => {
+            JobLookup::Live(declaration) => {
                 self.unfinished.push(id.to_owned());
                 Some(declaration)
             }
-            JobKnowledge::Ended(declaration) => Some(declaration),
+            JobLookup::Ended(declaration) => Some(declaration),
         }
     }
 
@@ -194,7 +196,7 @@
         self.ahead |= version.is_some_and(|version| version > of.version);
         if version.is_none_or(|version| version < of.version) {
             let (class, read) = (declaration.class.clone(), declaration.batch.clone());
-            self.old.push(StaleRun { job: id.to_owned(), class, read });
+            self.stale_runs.push(StaleRun { job: id.to_owned(), class, declared_batch: read });
         }
     }
 }
--- a/crates/freshness/tests/model.rs
+++ b/crates/freshness/tests/model.rs
@@ -10,7 +10,7 @@
 use hazelsaddle_freshness::batch::{Batch, Permit, VersionChange, Writer};
 use hazelsaddle_freshness::guard::{Merge, PermitAnswer, Verdict, decide_permit};
 use hazelsaddle_freshness::settings::Settings;
-use hazelsaddle_freshness::upstream::{BatchVersion, JobDeclaration, JobKnowledge, Run};
+use hazelsaddle_freshness::upstream::{BatchVersion, JobDeclaration, JobLookup, Run};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 #[derive(Clone, Copy, Debug)]
@@ -116,12 +116,13 @@
         let mut s = Settings::default();
         s.set("sources", "split").expect("valid");
         let of = BatchVersion { name: "b".into(), version: 1 };
-        let says = JobDeclaration { class: Some("split".into()), batch: Some(of.clone()), follows: vec![] };
+        let says =
+            JobDeclaration { class: Some("split".into()), batch: Some(of.clone()), dependencies: vec![] };
         let run = Run { job: "n".into(), class: "split".into(), version: 2 };
         let runs: BTreeSet<Run> = if again && self.superseded { [run].into() } else { [].into() };
         let held = CachedRecord::Present(batch.record());
-        let merge = Merge { of, follows: vec!["s".into()] };
-        let v = merge.verdict(&s, &held, |_| JobKnowledge::Ended(says.clone()), &runs);
+        let merge = Merge { batch: of, dependencies: vec!["s".into()] };
+        let v = merge.assess(&s, &held, |_| JobLookup::Ended(says.clone()), &runs);
         (held, v)
     }
 
@@ -294,7 +295,7 @@
                 answer = decide_permit(v, &CachedRecord::Present(without.record()), &writer, 4000);
             }
             match answer {
-                PermitAnswer::Record(mut next, mut p) => {
+                PermitAnswer::GrantAfterWrite(mut next, mut p) => {
                     if !self.fence {
                         p.fence = b.permits.iter().map(|p| p.fence).max().unwrap_or(0) + 1;
                         next.fence = p.fence;
@@ -356,7 +357,9 @@
             let writer = Writer { job: id(m), attempt: j.attempt, task: None };
             if n.batch.permit_of(&writer) != Some(p) {
                 n.broken = Some("a permit that is not on record");
-            } else if n.batch.version > p.version && !n.batch.after.iter().any(|(_, f)| *f == p.fence) {
+            } else if n.batch.version > p.version
+                && !n.batch.outdated_writes.iter().any(|(_, f)| *f == p.fence)
+            {
                 n.broken = Some("a newer version that is not marked as after the write");
             }
         }
@@ -379,7 +382,7 @@
 
 fn explore(g: Guards, most: usize) -> Explored {
     let first = World {
-        batch: Batch::first(1),
+        batch: Batch::new(1),
         store_version: 1,
         again: false,
         epoch: 0,
@@ -421,7 +424,7 @@
         let whole = all.len() <= most && e.broken.is_empty();
         let mut good: Vec<bool> = all.iter().map(over).collect();
         let mut reach: Vec<usize> = (0..all.len()).filter(|i| good[*i]).collect();
-        e.went_on |= all.iter().any(|w| over(w) && w.again && w.batch.after.is_empty());
+        e.went_on |= all.iter().any(|w| over(w) && w.again && w.batch.outdated_writes.is_empty());
         while let Some(i) = reach.pop() {
             for &b in &back[i] {
                 if !std::mem::replace(&mut good[b], true) {
--- a/crates/gpu_lending/src/ledger.rs
+++ b/crates/gpu_lending/src/ledger.rs
@@ -86,7 +86,7 @@
     /// How many replicas are to start there.
     pub replicas: u32,
     /// What each takes.
-    pub each: crate::Amount,
+    pub each: crate::ResourceVector,
     /// What is preempted there, by lender's job.
     pub parts: Vec<LenderShare>,
 }
@@ -101,24 +101,24 @@
     /// Its tasks there.
     pub tasks: Vec<(u32, u64)>,
     /// What they take.
-    pub room: crate::Amount,
+    pub room: crate::ResourceVector,
 }
 
 /// What a controller knows about one loan. `None`: it does not know, and nothing changes for that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoanFacts {
     /// Whether the borrower is a job that has not ended and is not being ended.
-    pub live: Option<bool>,
+    pub is_borrower_live: Option<bool>,
     /// How many of its replicas are on the machine; those that may have started count.
-    pub there: Option<u32>,
+    pub replicas_on_machine: Option<u32>,
     /// How many of its replicas are not placed.
-    pub missing: Option<u32>,
+    pub unplaced_replicas: Option<u32>,
     /// Whether the machine is certainly gone.
-    pub gone: bool,
+    pub is_machine_gone: bool,
     /// Whether the lender's job has come to be within its team's guarantee since it was offered: it is not preempted.
-    pub refused: bool,
+    pub is_preemption_refused: bool,
     /// Whether the lender's job still lacks places; false also if it has ended.
-    pub lender_lacks: Option<bool>,
+    pub is_lender_short: Option<bool>,
 }
 
 /// A team's ledger.
@@ -258,21 +258,28 @@
     /// The state that follows from the facts; None: the loan is over.
     fn next_state(&self, now_us: u64, back_us: u64, facts: LoanFacts) -> Option<LoanState> {
         let age_us = now_us.saturating_sub(self.since_us);
-        let has_ended = facts.live == Some(false);
+        let has_ended = facts.is_borrower_live == Some(false);
         match self.state {
             // A machine that is gone has nothing to give back.
-            _ if facts.gone => None,
-            LoanState::Taking if facts.refused => None,
-            LoanState::Taking if facts.live == Some(true) && facts.there.is_some_and(|n| n > 0) => {
+            _ if facts.is_machine_gone => None,
+            LoanState::Taking if facts.is_preemption_refused => None,
+            LoanState::Taking
+                if facts.is_borrower_live == Some(true)
+                    && facts.replicas_on_machine.is_some_and(|n| n > 0) =>
+            {
                 Some(LoanState::Held)
             }
             // Guards against claims for ever: nothing is missing any more, or nothing came of it.
-            LoanState::Taking if has_ended || facts.missing == Some(0) || age_us > TAKING_S * 1_000_000 => {
+            LoanState::Taking
+                if has_ended || facts.unplaced_replicas == Some(0) || age_us > TAKING_S * 1_000_000 =>
+            {
+                Some(LoanState::Returning)
+            }
+            LoanState::Held if has_ended || facts.replicas_on_machine == Some(0) => {
                 Some(LoanState::Returning)
             }
-            LoanState::Held if has_ended || facts.there == Some(0) => Some(LoanState::Returning),
             // The lender has what it needs, or has had its time.
-            LoanState::Returning if facts.lender_lacks == Some(false) || age_us > back_us => None,
+            LoanState::Returning if facts.is_lender_short == Some(false) || age_us > back_us => None,
             state => Some(state),
         }
     }
--- a/crates/gpu_lending/src/ledger/tests.rs
+++ b/crates/gpu_lending/src/ledger/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::Amount;
+use crate::ResourceVector;
 
 fn claim(machine: &str, from: &str, task: u32) -> Claim {
-    let room = Amount { gpus: 8000, cpus: 9000, memory: 1 };
+    let room = ResourceVector { gpus: 8000, cpus: 9000, memory: 1 };
     let part = LenderShare { lender: "vision".into(), from: from.into(), tasks: vec![(task, 7)], room };
     Claim { machine: machine.into(), replicas: 1, each: room, parts: vec![part] }
 }
@@ -37,28 +37,43 @@
     let fresh = Ledger::default().claim(0, "wk-1", 1, &claim("i-1", "wk-9", 0), &[], 4096).expect("free");
     let s = |n: u64| n * 1_000_000;
     let at = |l: &Ledger, now: u64, f: LoanFacts| l.advance(now, s(30), |_| f);
-    let live = LoanFacts { live: Some(true), there: Some(0), missing: Some(1), ..LoanFacts::default() };
+    let live = LoanFacts {
+        is_borrower_live: Some(true),
+        replicas_on_machine: Some(0),
+        unplaced_replicas: Some(1),
+        ..LoanFacts::default()
+    };
     assert_eq!(at(&fresh, s(10), live), None);
-    assert!(at(&fresh, s(10), LoanFacts { refused: true, ..live }).expect("moves").loans.is_empty());
+    assert!(
+        at(&fresh, s(10), LoanFacts { is_preemption_refused: true, ..live }).expect("moves").loans.is_empty()
+    );
     assert_eq!(
-        at(&fresh, s(500), LoanFacts { live: Some(true), ..live }).expect("moves").loans[0].state,
+        at(&fresh, s(500), LoanFacts { is_borrower_live: Some(true), ..live }).expect("moves").loans[0].state,
         LoanState::Returning
     );
-    let held = at(&fresh, s(20), LoanFacts { there: Some(1), missing: Some(0), ..live }).expect("moves");
+    let held =
+        at(&fresh, s(20), LoanFacts { replicas_on_machine: Some(1), unplaced_replicas: Some(0), ..live })
+            .expect("moves");
     assert_eq!((held.loans[0].state, held.loans[0].since_us, held.fence), (LoanState::Held, s(20), 2));
-    assert_eq!(at(&held, s(9000), LoanFacts { there: Some(1), ..live }), None, "kept while it serves");
+    assert_eq!(
+        at(&held, s(9000), LoanFacts { replicas_on_machine: Some(1), ..live }),
+        None,
+        "kept while it serves"
+    );
     assert_eq!(at(&held, s(21), LoanFacts::default()), None, "nobody who knows has looked");
-    let back = at(&held, s(90), LoanFacts { there: Some(0), ..live }).expect("moves");
+    let back = at(&held, s(90), LoanFacts { replicas_on_machine: Some(0), ..live }).expect("moves");
     assert_eq!(back.loans[0].state, LoanState::Returning);
-    let lacks = LoanFacts { lender_lacks: Some(true), ..live };
+    let lacks = LoanFacts { is_lender_short: Some(true), ..live };
     assert_eq!(at(&back, s(100), lacks), None, "kept for the lender");
     assert!(at(&back, s(121), lacks).expect("moves").loans.is_empty());
     assert!(
-        at(&back, s(91), LoanFacts { lender_lacks: Some(false), ..live }).expect("moves").loans.is_empty()
+        at(&back, s(91), LoanFacts { is_lender_short: Some(false), ..live }).expect("moves").loans.is_empty()
     );
-    assert!(at(&held, s(91), LoanFacts { gone: true, ..live }).expect("moves").loans.is_empty());
+    assert!(at(&held, s(91), LoanFacts { is_machine_gone: true, ..live }).expect("moves").loans.is_empty());
     assert_eq!(
-        at(&held, s(91), LoanFacts { live: Some(false), there: Some(1), ..live }).expect("moves").loans[0]
+        at(&held, s(91), LoanFacts { is_borrower_live: Some(false), replicas_on_machine: Some(1), ..live })
+            .expect("moves")
+            .loans[0]
             .state,
         LoanState::Returning
     );
--- a/crates/gpu_lending/src/lib.rs
+++ b/crates/gpu_lending/src/lib.rs
@@ -13,7 +13,7 @@
 
 /// Resources of a machine or a task, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Amount {
+pub struct ResourceVector {
     /// Thousandths of a GPU.
     pub gpus: i64,
     /// Thousandths of a processor.
@@ -22,15 +22,15 @@
     pub memory: i64,
 }
 
-impl Amount {
+impl ResourceVector {
     /// Whether `other` fits in.
     #[must_use]
-    pub fn holds(self, other: Amount) -> bool {
+    pub fn holds(self, other: ResourceVector) -> bool {
         self.gpus >= other.gpus && self.cpus >= other.cpus && self.memory >= other.memory
     }
     /// How many of `one` fit; none if `one` is nothing.
     #[must_use]
-    pub fn count_of(self, one: Amount) -> u32 {
+    pub fn count_of(self, one: ResourceVector) -> u32 {
         let part = |have: i64, each: i64| (each > 0).then(|| have.max(0) / each);
         let parts = [part(self.gpus, one.gpus), part(self.cpus, one.cpus), part(self.memory, one.memory)];
         let least = parts.into_iter().flatten().min().unwrap_or(0);
@@ -38,16 +38,16 @@
     }
 }
 
-impl Add for Amount {
-    type Output = Amount;
-    fn add(self, o: Amount) -> Amount {
-        Amount { gpus: self.gpus + o.gpus, cpus: self.cpus + o.cpus, memory: self.memory + o.memory }
+impl Add for ResourceVector {
+    type Output = ResourceVector;
+    fn add(self, o: ResourceVector) -> ResourceVector {
+        ResourceVector { gpus: self.gpus + o.gpus, cpus: self.cpus + o.cpus, memory: self.memory + o.memory }
     }
 }
 
-impl Sub for Amount {
-    type Output = Amount;
-    fn sub(self, o: Amount) -> Amount {
-        Amount { gpus: self.gpus - o.gpus, cpus: self.cpus - o.cpus, memory: self.memory - o.memory }
+impl Sub for ResourceVector {
+    type Output = ResourceVector;
+    fn sub(self, o: ResourceVector) -> ResourceVector {
+        ResourceVector { gpus: self.gpus - o.gpus, cpus: self.cpus - o.cpus, memory: self.memory - o.memory }
     }
 }
--- a/crates/gpu_lending/src/preemption.rs
+++ b/crates/gpu_lending/src/preemption.rs
@@ -4,7 +4,7 @@
 //! preempted, then where the least work is lost. Gangs are preempted whole, so a gang counts with all its GPUs, and what it
 //! frees elsewhere serves the next replicas before anything else is preempted.
 
-use crate::Amount;
+use crate::ResourceVector;
 use crate::ledger::{Claim, LenderShare};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,15 +15,15 @@
     /// Its team.
     pub team: String,
     /// Its priority, without the guarantee's addition.
-    pub rank: u8,
+    pub base_priority: u8,
     /// Whether it is within its team's guarantee.
-    pub within: bool,
+    pub within_guarantee: bool,
     /// What a replica takes.
-    pub each: Amount,
+    pub resources_per_replica: ResourceVector,
     /// How many are neither placed nor claimed for.
     pub replicas: u32,
     /// How many more may go to a zone, if that is bounded.
-    pub zones: Option<BTreeMap<String, u32>>,
+    pub zone_quota: Option<BTreeMap<String, u32>>,
     /// Whether all must be in one zone.
     pub one_zone: bool,
 }
@@ -36,9 +36,9 @@
     /// Its zone.
     pub zone: String,
     /// What is free there and reserved for nobody.
-    pub free: Amount,
+    pub free: ResourceVector,
     /// Whether it has the image.
-    pub image: bool,
+    pub has_image: bool,
 }
 
 /// A running task that might be preempted.
@@ -53,27 +53,29 @@
     /// Its team.
     pub team: String,
     /// Its priority, without the guarantee's addition.
-    pub rank: u8,
+    pub base_priority: u8,
     /// Whether it is within its team's guarantee, as all leaders decide it.
-    pub within: bool,
+    pub within_guarantee: bool,
     /// Whether it belongs to a gang.
-    pub gang: bool,
+    pub is_gang: bool,
     /// The machine.
     pub machine: String,
     /// What it takes there.
-    pub room: Amount,
+    pub resources: ResourceVector,
     /// Work that is lost if it is preempted, in milliseconds of its run time: what it takes to save, or all that it ran if
     /// it never saves.
-    pub lost_ms: u64,
+    pub lost_work_ms: u64,
     /// Whether it must be left alone for now: it is lent already, being stopped, or a replica that started a short time ago.
-    pub fixed: bool,
+    pub protected: bool,
 }
 
 /// Whether a task may be preempted for a service. Work within its team's guarantee never is; a service within its own
 /// guarantee may preempt whatever other teams run beyond theirs, and any other only what is of lower priority.
 #[must_use]
 pub fn may_preempt(demand: &ReplicaDemand, task: &Task) -> bool {
-    !task.within && task.team != demand.team && (demand.within || task.rank < demand.rank)
+    !task.within_guarantee
+        && task.team != demand.team
+        && (demand.within_guarantee || task.base_priority < demand.base_priority)
 }
 
 /// Tasks that can only be preempted together.
@@ -85,21 +87,24 @@
 
 impl Unit<'_> {
     /// What they take on a machine.
-    fn on(&self, machine: &str) -> Amount {
+    fn on(&self, machine: &str) -> ResourceVector {
         let here = self.tasks.iter().filter(|task| task.machine == machine);
-        here.fold(Amount::default(), |sum, task| sum + task.room)
+        here.fold(ResourceVector::default(), |sum, task| sum + task.resources)
     }
 
     /// Thousandths of GPUs that they take on all machines.
     fn gpus(&self) -> i64 {
-        self.tasks.iter().map(|task| task.room.gpus).sum()
+        self.tasks.iter().map(|task| task.resources.gpus).sum()
     }
 
     /// Thousandths of GPU-seconds that are lost.
     fn lost(&self) -> i64 {
         self.tasks
             .iter()
-            .map(|task| task.room.gpus.max(1) * i64::try_from(task.lost_ms / 1000).unwrap_or(i64::MAX / 4096))
+            .map(|task| {
+                task.resources.gpus.max(1)
+                    * i64::try_from(task.lost_work_ms / 1000).unwrap_or(i64::MAX / 4096)
+            })
             .sum()
     }
 }
@@ -108,12 +113,13 @@
 fn units_of<'a>(demand: &ReplicaDemand, tasks: &'a [Task]) -> Vec<Unit<'a>> {
     let mut by_unit: BTreeMap<(&str, Option<u32>), Vec<&Task>> = BTreeMap::new();
     for task in tasks {
-        by_unit.entry((&task.job, (!task.gang).then_some(task.index))).or_default().push(task);
+        by_unit.entry((&task.job, (!task.is_gang).then_some(task.index))).or_default().push(task);
     }
     // A gang is left alone if any of its tasks must be: it can't be preempted in part.
-    let is_preemptible = |tasks: &[&Task]| tasks.iter().all(|task| may_preempt(demand, task) && !task.fixed);
+    let is_preemptible =
+        |tasks: &[&Task]| tasks.iter().all(|task| may_preempt(demand, task) && !task.protected);
     let unit =
-        |tasks: Vec<&'a Task>| Unit { gang: tasks[0].gang, is_preemptible: is_preemptible(&tasks), tasks };
+        |tasks: Vec<&'a Task>| Unit { gang: tasks[0].is_gang, is_preemptible: is_preemptible(&tasks), tasks };
     by_unit.into_values().map(unit).collect()
 }
 
@@ -127,7 +133,7 @@
         machines,
         units: &units,
         free: machines.iter().map(|machine| (machine.name.as_str(), machine.free)).collect(),
-        zones: demand.zones.clone(),
+        zones: demand.zone_quota.clone(),
         only_zone: None,
         preempted: BTreeSet::new(),
         plans: BTreeMap::new(),
@@ -144,7 +150,7 @@
 #[derive(Default)]
 struct MachinePlan {
     /// Free resources, less those of replicas for which nothing is preempted.
-    free: Amount,
+    free: ResourceVector,
     /// Units preempted there, by index.
     units: Vec<usize>,
     /// For how many replicas.
@@ -157,7 +163,7 @@
     machines: &'a [Machine],
     units: &'a [Unit<'a>],
     /// Free resources by machine, with those of units preempted so far.
-    free: BTreeMap<&'a str, Amount>,
+    free: BTreeMap<&'a str, ResourceVector>,
     /// How many more replicas may go to a zone, if that is bounded.
     zones: Option<BTreeMap<String, u32>>,
     /// The zone of the first replica, if all must be in one.
@@ -184,7 +190,7 @@
 }
 
 impl<'a> Planning<'a> {
-    fn free_on(&self, machine: &str) -> Amount {
+    fn free_on(&self, machine: &str) -> ResourceVector {
         self.free.get(machine).copied().unwrap_or_default()
     }
 
@@ -214,11 +220,11 @@
         // What a gang frees elsewhere serves other replicas as well.
         let served = self.replicas_served_by(&victims).clamp(1, unplaced);
         let freed = victims.iter().fold(free, |sum, &unit| sum + units[unit].on(&machine.name));
-        let left_over = freed - self.demand.each;
+        let left_over = freed - self.demand.resources_per_replica;
         let per_replica = |amount: i64| amount.saturating_mul(1000) / i64::from(served);
         let cost = Cost {
             preempts: !victims.is_empty(),
-            lacks_image: !machine.image,
+            lacks_image: !machine.has_image,
             gpus: per_replica(gpus),
             lost: per_replica(lost),
             left_over: left_over.gpus,
@@ -234,7 +240,7 @@
         let held = |machine: &Machine| {
             let free = self.free_on(&machine.name);
             let freed = victims.iter().fold(free, |sum, &unit| sum + self.units[unit].on(&machine.name));
-            freed.count_of(self.demand.each)
+            freed.count_of(self.demand.resources_per_replica)
         };
         self.machines.iter().filter(|machine| names.contains(machine.name.as_str())).map(held).sum()
     }
@@ -245,13 +251,13 @@
         for &unit in victims {
             for task in &self.units[unit].tasks {
                 if let Some(free) = self.free.get_mut(task.machine.as_str()) {
-                    *free = *free + task.room;
+                    *free = *free + task.resources;
                 }
             }
             self.preempted.insert(unit);
         }
         if let Some(free) = self.free.get_mut(machine.name.as_str()) {
-            *free = *free - self.demand.each;
+            *free = *free - self.demand.resources_per_replica;
         }
         if let Some(left) = self.zones.as_mut().and_then(|zones| zones.get_mut(&machine.zone)) {
             *left -= 1;
@@ -271,7 +277,7 @@
         let plan = self.plans.entry(&machine.name).or_insert_with(new);
         for &unit in self.preempted.iter().filter(|&&unit| units[unit].gang && !plan.units.contains(&unit)) {
             let here = units[unit].on(&machine.name);
-            if here != Amount::default() && !(room - here).holds(self.demand.each) {
+            if here != ResourceVector::default() && !(room - here).holds(self.demand.resources_per_replica) {
                 used.push(unit);
             } else {
                 room = room - here;
@@ -279,7 +285,7 @@
         }
         plan.units.append(&mut used);
         if plan.units.is_empty() {
-            plan.free = plan.free - self.demand.each;
+            plan.free = plan.free - self.demand.resources_per_replica;
         } else {
             plan.replicas += 1;
         }
@@ -293,7 +299,7 @@
     let mut room = plan.units.iter().fold(plan.free, |sum, &unit| sum + units[unit].on(machine));
     plan.units.retain(|&unit| {
         let without = room - units[unit].on(machine);
-        let is_needed = without.count_of(demand.each) < plan.replicas;
+        let is_needed = without.count_of(demand.resources_per_replica) < plan.replicas;
         room = if is_needed { room } else { without };
         is_needed
     });
@@ -304,15 +310,15 @@
             lender: task.team.clone(),
             from: task.job.clone(),
             tasks: Vec::new(),
-            room: Amount::default(),
+            room: ResourceVector::default(),
         });
         part.tasks.push((task.index, task.attempt));
-        part.room = part.room + task.room;
+        part.room = part.room + task.resources;
     }
     Claim {
         machine: machine.to_owned(),
         replicas: plan.replicas,
-        each: demand.each,
+        each: demand.resources_per_replica,
         parts: parts.into_values().collect(),
     }
 }
@@ -323,21 +329,24 @@
     units: &[Unit],
     preempted: &BTreeSet<usize>,
     machine: &str,
-    free: Amount,
+    free: ResourceVector,
 ) -> Option<Vec<usize>> {
-    if free.holds(demand.each) {
+    if free.holds(demand.resources_per_replica) {
         return Some(Vec::new());
     }
     let mut candidates: Vec<usize> = (0..units.len())
         .filter(|&unit| {
             units[unit].is_preemptible
                 && !preempted.contains(&unit)
-                && units[unit].on(machine) != Amount::default()
+                && units[unit].on(machine) != ResourceVector::default()
         })
         .collect();
     candidates.sort_by_key(|&unit| (units[unit].gpus(), units[unit].lost(), unit));
     // One that alone is enough costs one stop.
-    let alone = candidates.iter().copied().find(|&unit| (free + units[unit].on(machine)).holds(demand.each));
+    let alone = candidates
+        .iter()
+        .copied()
+        .find(|&unit| (free + units[unit].on(machine)).holds(demand.resources_per_replica));
     candidates.sort_by_key(|&unit| (units[unit].gang, units[unit].lost(), units[unit].gpus(), unit));
     let several = enough_of(candidates, demand, units, machine, free)?;
     let cost = |list: &[usize]| {
@@ -356,23 +365,23 @@
     demand: &ReplicaDemand,
     units: &[Unit],
     machine: &str,
-    free: Amount,
+    free: ResourceVector,
 ) -> Option<Vec<usize>> {
     let (mut room, mut chosen) = (free, Vec::new());
     for unit in candidates {
-        if room.holds(demand.each) {
+        if room.holds(demand.resources_per_replica) {
             break;
         }
         room = room + units[unit].on(machine);
         chosen.push(unit);
     }
-    if !room.holds(demand.each) {
+    if !room.holds(demand.resources_per_replica) {
         return None;
     }
     // The first ones may not be needed beside the last: they don't count against the machine.
     chosen.retain(|&unit| {
         let without = room - units[unit].on(machine);
-        let is_needed = !without.holds(demand.each);
+        let is_needed = !without.holds(demand.resources_per_replica);
         room = if is_needed { room } else { without };
         is_needed
     });
--- a/crates/gpu_lending/src/preemption/tests.rs
+++ b/crates/gpu_lending/src/preemption/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-fn gpus(n: i64) -> Amount {
-    Amount { gpus: n * 1000, cpus: n * 4000, memory: n * 8000 }
+fn gpus(n: i64) -> ResourceVector {
+    ResourceVector { gpus: n * 1000, cpus: n * 4000, memory: n * 8000 }
 }
 fn need(n: i64, replicas: u32) -> ReplicaDemand {
     ReplicaDemand {
         team: "serve".into(),
-        rank: 3,
-        within: true,
-        each: gpus(n),
+        base_priority: 3,
+        within_guarantee: true,
+        resources_per_replica: gpus(n),
         replicas,
-        zones: None,
+        zone_quota: None,
         one_zone: false,
     }
 }
 fn machine(name: &str, free: i64) -> Machine {
-    Machine { name: name.into(), zone: "a".into(), free: gpus(free), image: false }
+    Machine { name: name.into(), zone: "a".into(), free: gpus(free), has_image: false }
 }
 fn task(job: &str, index: u32, machine: &str, n: i64, lost_s: u64) -> Task {
     Task {
@@ -23,13 +23,13 @@
         index,
         attempt: 1,
         team: "vision".into(),
-        rank: 1,
-        within: false,
-        gang: job.starts_with('g'),
+        base_priority: 1,
+        within_guarantee: false,
+        is_gang: job.starts_with('g'),
         machine: machine.into(),
-        room: gpus(n),
-        lost_ms: lost_s * 1000,
-        fixed: false,
+        resources: gpus(n),
+        lost_work_ms: lost_s * 1000,
+        protected: false,
     }
 }
 fn stops(claims: &[Claim]) -> Vec<(String, String, usize)> {
@@ -42,12 +42,12 @@
 #[test]
 fn who_may_be_stopped() {
     let t = task("a", 0, "m", 1, 0);
-    let (within, beyond) = (need(1, 1), ReplicaDemand { within: false, ..need(1, 1) });
-    let urgent = Task { rank: 9, ..t.clone() };
-    let safe = Task { within: true, ..t.clone() };
+    let (within, beyond) = (need(1, 1), ReplicaDemand { within_guarantee: false, ..need(1, 1) });
+    let urgent = Task { base_priority: 9, ..t.clone() };
+    let safe = Task { within_guarantee: true, ..t.clone() };
     let own = Task { team: "serve".into(), ..t.clone() };
     assert!(may_preempt(&within, &t) && may_preempt(&within, &urgent) && may_preempt(&beyond, &t));
-    assert!(!may_preempt(&beyond, &urgent) && !may_preempt(&beyond, &Task { rank: 3, ..t.clone() }));
+    assert!(!may_preempt(&beyond, &urgent) && !may_preempt(&beyond, &Task { base_priority: 3, ..t.clone() }));
     for n in [&within, &beyond] {
         assert!(!may_preempt(n, &safe) && !may_preempt(n, &own));
     }
@@ -69,7 +69,7 @@
     );
     ms.pop();
     assert_eq!(stops(&choose_preemptions(&need(4, 1), &ms, &ts)), [("m2".into(), "b".into(), 1)]);
-    ms[0].image = true;
+    ms[0].has_image = true;
     assert_eq!(stops(&choose_preemptions(&need(4, 1), &ms, &ts)), [("m1".into(), "a".into(), 1)]);
     ms.push(machine("m4", 4));
     assert!(choose_preemptions(&need(4, 1), &ms, &ts).is_empty(), "free room first");
@@ -87,6 +87,6 @@
     let got = stops(&choose_preemptions(&need(8, 3), &ms, &ts));
     assert_eq!(got.iter().map(|g| g.1.as_str()).collect::<BTreeSet<_>>(), ["g0"].into());
     assert_eq!(got.len(), 3, "each machine's room is held");
-    ts[1].within = true;
+    ts[1].within_guarantee = true;
     assert!(!stops(&choose_preemptions(&need(8, 3), &ms, &ts)).iter().any(|g| g.1 == "g0"), "never in part");
 }
--- a/crates/gpu_lending/src/reclaim/tests.rs
+++ b/crates/gpu_lending/src/reclaim/tests.rs
@@ -27,19 +27,23 @@
         loan(3, "c", 30, LoanState::Held),
     ];
     let ledger = Ledger { loans, ..Ledger::default() };
-    let terms = Terms { stay_us: s(60), burst_us: s(10) };
+    let terms = ReclaimTerms { min_stay_us: s(60), min_shortfall_us: s(10) };
     let lack = |gpus: i64| {
-        let room = Amount { gpus, ..Amount::default() };
-        BTreeMap::from([("vision".to_owned(), Shortfall { room, since_us: s(100) })])
+        let room = ResourceVector { gpus, ..ResourceVector::default() };
+        BTreeMap::from([("vision".to_owned(), Shortfall { resources: room, since_us: s(100) })])
     };
-    let stands = |_: &str, _: &str| ReplicasOnLoan { replicas: 1, each: 4000, within: false };
-    let much = Borrower { used: 20_000, guarantee: 8_000 };
+    let stands = |_: &str, _: &str| ReplicasOnLoan {
+        replicas: 1,
+        milligpus_per_replica: 4000,
+        within_guarantee: false,
+    };
+    let much = Borrower { used_milligpus: 20_000, guaranteed_milligpus: 8_000 };
     let back = |now, b, lacks: &BTreeMap<_, _>, l: &Ledger| loans_to_reclaim(now, terms, l, b, lacks, stands);
     assert_eq!(back(s(200), much, &lack(4000), &ledger), [3]);
     assert_eq!(back(s(200), much, &lack(5000), &ledger), [3, 2]);
     assert_eq!(back(s(200), much, &lack(90_000), &ledger), [3, 2, 1]);
     assert_eq!(
-        back(s(200), Borrower { used: 13_000, ..much }, &lack(90_000), &ledger),
+        back(s(200), Borrower { used_milligpus: 13_000, ..much }, &lack(90_000), &ledger),
         [3],
         "not below the guarantee"
     );
@@ -49,6 +53,10 @@
     let mut coming = ledger.clone();
     coming.loans[2].state = LoanState::Returning;
     assert!(back(s(200), much, &lack(4000), &coming).is_empty(), "it is on its way");
-    let within = |_: &str, _: &str| ReplicasOnLoan { replicas: 1, each: 4000, within: true };
+    let within = |_: &str, _: &str| ReplicasOnLoan {
+        replicas: 1,
+        milligpus_per_replica: 4000,
+        within_guarantee: true,
+    };
     assert!(loans_to_reclaim(s(200), terms, &ledger, much, &lack(4000), within).is_empty());
 }
--- a/crates/gpu_lending/tests/fleets.rs
+++ b/crates/gpu_lending/tests/fleets.rs
@@ -1,16 +1,16 @@
 //! Random fleets and sequences: nothing within a guarantee is stopped, nothing is taken in vain, gangs go whole, no loan stays
 //! for ever, and giving back never takes a team below its guarantee.
 
-use hazelsaddle_gpu_lending::Amount;
+use hazelsaddle_gpu_lending::ResourceVector;
 use hazelsaddle_gpu_lending::ledger::{Ledger, LoanFacts, LoanState, TAKING_S};
 use hazelsaddle_gpu_lending::preemption::{Machine, ReplicaDemand, Task, choose_preemptions, may_preempt};
-use hazelsaddle_gpu_lending::reclaim::{Borrower, ReplicasOnLoan, Shortfall, Terms, loans_to_reclaim};
+use hazelsaddle_gpu_lending::reclaim::{Borrower, ReclaimTerms, ReplicasOnLoan, Shortfall, loans_to_reclaim};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn gpus(n: i64) -> Amount {
-    Amount { gpus: n * 1000, cpus: n * 8000, memory: n * 64_000 }
+fn gpus(n: i64) -> ResourceVector {
+    ResourceVector { gpus: n * 1000, cpus: n * 8000, memory: n * 64_000 }
 }
 
 struct Fleet {
@@ -41,13 +41,13 @@
                 index,
                 attempt: 5,
                 team: team.into(),
-                rank,
-                within,
-                gang,
+                base_priority: rank,
+                within_guarantee: within,
+                is_gang: gang,
                 machine: format!("i-{at}"),
-                room: gpus(size),
-                lost_ms,
-                fixed,
+                resources: gpus(size),
+                lost_work_ms: lost_ms,
+                protected: fixed,
             });
         }
     }
@@ -55,7 +55,7 @@
         name: format!("i-{i}"),
         zone: ["a", "b"][i % 2].into(),
         free: gpus(free[i]),
-        image: rng.random_bool(0.3),
+        has_image: rng.random_bool(0.3),
     });
     Fleet { machines: machines.collect(), tasks }
 }
@@ -64,11 +64,11 @@
     let zones = rng.random_bool(0.3).then(|| BTreeMap::from([("a".to_owned(), 2), ("b".to_owned(), 1)]));
     ReplicaDemand {
         team: "serve".into(),
-        rank: rng.random_range(0..4),
-        within: rng.random_bool(0.5),
-        each: gpus([1, 2, 4, 8][rng.random_range(0..4usize)]),
+        base_priority: rng.random_range(0..4),
+        within_guarantee: rng.random_bool(0.5),
+        resources_per_replica: gpus([1, 2, 4, 8][rng.random_range(0..4usize)]),
         replicas: rng.random_range(1..6),
-        zones,
+        zone_quota: zones,
         one_zone: rng.random_bool(0.2),
     }
 }
@@ -88,19 +88,19 @@
             ledger = ledger.claim(1, "wk-s", need.replicas, c, &[], 1 << 20).expect("nothing is named twice");
             let m = f.machines.iter().find(|m| m.name == c.machine).expect("known");
             // Free room serves first, and nothing is stopped for that.
-            let for_nothing = m.free.count_of(need.each);
+            let for_nothing = m.free.count_of(need.resources_per_replica);
             let given = c.parts.iter().fold(m.free, |a, p| a + p.room);
-            prop_assert!(given.count_of(need.each) >= c.replicas + for_nothing, "it holds what it is for");
+            prop_assert!(given.count_of(need.resources_per_replica) >= c.replicas + for_nothing, "it holds what it is for");
             for p in &c.parts {
                 let left = given - p.room;
-                prop_assert!(left.count_of(need.each) < c.replicas + for_nothing, "{} gives in vain on {}", p.from, c.machine);
+                prop_assert!(left.count_of(need.resources_per_replica) < c.replicas + for_nothing, "{} gives in vain on {}", p.from, c.machine);
                 for (index, _) in &p.tasks {
                     let t = f.tasks.iter().find(|t| t.job == p.from && t.index == *index).expect("known");
-                    prop_assert!(may_preempt(&need, t) && !t.within && !t.fixed && t.machine == c.machine);
+                    prop_assert!(may_preempt(&need, t) && !t.within_guarantee && !t.protected && t.machine == c.machine);
                     // All of a gang goes if one of it does, so all of it must be free to go.
-                    let whole = f.tasks.iter().filter(|o| t.gang && o.job == t.job);
+                    let whole = f.tasks.iter().filter(|o| t.is_gang && o.job == t.job);
                     for o in whole {
-                        prop_assert!(may_preempt(&need, o) && !o.fixed);
+                        prop_assert!(may_preempt(&need, o) && !o.protected);
                         let here = o.machine == c.machine;
                         prop_assert!(!here || p.tasks.contains(&(o.index, o.attempt)), "a gang goes whole");
                     }
@@ -118,12 +118,12 @@
     fn no_loan_is_for_ever_and_none_swings(seed in any::<u64>()) {
         let rng = &mut StdRng::seed_from_u64(seed);
         let (f, need) = (fleet(rng), ReplicaDemand { replicas: 5, ..need(rng) });
-        let (back_us, terms) = (30_000_000, Terms { stay_us: 60_000_000, burst_us: 8_000_000 });
+        let (back_us, terms) = (30_000_000, ReclaimTerms { min_stay_us: 60_000_000, min_shortfall_us: 8_000_000 });
         let mut ledger = Ledger::default();
         for c in choose_preemptions(&need, &f.machines, &f.tasks) {
             ledger = ledger.claim(1, "wk-s", 5, &c, &[], 1 << 20).expect("free");
         }
-        let guarantee = rng.random_range(0..6) * need.each.gpus;
+        let guarantee = rng.random_range(0..6) * need.resources_per_replica.gpus;
         let (mut now, mut fence) = (1u64, ledger.fence);
         let mut held: BTreeSet<String> = BTreeSet::new();
         let mut states: BTreeMap<u64, (LoanState, u64)> = BTreeMap::new();
@@ -140,25 +140,25 @@
             }
             let known = rng.random_bool(0.8);
             let facts = |l: &hazelsaddle_gpu_lending::ledger::Loan| LoanFacts {
-                live: known.then_some(now < end),
-                there: known.then_some(u32::from(held.contains(&l.machine))),
-                missing: Some(1),
-                gone: false,
-                refused: false,
-                lender_lacks: Some(true),
+                is_borrower_live: known.then_some(now < end),
+                replicas_on_machine: known.then_some(u32::from(held.contains(&l.machine))),
+                unplaced_replicas: Some(1),
+                is_machine_gone: false,
+                is_preemption_refused: false,
+                is_lender_short: Some(true),
             };
             let next = ledger.advance(now, back_us, facts).unwrap_or_else(|| ledger.clone());
-            let used = held.len() as i64 * need.each.gpus;
+            let used = held.len() as i64 * need.resources_per_replica.gpus;
             let since_us = now - rng.random_range(0..20_000_000u64).min(now);
-            let lack = Shortfall { room: gpus(rng.random_range(0..20)), since_us };
+            let lack = Shortfall { resources: gpus(rng.random_range(0..20)), since_us };
             let lacks: BTreeMap<String, Shortfall> = [("vision".to_owned(), lack)].into();
-            let stands = |_: &str, _: &str| ReplicasOnLoan { replicas: 1, each: need.each.gpus, within: false };
-            let ids = loans_to_reclaim(now, terms, &next, Borrower { used, guarantee }, &lacks, stands);
+            let stands = |_: &str, _: &str| ReplicasOnLoan { replicas: 1, milligpus_per_replica: need.resources_per_replica.gpus, within_guarantee: false };
+            let ids = loans_to_reclaim(now, terms, &next, Borrower { used_milligpus: used, guaranteed_milligpus: guarantee }, &lacks, stands);
             let gone: BTreeSet<&String> = next.loans.iter().filter(|l| ids.contains(&l.id)).map(|l| &l.machine).collect();
-            prop_assert!(gone.is_empty() || used - gone.len() as i64 * need.each.gpus >= guarantee);
+            prop_assert!(gone.is_empty() || used - gone.len() as i64 * need.resources_per_replica.gpus >= guarantee);
             for l in next.loans.iter().filter(|l| ids.contains(&l.id)) {
-                prop_assert!(l.state == LoanState::Held && now - l.since_us >= terms.stay_us);
-                prop_assert!(now - lack.since_us >= terms.burst_us);
+                prop_assert!(l.state == LoanState::Held && now - l.since_us >= terms.min_stay_us);
+                prop_assert!(now - lack.since_us >= terms.min_shortfall_us);
             }
             ledger = next.begin_return(now, &ids).unwrap_or(next);
             prop_assert!(ledger.fence >= fence);
@@ -178,7 +178,7 @@
         }
         for _ in 0..3 {
             now += 500_000_000;
-            let over = |_: &hazelsaddle_gpu_lending::ledger::Loan| LoanFacts { live: Some(false), ..LoanFacts::default() };
+            let over = |_: &hazelsaddle_gpu_lending::ledger::Loan| LoanFacts { is_borrower_live: Some(false), ..LoanFacts::default() };
             ledger = ledger.advance(now, back_us, over).unwrap_or(ledger);
         }
         prop_assert!(ledger.loans.is_empty());
--- a/crates/release/src/calendar.rs
+++ b/crates/release/src/calendar.rs
@@ -71,7 +71,7 @@
 
 /// The known value that is most like a wrong one.
 #[must_use]
-pub fn nearest<'a>(wrong: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn find_nearest<'a>(wrong: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let like = |k: &str| strsim::jaro_winkler(&wrong.to_lowercase(), &k.to_lowercase());
     known.into_iter().max_by(|a, b| like(a).total_cmp(&like(b)))
 }
@@ -160,7 +160,7 @@
 fn weekday(word: &str) -> Result<i8, String> {
     let lower = word.to_lowercase();
     DAYS.iter().find(|(w, _)| *w == lower).map(|(_, d)| d.to_monday_zero_offset()).ok_or_else(|| {
-        let like = nearest(word, DAYS.map(|(w, _)| w)).unwrap_or("mon");
+        let like = find_nearest(word, DAYS.map(|(w, _)| w)).unwrap_or("mon");
         format!("{word:?} is no weekday; the nearest is {like}")
     })
 }
@@ -192,7 +192,7 @@
     let bundled = TimeZoneDatabase::bundled();
     bundled.get(value).map_err(|_| {
         let names: Vec<String> = bundled.available().map(|n| n.to_string()).collect();
-        let like = nearest(value, names.iter().map(String::as_str)).unwrap_or("UTC");
+        let like = find_nearest(value, names.iter().map(String::as_str)).unwrap_or("UTC");
         format!("{value:?} is no zone; the nearest is {like}")
     })
 }
@@ -226,7 +226,7 @@
         let mut given: BTreeMap<&str, &str> = BTreeMap::new();
         for (key, value) in pairs {
             if !KEYS.contains(&key) {
-                let like = nearest(key, KEYS).unwrap_or("title");
+                let like = find_nearest(key, KEYS).unwrap_or("title");
                 return Err(bad(key, format!("is no setting of a calendar; the nearest is {like}")));
             }
             if given.insert(key, value.trim()).is_some() {
@@ -384,7 +384,7 @@
     /// The pattern that a title is nearest to.
     #[must_use]
     pub fn nearest(&self, title: &str) -> Option<&str> {
-        nearest(title, self.0.iter().map(|c| c.title.as_str()))
+        find_nearest(title, self.0.iter().map(|c| c.title.as_str()))
     }
 }
 
--- a/crates/release/src/join.rs
+++ b/crates/release/src/join.rs
@@ -8,8 +8,8 @@
 //! A rotation is no member: it may join as long as its night is not over, also a set that is closed.
 
 use crate::calendar::{Calendar, Calendars, EARLY_JOIN_US, Stage, date_of};
+use crate::release_record::{ClosedBy, Release};
 use crate::release_ref::ReleaseRef;
-use crate::set::{ClosedBy, Release};
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
 use hazelsaddle_coordination::record_cache::CachedRecord;
 
@@ -171,7 +171,7 @@
         CachedRecord::Absent => match calendar {
             None => ReleaseJoin::Refused(unknown_title(calendars, &release_ref.title)),
             Some(c) => open_set(c, release_ref, now)
-                .map_or_else(ReleaseJoin::Refused, |release| ReleaseJoin::OpenFirst(release.record())),
+                .map_or_else(ReleaseJoin::Refused, |release| ReleaseJoin::OpenFirst(release.to_record())),
         },
     }
 }
@@ -189,7 +189,7 @@
         title: body.title,
         night: body.night,
         stage: release_ref.stage,
-        by: body.closed_by.map_or("an operator", ClosedBy::word),
+        by: body.closed_by.map_or("an operator", ClosedBy::description),
     })
 }
 
--- a/crates/release/src/lib.rs
+++ b/crates/release/src/lib.rs
@@ -12,11 +12,11 @@
 //!    conditional on the record's being unchanged, and if that fails, all is asked anew. `OpenFirst(record)`: write it first,
 //!    on condition that there is none. `Retry`: 503. The job's record has [`release_ref::ReleaseRef::value`], with the night
 //!    filled in.
-//! 3. *Closing*, by the owner of the record's key: [`set::Release::due_to_close`] says whether it is time; write
-//!    [`set::begin_closing`], then take the census, then write the pages and the head of [`set::finish_closing`].
+//! 3. *Closing*, by the owner of the record's key: [`release_record::Release::due_to_close`] says whether it is time; write
+//!    [`release_record::begin_closing`], then take the census, then write the pages and the head of [`release_record::finish_closing`].
 //! 4. *A rotation* starts nothing until [`readiness::assess`] says `Open`. `Ready(record)` is to be written first, on
 //!    condition that the record is unchanged. `Held` has the causes to show. Members' states come from records alone.
-//! 5. *Operators*: [`set::close`], [`set::waive`], [`set::reopen`] give the record to be written or the reason why not;
+//! 5. *Operators*: [`release_record::close`], [`release_record::waive`], [`release_record::reopen`] give the record to be written or the reason why not;
 //!    [`status::ReleaseStatus::of`] is what `release show` prints.
 //! 6. *Order*: [`priority_inheritance`] has the urgency and the deadline that members inherit.
 
@@ -24,8 +24,8 @@
 pub mod join;
 pub mod priority_inheritance;
 pub mod readiness;
+pub mod release_record;
 pub mod release_ref;
-pub mod set;
 pub mod status;
 
 #[cfg(test)]
--- a/crates/release/src/readiness.rs
+++ b/crates/release/src/readiness.rs
@@ -1,7 +1,7 @@
 //! Whether a rotation may start, and what it waits for.
 
 use crate::calendar::Stage;
-use crate::set::{MISSING, Member, Release, count_renders, mark_rotated};
+use crate::release_record::{MISSING, Member, Release, count_renders, mark_rotated};
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
 use hazelsaddle_coordination::record_cache::CachedRecord;
 use serde::Serialize;
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Readiness {
     /// Yes, and that is on record. It never changes.
-    Open,
+    MayStart,
     /// It may, once this is on record, written on condition of the record's mark. Nothing starts before.
     Ready(CoordinationRecord),
     /// Not yet.
@@ -134,7 +134,7 @@
         Err(why) => return only(Cause::Unreadable { why: why.to_string() }),
     };
     if body.rotated {
-        return Readiness::Open;
+        return Readiness::MayStart;
     }
     let mut why = Vec::new();
     match record.phase {
--- a/crates/release/src/set.rs
+++ b/crates/release/src/release_record.rs
@@ -1,10 +1,10 @@
 //! The record of a release's set of jobs: what it says, and every change that it allows.
 
-use crate::calendar::{Night, Stage, nearest};
+use crate::calendar::{Night, Stage, find_nearest};
 use crate::release_ref::ReleaseRef;
 use hazelsaddle_coordination::census;
 use hazelsaddle_coordination::record::{
-    CoordinationRecord, Key, Phase, TransitionError, Unreadable, items, pages,
+    CoordinationRecord, Key, Phase, TransitionError, Unreadable, read_page_items, split_into_pages,
 };
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
@@ -32,7 +32,7 @@
 impl ClosedBy {
     /// In words.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn description(self) -> &'static str {
         match self {
             ClosedBy::Calendar => "the calendar",
             ClosedBy::Operator => "an operator",
@@ -101,10 +101,10 @@
     Rotated(String, String),
     /// Not before all members are known.
     #[error("the set is being counted; ask again in a moment")]
-    Counting,
+    CountInProgress,
     /// No such job.
     #[error("{job} is no render or rebuild of this set{}", like.as_ref() .map( | l | format!("; the nearest is {l}") ) .unwrap_or_default() ) ]
-    NoMember {
+    NoSuchMember {
         /// The job.
         job: String,
         /// The member nearest to it.
@@ -112,7 +112,7 @@
     },
     /// The reason is missing or malformed.
     #[error("a reason of 1 to {REASON_LIMIT} bytes on one line is needed")]
-    Reason,
+    InvalidReason,
     /// The head must fit into a value of the state service.
     #[error("{WAIVER_LIMIT} are waived already; reopen the set or send the renders anew")]
     TooManyWaivers,
@@ -155,7 +155,7 @@
 
     /// Its record, at the first version.
     #[must_use]
-    pub fn record(&self) -> CoordinationRecord {
+    pub fn to_record(&self) -> CoordinationRecord {
         CoordinationRecord::open(1, self.value())
     }
 
@@ -173,7 +173,7 @@
     /// Whether an open set is to be closed now, and why. `seen`: the members that are known to be on record; some may be
     /// missing. Cancelled ones must not be among them, or a render that is submitted anew would come too late.
     #[must_use]
-    pub fn due_to_close<'a>(&self, seen: impl IntoIterator<Item = &'a Member>, now: u64) -> Option<ClosedBy> {
+    pub fn close_reason<'a>(&self, seen: impl IntoIterator<Item = &'a Member>, now: u64) -> Option<ClosedBy> {
         if self.by_hand {
             return None;
         }
@@ -228,10 +228,10 @@
 ///
 /// # Errors
 /// If one can't be read: the others must not be relied on.
-pub fn members_on_pages<'a>(pages: impl IntoIterator<Item = &'a Value>) -> Result<Vec<Member>, Unreadable> {
+pub fn read_member_pages<'a>(pages: impl IntoIterator<Item = &'a Value>) -> Result<Vec<Member>, Unreadable> {
     let mut out = Vec::new();
     for page in pages {
-        for item in items(page)? {
+        for item in read_page_items(page)? {
             out.push(Member::from_item(item).ok_or(Unreadable::Damaged("items"))?);
         }
     }
@@ -248,7 +248,7 @@
     let mut body = Release::read(record)?;
     change(&mut body);
     let next = CoordinationRecord { version: record.version, phase, pages, body: body.value() };
-    record.allows(&next)?;
+    record.check_transition(&next)?;
     Ok(next)
 }
 
@@ -290,12 +290,12 @@
     let standing =
         |m: &&Member| found.get(&m.id).is_none_or(|f| f.state != census::CensusJobState::Cancelled);
     let (expects, _) = count_renders(members.iter().filter(standing));
-    let (values, lost) = pages(members.iter().map(Member::to_item), bytes);
+    let (values, lost) = split_into_pages(members.iter().map(Member::to_item), bytes);
     if lost > 0 {
         return Err(Unreadable::Damaged("items").into());
     }
     let head = with_change(record, Phase::Closed, values.len(), |b| b.expects = expects)?;
-    let named = |(n, v)| (key.page(record.version, n), v);
+    let named = |(n, v)| (key.page_key(record.version, n), v);
     Ok((values.into_iter().enumerate().map(named).collect(), head))
 }
 
@@ -315,16 +315,16 @@
         return Err(ChangeError::Rotated(body.title, body.night));
     }
     if why.trim().is_empty() || why.len() > REASON_LIMIT || why.chars().any(char::is_control) {
-        return Err(ChangeError::Reason);
+        return Err(ChangeError::InvalidReason);
     }
     let ids = || known.iter().map(|m| m.id.as_str());
     if job != MISSING && !ids().any(|id| id == job) {
-        let like = nearest(job, ids()).map(str::to_owned);
-        return Err(ChangeError::NoMember { job: job.to_owned(), like });
+        let like = find_nearest(job, ids()).map(str::to_owned);
+        return Err(ChangeError::NoSuchMember { job: job.to_owned(), like });
     }
     if job == MISSING && record.phase != Phase::Closed {
         // What is missing is known once the set is closed; before that, the waiver would cover whatever goes missing later.
-        return Err(ChangeError::Counting);
+        return Err(ChangeError::CountInProgress);
     }
     if body.waived.len() >= WAIVER_LIMIT && !body.waived.contains_key(job) {
         return Err(ChangeError::TooManyWaivers);
@@ -347,7 +347,7 @@
     match record.phase {
         Phase::Open => return Err(ChangeError::Already(Phase::Open)),
         // The census that is under way would be of no use.
-        Phase::Closing => return Err(ChangeError::Counting),
+        Phase::Closing => return Err(ChangeError::CountInProgress),
         Phase::Closed => {}
     }
     // What was missing then says nothing of what will be missing; it is still shown.
@@ -356,7 +356,7 @@
     }
     (body.closed_by, body.expects, body.by_hand) = (None, None, true);
     let next = CoordinationRecord::open(record.version + 1, body.value());
-    record.allows(&next)?;
+    record.check_transition(&next)?;
     Ok(next)
 }
 
--- a/crates/release/src/release_ref.rs
+++ b/crates/release/src/release_ref.rs
@@ -1,6 +1,6 @@
 //! What a job declares of a release, and the key of the release's record.
 
-use crate::calendar::{Stage, date_of, nearest};
+use crate::calendar::{Stage, date_of, find_nearest};
 use hazelsaddle_coordination::record::{Key, Kind};
 use serde_json::{Map, Value};
 
@@ -57,7 +57,7 @@
         }
         let word = text("stage")?.ok_or_else(|| bad("stage", "is missing"))?;
         let stage = Stage::parse(word).ok_or_else(|| {
-            let like = nearest(word, Stage::ALL.map(Stage::word)).unwrap_or("render");
+            let like = find_nearest(word, Stage::ALL.map(Stage::word)).unwrap_or("render");
             bad("stage", &format!("{word:?} is none of rebuild, render and rotation; the nearest is {like}"))
         })?;
         let expects = match map.get("expects").filter(|v| !v.is_null()) {
@@ -74,7 +74,7 @@
 
     /// The member again, as the job's record and its final record keep it.
     #[must_use]
-    pub fn value(&self) -> Value {
+    pub fn to_value(&self) -> Value {
         let mut map = Map::new();
         map.insert("title".into(), self.title.clone().into());
         if let Some(n) = &self.night {
--- a/crates/release/src/release_ref/tests.rs
+++ b/crates/release/src/release_ref/tests.rs
@@ -5,10 +5,10 @@
 fn what_a_job_says_is_read_and_kept_and_errors_name_the_field() {
     let v = json!({"title": "boldog", "night": "2026-12-01", "stage": "rebuild", "expects": 40});
     let s = ReleaseRef::parse(&v).expect("valid");
-    assert_eq!(s.value(), v);
+    assert_eq!(s.to_value(), v);
     let key = s.key().expect("a key");
     assert_eq!(
-        (key.head().as_str(), title_and_night(&key)),
+        (key.head_key().as_str(), title_and_night(&key)),
         ("pact/r/boldog@2026-12-01", Some(("boldog", "2026-12-01")))
     );
     assert_eq!(
--- a/crates/release/src/status.rs
+++ b/crates/release/src/status.rs
@@ -2,7 +2,7 @@
 
 use crate::calendar::Stage;
 use crate::readiness::{Cause, MemberState, Readiness, assess};
-use crate::set::{ClosedBy, MISSING, Member, Release};
+use crate::release_record::{ClosedBy, MISSING, Member, Release};
 use hazelsaddle_coordination::record::Phase;
 use hazelsaddle_coordination::record_cache::CachedRecord;
 use jiff::Timestamp;
@@ -63,7 +63,7 @@
 impl ReleaseStatus {
     /// The status by what is on record. See [`assess`] for `members` and `state`.
     #[must_use]
-    pub fn of(
+    pub fn from_record(
         (title, night): (&str, &str),
         held: &CachedRecord,
         members: Option<&[Member]>,
@@ -110,7 +110,7 @@
         s.renders = renders().count();
         s.renders_done = renders().filter(|m| state(&m.id) == MemberState::Done).count();
         match assess(held, members, state) {
-            Readiness::Open => {}
+            Readiness::MayStart => {}
             Readiness::Ready(_) => s.state = "ready",
             Readiness::Held { why } => {
                 s.waits_for =
@@ -133,7 +133,8 @@
             )?;
             let again =
                 if self.version > 1 { format!(", opened {} times", self.version) } else { String::new() };
-            let closed = self.closed_by.map_or_else(String::new, |by| format!(", closed by {}", by.word()));
+            let closed =
+                self.closed_by.map_or_else(String::new, |by| format!(", closed by {}", by.description()));
             let of = self.expects.map_or_else(String::new, |n| format!(", {n} declared"));
             writeln!(f, "  renders {}, done {}{of}{closed}{again}", self.renders, self.renders_done)?;
         }
--- a/crates/release/src/tests.rs
+++ b/crates/release/src/tests.rs
@@ -1,9 +1,9 @@
 use crate::calendar::{Calendar, Calendars, EARLY_JOIN_US, Stage, date_of};
 use crate::join::{Refusal, ReleaseJoin, decide_join, resolve_night};
-use crate::priority_inheritance::{InheritedPriority, of_set};
+use crate::priority_inheritance::{InheritedPriority, inherited_by_members};
 use crate::readiness::{Cause, MemberState, Readiness, assess};
+use crate::release_record::{self, ChangeError, ClosedBy, MISSING, Member, Release};
 use crate::release_ref::{ReleaseRef, release_key};
-use crate::set::{self, ChangeError, ClosedBy, MISSING, Member, Release};
 use crate::status::ReleaseStatus;
 use hazelsaddle_coordination::census::{self, CensusJobState};
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase, Unreadable};
@@ -34,7 +34,7 @@
 fn opened() -> CoordinationRecord {
     let c = calendars("05:00");
     let n = c.0[0].night(date_of("2026-12-01").expect("a date")).expect("a night");
-    Release::open("boldog-1", &n, "nightly", BEGINS).record()
+    Release::open("boldog-1", &n, "nightly", BEGINS).to_record()
 }
 fn member(id: &str, stage: Stage, expects: Option<u64>) -> Member {
     Member { id: id.into(), stage, expects }
@@ -49,9 +49,9 @@
     all.extend(renders.iter().map(|id| found(id, json!({"title": "boldog-1", "stage": "render"}))));
     all.extend([found("z", json!({"title": "boldog-1", "stage": "rotation"}))]);
     let key = release_key("boldog-1", "2026-12-01").expect("a key");
-    let closing = set::close(&opened()).expect("open");
-    let (pages, head) = set::finish_closing(&key, &closing, &all, 4096).expect("closing");
-    let members = set::members_on_pages(pages.iter().map(|p| &p.1)).expect("readable");
+    let closing = release_record::close(&opened()).expect("open");
+    let (pages, head) = release_record::finish_closing(&key, &closing, &all, 4096).expect("closing");
+    let members = release_record::read_member_pages(pages.iter().map(|p| &p.1)).expect("readable");
     (head, members)
 }
 fn causes(
@@ -114,7 +114,7 @@
     let open = opened();
     // The record decides, not the clock.
     assert_eq!(ask(&CachedRecord::Present(open.clone()), &render, class, BEGINS + 20 * HOUR), "now");
-    let closing = set::begin_closing(&open, ClosedBy::Calendar).expect("open");
+    let closing = release_record::begin_closing(&open, ClosedBy::Calendar).expect("open");
     assert_eq!(closing.phase, Phase::Closing);
     assert!(
         ask(&CachedRecord::Present(closing.clone()), &render, class, BEGINS)
@@ -137,8 +137,8 @@
     assert_eq!(at(&[(Phase::Open, &body)], Stage::Render, half_past_four).as_deref(), Ok("2026-12-01"));
     assert!(at(&[(Phase::Closed, &body)], Stage::Render, half_past_four).is_err());
     assert_eq!(at(&[(Phase::Closed, &body)], Stage::Rotation, half_past_four).as_deref(), Ok("2026-12-01"));
-    assert!(body.due_to_close([], half_past_four).is_none(), "five was the time that it was opened with");
-    assert_eq!(body.due_to_close([], BEGINS + 9 * HOUR), Some(ClosedBy::Calendar));
+    assert!(body.close_reason([], half_past_four).is_none(), "five was the time that it was opened with");
+    assert_eq!(body.close_reason([], BEGINS + 9 * HOUR), Some(ClosedBy::Calendar));
     // The next night goes before an older set that was left open, and a calendar that is gone leaves its sets.
     let mut left = body.clone();
     left.renders_us = u64::MAX;
@@ -159,9 +159,9 @@
         member("b", Stage::Render, None),
         member("c", Stage::Render, None),
     ];
-    assert_eq!(body.due_to_close(&two[..2], BEGINS), None);
-    assert_eq!(body.due_to_close(&two, BEGINS), Some(ClosedBy::Count));
-    assert_eq!(body.due_to_close(&two[1..], BEGINS), None, "nothing was declared");
+    assert_eq!(body.close_reason(&two[..2], BEGINS), None);
+    assert_eq!(body.close_reason(&two, BEGINS), Some(ClosedBy::Count));
+    assert_eq!(body.close_reason(&two[1..], BEGINS), None, "nothing was declared");
 }
 
 #[test]
@@ -198,25 +198,31 @@
         ]
     );
     // Doing without the cancelled one doesn't say that it came: it may have been sent anew, for another.
-    let waived = set::waive(&head, &members, "b", "broken prices").expect("a member");
+    let waived = release_record::waive(&head, &members, "b", "broken prices").expect("a member");
     assert_eq!(
         causes(&waived, &members, |id| if id == "b" { MemberState::Cancelled } else { MemberState::Done })
             .len(),
         1
     );
-    let waived = set::waive(&waived, &members, MISSING, "one is enough").expect("closed");
+    let waived = release_record::waive(&waived, &members, MISSING, "one is enough").expect("closed");
     let Readiness::Ready(next) = assess(&CachedRecord::Present(waived.clone()), Some(&members), |id| {
         if id == "b" { MemberState::Cancelled } else { MemberState::Done }
     }) else {
         panic!("nothing is left to wait for")
     };
     // On record first; and from then on whatever else is known.
-    assert_eq!(assess(&CachedRecord::Present(next.clone()), None, all(MemberState::Unread)), Readiness::Open);
-    assert_eq!(set::reopen(&next), Err(ChangeError::Rotated("boldog-1".into(), "2026-12-01".into())));
-    assert!(matches!(set::waive(&next, &members, "c", "late"), Err(ChangeError::Rotated(..))));
+    assert_eq!(
+        assess(&CachedRecord::Present(next.clone()), None, all(MemberState::Unread)),
+        Readiness::MayStart
+    );
+    assert_eq!(
+        release_record::reopen(&next),
+        Err(ChangeError::Rotated("boldog-1".into(), "2026-12-01".into()))
+    );
+    assert!(matches!(release_record::waive(&next, &members, "c", "late"), Err(ChangeError::Rotated(..))));
 
     let (none, members) = closed(&[]);
-    let without = set::waive(&none, &members, MISSING, "prices alone").expect("closed");
+    let without = release_record::waive(&none, &members, MISSING, "prices alone").expect("closed");
     assert!(matches!(
         assess(&CachedRecord::Present(without), Some(&members), all(MemberState::Done)),
         Readiness::Ready(_)
@@ -233,59 +239,62 @@
     let open = opened();
     let k = release_key("boldog-1", "2026-12-01").expect("a key");
     assert_eq!(
-        set::finish_closing(&k, &open, &BTreeMap::new(), 4096),
+        release_record::finish_closing(&k, &open, &BTreeMap::new(), 4096),
         Err(ChangeError::Already(Phase::Open)),
         "others may still join"
     );
-    assert_eq!(set::mark_rotated(&open), Err(ChangeError::Already(Phase::Open)));
+    assert_eq!(release_record::mark_rotated(&open), Err(ChangeError::Already(Phase::Open)));
     assert_eq!(
-        set::waive(&open, &[], MISSING, "why not"),
-        Err(ChangeError::Counting),
+        release_record::waive(&open, &[], MISSING, "why not"),
+        Err(ChangeError::CountInProgress),
         "it would cover what goes missing later"
     );
-    assert_eq!(set::reopen(&set::close(&open).expect("open")), Err(ChangeError::Counting));
+    assert_eq!(
+        release_record::reopen(&release_record::close(&open).expect("open")),
+        Err(ChangeError::CountInProgress)
+    );
     let (head, members) = closed(&["b"]);
-    assert_eq!(set::close(&head), Err(ChangeError::Already(Phase::Closed)));
+    assert_eq!(release_record::close(&head), Err(ChangeError::Already(Phase::Closed)));
     for why in ["", "  ", "a\nb", &"x".repeat(121)] {
-        assert_eq!(set::waive(&head, &members, "b", why), Err(ChangeError::Reason));
+        assert_eq!(release_record::waive(&head, &members, "b", why), Err(ChangeError::InvalidReason));
     }
-    let e = set::waive(&head, &members, "wk-b", "so").expect_err("no member");
+    let e = release_record::waive(&head, &members, "wk-b", "so").expect_err("no member");
     assert_eq!(e.to_string(), "wk-b is no render or rebuild of this set; the nearest is b");
-    let once = set::waive(&head, &members, "b", "first").expect("a member");
-    let twice = set::waive(&once, &members, "b", "second").expect("said again");
+    let once = release_record::waive(&head, &members, "b", "first").expect("a member");
+    let twice = release_record::waive(&once, &members, "b", "second").expect("said again");
     assert_eq!(Release::read(&twice).expect("readable").waived["b"], "first");
     let many: Vec<Member> = (0..20).map(|n| member(&format!("r{n:02}"), Stage::Render, None)).collect();
-    let last = many.iter().try_fold(head, |r, m| set::waive(&r, &many, &m.id, &"x".repeat(120)));
+    let last = many.iter().try_fold(head, |r, m| release_record::waive(&r, &many, &m.id, &"x".repeat(120)));
     assert_eq!(last, Err(ChangeError::TooManyWaivers), "the head must fit into a value");
 }
 
 #[test]
 fn a_reopened_set_waits_for_an_operator_and_shows_what_was_waived() {
     let (head, members) = closed(&["b"]);
-    let waived = set::waive(&head, &members, MISSING, "one is enough").expect("closed");
-    let again = set::reopen(&waived).expect("not rotated");
+    let waived = release_record::waive(&head, &members, MISSING, "one is enough").expect("closed");
+    let again = release_record::reopen(&waived).expect("not rotated");
     let body = Release::read(&again).expect("readable");
     assert_eq!((again.version, again.phase, again.pages), (2, Phase::Open, 0));
-    assert_eq!(body.due_to_close(&members, u64::MAX), None);
+    assert_eq!(body.close_reason(&members, u64::MAX), None);
     assert_eq!(
         body.waived.keys().collect::<Vec<_>>(),
         ["missing/1"],
         "it covers nothing that is missing now"
     );
-    assert!(set::reopen(&again).is_err());
+    assert!(release_record::reopen(&again).is_err());
     let mut rest = again.clone();
     rest.body["newer"] = json!({"x": 1});
-    let kept = set::close(&rest).expect("open");
+    let kept = release_record::close(&rest).expect("open");
     assert_eq!(kept.body["newer"], json!({"x": 1}), "what other versions have put there stays");
 }
 
 #[test]
 fn what_is_shown_follows_from_records_and_the_time() {
     let (head, members) = closed(&["b", "c"]);
-    let head = set::waive(&head, &members, "c", "shop 7 is shut").expect("a member");
+    let head = release_record::waive(&head, &members, "c", "shop 7 is shut").expect("a member");
     let fact = |id: &str| if id == "a" { MemberState::Done } else { MemberState::Live };
     let show = |now| {
-        ReleaseStatus::of(
+        ReleaseStatus::from_record(
             ("boldog-1", "2026-12-01"),
             &CachedRecord::Present(head.clone()),
             Some(&members),
@@ -304,7 +313,8 @@
         [{"cause": "live", "job": "b", "stage": "render", "text": "render b is not finished"}]
     );
     assert_eq!(v["waits_for"], waits);
-    let gone = ReleaseStatus::of(("boldog-1", "2026-12-01"), &CachedRecord::Absent, None, fact, BEGINS);
+    let gone =
+        ReleaseStatus::from_record(("boldog-1", "2026-12-01"), &CachedRecord::Absent, None, fact, BEGINS);
     assert_eq!((gone.state, gone.waits_for[0].text.as_str()), ("absent", "no render has joined yet"));
 }
 
@@ -313,17 +323,19 @@
     let body = Release::read(&opened()).expect("readable");
     let mut later = body.clone();
     later.renders_us += HOUR;
-    let rotation = InheritedPriority { urgency: 13, due: Some(BEGINS + 30 * HOUR) };
-    let (first, second) =
-        (of_set(&body, [rotation]).expect("held"), of_set(&later, [rotation]).expect("held"));
-    assert_eq!(first, InheritedPriority { urgency: 13, due: Some(body.renders_us) });
+    let rotation = InheritedPriority { urgency: 13, due_us: Some(BEGINS + 30 * HOUR) };
+    let (first, second) = (
+        inherited_by_members(&body, [rotation]).expect("held"),
+        inherited_by_members(&later, [rotation]).expect("held"),
+    );
+    assert_eq!(first, InheritedPriority { urgency: 13, due_us: Some(body.renders_us) });
     assert!(first.order() < second.order());
     // Urgency goes before time; a job keeps what it has itself where that is more.
-    assert!(second.order() < of_set(&body, []).expect("held").order());
-    let own = InheritedPriority { urgency: 20, due: Some(1) };
+    assert!(second.order() < inherited_by_members(&body, []).expect("held").order());
+    let own = InheritedPriority { urgency: 20, due_us: Some(1) };
     assert_eq!(own.and(first), own);
     assert_eq!(first.and(InheritedPriority::default()), first);
     let mut rotated = body;
     rotated.rotated = true;
-    assert_eq!(of_set(&rotated, [rotation]), None);
+    assert_eq!(inherited_by_members(&rotated, [rotation]), None);
 }
--- a/crates/release/tests/races.rs
+++ b/crates/release/tests/races.rs
@@ -1,14 +1,16 @@
 //! Random races against a conditional store, with the package's own decisions: joins race closing, ends, cancels, waivers and
 //! reopening; three controllers hold old readings, forget all in a crash, get no answers, and their commits come late.
 
-use hazelsaddle_coordination::census::{Census, CensusJobState, CensusStep, ENDS, JobReading, LIVE};
+use hazelsaddle_coordination::census::{
+    Census, CensusJobState, CensusStep, FINAL_RECORD_PREFIX, JobMemberships, LIVE_JOB_PREFIX,
+};
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
 use hazelsaddle_coordination::record_cache::CachedRecord;
 use hazelsaddle_release::calendar::{Calendar, Calendars, Stage};
 use hazelsaddle_release::join::{Refusal, ReleaseJoin, decide_join};
 use hazelsaddle_release::readiness::{MemberState, Readiness, assess};
+use hazelsaddle_release::release_record::{self, MISSING, Member, Release};
 use hazelsaddle_release::release_ref::ReleaseRef;
-use hazelsaddle_release::set::{self, MISSING, Member, Release};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -70,7 +72,7 @@
         true
     }
     fn held(&self) -> (CachedRecord, u64) {
-        match self.rows.get(&key().head()) {
+        match self.rows.get(&key().head_key()) {
             None => (CachedRecord::Absent, 0),
             Some((v, store_version)) => (
                 CoordinationRecord::read(v).map_or_else(CachedRecord::Unreadable, CachedRecord::Present),
@@ -79,7 +81,7 @@
         }
     }
     fn fact(&self, id: &str) -> MemberState {
-        match self.rows.get(&format!("{ENDS}{id}")) {
+        match self.rows.get(&format!("{FINAL_RECORD_PREFIX}{id}")) {
             Some((v, _)) if v["end"] == "done" => MemberState::Done,
             Some(_) => MemberState::Cancelled,
             None => MemberState::Live,
@@ -88,7 +90,7 @@
     /// Every rebuild and render that was accepted, as its own record says.
     fn accepted(&self) -> Vec<(String, ReleaseRef)> {
         let of = |(k, (v, _)): (&String, &(Value, u64))| {
-            let id = k.strip_prefix(LIVE).or_else(|| k.strip_prefix(ENDS))?;
+            let id = k.strip_prefix(LIVE_JOB_PREFIX).or_else(|| k.strip_prefix(FINAL_RECORD_PREFIX))?;
             let says = ReleaseRef::parse(&v["says"]).expect("written by us");
             (says.stage != Stage::Rotation).then(|| (id.to_owned(), says))
         };
@@ -96,13 +98,13 @@
     }
 }
 
-fn read(_: &str, v: &Value) -> Option<JobReading> {
+fn read(_: &str, v: &Value) -> Option<JobMemberships> {
     let state = match v["end"].as_str() {
         None => CensusJobState::Live,
         Some("done") => CensusJobState::Done,
         Some(_) => CensusJobState::Cancelled,
     };
-    Some(JobReading { joined: vec![(key().head(), v["says"].clone())], state })
+    Some(JobMemberships { joined: vec![(key().head_key(), v["says"].clone())], state })
 }
 
 /// What one controller holds; all of it is gone in a crash.
@@ -187,13 +189,13 @@
     }
 
     fn head(&mut self, c: usize, record: &CoordinationRecord, way: Way) -> bool {
-        let key = key().head();
+        let key = key().head_key();
         if let CachedRecord::Present(old) = &self.controllers[c].held {
-            old.allows(record).expect("no decision goes back");
+            old.check_transition(record).expect("no decision goes back");
         }
         let commit = Commit {
             conditions: vec![(key.clone(), self.controllers[c].store_version)],
-            writes: vec![(key, Some(record.value()))],
+            writes: vec![(key, Some(record.to_value()))],
         };
         self.send(c, commit, way)
     }
@@ -205,11 +207,11 @@
         match decide_join(&self.controllers[c].held, &self.calendars, &says, "any", self.now) {
             ReleaseJoin::Join => {
                 let conditions = vec![
-                    (key().head(), self.controllers[c].store_version),
-                    (format!("{LIVE}{id}"), 0),
-                    (format!("{ENDS}{id}"), 0),
+                    (key().head_key(), self.controllers[c].store_version),
+                    (format!("{LIVE_JOB_PREFIX}{id}"), 0),
+                    (format!("{FINAL_RECORD_PREFIX}{id}"), 0),
                 ];
-                let writes = vec![(format!("{LIVE}{id}"), Some(json!({"says": says.value()})))];
+                let writes = vec![(format!("{LIVE_JOB_PREFIX}{id}"), Some(json!({"says": says.to_value()})))];
                 self.send(c, Commit { conditions, writes }, way);
             }
             ReleaseJoin::OpenFirst(record) => {
@@ -238,8 +240,8 @@
                         counts.then_some(Member { id, stage: s.stage, expects: s.expects })
                     })
                     .collect();
-                if let Some(by) = body.due_to_close(&live, self.now) {
-                    let next = set::begin_closing(&record, by).expect("it is open");
+                if let Some(by) = body.close_reason(&live, self.now) {
+                    let next = release_record::begin_closing(&record, by).expect("it is open");
                     self.head(c, &next, way);
                 }
             }
@@ -248,17 +250,18 @@
                 if self.controllers[c].members.is_none() {
                     let pages: Vec<Value> = (0..record.pages)
                         .filter_map(|n| {
-                            self.store.rows.get(&key().page(record.version, n)).map(|r| r.0.clone())
+                            self.store.rows.get(&key().page_key(record.version, n)).map(|r| r.0.clone())
                         })
                         .collect();
                     if pages.len() == record.pages {
-                        self.controllers[c].members = Some(set::members_on_pages(&pages).expect("readable"));
+                        self.controllers[c].members =
+                            Some(release_record::read_member_pages(&pages).expect("readable"));
                     }
                     return;
                 }
                 let me = &self.controllers[c];
                 match assess(&me.held, me.members.as_deref(), |id| self.store.fact(id)) {
-                    Readiness::Open => self.started = true,
+                    Readiness::MayStart => self.started = true,
                     Readiness::Ready(next) => {
                         self.head(c, &next, way);
                     }
@@ -269,7 +272,8 @@
     }
 
     fn count(&mut self, c: usize, record: &CoordinationRecord, way: Way) {
-        let census = self.controllers[c].census.get_or_insert_with(|| Census::begin([key().head()].into()));
+        let census =
+            self.controllers[c].census.get_or_insert_with(|| Census::begin([key().head_key()].into()));
         match census.next_step() {
             CensusStep::ReadPage { prefix, after } => {
                 let rows = self.store.rows.range(after..).filter(|(k, _)| k.starts_with(prefix));
@@ -281,12 +285,13 @@
                 census.apply_page(rows.into_iter().take(2), more, read);
             }
             CensusStep::Complete => {
-                let found = census.members(&key().head()).expect("all readable");
-                let (pages, head) = set::finish_closing(&key(), record, &found, PAGE).expect("closing");
+                let found = census.members(&key().head_key()).expect("all readable");
+                let (pages, head) =
+                    release_record::finish_closing(&key(), record, &found, PAGE).expect("closing");
                 let store_version = self.controllers[c].store_version;
                 for (k, v) in pages {
                     let commit = Commit {
-                        conditions: vec![(key().head(), store_version)],
+                        conditions: vec![(key().head_key(), store_version)],
                         writes: vec![(k, Some(v))],
                     };
                     // The head counts on its pages: it is written once each is known to be there.
@@ -302,7 +307,7 @@
     fn operator(
         &mut self,
         c: usize,
-        change: impl Fn(&CoordinationRecord, &[Member]) -> Result<CoordinationRecord, set::ChangeError>,
+        change: impl Fn(&CoordinationRecord, &[Member]) -> Result<CoordinationRecord, release_record::ChangeError>,
         way: Way,
     ) {
         let CachedRecord::Present(record) = self.controllers[c].held.clone() else { return };
@@ -313,10 +318,10 @@
     }
 
     fn end(&mut self, job: u8, cancel: bool) {
-        let live = format!("{LIVE}wk-{job}");
+        let live = format!("{LIVE_JOB_PREFIX}wk-{job}");
         if let Some((mut v, _)) = self.store.rows.get(&live).cloned() {
             v["end"] = if cancel { "cancelled" } else { "done" }.into();
-            let writes = vec![(live, None), (format!("{ENDS}wk-{job}"), Some(v))];
+            let writes = vec![(live, None), (format!("{FINAL_RECORD_PREFIX}wk-{job}"), Some(v))];
             self.store.apply(&Commit { conditions: vec![], writes });
         }
     }
@@ -332,12 +337,12 @@
             }
             Op::End(job, cancel) => self.end(job, cancel),
             Op::Step(c) => self.step(c, way),
-            Op::Close(c) => self.operator(c, |r, _| set::close(r), way),
+            Op::Close(c) => self.operator(c, |r, _| release_record::close(r), way),
             Op::Waive(c, job) => {
                 let job = if job == 9 { MISSING.to_owned() } else { format!("wk-{job}") };
-                self.operator(c, |r, known| set::waive(r, known, &job, "we do without"), way);
+                self.operator(c, |r, known| release_record::waive(r, known, &job, "we do without"), way);
             }
-            Op::Reopen(c) => self.operator(c, |r, _| set::reopen(r), way),
+            Op::Reopen(c) => self.operator(c, |r, _| release_record::reopen(r), way),
             Op::Late(n) => {
                 if !self.store.late.is_empty() {
                     let n = n % self.store.late.len();
@@ -396,7 +401,11 @@
             {
                 let known = members.clone();
                 let job = why.iter().find_map(|c| c.job()).unwrap_or(MISSING).to_owned();
-                self.operator(0, |r, _| set::waive(r, &known, &job, "we do without"), Way::Answered);
+                self.operator(
+                    0,
+                    |r, _| release_record::waive(r, &known, &job, "we do without"),
+                    Way::Answered,
+                );
             }
         }
     }
--- a/crates/testbed/src/batches.rs
+++ b/crates/testbed/src/batches.rs
@@ -415,8 +415,9 @@
             let (version, fence) = before.as_ref().map_or((batch.version, 0), |b| (b.version, b.fence));
             out.batches += u64::from(before.is_none());
             out.replaced += u64::from(batch.version > version);
-            let unmarked =
-                |p: &&Permit| p.version < batch.version && !batch.after.iter().any(|a| a.1 == p.fence);
+            let unmarked = |p: &&Permit| {
+                p.version < batch.version && !batch.outdated_writes.iter().any(|a| a.1 == p.fence)
+            };
             let wrong =
                 batch.version < version || batch.fence < fence || batch.permits.iter().any(|p| unmarked(&p));
             if wrong {
--- a/crates/testbed/src/releases.rs
+++ b/crates/testbed/src/releases.rs
@@ -12,7 +12,7 @@
 };
 use hazelsaddle_coordination::record::{CoordinationRecord, Phase};
 use hazelsaddle_logs::spool::Policy;
-use hazelsaddle_release::set::{ClosedBy, Release, members_on_pages};
+use hazelsaddle_release::release_record::{ClosedBy, Release, read_member_pages};
 use jiff::{SignedDuration, Timestamp, ToSpan, tz::TimeZone};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde::Serialize;
@@ -423,7 +423,7 @@
         let pages: Vec<&Value> =
             (0..set.last.pages).filter_map(|n| value_at(changes, &page(n), u64::MAX)).collect();
         let listed: BTreeSet<String> =
-            members_on_pages(pages).unwrap_or_default().into_iter().map(|m| m.id).collect();
+            read_member_pages(pages).unwrap_or_default().into_iter().map(|m| m.id).collect();
         late.extend(joined.keys().filter(|id| !listed.contains(*id)).map(String::as_str));
     }
     if !late.is_empty() {
@@ -490,7 +490,7 @@
         for (key, us) in night {
             body[key] = us.into();
         }
-        let value = CoordinationRecord { version: 1, phase, pages, body }.value();
+        let value = CoordinationRecord { version: 1, phase, pages, body }.to_value();
         Change { at, key: "pact/r/t@2026-12-01".into(), value: Some(value) }
     }
     fn job(at: u64, id: &str, end: Option<&str>) -> Change {
--- a/crates/testbed/src/state.rs
+++ b/crates/testbed/src/state.rs
@@ -82,7 +82,7 @@
     /// What a watch has to tell: None while there is nothing.
     pub fn news(&self, prefix: &str, after: u64) -> Option<StoreAnswer> {
         if self.kept_after > after {
-            return Some(StoreAnswer::TooOld);
+            return Some(StoreAnswer::Compacted);
         }
         let told = |c: &&(u64, String, Option<Value>)| c.0 > after && c.1.starts_with(prefix);
         // In order of revisions: what is older need not be looked at, however much is kept.
@@ -119,7 +119,7 @@
                 }
                 StoreAnswer::Page(rows, more)
             }
-            StoreRequest::Transaction(Transaction { conditions, puts, drops }) => {
+            StoreRequest::Transaction(Transaction { conditions, puts, deletes: drops }) => {
                 let failed: Vec<String> = conditions
                     .into_iter()
                     .filter(|(k, m)| self.keys.get(k).map_or(0, |v| v.1) != *m)
@@ -144,7 +144,7 @@
                 }
                 StoreAnswer::Committed(self.revision)
             }
-            StoreRequest::Revision => StoreAnswer::At(self.revision),
+            StoreRequest::Revision => StoreAnswer::CurrentRevision(self.revision),
             StoreRequest::Watch(..) => StoreAnswer::Changes(self.revision, Vec::new()),
             StoreRequest::Grant(ms) => {
                 self.next_lease += 1;
@@ -202,12 +202,12 @@
                 }
                 for w in list("writes") {
                     match w["drop"].as_str() {
-                        Some(k) => c.drops.push(k.to_owned()),
+                        Some(k) => c.deletes.push(k.to_owned()),
                         None => c.puts.push((text(&w["write"]), w["v"].clone(), w["tether"].as_u64())),
                     }
                 }
                 let long = c.puts.iter().any(|p| p.1.to_string().len() > self.limits.0);
-                if long || c.puts.len() + c.drops.len() > self.limits.1 {
+                if long || c.puts.len() + c.deletes.len() > self.limits.1 {
                     return Some((400, json!({"error": "too large"})));
                 }
                 StoreRequest::Transaction(c)
@@ -240,7 +240,7 @@
                 let rows: Vec<Value> = rows.into_iter().map(row).collect();
                 (200, json!({"rows": rows, "more": more, "ledger": ledger}))
             }
-            StoreAnswer::Committed(at) | StoreAnswer::At(at) => (200, json!({"ledger": at})),
+            StoreAnswer::Committed(at) | StoreAnswer::CurrentRevision(at) => (200, json!({"ledger": at})),
             StoreAnswer::Conflict(failed) => (409, json!({"failed": failed, "ledger": ledger})),
             StoreAnswer::NoLease => (404, json!({"error": "no such lease"})),
             StoreAnswer::Granted(id) => (200, json!({"tether": id})),
@@ -250,7 +250,7 @@
                     events.into_iter().map(|(k, v)| json!({"write": k, "v": v, "mark": at})).collect();
                 (200, json!({"ledger": at, "events": events}))
             }
-            StoreAnswer::TooOld => (410, json!({"ledger": ledger})),
+            StoreAnswer::Compacted => (410, json!({"ledger": ledger})),
             StoreAnswer::Refused | StoreAnswer::Unknown => (503, json!({"error": "trouble"})),
         }
     }
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -25,7 +25,7 @@
 use crate::config::settings::Settings;
 use crate::machine_view::MachineSnapshot;
 use crate::peer::Demand;
-use crate::spec::{MachineType, Types};
+use crate::spec::{MachineType, MachineTypes};
 use crate::state_store::RateLimiter;
 use crate::units::{Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,7 +64,7 @@
     /// Whether every machine shard has spoken since the epoch began.
     pub all_reported: bool,
     /// Whether every machine that may hold tasks has been heard: no failover is under way.
-    pub rebuilt: bool,
+    pub failover_complete: bool,
     /// The members of the epoch.
     pub members: &'a [usize],
 }
@@ -75,7 +75,7 @@
     boot: u64,
     rate_limiter: RateLimiter,
     /// The machine types, once known.
-    pub types: Types,
+    pub machine_types: MachineTypes,
     next_types: Micros,
     /// Whether a request is out.
     in_flight: bool,
@@ -103,11 +103,11 @@
     /// Nothing known. `boot` is this process's random number.
     #[must_use]
     pub fn new(boot: u64, settings: &Settings) -> Autoscaler {
-        let guarantees = settings.teams.iter().map(|team| Resources::need(team.cpus, team.gpus, 0.0));
+        let guarantees = settings.teams.iter().map(|team| Resources::rounded_up(team.cpus, team.gpus, 0.0));
         Autoscaler {
             boot,
             rate_limiter: RateLimiter::new(settings.cloud_rps * RATE_LIMIT_FRACTION),
-            types: Types::new(),
+            machine_types: MachineTypes::new(),
             next_types: Micros(0),
             in_flight: false,
             paused_until: Micros(0),
@@ -129,7 +129,7 @@
     /// What a machine of this type has, if the type is known.
     #[must_use]
     pub fn resources_of(&self, kind: &str) -> Option<Resources> {
-        self.types.get(kind).map(MachineType::room)
+        self.machine_types.get(kind).map(MachineType::capacity)
     }
 
     /// Takes what a member's job shard cannot place, in place of what it said before.
@@ -195,13 +195,13 @@
     }
 
     fn apply_types(&mut self, now: Micros, types: Vec<MachineType>) {
-        self.types =
+        self.machine_types =
             types.into_iter().map(|machine_type| (machine_type.name.clone(), machine_type)).collect();
         self.next_types = now + TYPES_INTERVAL;
     }
 
     fn apply_scale_out(&mut self, now: Micros, scale_out: &ScaleOut, names: Vec<String>) {
-        let ScaleOut { name, kind, zone, spot, count } = scale_out;
+        let ScaleOut { name, machine_type: kind, zone, spot, count } = scale_out;
         tracing::info!(%name, machine_type = %kind, %zone, spot, requested = count, added = names.len(), "scale-out completed");
         if names.len() < *count as usize {
             self.scale_out.pause_pool(now, scale_out);
@@ -212,7 +212,7 @@
 
     fn apply_no_capacity(&mut self, now: Micros, scale_out: &ScaleOut) {
         self.scale_out.pause_pool(now, scale_out);
-        let ScaleOut { name, kind, zone, spot, .. } = scale_out;
+        let ScaleOut { name, machine_type: kind, zone, spot, .. } = scale_out;
         tracing::debug!(%name, machine_type = %kind, %zone, spot, "scale-out refused: no capacity");
         self.scale_out.unconfirmed = None;
     }
@@ -270,7 +270,7 @@
         if now < self.next_types || !self.may_call(now) {
             return None;
         }
-        self.next_types = now + if self.types.is_empty() { FIRST_TYPES_RETRY } else { TYPES_RETRY };
+        self.next_types = now + if self.machine_types.is_empty() { FIRST_TYPES_RETRY } else { TYPES_RETRY };
         Some(CloudRequest::MachineTypes)
     }
 
@@ -283,7 +283,8 @@
         if let Some(unconfirmed) = self.scale_out.unconfirmed.clone() {
             return self.may_call(now).then_some(CloudRequest::ScaleOut(unconfirmed));
         }
-        if !fleet.all_reported || now < self.next_pass || self.types.is_empty() || !self.may_call(now) {
+        if !fleet.all_reported || now < self.next_pass || self.machine_types.is_empty() || !self.may_call(now)
+        {
             return None;
         }
         self.scaling_request(now, fleet, leader_since)
@@ -301,7 +302,7 @@
         self.can_publish = self.demand.has_all(fleet.members) || now.since(leader_since) > PUBLISH_PATIENCE;
         self.update_reserved(now, fleet.machines);
         self.log_fleet(now, fleet.machines);
-        let removals = self.next_scale_in(now, &machines, leader_since, fleet.rebuilt);
+        let removals = self.next_scale_in(now, &machines, leader_since, fleet.failover_complete);
         if !removals.is_empty() {
             return Some(CloudRequest::ScaleIn(removals));
         }
@@ -318,11 +319,13 @@
             return;
         }
         self.next_log = now + LOG_INTERVAL;
-        let open = || machines.iter().filter(|machine| machine.open);
+        let open = || machines.iter().filter(|machine| machine.is_schedulable);
         let cpus: i64 = open().map(|machine| machine.total.cpus / 1000).sum();
         let free_cpus: i64 = open().map(|machine| machine.free.cpus.max(0) / 1000).sum();
         let demands = self.demand.fresh(now);
-        let cpu_seconds = |d: &Demand| f64::from(d.count) * d.room.cpus as f64 / 1000.0 * d.estimate.secs();
+        let cpu_seconds = |d: &Demand| {
+            f64::from(d.count) * d.resources_per_task.cpus as f64 / 1000.0 * d.estimated_run_time.as_secs()
+        };
         let queued_cpu_s = demands.iter().map(cpu_seconds).sum::<f64>() as i64;
         tracing::debug!(
             machines = machines.len(),
@@ -338,7 +341,7 @@
     }
 
     fn boot_time(&self, kind: &str) -> Micros {
-        let boot_s = self.types.get(kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
+        let boot_s = self.machine_types.get(kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
         Micros::from_secs(boot_s)
     }
 }
--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -32,7 +32,7 @@
     /// The name.
     pub name: String,
     /// The machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// The zone.
     pub zone: String,
     /// Spot or on-demand.
@@ -58,7 +58,7 @@
     /// Its name. Names are in the order of creation.
     pub name: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -11,17 +11,19 @@
 impl Demand {
     /// Whether machines of this type will do.
     pub(super) fn accepts_kind(&self, kind: &str) -> bool {
-        self.kinds.is_empty() || self.kinds.iter().any(|allowed| allowed == kind)
+        self.machine_types.is_empty() || self.machine_types.iter().any(|allowed| allowed == kind)
     }
 
     /// Whether machines of this type, zone and market will do.
     pub(super) fn accepts(&self, kind: &str, zone: &str, spot: bool) -> bool {
-        self.accepts_kind(kind) && self.zone.as_ref().is_none_or(|only| only == zone) && spot <= self.spot
+        self.accepts_kind(kind)
+            && self.zone.as_ref().is_none_or(|only| only == zone)
+            && spot <= self.spot_allowed
     }
 
     /// Whether this work may queue for a while before a machine is worth adding for it.
     pub(super) fn may_queue(&self) -> bool {
-        self.horizon.0 > 0 && self.estimate.0 > 0
+        self.max_queue_time.0 > 0 && self.estimated_run_time.0 > 0
     }
 }
 
@@ -70,7 +72,7 @@
     pub(super) fn fresh(&self, now: Micros) -> Vec<Demand> {
         let fresh = self.by_member.values().filter(|said| now.since(said.received_at) < DEMAND_TTL);
         let mut demands: Vec<Demand> = fresh.flat_map(|said| said.demands.iter().cloned()).collect();
-        demands.sort_by_key(|demand| (Reverse(demand.priority), demand.horizon));
+        demands.sort_by_key(|demand| (Reverse(demand.priority), demand.max_queue_time));
         demands
     }
 
@@ -78,12 +80,12 @@
     pub(super) fn update_typical(&mut self, demands: &[Demand]) {
         for demand in demands.iter().filter(|demand| demand.may_queue()) {
             let typical = self.typical.get_or_insert(TypicalTask {
-                resources: demand.room,
-                run_time: demand.estimate,
-                horizon: demand.horizon,
+                resources: demand.resources_per_task,
+                run_time: demand.estimated_run_time,
+                horizon: demand.max_queue_time,
             });
-            typical.run_time = Micros((typical.run_time.0 * 7 + demand.estimate.0) / 8);
-            typical.horizon = Micros((typical.horizon.0 * 63 / 64).max(demand.horizon.0));
+            typical.run_time = Micros((typical.run_time.0 * 7 + demand.estimated_run_time.0) / 8);
+            typical.horizon = Micros((typical.horizon.0 * 63 / 64).max(demand.max_queue_time.0));
         }
     }
 }
--- a/src/autoscaler/headroom.rs
+++ b/src/autoscaler/headroom.rs
@@ -5,7 +5,7 @@
 use super::scale_out::Capacity;
 use crate::machine_view::MachineSnapshot;
 use crate::peer::Demand;
-use crate::spec::{MachineType, Types};
+use crate::spec::{MachineType, MachineTypes};
 use crate::units::{Micros, Resources};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
 /// surge comes, and a machine takes long to boot.
 pub(super) fn headroom(
     guaranteed: Resources,
-    types: &Types,
+    types: &MachineTypes,
     machines: &BTreeMap<&str, &MachineSnapshot>,
 ) -> Vec<Demand> {
     let missing = |dimension| missing_headroom(guaranteed, types, machines, dimension);
@@ -39,7 +39,7 @@
 
 fn missing_headroom(
     guaranteed: Resources,
-    types: &Types,
+    types: &MachineTypes,
     machines: &BTreeMap<&str, &MachineSnapshot>,
     dimension: Dimension,
 ) -> Option<Demand> {
@@ -48,25 +48,25 @@
     let counts = |total: Resources| (total.gpus > 0) == wants_gpus || (!has_plain_types && !wants_gpus);
     let largest = types
         .values()
-        .map(MachineType::room)
+        .map(MachineType::capacity)
         .filter(|total| counts(*total))
         .max_by_key(|total| dimension.of(*total))?;
-    let open = || machines.values().filter(|machine| machine.open && counts(machine.total));
+    let open = || machines.values().filter(|machine| machine.is_schedulable && counts(machine.total));
     let free: i64 = open().map(|machine| dimension.of(machine.free).max(0)).sum();
     let used: i64 = open().map(|machine| dimension.of(machine.total)).sum::<i64>() - free;
     // Where little runs, little is kept free, and nothing where nothing runs.
     let missing = crate::job_shard::headroom(dimension.of(guaranteed), used) - free;
     (missing > 0).then(|| Demand {
-        room: largest,
-        kinds: Vec::new(),
+        resources_per_task: largest,
+        machine_types: Vec::new(),
         zone: None,
         one_zone: false,
-        spot: false,
+        spot_allowed: false,
         count: u32::try_from(missing / dimension.of(largest).max(1) + 1).unwrap_or(u32::MAX),
-        estimate: Micros(0),
+        estimated_run_time: Micros(0),
         priority: 0,
-        horizon: Micros(0),
-        together: 1,
+        max_queue_time: Micros(0),
+        gang_size: 1,
     })
 }
 
@@ -74,17 +74,17 @@
 /// arriving, unless that is too little and no more can be had there. Machines in several zones would be of no use.
 pub(super) fn zone_for(
     demand: &Demand,
-    types: &Types,
+    types: &MachineTypes,
     arriving: &[Capacity],
     is_exhausted: impl Fn(&str) -> bool,
 ) -> Option<String> {
-    if !demand.one_zone || demand.together <= 1 {
+    if !demand.one_zone || demand.gang_size <= 1 {
         return None;
     }
     let mut tasks_by_zone: BTreeMap<&str, i64> = BTreeMap::new();
     for Capacity { pool, resources } in arriving {
         if demand.accepts(&pool.kind, &pool.zone, pool.spot) {
-            let tasks = resources.count_of(demand.room).clamp(0, MAX_TASKS_PER_MACHINE);
+            let tasks = resources.max_count_of(demand.resources_per_task).clamp(0, MAX_TASKS_PER_MACHINE);
             *tasks_by_zone.entry(&pool.zone).or_default() += tasks;
         }
     }
--- a/src/autoscaler/inventory.rs
+++ b/src/autoscaler/inventory.rs
@@ -72,7 +72,7 @@
     /// Notes the machines that a scale-out got.
     pub(super) fn add_booting(&mut self, now: Micros, scale_out: &ScaleOut, names: Vec<String>) {
         for name in names {
-            let ScaleOut { kind, zone, spot, .. } = scale_out.clone();
+            let ScaleOut { machine_type: kind, zone, spot, .. } = scale_out.clone();
             self.booting.insert(name, BootingMachine { kind, zone, spot, since: now });
         }
     }
--- a/src/autoscaler/lost_machines.rs
+++ b/src/autoscaler/lost_machines.rs
@@ -25,7 +25,8 @@
 
     /// Whether a machine that sends no heartbeats is missing from a list that would name it if it were there.
     pub(super) fn is_lost(&self, machine: &MachineSnapshot, complete_up_to: Option<&str>) -> bool {
-        let is_quiet = machine.standing == InventoryState::Unconfirmed || machine.silent_since.is_some();
+        let is_quiet =
+            machine.inventory_state == InventoryState::Unconfirmed || machine.silent_since.is_some();
         is_quiet
             && complete_up_to.is_some_and(|name| machine.name.as_str() < name)
             && self.listed.as_ref().is_some_and(|listed| !listed.contains_key(&machine.name))
--- a/src/autoscaler/lost_machines/tests.rs
+++ b/src/autoscaler/lost_machines/tests.rs
@@ -8,7 +8,7 @@
     let d = machine(i, "small", 4.0, 4.0);
     let l = CloudMachine {
         name: d.name.clone(),
-        kind: "small".into(),
+        machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
         state: MachineState::Running,
@@ -30,7 +30,7 @@
             if i < 8 {
                 d = MachineSnapshot::new(
                     now,
-                    MachineStatus { standing: InventoryState::Unconfirmed, ..(*d).clone() },
+                    MachineStatus { inventory_state: InventoryState::Unconfirmed, ..(*d).clone() },
                 );
             }
             d
--- a/src/autoscaler/reserved_capacity.rs
+++ b/src/autoscaler/reserved_capacity.rs
@@ -15,7 +15,7 @@
 
 /// How many machines gangs of this shape should find at hand: two may come at a time.
 fn machines_at_hand(demand: &Demand) -> usize {
-    demand.together as usize * 2
+    demand.gang_size as usize * 2
 }
 
 /// A machine type, spot or on-demand.
@@ -27,11 +27,11 @@
 
 impl MachineClass {
     fn of(machine: &MachineSnapshot) -> MachineClass {
-        MachineClass { kind: machine.kind.clone(), spot: machine.spot }
+        MachineClass { kind: machine.machine_type.clone(), spot: machine.spot }
     }
 
     fn contains(&self, machine: &MachineSnapshot) -> bool {
-        self.kind == machine.kind && self.spot == machine.spot
+        self.kind == machine.machine_type && self.spot == machine.spot
     }
 }
 
@@ -107,13 +107,15 @@
 
     fn machine_classes(&self) -> BTreeSet<MachineClass> {
         let both = |kind: &String| [false, true].map(|spot| MachineClass { kind: kind.clone(), spot });
-        self.types.values().flat_map(|machine_type| both(&machine_type.name)).collect()
+        self.machine_types.values().flat_map(|machine_type| both(&machine_type.name)).collect()
     }
 
     fn class_fits(&self, demand: &Demand, class: &MachineClass) -> bool {
-        class.spot <= demand.spot
+        class.spot <= demand.spot_allowed
             && demand.accepts_kind(&class.kind)
-            && self.resources_of(&class.kind).is_some_and(|resources| resources.holds(demand.room))
+            && self
+                .resources_of(&class.kind)
+                .is_some_and(|resources| resources.can_hold(demand.resources_per_task))
     }
 
     /// Reserves the classes on which alone this shape fits, as long as they are the smaller part of the fleet: what is
@@ -136,7 +138,8 @@
             return;
         }
         for class in only {
-            let open = machines.iter().filter(|machine| machine.open && class.contains(machine)).count();
+            let open =
+                machines.iter().filter(|machine| machine.is_schedulable && class.contains(machine)).count();
             let enough = plenty.entry(class.clone()).or_default();
             *enough = (*enough).max(machines_at_hand(demand) * PLENTY_FACTOR);
             let entry = ReservedClass { class: class.clone(), priority: demand.priority };
@@ -160,10 +163,11 @@
                 !reserved.iter().any(|other| other.class == *class && other.priority > demand.priority)
             };
             let (mut fitting, mut open) = (0, 0);
-            for machine in machines.iter().filter(|machine| machine.open) {
+            for machine in machines.iter().filter(|machine| machine.is_schedulable) {
                 let class = MachineClass::of(machine);
                 if self.class_fits(demand, &class) {
-                    let slots = machine.total.count_of(demand.room).clamp(0, MAX_TASKS_PER_MACHINE);
+                    let slots =
+                        machine.total.max_count_of(demand.resources_per_task).clamp(0, MAX_TASKS_PER_MACHINE);
                     fitting += slots;
                     open += if is_left(&class) { slots } else { 0 };
                 }
@@ -190,14 +194,14 @@
     ) -> BTreeMap<String, u8> {
         let mut chosen: BTreeMap<String, u8> = BTreeMap::new();
         let fraction = if self.has_guarantees { GUARANTEES_RESERVED_FRACTION } else { RESERVED_FRACTION };
-        for demand in demands.iter().filter(|demand| demand.priority > lowest && demand.together > 1) {
+        for demand in demands.iter().filter(|demand| demand.priority > lowest && demand.gang_size > 1) {
             let fitting: Vec<&MachineSnapshot> = machines
                 .iter()
                 .copied()
                 .filter(|machine| {
-                    machine.open
-                        && demand.accepts(&machine.kind, &machine.zone, machine.spot)
-                        && machine.total.count_of(demand.room) == 1
+                    machine.is_schedulable
+                        && demand.accepts(&machine.machine_type, &machine.zone, machine.spot)
+                        && machine.total.max_count_of(demand.resources_per_task) == 1
                 })
                 .collect();
             let count = machines_at_hand(demand).min(fitting.len() / fraction);
@@ -224,10 +228,12 @@
         let mut zones: BTreeMap<&str, ZoneCandidates> = BTreeMap::new();
         for machine in fitting {
             // What is being stopped counts as gone, or it would lose its place while it is emptied.
-            let staying = machine.by_priority.iter().filter(|(priority, _)| *priority >= demand.priority);
+            let staying =
+                machine.used_by_priority.iter().filter(|(priority, _)| *priority >= demand.priority);
             let room = staying.fold(machine.total, |left, (_, taken)| left - *taken);
             let is_draining = self.scale_in.draining.contains(&machine.name);
-            if room.holds(demand.room) && !is_draining && !chosen.contains_key(&machine.name) {
+            if room.can_hold(demand.resources_per_task) && !is_draining && !chosen.contains_key(&machine.name)
+            {
                 let zone = if demand.one_zone { machine.zone.as_str() } else { "" };
                 let new = !self.reserved.machines.contains_key(&machine.name);
                 let candidate = (new, -machine.free.cpus, machine.name.as_str());
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -65,12 +65,12 @@
 impl QueueLoad {
     /// How many typical tasks a machine runs at once.
     fn slots(&self, machine: &MachineSnapshot) -> i64 {
-        machine.total.count_of(self.typical.resources).clamp(0, MAX_TASKS_PER_MACHINE)
+        machine.total.max_count_of(self.typical.resources).clamp(0, MAX_TASKS_PER_MACHINE)
     }
 
     /// How many more it could run now.
     fn free_slots(&self, machine: &MachineSnapshot) -> i64 {
-        machine.free.count_of(self.typical.resources).clamp(0, MAX_TASKS_PER_MACHINE)
+        machine.free.max_count_of(self.typical.resources).clamp(0, MAX_TASKS_PER_MACHINE)
     }
 
     /// How long this many slots take for all of it, in microseconds.
@@ -101,7 +101,7 @@
         let mut draining = BTreeSet::new();
         for machine in machines.values().copied() {
             let name = &machine.name;
-            if machine.standing == InventoryState::Gone || self.inventory.is_removed(name) {
+            if machine.inventory_state == InventoryState::Gone || self.inventory.is_removed(name) {
                 continue;
             }
             if self.has_failed(now, machine, complete_up_to) {
@@ -133,17 +133,17 @@
     fn should_drain(&self, now: Micros, machine: &MachineSnapshot, fleet_is_unused: bool) -> bool {
         self.scale_in.surplus.contains(&machine.name)
             || machine.idle_for(now) > self.idle_limit(machine, fleet_is_unused)
-            || (self.scale_in.draining.contains(&machine.name) && machine.busy == 0)
+            || (self.scale_in.draining.contains(&machine.name) && machine.task_count == 0)
     }
 
     /// How long a machine may idle. Keeping it is worth it as long as that costs less than booting one; one that urgent
     /// work may need before another could boot is kept for longer.
     fn idle_limit(&self, machine: &MachineSnapshot, fleet_is_unused: bool) -> Micros {
-        let boot_time = self.boot_time(&machine.kind).0;
+        let boot_time = self.boot_time(&machine.machine_type).0;
         if self.has_guarantees && !fleet_is_unused {
             GUARANTEES_IDLE_LIMIT
         } else if self.reserved.machines.contains_key(&machine.name)
-            || self.reserved.has_class(&machine.kind, machine.spot)
+            || self.reserved.has_class(&machine.machine_type, machine.spot)
         {
             Micros(boot_time * 5 / 4)
         } else {
@@ -154,9 +154,9 @@
     /// Whether a machine was named as draining and its shard has confirmed that nothing is left on it.
     fn is_drained(&self, machine: &MachineSnapshot) -> bool {
         self.scale_in.draining.contains(&machine.name)
-            && !machine.open
-            && machine.busy == 0
-            && machine.standing == InventoryState::Known
+            && !machine.is_schedulable
+            && machine.task_count == 0
+            && machine.inventory_state == InventoryState::Known
     }
 
     /// Whether a listed machine sends no heartbeats: it never came up, or is nobody's.
@@ -170,7 +170,7 @@
         if machines.contains_key(listed.name.as_str()) || self.inventory.is_removed(&listed.name) {
             return false;
         }
-        let limit = Micros(self.boot_time(&listed.kind).0 * 3) + FIRST_HEARTBEAT_SLACK;
+        let limit = Micros(self.boot_time(&listed.machine_type).0 * 3) + FIRST_HEARTBEAT_SLACK;
         now.since(leader_since) > TAKEOVER_TIME
             && (listed.state == MachineState::Failed || Micros::from_secs(listed.age_s) > limit)
     }
@@ -189,7 +189,8 @@
         let queue_machines: Vec<&MachineSnapshot> =
             machines.values().copied().filter(|machine| self.serves_queue(machine)).collect();
         let queue = queue_load(typical, &demands, &queue_machines);
-        let open: Vec<&MachineSnapshot> = queue_machines.into_iter().filter(|machine| machine.open).collect();
+        let open: Vec<&MachineSnapshot> =
+            queue_machines.into_iter().filter(|machine| machine.is_schedulable).collect();
         let slots: i64 = open.iter().map(|machine| queue.slots(machine)).sum();
         if queue.time_with(slots) > typical.horizon.0 as f64 {
             self.scale_in.surplus.clear();
@@ -204,9 +205,9 @@
 
     /// Whether queueable work may use the machine.
     fn serves_queue(&self, machine: &MachineSnapshot) -> bool {
-        machine.standing == InventoryState::Known
+        machine.inventory_state == InventoryState::Known
             && !self.reserved.machines.contains_key(&machine.name)
-            && !self.reserved.has_class(&machine.kind, machine.spot)
+            && !self.reserved.has_class(&machine.machine_type, machine.spot)
     }
 
     /// Which of the open machines become surplus. One at a time, unless nothing queues and much of the fleet is empty:
@@ -254,12 +255,14 @@
             self.inventory.get(&machine.name).is_some_and(|listed| listed.age_s > MIN_BILLED_S)
         };
         let price = |machine: &MachineSnapshot| {
-            let Some(machine_type) = self.types.get(&machine.kind) else { return 0.0 };
+            let Some(machine_type) = self.machine_types.get(&machine.machine_type) else { return 0.0 };
             let price = if machine.spot { machine_type.spot_price } else { machine_type.price };
             price / queue.slots(machine).max(1) as f64
         };
         let mut dearest: Vec<&MachineSnapshot> = machines.iter().filter(is_paid).copied().collect();
-        dearest.sort_by(|one, other| price(other).total_cmp(&price(one)).then(one.busy.cmp(&other.busy)));
+        dearest.sort_by(|one, other| {
+            price(other).total_cmp(&price(one)).then(one.task_count.cmp(&other.task_count))
+        });
         dearest
     }
 }
@@ -267,14 +270,15 @@
 /// Whether there has been no work at all for a while. Room kept for guarantees is of use only while there is some.
 /// Machines that are gone are named until the next epoch and say nothing about that.
 fn is_fleet_unused(now: Micros, machines: &BTreeMap<&str, &MachineSnapshot>) -> bool {
-    let mut there = machines.values().filter(|machine| machine.standing != InventoryState::Gone);
-    there.all(|machine| machine.busy == 0 && machine.idle_for(now) > UNUSED_FLEET_TIME)
+    let mut there = machines.values().filter(|machine| machine.inventory_state != InventoryState::Gone);
+    there.all(|machine| machine.task_count == 0 && machine.idle_for(now) > UNUSED_FLEET_TIME)
 }
 
 fn queue_load(typical: TypicalTask, demands: &[Demand], machines: &[&MachineSnapshot]) -> QueueLoad {
-    let busy: i64 = machines.iter().map(|machine| i64::from(machine.busy)).sum();
-    let queueable = demands.iter().filter(|demand| demand.horizon.0 > 0);
-    let queued: f64 = queueable.map(|demand| f64::from(demand.count) * demand.estimate.0 as f64).sum();
+    let busy: i64 = machines.iter().map(|machine| i64::from(machine.task_count)).sum();
+    let queueable = demands.iter().filter(|demand| demand.max_queue_time.0 > 0);
+    let queued: f64 =
+        queueable.map(|demand| f64::from(demand.count) * demand.estimated_run_time.0 as f64).sum();
     // A running task has half of its time before it, on average.
     let load = queued + busy as f64 * typical.run_time.0 as f64 / 2.0;
     QueueLoad { typical, queued, load }
@@ -282,5 +286,6 @@
 
 /// Whether a task of this shape could ever run on the machine.
 fn fits(demand: &Demand, machine: &MachineSnapshot) -> bool {
-    demand.accepts(&machine.kind, &machine.zone, machine.spot) && machine.total.holds(demand.room)
+    demand.accepts(&machine.machine_type, &machine.zone, machine.spot)
+        && machine.total.can_hold(demand.resources_per_task)
 }
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -26,7 +26,7 @@
 
 impl CapacityPool {
     fn of(scale_out: &ScaleOut) -> CapacityPool {
-        let ScaleOut { kind, zone, spot, .. } = scale_out.clone();
+        let ScaleOut { machine_type: kind, zone, spot, .. } = scale_out.clone();
         CapacityPool { kind, zone, spot }
     }
 
@@ -97,7 +97,7 @@
         let mut supply = Supply { open: self.open_capacity(machines), arriving, queued: 0.0 };
         let mut demands = self.demand.fresh(now);
         demands.retain(|demand| demand.count > 0);
-        demands.extend(headroom(self.guaranteed, &self.types, machines));
+        demands.extend(headroom(self.guaranteed, &self.machine_types, machines));
         let cheapest = demands.iter().find_map(|demand| {
             let shortfall = self.shortfall(demand, &mut supply)?;
             self.cheapest_scale_out(demand, &shortfall, &supply)
@@ -141,9 +141,13 @@
                 || self.inventory.is_removed(&listed.name);
             if listed.state != MachineState::Failed
                 && !counted
-                && !is_overdue(&listed.name, Micros::from_secs(listed.age_s), self.boot_time(&listed.kind))
+                && !is_overdue(
+                    &listed.name,
+                    Micros::from_secs(listed.age_s),
+                    self.boot_time(&listed.machine_type),
+                )
             {
-                arriving.push(capacity(&listed.kind, &listed.zone, listed.spot));
+                arriving.push(capacity(&listed.machine_type, &listed.zone, listed.spot));
             }
         }
         if overdue != self.scale_out.overdue {
@@ -155,9 +159,10 @@
 
     /// Machines that take new tasks and are left to no gang.
     fn open_capacity(&self, machines: &BTreeMap<&str, &MachineSnapshot>) -> Vec<Capacity> {
-        let is_open = |m: &&&MachineSnapshot| m.open && !self.reserved.machines.contains_key(&m.name);
+        let is_open =
+            |m: &&&MachineSnapshot| m.is_schedulable && !self.reserved.machines.contains_key(&m.name);
         let capacity = |m: &&MachineSnapshot| Capacity {
-            pool: CapacityPool { kind: m.kind.clone(), zone: m.zone.clone(), spot: m.spot },
+            pool: CapacityPool { kind: m.machine_type.clone(), zone: m.zone.clone(), spot: m.spot },
             resources: m.total,
         };
         machines.values().filter(is_open).map(capacity).collect()
@@ -176,13 +181,13 @@
     /// Work that may queue is weighed against what the machines there are get done in that time; only the excess is
     /// worth a machine, which earns nothing while it boots.
     fn queue_excess(&self, demand: &Demand, supply: &mut Supply) -> Option<i64> {
-        let estimate = demand.estimate.max(MIN_SPAN).0 as f64;
-        let horizon = demand.horizon.max(MIN_SPAN).0 as f64;
+        let estimate = demand.estimated_run_time.max(MIN_SPAN).0 as f64;
+        let horizon = demand.max_queue_time.max(MIN_SPAN).0 as f64;
         // The last of the queue should have run by then. How long that takes is taken from the queue as a whole: one
         // long job at its end must not add machines for all before it.
         let usual = self.demand.typical.map_or(estimate, |typical| typical.run_time.0 as f64);
         let window = (horizon - usual / 2.0).max(horizon / 2.0);
-        let slots = |capacity: &Capacity| capacity.resources.count_of(demand.room);
+        let slots = |capacity: &Capacity| capacity.resources.max_count_of(demand.resources_per_task);
         let is_usable = |capacity: &&Capacity| {
             let CapacityPool { kind, spot, .. } = &capacity.pool;
             capacity.pool.is_for(demand) && !self.reserved.excludes(kind, *spot, demand.priority)
@@ -197,16 +202,19 @@
 
     /// Work that must start at once: what is there is taken already, so only what arrives counts, once.
     fn unmet_at_once(&self, demand: &Demand, arriving: &mut [Capacity]) -> Shortfall {
-        let only_zone = zone_for(demand, &self.types, arriving, |zone| {
+        let only_zone = zone_for(demand, &self.machine_types, arriving, |zone| {
             let fitting = |t: &&MachineType| demand.accepts(&t.name, zone, false);
-            self.types.values().filter(fitting).all(|t| self.scale_out.is_exhausted(&t.name, zone, false))
+            self.machine_types
+                .values()
+                .filter(fitting)
+                .all(|t| self.scale_out.is_exhausted(&t.name, zone, false))
         });
         let mut tasks = i64::from(demand.count);
         for Capacity { pool, resources } in arriving {
             let is_in_zone = only_zone.as_ref().is_none_or(|zone| *zone == pool.zone);
             if tasks > 0 && pool.is_for(demand) && is_in_zone {
-                let served = resources.count_of(demand.room).clamp(0, tasks);
-                *resources = *resources - demand.room.times(served);
+                let served = resources.max_count_of(demand.resources_per_task).clamp(0, tasks);
+                *resources = *resources - demand.resources_per_task.times(served);
                 tasks -= served;
             }
         }
@@ -221,8 +229,9 @@
         supply: &Supply,
     ) -> Option<ScaleOut> {
         let mut options: Vec<(f64, ScaleOut)> = Vec::new();
-        for machine_type in self.types.values() {
-            let tasks_each = machine_type.room().count_of(demand.room).min(i64::from(u32::MAX));
+        for machine_type in self.machine_types.values() {
+            let tasks_each =
+                machine_type.capacity().max_count_of(demand.resources_per_task).min(i64::from(u32::MAX));
             if tasks_each <= 0 {
                 continue;
             }
@@ -232,7 +241,7 @@
             for zone in &machine_type.zones {
                 for spot in [false, true] {
                     let (kind, zone) = (machine_type.name.clone(), zone.clone());
-                    let option = ScaleOut { name: String::new(), kind, zone, spot, count };
+                    let option = ScaleOut { name: String::new(), machine_type: kind, zone, spot, count };
                     if self.is_eligible(demand, shortfall, supply, &option) {
                         let price = if spot { machine_type.spot_price } else { machine_type.price };
                         // For a large backlog the price of room counts, for a small one that of the machines it takes.
@@ -252,7 +261,7 @@
         supply: &Supply,
         option: &ScaleOut,
     ) -> bool {
-        let ScaleOut { kind, zone, spot, count, .. } = option;
+        let ScaleOut { machine_type: kind, zone, spot, count, .. } = option;
         let is_in_zone = shortfall.only_zone.as_ref().is_none_or(|only| only == zone);
         if !demand.accepts(kind, zone, *spot) || !is_in_zone || self.scale_out.is_exhausted(kind, zone, *spot)
         {
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -18,16 +18,16 @@
 }
 fn demand(cpus: f64, spot: bool, priority: u8) -> Demand {
     Demand {
-        room: Resources::need(cpus, 0.0, 1.0),
-        kinds: Vec::new(),
+        resources_per_task: Resources::rounded_up(cpus, 0.0, 1.0),
+        machine_types: Vec::new(),
         zone: None,
         one_zone: false,
-        spot,
+        spot_allowed: spot,
         count: 0,
-        estimate: Micros(0),
+        estimated_run_time: Micros(0),
         priority,
-        horizon: Micros(0),
-        together: 1,
+        max_queue_time: Micros(0),
+        gang_size: 1,
     }
 }
 fn settings() -> Settings {
@@ -40,7 +40,7 @@
 pub(super) fn autoscaler(demands: Vec<Demand>) -> Autoscaler {
     let mut autoscaler = Autoscaler::new(1, &settings());
     for machine_type in [machine_type("small", 4.0), machine_type("large", 32.0)] {
-        autoscaler.types.insert(machine_type.name.clone(), machine_type);
+        autoscaler.machine_types.insert(machine_type.name.clone(), machine_type);
     }
     autoscaler.record_demand(Micros(1), 0, demands);
     autoscaler.update_reserved(Micros(2), &[]);
@@ -63,19 +63,19 @@
 pub(super) fn machine(i: usize, kind: &str, free: f64, total: f64) -> MachineSnapshot {
     let status = crate::peer::MachineStatus {
         name: format!("i-{i:03}"),
-        kind: kind.into(),
+        machine_type: kind.into(),
         zone: "a".into(),
         spot: false,
-        standing: InventoryState::Known,
-        open: true,
-        notice: None,
-        free: Resources::need(free, 0.0, 64.0),
-        total: Resources::need(total, 0.0, 64.0),
-        by_priority: vec![(0, Resources::need(total - free, 0.0, 0.0))],
+        inventory_state: InventoryState::Known,
+        is_schedulable: true,
+        time_to_termination: None,
+        free: Resources::rounded_up(free, 0.0, 64.0),
+        total: Resources::rounded_up(total, 0.0, 64.0),
+        used_by_priority: vec![(0, Resources::rounded_up(total - free, 0.0, 0.0))],
         images: Vec::new(),
-        busy: (total - free) as u32,
-        idle: None,
-        silent: None,
+        task_count: (total - free) as u32,
+        idle_time: None,
+        silent_time: None,
         tasks: Vec::new(),
     };
     MachineSnapshot::new(Micros(1), status)
@@ -88,15 +88,19 @@
 /// If all on-demand machines were left to gangs, arrays would have a few spot machines.
 #[test]
 fn few_spot_machines_do_not_count_as_somewhere_else_to_go() {
-    let gang = Demand { room: Resources::need(96.0, 8.0, 1.0), together: 4, ..demand(96.0, false, 11) };
-    let array = Demand { room: Resources::need(8.0, 1.0, 1.0), ..demand(8.0, true, 10) };
+    let gang = Demand {
+        resources_per_task: Resources::rounded_up(96.0, 8.0, 1.0),
+        gang_size: 4,
+        ..demand(96.0, false, 11)
+    };
+    let array = Demand { resources_per_task: Resources::rounded_up(8.0, 1.0, 1.0), ..demand(8.0, true, 10) };
     let reserved = |spots: usize| {
         let mut autoscaler = autoscaler(vec![gang.clone(), array.clone()]);
-        autoscaler.types.insert("g".into(), MachineType { gpus: 8.0, ..machine_type("g", 96.0) });
+        autoscaler.machine_types.insert("g".into(), MachineType { gpus: 8.0, ..machine_type("g", 96.0) });
         let mut seen: Vec<MachineSnapshot> = (0..60).map(|i| machine(i, "large", 0.0, 32.0)).collect();
         for i in 0..12 + spots {
             let plain = machine(100 + i, "g", 96.0, 96.0);
-            let total = Resources::need(96.0, 8.0, 64.0);
+            let total = Resources::rounded_up(96.0, 8.0, 64.0);
             seen.push(MachineSnapshot::new(
                 Micros(1),
                 crate::peer::MachineStatus { total, spot: i >= 12, ..(*plain).clone() },
@@ -112,7 +116,7 @@
 #[test]
 fn of_many_large_machines_some_are_reserved_for_gangs_and_stay_the_same() {
     let mut autoscaler =
-        autoscaler(vec![Demand { together: 3, ..demand(30.0, false, 2) }, demand(1.0, true, 0)]);
+        autoscaler(vec![Demand { gang_size: 3, ..demand(30.0, false, 2) }, demand(1.0, true, 0)]);
     let mut seen: Vec<MachineSnapshot> =
         (0..60).map(|i| machine(i, "large", if i < 6 { 20.0 } else { 2.0 }, 32.0)).collect();
     autoscaler.update_reserved(Micros(2), &seen.iter().collect::<Vec<_>>());
@@ -137,11 +141,13 @@
     let full: Vec<MachineSnapshot> = (0..20).map(|i| machine(i, "large", 0.0, 32.0)).collect();
     // A quarter of 640 in use, which is less than a fifth of 1,000: 160, five machines.
     assert_eq!(
-        headroom(promised, &autoscaler.types, &by_name(&full)).first().map(|d| (d.count, d.spot)),
+        headroom(promised, &autoscaler.machine_types, &by_name(&full))
+            .first()
+            .map(|d| (d.count, d.spot_allowed)),
         Some((6, false))
     );
     let idle: Vec<MachineSnapshot> = (0..20).map(|i| machine(i, "large", 32.0, 32.0)).collect();
-    assert!(headroom(promised, &autoscaler.types, &by_name(&idle)).is_empty());
+    assert!(headroom(promised, &autoscaler.machine_types, &by_name(&idle)).is_empty());
 }
 
 /// One machine every few seconds would keep a large fleet for minutes after a surge.
@@ -149,7 +155,7 @@
 fn clear_surplus_is_chosen_in_batches_unless_work_queues() {
     let mut autoscaler = autoscaler(vec![]);
     autoscaler.demand.typical = Some(TypicalTask {
-        resources: Resources::need(1.0, 0.0, 1.0),
+        resources: Resources::rounded_up(1.0, 0.0, 1.0),
         run_time: Micros(20_000_000),
         horizon: Micros(60_000_000),
     });
@@ -157,7 +163,7 @@
     let by_name = by_name(&idle);
     let old = |machine: &MachineSnapshot| CloudMachine {
         name: machine.name.clone(),
-        kind: machine.kind.clone(),
+        machine_type: machine.machine_type.clone(),
         zone: machine.zone.clone(),
         spot: false,
         state: MachineState::Running,
@@ -170,8 +176,8 @@
     autoscaler.scale_in.surplus.clear();
     let queue = Demand {
         count: 5,
-        estimate: Micros(20_000_000),
-        horizon: Micros(60_000_000),
+        estimated_run_time: Micros(20_000_000),
+        max_queue_time: Micros(60_000_000),
         ..demand(1.0, true, 0)
     };
     autoscaler.record_demand(Micros(20_000_000), 0, vec![queue]);
@@ -194,7 +200,7 @@
         let mut scale_out = |seconds: u64| {
             let now = Micros(seconds * 1_000_000);
             autoscaler.record_demand(now, 0, vec![waiting.clone()]);
-            autoscaler.next_scale_out(now, &BTreeMap::new()).map(|r| (r.kind, r.count))
+            autoscaler.next_scale_out(now, &BTreeMap::new()).map(|r| (r.machine_type, r.count))
         };
         assert_eq!(scale_out(50), None, "boots take 40 s");
         let room = scale_out(90).map(|(kind, n)| n * if kind == "large" { 8 } else { 1 });
@@ -224,7 +230,7 @@
     let mut autoscaler = autoscaler(vec![]);
     let waiting = Demand { count: 9, ..demand(1.0, false, 1) };
     autoscaler.inventory.listed = Some(BTreeMap::new());
-    let fleet = FleetView { machines: &[], all_reported: true, rebuilt: true, members: &[0] };
+    let fleet = FleetView { machines: &[], all_reported: true, failover_complete: true, members: &[0] };
     let mut names = BTreeSet::new();
     for i in 1..60u64 {
         let now = Micros(i * 1_000_000);
@@ -233,7 +239,7 @@
             let answer = match &request {
                 CloudRequest::List(_) => CloudAnswer::Page(Vec::new(), false),
                 CloudRequest::MachineTypes => {
-                    CloudAnswer::MachineTypes(autoscaler.types.values().cloned().collect())
+                    CloudAnswer::MachineTypes(autoscaler.machine_types.values().cloned().collect())
                 }
                 CloudRequest::ScaleOut(scale_out) => {
                     names.insert(scale_out.name.clone());
--- a/src/cli/why.rs
+++ b/src/cli/why.rs
@@ -15,7 +15,7 @@
     if controllers.json {
         return Ok(one_line(&answer));
     }
-    let mut text = format!("{job}: {}\n", users::state_in(&answer).unwrap_or("?"));
+    let mut text = format!("{job}: {}\n", users::read_state(&answer).unwrap_or("?"));
     let dependencies: Vec<&str> =
         answer["waits_for"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
     if !dependencies.is_empty() {
--- a/src/config/operators/tests.rs
+++ b/src/config/operators/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(on.log_stores.len(), 2);
     let on = Operators::parse("f.ini", "[loans]\nborrowers = serve, chat\nstay_s = 60\n").expect("valid");
     let terms = on.loans.expect("switched on");
-    assert_eq!((terms.borrowers.len(), terms.stay, terms.back.secs()), (2, Micros::from_secs(60.0), 30.0));
+    assert_eq!((terms.borrowers.len(), terms.stay, terms.back.as_secs()), (2, Micros::from_secs(60.0), 30.0));
     for (text, named) in [
         ("[logs]\nstores = here:1\n", "f.ini: [logs] stores"),
         ("[logs]\nstore = 10.0.0.1:1\n", "f.ini: [logs] store:"),
--- a/src/config/settings/cancellation_budget.rs
+++ b/src/config/settings/cancellation_budget.rs
@@ -28,7 +28,7 @@
 #[error(
     "settings.workers.cancel_s: {} s can't be held when controllers lose sight of one another: lease_s {} s and \
     the least time for that, {} s, add up to {} s",
-    whole.secs(), worker_lease.secs(), reach.secs(), needed.secs()
+    whole.as_secs(), worker_lease.as_secs(), reach.as_secs(), needed.as_secs()
 )]
 pub struct CancellationBudgetError {
     /// `cancel_s`.
@@ -44,10 +44,10 @@
 impl CancellationBudget {
     /// Divides `cancel_s`. Where the worker's lease leaves too little, the reach is the least that serves.
     pub fn new(cancel: Micros, worker_lease: Micros, report: Micros) -> CancellationBudget {
-        let left = cancel.0.saturating_sub(worker_lease.stretched().0 + ROUND_ALLOWANCE.0);
+        let left = cancel.0.saturating_sub(worker_lease.plus_drift().0 + ROUND_ALLOWANCE.0);
         CancellationBudget {
             whole: cancel,
-            reach: Micros(left).shortened().max(Micros(report.0 * LEAST_REACH_PERIODS)),
+            reach: Micros(left).minus_drift().max(Micros(report.0 * LEAST_REACH_PERIODS)),
             worker_lease,
         }
     }
@@ -60,7 +60,7 @@
     /// The longest that a task can outlive the answer that its job is cancelled: the reach and the worker's lease, both on
     /// clocks that drift.
     pub fn longest(&self) -> Micros {
-        self.reach.stretched() + self.worker_lease.stretched() + ROUND_ALLOWANCE
+        self.reach.plus_drift() + self.worker_lease.plus_drift() + ROUND_ALLOWANCE
     }
 
     /// Whether that is within `cancel_s`.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -32,7 +32,7 @@
 use self::freshness::{Freshness, PendingFreshnessRequest};
 use self::gpu_lending::{Loans, PendingLoanRequest};
 use self::handoff::Handoff;
-pub use self::handoff::LEAVING;
+pub use self::handoff::LEAVE_TIMEOUT;
 use self::heartbeats::HeldHeartbeats;
 use self::membership::{MembershipLoop, PendingRingRequest};
 pub use self::operator_requests::{OperatorCommand, ReleaseSelector};
@@ -54,7 +54,7 @@
 use crate::quota::{AllocationInput, AllocationWrite, QuotaLedger};
 use crate::spec::{JobKind, JobSpec};
 use crate::state_store::{KeyValue, RateLimiter, StoreAnswer, StoreRequest, Transaction};
-use crate::units::{Micros, Ranges};
+use crate::units::{Micros, TaskIndexSet};
 use crate::wire::users::submission::stored_description;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key};
 use serde_json::{Value, json};
@@ -314,18 +314,19 @@
             || self.membership.can_forward(now)
             || self.membership.is_leaderless(now);
         if self.handoff.leaving().is_some() {
-            Reply::later("leaving")
+            Reply::retry_later("leaving")
         } else if helps {
             Reply::json(200, &json!({"ready": true}))
         } else {
-            Reply::later("not yet able to act")
+            Reply::retry_later("not yet able to act")
         }
     }
 
     fn take_cloud_answer(&mut self, now: Micros, request: &CloudRequest, answer: CloudAnswer) {
-        let types_before = (*request == CloudRequest::MachineTypes).then(|| self.autoscaler.types.clone());
+        let types_before =
+            (*request == CloudRequest::MachineTypes).then(|| self.autoscaler.machine_types.clone());
         self.autoscaler.apply_answer(now, request, answer);
-        if types_before.is_some_and(|types| types != self.autoscaler.types) {
+        if types_before.is_some_and(|types| types != self.autoscaler.machine_types) {
             self.machine_shard.mark_all_changed();
         }
     }
@@ -335,7 +336,7 @@
     fn note_stall(&mut self, now: Micros) {
         let gap = now.since(self.rounds.last_round);
         if self.rounds.last_round > Micros(0) && gap >= STALL {
-            tracing::info!(epoch = self.membership.epoch, seconds = gap.secs(), "event loop stalled");
+            tracing::info!(epoch = self.membership.epoch, seconds = gap.as_secs(), "event loop stalled");
             self.machine_shard.discount_pause(now, gap);
             self.step_down.discount_pause(now, gap);
             // Its standing may have changed: that comes first.
@@ -347,14 +348,14 @@
     /// The last look before an effect goes out. Between a decision and its effect the process may
     /// have stood still and lost its leadership: what rests on that is taken back.
     #[must_use]
-    pub fn vetted(&mut self, now: Micros, effect: Effect) -> Option<Effect> {
+    pub fn revalidate_effect(&mut self, now: Micros, effect: Effect) -> Option<Effect> {
         if !self.rounds.was_leader || self.membership.is_leader(now) {
             return Some(effect);
         }
         match effect {
             // Never a user's answer that may be out of date by now, nor a command.
             Effect::Reply { ticket, reply } if (200..300).contains(&reply.status) => {
-                Some(Effect::Reply { ticket, reply: Reply::later("not entitled to act any more") })
+                Some(Effect::Reply { ticket, reply: Reply::retry_later("not entitled to act any more") })
             }
             Effect::Cloud(request @ (CloudRequest::ScaleOut(_) | CloudRequest::ScaleIn(_))) => {
                 self.autoscaler.apply_answer(now, &request, CloudAnswer::Failed);
@@ -377,7 +378,7 @@
         if !self.membership.has_stepped_down {
             self.machine_shard.expire_leases(now, &self.membership);
         }
-        self.job_shard.alone = self.membership.have_older_leaders_stopped(now);
+        self.job_shard.older_leaders_stopped = self.membership.have_older_leaders_stopped(now);
         if self.rounds.was_leader && self.job_shard.loaded {
             self.schedule(now);
             self.write_quota(now, out);
@@ -431,8 +432,8 @@
         let machines: Vec<_> = self.job_shard.machines(self.membership.epoch).filter(|_| decides).collect();
         let fleet = decides.then(|| FleetView {
             machines: &machines,
-            all_reported: self.job_shard.has_heard_all_machine_shards(&self.membership),
-            rebuilt: self.job_shard.is_rebuilt(),
+            all_reported: self.job_shard.have_all_machine_shards_reported(&self.membership),
+            failover_complete: self.job_shard.is_rebuilt(),
             members: &self.membership.members,
         });
         let request = self.autoscaler.next_request(now, fleet);
@@ -441,7 +442,7 @@
 
     /// Who doesn't act must know the machine types too: it may have to accept jobs.
     fn learn_machine_types(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.autoscaler.types.is_empty() {
+        if self.autoscaler.machine_types.is_empty() {
             let request = self.autoscaler.next_request(now, None);
             out.extend(request.map(Effect::Cloud));
         }
@@ -449,7 +450,7 @@
 }
 
 /// Reads the record of a job's end.
-pub fn read_end(v: &Value) -> Option<(JobOutcome, u32)> {
+pub fn read_final_record(v: &Value) -> Option<(JobOutcome, u32)> {
     let f = match v.get("end")?.as_str()? {
         "done" => JobOutcome::Done,
         "cancelled" => JobOutcome::Cancelled,
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -8,8 +8,8 @@
 mod readings;
 
 use super::*;
-use crate::job_shard::says_of_record;
-use hazelsaddle_coordination::census::{Census, CensusJobState, CensusStep, JobReading};
+use crate::job_shard::declarations_in_record;
+use hazelsaddle_coordination::census::{Census, CensusJobState, CensusStep, JobMemberships};
 use hazelsaddle_coordination::record::{self, CoordinationRecord, Key};
 use hazelsaddle_coordination::record_cache::{CachedRecord, RecordCache};
 
@@ -154,7 +154,7 @@
 
     /// Whether this controller does what a record needs by itself: the leader of the head's key on the ring.
     pub(super) fn keeps_record(&self, key: &Key) -> bool {
-        self.membership.ring.owner(&key.head()) == Some(self.settings.me)
+        self.membership.ring.owner(&key.head_key()) == Some(self.settings.me)
     }
 
     /// Whether coordination records are of any concern here.
@@ -165,7 +165,7 @@
 
     /// What a record says, as far as is known; it is read again while anybody asks.
     pub(super) fn coordination_record(&mut self, now: Micros, key: &Key) -> CachedRecord {
-        self.coordination.records.want(key);
+        self.coordination.records.track(key);
         self.coordination.used.insert(key.clone(), now);
         self.coordination.records.get(key).clone()
     }
@@ -180,7 +180,7 @@
         self.coordination.used.insert(key.clone(), now);
         let held = self.coordination.records.get_since(key, since).cloned();
         if held.is_none() {
-            self.coordination.records.want_since(key, since);
+            self.coordination.records.require_read_since(key, since);
         }
         held
     }
@@ -219,7 +219,7 @@
 
     /// The condition that a job joins a record under, as it was read.
     pub(super) fn join_condition(&self, key: &Key) -> (String, u64) {
-        (key.head(), self.coordination.records.store_version(key))
+        (key.head_key(), self.coordination.records.store_version(key))
     }
 
     /// A submission met a record that had changed: that says nothing about the job, so it is looked at anew. Says
@@ -240,7 +240,7 @@
             return false;
         }
         for key in records {
-            self.coordination.records.want_since(&key, now);
+            self.coordination.records.require_read_since(&key, now);
         }
         self.put_on_record(now, id.to_owned(), out);
         true
@@ -303,14 +303,14 @@
             .job_shard
             .held_jobs()
             .take(SHOWN)
-            .map(|(id, _, h)| json!({"job": id, "why": h.why()}))
+            .map(|(id, _, h)| json!({"job": id, "why": h.reason()}))
             .collect();
         let unreadable: Vec<String> = self
             .coordination
             .records
             .iter()
             .filter(|(_, h)| matches!(h, CachedRecord::Unreadable(_)))
-            .map(|(k, _)| k.head())
+            .map(|(k, _)| k.head_key())
             .collect();
         json!({
             "takes": self.takes_coordination(),
--- a/src/controller/coordination/census.rs
+++ b/src/controller/coordination/census.rs
@@ -8,15 +8,15 @@
 const PAUSE_UNREADABLE: Micros = Micros::from_millis(5000);
 
 /// What a job's record says: the heads of the records that it joined, and how it stands.
-fn reading(key: &str, value: &Value) -> Option<JobReading> {
-    if key.starts_with(hazelsaddle_coordination::census::ENDS) {
-        let (outcome, _) = read_end(value)?;
+fn reading(key: &str, value: &Value) -> Option<JobMemberships> {
+    if key.starts_with(hazelsaddle_coordination::census::FINAL_RECORD_PREFIX) {
+        let (outcome, _) = read_final_record(value)?;
         let joined = value.get("says").map(joined).unwrap_or_default();
-        return Some(JobReading { joined, state: state_of(outcome) });
+        return Some(JobMemberships { joined, state: state_of(outcome) });
     }
     JobShard::read_record(value)?;
-    let joined = says_of_record(value).as_ref().map(joined).unwrap_or_default();
-    Some(JobReading { joined, state: CensusJobState::Live })
+    let joined = declarations_in_record(value).as_ref().map(joined).unwrap_or_default();
+    Some(JobMemberships { joined, state: CensusJobState::Live })
 }
 
 fn state_of(outcome: JobOutcome) -> CensusJobState {
@@ -31,7 +31,7 @@
         && let (Some(title), Some(night)) = (text(release, "title"), text(release, "night"))
         && let Some(key) = hazelsaddle_release::release_ref::release_key(&title, &night)
     {
-        records.push((key.head(), release.clone()));
+        records.push((key.head_key(), release.clone()));
     }
     if let Some(batch) = says.get("batch")
         && let Some(name) = text(batch, "name")
@@ -40,7 +40,7 @@
         // Who looks for runs of a batch must know their classes.
         let mut batch = batch.clone();
         batch[users::CLASS] = says.get(users::CLASS).cloned().unwrap_or_default();
-        records.push((key.head(), batch));
+        records.push((key.head_key(), batch));
     }
     records
 }
@@ -48,7 +48,7 @@
 impl Controller {
     /// The members of a record by a census that began no earlier than `since`, if there is one; asks for one otherwise.
     pub(in crate::controller) fn census_since(&mut self, key: &Key, since: Micros) -> Option<&Members> {
-        let head = key.head();
+        let head = key.head_key();
         if self.coordination.found.get(&head).is_none_or(|(began, _)| *began < since) {
             self.coordination.wanted.insert(head);
             return None;
@@ -58,12 +58,12 @@
 
     /// When the latest whole census of a record began.
     pub(in crate::controller) fn census_began(&self, key: &Key) -> Option<Micros> {
-        self.coordination.found.get(&key.head()).map(|(began, _)| *began)
+        self.coordination.found.get(&key.head_key()).map(|(began, _)| *began)
     }
 
     /// What is known of a record's members so far, from whichever census.
     pub(in crate::controller) fn members_so_far(&self, key: &Key) -> Option<&Members> {
-        self.coordination.found.get(&key.head()).map(|(_, m)| m)
+        self.coordination.found.get(&key.head_key()).map(|(_, m)| m)
     }
 
     /// How long the last census took.
@@ -111,7 +111,7 @@
         }
         let found: Vec<_> =
             census.records().iter().filter_map(|head| Some((head.clone(), census.members(head)?))).collect();
-        tracing::debug!(records = found.len(), seconds = now.since(began).secs(), "census complete");
+        tracing::debug!(records = found.len(), seconds = now.since(began).as_secs(), "census complete");
         records.found.extend(found.into_iter().map(|(head, members)| (head, (began, members))));
         records.unreadable = unreadable;
         records.census = None;
@@ -160,7 +160,7 @@
     /// The final record of a member was read, or it has none yet.
     pub(super) fn apply_member_record(&mut self, job: String, answer: &StoreAnswer) {
         match answer {
-            StoreAnswer::Got(Some(row)) => match read_end(&row.value) {
+            StoreAnswer::Got(Some(row)) => match read_final_record(&row.value) {
                 Some((outcome, _)) => self.apply_member_outcome(&job, outcome),
                 None => tracing::error!(job = %job, "unreadable final record"),
             },
--- a/src/controller/coordination/changes.rs
+++ b/src/controller/coordination/changes.rs
@@ -16,7 +16,7 @@
     ) -> bool {
         // A reading under way may bring what makes the change wrong, but its version then fails the condition.
         let allowed = match self.coordination.records.get(key) {
-            CachedRecord::Present(r) => r.allows(&next).is_ok(),
+            CachedRecord::Present(r) => r.check_transition(&next).is_ok(),
             CachedRecord::Absent => true,
             CachedRecord::NotRead | CachedRecord::Unreadable(_) => false,
         };
@@ -24,7 +24,7 @@
             || !self.membership.is_leader(now)
             || now < self.state_store.paused_until
             || self.coordination.changing.contains(key)
-            || next.value().to_string().len() > self.settings.value_bytes
+            || next.to_value().to_string().len() > self.settings.value_bytes
         {
             return false;
         }
@@ -45,7 +45,7 @@
     /// Writes the next page of a change, or its head when all pages are on record. Pages are conditional on the head too:
     /// one that is written late changes nothing that was decided.
     pub(super) fn continue_change(&mut self, mut change: Box<Change>, out: &mut Vec<Effect>) {
-        let conditions = vec![self.fence(), (change.key.head(), change.store_version)];
+        let conditions = vec![self.fence(), (change.key.head_key(), change.store_version)];
         let mut transaction = Transaction { conditions, ..Transaction::default() };
         match change.pages.pop() {
             Some((key, page)) => {
@@ -57,7 +57,7 @@
                 );
             }
             None => {
-                transaction.puts.push((change.key.head(), change.next.value(), None));
+                transaction.puts.push((change.key.head_key(), change.next.to_value(), None));
                 self.ask_store(
                     PendingStoreRequest::Coordination(PendingRecordRequest::Change(change)),
                     StoreRequest::Transaction(transaction),
@@ -77,7 +77,7 @@
         if change.epoch == self.membership.epoch {
             self.coordination.changing.remove(&change.key);
         }
-        self.coordination.records.want(&change.key);
+        self.coordination.records.track(&change.key);
         match answer {
             StoreAnswer::Committed(store_version) => {
                 self.coordination.records.apply_commit(
@@ -92,13 +92,13 @@
             }
             answer => {
                 // It may have been carried out: the record tells.
-                self.coordination.records.want_since(&change.key, now);
+                self.coordination.records.require_read_since(&change.key, now);
                 if let Some((ticket, _)) = change.then {
                     let why = match answer {
                         StoreAnswer::Conflict(_) => "the record has changed meanwhile: ask again",
                         _ => "the change could not be put on record: ask again",
                     };
-                    out.push(Effect::Reply { ticket, reply: Reply::later(why) });
+                    out.push(Effect::Reply { ticket, reply: Reply::retry_later(why) });
                 }
             }
         }
--- a/src/controller/coordination/readings.rs
+++ b/src/controller/coordination/readings.rs
@@ -17,7 +17,7 @@
             wanted.extend(listed.chain(&self.coordination.changing).cloned());
             self.coordination.records.retain(&wanted);
         }
-        for key in self.coordination.records.due(now, READ_AT_A_TIME) {
+        for key in self.coordination.records.due_reads(now, READ_AT_A_TIME) {
             // The list tells of those that nothing here waits for.
             if !self.coordination.used.contains_key(&key)
                 && *self.coordination.records.get(&key) != CachedRecord::NotRead
@@ -31,7 +31,7 @@
                 break;
             }
             self.coordination.records.record_request(&key, now);
-            let read = StoreRequest::Get(key.head());
+            let read = StoreRequest::Get(key.head_key());
             let pending = PendingRecordRequest::Read { key, asked_at: now };
             self.ask_store(PendingStoreRequest::Coordination(pending), read, out);
         }
@@ -83,7 +83,7 @@
             if over && *self.coordination.records.get(&key) == CachedRecord::NotRead {
                 continue;
             }
-            self.coordination.records.want(&key);
+            self.coordination.records.track(&key);
             self.take_record(&key, asked_at, now, Some((&row.value, row.store_version)));
             if !over {
                 self.coordination.listing_keys.insert(key);
@@ -117,7 +117,7 @@
     ) {
         if self.coordination.records.apply_answer(key, asked_at, now + PAUSE_HELD, row) {
             if let CachedRecord::Unreadable(why) = self.coordination.records.get(key) {
-                tracing::error!(record = %key.head(), reason = %why, "what rests on this record is held");
+                tracing::error!(record = %key.head_key(), reason = %why, "what rests on this record is held");
             }
             self.job_shard.replan = true;
         }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -63,7 +63,7 @@
                 self.dependencies.inheritors.remove(&peer);
                 continue;
             }
-            let priorities = self.job_shard.priorities_needed_of(peer, &self.membership);
+            let priorities = self.job_shard.inherited_priorities_for(peer, &self.membership);
             if priorities.is_empty() {
                 // The empty list is sent once: it takes back what was sent before.
                 if !self.dependencies.inheritors.remove(&peer) {
@@ -73,7 +73,7 @@
                 self.dependencies.inheritors.insert(peer);
             }
             if peer == self.settings.me {
-                self.job_shard.apply_needed_priorities(peer, priorities);
+                self.job_shard.apply_inherited_priorities(peer, priorities);
             } else {
                 self.send(now, peer, Message::InheritedPriorities(priorities), out);
             }
@@ -82,7 +82,7 @@
 
     /// Whether anything here waits for an end.
     fn awaits_outcomes(&self) -> bool {
-        self.job_shard.awaits_ends() || self.awaits_members() || self.batches_watch()
+        self.job_shard.has_awaited_dependencies() || self.awaits_members() || self.batches_watch()
     }
 
     /// Watches for the ends of jobs that others wait for, and reads those that no watch tells of.
@@ -117,7 +117,7 @@
         while self.state_store.in_flight.len() < IN_FLIGHT
             && self.state_store.request_limiter.level(now) >= 0.2
         {
-            let Some(job) = self.job_shard.next_unread_prerequisite() else { break };
+            let Some(job) = self.job_shard.next_unread_dependency() else { break };
             self.state_store.request_limiter.take(now, 1.0, 0.0);
             let read = StoreRequest::Get(format!("done/{job}"));
             self.ask_store(PendingStoreRequest::ReadOutcome { job }, read, out);
@@ -127,9 +127,9 @@
     /// The watch, or the question that it begins with, is answered.
     pub(super) fn apply_watch_answer(&mut self, now: Micros, answer: StoreAnswer) {
         match (self.dependencies.watch, answer) {
-            (Watch::Starting, StoreAnswer::At(revision)) => {
+            (Watch::Starting, StoreAnswer::CurrentRevision(revision)) => {
                 // Whatever ended before this must be read; whatever ends later will be told.
-                self.job_shard.reread_prerequisites();
+                self.job_shard.reread_dependencies();
                 self.reread_awaited_members();
                 self.batches_unwatched(now);
                 self.dependencies.watch = Watch::At { revision, waiting: false };
@@ -139,7 +139,7 @@
                 self.dependencies.watch = Watch::At { revision, waiting: false };
                 self.take_watched_outcomes(now, &written);
             }
-            (Watch::At { revision, .. }, answer) if answer != StoreAnswer::TooOld => {
+            (Watch::At { revision, .. }, answer) if answer != StoreAnswer::Compacted => {
                 self.dependencies.retry_at = now + RETRY;
                 self.dependencies.watch = Watch::At { revision, waiting: false };
             }
@@ -161,15 +161,15 @@
     }
 
     fn take_outcome(&mut self, now: Micros, job: &str, value: &Value) {
-        match read_end(value) {
+        match read_final_record(value) {
             Some((outcome, _)) => {
-                self.job_shard.note_time(self.rounds.wall);
-                self.job_shard.apply_prerequisite_end(job, outcome);
+                self.job_shard.advance_wall_clock(self.rounds.wall);
+                self.job_shard.apply_dependency_outcome(job, outcome);
                 self.apply_member_outcome(job, outcome);
             }
             None => {
                 tracing::error!(job = %job, "unreadable final record");
-                self.job_shard.retry_prerequisite_read(job);
+                self.job_shard.retry_dependency_read(job);
                 self.dependencies.retry_at = now + RETRY_UNREADABLE;
             }
         }
@@ -181,7 +181,7 @@
             StoreAnswer::Got(Some(row)) => self.take_outcome(now, job, &row.value),
             StoreAnswer::Got(None) => {}
             _ => {
-                self.job_shard.retry_prerequisite_read(job);
+                self.job_shard.retry_dependency_read(job);
                 self.dependencies.retry_at = now + RETRY;
             }
         }
@@ -203,12 +203,12 @@
         out: &mut Vec<Effect>,
     ) -> Result<BTreeSet<String>, Reply> {
         let unknown: BTreeSet<String> =
-            spec.follows.iter().filter(|job| !self.is_known_dependency(job)).cloned().collect();
+            spec.dependencies.iter().filter(|job| !self.is_known_dependency(job)).cloned().collect();
         // A long list must not use up what leases and releases need: as many are looked up as the budget
         // allows. They are remembered, so that each retry gets further.
         for dependency in &unknown {
             if !self.state_store.request_limiter.take(now, 1.0, 0.3) {
-                return Err(Reply::later("some of the jobs that it follows are still to be looked up"));
+                return Err(Reply::retry_later("some of the jobs that it follows are still to be looked up"));
             }
             let read = StoreRequest::Get(format!("job/{dependency}"));
             let dependency = dependency.clone();
@@ -262,7 +262,7 @@
     }
 
     fn give_up_unread(&mut self, now: Micros, job: &str, out: &mut Vec<Effect>) {
-        let reply = Reply::later("a job that it follows could not be read");
+        let reply = Reply::retry_later("a job that it follows could not be read");
         self.give_up_submission(now, job, &reply, out);
     }
 
--- a/src/controller/frame_forms.rs
+++ b/src/controller/frame_forms.rs
@@ -104,10 +104,10 @@
     /// Why a job can't be taken yet, if an older controller is in the ring.
     pub(super) fn why_it_must_wait_for_upgrade(&self, spec: &JobSpec) -> Option<Reply> {
         if spec.has_coordination_record() && !self.takes_coordination() {
-            return Some(Reply::later("not every controller knows of releases and batches yet"));
+            return Some(Reply::retry_later("not every controller knows of releases and batches yet"));
         }
-        (!spec.follows.is_empty() && !self.takes_dependencies())
-            .then(|| Reply::later("not every controller can run jobs that follow others yet"))
+        (!spec.dependencies.is_empty() && !self.takes_dependencies())
+            .then(|| Reply::retry_later("not every controller can run jobs that follow others yet"))
     }
 
     /// Whether the process behind a peer's link reads this form: its member key says so, and its frames
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -6,7 +6,7 @@
 
 use super::coordination::{JoinDecision, OperatorRequest};
 use super::*;
-use crate::job_shard::dependencies::unpacked;
+use crate::job_shard::dependencies::unpack_job_ids;
 use crate::job_shard::{AttemptStatus, Hold, Job};
 use crate::wire::users;
 use hazelsaddle_coordination::census::CensusJobState;
@@ -14,8 +14,8 @@
 use hazelsaddle_coordination::record_cache::CachedRecord;
 use hazelsaddle_freshness::batch::{Batch, Permit, VersionChange, Writer};
 use hazelsaddle_freshness::guard::{self, Merge, PermitAnswer, Verdict};
-use hazelsaddle_freshness::settings::{Settings as Classes, nearest};
-use hazelsaddle_freshness::upstream::{BatchVersion, JobDeclaration, JobKnowledge, Run, UpstreamFindings};
+use hazelsaddle_freshness::settings::{Settings as Classes, find_nearest};
+use hazelsaddle_freshness::upstream::{BatchVersion, JobDeclaration, JobLookup, Run, UpstreamFindings};
 
 /// Merges are looked at so often, and at once when something is new.
 const PAUSE: Micros = Micros::from_millis(300);
@@ -98,11 +98,11 @@
 /// What a record of a job says, live or final; None: it can't be read.
 fn says_of(record: &Value, end: bool) -> Option<JobDeclaration> {
     let (text, says) = if end {
-        read_end(record)?;
+        read_final_record(record)?;
         (record.get("says").cloned().unwrap_or_default(), record.get("says").is_some())
     } else {
         let class = record.get("spec")?.get(users::CLASS)?.clone();
-        let mut says = crate::job_shard::says_of_record(record).unwrap_or_else(|| json!({}));
+        let mut says = crate::job_shard::declarations_in_record(record).unwrap_or_else(|| json!({}));
         says[users::CLASS] = class;
         (says, true)
     };
@@ -117,17 +117,17 @@
             version: b.get("version")?.as_u64()?,
         }),
     };
-    let follows = text.get("follows").and_then(Value::as_str).map(unpacked).unwrap_or_default();
+    let follows = text.get("follows").and_then(Value::as_str).map(unpack_job_ids).unwrap_or_default();
     Some(JobDeclaration {
         class: text.get(users::CLASS).and_then(Value::as_str).map(str::to_owned),
         batch,
-        follows,
+        dependencies: follows,
     })
 }
 
 fn says_of_job(j: &Job) -> JobDeclaration {
     let batch = j.spec.batch.as_ref().map(|b| BatchVersion { name: b.name.clone(), version: b.version });
-    JobDeclaration { class: Some(j.spec.class.clone()), batch, follows: j.followed() }
+    JobDeclaration { class: Some(j.spec.class.clone()), batch, dependencies: j.declared_dependencies() }
 }
 
 fn run_of(job: &str, says: &Value) -> Option<Run> {
@@ -165,7 +165,7 @@
         let Some(classes) = self.settings.operators.freshness.as_ref() else {
             return JoinDecision::Never("batch: batches are not switched on here".into());
         };
-        if spec.merges.is_some() && !classes.merges(&spec.class) {
+        if spec.merges.is_some() && !classes.can_merge(&spec.class) {
             let list: Vec<&str> = classes.merges.iter().map(String::as_str).collect();
             let (class, list) = (&spec.class, list.join(", "));
             return JoinDecision::Never(format!(
@@ -196,7 +196,7 @@
             Some(CachedRecord::Unreadable(why)) => {
                 return JoinDecision::Later(format!("the record of its batch: {why}"));
             }
-            Some(CachedRecord::Absent) => Batch::first(version),
+            Some(CachedRecord::Absent) => Batch::new(version),
             Some(CachedRecord::Present(r)) => match Batch::read(&r).map(|b| b.put_version(version)) {
                 Ok(Ok(VersionChange::Raised(next))) => next,
                 Ok(_) => return JoinDecision::Open(Vec::new()),
@@ -228,14 +228,14 @@
 
     /// What is known of a job. All that a merge follows is done on record before it is looked at here, so whatever is
     /// upstream of it has ended, also where a live record was the last that was read.
-    fn known_of(&self, id: &str) -> JobKnowledge {
+    fn known_of(&self, id: &str) -> JobLookup {
         if let Some(j) = self.job_shard.jobs.get(id) {
-            return JobKnowledge::Ended(says_of_job(j));
+            return JobLookup::Ended(says_of_job(j));
         }
         match self.freshness.says.get(id) {
-            Some(s) => JobKnowledge::Ended(s.clone()),
-            None if self.freshness.unreadable.contains_key(id) => JobKnowledge::Unreadable,
-            None => JobKnowledge::Unread,
+            Some(s) => JobLookup::Ended(s.clone()),
+            None if self.freshness.unreadable.contains_key(id) => JobLookup::Unreadable,
+            None => JobLookup::Unread,
         }
     }
 
@@ -329,7 +329,8 @@
 
     /// The watch tells of an end.
     pub(super) fn run_ended(&mut self, id: &str, value: &Value) {
-        if self.freshness.runs.is_empty() || !matches!(read_end(value), Some((JobOutcome::Done, _))) {
+        if self.freshness.runs.is_empty() || !matches!(read_final_record(value), Some((JobOutcome::Done, _)))
+        {
             return;
         }
         let Some(says) = value.get("says") else { return };
@@ -337,7 +338,7 @@
         let key = b.get("name").and_then(Value::as_str).and_then(|n| Key::new(Sort::Batch, n).ok());
         let mut b = b.clone();
         b[users::CLASS] = says.get(users::CLASS).cloned().unwrap_or_default();
-        if let Some(runs) = key.and_then(|k| self.freshness.runs.get_mut(&k.head()))
+        if let Some(runs) = key.and_then(|k| self.freshness.runs.get_mut(&k.head_key()))
             && let Some(run) = run_of(id, &b)
         {
             runs.1.insert(run);
@@ -347,7 +348,7 @@
 
     /// Done runs under a batch, as far as they are known: a census once a merge was found stale, and then the watch.
     fn runs_of(&mut self, key: &Key) -> BTreeSet<Run> {
-        let mut runs = self.freshness.runs.get(&key.head()).map(|r| r.1.clone()).unwrap_or_default();
+        let mut runs = self.freshness.runs.get(&key.head_key()).map(|r| r.1.clone()).unwrap_or_default();
         if let Some(members) = self.members_so_far(key) {
             let done = members.iter().filter(|(_, m)| m.state == CensusJobState::Done);
             runs.extend(done.filter_map(|(id, m)| run_of(id, &m.declaration)));
@@ -357,7 +358,7 @@
 
     /// Since when a census must have begun so that with what the watch has told since, all done runs are known.
     fn runs_since(&self, key: &Key) -> Option<Micros> {
-        let (since, _) = self.freshness.runs.get(&key.head())?;
+        let (since, _) = self.freshness.runs.get(&key.head_key())?;
         let watched = self.freshness.watched.filter(|_| self.dependencies.is_watching())?;
         Some(watched.max(*since))
     }
@@ -373,7 +374,7 @@
     fn mark_stale(&mut self, now: Micros, id: &str, key: &Key) {
         let new = SeenRevision { since: now, stale: true, sought: true };
         self.freshness.merges.entry(id.to_owned()).or_insert(new).sought = true;
-        self.freshness.runs.entry(key.head()).or_insert((now, BTreeSet::new()));
+        self.freshness.runs.entry(key.head_key()).or_insert((now, BTreeSet::new()));
     }
 
     // ---- The guard ----
@@ -394,10 +395,10 @@
             ));
         };
         let (found, _) =
-            hazelsaddle_freshness::upstream::upstream_closure(&merge.follows, |id| self.known_of(id));
+            hazelsaddle_freshness::upstream::upstream_closure(&merge.dependencies, |id| self.known_of(id));
         let unread: Vec<String> =
-            found.into_iter().filter(|(_, k)| *k == JobKnowledge::Unread).map(|(id, _)| id).collect();
-        let verdict = merge.verdict(classes, held, |id| self.known_of(id), &runs);
+            found.into_iter().filter(|(_, k)| *k == JobLookup::Unread).map(|(id, _)| id).collect();
+        let verdict = merge.assess(classes, held, |id| self.known_of(id), &runs);
         self.freshness.unread.extend(unread);
         verdict
     }
@@ -406,7 +407,7 @@
         let j = self.job_shard.jobs.get(id)?;
         let m = j.spec.merges.as_ref()?;
         let of = BatchVersion { name: m.name.clone(), version: m.version };
-        Some((m.key()?, Merge { of, follows: j.followed() }))
+        Some((m.key()?, Merge { batch: of, dependencies: j.declared_dependencies() }))
     }
 
     /// What batches need in each round, which begins with nothing asked for: a census for each stale merge.
@@ -444,7 +445,7 @@
             .filter(|(_, j)| {
                 j.spec.merges.is_some()
                     && j.pending_outcome.is_none()
-                    && j.unfinished_prerequisites().next().is_none()
+                    && j.unfinished_dependencies().next().is_none()
             })
             .map(|(id, _)| id.clone())
             .collect();
@@ -475,7 +476,7 @@
             let sought = seen.sought;
             self.freshness.merges.insert(id.clone(), seen);
             if sought {
-                heads.insert(key.head());
+                heads.insert(key.head_key());
                 self.mark_stale(now, &id, &key);
             }
             let known = self.runs_known(&key);
@@ -497,7 +498,7 @@
             Verdict::Fresh(_) => "the record of its batch must be read again".to_owned(),
             v => v.reason(),
         };
-        if j.hold().is_none_or(|h| h.why() != why) {
+        if j.hold().is_none_or(|h| h.reason() != why) {
             tracing::info!(job = id, reason = %why, "merge is held");
             self.job_shard.hold_job(id, Hold::Batch(why));
         }
@@ -505,7 +506,7 @@
             let writes = |task: Option<u32>, attempt: u64| {
                 !verdict.must_stop(held, &Writer { job: id.to_owned(), attempt, task })
             };
-            let stopped = self.job_shard.stop_stale(id, writes);
+            let stopped = self.job_shard.stop_stale_attempts(id, writes);
             if stopped > 0 {
                 self.freshness.counts.stopped += stopped as u64;
                 tracing::info!(job = id, tasks = stopped, "merge on old inputs is stopped, nothing is saved");
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 fn told(l: &UpstreamFindings) -> Value {
-    let old = l.old.iter().map(|o| {
+    let old = l.stale_runs.iter().map(|o| {
         json!({
             "job": o.job,
             "class": o.class,
-            "batch": o.read.as_ref().map(|r| &r.name),
-            "version": o.read.as_ref().map(|r| r.version),
+            "batch": o.declared_batch.as_ref().map(|r| &r.name),
+            "version": o.declared_batch.as_ref().map(|r| r.version),
         })
     });
-    json!({"old": old.collect::<Vec<_>>(), "missing": l.missing})
+    json!({"old": old.collect::<Vec<_>>(), "missing": l.missing_classes})
 }
 
 impl Controller {
@@ -32,11 +32,11 @@
         if j.spec.merges.is_none() {
             return Some(Reply::error(409, "the job names no batch that it merges"));
         }
-        if task >= j.spec.tasks {
+        if task >= j.spec.task_count {
             return Some(Reply::error(404, "no such task"));
         }
         if self.freshness.asking.len() >= ASKING {
-            return Some(Reply::later("overloaded"));
+            return Some(Reply::retry_later("overloaded"));
         }
         let job = id.to_owned();
         self.freshness.asking.push(Asking { from, job, attempt, task, came: now });
@@ -46,7 +46,7 @@
     pub(super) fn answer_writers(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for a in std::mem::take(&mut self.freshness.asking) {
             let reply = if now.since(a.came) >= PATIENCE {
-                Some(Reply::later("the batch's record could not be read or changed in time"))
+                Some(Reply::retry_later("the batch's record could not be read or changed in time"))
             } else {
                 self.answer_writer(now, &a, out)
             };
@@ -67,7 +67,7 @@
     /// The answer to a writer, from a record that was read after its question came; None: not yet.
     fn answer_writer(&mut self, now: Micros, a: &Asking, out: &mut Vec<Effect>) -> Option<Reply> {
         if !self.answers_for(now, &a.job) {
-            return Some(Reply::later("taking over"));
+            return Some(Reply::retry_later("taking over"));
         }
         let Some(j) = self.job_shard.jobs.get(&a.job).filter(|j| j.pending_outcome.is_none()) else {
             return Some(Reply::error(409, "the job has ended"));
@@ -75,9 +75,9 @@
         let task = (j.spec.kind != JobKind::Gang).then_some(a.task);
         let standing = self.job_shard.attempt_status(&a.job, task, a.attempt);
         match standing {
-            AttemptStatus::Over => return Some(Reply::error(409, "no such attempt runs")),
-            AttemptStatus::Unknown => return Some(Reply::later("taking over")),
-            AttemptStatus::Stands | AttemptStatus::Stopping => {}
+            AttemptStatus::Ended => return Some(Reply::error(409, "no such attempt runs")),
+            AttemptStatus::Unknown => return Some(Reply::retry_later("taking over")),
+            AttemptStatus::Active | AttemptStatus::Stopping => {}
         }
         let (key, merge) = self.merge_of(&a.job)?;
         let held = self.coordination_record_since(now, &key, a.came)?;
@@ -93,13 +93,13 @@
         let held = known.map_or(held, |b| CachedRecord::Present(b.record()));
         match guard::decide_permit(&verdict, &held, &writer, self.settings.value_bytes) {
             PermitAnswer::AlreadyHeld(p) => {
-                let batch = merge.of.name;
+                let batch = merge.batch.name;
                 Some(Reply::json(200, &json!({"batch": batch, "version": p.version, "fence": p.fence})))
             }
-            PermitAnswer::Record(..) if standing == AttemptStatus::Stopping => {
+            PermitAnswer::GrantAfterWrite(..) if standing == AttemptStatus::Stopping => {
                 Some(Reply::error(409, "the attempt is being stopped"))
             }
-            PermitAnswer::Record(next, p) => {
+            PermitAnswer::GrantAfterWrite(next, p) => {
                 if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
                     tracing::info!(
                         job = %a.job,
@@ -126,7 +126,7 @@
                 );
                 let mut body = told(&look);
                 body["error"] = verdict.reason().into();
-                body["batch"] = merge.of.name.into();
+                body["batch"] = merge.batch.name.into();
                 body["version"] = version.into();
                 self.freshness.next = Micros(0);
                 Some(Reply::json(409, &body))
@@ -141,7 +141,7 @@
     fn permit_over(&self, p: &Permit) -> bool {
         self.job_shard.loaded
             && self.membership.job_leader(&p.job) == Some(self.settings.me)
-            && self.job_shard.attempt_status(&p.job, p.task, p.attempt) == AttemptStatus::Over
+            && self.job_shard.attempt_status(&p.job, p.task, p.attempt) == AttemptStatus::Ended
     }
 
     pub(super) fn release_permits(&mut self, now: Micros, out: &mut Vec<Effect>) {
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -41,7 +41,7 @@
         };
         let next = match self.coordination_record_since(now, &key, began)? {
             CachedRecord::NotRead => return None,
-            CachedRecord::Absent => Batch::first(version),
+            CachedRecord::Absent => Batch::new(version),
             CachedRecord::Unreadable(why) => return Some(Reply::error(409, &why.to_string())),
             CachedRecord::Present(r) => match Batch::read(&r).map(|b| b.put_version(version)) {
                 Err(why) => return Some(Reply::error(409, &why.to_string())),
@@ -77,7 +77,7 @@
             CachedRecord::Absent => {
                 let rows = self.list_batches(now, r.ticket, out)?;
                 let names = rows.iter().filter_map(|b| b["batch"].as_str());
-                let near = nearest(name, names).map(|n| format!("; the nearest is {n}"));
+                let near = find_nearest(name, names).map(|n| format!("; the nearest is {n}"));
                 let why = format!("no batch is called {name}{}", near.unwrap_or_default());
                 return Some(Reply::error(404, &why));
             }
@@ -106,7 +106,7 @@
             .collect();
         let permits: Vec<Value> = batch.permits.iter().map(permit_value).collect();
         let after: Vec<Value> =
-            batch.after.iter().map(|(v, f)| json!({"version": v, "after_fence": f})).collect();
+            batch.outdated_writes.iter().map(|(v, f)| json!({"version": v, "after_fence": f})).collect();
         let body = json!({
             "batch": name,
             "version": batch.version,
