--- a/src/controller/gpu_lending.rs
+++ b/src/controller/gpu_lending.rs
@@ -93,7 +93,7 @@
         for (team, (_, ledger, _)) in &self.loans.read {
             let tidy = ledger.advance(wall.0, terms.back.0, |l| self.job_shard.loan_facts(l, m));
             let next = tidy.or_else(|| {
-                let due = self.job_shard.loans_due(now, wall, team, ledger, m, &self.quota);
+                let due = self.job_shard.loans_to_return(now, wall, team, ledger, m, &self.quota);
                 ledger.begin_return(wall.0, &due)
             });
             if let Some(next) = next {
@@ -103,7 +103,7 @@
         if !self.loans.unreadable.is_empty() {
             return None;
         }
-        let t = self.job_shard.next_taking(now, wall, m, &self.quota)?;
+        let t = self.job_shard.propose_loan(now, wall, m, &self.quota)?;
         let none = Ledger::default();
         let mut next = self.loans.read.get(&t.team).map_or(&none, |(_, l, _)| l).clone();
         let others: Vec<&Ledger> =
@@ -112,7 +112,7 @@
         let bytes = self.settings.value_bytes.saturating_sub(100);
         let mut any = false;
         for c in &t.claims {
-            match next.claim(wall.0, &t.job, t.missing, c, &others, bytes) {
+            match next.claim(wall.0, &t.job, t.missing_replicas, c, &others, bytes) {
                 Ok(l) => (next, any) = (l, true),
                 Err(why) => {
                     tracing::info!(job = %t.job, machine = %c.machine, %why, "no loan");
@@ -133,22 +133,25 @@
             Some((r, ..)) => CoordinationRecord { body, ..r.clone() },
             None => CoordinationRecord::open(1, body),
         };
-        if record.value().to_string().len() > self.settings.value_bytes
+        if record.to_value().to_string().len() > self.settings.value_bytes
             || !self.state_store.write_limiter.take(now, 1.0, 0.2)
         {
             return;
         }
         let mut conditions = vec![self.fence()];
         if !self.loans.read.contains_key(team) {
-            conditions.push((key.head(), 0));
+            conditions.push((key.head_key(), 0));
         }
         for (name, (_, _, store_version)) in &self.loans.read {
             if let Ok(k) = Key::new(Pact::Loan, name) {
-                conditions.push((k.head(), *store_version));
+                conditions.push((k.head_key(), *store_version));
             }
         }
-        let commit =
-            Transaction { conditions, puts: vec![(key.head(), record.value(), None)], drops: Vec::new() };
+        let commit = Transaction {
+            conditions,
+            puts: vec![(key.head_key(), record.to_value(), None)],
+            deletes: Vec::new(),
+        };
         self.loans.changing = true;
         let purpose = PendingLoanRequest::Change(self.membership.epoch, team.to_owned(), Box::new(record));
         self.ask_store(PendingStoreRequest::Lending(purpose), StoreRequest::Transaction(commit), out);
--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -12,7 +12,7 @@
 /// The form of frames that hand-off and replicated starts need.
 pub(super) const FORM: u64 = 3;
 /// A process that was told to end is gone after so long, whatever has become of its batches.
-pub const LEAVING: Micros = Micros::from_millis(5000);
+pub const LEAVE_TIMEOUT: Micros = Micros::from_millis(5000);
 /// Starts in one batch, so that none holds up what travels behind it for long.
 const STARTS_IN_BATCH: usize = 1500;
 
@@ -83,13 +83,17 @@
     /// Packs what a process that has just joined can't know.
     pub(super) fn pack_gone(&mut self, now: Micros, to: usize, gone: Vec<String>) {
         if !gone.is_empty() {
-            self.outbox.push(now, to, HandoffBatch { gone, ..HandoffBatch::default() });
+            self.outbox.push(now, to, HandoffBatch { removed_machines: gone, ..HandoffBatch::default() });
         }
     }
 
     /// Packs the replicated starts of a controller that is gone, for a job's new leader.
     pub(super) fn pack_replicated_starts(&mut self, now: Micros, to: usize, starts: ReplicatedStarts) {
-        self.outbox.push(now, to, HandoffBatch { testimony: vec![starts], ..HandoffBatch::default() });
+        self.outbox.push(
+            now,
+            to,
+            HandoffBatch { replicated_starts: vec![starts], ..HandoffBatch::default() },
+        );
     }
 
     pub(super) fn apply_acknowledgements(&mut self, from: usize, numbers: &[u64]) {
@@ -163,7 +167,7 @@
     /// Whether a process that was told to end may: it is out of the ring and what it knew has been taken, or there is
     /// nobody to take it, or its time is up.
     #[must_use]
-    pub fn gone(&self, now: Micros) -> bool {
+    pub fn can_exit(&self, now: Micros) -> bool {
         let Some(since) = self.handoff.leaving else { return false };
         let membership = &self.membership;
         let is_member = membership.epoch > 0 && membership.members.contains(&membership.me);
@@ -180,7 +184,7 @@
         let handed = asked && left && packed && self.handoff.outbox.is_empty();
         let nobody = self.membership_loop.live_peers.is_empty() && self.membership_loop.lease.is_some();
         let out = self.step_down.absence_reason().is_some() && !asked;
-        !is_member || handed || nobody || out || now.since(since) >= LEAVING
+        !is_member || handed || nobody || out || now.since(since) >= LEAVE_TIMEOUT
     }
 
     fn pack(&mut self, now: Micros, next: &Membership) {
@@ -247,7 +251,7 @@
             let handoff = &self.handoff;
             tracing::info!(
                 epoch = self.membership.epoch,
-                seconds = now.since(since).secs(),
+                seconds = now.since(since).as_secs(),
                 handed_jobs = handoff.taken_jobs,
                 handed_machines = handoff.taken_machines,
                 replicated_jobs = self.start_replica.taken(),
@@ -269,13 +273,13 @@
         if let Some(owed) = self.handoff.owed_acks.get_mut(from) {
             owed.push(number);
         }
-        self.machine_shard.mark_returned(&batch.gone);
+        self.machine_shard.mark_returned(&batch.removed_machines);
         // One that comes again finds its machines known, and its jobs settled.
         for machine in batch.machines {
             let is_new = self.machine_shard.apply_handoff(now, &self.membership, machine);
             self.handoff.taken_machines += usize::from(is_new);
         }
-        for starts in batch.testimony {
+        for starts in batch.replicated_starts {
             self.start_replica.take_report(from, starts);
         }
         if !batch.jobs.is_empty() {
@@ -305,7 +309,7 @@
         let handoff = &self.handoff;
         let waits: Vec<&String> = self.job_shard.unconfirmed_machines(SHOWN).collect();
         json!({
-            "under_way_s": handoff.failover_since.map(|t| now.since(t).secs()),
+            "under_way_s": handoff.failover_since.map(|t| now.since(t).as_secs()),
             "jobs_in_doubt": self.job_shard.unresolved_job_count(),
             "jobs_handed_to_us": handoff.taken_jobs,
             "machines_handed_to_us": handoff.taken_machines,
--- a/src/controller/handoff/tests.rs
+++ b/src/controller/handoff/tests.rs
@@ -41,13 +41,13 @@
         let r = Heartbeat {
             machine: format!("i-{i:06}"),
             addr: String::new(),
-            kind: "k".into(),
+            machine_type: "k".into(),
             zone: "z".into(),
             spot: false,
             incarnation: 1,
             sequence: 1,
             token: 7,
-            notice_s: None,
+            time_to_termination_s: None,
             tasks: Vec::new(),
         };
         if n.membership.machine_leader(&r.machine) == Some(0) {
@@ -152,12 +152,12 @@
         StoreAnswer::Got(Some(epoch)),
         &mut Vec::new(),
     );
-    assert!(!n.gone(at(1701)), "out, and nothing packed yet");
+    assert!(!n.can_exit(at(1701)), "out, and nothing packed yet");
     reads(&mut n, at(1702), &record(8, &[1, 2]), 8);
-    assert!(!n.gone(at(1703)), "packed, and not taken");
+    assert!(!n.can_exit(at(1703)), "packed, and not taken");
     let numbers: Vec<u64> = (0..100).collect();
     (1..3).for_each(|p| n.handoff.apply_acknowledgements(p, &numbers));
-    assert!(n.gone(at(1704)));
+    assert!(n.can_exit(at(1704)));
     // Not from two epochs back: who raised the one between may have given its machines to others.
     let mut n = node();
     leaves(&mut n);
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -77,10 +77,10 @@
             HeartbeatOutcome::Accepted => {
                 // The machine has given up on an older heartbeat, or it would not have sent this one.
                 if let Some(ticket) = self.held_heartbeats.tickets.remove(&heartbeat.machine) {
-                    out.push(Effect::Reply { ticket, reply: Reply::later("out of date") });
+                    out.push(Effect::Reply { ticket, reply: Reply::retry_later("out of date") });
                 }
                 // Out of a job leader's reach it waits too: right after a failover the leader speaks in a moment.
-                if !self.machine_shard.may_renew_lease(now, &heartbeat.machine) {
+                if !self.machine_shard.can_renew_lease(now, &heartbeat.machine) {
                     self.held_heartbeats.owner_unreachable.insert(heartbeat.machine.clone());
                 } else if !self.may_hold(now, &heartbeat.machine) {
                     return Some(self.command(&heartbeat.machine));
@@ -88,11 +88,11 @@
                 self.held_heartbeats.hold(now, &heartbeat.machine, ticket);
                 None
             }
-            HeartbeatOutcome::Stale => Some(Reply::later("out of date")),
+            HeartbeatOutcome::Stale => Some(Reply::retry_later("out of date")),
             HeartbeatOutcome::Fenced => {
                 // Somebody has raised the epoch; find out.
                 self.membership_loop.step_at_once(now);
-                Some(Reply::later("a newer epoch is known"))
+                Some(Reply::retry_later("a newer epoch is known"))
             }
         }
     }
@@ -124,10 +124,10 @@
             Some(leader) if leader == self.settings.me => {
                 let ours =
                     self.membership.machine_leader(machine) == Some(leader) && self.membership.is_leader(now);
-                (!ours).then(|| Reply::later("not entitled to act"))
+                (!ours).then(|| Reply::retry_later("not entitled to act"))
             }
-            Some(leader) => Some(Reply::json(421, &workers::redirect(self.membership.name(leader)))),
-            None => Some(Reply::later("no home")),
+            Some(leader) => Some(Reply::json(421, &workers::redirect_body(self.membership.name(leader)))),
+            None => Some(Reply::retry_later("no home")),
         }
     }
 
@@ -137,9 +137,9 @@
             return reply;
         }
         // A 200 keeps its lease alive, and with it tasks of which the leader may have said that they are cancelled.
-        match self.machine_shard.may_renew_lease(now, machine) {
+        match self.machine_shard.can_renew_lease(now, machine) {
             true => self.command(machine),
-            false => Reply::later("the owner of one of its tasks is out of reach"),
+            false => Reply::retry_later("the owner of one of its tasks is out of reach"),
         }
     }
 
@@ -152,7 +152,7 @@
                 let body = serde_json::to_string(&commands).unwrap_or_default();
                 Reply { status: 200, body, retry_after: None }
             }
-            None => Reply::later("no such machine"),
+            None => Reply::retry_later("no such machine"),
         }
     }
 
@@ -163,16 +163,16 @@
         let mut due = self.held_heartbeats.take_expired(now, longest);
         for machine in self.machine_shard.take_rechecks() {
             if self.held_heartbeats.tickets.contains_key(&machine)
-                && self.machine_shard.may_renew_lease(now, &machine)
+                && self.machine_shard.can_renew_lease(now, &machine)
                 && !self.may_hold(now, &machine)
             {
                 due.push(machine);
             }
         }
-        if self.machine_shard.take_owner_news() {
+        if self.machine_shard.take_job_leader_message_flag() {
             let machines = &self.machine_shard;
             let waiting = &mut self.held_heartbeats.owner_unreachable;
-            due.extend(waiting.extract_if(.., |machine| machines.may_renew_lease(now, machine)));
+            due.extend(waiting.extract_if(.., |machine| machines.can_renew_lease(now, machine)));
         }
         for machine in due {
             let Some(ticket) = self.held_heartbeats.tickets.remove(&machine) else { continue };
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -378,7 +378,7 @@
             (key, version)
         }));
         let mut transaction =
-            Transaction { conditions, puts: vec![(EPOCH_KEY.into(), value, None)], drops: Vec::new() };
+            Transaction { conditions, puts: vec![(EPOCH_KEY.into(), value, None)], deletes: Vec::new() };
         if reading.out_of_ring {
             transaction.puts.push(self.own_key(reading.lease, true));
         }
@@ -440,13 +440,13 @@
         self.loans_anew();
         self.stand_ins.next_notice.clear();
         self.quota.begin_epoch();
-        self.machine_registry.begin_epoch();
+        self.machine_registry.adopt_epoch();
         self.peer_traffic.forget_revisions();
         self.release_held_heartbeats(now, out);
         self.record_loading.restart(now);
         for caller in self.user_requests.take_waiting() {
             // The job may have another leader now.
-            self.reply(now, caller, Reply::later("the ring has changed"), out);
+            self.reply(now, caller, Reply::retry_later("the ring has changed"), out);
         }
     }
 }
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -65,7 +65,7 @@
         out: &mut Vec<Effect>,
     ) {
         if self.coordination.operating.len() >= MOST {
-            return out.push(Effect::Reply { ticket, reply: Reply::later("overloaded") });
+            return out.push(Effect::Reply { ticket, reply: Reply::retry_later("overloaded") });
         }
         self.coordination.operating.push(OperatorRequest { ticket, request, began: now });
         self.operate(now, out);
@@ -75,9 +75,9 @@
     pub(super) fn operate(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for o in std::mem::take(&mut self.coordination.operating) {
             let reply = if !self.membership.is_leader(now) {
-                Some(Reply::later("not able to act"))
+                Some(Reply::retry_later("not able to act"))
             } else if now.since(o.began) >= PATIENCE {
-                Some(Reply::later("the records could not be read or changed in time"))
+                Some(Reply::retry_later("the records could not be read or changed in time"))
             } else {
                 match o.request {
                     OperatorCommand::ListBatches
@@ -98,9 +98,9 @@
     /// Why a job of ours waits.
     pub(super) fn why(&self, id: &str) -> Option<Reply> {
         let job = self.job_shard.jobs.get(id)?;
-        let prerequisites: Vec<&str> = job.unfinished_prerequisites().collect();
+        let prerequisites: Vec<&str> = job.unfinished_dependencies().collect();
         let state = self.job_shard.user_status(id).map_or(users::PENDING, |status| status.0);
-        let held = job.hold().map(|hold| hold.why());
-        Some(Reply::json(200, &users::waiting(id, state, &prerequisites, held)))
+        let held = job.hold().map(|hold| hold.reason());
+        Some(Reply::json(200, &users::waiting_body(id, state, &prerequisites, held)))
     }
 }
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -5,7 +5,7 @@
 
 use super::membership::EpochReading;
 use super::*;
-use hazelsaddle_failover::start_replica::ReplicationDelta;
+use hazelsaddle_failover::start_replication::ReplicationDelta;
 
 /// A reading of a process' clock.
 #[derive(Clone, Copy, Debug, Default)]
@@ -198,15 +198,18 @@
             Message::Reserve(list) if !sender.is_self => {
                 self.job_shard.apply_peer_reservations(now, from, list)
             }
-            Message::ScalingPlan { drain, gone, kept, kept_machines }
-                if self.membership.autoscaler() == Some(from) =>
-            {
+            Message::ScalingPlan {
+                draining: drain,
+                removed: gone,
+                reserved_classes: kept,
+                reserved_machines: kept_machines,
+            } if self.membership.autoscaler() == Some(from) => {
                 self.job_shard.apply_autoscaler_reservations(kept, kept_machines);
                 self.machine_shard.apply_scaling_plan(&drain.into_iter().collect(), &gone);
             }
             Message::MisroutedHeartbeats(machines) => self.note_misrouted(now, machines),
             Message::Lending(told) if !sender.is_self => self.job_shard.apply_peer_lending(now, from, told),
-            Message::InheritedPriorities(list) => self.job_shard.apply_needed_priorities(from, list),
+            Message::InheritedPriorities(list) => self.job_shard.apply_inherited_priorities(from, list),
             Message::Handoff { number, batch } => self.take_batch(now, from, sender.boot, number, batch),
             Message::ReplicateStarts { revision, base_revision, added, removed: dropped }
                 if !sender.is_self =>
@@ -218,7 +221,7 @@
                     out,
                 );
             }
-            Message::StartsReplicated(revision) => self.apply_replicated(now, from, revision),
+            Message::ReplicationAck(revision) => self.apply_replicated(now, from, revision),
             _ => {}
         }
     }
@@ -234,7 +237,7 @@
         let autoscaler = &self.autoscaler;
         let room = |kind: &str| autoscaler.resources_of(kind);
         if self.machine_shard.apply_desired_state(now, from, desired, &self.membership, room) {
-            self.machine_shard.note_owner_message(from, sender.echo, sender.revision_seen);
+            self.machine_shard.record_job_leader_message(from, sender.echo, sender.revision_seen);
         }
         let owes_ack = self.job_shard.apply_machine_status(now, &self.membership, from, delta);
         self.peer_traffic.links[from].owes_ack |= owes_ack;
@@ -265,7 +268,7 @@
         if let Some(revision) = self.start_replica.receive(from, sender.boot, changes)
             && self.reads(from, handoff::FORM)
         {
-            self.send(now, from, Message::StartsReplicated(revision), out);
+            self.send(now, from, Message::ReplicationAck(revision), out);
         }
     }
 
@@ -357,10 +360,10 @@
 
     fn scaling_plan(&self) -> Message {
         Message::ScalingPlan {
-            drain: self.autoscaler.draining(),
-            gone: self.autoscaler.removed(),
-            kept: self.autoscaler.reserved_classes(),
-            kept_machines: self.autoscaler.reserved_machines(),
+            draining: self.autoscaler.draining(),
+            removed: self.autoscaler.removed(),
+            reserved_classes: self.autoscaler.reserved_classes(),
+            reserved_machines: self.autoscaler.reserved_machines(),
         }
     }
 }
--- a/src/controller/record_writes.rs
+++ b/src/controller/record_writes.rs
@@ -35,8 +35,8 @@
             let input = AllocationInput {
                 team: &team,
                 needs: needs.get(&team).unwrap_or(&none),
-                is_ours: &|job| membership.job_leader(job) == Some(me),
-                is_released: &|job| self.job_shard.has_released_resources(job),
+                is_led_locally: &|job| membership.job_leader(job) == Some(me),
+                can_release: &|job| self.job_shard.has_released_resources(job),
                 value_bytes: self.settings.value_bytes,
             };
             let write = self.quota.next_write(now, &input);
@@ -49,7 +49,7 @@
             let transaction = Transaction {
                 conditions: vec![self.fence(), (key.clone(), write.base_version)],
                 puts: vec![(key, write.value.clone(), None)],
-                drops: Vec::new(),
+                deletes: Vec::new(),
             };
             let pending = PendingStoreRequest::WriteAllocation(write);
             self.ask_store(pending, StoreRequest::Transaction(transaction), out);
@@ -131,7 +131,7 @@
             }
             RecordWrite::End(_, value) => {
                 transaction.puts.push((format!("done/{job}"), value.clone(), None));
-                transaction.drops.push(format!("job/{job}"));
+                transaction.deletes.push(format!("job/{job}"));
             }
         }
         let pending = PendingStoreRequest::WriteJob { job, write };
@@ -157,7 +157,7 @@
                 self.job_shard.fail_write(now, job, answer == StoreAnswer::Refused);
                 if matches!(write, RecordWrite::End(..)) {
                     for caller in self.user_requests.cancellations.remove(job).unwrap_or_default() {
-                        let reply = Reply::later("the job's end could not be put on record");
+                        let reply = Reply::retry_later("the job's end could not be put on record");
                         self.reply(now, caller, reply, out);
                     }
                 }
@@ -205,7 +205,7 @@
             return;
         }
         match answer {
-            StoreAnswer::Got(Some(row)) => match read_end(&row.value) {
+            StoreAnswer::Got(Some(row)) => match read_final_record(&row.value) {
                 Some((outcome, _)) => self.finish_job(now, job, outcome, out),
                 None => tracing::error!(job = %job, "unreadable final record"),
             },
@@ -262,7 +262,7 @@
         };
         match &write.value {
             Some(value) => transaction.puts.push((write.key.clone(), value.clone(), None)),
-            None => transaction.drops.push(write.key.clone()),
+            None => transaction.deletes.push(write.key.clone()),
         }
         let pending = PendingStoreRequest::WriteRegistryPage { epoch, write };
         self.ask_store(pending, StoreRequest::Transaction(transaction), out);
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -7,12 +7,12 @@
 use hazelsaddle_coordination::census::CensusJobState;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
 use hazelsaddle_coordination::record_cache::CachedRecord;
-use hazelsaddle_release::calendar::nearest;
+use hazelsaddle_release::calendar::find_nearest;
 use hazelsaddle_release::join::{self, ReleaseJoin};
 use hazelsaddle_release::priority_inheritance;
 use hazelsaddle_release::readiness::{MemberState, Readiness, assess};
+use hazelsaddle_release::release_record::{self, ChangeError, Member, Release};
 use hazelsaddle_release::release_ref::{self, ReleaseRef};
-use hazelsaddle_release::set::{self, ChangeError, Member, Release};
 use hazelsaddle_release::status::ReleaseStatus;
 
 /// Open sets are counted so often, to close those that have all renders that were declared.
@@ -114,7 +114,7 @@
             }
             // From here on the job names its night, also on record.
             if let Some(a) = self.user_requests.submissions.get_mut(id) {
-                a.description["release"] = says.value();
+                a.description["release"] = says.to_value();
                 a.spec.release = Some(says.clone());
             }
         }
@@ -174,7 +174,7 @@
             .filter(|(_, _, h)| matches!(h, Hold::Release(_)))
             .filter_map(|(id, j, _)| {
                 let key = j.spec.release.as_ref()?.key()?;
-                Some((id.clone(), key, j.spec.priority % crate::spec::GUARANTEED))
+                Some((id.clone(), key, j.spec.priority % crate::spec::GUARANTEED_PRIORITY_BONUS))
             })
             .collect();
         let mut needs: BTreeMap<String, u8> = BTreeMap::new();
@@ -204,7 +204,9 @@
             let records = &self.coordination.records;
             let due = *dues.entry(key).or_insert_with_key(|key| match records.get(key) {
                 CachedRecord::Present(r) => {
-                    priority_inheritance::of_set(&Release::read(r).ok()?, [])?.due.map(Micros)
+                    priority_inheritance::inherited_by_members(&Release::read(r).ok()?, [])?
+                        .due_us
+                        .map(Micros)
                 }
                 _ => None,
             });
@@ -229,16 +231,16 @@
                     known.and_then(|k| k.get(&m.id)).is_some_and(|m| m.state != CensusJobState::Cancelled)
                 };
                 let members: Vec<Member> = known.map(seen).unwrap_or_default();
-                let Some(by) = body.due_to_close(members.iter().filter(|m| there(m)), self.rounds.wall.0)
+                let Some(by) = body.close_reason(members.iter().filter(|m| there(m)), self.rounds.wall.0)
                 else {
                     return;
                 };
-                let Ok(next) = set::begin_closing(record, by) else { return };
+                let Ok(next) = release_record::begin_closing(record, by) else { return };
                 if self.change_record(now, key, next, Vec::new(), None, out) {
                     tracing::info!(
                         title = %body.title,
                         night = %body.night,
-                        by = by.word(),
+                        by = by.description(),
                         "release closing"
                     );
                 }
@@ -247,7 +249,7 @@
                 // Guards against a census that began while members could still join.
                 let since = *self.releases.closed_at.entry((key.clone(), record.version)).or_insert(now);
                 let Some(found) = self.census_since(key, since).cloned() else { return };
-                match set::finish_closing(key, record, &found, self.settings.value_bytes) {
+                match release_record::finish_closing(key, record, &found, self.settings.value_bytes) {
                     Ok((pages, next)) => {
                         if self.change_record(now, key, next, pages, None, out) {
                             tracing::info!(
@@ -259,7 +261,7 @@
                         }
                     }
                     Err(e) => {
-                        tracing::error!(record = %key.head(), reason = %e, "a release can't be closed")
+                        tracing::error!(record = %key.head_key(), reason = %e, "a release can't be closed")
                     }
                 }
             }
@@ -273,14 +275,14 @@
         let known = self.release_known(now, key, &held, out);
         match assess(&held, known.members.as_deref(), |m| known.fact(m)) {
             // Only what is on record lets a task start: a controller that comes next must find the same.
-            Readiness::Open => {
-                tracing::info!(job = id, record = %key.head(), "rotation released");
-                self.job_shard.note_time(self.rounds.wall);
+            Readiness::MayStart => {
+                tracing::info!(job = id, record = %key.head_key(), "rotation released");
+                self.job_shard.advance_wall_clock(self.rounds.wall);
                 self.job_shard.lift_hold(id);
             }
             Readiness::Ready(next) => {
                 if self.change_record(now, key, next, Vec::new(), None, out) {
-                    tracing::info!(job = id, record = %key.head(), "release complete");
+                    tracing::info!(job = id, record = %key.head_key(), "release complete");
                 }
             }
             Readiness::Held { why } => {
@@ -347,10 +349,10 @@
         }
         let missing: Vec<usize> = (0..pages.len()).filter(|n| pages[*n].is_none()).collect();
         if missing.is_empty() {
-            return match set::members_on_pages(pages.iter().flatten()) {
+            return match release_record::read_member_pages(pages.iter().flatten()) {
                 Ok(members) => Some(members),
                 Err(e) => {
-                    tracing::error!(record = %key.head(), reason = %e, "a page of members can't be read");
+                    tracing::error!(record = %key.head_key(), reason = %e, "a page of members can't be read");
                     None
                 }
             };
@@ -366,7 +368,7 @@
                 break;
             }
             self.releases.asked.insert(this, now + Micros::from_millis(4000));
-            let get = StoreRequest::Get(key.page(record.version, n));
+            let get = StoreRequest::Get(key.page_key(record.version, n));
             let purpose =
                 PendingRecordRequest::Members { key: key.clone(), version: record.version, page: n };
             self.ask_store(PendingStoreRequest::Coordination(purpose), get, out);
@@ -383,7 +385,7 @@
             }
         } else {
             if a == StoreAnswer::Got(None) {
-                tracing::error!(page = %key.page(version, n), "a page of members is missing");
+                tracing::error!(page = %key.page_key(version, n), "a page of members is missing");
             }
             self.releases.asked.insert(this, now + AGAIN);
         }
@@ -402,7 +404,7 @@
             return Some(Reply::error(404, "releases are not switched on: no calendar is set here"));
         }
         if !self.takes_coordination() {
-            return Some(Reply::later("not every controller knows of releases yet"));
+            return Some(Reply::retry_later("not every controller knows of releases yet"));
         }
         let selector = match &request.request {
             OperatorCommand::ShowRelease(release)
@@ -416,11 +418,11 @@
             Err(answer) => return answer,
         };
         let change = match &request.request {
-            OperatorCommand::CloseRelease(_) => set::close(&selected.record),
-            OperatorCommand::ReopenRelease(_) => set::reopen(&selected.record),
+            OperatorCommand::CloseRelease(_) => release_record::close(&selected.record),
+            OperatorCommand::ReopenRelease(_) => release_record::reopen(&selected.record),
             OperatorCommand::Waive { job, reason, .. } => {
                 let known = self.members_for(now, request, &selected.key, &selected.record, out)?;
-                set::waive(&selected.record, &known.members.unwrap_or_default(), job, reason)
+                release_record::waive(&selected.record, &known.members.unwrap_or_default(), job, reason)
             }
             _ => return self.show_release(now, request, &selected, out),
         };
@@ -474,7 +476,8 @@
         let held = CachedRecord::Present(selected.record.clone());
         let name = (selected.title.as_str(), selected.night.as_str());
         let wall = self.rounds.wall.0;
-        let shown = ReleaseStatus::of(name, &held, known.members.as_deref(), |m| known.fact(m), wall);
+        let shown =
+            ReleaseStatus::from_record(name, &held, known.members.as_deref(), |m| known.fact(m), wall);
         Some(match serde_json::to_value(&shown) {
             Ok(mut value) => {
                 value["text"] = shown.to_string().into();
@@ -495,10 +498,10 @@
     ) -> Option<Reply> {
         let next = match change {
             Ok(next) => next,
-            Err(e @ (ChangeError::Reason | ChangeError::NoMember { .. })) => {
+            Err(e @ (ChangeError::InvalidReason | ChangeError::NoSuchMember { .. })) => {
                 return Some(Reply::error(422, &e.to_string()));
             }
-            Err(e @ ChangeError::Counting) => return Some(Reply::later(&e.to_string())),
+            Err(e @ ChangeError::CountInProgress) => return Some(Reply::retry_later(&e.to_string())),
             Err(e) => return Some(Reply::error(409, &e.to_string())),
         };
         let SelectedRelease { title, night, key, .. } = selected;
@@ -531,7 +534,7 @@
 
     fn no_such_title(&self, title: &str) -> Reply {
         let known = self.coordination.latest.keys().map(String::as_str);
-        let like = nearest(title, known).map(|t| format!("; the nearest is {t}")).unwrap_or_default();
+        let like = find_nearest(title, known).map(|t| format!("; the nearest is {t}")).unwrap_or_default();
         Reply::error(404, &format!("no release of {title} is on record{like}"))
     }
 
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -9,7 +9,7 @@
 use crate::job_shard::JobShard;
 use crate::membership::{Membership, Ring};
 use crate::peer::{ReplicatedItem, ReplicatedStarts, TaskKey};
-use hazelsaddle_failover::start_replica::{ReplicationDelta, ReplicationReceiver, ReplicationSender};
+use hazelsaddle_failover::start_replication::{ReplicationDelta, ReplicationReceiver, ReplicationSender};
 
 /// Where it is put on record that a controller starts tasks without replication: its latest such epoch under its name.
 pub(super) const PREFIX: &str = "unwitnessed/";
@@ -234,8 +234,8 @@
 
     /// A replica reports what it holds of a controller that is there no more.
     pub(super) fn take_report(&mut self, from: usize, starts: ReplicatedStarts) {
-        if starts.epoch + 1 == self.ring.0 && starts.members.contains(&(from as u32)) {
-            self.lost.entry(starts.of as usize).or_default().reports.entry(from).or_insert(starts);
+        if starts.last_epoch + 1 == self.ring.0 && starts.members.contains(&(from as u32)) {
+            self.lost.entry(starts.former_member as usize).or_default().reports.entry(from).or_insert(starts);
         }
     }
 
@@ -247,10 +247,11 @@
             let mut others =
                 members.iter().map(|member| *member as usize).filter(|member| *member != lost).peekable();
             others.peek().is_some()
-                && others.all(|member| reports.get(&member).is_some_and(|report| report.since <= since))
+                && others
+                    .all(|member| reports.get(&member).is_some_and(|report| report.adopted_since <= since))
         };
         let first = reports.values().next()?;
-        if !all_reported(&first.members, first.epoch)
+        if !all_reported(&first.members, first.last_epoch)
             || reports.values().any(|report| report.members != first.members)
         {
             return None;
@@ -258,19 +259,24 @@
         // The latest epoch in which anybody heard of it. What it told in that one named all there was before; if nobody
         // heard of it in the one after, nothing was replicated there and, as starts had to be, nothing started. Further
         // back, its jobs may have been another's in between.
-        let latest = reports.values().max_by_key(|report| report.heard_in)?;
-        let fresh: Vec<String> = reports.values().flat_map(|report| report.fresh.iter().cloned()).collect();
-        let heard = latest.heard_in > 0
-            && latest.heard_in + 1 >= first.epoch
-            && all_reported(&latest.heard_with, latest.heard_in);
-        let mut combined =
-            CombinedStarts { epoch: first.epoch, rings: vec![first.members.clone()], items: BTreeSet::new() };
+        let latest = reports.values().max_by_key(|report| report.last_contact_epoch)?;
+        let fresh: Vec<String> =
+            reports.values().flat_map(|report| report.accepted_jobs.iter().cloned()).collect();
+        let heard = latest.last_contact_epoch > 0
+            && latest.last_contact_epoch + 1 >= first.last_epoch
+            && all_reported(&latest.last_contact_members, latest.last_contact_epoch);
+        let mut combined = CombinedStarts {
+            epoch: first.last_epoch,
+            rings: vec![first.members.clone()],
+            items: BTreeSet::new(),
+        };
         if heard {
-            let same = reports.values().filter(|report| report.heard_in == latest.heard_in);
+            let same =
+                reports.values().filter(|report| report.last_contact_epoch == latest.last_contact_epoch);
             combined.items = same.flat_map(|report| report.items.iter().cloned()).collect();
-            combined.epoch = latest.heard_in;
-            combined.rings.push(latest.heard_with.clone());
-        } else if latest.heard_in == first.epoch {
+            combined.epoch = latest.last_contact_epoch;
+            combined.rings.push(latest.last_contact_members.clone());
+        } else if latest.last_contact_epoch == first.last_epoch {
             return None;
         }
         combined.items.extend(fresh.into_iter().map(ReplicatedItem::Job));
@@ -294,7 +300,7 @@
         }
         let members = self.start_replica.ring.1.clone();
         for (to, _) in members.iter().filter(|process| !ended.members.contains(process)) {
-            let gone = self.machine_shard.returned_machines_of(*to, &self.membership);
+            let gone = self.machine_shard.returned_machines_led_by(*to, &self.membership);
             self.handoff.pack_gone(now, *to, gone);
         }
         for (lost, boot) in ended.members.iter().filter(|process| !members.contains(process)) {
@@ -315,14 +321,14 @@
         for to in self.membership.members.clone() {
             let theirs = |job: &str| self.membership.job_leader(job) == Some(to);
             let starts = ReplicatedStarts {
-                of: lost as u32,
-                epoch: ended.epoch,
+                former_member: lost as u32,
+                last_epoch: ended.epoch,
                 members: ended.members.iter().map(|(number, _)| *number as u32).collect(),
-                heard_in: stream.epoch,
-                heard_with: stream.members.clone(),
-                since: ended.since,
+                last_contact_epoch: stream.epoch,
+                last_contact_members: stream.members.clone(),
+                adopted_since: ended.since,
                 items: stream.told.items().filter(|item| theirs(job_of(item))).cloned().collect(),
-                fresh: fresh.iter().filter(|job| theirs(job)).cloned().collect(),
+                accepted_jobs: fresh.iter().filter(|job| theirs(job)).cloned().collect(),
             };
             if to == self.settings.me {
                 self.start_replica.take_report(to, starts);
@@ -398,7 +404,9 @@
         if let (false, [first]) = (is_silent, &asked[..])
             && !replica.outgoing.awaits_acknowledgement(*first)
         {
-            (0..controllers).filter(|peer| peer != first).for_each(|peer| replica.outgoing.forget(peer));
+            (0..controllers)
+                .filter(|peer| peer != first)
+                .for_each(|peer| replica.outgoing.reset_replica(peer));
         }
         asked.into_iter().filter(|&peer| now.since(replica.last_sent[peer]) >= GATHER).collect()
     }
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -9,11 +9,11 @@
         let m = &self.membership;
         let (jobs, placed, left) = self.job_shard.task_counts();
         let (bad_jobs, bad_machines) = self.job_shard.quarantined(now);
-        let (known, machines) = self.machine_shard.counts();
+        let (known, machines) = self.machine_shard.count_known_and_total();
         let waiting = self.job_shard.waiting_jobs();
         let shown = |j: &&crate::job_shard::Job| {
-            let on: Vec<&str> = j.unfinished_prerequisites().take(SHOWN).collect();
-            json!({"job": j.spec.id, "waits_for": on, "for_s": self.rounds.wall.since(j.accepted_wall).secs()})
+            let on: Vec<&str> = j.unfinished_dependencies().take(SHOWN).collect();
+            json!({"job": j.spec.id, "waits_for": on, "for_s": self.rounds.wall.since(j.accepted_wall).as_secs()})
         };
         let oldest: Vec<Value> = waiting.iter().take(SHOWN).map(shown).collect();
         let teams: BTreeMap<&str, Value> = self
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -90,7 +90,7 @@
         let (kind, job) = (request.kind(), request.job().to_owned());
         let me = self.settings.me;
         let reply = match self.membership.job_forward_target(&job) {
-            None => Some(Reply::later("no ring yet")),
+            None => Some(Reply::retry_later("no ring yet")),
             Some(leader) if leader != me => self.forward_or_refuse(now, caller, leader, request, out),
             Some(_) if !self.answers_for(now, &job) => {
                 self.answer_while_taking_over(now, caller, &request, out)
@@ -118,7 +118,7 @@
             UserRequest::Query(job) => self.poll_record(now, caller, job, out),
             _ => false,
         };
-        (!taken).then(|| Reply::later("taking over"))
+        (!taken).then(|| Reply::retry_later("taking over"))
     }
 
     /// A job's leader answers only while nobody else can be giving answers as its leader.
@@ -140,7 +140,7 @@
         let id = request.job().to_owned();
         if self.job_shard.jobs.contains_key(&id) {
             match &request {
-                UserRequest::Withdraw(_) => {
+                UserRequest::Cancel(_) => {
                     self.cancel_job(id, caller);
                     return None;
                 }
@@ -155,10 +155,10 @@
         }
         if let Some(state) = self.job_state(&id) {
             return Some(match request {
-                UserRequest::Withdraw(_) => {
+                UserRequest::Cancel(_) => {
                     let outcome =
                         self.job_shard.outcome_of(&id).map_or(JobOutcome::Done, |(outcome, _)| outcome);
-                    Reply::json(200, &users::outcome(&id, outcome))
+                    Reply::json(200, &users::outcome_body(&id, outcome))
                 }
                 _ => state,
             });
@@ -170,7 +170,7 @@
                 Decision::NeedsRecord => {}
             },
             _ if self.user_requests.submissions.contains_key(&id) => {
-                return Some(Reply::later("being accepted"));
+                return Some(Reply::retry_later("being accepted"));
             }
             _ => {}
         }
@@ -204,10 +204,10 @@
     /// How a job stands, if it is known here.
     fn job_state(&self, id: &str) -> Option<Reply> {
         let mut body = if let Some((stance, done, running)) = self.job_shard.user_status(id) {
-            users::job_state(id, stance, done, running)
+            users::job_state_body(id, stance, done, running)
         } else {
             let (outcome, done) = self.job_shard.outcome_of(id)?;
-            users::job_state(id, users::stance_of(outcome), done, 0)
+            users::job_state_body(id, users::state_word(outcome), done, 0)
         };
         let log_stores = &self.settings.operators.log_stores;
         if !log_stores.is_empty() {
@@ -220,7 +220,7 @@
     pub(super) fn finish_job(&mut self, now: Micros, id: &str, outcome: JobOutcome, out: &mut Vec<Effect>) {
         self.job_shard.end_job(id, outcome);
         let callers = self.user_requests.cancellations.remove(id).unwrap_or_default();
-        self.reply_to_all(now, callers, &Reply::json(200, &users::outcome(id, outcome)), out);
+        self.reply_to_all(now, callers, &Reply::json(200, &users::outcome_body(id, outcome)), out);
     }
 }
 
--- a/src/controller/user_requests/forwarding.rs
+++ b/src/controller/user_requests/forwarding.rs
@@ -48,14 +48,14 @@
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
         if !self.can_read_request(leader, &request) {
-            return Some(Reply::later("not every controller can run such jobs yet"));
+            return Some(Reply::retry_later("not every controller can run such jobs yet"));
         }
         match caller {
             Caller::Ticket(ticket) if self.user_requests.forwarded.len() < WAITING_LIMIT => {
                 self.forward(now, leader, Some(ticket), request, out);
                 None
             }
-            _ => Some(Reply::later("busy, or the job has moved")),
+            _ => Some(Reply::retry_later("busy, or the job has moved")),
         }
     }
 
@@ -67,11 +67,12 @@
         }
         let body = match request {
             UserRequest::Submit(_, body) => body,
-            UserRequest::Query(_) | UserRequest::Withdraw(_) => return true,
+            UserRequest::Query(_) | UserRequest::Cancel(_) => return true,
             UserRequest::Why(_) | UserRequest::Permit(..) => return false,
         };
         !JobSpec::parse(body).is_ok_and(|spec| {
-            spec.has_coordination_record() || (!spec.follows.is_empty() && !self.reads_dependencies(peer))
+            spec.has_coordination_record()
+                || (!spec.dependencies.is_empty() && !self.reads_dependencies(peer))
         })
     }
 
@@ -150,7 +151,7 @@
         if forwarded.is_overdue(now) {
             let (kind, job) = (forwarded.request.kind(), forwarded.request.job());
             tracing::debug!(kind, job, "request refused: the job's leader does not answer");
-            out.push(Effect::Reply { ticket, reply: Reply::later("the job's owner does not answer") });
+            out.push(Effect::Reply { ticket, reply: Reply::retry_later("the job's owner does not answer") });
         } else {
             self.user_requests.forwarded.insert(id, forwarded);
         }
--- a/src/controller/user_requests/lookups.rs
+++ b/src/controller/user_requests/lookups.rs
@@ -52,7 +52,7 @@
             || !self.state_store.request_limiter.take(now, 2.0, 0.3)
         {
             let callers = waiting.into_iter().map(|waiting| waiting.caller);
-            return self.reply_to_all(now, callers, &Reply::later("overloaded"), out);
+            return self.reply_to_all(now, callers, &Reply::retry_later("overloaded"), out);
         }
         let number = self.request_ids.next();
         self.user_requests.lookups.insert(id.to_owned(), Lookup { number, waiting, next: Vec::new() });
@@ -97,7 +97,7 @@
         }
         let readable = match answer {
             StoreAnswer::Got(None) => true,
-            StoreAnswer::Got(Some(row)) => match read_end(&row.value) {
+            StoreAnswer::Got(Some(row)) => match read_final_record(&row.value) {
                 Some((outcome, done)) => {
                     self.job_shard.remember_outcome(job, outcome, done);
                     true
@@ -117,7 +117,7 @@
         let Some(lookup) = self.user_requests.lookups.remove(id) else { return };
         for WaitingRequest { caller, request } in lookup.waiting {
             let reply = if !readable {
-                Some(Reply::later("the job's record could not be read"))
+                Some(Reply::retry_later("the job's record could not be read"))
             } else if self.is_on_hand(id) {
                 self.answer_as_leader(now, caller, request, out)
             } else {
@@ -146,7 +146,7 @@
             Some(why) => Reply::error(422, &why),
             None => self
                 .why_it_must_wait_for_upgrade(&spec)
-                .unwrap_or_else(|| Reply::later("machine types have changed")),
+                .unwrap_or_else(|| Reply::retry_later("machine types have changed")),
         }
     }
 
@@ -205,9 +205,9 @@
         };
         let reply = match done {
             Some(done) if self.membership.is_leader(now) => {
-                Reply::json(200, &users::job_state(id, users::PENDING, done, 0))
+                Reply::json(200, &users::job_state_body(id, users::PENDING, done, 0))
             }
-            _ => Reply::later("the job's owner does not answer"),
+            _ => Reply::retry_later("the job's owner does not answer"),
         };
         self.reply(now, caller, reply, out);
     }
--- a/src/controller/user_requests/submissions.rs
+++ b/src/controller/user_requests/submissions.rs
@@ -61,7 +61,7 @@
 
     /// What goes on record of it.
     pub(in crate::controller) fn record(&self) -> Value {
-        JobShard::new_record(&self.description, &self.spec, self.accepted_wall)
+        JobShard::build_new_record(&self.description, &self.spec, self.accepted_wall)
     }
 }
 
@@ -83,7 +83,7 @@
             return true;
         }
         if !self.membership.is_leader(now)
-            || self.autoscaler.types.is_empty()
+            || self.autoscaler.machine_types.is_empty()
             || self.state_store.write_limiter.level(now) < LEVEL_TO_STAND_IN
         {
             return false;
@@ -118,8 +118,8 @@
         let raw: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         // One that can't be taken may still repeat a job that was: its record is read before it is turned down.
         let Ok(spec) = JobSpec::from_value(&raw) else { return Decision::NeedsRecord };
-        if self.autoscaler.types.is_empty() {
-            return Decision::Refused(Reply::later("machine types are not known yet"));
+        if self.autoscaler.machine_types.is_empty() {
+            return Decision::Refused(Reply::retry_later("machine types are not known yet"));
         }
         let description = stored_description(&raw, &spec);
         if self.why_it_must_wait_for_upgrade(&spec).is_some()
@@ -136,18 +136,18 @@
     /// Why a job can never run here, if so, by its trimmed description. Nobody is told before its record was looked for: a
     /// repeated submission may have another body than the first, which was taken.
     pub(super) fn why_it_can_never_run(&self, description: &Value, spec: &JobSpec) -> Option<String> {
-        if let Err(error) = spec.check(&self.autoscaler.types, &self.settings.teams) {
+        if let Err(error) = spec.check(&self.autoscaler.machine_types, &self.settings.teams) {
             return Some(error.to_string());
         }
         let limit = self.settings.value_bytes;
         let lacks_night = spec.release.as_ref().is_some_and(|release| release.night.is_none());
         let night = if lacks_night { NIGHT_BYTES } else { 0 };
-        if JobShard::longest(description, spec, self.rounds.wall) + night > limit {
+        if JobShard::max_record_bytes(description, spec, self.rounds.wall) + night > limit {
             return Some(format!(
                 "the description is too long to be kept: its record may have {limit} bytes"
             ));
         }
-        if spec.follows.len() > MOST_DEPENDENCIES {
+        if spec.dependencies.len() > MOST_DEPENDENCIES {
             let most = MOST_DEPENDENCIES;
             return Some(format!("follows: a job may name {most} others at most"));
         }
@@ -163,7 +163,7 @@
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
         if self.user_requests.submissions.len() >= WAITING_LIMIT {
-            return Some(Reply::later("overloaded"));
+            return Some(Reply::retry_later("overloaded"));
         }
         let unchecked_dependencies = match self.begin_dependency_check(now, &job.id, &job.spec, out) {
             Ok(unchecked) => unchecked,
@@ -193,18 +193,20 @@
             return;
         }
         if !self.membership.is_leader(now) {
-            return self.give_up_submission(now, &id, &Reply::later("not able to act"), out);
+            return self.give_up_submission(now, &id, &Reply::retry_later("not able to act"), out);
         }
         let joins = match self.gate_submission(now, &id, out) {
             JoinDecision::Open(joins) => joins,
             JoinDecision::Wait => return,
-            JoinDecision::Later(why) => return self.give_up_submission(now, &id, &Reply::later(&why), out),
+            JoinDecision::Later(why) => {
+                return self.give_up_submission(now, &id, &Reply::retry_later(&why), out);
+            }
             JoinDecision::Never(why) => return self.reject_submission(id, why, out),
         };
         let submission = self.user_requests.submissions.get(&id);
         let writes_two = submission.is_some_and(|submission| submission.coordinated_write.is_some());
         if !self.state_store.write_limiter.take(now, if writes_two { 2.0 } else { 1.0 }, 0.0) {
-            return self.give_up_submission(now, &id, &Reply::later("overloaded"), out);
+            return self.give_up_submission(now, &id, &Reply::retry_later("overloaded"), out);
         }
         let mut conditions = self.conditions_for_new_job(&id);
         conditions.extend(joins);
@@ -212,8 +214,8 @@
         submission.mark_sent();
         let mut puts = vec![(format!("job/{id}"), submission.record(), None)];
         let together = submission.coordinated_write.iter();
-        puts.extend(together.map(|write| (write.key.head(), write.record.value(), None)));
-        let transaction = Transaction { conditions, puts, drops: Vec::new() };
+        puts.extend(together.map(|write| (write.key.head_key(), write.record.to_value(), None)));
+        let transaction = Transaction { conditions, puts, deletes: Vec::new() };
         let pending = PendingStoreRequest::AcceptJob { job: id, epoch: self.membership.epoch };
         self.ask_store(pending, StoreRequest::Transaction(transaction), out);
     }
@@ -280,7 +282,7 @@
             }
             _ => {
                 let callers = submission.callers.into_iter().chain(submission.late_callers);
-                let reply = Reply::later("the job could not be put on record");
+                let reply = Reply::retry_later("the job could not be put on record");
                 self.reply_to_all(now, callers, &reply, out);
             }
         }
@@ -296,7 +298,7 @@
         out: &mut Vec<Effect>,
     ) {
         let Submission { callers, late_callers, spec, description, accepted_wall, .. } = submission;
-        tracing::info!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, epoch, "job accepted");
+        tracing::info!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.task_count, epoch, "job accepted");
         self.raised(id, submission.coordinated_write, store_version);
         // Written under an epoch that has passed, it may have been another's since, and have ended: what lives
         // is among the records that are read in this one.
@@ -308,7 +310,7 @@
                 self.start_replica.note_stand_in(id, &self.stand_ins.next_notice);
             }
         } else if is_current {
-            let none_done = Ranges::default();
+            let none_done = TaskIndexSet::default();
             self.job_shard.insert_job(
                 description.clone(),
                 spec,
@@ -320,7 +322,7 @@
         }
         // The end may have been told meanwhile: the record can be read before the answer to its write is here.
         let ended = self.job_shard.outcome_of(id).and_then(|_| self.job_state(id));
-        let reply = ended.unwrap_or_else(|| Reply::json(201, &users::accepted(id)));
+        let reply = ended.unwrap_or_else(|| Reply::json(201, &users::accepted_body(id)));
         self.reply_to_all(now, callers, &reply, out);
         self.answer_as_known(now, id, &description, late_callers, out);
     }
@@ -346,7 +348,7 @@
         }
         for caller in callers {
             if !self.poll_record(now, caller, id, out) {
-                self.reply(now, caller, Reply::later("the job could not be put on record"), out);
+                self.reply(now, caller, Reply::retry_later("the job could not be put on record"), out);
             }
         }
     }
@@ -362,7 +364,7 @@
         let Some(submission) = self.user_requests.submissions.remove(id) else { return };
         self.reply_to_all(now, submission.callers, reply, out);
         // What was compared is older than these requests: somebody else may have accepted it since.
-        let reply = Reply::later("the job could not be put on record");
+        let reply = Reply::retry_later("the job could not be put on record");
         self.reply_to_all(now, submission.late_callers, &reply, out);
     }
 }
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -36,7 +36,7 @@
         "restS": 0,
         "unsaddleS": 0,
     });
-    assert_eq!(told(Some(JobShard::record(&raw, Micros(1), ""))), (200, true));
+    assert_eq!(told(Some(JobShard::build_record(&raw, Micros(1), ""))), (200, true));
     assert_eq!(told(None).0, 503, "its end may be on record");
     assert_eq!(told(Some(json!({"end": "done", "done": 2}))).0, 503);
 }
@@ -60,7 +60,8 @@
         "paddocks": ["z"],
     });
     let types = [serde_json::from_value(kind).expect("a machine type")];
-    n.autoscaler.types = types.into_iter().map(|t: crate::spec::MachineType| (t.name.clone(), t)).collect();
+    n.autoscaler.machine_types =
+        types.into_iter().map(|t: crate::spec::MachineType| (t.name.clone(), t)).collect();
     let team = crate::config::settings::TeamSettings {
         name: "t".into(),
         cpus: 0.0,
@@ -100,7 +101,7 @@
 }
 
 fn live(id: &str, store_version: u64) -> StoreAnswer {
-    let value = JobShard::record(&body(id), Micros(1), "");
+    let value = JobShard::build_record(&body(id), Micros(1), "");
     StoreAnswer::Got(Some(KeyValue { key: format!("job/{id}"), value, store_version }))
 }
 
@@ -193,7 +194,7 @@
     );
     // The epoch stands, so nobody else can have started it.
     n.job_shard.confirm_epoch(NOW + Micros(1));
-    assert!(Told::asked(&mut n, 3, UserRequest::Withdraw(id.clone())).answers.is_empty());
+    assert!(Told::asked(&mut n, 3, UserRequest::Cancel(id.clone())).answers.is_empty());
     let (_, end, store_version) = n.job_shard.next_write(NOW, true).expect("its end is due");
     let mut out = Vec::new();
     n.write_job(id.clone(), end, store_version, &mut out);
--- a/src/job_shard.rs
+++ b/src/job_shard.rs
@@ -5,20 +5,20 @@
 //! controller passes in what it hears, and asks for the next message, record or request. A task is never started while
 //! an earlier start of it may still run.
 
-pub use dependencies::{Hold, says_of_record};
+pub use dependencies::{Hold, declarations_in_record};
 pub use job::Job;
 pub use outcomes::JobOutcome;
 pub use preemption::headroom;
 pub use records::RecordWrite;
 pub use stale_inputs::AttemptStatus;
 
-mod adoption;
 mod assignments;
 mod cancellation;
 mod delivery;
 mod demand;
 pub(crate) mod dependencies;
 mod epoch_adoption;
+mod epoch_check;
 mod failure_attribution;
 mod gang;
 mod gpu_lending;
@@ -90,7 +90,7 @@
     /// Records have been read in this epoch.
     pub loaded: bool,
     /// Nobody else can be answering as the leader of our jobs.
-    pub alone: bool,
+    pub older_leaders_stopped: bool,
     /// Something changed that may let a task be placed.
     pub replan: bool,
     end_queue: EndQueue,
@@ -150,7 +150,7 @@
             awaiting_epoch_check: BTreeMap::new(),
             delivery: Delivery::new(members),
             loaded: false,
-            alone: true,
+            older_leaders_stopped: true,
             replan: true,
             end_queue: EndQueue::default(),
             failures: FailureAttribution::default(),
@@ -167,7 +167,7 @@
                 .teams
                 .iter()
                 .filter(|team| team.cpus > 0.0 || team.gpus > 0.0)
-                .map(|team| (team.name.clone(), Resources::need(team.cpus, team.gpus, 0.0)))
+                .map(|team| (team.name.clone(), Resources::rounded_up(team.cpus, team.gpus, 0.0)))
                 .collect(),
             reservations: Vec::new(),
             peer_reservations: PeerReservations::default(),
@@ -184,7 +184,7 @@
     }
 
     /// Notes the time of day, for what happens between scheduling passes.
-    pub fn note_time(&mut self, wall: Micros) {
+    pub fn advance_wall_clock(&mut self, wall: Micros) {
         self.wall_clock = self.wall_clock.max(wall);
     }
 
@@ -205,7 +205,7 @@
     /// What a job's starts take of its team's quota, those included that are not known to be gone.
     fn resources_in_use(&self, id: &str, job: &Job) -> Resources {
         let starts = job.assignments.len() + self.retired_starts.alive_of(id).count();
-        Resources { memory: 0, ..job.spec.room.times(starts as i64) }
+        Resources { memory: 0, ..job.spec.resources_per_task.times(starts as i64) }
     }
 
     /// At most so many of the machines that have not been heard since the epoch began.
@@ -249,12 +249,12 @@
         let leader = membership.machine_leader(name);
         let machines = leader.and_then(|leader| self.views.get(leader)?.machines(membership.epoch));
         machines.is_some_and(|machines| {
-            machines.get(name).is_none_or(|machine| machine.standing == InventoryState::Gone)
+            machines.get(name).is_none_or(|machine| machine.inventory_state == InventoryState::Gone)
         })
     }
 
     /// Whether all leaders of machines have spoken in this epoch.
-    pub fn has_heard_all_machine_shards(&self, membership: &Membership) -> bool {
+    pub fn have_all_machine_shards_reported(&self, membership: &Membership) -> bool {
         let has_spoken =
             |member: usize| self.views.get(member).is_some_and(|v| v.machines(membership.epoch).is_some());
         membership.members.iter().all(|&member| has_spoken(member))
--- a/src/job_shard/assignments.rs
+++ b/src/job_shard/assignments.rs
@@ -32,7 +32,7 @@
 
     /// Whether the agent is known to have had the command to start it.
     pub(super) fn has_arrived(&self) -> bool {
-        self.phase.is_some_and(TaskPhase::arrived)
+        self.phase.is_some_and(TaskPhase::has_arrived)
     }
 
     /// Whether it is this attempt on this machine.
--- a/src/job_shard/cancellation.rs
+++ b/src/job_shard/cancellation.rs
@@ -95,7 +95,7 @@
     pub(super) fn note_ends(&mut self, now: Micros) {
         for id in std::mem::take(&mut self.end_queue.changed) {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            let complete = job.spec.kind != JobKind::Service && job.done.len() == job.spec.tasks;
+            let complete = job.spec.kind != JobKind::Service && job.done.len() == job.spec.task_count;
             if job.pending_outcome.is_none() && complete {
                 // While its record is written or read it is looked at again.
                 if job.write_in_flight || job.needs_reread {
@@ -151,10 +151,10 @@
         let cancellation = &mut job.cancellation;
         let since = *cancellation.since.get_or_insert(now);
         cancellation.delivered_at = all_delivered.then(|| cancellation.delivered_at.unwrap_or(now));
-        let late = RESPONSE_TIMEOUT.stretched();
+        let late = RESPONSE_TIMEOUT.plus_drift();
         let is_dropped = |delivered_at: Micros| now >= delivered_at.max(self.older_epochs_silent_at) + late;
         cancellation.delivered_at.is_some_and(is_dropped)
-            || now >= since + self.leader_silence_limit.stretched() + late
+            || now >= since + self.leader_silence_limit.plus_drift() + late
     }
 }
 
--- a/src/job_shard/cancellation/tests.rs
+++ b/src/job_shard/cancellation/tests.rs
@@ -6,7 +6,7 @@
 use crate::peer::{DesiredState, MachineStatus, MachineStatusDelta, ObservedTask, TaskExit, TaskPhase};
 use crate::quota::QuotaLedger;
 use crate::spec::JobSpec;
-use crate::units::Ranges;
+use crate::units::TaskIndexSet;
 use serde_json::{Value, json};
 
 fn at(ms: u64) -> Micros {
@@ -25,7 +25,7 @@
     );
     shard.run_scheduling_pass(at(1000), at(1000), &membership, &quota);
     let desired = shard.next_desired_state(0, &membership);
-    assert!(!desired.list.is_empty());
+    assert!(!desired.tasks.is_empty());
     (membership, quota, shard, machine, desired)
 }
 
@@ -48,7 +48,7 @@
 #[test]
 fn what_runs_does_not_hold_up_the_end() {
     let (membership, _, mut shard, machine, w) = started(raw("batch", 2, 0.0));
-    let tasks = w.list.iter().map(|w| running(&w.key)).collect();
+    let tasks = w.tasks.iter().map(|w| running(&w.key)).collect();
     shard.apply_machine_status(
         at(1100),
         &membership,
@@ -60,7 +60,7 @@
     assert!(
         shard
             .next_desired_state(0, &membership)
-            .list
+            .tasks
             .iter()
             .all(|w| w.action != DesiredAction::Stop(Micros(0))),
         "not before it is on record"
@@ -72,7 +72,7 @@
 fn a_start_that_has_not_gone_out_is_withdrawn_before_the_end() {
     let (membership, _, mut shard, machine, w) = started(raw("batch", 2, 0.0));
     let queued =
-        w.list.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Queued }).collect();
+        w.tasks.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Queued }).collect();
     shard.apply_machine_status(
         at(1100),
         &membership,
@@ -83,7 +83,7 @@
     assert!(!ends(&mut shard, at(1200)));
     let stops = shard.next_desired_state(0, &membership);
     assert!(
-        stops.list.len() == 2 && stops.list.iter().all(|w| w.action == DesiredAction::Stop(Micros(0))),
+        stops.tasks.len() == 2 && stops.tasks.iter().all(|w| w.action == DesiredAction::Stop(Micros(0))),
         "{stops:?}"
     );
     assert!(!ends(&mut shard, at(1300)), "its leader has yet to say so");
@@ -101,7 +101,7 @@
 fn a_start_in_doubt_holds_up_the_end_until_it_has_arrived_or_can_not_arrive() {
     for arrives in [true, false] {
         let (membership, _, mut shard, machine, w) = started(raw("batch", 1, 0.0));
-        let as_ = |phase| listed(&machine, vec![ObservedTask { key: w.list[0].key.clone(), phase }]);
+        let as_ = |phase| listed(&machine, vec![ObservedTask { key: w.tasks[0].key.clone(), phase }]);
         shard.apply_machine_status(
             at(1100),
             &membership,
@@ -160,7 +160,7 @@
         raw.clone(),
         JobSpec::from_value(&raw).expect("valid"),
         Micros(1),
-        Ranges::default(),
+        TaskIndexSet::default(),
         1,
         false,
     );
@@ -181,9 +181,9 @@
 #[test]
 fn a_gang_that_is_cancelled_while_it_is_held_does_not_begin() {
     let (membership, quota, mut shard, machine, w) = started(raw("group", 2, 0.0));
-    assert!(w.list.iter().all(|w| w.action == DesiredAction::Hold));
+    assert!(w.tasks.iter().all(|w| w.action == DesiredAction::Hold));
     cancel(&mut shard);
-    let held = w.list.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Held }).collect();
+    let held = w.tasks.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Held }).collect();
     shard.apply_machine_status(
         at(1100),
         &membership,
@@ -193,7 +193,7 @@
     shard.run_scheduling_pass(at(1200), at(1200), &membership, &quota);
     let stops = shard.next_desired_state(0, &membership);
     assert!(
-        stops.list.len() == 2 && stops.list.iter().all(|w| w.action == DesiredAction::Stop(Micros(0))),
+        stops.tasks.len() == 2 && stops.tasks.iter().all(|w| w.action == DesiredAction::Stop(Micros(0))),
         "{stops:?}"
     );
 }
@@ -226,7 +226,7 @@
             r.clone(),
             JobSpec::from_value(&r).expect("valid"),
             Micros(1),
-            Ranges::default(),
+            TaskIndexSet::default(),
             1,
             true,
         );
@@ -267,7 +267,7 @@
         key: w.key.clone(),
         phase: TaskPhase::Exited(TaskExit::Done),
     };
-    let one = vec![exited(&w.list[0]), running(&w.list[1].key)];
+    let one = vec![exited(&w.tasks[0]), running(&w.tasks[1].key)];
     shard.apply_machine_status(
         at(1100),
         &membership,
@@ -278,7 +278,7 @@
     let RecordWrite::Progress(_, kept) = write else { panic!("not an end") };
     shard.confirm_progress(at(1210), &id, kept, 9);
     let all: MachineStatusDelta =
-        whole_status(&membership, 3, w.revision, listed(&machine, w.list.iter().map(exited).collect()));
+        whole_status(&membership, 3, w.revision, listed(&machine, w.tasks.iter().map(exited).collect()));
     shard.apply_machine_status(at(1300), &membership, 0, all);
     assert!(matches!(shard.next_write(at(1400), true), Some((_, RecordWrite::End(JobOutcome::Done, _), _))));
 }
--- a/src/job_shard/demand.rs
+++ b/src/job_shard/demand.rs
@@ -40,16 +40,16 @@
     /// So many tasks of a job that may queue for `horizon`.
     pub(super) fn demand_of(&self, spec: &JobSpec, count: u32, horizon: Micros) -> Demand {
         Demand {
-            room: spec.room,
-            kinds: spec.kinds.clone(),
+            resources_per_task: spec.resources_per_task,
+            machine_types: spec.machine_types.clone(),
             zone: spec.zone.clone(),
             one_zone: spec.one_zone,
-            spot: spec.spot,
+            spot_allowed: spec.spot_allowed,
             count,
-            estimate: self.run_times.likely(spec),
+            estimated_run_time: self.run_times.likely(spec),
             priority: spec.priority,
-            horizon,
-            together: if spec.kind == JobKind::Gang { spec.tasks } else { 1 },
+            max_queue_time: horizon,
+            gang_size: if spec.kind == JobKind::Gang { spec.task_count } else { 1 },
         }
     }
 
@@ -61,10 +61,11 @@
             self.recent_shapes.iter_mut().find(|(known, _)| is_alike(known, &shape))
         {
             *seen_at = now;
-            known.room = known.room.max(shape.room);
-            known.together = known.together.max(shape.together);
-            known.estimate = Micros((known.estimate.0 * 7 + shape.estimate.0) / 8);
-            known.horizon = known.horizon.max(shape.horizon);
+            known.resources_per_task = known.resources_per_task.max(shape.resources_per_task);
+            known.gang_size = known.gang_size.max(shape.gang_size);
+            known.estimated_run_time =
+                Micros((known.estimated_run_time.0 * 7 + shape.estimated_run_time.0) / 8);
+            known.max_queue_time = known.max_queue_time.max(shape.max_queue_time);
         } else if self.recent_shapes.len() < REMEMBERED_SHAPES {
             self.recent_shapes.push((shape, now));
         }
@@ -82,10 +83,10 @@
 /// tasks on GPUs: whole machine types would be reserved for it.
 fn is_alike(known: &Demand, shape: &Demand) -> bool {
     let is_near = |a: i64, b: i64| a <= b.saturating_mul(2) && b <= a.saturating_mul(2);
-    (known.priority, known.spot, known.one_zone, known.together > 1)
-        == (shape.priority, shape.spot, shape.one_zone, shape.together > 1)
-        && (known.room.gpus > 0) == (shape.room.gpus > 0)
-        && (shape.together == 1 || is_near(known.room.cpus, shape.room.cpus))
-        && known.kinds == shape.kinds
+    (known.priority, known.spot_allowed, known.one_zone, known.gang_size > 1)
+        == (shape.priority, shape.spot_allowed, shape.one_zone, shape.gang_size > 1)
+        && (known.resources_per_task.gpus > 0) == (shape.resources_per_task.gpus > 0)
+        && (shape.gang_size == 1 || is_near(known.resources_per_task.cpus, shape.resources_per_task.cpus))
+        && known.machine_types == shape.machine_types
         && known.zone == shape.zone
 }
--- a/src/job_shard/dependencies.rs
+++ b/src/job_shard/dependencies.rs
@@ -9,15 +9,15 @@
 use super::job::Job;
 use super::outcomes::JobOutcome;
 use crate::membership::Membership;
-use crate::spec::{GUARANTEED, JobSpec};
+use crate::spec::{GUARANTEED_PRIORITY_BONUS, JobSpec};
 use crate::units::Micros;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
 mod stored_form;
 
-pub use stored_form::says_of_record;
-pub(crate) use stored_form::unpacked;
+pub use stored_form::declarations_in_record;
+pub(crate) use stored_form::unpack_job_ids;
 pub(super) use stored_form::{held, released, released_at, restored, says};
 
 /// Why nothing of a job may start, beside the jobs that it follows. Only whoever has seen that the reason is gone lifts it.
@@ -41,7 +41,7 @@
             .then(|| Hold::Release("its release has not been looked at yet".into()))
     }
     /// In words.
-    pub fn why(&self) -> &str {
+    pub fn reason(&self) -> &str {
         match self {
             Hold::Release(why) | Hold::Batch(why) => why,
         }
@@ -100,18 +100,18 @@
         self.hold.as_ref()
     }
     /// All jobs that it followed, also those that are done: as its user named them.
-    pub fn followed(&self) -> Vec<String> {
-        match self.spec.follows.is_empty() {
-            false => self.spec.follows.clone(),
+    pub fn declared_dependencies(&self) -> Vec<String> {
+        match self.spec.dependencies.is_empty() {
+            false => self.spec.dependencies.clone(),
             true => stored_form::followed(&self.raw),
         }
     }
     /// Its description as stored: with all that it says of coordination records.
-    pub fn raw(&self) -> &Value {
+    pub fn raw_spec(&self) -> &Value {
         &self.raw
     }
     /// The jobs that it needs and that are not known to be done.
-    pub fn unfinished_prerequisites(&self) -> impl Iterator<Item = &str> {
+    pub fn unfinished_dependencies(&self) -> impl Iterator<Item = &str> {
         self.prerequisites.iter().map(String::as_str)
     }
     /// From when the times promised for its class count, its deadline aside.
@@ -150,7 +150,7 @@
     }
 
     /// Whether any job waits, so that ends must be watched.
-    pub fn awaits_ends(&self) -> bool {
+    pub fn has_awaited_dependencies(&self) -> bool {
         !self.dependents.followers.is_empty()
     }
     /// Whether a job waits for this one.
@@ -158,22 +158,22 @@
         self.dependents.followers.contains_key(prerequisite)
     }
     /// Nobody has watched ends for a while: all that matter must be read.
-    pub fn reread_prerequisites(&mut self) {
+    pub fn reread_dependencies(&mut self) {
         self.dependents.unread = self.dependents.followers.keys().cloned().collect();
     }
     /// The next prerequisite whose end must be read. From then on a watch that began before tells of it.
-    pub fn next_unread_prerequisite(&mut self) -> Option<String> {
+    pub fn next_unread_dependency(&mut self) -> Option<String> {
         self.dependents.unread.pop_first()
     }
     /// A prerequisite's end could not be read: it is read again if a job still waits for it.
-    pub fn retry_prerequisite_read(&mut self, prerequisite: &str) {
+    pub fn retry_dependency_read(&mut self, prerequisite: &str) {
         if self.is_awaited(prerequisite) {
             self.dependents.unread.insert(prerequisite.to_owned());
         }
     }
 
     /// The store has the end of a job on record: those that wait for it go on, or end with it.
-    pub fn apply_prerequisite_end(&mut self, prerequisite: &str, end: JobOutcome) {
+    pub fn apply_dependency_outcome(&mut self, prerequisite: &str, end: JobOutcome) {
         self.dependents.unread.remove(prerequisite);
         for id in self.dependents.followers.remove(prerequisite).unwrap_or_default() {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
@@ -182,7 +182,7 @@
                     job.prerequisites.remove(prerequisite);
                     if !job.is_waiting() {
                         job.released_wall = Some(self.wall_clock.max(job.accepted_wall));
-                        let waited = self.wall_clock.since(job.accepted_wall).secs();
+                        let waited = self.wall_clock.since(job.accepted_wall).as_secs();
                         tracing::info!(job = %id, last = prerequisite, waited, "prerequisites done");
                     }
                 }
@@ -204,8 +204,8 @@
         if !job.is_waiting() {
             job.released_wall = Some(self.wall_clock.max(job.accepted_wall));
         }
-        let waited = self.wall_clock.since(job.accepted_wall).secs();
-        tracing::info!(job = id, was = hold.why(), waited, "hold lifted");
+        let waited = self.wall_clock.since(job.accepted_wall).as_secs();
+        tracing::info!(job = id, was = hold.reason(), waited, "hold lifted");
         self.replan = true;
     }
 
@@ -226,11 +226,11 @@
 
     /// The jobs of one controller that our waiting jobs need, and the priority that each inherits. Priority passes on
     /// through jobs that wait themselves. Guarantees don't pass on: they are a team's own.
-    pub fn priorities_needed_of(&self, leader: usize, membership: &Membership) -> Vec<(String, u8)> {
+    pub fn inherited_priorities_for(&self, leader: usize, membership: &Membership) -> Vec<(String, u8)> {
         let is_theirs = |id: &str| membership.job_leader(id) == Some(leader);
         let rank_of = |id: &String| {
             let job = self.jobs.get(id).filter(|job| job.pending_outcome.is_none())?;
-            Some(job.spec.priority % GUARANTEED)
+            Some(job.spec.priority % GUARANTEED_PRIORITY_BONUS)
         };
         let mut needed: BTreeMap<String, u8> = BTreeMap::new();
         for (prerequisite, jobs) in self.dependents.followers.iter().filter(|(id, _)| is_theirs(id)) {
@@ -256,7 +256,7 @@
     }
 
     /// Takes the jobs of ours that another controller's waiting jobs need, and the priorities of those: the whole list.
-    pub fn apply_needed_priorities(&mut self, from: usize, list: Vec<(String, u8)>) {
+    pub fn apply_inherited_priorities(&mut self, from: usize, list: Vec<(String, u8)>) {
         let list: BTreeMap<String, u8> = list.into_iter().collect();
         let before = self.dependents.needed_by.insert(from, list.clone()).unwrap_or_default();
         let changed = before.keys().chain(list.keys()).filter(|id| before.get(*id) != list.get(*id));
@@ -268,8 +268,10 @@
     fn inherit_priority(&mut self, id: &str) {
         let inherited = self.dependents.inherited_priority(id);
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let guaranteed = job.own_priority / GUARANTEED * GUARANTEED;
-        let priority = guaranteed + (job.own_priority % GUARANTEED).max(inherited.min(GUARANTEED - 1));
+        let guaranteed = job.own_priority / GUARANTEED_PRIORITY_BONUS * GUARANTEED_PRIORITY_BONUS;
+        let priority = guaranteed
+            + (job.own_priority % GUARANTEED_PRIORITY_BONUS)
+                .max(inherited.min(GUARANTEED_PRIORITY_BONUS - 1));
         if job.spec.priority != priority {
             tracing::debug!(
                 job = id,
--- a/src/job_shard/dependencies/stored_form.rs
+++ b/src/job_shard/dependencies/stored_form.rs
@@ -31,7 +31,7 @@
 }
 
 /// Ids again from a packed text.
-pub(crate) fn unpacked(text: &str) -> Vec<String> {
+pub(crate) fn unpack_job_ids(text: &str) -> Vec<String> {
     text.split(',').filter(|n| !n.is_empty()).map(|n| format!("wk-{n}")).collect()
 }
 
@@ -59,7 +59,7 @@
 }
 
 /// What a live job's record says of coordination records, in the form of a final one's `says`; None if it says nothing.
-pub fn says_of_record(record: &Value) -> Option<Value> {
+pub fn declarations_in_record(record: &Value) -> Option<Value> {
     let spec = record.get("spec")?;
     let mut plain = spec.clone();
     // A waiting one is packed already.
@@ -120,7 +120,7 @@
         false => Some(map.remove(FOLLOWS)?),
     };
     if let Some(ids) = ids {
-        map.insert(FOLLOWS.into(), unpacked(ids.as_str()?).into());
+        map.insert(FOLLOWS.into(), unpack_job_ids(ids.as_str()?).into());
     }
     Some(Value::Object(map))
 }
@@ -132,5 +132,5 @@
 
 /// The jobs that a released one followed.
 pub(super) fn followed(raw: &Value) -> Vec<String> {
-    raw.get(FOLLOWED).and_then(Value::as_str).map(unpacked).unwrap_or_default()
+    raw.get(FOLLOWED).and_then(Value::as_str).map(unpack_job_ids).unwrap_or_default()
 }
--- a/src/job_shard/epoch_adoption.rs
+++ b/src/job_shard/epoch_adoption.rs
@@ -9,8 +9,8 @@
 use super::unresolved_starts::UnresolvedDemand;
 use crate::membership::Membership;
 use crate::quota::tier::QuotaTier;
-use crate::spec::{GUARANTEED, JobSpec};
-use crate::units::{Micros, Ranges};
+use crate::spec::{GUARANTEED_PRIORITY_BONUS, JobSpec};
+use crate::units::{Micros, TaskIndexSet};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,7 +20,7 @@
         raw: Value,
         spec: JobSpec,
         accepted_wall: Micros,
-        done: Ranges,
+        done: TaskIndexSet,
         store_version: u64,
     ) -> Job {
         Job {
@@ -39,7 +39,7 @@
             next_write: Micros(0),
             next_progress: Micros(0),
             cancellation: Cancellation::default(),
-            prerequisites: spec.follows.iter().cloned().collect(),
+            prerequisites: spec.dependencies.iter().cloned().collect(),
             hold: Hold::of(&spec, &raw),
             release_due: None,
             released_wall: dependencies::released_at(&raw),
@@ -91,7 +91,7 @@
         self.retired_starts.adopt_epoch(stays);
         self.delivery.adopt_epoch(membership.epoch, self.all_starts());
         for view in &mut self.views {
-            view.forget_awaited();
+            view.clear_start_requests();
         }
         self.unconfirmed_machines.clear();
         self.set_of_epoch = None;
@@ -148,13 +148,13 @@
         raw: Value,
         mut spec: JobSpec,
         accepted_wall: Micros,
-        done: Ranges,
+        done: TaskIndexSet,
         store_version: u64,
         fresh: bool,
     ) {
         let has_guarantee = self.guarantees.contains_key(&spec.team);
         if has_guarantee {
-            spec.priority += GUARANTEED;
+            spec.priority += GUARANTEED_PRIORITY_BONUS;
         }
         let id = spec.id.clone();
         // Guards against a live record that was read, or written, before the end: its answer may come after that of the
--- a/src/job_shard/adoption/tests.rs
+++ b/src/job_shard/epoch_check/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use crate::membership::Membership;
 use crate::spec::JobSpec;
-use crate::units::Ranges;
+use crate::units::TaskIndexSet;
 use serde_json::json;
 
 /// Guards against a task that runs twice, started by the leaders of two epochs.
@@ -16,7 +16,7 @@
             let mut r = raw("batch", 4, 0.0);
             r["uid"] = json!("wk-2");
             let spec = JobSpec::from_value(&r).expect("valid");
-            shard.insert_job(r, spec, Micros(1), Ranges::default(), 9, false);
+            shard.insert_job(r, spec, Micros(1), TaskIndexSet::default(), 9, false);
             shard.await_epoch_check(at(1000), "wk-2");
         };
         // With the other records, or when somebody asks about it.
@@ -67,7 +67,7 @@
         let mut r = raw("batch", 4, 0.0);
         r["uid"] = json!(id);
         let spec = JobSpec::from_value(&r).expect("valid");
-        shard.insert_job(r, spec, Micros(1), Ranges::default(), 9, false);
+        shard.insert_job(r, spec, Micros(1), TaskIndexSet::default(), 9, false);
     };
     read(&mut shard, "wk-2");
     read(&mut shard, "wk-3");
--- a/src/job_shard/gang.rs
+++ b/src/job_shard/gang.rs
@@ -37,7 +37,7 @@
 impl Job {
     /// What its gang's attempt needs next, if anything.
     fn next_gang_step(&self, now: Micros, gang_wait: Micros) -> Option<GangStep> {
-        let tasks = self.spec.tasks as usize;
+        let tasks = self.spec.task_count as usize;
         match self.gang? {
             GangState::Holding(since) => {
                 let held = self.assignments.values().filter(|a| a.phase == Some(TaskPhase::Held)).count();
@@ -103,7 +103,7 @@
     /// they are gone. Does nothing if the gang has completed.
     pub(super) fn end_gang(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
-        if job.done.len() != job.spec.tasks {
+        if job.done.len() != job.spec.task_count {
             self.stop_gang(id, Micros(0));
         }
     }
--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -8,16 +8,16 @@
 use super::job::Job;
 use crate::config::operators::LoanTerms;
 use crate::membership::Membership;
-use crate::peer::{DesiredAction, Lendable, LendableTask, Lending, TaskPhase};
+use crate::peer::{DesiredAction, LendableJob, LendableTask, LendingReport, TaskPhase};
 use crate::quota::QuotaLedger;
 use crate::quota::tier::QuotaTier;
 use crate::scheduler::placement::Place;
-use crate::spec::{GUARANTEED, JobKind, JobSpec};
+use crate::spec::{GUARANTEED_PRIORITY_BONUS, JobKind, JobSpec};
 use crate::units::{Micros, Resources};
-use hazelsaddle_gpu_lending::Amount;
+use hazelsaddle_gpu_lending::ResourceVector;
 use hazelsaddle_gpu_lending::ledger::{Claim, Ledger, Loan, LoanFacts, LoanState};
 use hazelsaddle_gpu_lending::preemption::{Machine, ReplicaDemand, Task, choose_preemptions};
-use hazelsaddle_gpu_lending::reclaim::{Borrower, ReplicasOnLoan, Shortfall, Terms, loans_to_reclaim};
+use hazelsaddle_gpu_lending::reclaim::{Borrower, ReclaimTerms, ReplicasOnLoan, Shortfall, loans_to_reclaim};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long what a peer said holds.
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 struct PeerLending {
     at: Micros,
-    lending: Lending,
+    lending: LendingReport,
 }
 
 /// What a team lacks within its guarantee.
@@ -69,19 +69,19 @@
 
 /// Room that is to be claimed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Taking {
+pub struct LoanProposal {
     /// The borrowing team.
     pub team: String,
     /// Its job.
     pub job: String,
     /// How many of its replicas have no place.
-    pub missing: u32,
+    pub missing_replicas: u32,
     /// What is claimed, machine by machine.
     pub claims: Vec<Claim>,
 }
 
-fn amount(room: Resources) -> Amount {
-    Amount { gpus: room.gpus, cpus: room.cpus, memory: room.memory }
+fn amount(room: Resources) -> ResourceVector {
+    ResourceVector { gpus: room.gpus, cpus: room.cpus, memory: room.memory }
 }
 
 /// What goes back is for the lender, and for whatever lies within its guarantee: that stands above. All else is for the
@@ -213,7 +213,7 @@
         let is_borrower =
             |terms: &LoanTerms| terms.borrowers.iter().any(|b| *b == spec.team || *b == spec.class);
         spec.kind == JobKind::Service
-            && spec.room.gpus > 0
+            && spec.resources_per_task.gpus > 0
             && self.loans.terms.as_ref().is_some_and(is_borrower)
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// Takes what a peer's jobs could lend and what they lack, in place of what it said before.
-    pub fn apply_peer_lending(&mut self, now: Micros, from: usize, lending: Lending) {
+    pub fn apply_peer_lending(&mut self, now: Micros, from: usize, lending: LendingReport) {
         self.loans.peers.insert(from, PeerLending { at: now, lending });
     }
 
@@ -235,8 +235,9 @@
         let mut short: BTreeMap<String, TeamShortfall> = BTreeMap::new();
         for (id, job) in &self.jobs {
             let spec = &job.spec;
-            let lacks = (spec.tasks as usize).saturating_sub(job.done.len() as usize + job.assignments.len());
-            if spec.room.gpus <= 0
+            let lacks =
+                (spec.task_count as usize).saturating_sub(job.done.len() as usize + job.assignments.len());
+            if spec.resources_per_task.gpus <= 0
                 || lacks == 0
                 || job.pending_outcome.is_some()
                 || job.is_waiting()
@@ -251,36 +252,41 @@
                 let since = self.loans.short.get(&spec.team).map_or(now, |short| short.since);
                 let none = TeamShortfall { room: Resources::default(), since };
                 let team = short.entry(spec.team.clone()).or_insert(none);
-                team.room = team.room + spec.room.times(lacks as i64);
+                team.room = team.room + spec.resources_per_task.times(lacks as i64);
             }
         }
         (self.loans.lacking, self.loans.short) = (lacking, short);
     }
 
     /// What peers are told: our jobs' tasks on GPUs beyond their teams' guarantees, and what is lacking.
-    pub fn lending_offer(&self, now: Micros, wall: Micros) -> Lending {
+    pub fn lending_offer(&self, now: Micros, wall: Micros) -> LendingReport {
         let short = self.loans.short.iter();
         let lacks = short.map(|(team, short)| (team.clone(), short.room, now.since(short.since))).collect();
-        let Some(terms) = &self.loans.terms else { return Lending { jobs: Vec::new(), lacks } };
+        let Some(terms) = &self.loans.terms else {
+            return LendingReport { jobs: Vec::new(), shortfalls: lacks };
+        };
         let offers = |job: &Job| {
             is_lendable(job)
-                && job.spec.room.gpus > 0
+                && job.spec.resources_per_task.gpus > 0
                 && job.pending_outcome.is_none()
                 && !job.assignments.is_empty()
         };
-        let lendable = |(id, job): (&String, &Job)| Lendable {
+        let lendable = |(id, job): (&String, &Job)| LendableJob {
             job: id.clone(),
             team: job.spec.team.clone(),
-            rank: job.spec.priority % GUARANTEED,
-            gang: job.spec.kind == JobKind::Gang,
-            room: job.spec.room,
+            priority: job.spec.priority % GUARANTEED_PRIORITY_BONUS,
+            is_gang: job.spec.kind == JobKind::Gang,
+            resources_per_task: job.spec.resources_per_task,
             tasks: job
                 .assignments
                 .iter()
                 .map(|(&index, assignment)| self.lendable_task(now, wall, terms, job, index, assignment))
                 .collect(),
         };
-        Lending { jobs: self.jobs.iter().filter(|(_, job)| offers(job)).map(lendable).collect(), lacks }
+        LendingReport {
+            jobs: self.jobs.iter().filter(|(_, job)| offers(job)).map(lendable).collect(),
+            shortfalls: lacks,
+        }
     }
 
     fn lendable_task(
@@ -308,8 +314,8 @@
             index,
             attempt: assignment.attempt,
             machine: assignment.machine.clone(),
-            lost_ms: self.lost_by_stopping_ms(now, job, assignment),
-            fixed: is_moving
+            lost_work_ms: self.lost_by_stopping_ms(now, job, assignment),
+            is_protected: is_moving
                 || !is_there
                 || assignment.is_stopping()
                 || is_young
@@ -320,7 +326,7 @@
     /// Run time that is lost if a task is stopped, in milliseconds.
     fn lost_by_stopping_ms(&self, now: Micros, job: &Job, assignment: &Assignment) -> u64 {
         if job.can_save() {
-            return job.spec.save.0 / 1000;
+            return job.spec.checkpoint_duration.0 / 1000;
         }
         let ran = match assignment.phase {
             Some(TaskPhase::Running) => now.since(assignment.phase_since).0 / 1000,
@@ -332,13 +338,13 @@
     }
 
     /// What is to be claimed for one of our services whose replicas have found no room for a moment.
-    pub fn next_taking(
+    pub fn propose_loan(
         &self,
         now: Micros,
         wall: Micros,
         membership: &Membership,
         quota: &QuotaLedger,
-    ) -> Option<Taking> {
+    ) -> Option<LoanProposal> {
         // Guards against claims on what others have claimed meanwhile.
         if !self.loans.is_ledger_valid(now) || self.loans.lacking.is_empty() {
             return None;
@@ -365,7 +371,12 @@
             let need = self.loan_need(id, job, missing - claimed, &places, membership);
             let claims = choose_preemptions(&need, &self.machines_for_loan(now, id, job, &places), &tasks);
             if !claims.is_empty() {
-                return Some(Taking { team: job.spec.team.clone(), job: id.clone(), missing, claims });
+                return Some(LoanProposal {
+                    team: job.spec.team.clone(),
+                    job: id.clone(),
+                    missing_replicas: missing,
+                    claims,
+                });
             }
         }
         None
@@ -375,8 +386,8 @@
     fn replicas_missing(&self, id: &str, job: &Job, quota: &QuotaLedger) -> u32 {
         let allowance = quota.usable(&job.spec.team, id) - self.resources_in_use(id, job);
         let allowance = Resources { memory: i64::MAX / 4, ..allowance };
-        let allowed = allowance.count_of(job.spec.room).clamp(0, MOST_REPLICAS) as u32;
-        (job.spec.tasks - job.assignments.len() as u32).min(allowed)
+        let allowed = allowance.max_count_of(job.spec.resources_per_task).clamp(0, MOST_REPLICAS) as u32;
+        (job.spec.task_count - job.assignments.len() as u32).min(allowed)
     }
 
     fn loan_need(
@@ -392,7 +403,7 @@
         let zones = if spec.one_zone && !counts.is_empty() {
             Some(counts.keys().map(|zone| (zone.clone(), u32::MAX)).collect())
         } else if spec.spread {
-            let half = spec.tasks.div_ceil(2);
+            let half = spec.task_count.div_ceil(2);
             let left = |zone: &String| half.saturating_sub(counts.get(zone).copied().unwrap_or(0));
             let zones = places.iter().map(|place| &place.machine.zone);
             Some(zones.map(|zone| (zone.clone(), left(zone))).collect())
@@ -401,11 +412,11 @@
         };
         ReplicaDemand {
             team: spec.team.clone(),
-            rank: spec.priority % GUARANTEED,
-            within: job.quota_tier == QuotaTier::Within,
-            each: amount(spec.room),
+            base_priority: spec.priority % GUARANTEED_PRIORITY_BONUS,
+            within_guarantee: job.quota_tier == QuotaTier::Within,
+            resources_per_replica: amount(spec.resources_per_task),
             replicas,
-            zones,
+            zone_quota: zones,
             one_zone: spec.one_zone,
         }
     }
@@ -444,7 +455,7 @@
             name: place.machine.name.clone(),
             zone: place.machine.zone.clone(),
             free: amount(place.free),
-            image: place.machine.images.contains(&spec.image_hash),
+            has_image: place.machine.images.contains(&spec.image_hash),
         };
         places.iter().filter(is_usable).map(machine).collect()
     }
@@ -465,13 +476,13 @@
                     index: task.index,
                     attempt: task.attempt,
                     team: lendable.team.clone(),
-                    rank: lendable.rank,
-                    within: false,
-                    gang: lendable.gang,
+                    base_priority: lendable.priority,
+                    within_guarantee: false,
+                    is_gang: lendable.is_gang,
                     machine: task.machine,
-                    room: amount(lendable.room),
-                    lost_ms: task.lost_ms,
-                    fixed: task.fixed || claimed,
+                    resources: amount(lendable.resources_per_task),
+                    lost_work_ms: task.lost_work_ms,
+                    protected: task.is_protected || claimed,
                 });
             }
         }
@@ -498,7 +509,7 @@
         for (&index, assignment) in &mut job.assignments {
             if assignment.machine == loan.machine && !assignment.is_stopping() {
                 tracing::info!(job = %loan.job, task = index, machine = %loan.machine, lender = %loan.lender, loan = loan.id, "replica reclaimed");
-                assignment.action = DesiredAction::Stop(job.spec.save);
+                assignment.action = DesiredAction::Stop(job.spec.checkpoint_duration);
                 self.delivery.mark_changed(&assignment.machine, &loan.job, index, assignment.attempt);
             }
         }
@@ -533,23 +544,25 @@
 
     /// How things stand with a loan, as far as we know: of our own jobs, and of machines.
     pub fn loan_facts(&self, loan: &Loan, membership: &Membership) -> LoanFacts {
-        let mut facts =
-            LoanFacts { gone: self.is_machine_gone(&loan.machine, membership), ..LoanFacts::default() };
+        let mut facts = LoanFacts {
+            is_machine_gone: self.is_machine_gone(&loan.machine, membership),
+            ..LoanFacts::default()
+        };
         if !self.loaded {
             return facts;
         }
         if membership.job_leader(&loan.job) == Some(self.me) {
             let job = self.jobs.get(&loan.job);
-            facts.live = Some(job.is_some_and(|job| job.pending_outcome.is_none()));
+            facts.is_borrower_live = Some(job.is_some_and(|job| job.pending_outcome.is_none()));
             // After a failover not all replicas are known at first.
             if let Some(job) = job.filter(|job| job.has_known_starts()) {
-                facts.there = Some(replicas_on(job, &loan.machine));
-                facts.missing = Some(job.spec.tasks - job.assignments.len() as u32);
+                facts.replicas_on_machine = Some(replicas_on(job, &loan.machine));
+                facts.unplaced_replicas = Some(job.spec.task_count - job.assignments.len() as u32);
             }
         }
         if membership.job_leader(&loan.from) == Some(self.me) {
-            facts.refused = self.jobs.get(&loan.from).is_some_and(|job| is_refused(job, loan));
-            facts.lender_lacks = self.lender_lacks(loan);
+            facts.is_preemption_refused = self.jobs.get(&loan.from).is_some_and(|job| is_refused(job, loan));
+            facts.is_lender_short = self.lender_lacks(loan);
         }
         facts
     }
@@ -566,7 +579,7 @@
     }
 
     /// Loans of our services that are to be given back, since the lender is within its guarantee and short.
-    pub fn loans_due(
+    pub fn loans_to_return(
         &self,
         now: Micros,
         wall: Micros,
@@ -581,32 +594,34 @@
             return Vec::new();
         }
         let guarantee = self.guarantees.get(team).map_or(0, |guarantee| guarantee.gpus);
-        let borrower = Borrower { used: quota.allocated(team).gpus, guarantee };
+        let borrower =
+            Borrower { used_milligpus: quota.allocated(team).gpus, guaranteed_milligpus: guarantee };
         let is_ours = |id: &str| membership.job_leader(id) == Some(self.me);
         let standing = |id: &str, machine: &str| match self.jobs.get(id).filter(|_| is_ours(id)) {
             Some(job) => ReplicasOnLoan {
                 replicas: replicas_on(job, machine),
-                each: job.spec.room.gpus,
-                within: job.quota_tier == QuotaTier::Within,
+                milligpus_per_replica: job.spec.resources_per_task.gpus,
+                within_guarantee: job.quota_tier == QuotaTier::Within,
             },
             // Another leader decides about it.
-            None => ReplicasOnLoan { within: true, ..ReplicasOnLoan::default() },
+            None => ReplicasOnLoan { within_guarantee: true, ..ReplicasOnLoan::default() },
         };
-        let terms = Terms { stay_us: terms.stay.0, burst_us: terms.burst.0 };
+        let terms = ReclaimTerms { min_stay_us: terms.stay.0, min_shortfall_us: terms.burst.0 };
         loans_to_reclaim(wall.0, terms, ledger, borrower, &lacks, standing)
     }
 
     /// By team, what work within its guarantee lacks, by our jobs and peers'.
     fn lacks_of_all(&self, now: Micros, wall: Micros) -> BTreeMap<String, Shortfall> {
         let valid = self.loans.peers.values().filter(|said| now.since(said.at) < VALID_FOR);
-        let peers = valid.flat_map(|said| said.lending.lacks.iter().cloned());
+        let peers = valid.flat_map(|said| said.lending.shortfalls.iter().cloned());
         let ours = self.loans.short.iter();
         let ours = ours.map(|(team, short)| (team.clone(), short.room, now.since(short.since)));
         let mut lacks: BTreeMap<String, Shortfall> = BTreeMap::new();
         for (team, room, age) in ours.chain(peers) {
             let since_us = wall.0.saturating_sub(age.0);
-            let sum = lacks.entry(team).or_insert(Shortfall { room: Amount::default(), since_us });
-            sum.room = sum.room + amount(room);
+            let sum =
+                lacks.entry(team).or_insert(Shortfall { resources: ResourceVector::default(), since_us });
+            sum.resources = sum.resources + amount(room);
             sum.since_us = sum.since_us.min(since_us);
         }
         lacks
--- a/src/job_shard/handoff.rs
+++ b/src/job_shard/handoff.rs
@@ -11,7 +11,7 @@
 use super::retired_starts::Retirement;
 use crate::membership::Membership;
 use crate::peer::{DesiredAction, HandoffBatch, JobHandoff, StartHandoff, TaskKey};
-use crate::units::{Micros, Ranges};
+use crate::units::{Micros, TaskIndexSet};
 use hazelsaddle_failover::unresolved::UnresolvedSetId;
 use std::collections::BTreeMap;
 
@@ -108,8 +108,8 @@
     fn accept_job(&mut self, now: Micros, handoff: JobHandoff, start_knowledge: StartKnowledge) -> bool {
         let id = handoff.id.as_str();
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.has_known_starts()) else { return false };
-        let tasks = job.spec.tasks;
-        let Some(done) = Ranges::decode(&handoff.done, tasks) else {
+        let tasks = job.spec.task_count;
+        let Some(done) = TaskIndexSet::decode(&handoff.done, tasks) else {
             tracing::error!(job = id, "unreadable job in a hand-off batch");
             return false;
         };
@@ -147,7 +147,7 @@
             && joins_gang_attempt(job, attempt)
             && !job.done.contains(index)
             && !job.assignments.contains_key(&index);
-        let room = job.spec.room;
+        let room = job.spec.resources_per_task;
         let start = Assignment {
             machine,
             zone,
--- a/src/job_shard/job.rs
+++ b/src/job_shard/job.rs
@@ -7,7 +7,7 @@
 use super::outcomes::JobOutcome;
 use crate::quota::tier::QuotaTier;
 use crate::spec::JobSpec;
-use crate::units::{Micros, Ranges};
+use crate::units::{Micros, TaskIndexSet};
 use hazelsaddle_failover::unresolved::UnresolvedSetId;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,9 +37,9 @@
     pub store_version: u64,
     pub(super) start_knowledge: StartKnowledge,
     /// Completed tasks.
-    pub(super) done: Ranges,
+    pub(super) done: TaskIndexSet,
     /// Completed tasks that its record names.
-    pub(super) recorded: Ranges,
+    pub(super) recorded: TaskIndexSet,
     /// Starts that were decided on and have not ended, by task.
     pub(super) assignments: BTreeMap<u32, Assignment>,
     pub(super) gang: Option<GangState>,
@@ -82,16 +82,16 @@
 
     /// Tasks that are not completed.
     pub(super) fn unfinished_tasks(&self) -> u32 {
-        self.spec.tasks - self.done.len()
+        self.spec.task_count - self.done.len()
     }
 
     /// How long its tasks may take to save their progress when they are stopped; zero if they never save.
     pub(super) fn stop_grace(&self) -> Micros {
-        if self.can_save() { self.spec.save } else { Micros(0) }
+        if self.can_save() { self.spec.checkpoint_duration } else { Micros(0) }
     }
 
     /// Whether its tasks save their progress.
     pub(super) fn can_save(&self) -> bool {
-        self.spec.checkpoint.0 > 0
+        self.spec.checkpoint_interval.0 > 0
     }
 }
--- a/src/job_shard/outcomes.rs
+++ b/src/job_shard/outcomes.rs
@@ -64,17 +64,17 @@
     /// the second time.
     pub fn end_job(&mut self, id: &str, outcome: JobOutcome) {
         // Whoever waits for it must hear even if it was not ours any more: the store has its end.
-        self.apply_prerequisite_end(id, outcome);
+        self.apply_dependency_outcome(id, outcome);
         let Some(job) = self.jobs.remove(id) else { return };
         self.start_replication.jobs_changed = true;
         self.end_queue.remove(id, &job);
         self.forget_prerequisites(id, &job);
         self.failures.forget(id);
-        tracing::info!(job = id, end = ?outcome, tasks = job.spec.tasks, "job ended");
+        tracing::info!(job = id, end = ?outcome, tasks = job.spec.task_count, "job ended");
         self.remember_outcome(id, outcome, job.done.len());
         for (index, assignment) in job.assignments {
             self.unindex_assignment(&assignment.machine, id, index);
-            self.retire_start(id, index, &assignment, Retirement::stopped(job.spec.room));
+            self.retire_start(id, index, &assignment, Retirement::stopped(job.spec.resources_per_task));
         }
         for (key, start) in self.retired_starts.of_job_mut(id) {
             if !start.alive && start.action != DesiredAction::Forget {
@@ -90,12 +90,12 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         match job.spec.kind {
             JobKind::Array => {
-                if index < job.spec.tasks {
+                if index < job.spec.task_count {
                     job.done.insert(index);
                 }
             }
             JobKind::Gang => {
-                for index in 0..job.spec.tasks {
+                for index in 0..job.spec.task_count {
                     job.done.insert(index);
                 }
             }
--- a/src/job_shard/peer_reservations.rs
+++ b/src/job_shard/peer_reservations.rs
@@ -57,7 +57,8 @@
         let announced = std::mem::take(&mut self.announced);
         for reservation in announced.values().flat_map(|announced| &announced.list).chain(ours) {
             // The first for a machine names the gang's own priority.
-            let inherited = InheritedReservation { priority: reservation.priority, room: reservation.need };
+            let inherited =
+                InheritedReservation { priority: reservation.priority, room: reservation.resources };
             self.inherited.entry(reservation.machine.clone()).or_insert(inherited);
         }
     }
--- a/src/job_shard/peer_reservations/tests.rs
+++ b/src/job_shard/peer_reservations/tests.rs
@@ -2,7 +2,7 @@
 
 fn reservation(machine: &str, priority: u8, evict: bool) -> Reservation {
     let need = Resources { cpus: 15_000, gpus: 0, memory: 1000 };
-    Reservation { machine: machine.into(), priority, need, evict }
+    Reservation { machine: machine.into(), priority, resources: need, must_preempt: evict }
 }
 
 /// While a gang's new leader learns what the gang had running, small work would fill its machines.
@@ -15,7 +15,7 @@
     reservations.inherited_until = Some(now + INHERITED_FOR);
     reservations.inherit(&[]);
     assert_eq!(reservations.inherited["i-1"].priority, 11, "the gang's own priority: it may go there itself");
-    let need = reservation("", 0, false).need;
+    let need = reservation("", 0, false).resources;
     assert_eq!(
         reservations.inherited_for(now, need),
         ["i-1", "i-2"],
--- a/src/job_shard/places.rs
+++ b/src/job_shard/places.rs
@@ -21,8 +21,8 @@
         let machines = views.iter().filter_map(|view| view.machines(membership.epoch));
         let mut places = Vec::new();
         for machine in machines.flat_map(BTreeMap::values) {
-            if !machine.open
-                || machine.standing != InventoryState::Known
+            if !machine.is_schedulable
+                || machine.inventory_state != InventoryState::Known
                 || self.failures.is_machine_quarantined(now, &machine.name)
             {
                 continue;
@@ -62,7 +62,7 @@
                 && counted.insert(start)
             {
                 let sum = unseen.entry(&start.machine).or_default();
-                *sum = *sum + job.spec.room;
+                *sum = *sum + job.spec.resources_per_task;
             }
         }
         unseen
--- a/src/job_shard/preemption.rs
+++ b/src/job_shard/preemption.rs
@@ -9,7 +9,7 @@
 use crate::quota::QuotaLedger;
 use crate::quota::tier::{self, QuotaTier};
 use crate::scheduler::placement::Place;
-use crate::spec::{GUARANTEED, JobKind, JobSpec};
+use crate::spec::{GUARANTEED_PRIORITY_BONUS, JobKind, JobSpec};
 use crate::units::{Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -50,7 +50,7 @@
     /// Notes the requests of this pass.
     fn note(&mut self, now: Micros, requests: &[Reservation]) {
         self.standing.retain(|_, request| now.since(request.last_named) < REQUEST_GAP);
-        for request in requests.iter().filter(|request| request.priority >= GUARANTEED) {
+        for request in requests.iter().filter(|request| request.priority >= GUARANTEED_PRIORITY_BONUS) {
             let new = StandingRequest { since: now, last_named: now };
             self.standing.entry(request.machine.clone()).or_insert(new).last_named = now;
         }
@@ -97,7 +97,10 @@
             {
                 continue;
             }
-            let need = Resources { memory: 0, ..job.spec.room.times(i64::from(job.unfinished_tasks())) };
+            let need = Resources {
+                memory: 0,
+                ..job.spec.resources_per_task.times(i64::from(job.unfinished_tasks()))
+            };
             let shown_before = tier::effective_priority(job.spec.priority, job.quota_tier);
             job.quota_tier = quota.tier_of(&job.spec.team, id, job.accepted_wall, need);
             if shown_before != tier::effective_priority(job.spec.priority, job.quota_tier) {
@@ -113,7 +116,7 @@
     pub(super) fn promised_machines(&self, now: Micros) -> BTreeSet<String> {
         let requested = self
             .announced_reservations(now)
-            .filter(|request| request.evict && request.priority >= GUARANTEED)
+            .filter(|request| request.must_preempt && request.priority >= GUARANTEED_PRIORITY_BONUS)
             .map(|request| &request.machine);
         requested.chain(&self.preemption_requests.reclaimed).cloned().collect()
     }
@@ -129,7 +132,7 @@
     /// Stops our tasks of lower priority where waiting work needs the room.
     fn preempt_for_requests(&mut self, now: Micros, membership: &Membership) {
         let requests = self.announced_reservations(now).chain(&self.reservations);
-        let requests: Vec<Reservation> = requests.filter(|request| request.evict).cloned().collect();
+        let requests: Vec<Reservation> = requests.filter(|request| request.must_preempt).cloned().collect();
         self.preemption_requests.note(now, &requests);
         for request in requests {
             let last = self.last_preemption.get(&request.machine);
@@ -144,17 +147,17 @@
     fn preempt_on_machine(&mut self, now: Micros, membership: &Membership, request: &Reservation) {
         let Some(machine) = self.machine(&request.machine, membership) else { return };
         // What others are already stopping counts as free.
-        let mut free = machine.by_priority.iter().fold(machine.total, |free, (_, used)| free - *used);
-        if free.holds(request.need) {
+        let mut free = machine.used_by_priority.iter().fold(machine.total, |free, (_, used)| free - *used);
+        if free.can_hold(request.resources) {
             return;
         }
         self.last_preemption.insert(request.machine.clone(), now);
         for (_, id, index) in self.preemptible_tasks(now, request) {
-            if free.holds(request.need) {
+            if free.can_hold(request.resources) {
                 break;
             }
             let Some(job) = self.jobs.get(&id) else { continue };
-            free = free + job.spec.room;
+            free = free + job.spec.resources_per_task;
             let (grace, gang) = (job.stop_grace(), job.spec.kind == JobKind::Gang);
             let priority = request.priority;
             tracing::debug!(job = %id, task = index, machine = %request.machine, priority, "task preempted");
@@ -190,7 +193,7 @@
     /// a start at once, and what others run may go on for long.
     pub(super) fn leave_headroom(&self, places: &mut [Place]) {
         let competes = |job: &Job| {
-            job.spec.priority < GUARANTEED
+            job.spec.priority < GUARANTEED_PRIORITY_BONUS
                 && !job.is_waiting()
                 && (job.assignments.len() as u32) < job.unfinished_tasks()
         };
@@ -223,7 +226,10 @@
                     return;
                 }
                 let place = &places[i];
-                let tasks = place.free_for(GUARANTEED).count_of(shortfall.spec.room).min(left);
+                let tasks = place
+                    .free_for(GUARANTEED_PRIORITY_BONUS)
+                    .max_count_of(shortfall.spec.resources_per_task)
+                    .min(left);
                 if tasks <= 0 {
                     continue;
                 }
@@ -235,8 +241,8 @@
                 self.reservations.push(Reservation {
                     machine,
                     priority: shortfall.spec.priority,
-                    need: shortfall.spec.room.times(tasks),
-                    evict: true,
+                    resources: shortfall.spec.resources_per_task.times(tasks),
+                    must_preempt: true,
                 });
             }
         }
@@ -245,14 +251,15 @@
     /// Places where room may be reclaimed: those that are being emptied already first, then where most can be had of what
     /// the work needs most.
     fn reclaimable_places(&self, places: &[Place], used: &BTreeSet<usize>, spec: &JobSpec) -> Vec<usize> {
-        let dimension = |room: Resources| if spec.room.gpus > 0 { room.gpus } else { room.cpus };
+        let dimension =
+            |room: Resources| if spec.resources_per_task.gpus > 0 { room.gpus } else { room.cpus };
         let mut usable: Vec<(bool, i64, usize)> = places
             .iter()
             .enumerate()
             .filter(|(i, place)| !used.contains(i) && place.is_allowed(spec))
             .map(|(i, place)| {
                 let is_new = !self.reclaim_since.contains_key(&place.machine.name);
-                (is_new, dimension(place.free) - dimension(place.free_for(GUARANTEED)), i)
+                (is_new, dimension(place.free) - dimension(place.free_for(GUARANTEED_PRIORITY_BONUS)), i)
             })
             .filter(|(is_new, gain, _)| !is_new || *gain < 0)
             .collect();
@@ -265,7 +272,7 @@
     fn save_before_loss(&mut self, now: Micros, membership: &Membership) {
         let noticed: Vec<(String, Micros)> = self
             .machines(membership.epoch)
-            .filter_map(|machine| Some((machine.name.clone(), machine.notice_at?.since(now))))
+            .filter_map(|machine| Some((machine.name.clone(), machine.termination_at?.since(now))))
             .collect();
         for (machine, left) in noticed {
             let tasks = self.assigned_by_machine.get(&machine).cloned().unwrap_or_default();
@@ -278,7 +285,7 @@
     /// Has one task save and stop, with the rest of its gang, if it can in the time left.
     fn save_task(&mut self, machine: &str, id: &str, index: u32, left: Micros) {
         let Some(job) = self.jobs.get(id) else { return };
-        let save = job.spec.save;
+        let save = job.spec.checkpoint_duration;
         if !job.can_save() || left < save {
             return;
         }
@@ -315,6 +322,6 @@
             break;
         }
         lacking -= dimension(places[i].free).max(0);
-        places[i].reserved_for = places[i].reserved_for.max(Some(GUARANTEED));
+        places[i].reserved_for = places[i].reserved_for.max(Some(GUARANTEED_PRIORITY_BONUS));
     }
 }
--- a/src/job_shard/quota_needs.rs
+++ b/src/job_shard/quota_needs.rs
@@ -51,7 +51,7 @@
             && !self.failures.is_job_quarantined(id)
             && team.first().is_none_or(|need| need.priority < FIRST);
         if goes_first {
-            let left = job.spec.tasks.saturating_sub(job.done.len()).min(1) as usize;
+            let left = job.spec.task_count.saturating_sub(job.done.len()).min(1) as usize;
             let more = left.saturating_sub(job.assignments.len()) as i64;
             team.insert(0, QuotaNeed { more_tasks: more, priority: FIRST, ..need });
         } else {
@@ -62,16 +62,16 @@
     /// What a job needs beside its team's other jobs.
     fn need_of(&self, id: &str, job: &Job) -> QuotaNeed {
         let is_array = job.spec.kind == JobKind::Array;
-        let left = job.spec.tasks.saturating_sub(job.done.len()) as usize;
+        let left = job.spec.task_count.saturating_sub(job.done.len()) as usize;
         QuotaNeed {
             in_use: self.resources_in_use(id, job),
-            per_task: Resources { memory: 0, ..job.spec.room },
+            per_task: Resources { memory: 0, ..job.spec.resources_per_task },
             more_tasks: match self.failures.is_job_quarantined(id) && is_array {
                 true => i64::from(job.assignments.is_empty()),
                 false => left.saturating_sub(job.assignments.len()) as i64,
             },
             all_or_nothing: !is_array,
-            is_settled: job.has_known_starts(),
+            is_usage_known: job.has_known_starts(),
             priority: job.spec.priority,
             accepted: job.accepted_wall,
             job: id.to_owned(),
--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -68,7 +68,7 @@
         MachineReport {
             name,
             snapshot,
-            inventory: snapshot.map_or(InventoryState::Gone, |machine| machine.standing),
+            inventory: snapshot.map_or(InventoryState::Gone, |machine| machine.inventory_state),
             tasks: snapshot.map_or(&[], |machine| &machine.tasks),
             seen_revision: view.revision_seen(epoch),
         }
@@ -138,7 +138,7 @@
             {
                 assignment.first_revision = assignment.first_revision.min(rev);
                 let priority = tier::effective_priority(job.spec.priority, job.quota_tier);
-                (job.spec.room, assignment.action, priority, job.spec.image_hash)
+                (job.spec.resources_per_task, assignment.action, priority, job.spec.image_hash)
             } else if let Some(retired) = self.retired_starts.get_mut(&retired) {
                 retired.first_revision = retired.first_revision.min(rev);
                 (retired.room, retired.action, retired.priority, 0)
@@ -146,16 +146,16 @@
                 state.removed.push((machine.clone(), key.clone()));
                 continue;
             };
-            state.list.push(DesiredTask {
+            state.tasks.push(DesiredTask {
                 key: key.clone(),
                 machine: machine.clone(),
-                room,
+                resources: room,
                 action,
                 priority,
                 image,
             });
         }
-        self.views[leader].await_answer(rev, newly_named);
+        self.views[leader].record_start_request(rev, newly_named);
         state
     }
 
@@ -179,7 +179,7 @@
         }
         let Some(change) = view.apply_delta(now, membership.epoch, delta) else { return false };
         let mut names = change.names;
-        if change.is_whole {
+        if change.is_full {
             names.extend(self.machines_with_starts_of(membership, from));
         }
         if names.is_empty() {
@@ -251,7 +251,7 @@
         let arrived = self
             .retired_starts
             .on_machine(report.name)
-            .filter(|(task, alive)| *alive && phase_of(task).is_some_and(TaskPhase::arrived))
+            .filter(|(task, alive)| *alive && phase_of(task).is_some_and(TaskPhase::has_arrived))
             .map(|(task, _)| key_of(task));
         for key in arrived.collect::<Vec<_>>() {
             if let Some(start) = self.retired_starts.get_mut(&key) {
@@ -353,7 +353,7 @@
 
     /// Stops a start that is not to be adopted, or has its agent forget it.
     fn retire_unknown_start(&mut self, key: &TaskKey, start: &Assignment, phase: TaskPhase) {
-        let room = self.jobs.get(&key.job).map(|job| job.spec.room).unwrap_or_default();
+        let room = self.jobs.get(&key.job).map(|job| job.spec.resources_per_task).unwrap_or_default();
         let exited = matches!(phase, TaskPhase::Exited(_));
         let done = phase == TaskPhase::Exited(TaskExit::Done);
         let action = match (exited, done && !self.is_recorded(&key.job, key.index)) {
@@ -397,12 +397,12 @@
     fn end_task(&mut self, now: Micros, id: &str, index: u32, exit: TaskExit) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(assignment) = job.assignments.remove(&index) else { return };
-        let (room, gang) = (job.spec.room, job.spec.kind == JobKind::Gang);
+        let (room, gang) = (job.spec.resources_per_task, job.spec.kind == JobKind::Gang);
         let machine = assignment.machine.as_str();
         let done = exit == TaskExit::Done;
         match exit {
-            TaskExit::Error | TaskExit::Unknown => job.not_before = now + ERROR_PAUSE,
-            TaskExit::NoRoom | TaskExit::Busy => job.not_before = now + NO_ROOM_PAUSE,
+            TaskExit::Error | TaskExit::UnknownTask => job.not_before = now + ERROR_PAUSE,
+            TaskExit::NoRoom | TaskExit::AttemptConflict => job.not_before = now + NO_ROOM_PAUSE,
             _ => {}
         }
         if !done {
@@ -453,7 +453,7 @@
 fn can_adopt(job: &Job, observed: &ObservedTask) -> bool {
     let key = &observed.key;
     !matches!(observed.phase, TaskPhase::Exited(_) | TaskPhase::Held | TaskPhase::Queued)
-        && key.index < job.spec.tasks
+        && key.index < job.spec.task_count
         && job.pending_outcome.is_none()
         && !job.done.contains(key.index)
         && !job.assignments.contains_key(&key.index)
--- a/src/job_shard/records.rs
+++ b/src/job_shard/records.rs
@@ -7,7 +7,7 @@
 use super::outcomes::JobOutcome;
 use crate::peer::DesiredAction;
 use crate::spec::JobSpec;
-use crate::units::{Micros, Ranges};
+use crate::units::{Micros, TaskIndexSet};
 use crate::wire::users;
 use serde_json::{Value, json};
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordWrite {
     /// Progress: the record, and the completed tasks that it names.
-    Progress(Value, Ranges),
+    Progress(Value, TaskIndexSet),
     /// The end: the outcome, and the final record.
     End(JobOutcome, Value),
 }
@@ -34,43 +34,43 @@
 impl JobShard {
     /// Reads a job's record: its description, what that says, when it was accepted, and its completed tasks. None if it
     /// is of an unknown form.
-    pub fn read_record(record: &Value) -> Option<(Value, JobSpec, Micros, Ranges)> {
+    pub fn read_record(record: &Value) -> Option<(Value, JobSpec, Micros, TaskIndexSet)> {
         let raw = dependencies::restored(record.get("spec")?)?;
         let spec = JobSpec::from_value(&raw).ok()?;
         let accepted = Micros(record.get("accepted_us")?.as_u64()?);
-        let done = Ranges::decode(record.get("done")?.as_str()?, spec.tasks)?;
+        let done = TaskIndexSet::decode(record.get("done")?.as_str()?, spec.task_count)?;
         Some((raw, spec, accepted, done))
     }
 
     /// A job's record.
-    pub fn record(raw: &Value, accepted: Micros, done: &str) -> Value {
+    pub fn build_record(raw: &Value, accepted: Micros, done: &str) -> Value {
         json!({"spec": raw, "accepted_us": accepted.0, "done": done})
     }
 
     /// The record of a job that waits for others.
-    pub fn waiting_record(raw: &Value, accepted: Micros) -> Value {
-        JobShard::record(&dependencies::held(raw, false), accepted, "")
+    pub fn build_waiting_record(raw: &Value, accepted: Micros) -> Value {
+        JobShard::build_record(&dependencies::held(raw, false), accepted, "")
     }
 
     /// The record of a job that is new.
-    pub fn new_record(raw: &Value, spec: &JobSpec, accepted: Micros) -> Value {
-        match (Hold::of(spec, raw).is_some(), spec.follows.is_empty()) {
-            (true, _) => JobShard::record(&dependencies::held(raw, true), accepted, ""),
-            (_, false) => JobShard::waiting_record(raw, accepted),
-            _ => JobShard::record(raw, accepted, ""),
+    pub fn build_new_record(raw: &Value, spec: &JobSpec, accepted: Micros) -> Value {
+        match (Hold::of(spec, raw).is_some(), spec.dependencies.is_empty()) {
+            (true, _) => JobShard::build_record(&dependencies::held(raw, true), accepted, ""),
+            (_, false) => JobShard::build_waiting_record(raw, accepted),
+            _ => JobShard::build_record(raw, accepted, ""),
         }
     }
 
     /// The most bytes that a job's record may come to, its progress aside, and its end's: to be looked at before it is
     /// taken, since what an end says may not be left out later.
-    pub fn longest(raw: &Value, spec: &JobSpec, accepted: Micros) -> usize {
+    pub fn max_record_bytes(raw: &Value, spec: &JobSpec, accepted: Micros) -> usize {
         let bytes = |record: Value| record.to_string().len();
-        let first = bytes(JobShard::new_record(raw, spec, accepted));
+        let first = bytes(JobShard::build_new_record(raw, spec, accepted));
         if !spec.has_coordination_record() {
             return first;
         }
-        let later = JobShard::record(&dependencies::released(raw, accepted), accepted, "");
-        let end = JobShard::end_record(raw, JobOutcome::Cancelled, spec.tasks);
+        let later = JobShard::build_record(&dependencies::released(raw, accepted), accepted, "");
+        let end = JobShard::end_record(raw, JobOutcome::Cancelled, spec.task_count);
         first.max(bytes(later)).max(bytes(end))
     }
 
@@ -108,7 +108,7 @@
     fn next_end(&mut self, now: Micros) -> Option<(String, RecordWrite, u64)> {
         // Guards against an end that is told by who led the job before us and reads it there, while we have yet to hear that
         // our write was carried out and still say that the job runs.
-        if !self.alone {
+        if !self.older_leaders_stopped {
             return None;
         }
         let id = self.first_due_end(now)?;
@@ -160,7 +160,7 @@
             let raw = JobShard::stored_raw(job);
             let raw_bytes = raw.to_string().len();
             let text = job.done.encode(self.value_bytes.saturating_sub(raw_bytes + RECORD_OVERHEAD));
-            let recorded = Ranges::decode(&text, job.spec.tasks).unwrap_or_default();
+            let recorded = TaskIndexSet::decode(&text, job.spec.task_count).unwrap_or_default();
             // A description from before the limits fell may fill a value by itself: its progress stays
             // with the agents until its end, which is short, is on record.
             if recorded == job.recorded || raw_bytes + LEAST_OVERHEAD > self.value_bytes {
@@ -168,14 +168,14 @@
                 continue;
             }
             job.write_in_flight = true;
-            let record = JobShard::record(&raw, job.accepted_wall, &text);
+            let record = JobShard::build_record(&raw, job.accepted_wall, &text);
             return Some((id.clone(), RecordWrite::Progress(record, recorded), job.store_version));
         }
         None
     }
 
     /// Progress is on record: agents may forget the tasks that it names.
-    pub fn confirm_progress(&mut self, now: Micros, id: &str, recorded: Ranges, store_version: u64) {
+    pub fn confirm_progress(&mut self, now: Micros, id: &str, recorded: TaskIndexSet, store_version: u64) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.write_in_flight = false;
         job.store_version = job.store_version.max(store_version);
--- a/src/job_shard/reservations.rs
+++ b/src/job_shard/reservations.rs
@@ -34,8 +34,10 @@
 impl AutoscalerReservations {
     /// The least priority of work that may use a machine.
     pub(super) fn priority_for(&self, machine: &MachineStatus) -> Option<u8> {
-        let of_type =
-            self.types.iter().filter(|(kind, spot, _)| *kind == machine.kind && *spot == machine.spot);
+        let of_type = self
+            .types
+            .iter()
+            .filter(|(kind, spot, _)| *kind == machine.machine_type && *spot == machine.spot);
         of_type.map(|(.., priority)| *priority).max().max(self.machines.get(&machine.name).copied())
     }
 }
@@ -64,7 +66,7 @@
         }
         let usable = places.iter().filter(|place| place.is_allowed(&job.spec)).count();
         let most = if overdue { usable / 8 } else { (usable / 2).min(places.len() / 6) };
-        self.withheld + job.spec.tasks as usize <= most
+        self.withheld + job.spec.task_count as usize <= most
     }
 }
 
@@ -123,7 +125,7 @@
         }
         let inherited;
         let previous = if job.reserved_machines.is_empty() {
-            inherited = self.peer_reservations.inherited_for(*now, job.spec.room);
+            inherited = self.peer_reservations.inherited_for(*now, job.spec.resources_per_task);
             &inherited
         } else {
             &job.reserved_machines
@@ -150,8 +152,12 @@
 /// What the other leaders of jobs are told of a reserved machine.
 fn announcements(machine: &str, spec: &JobSpec, quota_tier: QuotaTier, overdue: bool) -> Vec<Reservation> {
     let preempting = tier::preempting_priority(spec.priority, quota_tier);
-    let reservation =
-        |priority, evict| Reservation { machine: machine.to_owned(), priority, need: spec.room, evict };
+    let reservation = |priority, evict| Reservation {
+        machine: machine.to_owned(),
+        priority,
+        resources: spec.resources_per_task,
+        must_preempt: evict,
+    };
     let mut announced = vec![reservation(spec.priority, preempting == spec.priority)];
     if overdue {
         // Work of its own rank that came later must not slip in there any more.
--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -52,7 +52,7 @@
     fn is_exhausted_for_gang(&self, spec: &JobSpec) -> bool {
         self.exhausted.iter().any(|failed| {
             failed.kind == JobKind::Gang
-                && failed.tasks <= spec.tasks
+                && failed.task_count <= spec.task_count
                 && placement::is_no_easier(spec, failed)
         })
     }
@@ -225,7 +225,7 @@
         // Most jobs have all their tasks placed: they cost a look.
         let placed = job.done.len() as usize + job.assignments.len();
         let pauses = now < job.not_before || self.failures.awaits_probe(now, id);
-        job.has_known_starts() && !pauses && placed < job.spec.tasks as usize
+        job.has_known_starts() && !pauses && placed < job.spec.task_count as usize
     }
 
     fn note_shape_of(&mut self, pass: &Pass, id: &str) {
@@ -274,7 +274,7 @@
         if job.gang.is_some() || !job.assignments.is_empty() || !candidate.retiring.is_empty() {
             return None;
         }
-        if candidate.allowance.count_of(spec.room) < i64::from(spec.tasks) {
+        if candidate.allowance.max_count_of(spec.resources_per_task) < i64::from(spec.task_count) {
             return None;
         }
         let hopeless = pass.is_exhausted_for_gang(spec);
@@ -286,10 +286,15 @@
                 candidate.may_use(machine, &pass.promised)
             })
         };
-        Loans::take_back(&mut pass.places, &lent, spec.room, found.as_deref().unwrap_or_default());
+        Loans::take_back(
+            &mut pass.places,
+            &lent,
+            spec.resources_per_task,
+            found.as_deref().unwrap_or_default(),
+        );
         if let Some(found) = found {
             for &place in &found {
-                pass.places[place].take(spec.room);
+                pass.places[place].take(spec.resources_per_task);
             }
             let starts = found.into_iter().zip(0..).map(|(place, index)| PlannedStart { index, place });
             return Some(JobPlan { starts: starts.collect(), ..JobPlan::default() });
@@ -302,13 +307,14 @@
             pass.exhausted.push(spec.clone());
         }
         let (reserved_machines, reservations) = self.reserve_for(pass, job, candidate.age);
-        Some(JobPlan { starts: Vec::new(), unplaced: spec.tasks, reserved_machines, reservations })
+        Some(JobPlan { starts: Vec::new(), unplaced: spec.task_count, reserved_machines, reservations })
     }
 
     /// Places as many tasks of an array or a service as its quota allows.
     fn plan_tasks(&self, pass: &mut Pass, candidate: &Candidate) -> JobPlan {
         let (job, spec) = (candidate.job, &candidate.job.spec);
-        let mut allowed = candidate.allowance.count_of(spec.room).clamp(0, i64::from(u32::MAX)) as usize;
+        let mut allowed =
+            candidate.allowance.max_count_of(spec.resources_per_task).clamp(0, i64::from(u32::MAX)) as usize;
         // A job that fails everywhere is tried with one task at a time.
         if candidate.quarantined {
             allowed = usize::from(job.assignments.is_empty() && allowed > 0);
@@ -316,7 +322,7 @@
         let lot = if self.is_overdue_to_begin(job) { allowed.min(FIRST_LOT) } else { allowed };
         let next: Vec<u32> = job
             .done
-            .gaps(spec.tasks)
+            .gaps(spec.task_count)
             .filter(|index| !job.assignments.contains_key(index) && !candidate.retiring.contains(index))
             .take(lot.min(pass.starts_left))
             .collect();
@@ -328,11 +334,12 @@
         } else {
             place_on_lent_first(pass, candidate, &lent, next.len())
         };
-        Loans::take_back(&mut pass.places, &lent, spec.room, &found);
+        Loans::take_back(&mut pass.places, &lent, spec.resources_per_task, &found);
         let mut unplaced = 0;
         if found.len() < next.len() {
             // A task may be known to be done by another's word while its start still counts as placed.
-            let left = (spec.tasks as usize).saturating_sub(job.done.len() as usize + job.assignments.len());
+            let left =
+                (spec.task_count as usize).saturating_sub(job.done.len() as usize + job.assignments.len());
             unplaced = left.saturating_sub(found.len()).min(allowed) as u32;
             if !hopeless && candidate.is_representative() && !spec.one_zone {
                 pass.exhausted.push(spec.clone());
--- a/src/job_shard/stale_inputs.rs
+++ b/src/job_shard/stale_inputs.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
     /// It may run.
-    Stands,
+    Active,
     /// It is being stopped.
     Stopping,
     /// It is over, or there never was one.
-    Over,
+    Ended,
     /// Not all machines that may run it have been heard.
     Unknown,
 }
@@ -20,26 +20,26 @@
 impl JobShard {
     /// How an attempt of a live job stands; `task` is None for a gang, whose attempts are the job's.
     pub fn attempt_status(&self, id: &str, task: Option<u32>, attempt: u64) -> AttemptStatus {
-        let Some(job) = self.jobs.get(id) else { return AttemptStatus::Over };
+        let Some(job) = self.jobs.get(id) else { return AttemptStatus::Ended };
         let is_of = |index: u32| task.is_none_or(|task| task == index);
         let assigned = job.assignments.iter().find(|(index, a)| is_of(**index) && a.attempt == attempt);
         if let Some((_, assignment)) = assigned {
             return match assignment.is_stopping() {
                 true => AttemptStatus::Stopping,
-                false => AttemptStatus::Stands,
+                false => AttemptStatus::Active,
             };
         }
         let mut alive = self.retired_starts.alive_of(id);
         match (alive.any(|(key, _)| is_of(key.index) && key.attempt == attempt), job.has_known_starts()) {
             (true, _) => AttemptStatus::Stopping,
-            (false, true) => AttemptStatus::Over,
+            (false, true) => AttemptStatus::Ended,
             (false, false) => AttemptStatus::Unknown,
         }
     }
 
     /// Stops what runs of a merge, with no time to save: what it made of old inputs is worth nothing. Tasks that
     /// `writes` names have begun to write and go on. Returns how many were stopped.
-    pub fn stop_stale(&mut self, id: &str, writes: impl Fn(Option<u32>, u64) -> bool) -> usize {
+    pub fn stop_stale_attempts(&mut self, id: &str, writes: impl Fn(Option<u32>, u64) -> bool) -> usize {
         let Some(job) = self.jobs.get(id) else { return 0 };
         let gang = job.spec.kind == JobKind::Gang;
         let stale: Vec<u32> = job
--- a/src/job_shard/start_replication.rs
+++ b/src/job_shard/start_replication.rs
@@ -131,7 +131,7 @@
             });
             self.start_replication.jobs_changed = true;
             helped += 1;
-            let tasks = job.spec.tasks;
+            let tasks = job.spec.task_count;
             for start in starts.remove(id.as_str()).unwrap_or_default() {
                 if start.index < tasks {
                     self.take_start(now, id, start);
--- a/src/job_shard/tests.rs
+++ b/src/job_shard/tests.rs
@@ -5,7 +5,7 @@
 };
 use crate::quota::QuotaLedger;
 use crate::spec::JobSpec;
-use crate::units::Ranges;
+use crate::units::TaskIndexSet;
 use serde_json::{Value, json};
 
 fn settings() -> Settings {
@@ -47,23 +47,23 @@
     shard.finish_loading(std::iter::empty());
     shard.apply_autoscaler_reservations(Vec::new(), Vec::new());
     let spec = JobSpec::from_value(&raw).expect("valid");
-    shard.insert_job(raw, spec, Micros(1), Ranges::default(), 1, true);
+    shard.insert_job(raw, spec, Micros(1), TaskIndexSet::default(), 1, true);
     let room = Resources { cpus: 8000, gpus: 0, memory: 9000 };
     let machine = MachineStatus {
         name: "i-1".into(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "z".into(),
         spot: true,
-        standing: InventoryState::Known,
-        open: true,
-        notice: None,
+        inventory_state: InventoryState::Known,
+        is_schedulable: true,
+        time_to_termination: None,
         free: room,
         total: room,
-        by_priority: Vec::new(),
+        used_by_priority: Vec::new(),
         images: Vec::new(),
-        busy: 0,
-        idle: None,
-        silent: None,
+        task_count: 0,
+        idle_time: None,
+        silent_time: None,
         tasks: Vec::new(),
     };
     (membership, quota, shard, machine)
@@ -81,15 +81,15 @@
             whole_status(&membership, 1, 0, vec![machine.clone()]),
         );
         shard.run_scheduling_pass(now, now, &membership, &quota);
-        let DesiredState { revision: rev, list: wanted, .. } = shard.next_desired_state(0, &membership);
+        let DesiredState { revision: rev, tasks: wanted, .. } = shard.next_desired_state(0, &membership);
         assert_eq!(wanted[0].action, DesiredAction::Run);
         machine.tasks = vec![ObservedTask { key: wanted[0].key.clone(), phase: TaskPhase::Running }];
-        machine.notice = Some(Micros::from_millis(9000));
+        machine.time_to_termination = Some(Micros::from_millis(9000));
         shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 2, rev, vec![machine]));
         shard.preempt_tasks(now, &membership);
         // What stays as it was is not said again.
         let expected = stops.then_some(DesiredAction::Stop(Micros::from_millis(5000)));
-        assert_eq!(shard.next_desired_state(0, &membership).list.first().map(|w| w.action), expected);
+        assert_eq!(shard.next_desired_state(0, &membership).tasks.first().map(|w| w.action), expected);
     }
 }
 
@@ -103,9 +103,9 @@
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 1, 0, fleet.clone()));
     shard.run_scheduling_pass(now, now, &membership, &quota);
     let first = shard.next_desired_state(0, &membership);
-    assert_eq!(first.list.len(), 400);
+    assert_eq!(first.tasks.len(), 400);
     // Not seen yet, so it is named again.
-    assert_eq!(shard.next_desired_state(0, &membership).list.len(), 400);
+    assert_eq!(shard.next_desired_state(0, &membership).tasks.len(), 400);
     let seen = MachineStatusDelta {
         sequence: (membership.epoch << 32) + 2,
         base_sequence: 0,
@@ -113,7 +113,7 @@
         machines: Vec::new(),
     };
     let on = |d: &MachineStatus| {
-        let here = first.list.iter().filter(|w| w.machine == d.name);
+        let here = first.tasks.iter().filter(|w| w.machine == d.name);
         MachineStatus { tasks: here.map(|w| running(&w.key)).collect(), ..d.clone() }
     };
     shard.apply_machine_status(
@@ -122,7 +122,7 @@
         0,
         MachineStatusDelta { machines: fleet.iter().map(on).collect(), ..seen.clone() },
     );
-    assert!(shard.next_desired_state(0, &membership).list.is_empty());
+    assert!(shard.next_desired_state(0, &membership).tasks.is_empty());
     let mut one = on(&fleet[7]);
     one.tasks[0].phase = TaskPhase::Exited(TaskExit::Stopped(false));
     let change = MachineStatusDelta {
@@ -132,7 +132,7 @@
         ..seen
     };
     assert!(shard.apply_machine_status(now, &membership, 0, change));
-    assert_eq!(shard.next_desired_state(0, &membership).list.len(), 1);
+    assert_eq!(shard.next_desired_state(0, &membership).tasks.len(), 1);
 }
 
 /// Guards against first come first served, which makes most jobs late in a surge that no fleet could carry.
@@ -144,7 +144,7 @@
         let mut r = raw("batch", tasks, 0.0);
         r["uid"] = json!(id);
         let spec = JobSpec::from_value(&r).expect("valid");
-        shard.insert_job(r, spec, Micros::from_millis(accepted_s * 1000), Ranges::default(), 1, true);
+        shard.insert_job(r, spec, Micros::from_millis(accepted_s * 1000), TaskIndexSet::default(), 1, true);
     };
     add("wk-2", 9, 90);
     add("wk-3", 2, 58);
@@ -153,10 +153,10 @@
     shard.jobs.get_mut("wk-1").expect("live").accepted_wall = Micros::from_millis(80_000);
     shard.run_scheduling_pass(now, now, &membership, &quota);
     assert_eq!(shard.queue_order(), ["wk-2", "wk-1", "wk-3"], "the third can't be on time any more");
-    shard.jobs.get_mut("wk-1").expect("live").spec.tasks = 9;
+    shard.jobs.get_mut("wk-1").expect("live").spec.task_count = 9;
     assert_eq!(shard.queue_order(), ["wk-1", "wk-2", "wk-3"], "by age while the queue is short");
     // Whatever is late goes behind, but what has waited for 45 s to begin is not overtaken for ever.
-    shard.note_time(Micros::from_millis(104_000));
+    shard.advance_wall_clock(Micros::from_millis(104_000));
     assert_eq!(shard.queue_order(), ["wk-3", "wk-1", "wk-2"]);
 }
 
@@ -169,7 +169,7 @@
         let mut r = raw("group", tasks, 0.0);
         (r["vcpus"], r["cards"]) = (json!(cpus), json!(gpus));
         shard.note_shape(Micros(1), &JobSpec::from_value(&r).expect("valid"), Micros(0));
-        shard.demands().iter().map(|d| (d.together, d.room.cpus / 1000)).collect::<Vec<_>>()
+        shard.demands().iter().map(|d| (d.gang_size, d.resources_per_task.cpus / 1000)).collect::<Vec<_>>()
     };
     note(24, 15.0, 0.0);
     note(4, 96.0, 8.0);
@@ -183,7 +183,7 @@
         "borrowed":true,"rideS":40.0,"restS":0,"unsaddleS":0}))
     .expect("valid");
     let mut run_times = RunTimes::default();
-    assert_eq!(run_times.likely(&s), s.estimate);
+    assert_eq!(run_times.likely(&s), s.estimated_run_time);
     for _ in 0..3 {
         run_times.record(&s, Micros::from_millis(20_000));
     }
@@ -205,7 +205,7 @@
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 1, 0, vec![machine]));
     assert!(shard.cancel("wk-1"));
     shard.run_scheduling_pass(now, now, &membership, &quota);
-    assert!(shard.next_desired_state(0, &membership).list.is_empty());
+    assert!(shard.next_desired_state(0, &membership).tasks.is_empty());
 }
 
 #[test]
@@ -214,7 +214,7 @@
     let now = Micros::from_millis(1000);
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 1, 0, vec![machine.clone()]));
     shard.run_scheduling_pass(now, now, &membership, &quota);
-    let DesiredState { revision: rev, list: wanted, .. } = shard.next_desired_state(0, &membership);
+    let DesiredState { revision: rev, tasks: wanted, .. } = shard.next_desired_state(0, &membership);
     let old = TaskKey { attempt: 5, ..wanted[0].key.clone() };
     machine.tasks = vec![running(&old), running(&wanted[0].key)];
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 2, rev, vec![machine.clone()]));
@@ -223,7 +223,7 @@
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 3, rev, vec![machine, other]));
     let later = Micros::from_millis(9000);
     shard.run_scheduling_pass(later, later, &membership, &quota);
-    let wanted = shard.next_desired_state(0, &membership).list;
+    let wanted = shard.next_desired_state(0, &membership).tasks;
     assert_eq!(wanted.len(), 1);
     assert_eq!((&wanted[0].key, wanted[0].action), (&old, DesiredAction::Stop(Micros(0))));
     // It counts towards its team's quota all the while.
@@ -236,11 +236,11 @@
     let now = Micros::from_millis(1000);
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 1, 0, vec![machine.clone()]));
     shard.run_scheduling_pass(now, now, &membership, &quota);
-    let DesiredState { revision: rev, list: wanted, .. } = shard.next_desired_state(0, &membership);
+    let DesiredState { revision: rev, tasks: wanted, .. } = shard.next_desired_state(0, &membership);
     let done = ObservedTask { key: wanted[0].key.clone(), phase: TaskPhase::Exited(TaskExit::Done) };
     machine.tasks = vec![done, running(&wanted[1].key)];
     let want_of = |shard: &mut JobShard| {
-        let list = shard.next_desired_state(0, &membership).list;
+        let list = shard.next_desired_state(0, &membership).tasks;
         list.iter().find(|w| w.key.index == 0).map(|w| w.action)
     };
     for seq in 2..5 {
--- a/src/job_shard/unresolved_starts.rs
+++ b/src/job_shard/unresolved_starts.rs
@@ -49,7 +49,7 @@
             let unplaced = try_to_place(pass, &mut exhausted, &spec, lacking);
             self.note_shape(pass.now, &spec, whole_horizon);
             if unplaced > 0 {
-                let count = if spec.kind == JobKind::Gang { spec.tasks } else { unplaced as u32 };
+                let count = if spec.kind == JobKind::Gang { spec.task_count } else { unplaced as u32 };
                 let demand = self.demand_of(&spec, count, horizon);
                 self.unresolved_demand.demands.push(demand);
             }
@@ -70,15 +70,15 @@
         }
         let gang = spec.kind == JobKind::Gang;
         let there = job.assignments.len() + self.retired_starts.alive_of(id).count();
-        let lacking = (spec.tasks as usize).saturating_sub(job.done.len() as usize + there);
+        let lacking = (spec.task_count as usize).saturating_sub(job.done.len() as usize + there);
         // As many of its tasks are likely to be on a machine that is not heard as on one that is. A gang is there or
         // is not.
         let expected = (there * hidden).div_ceil(pass.machine_count.saturating_sub(hidden).max(1));
         let lacking = if gang && there > 0 { 0 } else { lacking.saturating_sub(expected) };
         let allowance = pass.quota.usable(&spec.team, id) - self.resources_in_use(id, job);
         let allowance = Resources { memory: i64::MAX / 4, ..allowance };
-        let allowed = allowance.count_of(spec.room).clamp(0, lacking as i64);
-        if gang && allowed < i64::from(spec.tasks) { 0 } else { allowed as usize }
+        let allowed = allowance.max_count_of(spec.resources_per_task).clamp(0, lacking as i64);
+        if gang && allowed < i64::from(spec.task_count) { 0 } else { allowed as usize }
     }
 }
 
--- a/src/job_shard/unresolved_starts/tests.rs
+++ b/src/job_shard/unresolved_starts/tests.rs
@@ -1,7 +1,7 @@
 use super::super::tests::{raw, running, shard_with_job, whole_status};
 use super::*;
 use crate::peer::{DesiredAction, InventoryState, MachineStatus, TaskKey};
-use crate::units::Ranges;
+use crate::units::TaskIndexSet;
 use serde_json::json;
 
 /// Guards against all work waiting for a few dead machines while the autoscaler sees nothing queue.
@@ -10,14 +10,14 @@
     let (membership, quota, mut shard, machine) = shard_with_job(raw("batch", 4, 0.0));
     let now = Micros::from_millis(1000);
     let fleet: Vec<MachineStatus> = (0..20)
-        .map(|i| MachineStatus { name: format!("i-{i:02}"), open: i < 2, ..machine.clone() })
+        .map(|i| MachineStatus { name: format!("i-{i:02}"), is_schedulable: i < 2, ..machine.clone() })
         .collect();
     // A new epoch: one machine of twenty is not heard, and 40 tasks of a job taken over run on the others.
     shard.adopt_epoch(&membership, false);
     let mut r = raw("batch", 100, 0.0);
     r["uid"] = json!("wk-2");
     let spec = JobSpec::from_value(&r).expect("valid");
-    shard.insert_job(r, spec, Micros(1), Ranges::default(), 1, false);
+    shard.insert_job(r, spec, Micros(1), TaskIndexSet::default(), 1, false);
     shard.finish_loading(fleet.iter().map(|d| d.name.clone()));
     let mut seq = 0;
     let mut tell = |shard: &mut JobShard, unheard: usize| {
@@ -25,7 +25,7 @@
         for (i, d) in list.iter_mut().enumerate() {
             let key = |index| TaskKey { job: "wk-2".into(), index, attempt: 9 };
             match i < unheard {
-                true => (d.standing, d.open) = (InventoryState::Unconfirmed, false),
+                true => (d.inventory_state, d.is_schedulable) = (InventoryState::Unconfirmed, false),
                 false => d.tasks = (0..2).map(|k| running(&key((i * 2 + k) as u32))).collect(),
             }
         }
@@ -43,7 +43,7 @@
     // Less those seen, those that may well be on the unheard one, and those that fit beside two on the one open.
     assert_eq!(asked(&mut shard, 2000), 100 - 38 - 2 - 2);
     assert!(
-        shard.next_desired_state(0, &membership).list.iter().all(|w| w.action != DesiredAction::Run),
+        shard.next_desired_state(0, &membership).tasks.iter().all(|w| w.action != DesiredAction::Run),
         "nothing of it is placed"
     );
     assert_eq!(shard.unresolved_job_count(), 1);
--- a/src/machine_registry.rs
+++ b/src/machine_registry.rs
@@ -132,7 +132,7 @@
     }
 
     /// A new epoch: all pages are read again.
-    pub fn begin_epoch(&mut self) {
+    pub fn adopt_epoch(&mut self) {
         for page in self.pages.values_mut() {
             page.version = 0;
             page.is_dirty = true;
--- a/src/machine_shard.rs
+++ b/src/machine_shard.rs
@@ -138,26 +138,26 @@
 
     /// A message of a jobs' leader was taken; it had heard our clock at `echo`, and takes account of our state numbered
     /// `seen`.
-    pub fn note_owner_message(&mut self, owner: usize, echo: Micros, seen: u64) {
+    pub fn record_job_leader_message(&mut self, owner: usize, echo: Micros, seen: u64) {
         self.owner_liveness.note_message(owner, echo, seen);
     }
 
     /// Whether any jobs' leader has said something since this was last called.
     #[must_use]
-    pub fn take_owner_news(&mut self) -> bool {
+    pub fn take_job_leader_message_flag(&mut self) -> bool {
         self.owner_liveness.take_news()
     }
 
     /// Whether a response may renew a machine's lease: not while the leader of one of its tasks may have told a user that
     /// the job is cancelled, so long ago that the task could not be stopped in time any more.
     #[must_use]
-    pub fn may_renew_lease(&self, now: Micros, name: &str) -> bool {
+    pub fn can_renew_lease(&self, now: Micros, name: &str) -> bool {
         self.machines.get(name).is_none_or(|machine| self.owner_liveness.covers_all(now, machine))
     }
 
     /// How many machines have known tasks, and how many there are.
     #[must_use]
-    pub fn counts(&self) -> (usize, usize) {
+    pub fn count_known_and_total(&self) -> (usize, usize) {
         let is_known = |machine: &&Machine| machine.inventory == InventoryState::Known;
         (self.machines.values().filter(is_known).count(), self.machines.len())
     }
--- a/src/machine_shard/admission.rs
+++ b/src/machine_shard/admission.rs
@@ -25,7 +25,7 @@
         }
         self.owner_revisions[from] = state.revision;
         if state.base_revision == 0 {
-            self.drop_unlisted(from, &state.list, membership);
+            self.drop_unlisted(from, &state.tasks, membership);
         }
         for (machine, key) in &state.removed {
             self.decided_starts.remove(key);
@@ -36,7 +36,7 @@
                 self.drop_start(machine, key);
             }
         }
-        for desired in &state.list {
+        for desired in &state.tasks {
             if membership.job_leader(&desired.key.job) == Some(from) {
                 self.apply_desired_task(now, from, desired, &capacity);
             }
@@ -146,7 +146,7 @@
         }
         let Some(total) = capacity(&machine.record.kind) else { return };
         let has_twin = machine.has_live_start_of(&desired.key);
-        let fits = machine.free(total).is_some_and(|free| free.holds(desired.room));
+        let fits = machine.free(total).is_some_and(|free| free.can_hold(desired.resources));
         if !machine.is_schedulable(now, self.silence_limit) || !fits || has_twin {
             tracing::debug!(machine = %desired.machine, job = %desired.key.job, task = desired.key.index, fits, has_twin, "start refused");
             return;
--- a/src/machine_shard/agent_lease.rs
+++ b/src/machine_shard/agent_lease.rs
@@ -47,7 +47,7 @@
         }
         self.next_lease_check = now + CHECK_INTERVAL;
         self.older_leaders_stopped_at = membership.older_leaders_stopped_at();
-        let lease = self.worker_lease.stretched() + Micros(self.worker_lease.0 / 40 + LEASE_MARGIN.0);
+        let lease = self.worker_lease.plus_drift() + Micros(self.worker_lease.0 / 40 + LEASE_MARGIN.0);
         for (name, machine) in &mut self.machines {
             if machine.inventory == InventoryState::Gone {
                 continue;
@@ -117,7 +117,7 @@
     /// of others. If it did not, nobody has answered it since the others stopped. A copy of an old heartbeat proves no
     /// less: the response to it is dropped.
     fn receives_no_responses(&self, others_expired_at: Micros) -> bool {
-        self.unanswered_at.is_some_and(|at| at >= others_expired_at + RESPONSE_TIMEOUT.stretched())
+        self.unanswered_at.is_some_and(|at| at >= others_expired_at + RESPONSE_TIMEOUT.plus_drift())
     }
 
     /// A heartbeat did not list starts that went out with the response to an earlier one of the incarnation: that response
--- a/src/machine_shard/fencing_probe/tests.rs
+++ b/src/machine_shard/fencing_probe/tests.rs
@@ -11,13 +11,13 @@
     assert!(shard.take_due_probes(Micros(11), 9).is_empty(), "once, and again after a while");
     assert_eq!(shard.take_due_probes(Micros(2_000_000), 9).len(), 1);
     assert_eq!(shard.apply_probe_answer(Micros(20), &m, &heartbeat(3, 6, &[])), HeartbeatOutcome::Stale);
-    assert_eq!(shard.counts(), (0, 1), "an older token's answer may still be executed");
+    assert_eq!(shard.count_known_and_total(), (0, 1), "an older token's answer may still be executed");
     assert_eq!(shard.apply_probe_answer(Micros(20), &m, &heartbeat(4, 8, &[])), HeartbeatOutcome::Fenced);
     assert_eq!(
         shard.apply_probe_answer(Micros(20), &m, &heartbeat(5, 7, &[("wk-1/0", 1, "running")])),
         HeartbeatOutcome::Accepted
     );
-    assert_eq!(shard.counts(), (1, 1));
+    assert_eq!(shard.count_known_and_total(), (1, 1));
     assert_eq!(shard.status_delta(Micros(21), &m, 0, 0, |_| Some(ROOM)).machines[0].tasks.len(), 1);
     assert!(shard.take_due_probes(Micros(9_000_000), 9).is_empty());
 }
--- a/src/machine_shard/handoff.rs
+++ b/src/machine_shard/handoff.rs
@@ -41,8 +41,8 @@
             machine.registration = Registration::Stored;
         }
         // As of packing: by now it is longer ago, which errs on the late side.
-        let heard_at = Micros(now.0.saturating_sub(handoff.silent.shortened().0));
-        if !handoff.known {
+        let heard_at = Micros(now.0.saturating_sub(handoff.silent_time.minus_drift().0));
+        if !handoff.inventory_known {
             machine.others_answered_until =
                 Some(machine.others_answered_until.map_or(heard_at, |until| until.min(heard_at)));
             return false;
@@ -76,16 +76,16 @@
         let tasks = self.tasks.iter().filter(|(_, task)| known && task.may_be_on_machine());
         Some(MachineHandoff {
             name: name.to_owned(),
-            kind: self.record.kind.clone(),
+            machine_type: self.record.kind.clone(),
             zone: self.record.zone.clone(),
             spot: self.record.spot,
             addr: self.record.addr.clone(),
             on_record: self.registration == Registration::Stored,
-            known,
-            last: self.last_heartbeat.into(),
-            silent: now.since(last_answer),
-            notice: self.termination_at.map(|at| at.since(now)),
-            idle: self.idle_since.map(|since| now.since(since)),
+            inventory_known: known,
+            last_heartbeat: self.last_heartbeat.into(),
+            silent_time: now.since(last_answer),
+            time_to_termination: self.termination_at.map(|at| at.since(now)),
+            idle_time: self.idle_since.map(|since| now.since(since)),
             images: self.images.clone(),
             tasks: tasks.map(|(key, task)| task.pack_handoff(key)).collect(),
         })
@@ -100,24 +100,25 @@
         handoff: MachineHandoff,
         owner_basis: impl Fn(&TaskKey) -> OwnerBasis,
     ) {
-        let has_newer_heartbeat = self.has_reported && self.last_heartbeat > HeartbeatId::from(handoff.last);
+        let has_newer_heartbeat =
+            self.has_reported && self.last_heartbeat > HeartbeatId::from(handoff.last_heartbeat);
         if !has_newer_heartbeat {
             self.tasks.clear();
-            self.last_heartbeat = handoff.last.into();
-            self.termination_at = handoff.notice.map(|notice| now + notice);
-            self.idle_since = handoff.idle.map(|idle| Micros(now.0.saturating_sub(idle.0)));
+            self.last_heartbeat = handoff.last_heartbeat.into();
+            self.termination_at = handoff.time_to_termination.map(|notice| now + notice);
+            self.idle_since = handoff.idle_time.map(|idle| Micros(now.0.saturating_sub(idle.0)));
             self.heard_at = if self.has_reported { self.heard_at.max(heard_at) } else { heard_at };
             self.has_reported = true;
         }
         self.images = handoff.images;
         for task in handoff.tasks {
             let handed = TaskEntry {
-                resources: task.room,
+                resources: task.resources,
                 priority: task.priority,
                 image: task.image,
                 phase: task.phase,
                 desired: task.action,
-                sent_with: task.sent_to.into(),
+                sent_with: task.sent_with_heartbeat.into(),
                 owner_basis: owner_basis(&task.key),
             };
             match self.tasks.get_mut(&task.key) {
@@ -137,12 +138,12 @@
     fn pack_handoff(&self, key: &TaskKey) -> TaskHandoff {
         TaskHandoff {
             key: key.clone(),
-            room: self.resources,
+            resources: self.resources,
             priority: self.priority,
             image: self.image,
             phase: self.phase,
             action: self.desired,
-            sent_to: self.sent_with.into(),
+            sent_with_heartbeat: self.sent_with.into(),
         }
     }
 }
@@ -163,7 +164,7 @@
 impl From<&MachineHandoff> for MachineRecord {
     fn from(handoff: &MachineHandoff) -> MachineRecord {
         MachineRecord {
-            kind: handoff.kind.clone(),
+            kind: handoff.machine_type.clone(),
             zone: handoff.zone.clone(),
             spot: handoff.spot,
             addr: handoff.addr.clone(),
--- a/src/machine_shard/heartbeats.rs
+++ b/src/machine_shard/heartbeats.rs
@@ -102,8 +102,8 @@
         self.last_heartbeat = heartbeat.id();
         self.heard_at = now;
         self.has_reported = true;
-        let mut changed = self.termination_at.is_some() != heartbeat.notice_s.is_some();
-        self.termination_at = heartbeat.notice_s.map(|seconds| now + Micros::from_secs(seconds));
+        let mut changed = self.termination_at.is_some() != heartbeat.time_to_termination_s.is_some();
+        self.termination_at = heartbeat.time_to_termination_s.map(|seconds| now + Micros::from_secs(seconds));
         // Only a heartbeat that shows our token proves that no older controller's response can still be executed, hence
         // that the list is complete.
         if heartbeat.token == epoch && self.inventory == InventoryState::Unconfirmed {
@@ -168,7 +168,7 @@
 impl From<&Heartbeat> for MachineRecord {
     fn from(heartbeat: &Heartbeat) -> MachineRecord {
         MachineRecord {
-            kind: heartbeat.kind.clone(),
+            kind: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
             addr: heartbeat.addr.clone(),
--- a/src/machine_shard/machine.rs
+++ b/src/machine_shard/machine.rs
@@ -46,7 +46,7 @@
     /// Takes over what the job's leader says of this very task.
     pub(super) fn apply_desired(&mut self, desired: &DesiredTask) {
         self.owner_basis.mark_named();
-        self.resources = Some(desired.room);
+        self.resources = Some(desired.resources);
         self.priority = desired.priority;
         self.image = desired.image;
         self.desired = Some(desired.action);
--- a/src/machine_shard/owner_liveness/tests.rs
+++ b/src/machine_shard/owner_liveness/tests.rs
@@ -68,10 +68,10 @@
     fn deliver_seeing(&mut self, now: Micros, owner: usize, echo: Micros, list: Vec<DesiredTask>, seen: u64) {
         let since = self.revs[owner];
         self.revs[owner] += 1;
-        let w = DesiredState { revision: since + 1, base_revision: since, list, removed: Vec::new() };
+        let w = DesiredState { revision: since + 1, base_revision: since, tasks: list, removed: Vec::new() };
         let m = self.m.clone();
         assert!(self.shard.apply_desired_state(now, owner, &w, &m, |_| Some(ROOM)), "nothing is missing");
-        self.shard.note_owner_message(owner, echo, seen);
+        self.shard.record_job_leader_message(owner, echo, seen);
     }
 
     fn adopt(&mut self, now: Micros, epoch: u64, members: &[usize]) {
@@ -89,32 +89,32 @@
     let machine = fixture.machine();
     let task = format!("{}/0", fixture.job(1));
     fixture.heartbeat(at(2000), &machine, &[(&task, 1, "running")]);
-    assert!(!fixture.shard.may_renew_lease(at(2000), &machine), "nobody has spoken for it");
+    assert!(!fixture.shard.can_renew_lease(at(2000), &machine), "nobody has spoken for it");
     fixture.deliver(at(3000), 1, at(2900), vec![]);
     assert!(
-        fixture.shard.may_renew_lease(at(3000), &machine),
+        fixture.shard.can_renew_lease(at(3000), &machine),
         "it has seen the task, and doesn't want it stopped"
     );
     let end = at(2900) + fixture.limit;
     assert!(
-        fixture.shard.may_renew_lease(Micros(end.0 - 1), &machine)
-            && !fixture.shard.may_renew_lease(end, &machine),
+        fixture.shard.can_renew_lease(Micros(end.0 - 1), &machine)
+            && !fixture.shard.can_renew_lease(end, &machine),
         "not at all"
     );
     // One way: its messages come, but it doesn't hear us, so they may have been under way for as long.
     for s in 4..40 {
         fixture.deliver(at(s * 1000), 1, at(2900), vec![]);
     }
-    assert!(!fixture.shard.may_renew_lease(end, &machine));
+    assert!(!fixture.shard.can_renew_lease(end, &machine));
     // Late: what comes now was sent long ago.
     fixture.deliver(at(40_000), 1, at(20_000), vec![]);
     assert!(
-        fixture.shard.may_renew_lease(at(40_000), &machine)
-            && !fixture.shard.may_renew_lease(at(20_000) + fixture.limit, &machine)
+        fixture.shard.can_renew_lease(at(40_000), &machine)
+            && !fixture.shard.can_renew_lease(at(20_000) + fixture.limit, &machine)
     );
     // Others don't matter to it.
     fixture.deliver(at(50_000), 2, at(50_000), vec![]);
-    assert!(!fixture.shard.may_renew_lease(at(50_000), &machine));
+    assert!(!fixture.shard.can_renew_lease(at(50_000), &machine));
 }
 
 /// A jobs' leader that doesn't know of a task is silent about it whatever became of its job: the message has to take account of
@@ -127,9 +127,9 @@
     let before = fixture.shard.revision();
     fixture.heartbeat(at(2000), &machine, &[(&task, 1, "running")]);
     fixture.deliver_seeing(at(3000), 1, at(2900), vec![], before);
-    assert!(!fixture.shard.may_renew_lease(at(3000), &machine));
+    assert!(!fixture.shard.can_renew_lease(at(3000), &machine));
     fixture.deliver(at(4000), 1, at(3900), vec![]);
-    assert!(fixture.shard.may_renew_lease(at(4000), &machine));
+    assert!(fixture.shard.can_renew_lease(at(4000), &machine));
 }
 
 /// The answer that keeps the lease alive stops the task: nothing is waited for.
@@ -147,7 +147,7 @@
         ..want(1, 1000)
     };
     fixture.deliver(at(3000), 1, at(2900), vec![stop]);
-    assert!(fixture.shard.may_renew_lease(at(900_000), &machine));
+    assert!(fixture.shard.can_renew_lease(at(900_000), &machine));
     let m = fixture.m.clone();
     let orders = fixture.shard.issue_commands(&m, &machine, |_| true).expect("known");
     assert_eq!(orders.commands.iter().map(|c| c.verb()).collect::<Vec<_>>(), ["kill"]);
@@ -166,14 +166,14 @@
     for (n, members) in [[0, 2], [0, 1], [0, 2]].iter().enumerate() {
         fixture.adopt(at(10_000 + 4000 * n as u64), 8 + n as u64, members);
         assert!(
-            fixture.shard.may_renew_lease(Micros(end.0 - 1), &machine)
-                && !fixture.shard.may_renew_lease(end, &machine)
+            fixture.shard.can_renew_lease(Micros(end.0 - 1), &machine)
+                && !fixture.shard.can_renew_lease(end, &machine)
         );
     }
     let owner = fixture.m.job_leader(task.split('/').next().expect("a job")).expect("somebody");
     fixture.deliver(at(22_000), owner, at(21_900), vec![]);
     assert!(
-        fixture.shard.may_renew_lease(end, &machine),
+        fixture.shard.can_renew_lease(end, &machine),
         "the new leader has read the records and seen the task"
     );
 }
@@ -187,12 +187,12 @@
     let machine = fixture.machine();
     let task = format!("{}/0", fixture.job(1));
     fixture.heartbeat(at(3000), &machine, &[(&task, 1, "running")]);
-    assert!(!fixture.shard.may_renew_lease(at(3000), &machine));
+    assert!(!fixture.shard.can_renew_lease(at(3000), &machine));
     fixture.deliver(at(3500), 1, at(3400), vec![]);
-    assert!(fixture.shard.may_renew_lease(at(3500), &machine));
+    assert!(fixture.shard.can_renew_lease(at(3500), &machine));
     // One without tasks keeps nothing alive.
     fixture.heartbeat(at(4000), &machine, &[]);
-    assert!(fixture.shard.may_renew_lease(at(900_000), &machine));
+    assert!(fixture.shard.can_renew_lease(at(900_000), &machine));
 }
 
 /// A start goes out in an answer too: one whose job's leader is out of reach may be of a job that is cancelled.
@@ -210,8 +210,8 @@
         vec![DesiredTask { key, machine: machine.clone(), ..want(1, 1000) }],
     );
     assert!(
-        fixture.shard.may_renew_lease(at(3000), &machine)
-            && !fixture.shard.may_renew_lease(at(2900) + fixture.limit, &machine)
+        fixture.shard.can_renew_lease(at(3000), &machine)
+            && !fixture.shard.can_renew_lease(at(2900) + fixture.limit, &machine)
     );
     let m = fixture.m.clone();
     assert_eq!(fixture.shard.issue_commands(&m, &machine, |_| true).map(|o| o.commands.len()), Some(1));
--- a/src/machine_shard/registration.rs
+++ b/src/machine_shard/registration.rs
@@ -95,7 +95,7 @@
     /// Machines that `to` leads in `next` and that are certainly gone: a controller that has just started does not know,
     /// and would wait for the leases of all that pages of the machine registry still name.
     #[must_use]
-    pub fn returned_machines_of(&self, to: usize, next: &Membership) -> Vec<String> {
+    pub fn returned_machines_led_by(&self, to: usize, next: &Membership) -> Vec<String> {
         self.returned_machines.iter().filter(|name| next.machine_leader(name) == Some(to)).cloned().collect()
     }
 
--- a/src/machine_shard/status_delta.rs
+++ b/src/machine_shard/status_delta.rs
@@ -118,19 +118,19 @@
         let silent = now.since(machine.heard_at);
         MachineStatus {
             name: name.to_owned(),
-            kind: machine.record.kind.clone(),
+            machine_type: machine.record.kind.clone(),
             zone: machine.record.zone.clone(),
             spot: machine.record.spot,
-            standing: machine.inventory,
-            open,
-            notice: machine.termination_at.map(|at| at.since(now)),
+            inventory_state: machine.inventory,
+            is_schedulable: open,
+            time_to_termination: machine.termination_at.map(|at| at.since(now)),
             free: free.unwrap_or_default(),
             total,
-            by_priority: machine.used_by_priority(),
+            used_by_priority: machine.used_by_priority(),
             images: machine.images.clone(),
-            busy: machine.live_tasks() as u32,
-            idle: machine.idle_since.filter(|_| machine.tasks.is_empty()).map(|since| now.since(since)),
-            silent: Some(silent).filter(|&silent| silent >= self.silence_limit),
+            task_count: machine.live_tasks() as u32,
+            idle_time: machine.idle_since.filter(|_| machine.tasks.is_empty()).map(|since| now.since(since)),
+            silent_time: Some(silent).filter(|&silent| silent >= self.silence_limit),
             tasks: machine
                 .tasks
                 .iter()
--- a/src/machine_shard/tests.rs
+++ b/src/machine_shard/tests.rs
@@ -29,13 +29,13 @@
     Heartbeat {
         machine: "i-1".into(),
         addr: String::new(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "z".into(),
         spot: false,
         incarnation: 1,
         sequence: seq,
         token,
-        notice_s: None,
+        time_to_termination_s: None,
         tasks,
     }
 }
@@ -43,14 +43,14 @@
     DesiredTask {
         key: TaskKey { job: "wk-1".into(), index: 0, attempt },
         machine: "i-1".into(),
-        room: Resources { cpus, gpus: 0, memory: 0 },
+        resources: Resources { cpus, gpus: 0, memory: 0 },
         action: DesiredAction::Run,
         priority: 0,
         image: 0,
     }
 }
 pub(super) fn whole(rev: u64, list: Vec<DesiredTask>) -> DesiredState {
-    DesiredState { revision: rev, base_revision: 0, list, removed: Vec::new() }
+    DesiredState { revision: rev, base_revision: 0, tasks: list, removed: Vec::new() }
 }
 pub(super) fn starts(shard: &mut MachineShard, m: &Membership) -> usize {
     let orders = shard.issue_commands(m, "i-1", |_| true).expect("known");
@@ -131,7 +131,7 @@
         assert_eq!(told, [("kill", "wk-1/0".to_owned())]);
         shard.apply_heartbeat(Micros(30), &m, &heartbeat(2, 7, &running));
         let d = shard.status_delta(Micros(31), &m, 0, 0, |_| Some(ROOM)).machines.remove(0);
-        assert!(d.open && d.free.cpus == 500, "what the tasks take is known too: {d:?}");
+        assert!(d.is_schedulable && d.free.cpus == 500, "what the tasks take is known too: {d:?}");
     }
 }
 
@@ -166,11 +166,15 @@
     shard.apply_heartbeat(Micros(20), &m, &copy);
     shard.apply_scaling_plan(&BTreeSet::new(), &["i-1".into()]);
     shard.drop_gone(&[u64::MAX]);
-    assert_eq!(shard.counts(), (0, 0));
+    assert_eq!(shard.count_known_and_total(), (0, 0));
     assert_eq!(shard.apply_heartbeat(Micros(60_000_000), &m, &heartbeat(3, 7, &[])), HeartbeatOutcome::Stale);
     assert_eq!(shard.apply_heartbeat(Micros(61_000_000), &m, &copy), HeartbeatOutcome::Stale);
     assert_eq!(
-        (shard.counts(), shard.count_live(Micros(61_000_001)), shard.take_unregistered().len()),
+        (
+            shard.count_known_and_total(),
+            shard.count_live(Micros(61_000_001)),
+            shard.take_unregistered().len()
+        ),
         ((0, 0), 0, 0)
     );
 }
@@ -186,7 +190,7 @@
         shard.expire_leases(later, &m);
         assert_eq!(shard.apply_heartbeat(later, &m, &heartbeat(6, 7, tasks)), HeartbeatOutcome::Stale);
         let d = shard.status_delta(later, &m, 0, 0, |_| Some(ROOM)).machines.remove(0);
-        assert!(!d.open && d.tasks.is_empty() && shard.count_live(later) == 0, "{d:?}");
+        assert!(!d.is_schedulable && d.tasks.is_empty() && shard.count_live(later) == 0, "{d:?}");
         assert_eq!(
             shard.apply_heartbeat(later, &m, &Heartbeat { incarnation: 2, ..heartbeat(1, 7, &[]) }),
             HeartbeatOutcome::Accepted
@@ -201,7 +205,7 @@
     let (m, mut shard) = ready();
     let open = |shard: &mut MachineShard, at: u64| {
         shard.expire_leases(Micros(at), &m);
-        shard.status_delta(Micros(at), &m, 0, 0, |_| Some(ROOM)).machines.remove(0).open
+        shard.status_delta(Micros(at), &m, 0, 0, |_| Some(ROOM)).machines.remove(0).is_schedulable
     };
     for lost in 1..3 {
         let at = lost * 3_000_000;
@@ -225,7 +229,7 @@
 
 fn inventory(shard: &mut MachineShard, m: &Membership, s: f64) -> InventoryState {
     shard.expire_leases(Micros::from_secs(s), m);
-    shard.status_delta(Micros::from_secs(s), m, 0, 0, |_| Some(ROOM)).machines[0].standing
+    shard.status_delta(Micros::from_secs(s), m, 0, 0, |_| Some(ROOM)).machines[0].inventory_state
 }
 
 /// Others may have answered it for a store lease, 6 s, and its lease with the margin is over after another 18.71 s. A
--- a/src/machine_view.rs
+++ b/src/machine_view.rs
@@ -12,7 +12,7 @@
 pub struct MachineSnapshot {
     status: MachineStatus,
     /// When the cloud takes it away.
-    pub notice_at: Option<Micros>,
+    pub termination_at: Option<Micros>,
     /// Since when it has been without a task.
     pub idle_since: Option<Micros>,
     /// Since when it has been silent.
@@ -32,9 +32,9 @@
     pub fn new(now: Micros, status: MachineStatus) -> MachineSnapshot {
         let ago = |span: Micros| Micros(now.0.saturating_sub(span.0));
         MachineSnapshot {
-            notice_at: status.notice.map(|span| now + span),
-            idle_since: status.idle.map(ago),
-            silent_since: status.silent.map(ago),
+            termination_at: status.time_to_termination.map(|span| now + span),
+            idle_since: status.idle_time.map(ago),
+            silent_since: status.silent_time.map(ago),
             status,
         }
     }
@@ -70,7 +70,7 @@
     /// Machines to look at.
     pub names: BTreeSet<String>,
     /// The whole state came: machines that it does not name are gone.
-    pub is_whole: bool,
+    pub is_full: bool,
 }
 
 impl MachineView {
@@ -93,14 +93,14 @@
     }
 
     /// The revision that asks for starts on these machines goes out.
-    pub fn await_answer(&mut self, revision: u64, machines: Vec<String>) {
+    pub fn record_start_request(&mut self, revision: u64, machines: Vec<String>) {
         if !machines.is_empty() {
             self.awaiting.insert(revision, machines);
         }
     }
 
     /// A new epoch: answers to older revisions don't come any more.
-    pub fn forget_awaited(&mut self) {
+    pub fn clear_start_requests(&mut self) {
         self.awaiting.clear();
     }
 
@@ -137,7 +137,7 @@
             self.machines.insert(status.name.clone(), MachineSnapshot::new(now, status));
         }
         names.extend(self.answered());
-        Some(StatusChange { names, is_whole })
+        Some(StatusChange { names, is_full: is_whole })
     }
 
     /// Takes off the machines on which starts were asked for by revisions that the machine shard has seen.
--- a/src/machine_view/tests.rs
+++ b/src/machine_view/tests.rs
@@ -33,13 +33,13 @@
     Heartbeat {
         machine: format!("i-{machine}"),
         addr: String::new(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "z".into(),
         spot: false,
         incarnation: 1,
         sequence: seq,
         token: 7,
-        notice_s: None,
+        time_to_termination_s: None,
         tasks,
     }
 }
@@ -90,7 +90,7 @@
                         .map(|((machine, key), _)| DesiredTask {
                             key: key.clone(),
                             machine: machine.clone(),
-                            room: Resources { cpus: 1000, gpus: 0, memory: 0 },
+                            resources: Resources { cpus: 1000, gpus: 0, memory: 0 },
                             action: DesiredAction::Hold,
                             priority: 0,
                             image: 0,
@@ -100,7 +100,7 @@
                     desired.push(DesiredState {
                         revision: rev,
                         base_revision: since,
-                        list,
+                        tasks: list,
                         removed: dropped,
                     });
                 }
@@ -126,9 +126,12 @@
         for w in whole.machines {
             let s = &seen[&w.name];
             // Spans count from when each was sent.
-            let plain = |d: &MachineStatus| MachineStatus { idle: None, silent: None, ..d.clone() };
+            let plain = |d: &MachineStatus| MachineStatus { idle_time: None, silent_time: None, ..d.clone() };
             assert_eq!(plain(s), plain(&w), "seed {seed}");
-            assert_eq!((s.idle.is_some(), s.silent.is_some()), (w.idle.is_some(), w.silent.is_some()));
+            assert_eq!(
+                (s.idle_time.is_some(), s.silent_time.is_some()),
+                (w.idle_time.is_some(), w.silent_time.is_some())
+            );
             for t in w.tasks.iter().filter(|t| t.key.index == 50) {
                 let key = (w.name.clone(), t.key.clone());
                 let newer = gone.get(&key).is_some_and(|&r| r > view.revision_seen(7));
--- a/src/membership/leadership.rs
+++ b/src/membership/leadership.rs
@@ -16,7 +16,7 @@
     /// The store renewed our lease and showed the adopted epoch as the newest; both requests were sent no earlier than
     /// `sent`.
     pub fn renew_store_lease(&mut self, sent: Micros) {
-        self.store_lease_until = self.store_lease_until.max(sent + self.member_lease.shortened());
+        self.store_lease_until = self.store_lease_until.max(sent + self.member_lease.minus_drift());
     }
 
     /// The lease is gone.
@@ -56,7 +56,7 @@
 
     fn is_confirmed_by(&self, confirmed: &PeerConfirmation, now: Micros) -> bool {
         confirmed.epoch == self.epoch
-            && now < confirmed.echo + self.confirmation.shortened()
+            && now < confirmed.echo + self.confirmation.minus_drift()
             && confirmed.echo > Micros(0)
     }
 
@@ -67,7 +67,7 @@
     pub fn have_older_leaders_stopped(&self, now: Micros) -> bool {
         self.other_confirmations().all(|(peer, confirmed)| {
             let wait = if self.members.contains(&peer) { self.member_lease } else { self.confirmation };
-            confirmed.epoch >= self.epoch || now >= self.adopted_at + wait.stretched()
+            confirmed.epoch >= self.epoch || now >= self.adopted_at + wait.plus_drift()
         })
     }
 
@@ -82,7 +82,7 @@
     /// certainly lost their leadership; before that is seen, when they will have lost it.
     #[must_use]
     pub fn older_leaders_stopped_at(&self) -> Micros {
-        self.older_stopped_at.unwrap_or(self.adopted_at + self.member_lease.stretched())
+        self.older_stopped_at.unwrap_or(self.adopted_at + self.member_lease.plus_drift())
     }
 
     /// The other controllers, members or not, and what each has confirmed.
--- a/src/membership/step_down/tests.rs
+++ b/src/membership/step_down/tests.rs
@@ -81,7 +81,10 @@
         step_down.record_probe(true);
         step_down.record_probe(false);
         step_down.record_probe(true);
-        assert!(!step_down.can_rejoin(left + LONGEST_ABSENCE.shortened(), &[0, 2]), "one answer may be luck");
+        assert!(
+            !step_down.can_rejoin(left + LONGEST_ABSENCE.minus_drift(), &[0, 2]),
+            "one answer may be luck"
+        );
         assert!(step_down.can_rejoin(left + LONGEST_ABSENCE, &[0, 2]), "but not for ever");
         step_down.record_probe(true);
         while !step_down.can_rejoin(now, &[0, 2]) {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -24,7 +24,7 @@
 pub use hazelsaddle_cluster::transport::{dial, enqueue, listen};
 pub use machine_status::{InventoryState, MachineStatus, MachineStatusDelta, ObservedTask};
 pub use replication::{ReplicatedItem, ReplicatedStarts};
-pub use scheduling::{Lendable, LendableTask, Lending, Reservation};
+pub use scheduling::{LendableJob, LendableTask, LendingReport, Reservation};
 pub use task::{TaskExit, TaskKey, TaskPhase};
 pub use user_request::{Reply, UserRequest};
 
--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -7,23 +7,23 @@
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Demand {
     /// What one takes.
-    pub room: Resources,
+    pub resources_per_task: Resources,
     /// Allowed machine types; empty: any.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// The only allowed zone.
     pub zone: Option<String>,
     /// All of a gang must be in one zone.
     pub one_zone: bool,
     /// Whether spot machines will do.
-    pub spot: bool,
+    pub spot_allowed: bool,
     /// How many. 0: none waits, but such work was seen of late.
     pub count: u32,
     /// Estimated run time of one.
-    pub estimate: Micros,
+    pub estimated_run_time: Micros,
     /// Priority, higher first.
     pub priority: u8,
     /// How long this work may queue before a machine is worth adding for it; 0: it should start at once.
-    pub horizon: Micros,
+    pub max_queue_time: Micros,
     /// How many must run at the same time: a gang's size, otherwise one.
-    pub together: u32,
+    pub gang_size: u32,
 }
--- a/src/peer/desired_state.rs
+++ b/src/peer/desired_state.rs
@@ -27,7 +27,7 @@
     /// On which machine.
     pub machine: String,
     /// What it takes.
-    pub room: Resources,
+    pub resources: Resources,
     /// What is wanted.
     pub action: DesiredAction,
     /// Effective priority of the job, higher first.
@@ -44,7 +44,7 @@
     /// The receiver's state on which the change builds; 0: this is the whole state.
     pub base_revision: u64,
     /// The starts that are new or changed.
-    pub list: Vec<DesiredTask>,
+    pub tasks: Vec<DesiredTask>,
     /// The starts no longer wanted, by machine.
     pub removed: Vec<(String, TaskKey)>,
 }
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -5,7 +5,7 @@
 use super::handoff::HandoffBatch;
 use super::machine_status::MachineStatusDelta;
 use super::replication::ReplicatedItem;
-use super::scheduling::{Lending, Reservation};
+use super::scheduling::{LendingReport, Reservation};
 use super::user_request::{Reply, UserRequest};
 use crate::units::Micros;
 use hazelsaddle_cluster::transport::{self, Framed};
@@ -25,13 +25,13 @@
     /// Autoscaler to all: machines to take no new tasks for, and machines that the cloud has taken.
     ScalingPlan {
         /// Machines about to be given back.
-        drain: Vec<String>,
+        draining: Vec<String>,
         /// Machines whose scale-in the cloud has confirmed.
-        gone: Vec<String>,
+        removed: Vec<String>,
         /// Types (and whether spot) left to work of at least a priority, which fits nowhere else.
-        kept: Vec<(String, bool, u8)>,
+        reserved_classes: Vec<(String, bool, u8)>,
         /// Machines left to work of at least a priority.
-        kept_machines: Vec<(String, u8)>,
+        reserved_machines: Vec<(String, u8)>,
     },
     /// A user's request forwarded to the job's leader.
     ForwardRequest {
@@ -76,9 +76,9 @@
         removed: Vec<ReplicatedItem>,
     },
     /// From form 3 on: the sender holds what that revision of the receiver's said.
-    StartsReplicated(u64),
+    ReplicationAck(u64),
     /// From form 4 on, where operators have switched loans on: what the sender's jobs could lend, and what they lack.
-    Lending(Lending),
+    Lending(LendingReport),
 }
 
 /// What travels between controllers. Every frame also confirms to the receiver which epoch the
@@ -143,7 +143,7 @@
                 is_newer_epoch || is_newer
             }
             (ReplicateStarts { revision, .. }, ReplicateStarts { revision: older_revision, .. })
-            | (StartsReplicated(revision), StartsReplicated(older_revision)) => {
+            | (ReplicationAck(revision), ReplicationAck(older_revision)) => {
                 is_newer_epoch || revision >= older_revision
             }
             (Demands(_), Demands(_))
--- a/src/peer/handoff.rs
+++ b/src/peer/handoff.rs
@@ -16,10 +16,10 @@
     /// Machines, for their new leader.
     pub machines: Vec<MachineHandoff>,
     /// What others had replicated with the sender.
-    pub testimony: Vec<ReplicatedStarts>,
+    pub replicated_starts: Vec<ReplicatedStarts>,
     /// Machines of the receiver's that the cloud has taken back for certain: pages of the machine registry still name
     /// them.
-    pub gone: Vec<String>,
+    pub removed_machines: Vec<String>,
 }
 
 /// A job as its leader of the epoch before knew it.
@@ -58,7 +58,7 @@
     /// The machine.
     pub name: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
@@ -68,16 +68,16 @@
     /// Whether its name is on record.
     pub on_record: bool,
     /// Whether its tasks were exactly those listed here, or on their way with an answer to the latest heartbeat.
-    pub known: bool,
+    pub inventory_known: bool,
     /// Incarnation and number of its latest heartbeat.
-    pub last: (u64, u64),
+    pub last_heartbeat: (u64, u64),
     /// How long ago, as of packing, the latest heartbeat came; if it is not known: how long ago nobody could have
     /// answered it any more.
-    pub silent: Micros,
+    pub silent_time: Micros,
     /// Time until the cloud takes it away, if that was announced.
-    pub notice: Option<Micros>,
+    pub time_to_termination: Option<Micros>,
     /// How long it has been without a task, if it is.
-    pub idle: Option<Micros>,
+    pub idle_time: Option<Micros>,
     /// Images that it is likely to have.
     pub images: Vec<u64>,
     /// Its tasks.
@@ -90,7 +90,7 @@
     /// Which start.
     pub key: TaskKey,
     /// What it takes, if its job's shard has said.
-    pub room: Option<Resources>,
+    pub resources: Option<Resources>,
     /// Priority of its job.
     pub priority: u8,
     /// Hash of its image's name.
@@ -100,5 +100,5 @@
     /// What its job's shard wants.
     pub action: Option<DesiredAction>,
     /// Incarnation and number of the heartbeat with whose answer the start went out.
-    pub sent_to: (u64, u64),
+    pub sent_with_heartbeat: (u64, u64),
 }
--- a/src/peer/machine_status.rs
+++ b/src/peer/machine_status.rs
@@ -30,31 +30,31 @@
     /// The machine.
     pub name: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Whether the list of its tasks is complete.
-    pub standing: InventoryState,
+    pub inventory_state: InventoryState,
     /// Whether it takes new tasks.
-    pub open: bool,
+    pub is_schedulable: bool,
     /// Time until the cloud takes it away, if that was announced.
-    pub notice: Option<Micros>,
+    pub time_to_termination: Option<Micros>,
     /// What is free of it.
     pub free: Resources,
     /// All that it has.
     pub total: Resources,
     /// What is taken by tasks of each priority that aren't being stopped.
-    pub by_priority: Vec<(u8, Resources)>,
+    pub used_by_priority: Vec<(u8, Resources)>,
     /// Images that it is likely to have, by the hashes of their names.
     pub images: Vec<u64>,
     /// How many tasks of any job are on it or accepted for it.
-    pub busy: u32,
+    pub task_count: u32,
     /// How long it has been without a task, if it is.
-    pub idle: Option<Micros>,
+    pub idle_time: Option<Micros>,
     /// How long it has been silent, if it missed heartbeats.
-    pub silent: Option<Micros>,
+    pub silent_time: Option<Micros>,
     /// The receiver's tasks on it.
     pub tasks: Vec<ObservedTask>,
 }
--- a/src/peer/replication.rs
+++ b/src/peer/replication.rs
@@ -25,19 +25,19 @@
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ReplicatedStarts {
     /// The one that is not a member any more.
-    pub of: u32,
+    pub former_member: u32,
     /// The last epoch of which it was a member.
-    pub epoch: u64,
+    pub last_epoch: u64,
     /// That epoch's members. Only together do they hold all that was replicated.
     pub members: Vec<u32>,
     /// The epoch in which the sender last heard of it, 0: never.
-    pub heard_in: u64,
+    pub last_contact_epoch: u64,
     /// That epoch's members.
-    pub heard_with: Vec<u32>,
+    pub last_contact_members: Vec<u32>,
     /// The epoch from which on the sender has adopted every one, and in each of which starts had to be replicated.
-    pub since: u64,
+    pub adopted_since: u64,
     /// What was heard of jobs that the receiver leads now.
     pub items: Vec<ReplicatedItem>,
     /// Jobs that the sender accepted in that last epoch in its place: nobody can have started them before.
-    pub fresh: Vec<String>,
+    pub accepted_jobs: Vec<String>,
 }
--- a/src/peer/scheduling.rs
+++ b/src/peer/scheduling.rs
@@ -11,33 +11,33 @@
     /// Priority of the work.
     pub priority: u8,
     /// What it needs there.
-    pub need: Resources,
+    pub resources: Resources,
     /// Whether tasks of lower priority are to be preempted for it.
-    pub evict: bool,
+    pub must_preempt: bool,
 }
 
 /// What the sender's jobs run on GPUs beyond their teams' guarantees, and what work within a guarantee lacks.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
-pub struct Lending {
+pub struct LendingReport {
     /// Jobs some of whose room could be had.
-    pub jobs: Vec<Lendable>,
+    pub jobs: Vec<LendableJob>,
     /// By team: what its work within its guarantee lacks, and for how long it has.
-    pub lacks: Vec<(String, Resources, Micros)>,
+    pub shortfalls: Vec<(String, Resources, Micros)>,
 }
 
 /// A job some of whose room could be had.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Lendable {
+pub struct LendableJob {
     /// The job.
     pub job: String,
     /// Its team.
     pub team: String,
     /// Its priority, without what a guarantee adds.
-    pub rank: u8,
+    pub priority: u8,
     /// Whether it is a gang, which is stopped whole.
-    pub gang: bool,
+    pub is_gang: bool,
     /// What each task takes.
-    pub room: Resources,
+    pub resources_per_task: Resources,
     /// Its tasks.
     pub tasks: Vec<LendableTask>,
 }
@@ -52,7 +52,7 @@
     /// The machine.
     pub machine: String,
     /// Run time that would be lost, in milliseconds.
-    pub lost_ms: u64,
+    pub lost_work_ms: u64,
     /// Whether it must be left alone for now.
-    pub fixed: bool,
+    pub is_protected: bool,
 }
--- a/src/peer/task.rs
+++ b/src/peer/task.rs
@@ -38,7 +38,7 @@
 impl TaskPhase {
     /// Whether the agent is known to have had the command.
     #[must_use]
-    pub fn arrived(self) -> bool {
+    pub fn has_arrived(self) -> bool {
         !matches!(self, TaskPhase::Held | TaskPhase::Queued | TaskPhase::InDoubt)
     }
 }
@@ -51,15 +51,15 @@
     /// Stopped by command; whether it saved its progress.
     Stopped(bool),
     /// Another task of the gang is gone.
-    Peers,
+    PeerLost,
     /// The gang was not complete in time.
-    Alone,
+    GangIncomplete,
     /// Failed.
     Error,
     /// The agent refused it for want of room.
     NoRoom,
     /// The agent has another attempt of it.
-    Busy,
+    AttemptConflict,
     /// The agent knows no such task.
-    Unknown,
+    UnknownTask,
 }
--- a/src/peer/user_request.rs
+++ b/src/peer/user_request.rs
@@ -10,7 +10,7 @@
     /// Query a job.
     Query(String),
     /// Cancel a job.
-    Withdraw(String),
+    Cancel(String),
     /// From form 4 on: why a job waits.
     Why(String),
     /// From form 4 on: whether a task's attempt may write, as `ATTEMPT/TASK`. Text, so that the older kinds keep
@@ -25,7 +25,7 @@
         match self {
             UserRequest::Submit(..) => "submit",
             UserRequest::Query(_) => "query",
-            UserRequest::Withdraw(_) => "withdraw",
+            UserRequest::Cancel(_) => "withdraw",
             UserRequest::Why(_) => "why",
             UserRequest::Permit(..) => "permit",
         }
@@ -37,7 +37,7 @@
         match self {
             UserRequest::Submit(id, _)
             | UserRequest::Query(id)
-            | UserRequest::Withdraw(id)
+            | UserRequest::Cancel(id)
             | UserRequest::Why(id)
             | UserRequest::Permit(id, _) => id,
         }
@@ -70,7 +70,7 @@
 
     /// Not now; come back.
     #[must_use]
-    pub fn later(reason: &str) -> Reply {
+    pub fn retry_later(reason: &str) -> Reply {
         Reply { retry_after: Some(1), ..Reply::error(503, reason) }
     }
 }
--- a/src/quota/allocation.rs
+++ b/src/quota/allocation.rs
@@ -30,7 +30,7 @@
     /// What its tasks use now, unresolved and exiting ones included.
     pub in_use: Resources,
     /// Whether that is all: false while machines that may hold tasks of it have not been heard.
-    pub is_settled: bool,
+    pub is_usage_known: bool,
     /// How many more tasks could be started.
     pub more_tasks: i64,
     /// Whether all of them are needed at once.
@@ -63,9 +63,9 @@
     /// Our live jobs, in the order in which they should get room.
     pub needs: &'a [QuotaNeed],
     /// Whether this controller leads the job.
-    pub is_ours: &'a dyn Fn(&str) -> bool,
+    pub is_led_locally: &'a dyn Fn(&str) -> bool,
     /// Whether an allocation may be dropped for a job of ours that is not live: all its tasks must be gone.
-    pub is_released: &'a dyn Fn(&str) -> bool,
+    pub can_release: &'a dyn Fn(&str) -> bool,
     /// Most bytes that a record may have.
     pub value_bytes: usize,
 }
@@ -162,7 +162,7 @@
 
     /// Drops the allocations of our jobs that have ended and all of whose tasks are gone.
     fn drop_ended(&mut self) {
-        let AllocationInput { needs, is_ours, is_released, .. } = self.input;
+        let AllocationInput { needs, is_led_locally: is_ours, can_release: is_released, .. } = self.input;
         let live: BTreeSet<&str> = needs.iter().map(|need| need.job.as_str()).collect();
         self.allocations.retain(|job, allocation| {
             let stays = !is_ours(job) || live.contains(job.as_str()) || !is_released(job);
@@ -176,7 +176,7 @@
     /// Shrinks what is no longer of use, but only down to what is in use. What that is must be known: tasks on machines
     /// that have not been heard since a failover use room too, whatever is asked for the job meanwhile.
     fn shrink_unused(&mut self) {
-        for need in self.input.needs.iter().filter(|need| need.is_settled) {
+        for need in self.input.needs.iter().filter(|need| need.is_usage_known) {
             let Some(allocation) = self.allocations.get_mut(&need.job) else { continue };
             let target = need.target();
             let shrunk = Resources { memory: 0, ..Resources::min(*allocation, target) };
@@ -187,7 +187,7 @@
 
     /// Forgets what our own jobs waited for, which is worked out anew.
     fn forget_requests(&mut self) {
-        let (is_ours, allocations) = (self.input.is_ours, &self.allocations);
+        let (is_ours, allocations) = (self.input.is_led_locally, &self.allocations);
         self.notes.retain(|job, note| {
             if is_ours(job) {
                 note.request = None;
@@ -212,7 +212,7 @@
             return;
         }
         // What less urgent jobs of ours don't use goes to one that can't do with less.
-        if need.all_or_nothing && !self.free.holds(lacking) {
+        if need.all_or_nothing && !self.free.can_hold(lacking) {
             self.take_back(self.input.needs[index + 1..].iter(), lacking);
         }
         let Some(added) = self.available_to(need, lacking) else {
@@ -233,12 +233,12 @@
         let place = need.place();
         let earlier = self.waiting.iter().filter(|job| job.place < place).map(|job| &job.lacking);
         let left = remaining(self.free, sum(earlier));
-        if left.holds(lacking) {
+        if left.can_hold(lacking) {
             Some(lacking)
         } else if need.all_or_nothing {
             None
         } else {
-            let tasks = left.count_of(need.per_task).clamp(0, need.more_tasks);
+            let tasks = left.max_count_of(need.per_task).clamp(0, need.more_tasks);
             Some(Resources { memory: 0, ..need.per_task.times(tasks) })
         }
     }
@@ -246,7 +246,7 @@
     /// Keeps room for the first of our jobs that needs all at once. Otherwise it might never begin: smaller ones would
     /// take each bit of room that comes free, here and on other controllers, and it would never be enough at one time.
     fn note_requester(&mut self, need: &'a QuotaNeed, lacking: Resources) {
-        if self.requester.is_none() && self.team.limit.holds(need.target()) {
+        if self.requester.is_none() && self.team.limit.can_hold(need.target()) {
             self.requester = Some(need);
             self.free = remaining(self.free, lacking);
         }
@@ -256,7 +256,7 @@
     fn leave_room(&mut self) {
         let needs = self.input.needs;
         for WaitingJob { place, lacking } in self.waiting.clone() {
-            if !self.free.holds(lacking) {
+            if !self.free.can_hold(lacking) {
                 self.take_back(needs.iter().filter(|need| need.place() > place), lacking);
             }
             self.free = remaining(self.free, lacking);
@@ -267,12 +267,12 @@
     /// Allocations never shrink below what is in use.
     fn take_back(&mut self, from: impl DoubleEndedIterator<Item = &'a QuotaNeed>, lacking: Resources) {
         for need in from.rev() {
-            if self.free.holds(lacking) {
+            if self.free.can_hold(lacking) {
                 return;
             }
             // Guards against an allocation below what runs: of a job taken over, tasks that we don't know of may be
             // alive.
-            if !need.is_settled {
+            if !need.is_usage_known {
                 continue;
             }
             let Some(allocation) = self.allocations.get_mut(&need.job) else { continue };
@@ -315,7 +315,8 @@
     /// What a job waits for is worth a write, but not over and over.
     fn has_new_request(&self, now: Micros) -> bool {
         let requesters = |notes: &BTreeMap<String, AllocationNote>| -> Vec<String> {
-            let ours = notes.iter().filter(|(job, note)| note.request.is_some() && (self.input.is_ours)(job));
+            let ours =
+                notes.iter().filter(|(job, note)| note.request.is_some() && (self.input.is_led_locally)(job));
             ours.map(|(job, _)| job.clone()).collect()
         };
         let (before, after) = (requesters(&self.team.notes), requesters(&self.notes));
@@ -347,12 +348,12 @@
 
 /// The jobs of other controllers that wait for room which the team's limit allows.
 fn waiting_jobs<'a>(team: &'a TeamQuota, input: &AllocationInput) -> Vec<WaitingJob<'a>> {
-    let others = team.notes.iter().filter(|(job, _)| !(input.is_ours)(job));
+    let others = team.notes.iter().filter(|(job, _)| !(input.is_led_locally)(job));
     let waiting = others.filter_map(|(job, note)| {
         let lacking = note.request?.lacking;
         Some(WaitingJob { place: note.place(job)?, lacking })
     });
-    let mut waiting: Vec<WaitingJob> = waiting.filter(|job| team.limit.holds(job.lacking)).collect();
+    let mut waiting: Vec<WaitingJob> = waiting.filter(|job| team.limit.can_hold(job.lacking)).collect();
     waiting.sort_unstable_by_key(|job| job.place);
     waiting
 }
