--- a/src/quota/allocation_notes/tests.rs
+++ b/src/quota/allocation_notes/tests.rs
@@ -70,7 +70,7 @@
     for settled in [true, false] {
         let mut ledger = QuotaLedger::new(&team(10.0));
         ledger.apply_record("t", Some((&json!({"a": [10_000, 0, 5], "b": [0, 0, 6, 8000, 0, 1]}), 4)));
-        let array = QuotaNeed { is_settled: settled, priority: 0, ..need("a", 1, 9, false) };
+        let array = QuotaNeed { is_usage_known: settled, priority: 0, ..need("a", 1, 9, false) };
         let late = Micros::from_millis(60_000);
         let write = next_write(&ledger, late, &[array], |j| j == "a", |_| true);
         assert_eq!(
--- a/src/quota/ledger.rs
+++ b/src/quota/ledger.rs
@@ -55,7 +55,7 @@
     fn new(settings: &TeamSettings) -> TeamQuota {
         TeamQuota {
             limit: limit(settings.cpus_max, settings.gpus_max),
-            guarantee: Resources::need(settings.cpus, settings.gpus, 0.0),
+            guarantee: Resources::rounded_up(settings.cpus, settings.gpus, 0.0),
             allocations: BTreeMap::new(),
             notes: BTreeMap::new(),
             version: 0,
@@ -275,7 +275,7 @@
             let is_short = needs.iter().any(|need| self.is_short(&name, need));
             let holds_unused = needs.iter().any(|need| {
                 let allocation = Resources { memory: 0, ..self.allocation(&name, &need.job) };
-                !need.in_use.holds(allocation)
+                !need.in_use.can_hold(allocation)
             });
             let Some(team) = self.teams.get_mut(&name) else { continue };
             // Whoever holds allocations that it doesn't use hears of nothing that would make it read.
@@ -294,7 +294,7 @@
     /// Whether a job could start more tasks than it is allotted room for.
     fn is_short(&self, team: &str, need: &QuotaNeed) -> bool {
         let running = need.in_use.cpus / need.per_task.cpus.max(1);
-        need.more_tasks > 0 && self.usable(team, &need.job).count_of(need.per_task) <= running
+        need.more_tasks > 0 && self.usable(team, &need.job).max_count_of(need.per_task) <= running
     }
 
     /// The change that a team's record needs, if any, and if it may be written now. It counts only once `begin_write` is
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -14,7 +14,7 @@
         job: job.into(),
         per_task,
         in_use,
-        is_settled: true,
+        is_usage_known: true,
         more_tasks: more,
         all_or_nothing: whole,
         priority: u8::from(whole),
@@ -30,7 +30,13 @@
     is_released: impl Fn(&str) -> bool,
 ) -> Option<AllocationWrite> {
     let (is_ours, is_released) = (&is_ours, &is_released);
-    let input = AllocationInput { team: "t", needs, is_ours, is_released, value_bytes: 4096 };
+    let input = AllocationInput {
+        team: "t",
+        needs,
+        is_led_locally: is_ours,
+        can_release: is_released,
+        value_bytes: 4096,
+    };
     ledger.next_write(now, &input)
 }
 
@@ -115,7 +121,7 @@
     for settled in [false, true] {
         let mut ledger = QuotaLedger::new(&team(10.0));
         ledger.apply_record("t", Some((&json!({"a": [8000, 0]}), 4)));
-        let needs = [QuotaNeed { is_settled: settled, ..need("a", 0, 1, false) }, need("b", 0, 9, false)];
+        let needs = [QuotaNeed { is_usage_known: settled, ..need("a", 0, 1, false) }, need("b", 0, 9, false)];
         let write =
             next_write(&ledger, Micros::from_millis(60_000), &needs, |_| true, |_| true).expect("b grows");
         assert_eq!(write.allocations["a"].cpus, if settled { 1000 } else { 8000 });
--- a/src/quota/tier.rs
+++ b/src/quota/tier.rs
@@ -4,7 +4,7 @@
 //!
 //! Source: PROTOCOL, "Preemption" and "How aims are counted".
 
-use crate::spec::GUARANTEED;
+use crate::spec::GUARANTEED_PRIORITY_BONUS;
 use crate::units::{Micros, Resources};
 
 /// How long work within a guarantee waits for a machine before borrowed work there is preempted: first what saves its
@@ -88,7 +88,7 @@
 /// that work within a guarantee counts its room as room that can be had.
 #[must_use]
 pub fn effective_priority(priority: u8, tier: QuotaTier) -> u8 {
-    if tier == QuotaTier::Beyond { priority % GUARANTEED } else { priority }
+    if tier == QuotaTier::Beyond { priority % GUARANTEED_PRIORITY_BONUS } else { priority }
 }
 
 /// The priority with which waiting work may have others preempted. Only what lies within a guarantee has more than its
@@ -96,7 +96,7 @@
 #[must_use]
 pub fn preempting_priority(priority: u8, tier: QuotaTier) -> u8 {
     match tier {
-        QuotaTier::Beyond | QuotaTier::Unknown => priority % GUARANTEED,
+        QuotaTier::Beyond | QuotaTier::Unknown => priority % GUARANTEED_PRIORITY_BONUS,
         QuotaTier::NoGuarantee | QuotaTier::Within => priority,
     }
 }
@@ -108,7 +108,8 @@
     match tier {
         QuotaTier::NoGuarantee => priority < by,
         QuotaTier::Beyond => {
-            by >= GUARANTEED && waited >= if saves { PREEMPT_SAVING_AFTER } else { PREEMPT_ALL_AFTER }
+            by >= GUARANTEED_PRIORITY_BONUS
+                && waited >= if saves { PREEMPT_SAVING_AFTER } else { PREEMPT_ALL_AFTER }
         }
         QuotaTier::Within | QuotaTier::Unknown => false,
     }
--- a/src/quota/tier/tests.rs
+++ b/src/quota/tier/tests.rs
@@ -51,7 +51,7 @@
         };
         let within = jobs.iter().filter(|j| of(j) == QuotaTier::Within);
         let sum = within.fold(Resources::default(), |a, (.., r)| a + *r);
-        assert!(guarantee.holds(sum), "seed {seed}");
+        assert!(guarantee.can_hold(sum), "seed {seed}");
     }
 }
 
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -2,7 +2,7 @@
 //! itself first.
 
 use crate::peer::MachineStatus;
-use crate::spec::{GUARANTEED, JobSpec};
+use crate::spec::{GUARANTEED_PRIORITY_BONUS, JobSpec};
 use crate::units::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,15 +24,15 @@
 impl Place<'_> {
     /// Whether the job may use this machine at all.
     pub fn is_allowed(&self, spec: &JobSpec) -> bool {
-        (self.machine.spot <= spec.spot)
-            && (spec.kinds.is_empty() || spec.kinds.contains(&self.machine.kind))
+        (self.machine.spot <= spec.spot_allowed)
+            && (spec.machine_types.is_empty() || spec.machine_types.contains(&self.machine.machine_type))
             && spec.zone.as_ref().is_none_or(|zone| *zone == self.machine.zone)
-            && self.machine.total.holds(spec.room)
+            && self.machine.total.can_hold(spec.resources_per_task)
     }
 
     /// Room that is left once tasks end of priorities for which `stays` is false.
     fn free_beside(&self, stays: impl Fn(u8) -> bool) -> Resources {
-        let staying = self.machine.by_priority.iter().filter(|(priority, _)| stays(*priority));
+        let staying = self.machine.used_by_priority.iter().filter(|(priority, _)| stays(*priority));
         staying.fold(self.machine.total - self.unseen, |free, (_, used)| free - *used)
     }
 
@@ -50,22 +50,24 @@
 
     /// Room there will be once all that is no more urgent than this rank has ended by itself, whoever is guaranteed it.
     pub fn free_in_time(&self, rank: u8) -> Resources {
-        self.free_beside(|running| running % GUARANTEED > rank)
+        self.free_beside(|running| running % GUARANTEED_PRIORITY_BONUS > rank)
     }
 
     /// What work that borrows can have at once: it may not stop other borrowed work of its own rank or above.
     pub fn free_for_borrowed(&self, priority: u8) -> Resources {
-        let rank = priority % GUARANTEED;
-        self.free_beside(|running| running >= priority || (rank..GUARANTEED).contains(&running))
+        let rank = priority % GUARANTEED_PRIORITY_BONUS;
+        self.free_beside(|running| {
+            running >= priority || (rank..GUARANTEED_PRIORITY_BONUS).contains(&running)
+        })
     }
 }
 
 /// Whether a task of `spec` finds no room either once one of `failed` has found none.
 pub fn is_no_easier(spec: &JobSpec, failed: &JobSpec) -> bool {
-    spec.room.holds(failed.room)
-        && spec.spot <= failed.spot
+    spec.resources_per_task.can_hold(failed.resources_per_task)
+        && spec.spot_allowed <= failed.spot_allowed
         && spec.priority <= failed.priority
-        && (failed.kinds.is_empty() || spec.kinds == failed.kinds)
+        && (failed.machine_types.is_empty() || spec.machine_types == failed.machine_types)
         && (failed.zone.is_none() || spec.zone == failed.zone)
 }
 
@@ -77,16 +79,16 @@
     if spec.one_zone && counts.iter().any(|(other, &count)| count > 0 && other != zone) {
         return false;
     }
-    !spec.spread || counts.get(zone).copied().unwrap_or(0) < spec.tasks.div_ceil(2)
+    !spec.spread || counts.get(zone).copied().unwrap_or(0) < spec.task_count.div_ceil(2)
 }
 
 /// How well a task goes to a place: the least goes first.
 fn fit(spec: &JobSpec, place: &Place) -> (bool, bool, i64, bool, bool, i64, bool, i64) {
-    let left = place.free - spec.room;
+    let left = place.free - spec.resources_per_task;
     // Among equally full ones, the one that need not fetch the image. Where a task takes a
     // machine for itself all are as good as equally full.
     let fetches_image = !place.machine.images.contains(&spec.image_hash);
-    let alone = place.machine.total.count_of(spec.room) == 1;
+    let alone = place.machine.total.max_count_of(spec.resources_per_task) == 1;
     let risky = place.machine.spot && spec.is_urgent_without_checkpoints();
     // Of machines about as full those that the job's leader leads itself: several leaders that each take the very
     // fullest have half of their starts refused when much is placed.
@@ -118,7 +120,7 @@
         .iter()
         .enumerate()
         .filter(|(_, place)| {
-            place.free.holds(spec.room)
+            place.free.can_hold(spec.resources_per_task)
                 && place.reserved_for.is_none_or(|priority| spec.priority >= priority)
                 && place.is_allowed(spec)
                 && is_zone_allowed(spec, counts, &place.machine.zone)
@@ -130,8 +132,11 @@
     let mut found = Vec::new();
     for (_, i) in candidates {
         let zone = &places[i].machine.zone;
-        while found.len() < count && places[i].free.holds(spec.room) && is_zone_allowed(spec, counts, zone) {
-            places[i].take(spec.room);
+        while found.len() < count
+            && places[i].free.can_hold(spec.resources_per_task)
+            && is_zone_allowed(spec, counts, zone)
+        {
+            places[i].take(spec.resources_per_task);
             *counts.entry(zone.clone()).or_default() += 1;
             found.push(i);
         }
@@ -155,9 +160,9 @@
         let mut places = places.to_vec();
         let is_usable =
             |machine: &MachineStatus| zone.is_none_or(|zone| machine.zone == zone) && is_usable(machine);
-        let found = place_tasks(spec, &mut places, &mut counts.clone(), spec.tasks as usize, is_usable);
+        let found = place_tasks(spec, &mut places, &mut counts.clone(), spec.task_count as usize, is_usable);
         let left: i64 = found.iter().map(|&i| places[i].free.cpus).sum();
-        (found.len() == spec.tasks as usize).then_some((left, found))
+        (found.len() == spec.task_count as usize).then_some((left, found))
     };
     if !spec.one_zone {
         return place_within(None).map(|(_, found)| found);
--- a/src/scheduler/placement/tests.rs
+++ b/src/scheduler/placement/tests.rs
@@ -14,19 +14,19 @@
 fn machine(name: String, zone: &str, spot: bool, cpus: f64, total: f64) -> MachineStatus {
     MachineStatus {
         name,
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: zone.into(),
         spot,
-        standing: InventoryState::Known,
-        open: true,
-        notice: None,
-        free: Resources::need(cpus, 0.0, 9.0),
-        total: Resources::need(total, 0.0, 9.0),
-        by_priority: Vec::new(),
+        inventory_state: InventoryState::Known,
+        is_schedulable: true,
+        time_to_termination: None,
+        free: Resources::rounded_up(cpus, 0.0, 9.0),
+        total: Resources::rounded_up(total, 0.0, 9.0),
+        used_by_priority: Vec::new(),
         images: Vec::new(),
-        busy: 0,
-        idle: Some(Micros(0)),
-        silent: None,
+        task_count: 0,
+        idle_time: Some(Micros(0)),
+        silent_time: None,
         tasks: Vec::new(),
     }
 }
@@ -37,7 +37,12 @@
 fn urgent_work_that_never_saves_goes_to_ordinary_machines_first() {
     let machines = [machine("a".into(), "a", true, 2.0, 8.0), machine("b".into(), "a", false, 8.0, 8.0)];
     let at = |priority: u8, checkpoint: Micros| {
-        let spec = JobSpec { spot: true, priority, checkpoint, ..spec("batch", 2, false, false) };
+        let spec = JobSpec {
+            spot_allowed: true,
+            priority,
+            checkpoint_interval: checkpoint,
+            ..spec("batch", 2, false, false)
+        };
         place_tasks(&spec, &mut places(&machines), &mut ZoneCounts::new(), 2, |_| true)
     };
     assert_eq!(at(1, Micros(0)), [0, 1], "the fullest first");
@@ -77,17 +82,17 @@
         let places = places(&machines);
         let s = spec("group", rng.random_range(1..8), rng.random_bool(0.5), rng.random_bool(0.4));
         let Some(at) = place_gang(&s, &places, &ZoneCounts::new(), |_| true) else { continue };
-        assert_eq!(at.len(), s.tasks as usize);
+        assert_eq!(at.len(), s.task_count as usize);
         let mut counts = ZoneCounts::new();
         let mut free: Vec<Resources> = places.iter().map(|p| p.free).collect();
         for i in at {
             assert!(!machines[i].spot);
-            assert!(free[i].holds(s.room));
-            free[i] = free[i] - s.room;
+            assert!(free[i].can_hold(s.resources_per_task));
+            free[i] = free[i] - s.resources_per_task;
             *counts.entry(machines[i].zone.clone()).or_default() += 1;
         }
         assert!(!s.one_zone || counts.len() == 1);
-        assert!(!s.spread || counts.values().all(|&n| n <= s.tasks.div_ceil(2)));
+        assert!(!s.spread || counts.values().all(|&n| n <= s.task_count.div_ceil(2)));
     }
 }
 
@@ -96,11 +101,11 @@
 #[test]
 fn a_machine_that_is_being_emptied_counts_as_empty() {
     let mut m = machine("i".into(), "a", false, 0.0, 16.0);
-    m.by_priority = vec![(2, Resources::need(6.0, 0.0, 1.0))];
+    m.used_by_priority = vec![(2, Resources::rounded_up(6.0, 0.0, 1.0))];
     let mut p = places(std::slice::from_ref(&m)).remove(0);
     assert_eq!(p.free_for(2).cpus, 10_000, "six stay, the rest is free or being stopped");
     assert_eq!(p.free_for(3).cpus, 16_000);
-    p.take(Resources::need(4.0, 0.0, 1.0));
+    p.take(Resources::rounded_up(4.0, 0.0, 1.0));
     assert_eq!(p.free_for(2).cpus, 6_000, "what is spoken for is not there twice");
 }
 
@@ -123,8 +128,8 @@
         let s = spec("batch", rng.random_range(1..20), rng.random_bool(0.3), rng.random_bool(0.3));
         let (mut at_once, mut one_by_one) = (places(&machines), places(&machines));
         let (mut a, mut b) = (ZoneCounts::new(), ZoneCounts::new());
-        let n = place_tasks(&s, &mut at_once, &mut a, s.tasks as usize, |_| true).len();
-        let m = (0..s.tasks)
+        let n = place_tasks(&s, &mut at_once, &mut a, s.task_count as usize, |_| true).len();
+        let m = (0..s.task_count)
             .filter(|_| !place_tasks(&s, &mut one_by_one, &mut b, 1, |_| true).is_empty())
             .count();
         let free = |p: &[Place]| p.iter().map(|p| p.free).collect::<Vec<_>>();
--- a/src/scheduler/reservations.rs
+++ b/src/scheduler/reservations.rs
@@ -2,7 +2,7 @@
 
 use super::placement::Place;
 use crate::quota::tier::QuotaTier;
-use crate::spec::{GUARANTEED, JobSpec};
+use crate::spec::{GUARANTEED_PRIORITY_BONUS, JobSpec};
 use crate::units::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -48,7 +48,7 @@
     fn attainable(&self, place: &Place) -> Resources {
         let priority = self.spec.priority;
         match self.quota_tier {
-            QuotaTier::Beyond if self.overdue => place.free_in_time(priority % GUARANTEED),
+            QuotaTier::Beyond if self.overdue => place.free_in_time(priority % GUARANTEED_PRIORITY_BONUS),
             _ if self.overdue => place.free_for(priority + 1),
             QuotaTier::Beyond => place.free_for_borrowed(priority),
             _ => place.free_for(priority),
@@ -63,7 +63,7 @@
         place.is_allowed(self.spec)
             && (self.was_reserved(place) || !self.taken.contains(&place.machine.name))
             && place.reserved_for.is_none_or(|priority| priority <= self.spec.priority)
-            && self.attainable(place).holds(self.spec.room)
+            && self.attainable(place).can_hold(self.spec.resources_per_task)
     }
 
     /// The places that will do, by the zone that the gang must share; all under one key if it need not.
@@ -81,16 +81,22 @@
     fn choose(&self, places: &[Place], usable: &[usize]) -> Choice {
         let spec = self.spec;
         // Where there are guarantees, stopping costs more than an empty machine: those with the least on them.
-        let stoppable = if spec.priority < GUARANTEED { spec.priority } else { 0 };
+        let stoppable = if spec.priority < GUARANTEED_PRIORITY_BONUS { spec.priority } else { 0 };
         let key = |&i: &usize| {
             let place = &places[i];
-            let after = -place.free_for(stoppable).cpus.min(spec.room.cpus);
+            let after = -place.free_for(stoppable).cpus.min(spec.resources_per_task.cpus);
             let fetches_image = !place.machine.images.contains(&spec.image_hash);
-            (!self.was_reserved(place), after, fetches_image, -place.free.cpus.min(spec.room.cpus), i)
+            (
+                !self.was_reserved(place),
+                after,
+                fetches_image,
+                -place.free.cpus.min(spec.resources_per_task.cpus),
+                i,
+            )
         };
         let mut best: Vec<(bool, i64, bool, i64, usize)> = usable.iter().map(key).collect();
         best.sort_unstable();
-        best.truncate(spec.tasks as usize);
+        best.truncate(spec.task_count as usize);
         Choice {
             kept: best.iter().filter(|(is_new, ..)| !is_new).count(),
             free: best.iter().map(|(_, after, _, missing, _)| -missing - after).sum(),
@@ -108,7 +114,7 @@
     let best = request
         .usable_by_zone(places)
         .into_values()
-        .filter(|usable| usable.len() >= spec.tasks as usize)
+        .filter(|usable| usable.len() >= spec.task_count as usize)
         .map(|usable| request.choose(places, &usable))
         .max_by_key(|choice| (choice.kept, choice.free));
     let mut reserved = ReservedMachines::default();
@@ -117,7 +123,7 @@
         reserved.withheld += usize::from(place.reserved_for.is_none_or(|priority| priority < spec.priority));
         place.reserved_for = place.reserved_for.max(Some(spec.priority));
         // A second gang must not count on the same room.
-        place.take(spec.room);
+        place.take(spec.resources_per_task);
         reserved.names.push(place.machine.name.clone());
     }
     reserved
--- a/src/scheduler/reservations/tests.rs
+++ b/src/scheduler/reservations/tests.rs
@@ -8,19 +8,19 @@
         busy.iter().map(|(p, c)| (*p, Resources { cpus: *c, ..Resources::default() })).collect();
     MachineStatus {
         name: format!("i-{i:02}"),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: zone.into(),
         spot: false,
-        standing: InventoryState::Known,
-        open: true,
-        notice: None,
+        inventory_state: InventoryState::Known,
+        is_schedulable: true,
+        time_to_termination: None,
         free: by_priority.iter().fold(total, |a, (_, r)| a - *r),
         total,
-        by_priority,
+        used_by_priority: by_priority,
         images: Vec::new(),
-        busy: 0,
-        idle: None,
-        silent: None,
+        task_count: 0,
+        idle_time: None,
+        silent_time: None,
         tasks: Vec::new(),
     }
 }
--- a/src/scheduler/run_times.rs
+++ b/src/scheduler/run_times.rs
@@ -21,7 +21,7 @@
 impl RunTimes {
     /// A task of a job completed after it had run for so long.
     pub fn record(&mut self, spec: &JobSpec, run: Micros) {
-        if spec.estimate == Micros(0) {
+        if spec.estimated_run_time == Micros(0) {
             return;
         }
         // It begins as if some had run as long as expected: the first to complete are the shortest.
@@ -29,7 +29,7 @@
         let sums =
             self.0.entry(spec.class.clone()).or_insert(ClassRunTime { actual: start, expected: start });
         sums.actual = sums.actual + run;
-        sums.expected = sums.expected + spec.estimate;
+        sums.expected = sums.expected + spec.estimated_run_time;
         if sums.expected > MEMORY {
             sums.actual = Micros(sums.actual.0 / 2);
             sums.expected = Micros(sums.expected.0 / 2);
@@ -41,6 +41,8 @@
     pub fn likely(&self, spec: &JobSpec) -> Micros {
         let (actual, expected) =
             self.0.get(&spec.class).map_or((1, 1), |sums| (sums.actual.0, sums.expected.0));
-        Micros((u128::from(spec.estimate.0) * u128::from(actual) / u128::from(expected.max(1))) as u64)
+        Micros(
+            (u128::from(spec.estimated_run_time.0) * u128::from(actual) / u128::from(expected.max(1))) as u64,
+        )
     }
 }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -57,7 +57,7 @@
             self.handle_events();
             self.controller.reconcile(self.clock(), wall_clock(), &mut self.effects);
             self.perform_effects();
-            if self.controller.gone(self.clock()) {
+            if self.controller.can_exit(self.clock()) {
                 self.refuse_open_requests();
                 tracing::info!("handed on and left");
                 return;
@@ -92,7 +92,7 @@
     fn perform_effects(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         for effect in effects.drain(..) {
-            let Some(effect) = self.controller.vetted(self.clock(), effect) else { continue };
+            let Some(effect) = self.controller.revalidate_effect(self.clock(), effect) else { continue };
             match effect {
                 Effect::Reply { ticket: id, reply } => self.respond(id, reply),
                 Effect::Send { to: member, frame } => self.outbound.send_frame(member, frame),
@@ -116,7 +116,7 @@
 
     fn refuse_open_requests(&mut self) {
         for (_, request) in self.open_requests.drain() {
-            http_api::respond(request, Reply::later("this controller is leaving"));
+            http_api::respond(request, Reply::retry_later("this controller is leaving"));
         }
     }
 
--- a/src/server/http_api.rs
+++ b/src/server/http_api.rs
@@ -9,7 +9,7 @@
 use crate::machine_shard::Heartbeat;
 use crate::peer::{Reply, UserRequest};
 use crate::spec::{JobSpec, is_job_id};
-use crate::wire::users::submission::{BODY_LIMIT, named_job};
+use crate::wire::users::submission::{BODY_LIMIT_BYTES, read_job_id};
 use std::io::Read;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -46,7 +46,7 @@
             Dispatch::Reply(reply) => respond(request, reply),
             Dispatch::Event(event) => match inbox.send_request(id, request, event) {
                 Admission::Queued => {}
-                Admission::Overloaded(request) => respond(request, Reply::later("overloaded")),
+                Admission::Overloaded(request) => respond(request, Reply::retry_later("overloaded")),
                 Admission::LoopEnded => return,
             },
         }
@@ -80,7 +80,7 @@
         ("GET", "/ready") => Dispatch::Event(Event::Ready(request_id)),
         ("GET", "/status") => Dispatch::Event(Event::Status(request_id)),
         ("POST", "/hello") => heartbeat(request_id, read_body(HEARTBEAT_LIMIT)),
-        ("POST", "/v1/jobs") => submission(request_id, read_body(BODY_LIMIT)),
+        ("POST", "/v1/jobs") => submission(request_id, read_body(BODY_LIMIT_BYTES)),
         (_, "/ready" | "/status" | "/hello" | "/v1/jobs") => method_not_allowed(),
         (_, path) if path.starts_with("/ops/") => operator_request(request_id, method, url, read_body),
         (_, path) => match path.strip_prefix("/v1/jobs/") {
@@ -122,7 +122,7 @@
     };
     match JobSpec::parse(&body) {
         Ok(spec) => user_request(request_id, UserRequest::Submit(spec.id, body)),
-        Err(e) => match named_job(&body) {
+        Err(e) => match read_job_id(&body) {
             Some(id) => user_request(request_id, UserRequest::Submit(id, body)),
             None => Dispatch::Reply(Reply::error(e.status(), &e.to_string())),
         },
@@ -160,7 +160,7 @@
     }
     match (method, is_withdrawal) {
         ("GET", false) => user_request(request_id, UserRequest::Query(id.into())),
-        ("POST", true) => user_request(request_id, UserRequest::Withdraw(id.into())),
+        ("POST", true) => user_request(request_id, UserRequest::Cancel(id.into())),
         _ => method_not_allowed(),
     }
 }
--- a/src/server/http_api/tests.rs
+++ b/src/server/http_api/tests.rs
@@ -21,7 +21,7 @@
     assert_eq!(status("POST", "/v1/jobs", "{"), Some(400));
     assert_eq!(status("POST", "/v1/jobs", r#"{"uid":"x","breed":"b"}"#), Some(400));
     assert_eq!(status("POST", "/v1/jobs", r#"{"uid":"wk-000001","breed":"b"}"#), None, "it may be a repeat");
-    assert_eq!(status("POST", "/v1/jobs", &"x".repeat(BODY_LIMIT + 1)), Some(400));
+    assert_eq!(status("POST", "/v1/jobs", &"x".repeat(BODY_LIMIT_BYTES + 1)), Some(400));
     assert_eq!(status("POST", "/hello", "{}"), Some(400));
     assert_eq!(
         status(
--- a/src/server/operator_api.rs
+++ b/src/server/operator_api.rs
@@ -7,7 +7,7 @@
 use crate::wire::operators as form;
 use crate::wire::percent_encoding::percent_decode;
 use hazelsaddle_release::calendar::date_of;
-use hazelsaddle_release::set::MISSING;
+use hazelsaddle_release::release_record::MISSING;
 use serde::Deserialize;
 
 /// Longest body of an operator's request, in bytes.
--- a/src/spec.rs
+++ b/src/spec.rs
@@ -12,7 +12,7 @@
 
 /// Added to the priority of work within its team's guarantee, which goes before all other work and may preempt what
 /// other teams run beyond theirs.
-pub const GUARANTEED: u8 = 10;
+pub const GUARANTEED_PRIORITY_BONUS: u8 = 10;
 /// From this priority on, without the guarantee's addition, work is urgent.
 const URGENT_PRIORITY: u8 = 2;
 
@@ -41,11 +41,11 @@
     /// Higher goes first: production 3, high 2, normal 1, idle 0.
     pub priority: u8,
     /// How many tasks, at least one.
-    pub tasks: u32,
+    pub task_count: u32,
     /// The resources of one task.
-    pub room: Resources,
+    pub resources_per_task: Resources,
     /// Allowed machine types; empty: any.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// The only allowed zone.
     pub zone: Option<String>,
     /// All tasks in one zone.
@@ -53,39 +53,39 @@
     /// At most half of the tasks, rounded up, in one zone.
     pub spread: bool,
     /// Whether spot machines are allowed.
-    pub spot: bool,
+    pub spot_allowed: bool,
     /// The container image.
     pub image: String,
     /// Hash of the image's name.
     pub image_hash: u64,
     /// The submitter's estimate of a task's run time.
-    pub estimate: Micros,
+    pub estimated_run_time: Micros,
     /// Interval between checkpoints; zero: the job never saves.
-    pub checkpoint: Micros,
+    pub checkpoint_interval: Micros,
     /// How long a checkpoint takes when a task is preempted.
-    pub save: Micros,
+    pub checkpoint_duration: Micros,
     /// When it should be complete, from its submission.
     pub deadline: Option<Micros>,
     /// Jobs that must have succeeded before any of its tasks starts: sorted, each once.
-    pub follows: Vec<String>,
+    pub dependencies: Vec<String>,
     /// The release that it belongs to.
     pub release: Option<ReleaseRef>,
     /// The batch and version that it is a run of.
-    pub batch: Option<Batch>,
+    pub batch: Option<BatchRef>,
     /// The batch and version that it may merge.
-    pub merges: Option<Batch>,
+    pub merges: Option<BatchRef>,
 }
 
 /// A batch and a version of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Batch {
+pub struct BatchRef {
     /// The batch's name.
     pub name: String,
     /// Its version.
     pub version: u64,
 }
 
-impl Batch {
+impl BatchRef {
     /// The key of the batch's coordination record; None if the name can't be part of a key.
     #[must_use]
     pub fn key(&self) -> Option<Key> {
@@ -118,14 +118,14 @@
 impl MachineType {
     /// All its resources. Rounded down, as tasks' are rounded up.
     #[must_use]
-    pub fn room(&self) -> Resources {
+    pub fn capacity(&self) -> Resources {
         let down = |amount: f64| (amount * 1000.0 + 1e-6).floor() as i64;
         Resources { cpus: down(self.cpus), gpus: down(self.gpus), memory: down(self.memory_gb) }
     }
 }
 
 /// The machine types by name.
-pub type Types = BTreeMap<String, MachineType>;
+pub type MachineTypes = BTreeMap<String, MachineType>;
 
 /// Why a job can never run on this platform. Users read the texts.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
@@ -163,8 +163,8 @@
     /// saves.
     #[must_use]
     pub fn is_urgent_without_checkpoints(&self) -> bool {
-        self.priority % GUARANTEED >= URGENT_PRIORITY
-            && self.checkpoint == Micros(0)
+        self.priority % GUARANTEED_PRIORITY_BONUS >= URGENT_PRIORITY
+            && self.checkpoint_interval == Micros(0)
             && self.kind != JobKind::Service
     }
 
@@ -185,8 +185,8 @@
     ///
     /// # Errors
     /// The first reason why it never can.
-    pub fn check(&self, types: &Types, teams: &[TeamSettings]) -> Result<(), ImpossibleJob> {
-        if self.follows.contains(&self.id) {
+    pub fn check(&self, types: &MachineTypes, teams: &[TeamSettings]) -> Result<(), ImpossibleJob> {
+        if self.dependencies.contains(&self.id) {
             return Err(ImpossibleJob::DependsOnItself(self.id.clone()));
         }
         let team = teams.iter().find(|team| team.name == self.team);
@@ -200,18 +200,18 @@
 
     /// Whether a task fits a machine of this type in an allowed zone.
     fn fits(&self, machine_type: &MachineType) -> bool {
-        (self.kinds.is_empty() || self.kinds.contains(&machine_type.name))
+        (self.machine_types.is_empty() || self.machine_types.contains(&machine_type.name))
             && match &self.zone {
                 Some(zone) => machine_type.zones.contains(zone),
                 None => !machine_type.zones.is_empty(),
             }
-            && machine_type.room().holds(self.room)
+            && machine_type.capacity().can_hold(self.resources_per_task)
     }
 
     /// A gang runs all its tasks at the same time, so a spread one needs two zones: accepted without them, it would wait
     /// for ever.
-    fn check_spread(&self, types: &Types) -> Result<(), ImpossibleJob> {
-        if self.kind != JobKind::Gang || !self.spread || self.tasks <= 1 {
+    fn check_spread(&self, types: &MachineTypes) -> Result<(), ImpossibleJob> {
+        if self.kind != JobKind::Gang || !self.spread || self.task_count <= 1 {
             return Ok(());
         }
         let is_allowed = |zone: &&String| self.zone.as_ref().is_none_or(|only| only == *zone);
@@ -225,8 +225,8 @@
 
     /// What must run at the same time must be within the team's limit.
     fn check_team_limit(&self, team: &TeamSettings) -> Result<(), ImpossibleJob> {
-        let at_once = if self.kind == JobKind::Array { 1 } else { i64::from(self.tasks) };
-        let needed = self.room.times(at_once);
+        let at_once = if self.kind == JobKind::Array { 1 } else { i64::from(self.task_count) };
+        let needed = self.resources_per_task.times(at_once);
         for (needed, limit, resource) in
             [(needed.cpus, team.cpus_max, "processors"), (needed.gpus, team.gpus_max, "GPUs")]
         {
--- a/src/spec/tests.rs
+++ b/src/spec/tests.rs
@@ -20,7 +20,7 @@
         boot_s: 1.0,
         zones: vec!["a".into()],
     };
-    let types: Types = [("g8".to_owned(), g8)].into();
+    let types: MachineTypes = [("g8".to_owned(), g8)].into();
     let mut team = TeamSettings { name: "vision".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
     let spec = JobSpec::from_value(&body()).unwrap();
     assert_eq!(spec.check(&types, std::slice::from_ref(&team)), Ok(()));
@@ -29,7 +29,7 @@
     let array = JobSpec { kind: JobKind::Array, ..spec.clone() };
     assert_eq!(array.check(&types, std::slice::from_ref(&team)), Ok(()));
     assert!(array.check(&types, &[]).is_err(), "unknown team");
-    let big = JobSpec { room: Resources::need(97.0, 0.0, 1.0), ..array.clone() };
+    let big = JobSpec { resources_per_task: Resources::rounded_up(97.0, 0.0, 1.0), ..array.clone() };
     assert!(big.check(&types, std::slice::from_ref(&team)).is_err());
     let elsewhere = JobSpec { zone: Some("b".into()), ..array };
     assert!(elsewhere.check(&types, &[team]).is_err());
--- a/src/state_store/client.rs
+++ b/src/state_store/client.rs
@@ -84,7 +84,9 @@
 
     fn read_revision(&self) -> StoreAnswer {
         match self.get(&format!("{}/store?prefix=ring/epoch&limit=1", self.base)) {
-            Some((200, text)) => convert(&text, |at: wire::RevisionForm| StoreAnswer::At(at.revision)),
+            Some((200, text)) => {
+                convert(&text, |at: wire::RevisionForm| StoreAnswer::CurrentRevision(at.revision))
+            }
             other => failure(other),
         }
     }
@@ -96,7 +98,7 @@
         let request = self.agent.get(&url).timeout(self.timeout + Duration::from_micros(wait.0));
         match read_answer(request.call()) {
             Some((200, text)) => convert(&text, |changes: wire::Changes| changes.into()),
-            Some((410, _)) => StoreAnswer::TooOld,
+            Some((410, _)) => StoreAnswer::Compacted,
             other => failure(other),
         }
     }
--- a/src/state_store/rate_limiter.rs
+++ b/src/state_store/rate_limiter.rs
@@ -25,7 +25,7 @@
     }
 
     fn refill(&mut self, now: Micros) {
-        let earned = now.since(self.refilled_at).secs() * self.tokens_per_second;
+        let earned = now.since(self.refilled_at).as_secs() * self.tokens_per_second;
         self.available = (self.available + earned).min(self.capacity());
         self.refilled_at = self.refilled_at.max(now);
     }
--- a/src/state_store/request.rs
+++ b/src/state_store/request.rs
@@ -30,14 +30,14 @@
     /// Keys to write, with a lease if the key is to end with it.
     pub puts: Vec<(String, Value, Option<u64>)>,
     /// Keys to delete.
-    pub drops: Vec<String>,
+    pub deletes: Vec<String>,
 }
 
 impl Transaction {
     /// How much of the write budget it takes: one for each key that is written or deleted.
     #[must_use]
     pub fn cost(&self) -> f64 {
-        (self.puts.len() + self.drops.len()) as f64
+        (self.puts.len() + self.deletes.len()) as f64
     }
 }
 
@@ -70,11 +70,11 @@
     /// The lease was renewed.
     Renewed,
     /// The store's present revision.
-    At(u64),
+    CurrentRevision(u64),
     /// The revision up to which the store has looked, and the keys that were written, with values.
     Changes(u64, Vec<(String, Value)>),
     /// The changes asked for are no longer kept.
-    TooOld,
+    Compacted,
     /// Certainly not carried out (429, 503, or a transaction that the service calls malformed).
     Refused,
     /// No usable answer: it may have been carried out, or may yet be.
--- a/src/units.rs
+++ b/src/units.rs
@@ -26,14 +26,14 @@
 impl Resources {
     /// From processors, GPUs and gigabytes. Rounds up, so that a sum of tasks never hides a fraction.
     #[must_use]
-    pub fn need(cpus: f64, gpus: f64, memory: f64) -> Resources {
+    pub fn rounded_up(cpus: f64, gpus: f64, memory: f64) -> Resources {
         let round_up = |amount: f64| (amount * MILLI - ROUNDING).ceil() as i64;
         Resources { cpus: round_up(cpus), gpus: round_up(gpus), memory: round_up(memory) }
     }
 
     /// Whether `self` has room for `other`.
     #[must_use]
-    pub fn holds(self, other: Resources) -> bool {
+    pub fn can_hold(self, other: Resources) -> bool {
         self.cpus >= other.cpus && self.gpus >= other.gpus && self.memory >= other.memory
     }
 
@@ -66,7 +66,7 @@
     /// How many of `one` fit. What takes nothing fits more often than any job has tasks, but not so often that a sum over
     /// machines overflows.
     #[must_use]
-    pub fn count_of(self, one: Resources) -> i64 {
+    pub fn max_count_of(self, one: Resources) -> i64 {
         let count = |have: i64, each: i64| if each <= 0 { i64::from(u32::MAX) } else { have.max(0) / each };
         count(self.cpus, one.cpus).min(count(self.gpus, one.gpus)).min(count(self.memory, one.memory))
     }
@@ -96,13 +96,13 @@
 
 /// A set of task numbers kept as ranges: a job of 100,000 tasks that is mostly done stays small.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ranges {
+pub struct TaskIndexSet {
     /// The first number of a range, and its last. Ranges never touch.
     spans: BTreeMap<u32, u32>,
     len: u32,
 }
 
-impl Ranges {
+impl TaskIndexSet {
     /// How many numbers are in the set.
     #[must_use]
     pub fn len(&self) -> u32 {
@@ -182,8 +182,8 @@
 
     /// Reads what `encode` wrote; None if it is not of that form or names a task from `total` on.
     #[must_use]
-    pub fn decode(text: &str, total: u32) -> Option<Ranges> {
-        let mut ranges = Ranges::default();
+    pub fn decode(text: &str, total: u32) -> Option<TaskIndexSet> {
+        let mut ranges = TaskIndexSet::default();
         for part in text.split(',').filter(|part| !part.is_empty()) {
             let (first, last): (u32, u32) = match part.split_once('-') {
                 Some((first, last)) => (first.parse().ok()?, last.parse().ok()?),
--- a/src/units/tests.rs
+++ b/src/units/tests.rs
@@ -5,7 +5,7 @@
 fn ranges_agree_with_a_plain_set() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut ranges = Ranges::default();
+        let mut ranges = TaskIndexSet::default();
         let mut plain = std::collections::BTreeSet::new();
         for _ in 0..200 {
             let n = rng.random_range(0..150u32);
@@ -15,12 +15,12 @@
         let gaps: Vec<u32> = ranges.gaps(150).collect();
         let expect: Vec<u32> = (0..150).filter(|n| !plain.contains(n)).collect();
         assert_eq!(gaps, expect);
-        assert_eq!(Ranges::decode(&ranges.encode(10_000), 150), Some(ranges.clone()));
+        assert_eq!(TaskIndexSet::decode(&ranges.encode(10_000), 150), Some(ranges.clone()));
         let short = ranges.encode(40);
         assert!(short.len() <= 40);
-        let part = Ranges::decode(&short, 150).expect("what was written is read");
+        let part = TaskIndexSet::decode(&short, 150).expect("what was written is read");
         assert!((0..150).all(|n| !part.contains(n) || plain.contains(&n)));
     }
-    assert_eq!(Ranges::decode("3-1", 10), None);
-    assert_eq!(Ranges::decode("9-10", 10), None);
+    assert_eq!(TaskIndexSet::decode("3-1", 10), None);
+    assert_eq!(TaskIndexSet::decode("9-10", 10), None);
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -50,7 +50,7 @@
 impl From<MachineRow> for CloudMachine {
     fn from(row: MachineRow) -> CloudMachine {
         let MachineRow { name, kind, zone, spot, state, age_s } = row;
-        CloudMachine { name, kind, zone, spot, state: state.as_str().into(), age_s }
+        CloudMachine { name, machine_type: kind, zone, spot, state: state.as_str().into(), age_s }
     }
 }
 
@@ -95,7 +95,7 @@
 
 /// The body of a scale-out.
 pub(crate) fn scale_out_body(scale_out: &ScaleOut) -> String {
-    let ScaleOut { name, kind, zone, spot, count } = scale_out;
+    let ScaleOut { name, machine_type: kind, zone, spot, count } = scale_out;
     json!({"hire": name, "stallKind": kind, "paddock": zone, "borrowed": spot, "count": count}).to_string()
 }
 
--- a/src/wire/state_store.rs
+++ b/src/wire/state_store.rs
@@ -100,7 +100,7 @@
         Some(lease) => json!({"write": key, "v": value, "tether": lease}),
         None => json!({"write": key, "v": value}),
     });
-    let deletions = transaction.drops.iter().map(|key| json!({"drop": key}));
+    let deletions = transaction.deletes.iter().map(|key| json!({"drop": key}));
     let writes: Vec<Value> = puts.chain(deletions).collect();
     json!({"if": preconditions, "writes": writes}).to_string()
 }
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -18,7 +18,7 @@
 pub const PENDING: &str = "pending";
 
 /// The protocol's word for how a job has ended.
-pub fn stance_of(outcome: JobOutcome) -> &'static str {
+pub fn state_word(outcome: JobOutcome) -> &'static str {
     match outcome {
         JobOutcome::Done => "done",
         JobOutcome::Cancelled => "aborted",
@@ -26,27 +26,27 @@
 }
 
 /// How a job stands: its state, and how many of its tasks are done and run.
-pub fn job_state(job: &str, stance: &str, done: u32, running: u32) -> Value {
+pub fn job_state_body(job: &str, stance: &str, done: u32, running: u32) -> Value {
     json!({"uid": job, "stance": stance, "done": done, "running": running})
 }
 
 /// The answer to a submission that is on record.
-pub fn accepted(job: &str) -> Value {
+pub fn accepted_body(job: &str) -> Value {
     json!({"uid": job, "stance": PENDING})
 }
 
 /// The answer to a cancellation: how the job has ended.
-pub fn outcome(job: &str, outcome: JobOutcome) -> Value {
-    json!({"uid": job, "stance": stance_of(outcome)})
+pub fn outcome_body(job: &str, outcome: JobOutcome) -> Value {
+    json!({"uid": job, "stance": state_word(outcome)})
 }
 
 /// The answer to why a job waits: the jobs that it depends on, and what else holds it.
-pub fn waiting(job: &str, state: &str, prerequisites: &[&str], held: Option<&str>) -> Value {
+pub fn waiting_body(job: &str, state: &str, prerequisites: &[&str], held: Option<&str>) -> Value {
     json!({"uid": job, STATE: state, "waits_for": prerequisites, "held": held})
 }
 
 /// The word for a job's state in an answer, if it has one.
-pub fn state_in(answer: &Value) -> Option<&str> {
+pub fn read_state(answer: &Value) -> Option<&str> {
     answer.get(STATE).and_then(Value::as_str)
 }
 
--- a/src/wire/users/submission.rs
+++ b/src/wire/users/submission.rs
@@ -3,14 +3,14 @@
 //! The body is kept as the job's description, in the protocol's own terms: what is stored can be read again by
 //! [`JobSpec::from_value`], and an answer can repeat it.
 
-use crate::spec::{Batch, JobKind, JobSpec, is_job_id};
+use crate::spec::{BatchRef, JobKind, JobSpec, is_job_id};
 use crate::units::{Micros, Resources};
 use hazelsaddle_coordination::record::{self, Key};
 use hazelsaddle_release::release_ref::ReleaseRef;
 use serde_json::{Map, Value, json};
 
 /// Longest body accepted, in bytes.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const BODY_LIMIT_BYTES: usize = 64 * 1024;
 /// Most tasks that a job may have.
 const TASK_LIMIT: u64 = 100_000;
 /// Longest text of a field, in bytes.
@@ -79,7 +79,7 @@
     /// # Errors
     /// If it is too long, is not JSON, or a field is missing or wrong.
     pub fn parse(body: &str) -> Result<JobSpec, SubmissionError> {
-        if body.len() > BODY_LIMIT {
+        if body.len() > BODY_LIMIT_BYTES {
             return Err(SubmissionError::Body("the body is over 64 KiB"));
         }
         let value: Value =
@@ -105,14 +105,15 @@
         let kind = fields.kind()?;
         let priority = fields.priority()?;
         let tasks = fields.task_count()?;
-        let room = Resources::need(fields.amount("vcpus")?, fields.amount("cards")?, fields.amount("ramGb")?);
+        let room =
+            Resources::rounded_up(fields.amount("vcpus")?, fields.amount("cards")?, fields.amount("ramGb")?);
         // It has to be valid; nothing depends on it.
         fields.amount("imageGb")?;
         let kinds = fields.machine_types()?;
         let zone = fields.get("paddock").map(|_| fields.text("paddock")).transpose()?;
         let deadline = fields.get("dueS").map(|_| fields.duration("dueS")).transpose()?;
         Ok(JobSpec {
-            follows: fields.dependencies()?,
+            dependencies: fields.dependencies()?,
             release: fields.release()?,
             batch: fields.batch("batch")?,
             merges: fields.batch("merges")?,
@@ -121,18 +122,18 @@
             team: fields.text("herd")?,
             kind,
             priority,
-            tasks,
-            room,
-            kinds,
+            task_count: tasks,
+            resources_per_task: room,
+            machine_types: kinds,
             zone,
             one_zone: fields.flag("together")?,
             spread: fields.flag("scatter")?,
-            spot: fields.flag("borrowed")?,
+            spot_allowed: fields.flag("borrowed")?,
             image_hash: twox_hash::XxHash64::oneshot(IMAGE_HASH_SEED, fields.text("tack")?.as_bytes()),
             image: fields.text("tack")?,
-            estimate: fields.duration("rideS")?,
-            checkpoint: fields.duration("restS")?,
-            save: fields.duration("unsaddleS")?,
+            estimated_run_time: fields.duration("rideS")?,
+            checkpoint_interval: fields.duration("restS")?,
+            checkpoint_duration: fields.duration("unsaddleS")?,
             deadline,
         })
     }
@@ -144,11 +145,11 @@
     let Some(fields) = submitted.as_object() else { return Value::Null };
     let plain = fields.iter().filter(|(field, _)| PLAIN_FIELDS.contains(&field.as_str()));
     let mut stored: Map<String, Value> = plain.map(|(field, value)| (field.clone(), value.clone())).collect();
-    if !spec.follows.is_empty() {
-        stored.insert("follows".into(), json!(spec.follows));
+    if !spec.dependencies.is_empty() {
+        stored.insert("follows".into(), json!(spec.dependencies));
     }
     if let Some(release) = &spec.release {
-        stored.insert("release".into(), release.value());
+        stored.insert("release".into(), release.to_value());
     }
     for (field, batch) in [("batch", &spec.batch), ("merges", &spec.merges)] {
         if let Some(batch) = batch {
@@ -159,7 +160,7 @@
 }
 
 /// The job that a body names, be the rest of it malformed.
-pub fn named_job(body: &str) -> Option<String> {
+pub fn read_job_id(body: &str) -> Option<String> {
     let value: Value = serde_json::from_str(body).ok()?;
     value.get("uid")?.as_str().filter(|id| is_job_id(id)).map(str::to_owned)
 }
@@ -268,7 +269,7 @@
         self.get("release").map(read).transpose()
     }
 
-    fn batch(&self, field: &'static str) -> Result<Option<Batch>, SubmissionError> {
+    fn batch(&self, field: &'static str) -> Result<Option<BatchRef>, SubmissionError> {
         let Some(value) = self.get(field) else { return Ok(None) };
         let wrong = |problem| SubmissionError::Field { field, problem };
         let members = value.as_object().ok_or(wrong("must be an object"))?;
@@ -278,7 +279,7 @@
         if Key::new(record::Kind::Batch, name).is_err() {
             return Err(wrong("name must be short, and have neither spaces, slashes nor control characters"));
         }
-        Ok(Some(Batch { name: name.to_owned(), version }))
+        Ok(Some(BatchRef { name: name.to_owned(), version }))
     }
 }
 
--- a/src/wire/users/submission/tests.rs
+++ b/src/wire/users/submission/tests.rs
@@ -61,6 +61,6 @@
     let s =
         with("release", json!({"title": "t", "stage": "rotation", "night": "2026-12-01"})).expect("valid");
     assert!(s.is_rotation() && s.has_coordination_record());
-    assert_eq!(s.release.and_then(|r| r.key()).map(|k| k.head()), Some("pact/r/t@2026-12-01".into()));
+    assert_eq!(s.release.and_then(|r| r.key()).map(|k| k.head_key()), Some("pact/r/t@2026-12-01".into()));
     assert!(with("batch", Value::Null).is_ok_and(|s| !s.has_coordination_record()));
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -22,7 +22,7 @@
     /// Where it takes direct commands; empty if it takes none.
     pub addr: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
@@ -34,7 +34,7 @@
     /// Highest fencing token that the agent has seen.
     pub token: u64,
     /// Seconds until the cloud takes the machine, if that was announced.
-    pub notice_s: Option<f64>,
+    pub time_to_termination_s: Option<f64>,
     /// Its tasks.
     pub tasks: Vec<HeartbeatTask>,
 }
@@ -106,11 +106,11 @@
     match cause {
         Some("done") => TaskExit::Done,
         Some("stopped") => TaskExit::Stopped(saved),
-        Some("peers") => TaskExit::Peers,
-        Some("alone") => TaskExit::Alone,
+        Some("peers") => TaskExit::PeerLost,
+        Some("alone") => TaskExit::GangIncomplete,
         Some("no_room") => TaskExit::NoRoom,
-        Some("busy") => TaskExit::Busy,
-        Some("unknown") => TaskExit::Unknown,
+        Some("busy") => TaskExit::AttemptConflict,
+        Some("unknown") => TaskExit::UnknownTask,
         _ => TaskExit::Error,
     }
 }
@@ -169,7 +169,7 @@
 
 /// The answer to a worker that is to send its heartbeats to another controller.
 #[must_use]
-pub fn redirect(leader: &str) -> Value {
+pub fn redirect_body(leader: &str) -> Value {
     json!({"rider": leader})
 }
 
--- a/src/wire/workers/raw.rs
+++ b/src/wire/workers/raw.rs
@@ -26,13 +26,13 @@
         super::Heartbeat {
             machine: raw.stall,
             addr: raw.addr,
-            kind: raw.stall_kind,
+            machine_type: raw.stall_kind,
             zone: raw.paddock,
             spot: raw.borrowed,
             incarnation: raw.ride,
             sequence: raw.hoofbeat,
             token: raw.rein,
-            notice_s: raw.whistle_s,
+            time_to_termination_s: raw.whistle_s,
             tasks: raw.strides,
         }
     }
@@ -86,7 +86,7 @@
 impl From<&super::Command> for Command {
     fn from(command: &super::Command) -> Command {
         let cooldown_s = match command {
-            super::Command::Kill(_, grace) => Some(grace.secs()),
+            super::Command::Kill(_, grace) => Some(grace.as_secs()),
             super::Command::Run(_) | super::Command::Forget(_) => None,
         };
         Command {
--- a/src/wire/workers/tests.rs
+++ b/src/wire/workers/tests.rs
@@ -14,8 +14,11 @@
     let text =
         r#"{"stall":"i-1","stallKind":"k","paddock":"z","ride":3,"hoofbeat":8,"rein":9,"colour":"bay"}"#;
     let read: Heartbeat = serde_json::from_str(text).expect("a heartbeat");
-    assert_eq!((read.machine.as_str(), read.kind.as_str(), read.zone.as_str()), ("i-1", "k", "z"));
-    assert_eq!((read.addr.as_str(), read.spot, read.notice_s, read.tasks.len()), ("", false, None, 0));
+    assert_eq!((read.machine.as_str(), read.machine_type.as_str(), read.zone.as_str()), ("i-1", "k", "z"));
+    assert_eq!(
+        (read.addr.as_str(), read.spot, read.time_to_termination_s, read.tasks.len()),
+        ("", false, None, 0)
+    );
     assert_eq!((read.id(), read.token), (HeartbeatId { incarnation: 3, sequence: 8 }, 9));
 }
 
@@ -45,11 +48,11 @@
     let exits = [
         (Some("done"), TaskExit::Done),
         (Some("stopped"), TaskExit::Stopped(true)),
-        (Some("peers"), TaskExit::Peers),
-        (Some("alone"), TaskExit::Alone),
+        (Some("peers"), TaskExit::PeerLost),
+        (Some("alone"), TaskExit::GangIncomplete),
         (Some("no_room"), TaskExit::NoRoom),
-        (Some("busy"), TaskExit::Busy),
-        (Some("unknown"), TaskExit::Unknown),
+        (Some("busy"), TaskExit::AttemptConflict),
+        (Some("unknown"), TaskExit::UnknownTask),
         (Some("a cause of tomorrow"), TaskExit::Error),
         (None, TaskExit::Error),
     ];
--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -10,7 +10,7 @@
 use hazelsaddle::peer::*;
 use hazelsaddle::quota::{AllocationInput, QuotaLedger, QuotaNeed};
 use hazelsaddle::spec::JobSpec;
-use hazelsaddle::units::{Micros, Ranges, Resources};
+use hazelsaddle::units::{Micros, Resources, TaskIndexSet};
 use serde_json::{Map, Value, json};
 
 fn fixtures() -> Value {
@@ -59,7 +59,7 @@
     let want = |i, action| DesiredTask {
         key: key(i),
         machine: "i-000231".into(),
-        room: room(2),
+        resources: room(2),
         action,
         priority: 12,
         image: 99,
@@ -67,7 +67,7 @@
     let wishes = DesiredState {
         revision: (7 << 32) + 4,
         base_revision: (7 << 32) + 1,
-        list: vec![
+        tasks: vec![
             want(0, DesiredAction::Hold),
             want(1, DesiredAction::Run),
             want(2, DesiredAction::Keep),
@@ -86,28 +86,28 @@
         TaskPhase::Saving,
         TaskPhase::Exited(TaskExit::Done),
         TaskPhase::Exited(TaskExit::Stopped(true)),
-        TaskPhase::Exited(TaskExit::Peers),
-        TaskPhase::Exited(TaskExit::Alone),
+        TaskPhase::Exited(TaskExit::PeerLost),
+        TaskPhase::Exited(TaskExit::GangIncomplete),
         TaskPhase::Exited(TaskExit::Error),
         TaskPhase::Exited(TaskExit::NoRoom),
-        TaskPhase::Exited(TaskExit::Busy),
-        TaskPhase::Exited(TaskExit::Unknown),
+        TaskPhase::Exited(TaskExit::AttemptConflict),
+        TaskPhase::Exited(TaskExit::UnknownTask),
     ];
     let machine = |name: &str, standing| MachineStatus {
         name: name.into(),
-        kind: "tolgy16".into(),
+        machine_type: "tolgy16".into(),
         zone: "buda-a".into(),
         spot: false,
-        standing,
-        open: true,
-        notice: Some(Micros(9_000_000)),
+        inventory_state: standing,
+        is_schedulable: true,
+        time_to_termination: Some(Micros(9_000_000)),
         free: room(3),
         total: room(16),
-        by_priority: vec![(1, room(2)), (12, room(4))],
+        used_by_priority: vec![(1, room(2)), (12, room(4))],
         images: vec![7, 8],
-        busy: 15,
-        idle: None,
-        silent: Some(Micros(3_500_000)),
+        task_count: 15,
+        idle_time: None,
+        silent_time: Some(Micros(3_500_000)),
         tasks: phases.iter().zip(0..).map(|(p, i)| ObservedTask { key: key(i), phase: *p }).collect(),
     };
     let digest = MachineStatusDelta {
@@ -121,23 +121,24 @@
         ],
     };
     let demand = Demand {
-        room: room(1),
-        kinds: vec!["tolgy16".into()],
+        resources_per_task: room(1),
+        machine_types: vec!["tolgy16".into()],
         zone: Some("pest-c".into()),
         one_zone: true,
-        spot: true,
+        spot_allowed: true,
         count: 40,
-        estimate: Micros(40_000_000),
+        estimated_run_time: Micros(40_000_000),
         priority: 1,
-        horizon: Micros(80_000_000),
-        together: 12,
+        max_queue_time: Micros(80_000_000),
+        gang_size: 12,
     };
-    let reserve = Reservation { machine: "i-000231".into(), priority: 2, need: room(15), evict: true };
+    let reserve =
+        Reservation { machine: "i-000231".into(), priority: 2, resources: room(15), must_preempt: true };
     let fleet = Message::ScalingPlan {
-        drain: vec!["i-000009".into()],
-        gone: vec!["i-000010".into(), "i-000011".into()],
-        kept: vec![("ulken32".into(), false, 2)],
-        kept_machines: vec![("i-000231".into(), 2)],
+        draining: vec!["i-000009".into()],
+        removed: vec!["i-000010".into(), "i-000011".into()],
+        reserved_classes: vec![("ulken32".into(), false, 2)],
+        reserved_machines: vec![("i-000231".into(), 2)],
     };
     let ask = |id, request| frame(Message::ForwardRequest { id, request });
     let job = || "wk-000412".to_owned();
@@ -148,8 +149,8 @@
         ("fleet", frame(fleet)),
         ("submit", ask(5, UserRequest::Submit(job(), body().to_string()))),
         ("query", ask(6, UserRequest::Query(job()))),
-        ("withdraw", ask(7, UserRequest::Withdraw(job()))),
-        ("answer", frame(Message::ForwardResponse { id: 8, reply: Reply::later("not now") })),
+        ("withdraw", ask(7, UserRequest::Cancel(job()))),
+        ("answer", frame(Message::ForwardResponse { id: 8, reply: Reply::retry_later("not now") })),
         ("strays", frame(Message::MisroutedHeartbeats(vec!["i-000231".into()]))),
         ("beat", frame(Message::KeepAlive)),
     ]
@@ -189,25 +190,25 @@
     };
     let task = TaskHandoff {
         key,
-        room: Some(room(2)),
+        resources: Some(room(2)),
         priority: 12,
         image: 99,
         phase: TaskPhase::Running,
         action: Some(DesiredAction::Keep),
-        sent_to: (1, 88),
+        sent_with_heartbeat: (1, 88),
     };
     let machine = MachineHandoff {
         name: "i-000231".into(),
-        kind: "tolgy16".into(),
+        machine_type: "tolgy16".into(),
         zone: "buda-a".into(),
         spot: false,
         addr: "10.1.0.232:9000".into(),
         on_record: true,
-        known: true,
-        last: (1, 90),
-        silent: Micros(400_000),
-        notice: None,
-        idle: None,
+        inventory_known: true,
+        last_heartbeat: (1, 90),
+        silent_time: Micros(400_000),
+        time_to_termination: None,
+        idle_time: None,
         images: vec![7],
         tasks: vec![task],
     };
@@ -217,14 +218,14 @@
         ReplicatedItem::Start { key, machine: "i-000231".into(), zone: "buda-a".into() },
     ];
     let testimony = ReplicatedStarts {
-        of: 2,
-        epoch: 6,
+        former_member: 2,
+        last_epoch: 6,
         members: vec![0, 1, 2],
-        heard_in: 5,
-        heard_with: vec![1, 2],
-        since: 4,
+        last_contact_epoch: 5,
+        last_contact_members: vec![1, 2],
+        adopted_since: 4,
         items: items.clone(),
-        fresh: vec!["wk-000413".into()],
+        accepted_jobs: vec!["wk-000413".into()],
     };
     let job = JobHandoff {
         id: "wk-000412".into(),
@@ -236,8 +237,8 @@
         jobs: vec![job],
         unresolved_sets: vec![vec!["i-000007".into()]],
         machines: vec![machine],
-        testimony: vec![testimony],
-        gone: vec!["i-000005".into()],
+        replicated_starts: vec![testimony],
+        removed_machines: vec!["i-000005".into()],
     };
     let vouch =
         Message::ReplicateStarts { revision: 5, base_revision: 4, added: items.clone(), removed: items };
@@ -245,7 +246,7 @@
         Message::Handoff { number: 4, batch },
         Message::HandoffAck(vec![4, 5]),
         vouch,
-        Message::StartsReplicated(5),
+        Message::ReplicationAck(5),
     ] {
         let f = frame(body);
         assert_eq!(Frame::decode(&f.encode().expect("encoded")[4..]), Some(f));
@@ -270,15 +271,15 @@
     assert_eq!(serde_json::to_value(&epoch).expect("written"), stored["ring/epoch"]);
 
     let (raw, spec, accepted, done) = JobShard::read_record(&stored["job/wk-000412"]).expect("a record");
-    assert_eq!((raw.clone(), done.len(), spec.follows.len()), (body(), 7, 0));
-    assert_eq!(JobShard::record(&raw, accepted, &done.encode(1000)), stored["job/wk-000412"]);
+    assert_eq!((raw.clone(), done.len(), spec.dependencies.len()), (body(), 7, 0));
+    assert_eq!(JobShard::build_record(&raw, accepted, &done.encode(1000)), stored["job/wk-000412"]);
 
     let mut owner = JobShard::new(&settings(4.0));
-    owner.insert_job(raw, spec, accepted, Ranges::default(), 1, true);
+    owner.insert_job(raw, spec, accepted, TaskIndexSet::default(), 1, true);
     owner.jobs.get_mut("wk-000412").expect("live").pending_outcome = Some(JobOutcome::Cancelled);
     let Some((_, RecordWrite::End(_, end), _)) = owner.next_write(Micros(1), true) else { panic!("no end") };
     assert_eq!(end, stored["done/wk-000413"]);
-    assert_eq!(hazelsaddle::controller::read_end(&end), Some((JobOutcome::Cancelled, 0)));
+    assert_eq!(hazelsaddle::controller::read_final_record(&end), Some((JobOutcome::Cancelled, 0)));
 }
 
 /// What the first version makes of a waiting job's record: a job that no machine suits. It hands the
@@ -289,20 +290,20 @@
     with["follows"] = json!(["wk-000398", "wk-405"]);
     for types in [json!(["g8", "g9"]), Value::Null] {
         with["breedsOfStall"] = types.clone();
-        let record = JobShard::waiting_record(&with, Micros(5));
+        let record = JobShard::build_waiting_record(&with, Micros(5));
         // The fields that it reads, by its own checks, which know nothing of `follows`.
         let mut plain = record["spec"].clone();
         let map: &mut Map<String, Value> = plain.as_object_mut().expect("an object");
         assert!(map.remove("follows").is_some());
         let seen = JobSpec::from_value(&plain).expect("the first version takes it for a job");
-        assert_eq!(seen.kinds.len(), 1);
-        assert!(seen.kinds[0].contains(' '), "and no machine is of a type of this name");
-        assert_eq!((seen.id.as_str(), seen.tasks, seen.team.as_str()), ("wk-000412", 16, "vision"));
+        assert_eq!(seen.machine_types.len(), 1);
+        assert!(seen.machine_types[0].contains(' '), "and no machine is of a type of this name");
+        assert_eq!((seen.id.as_str(), seen.task_count, seen.team.as_str()), ("wk-000412", 16, "vision"));
         // It rewrites the rest, and this version has the user's words again.
         let rewritten = json!({"spec": record["spec"], "accepted_us": record["accepted_us"], "done": "0-3"});
         let (raw, spec, accepted, done) = JobShard::read_record(&rewritten).expect("readable");
         assert_eq!((accepted, done.len()), (Micros(5), 4));
-        assert_eq!(spec.follows, ["wk-000398", "wk-405"]);
+        assert_eq!(spec.dependencies, ["wk-000398", "wk-405"]);
         assert_eq!(raw["follows"], with["follows"]);
         assert_eq!(raw.get("breedsOfStall").cloned().unwrap_or_default(), types);
     }
@@ -321,7 +322,7 @@
     for follows in [Value::Null, json!(["wk-000398", "wk-405"])] {
         with["follows"] = follows.clone();
         let spec = JobSpec::from_value(&with).expect("valid");
-        let record = JobShard::new_record(&with, &spec, Micros(5));
+        let record = JobShard::build_new_record(&with, &spec, Micros(5));
         let types = &record["spec"]["breedsOfStall"];
         assert!(types.as_array().is_some_and(|t| t.len() == 1) && types[0] != "(waits for other jobs)");
         assert!(
@@ -330,13 +331,13 @@
         );
         let (raw, spec, ..) = JobShard::read_record(&record).expect("readable");
         assert_eq!(
-            (raw["breedsOfStall"].clone(), spec.follows.len()),
+            (raw["breedsOfStall"].clone(), spec.dependencies.len()),
             (with["breedsOfStall"].clone(), follows.as_array().map_or(0, Vec::len))
         );
         let mut owner = JobShard::new(&settings(4.0));
-        owner.insert_job(raw, spec, Micros(5), Ranges::default(), 1, true);
+        owner.insert_job(raw, spec, Micros(5), TaskIndexSet::default(), 1, true);
         for p in ["wk-000398", "wk-405"] {
-            owner.apply_prerequisite_end(p, JobOutcome::Done);
+            owner.apply_dependency_outcome(p, JobOutcome::Done);
         }
         assert!(owner.jobs["wk-000412"].is_waiting(), "the release holds it still");
         owner.lift_hold("wk-000412");
@@ -349,8 +350,8 @@
         assert_eq!(end["says"]["breed"], with["breed"]);
         let packed = if follows.is_null() { Value::Null } else { "000398,405".into() };
         assert_eq!(end["says"]["follows"], packed);
-        assert_eq!(hazelsaddle::job_shard::says_of_record(&record), Some(end["says"].clone()));
-        assert_eq!(hazelsaddle::controller::read_end(&end), Some((JobOutcome::Done, 0)));
+        assert_eq!(hazelsaddle::job_shard::declarations_in_record(&record), Some(end["says"].clone()));
+        assert_eq!(hazelsaddle::controller::read_final_record(&end), Some((JobOutcome::Done, 0)));
     }
 }
 
@@ -371,7 +372,7 @@
         job: format!("wk-9{i:05}"),
         per_task: one,
         in_use: Resources::default(),
-        is_settled: true,
+        is_usage_known: true,
         more_tasks: 1,
         all_or_nothing: true,
         priority: 0,
@@ -381,8 +382,13 @@
     let ended = |left: usize| move |job: &str| job[3..].parse::<usize>().expect("a number") >= left * 7;
     let plan = |left: usize| {
         let (needs, value_bytes) = (&needs[..], s.value_bytes);
-        let input =
-            AllocationInput { team: "t", needs, is_ours: &|_| true, is_released: &ended(left), value_bytes };
+        let input = AllocationInput {
+            team: "t",
+            needs,
+            is_led_locally: &|_| true,
+            can_release: &ended(left),
+            value_bytes,
+        };
         teams.next_write(Micros(60_000_000), &input)
     };
     assert!(plan(held - 3).is_none(), "too long still: it waits until more jobs have ended");
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -7,7 +7,7 @@
 use hazelsaddle::peer::*;
 use hazelsaddle::quota::QuotaLedger;
 use hazelsaddle::spec::JobSpec;
-use hazelsaddle::units::{Micros, Ranges, Resources};
+use hazelsaddle::units::{Micros, Resources, TaskIndexSet};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,7 +30,7 @@
 /// What the state service has of the job.
 #[derive(Clone, Default)]
 struct Stored {
-    done: Ranges,
+    done: TaskIndexSet,
     end: bool,
     store_version: u64,
 }
@@ -99,19 +99,19 @@
             let busy = self.on[i].values().any(|p| !matches!(p, TaskPhase::Exited(_)));
             MachineStatus {
                 name: format!("i-{i}"),
-                kind: "k".into(),
+                machine_type: "k".into(),
                 zone: "z".into(),
                 spot: true,
-                standing: if known[i] { InventoryState::Known } else { InventoryState::Unconfirmed },
-                open: known[i],
-                notice: None,
+                inventory_state: if known[i] { InventoryState::Known } else { InventoryState::Unconfirmed },
+                is_schedulable: known[i],
+                time_to_termination: None,
                 free: if busy { Resources::default() } else { room },
                 total: room,
-                by_priority: Vec::new(),
+                used_by_priority: Vec::new(),
                 images: Vec::new(),
-                busy: u32::from(busy),
-                idle: None,
-                silent: None,
+                task_count: u32::from(busy),
+                idle_time: None,
+                silent_time: None,
                 tasks: match known[i] {
                     true => {
                         self.on[i].iter().map(|(k, p)| ObservedTask { key: k.clone(), phase: *p }).collect()
@@ -137,13 +137,13 @@
     /// The machines do what was wished; those that aren't known get nothing.
     fn obey(&mut self, wishes: &DesiredState, known: &[bool]) {
         for on in &mut self.on {
-            let listed = |k: &TaskKey| wishes.list.iter().any(|w| w.key == *k);
+            let listed = |k: &TaskKey| wishes.tasks.iter().any(|w| w.key == *k);
             let dropped = |k: &TaskKey| wishes.removed.iter().any(|(_, d)| d == k);
             on.retain(|k, p| {
                 *p != TaskPhase::Held || !(dropped(k) || (wishes.base_revision == 0 && !listed(k)))
             });
         }
-        for w in &wishes.list {
+        for w in &wishes.tasks {
             let i: usize = w.machine[2..].parse().expect("a number");
             let durable = self.store.end || self.store.done.contains(w.key.index);
             let phase = self.on[i].get(&w.key).copied();
--- a/tests/follow.rs
+++ b/tests/follow.rs
@@ -5,7 +5,7 @@
 use hazelsaddle::job_shard::{JobOutcome, JobShard};
 use hazelsaddle::membership::{EpochRecord, Membership};
 use hazelsaddle::spec::JobSpec;
-use hazelsaddle::units::{Micros, Ranges};
+use hazelsaddle::units::{Micros, TaskIndexSet};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
         "vcpus": 1.0, "cards": 0, "ramGb": 1.0, "tack": "i", "imageGb": 1, "together": false, "scatter": false,
         "borrowed": false, "rideS": 1, "restS": 0, "unsaddleS": 0, "follows": follows});
     let spec = JobSpec::from_value(&raw).expect("valid");
-    owner.insert_job(raw, spec, Micros(1), Ranges::default(), 1, true);
+    owner.insert_job(raw, spec, Micros(1), TaskIndexSet::default(), 1, true);
 }
 
 fn id(n: usize) -> String {
@@ -60,19 +60,19 @@
                 }
                 1 => {
                     let p = rng.random_range(0..30);
-                    owner.apply_prerequisite_end(&id(p), ends[p]);
+                    owner.apply_dependency_outcome(&id(p), ends[p]);
                     told.insert(p);
                 }
                 2 => {
                     // A read: of what has ended before, or has not yet.
-                    if let Some(p) = owner.next_unread_prerequisite() {
+                    if let Some(p) = owner.next_unread_dependency() {
                         let n: usize = p[3..].parse().expect("a number");
                         if told.contains(&n) {
-                            owner.apply_prerequisite_end(&p, ends[n]);
+                            owner.apply_dependency_outcome(&p, ends[n]);
                         }
                     }
                 }
-                _ if step % 50 == 0 => owner.reread_prerequisites(),
+                _ if step % 50 == 0 => owner.reread_dependencies(),
                 _ => {}
             }
             for (job, on) in &needs {
@@ -84,11 +84,11 @@
             }
         }
         // All has ended, and all that is not known is read.
-        owner.reread_prerequisites();
-        while let Some(p) = owner.next_unread_prerequisite() {
-            owner.apply_prerequisite_end(&p, ends[p[3..].parse::<usize>().expect("a number")]);
+        owner.reread_dependencies();
+        while let Some(p) = owner.next_unread_dependency() {
+            owner.apply_dependency_outcome(&p, ends[p[3..].parse::<usize>().expect("a number")]);
         }
-        assert!(!owner.awaits_ends());
+        assert!(!owner.has_awaited_dependencies());
         for (job, on) in &needs {
             let j = &owner.jobs[job];
             let gone = on.iter().any(|p| ends[*p] == JobOutcome::Cancelled);
@@ -106,12 +106,12 @@
     for n in 0..1000 {
         add(&mut owner, &id(1000 + n), "idle", &[id(n / 10), id(500 + n)]);
     }
-    let reads = std::iter::from_fn(|| owner.next_unread_prerequisite()).count();
+    let reads = std::iter::from_fn(|| owner.next_unread_dependency()).count();
     assert_eq!(reads, 100 + 1000);
     owner.replan = false;
-    owner.apply_prerequisite_end(&id(900_000), JobOutcome::Done);
+    owner.apply_dependency_outcome(&id(900_000), JobOutcome::Done);
     assert!(!owner.replan, "nobody waits for this one");
-    owner.apply_prerequisite_end(&id(7), JobOutcome::Cancelled);
+    owner.apply_dependency_outcome(&id(7), JobOutcome::Cancelled);
     let touched: Vec<&String> =
         owner.jobs.iter().filter(|(_, j)| j.pending_outcome.is_some()).map(|(id, _)| id).collect();
     assert_eq!(touched, (1070..1080).map(id).collect::<Vec<_>>().iter().collect::<Vec<_>>());
@@ -131,9 +131,9 @@
     assert_eq!(owner.queue_order(), [4, 3, 2, 1].map(id));
     owner.set_release_due(&id(3), None);
     assert_eq!(owner.queue_order(), [4, 2, 1, 3].map(id));
-    assert!(owner.priorities_needed_of(0, &m).is_empty());
+    assert!(owner.inherited_priorities_for(0, &m).is_empty());
     owner.set_release_priorities([(id(1), 2)].into());
-    assert_eq!(owner.priorities_needed_of(0, &m), [(id(1), 2)]);
+    assert_eq!(owner.inherited_priorities_for(0, &m), [(id(1), 2)]);
 }
 
 /// Urgency passes from the last job of a pipeline to its first, and goes with the job that lent it. Lists may
@@ -146,15 +146,15 @@
     add(&mut owner, &id(3), "high", &[id(2)]);
     let priority = |o: &JobShard, n: usize| o.jobs[&id(n)].spec.priority;
     for _ in 0..2 {
-        let list = owner.priorities_needed_of(0, &m);
-        owner.apply_needed_priorities(0, list.clone());
-        owner.apply_needed_priorities(0, list);
+        let list = owner.inherited_priorities_for(0, &m);
+        owner.apply_inherited_priorities(0, list.clone());
+        owner.apply_inherited_priorities(0, list);
     }
     assert_eq!((priority(&owner, 1), priority(&owner, 2), priority(&owner, 3)), (2, 2, 2));
     owner.jobs.get_mut(&id(3)).expect("live").pending_outcome = Some(JobOutcome::Cancelled);
     for _ in 0..2 {
-        let list = owner.priorities_needed_of(0, &m);
-        owner.apply_needed_priorities(0, list);
+        let list = owner.inherited_priorities_for(0, &m);
+        owner.apply_inherited_priorities(0, list);
     }
     assert_eq!((priority(&owner, 1), priority(&owner, 2)), (0, 0), "it needs them no more");
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -8,7 +8,7 @@
 use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest};
 use hazelsaddle::config::operators::Operators;
 use hazelsaddle::config::settings::Settings;
-use hazelsaddle::controller::{Controller, Effect, Event, read_end};
+use hazelsaddle::controller::{Controller, Effect, Event, read_final_record};
 use hazelsaddle::job_shard::{JobOutcome, JobShard, RecordWrite};
 use hazelsaddle::machine_registry::{self, MachineRegistry};
 use hazelsaddle::machine_shard::{Heartbeat, HeartbeatTask, MachineRecord};
@@ -17,12 +17,12 @@
 use hazelsaddle::quota::{AllocationInput, QuotaLedger, QuotaNeed};
 use hazelsaddle::spec::JobSpec;
 use hazelsaddle::state_store::{KeyValue, StoreAnswer, StoreRequest, Transaction};
-use hazelsaddle::units::{Micros, Ranges, Resources};
+use hazelsaddle::units::{Micros, Resources, TaskIndexSet};
 use hazelsaddle_coordination::census::{CensusJobState, Member};
-use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind, items, pages};
+use hazelsaddle_coordination::record::{CoordinationRecord, Key, Kind, read_page_items, split_into_pages};
 use hazelsaddle_freshness::batch::{Batch, PermitGrant, VersionChange, Writer};
 use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, LoanState};
-use hazelsaddle_release::set::{self, ClosedBy, Release};
+use hazelsaddle_release::release_record::{self, ClosedBy, Release};
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -103,25 +103,25 @@
 fn handed_machine() -> MachineHandoff {
     let task = TaskHandoff {
         key: key(3),
-        room: Some(room(2)),
+        resources: Some(room(2)),
         priority: 12,
         image: 99,
         phase: TaskPhase::Exited(TaskExit::Stopped(true)),
         action: Some(DesiredAction::Stop(Micros(4_000_000))),
-        sent_to: (1, 88),
+        sent_with_heartbeat: (1, 88),
     };
     MachineHandoff {
         name: "i-000231".into(),
-        kind: "tolgy16".into(),
+        machine_type: "tolgy16".into(),
         zone: "buda-a".into(),
         spot: true,
         addr: "10.1.0.232:9000".into(),
         on_record: true,
-        known: true,
-        last: (1, 90),
-        silent: Micros(400_000),
-        notice: Some(Micros(9_000_000)),
-        idle: None,
+        inventory_known: true,
+        last_heartbeat: (1, 90),
+        silent_time: Micros(400_000),
+        time_to_termination: Some(Micros(9_000_000)),
+        idle_time: None,
         images: vec![7, 8],
         tasks: vec![task],
     }
@@ -142,14 +142,14 @@
         phase: Some(TaskPhase::InDoubt),
     };
     let testimony = ReplicatedStarts {
-        of: 2,
-        epoch: 6,
+        former_member: 2,
+        last_epoch: 6,
         members: vec![0, 1, 2],
-        heard_in: 5,
-        heard_with: vec![1, 2],
-        since: 4,
+        last_contact_epoch: 5,
+        last_contact_members: vec![1, 2],
+        adopted_since: 4,
         items: vouched(),
-        fresh: vec!["wk-000413".into()],
+        accepted_jobs: vec!["wk-000413".into()],
     };
     let job = JobHandoff {
         id: "wk-000412".into(),
@@ -161,23 +161,28 @@
         jobs: vec![job],
         unresolved_sets: vec![vec!["i-000007".into()]],
         machines: vec![handed_machine()],
-        testimony: vec![testimony],
-        gone: vec!["i-000005".into()],
+        replicated_starts: vec![testimony],
+        removed_machines: vec!["i-000005".into()],
     }
 }
 
-fn lending() -> Lending {
-    let task =
-        LendableTask { index: 2, attempt: 9, machine: "i-000231".into(), lost_ms: 61_000, fixed: true };
-    let job = Lendable {
+fn lending() -> LendingReport {
+    let task = LendableTask {
+        index: 2,
+        attempt: 9,
+        machine: "i-000231".into(),
+        lost_work_ms: 61_000,
+        is_protected: true,
+    };
+    let job = LendableJob {
         job: "wk-000412".into(),
         team: "vision".into(),
-        rank: 3,
-        gang: true,
-        room: room(2),
+        priority: 3,
+        is_gang: true,
+        resources_per_task: room(2),
         tasks: vec![task],
     };
-    Lending { jobs: vec![job], lacks: vec![("chat".into(), room(4), Micros(21_000_000))] }
+    LendingReport { jobs: vec![job], shortfalls: vec![("chat".into(), room(4), Micros(21_000_000))] }
 }
 
 /// One of each kind of message that `first-form.json` doesn't hold.
@@ -191,7 +196,7 @@
         ("hand_over", Message::Handoff { number: 4, batch: batch() }),
         ("taken", Message::HandoffAck(vec![4, 5])),
         ("vouch", vouch),
-        ("noted", Message::StartsReplicated(5)),
+        ("noted", Message::ReplicationAck(5)),
         ("lending", Message::Lending(lending())),
         ("why", ask(UserRequest::Why(id()))),
         ("permit", ask(UserRequest::Permit(id(), "117440514/3".into()))),
@@ -258,14 +263,14 @@
     let mut out = Forms::new();
     for (name, raw) in descriptions() {
         let spec = JobSpec::from_value(&raw).expect("valid");
-        let record = JobShard::new_record(&raw, &spec, ACCEPTED);
+        let record = JobShard::build_new_record(&raw, &spec, ACCEPTED);
         for (end, f) in [("done", JobOutcome::Done), ("cancelled", JobOutcome::Cancelled)] {
             out.push((format!("job/{name}/{end}"), end_of(&record, f)));
         }
         out.push((format!("job/{name}"), record));
     }
-    let done = Ranges::decode("0-3,7", 16).expect("ranges");
-    let progress = JobShard::record(&body("wk-000412"), ACCEPTED, &done.encode(1000));
+    let done = TaskIndexSet::decode("0-3,7", 16).expect("ranges");
+    let progress = JobShard::build_record(&body("wk-000412"), ACCEPTED, &done.encode(1000));
     out.push(("job/progress/cancelled".into(), end_of(&progress, JobOutcome::Cancelled)));
     out.push(("job/progress".into(), progress));
     out
@@ -280,17 +285,21 @@
         let (read, spec, accepted, done) = JobShard::read_record(stored).expect(name);
         assert_eq!((accepted, done.len()), (ACCEPTED, 0), "{name}");
         assert_eq!(spec, JobSpec::from_value(&raw).expect("valid"), "{name} is read");
-        assert_eq!(JobShard::new_record(&read, &spec, accepted).to_string(), stored.to_string(), "{name}");
+        assert_eq!(
+            JobShard::build_new_record(&read, &spec, accepted).to_string(),
+            stored.to_string(),
+            "{name}"
+        );
         for (end, f) in [("done", JobOutcome::Done), ("cancelled", JobOutcome::Cancelled)] {
             let ended = &golden[&format!("job/{name}/{end}")];
-            assert_eq!(read_end(ended), Some((f, 0)), "{name} {end} is read");
+            assert_eq!(read_final_record(ended), Some((f, 0)), "{name} {end} is read");
             assert_eq!(end_of(stored, f).to_string(), ended.to_string(), "{name} {end}");
         }
     }
     let stored = &golden["job/progress"];
     let (raw, _, accepted, done) = JobShard::read_record(stored).expect("a record");
-    assert_eq!(JobShard::record(&raw, accepted, &done.encode(1000)).to_string(), stored.to_string());
-    assert_eq!(read_end(&golden["job/progress/cancelled"]), Some((JobOutcome::Cancelled, 5)));
+    assert_eq!(JobShard::build_record(&raw, accepted, &done.encode(1000)).to_string(), stored.to_string());
+    assert_eq!(read_final_record(&golden["job/progress/cancelled"]), Some((JobOutcome::Cancelled, 5)));
 }
 
 fn epoch() -> EpochRecord {
@@ -322,7 +331,7 @@
         job: job.into(),
         per_task: Resources { cpus: each, gpus: 0, memory: 0 },
         in_use: Resources::default(),
-        is_settled: true,
+        is_usage_known: true,
         more_tasks: 2,
         all_or_nothing: true,
         priority: 3,
@@ -337,8 +346,13 @@
     teams.apply_record("vision", Some((record, 5)));
     let mine = |job: &str| needs.iter().any(|n| n.job == job);
     let value_bytes = s.value_bytes;
-    let input =
-        AllocationInput { team: "vision", needs, is_ours: &mine, is_released: &|_| false, value_bytes };
+    let input = AllocationInput {
+        team: "vision",
+        needs,
+        is_led_locally: &mine,
+        can_release: &|_| false,
+        value_bytes,
+    };
     let write = teams.next_write(Micros(60_000_000), &input);
     write.expect("a change").value
 }
@@ -403,13 +417,14 @@
     rebuild["expects"] = json!(2);
     let found =
         BTreeMap::from([("wk-1".to_owned(), member(rebuild)), ("wk-2".to_owned(), member(says("render")))]);
-    let open = release().record();
-    let closing = set::begin_closing(&open, ClosedBy::Count).expect("it is open");
-    let (written, head) = set::finish_closing(&key, &closing, &found, 2048).expect("it is closing");
-    let known = set::members_on_pages(written.iter().map(|(_, v)| v)).expect("members");
-    let waived = set::waive(&head, &known, "wk-2", "lost").expect("waived");
+    let open = release().to_record();
+    let closing = release_record::begin_closing(&open, ClosedBy::Count).expect("it is open");
+    let (written, head) =
+        release_record::finish_closing(&key, &closing, &found, 2048).expect("it is closing");
+    let known = release_record::read_member_pages(written.iter().map(|(_, v)| v)).expect("members");
+    let waived = release_record::waive(&head, &known, "wk-2", "lost").expect("waived");
     let heads = [("open", open), ("closing", closing), ("closed", head), ("waived", waived)];
-    let heads = heads.into_iter().map(|(name, r)| (format!("release/{name}"), r.value()));
+    let heads = heads.into_iter().map(|(name, r)| (format!("release/{name}"), r.to_value()));
     heads.chain(written.into_iter().map(|(k, v)| (format!("release/page/{k}"), v))).collect()
 }
 
@@ -419,27 +434,27 @@
         PermitGrant::New(next, _) => next,
         other => panic!("{other:?}"),
     };
-    let first = Batch::first(7);
+    let first = Batch::new(7);
     let held = granted(&granted(&first, &writer(9, Some(3))), &writer(10, None));
     let Ok(VersionChange::Raised(raised)) = held.put_version(8) else { panic!("not raised") };
     let all = [("first", first), ("held", held), ("raised", raised)];
-    all.into_iter().map(|(name, b)| (format!("batch/{name}"), b.record().value())).collect()
+    all.into_iter().map(|(name, b)| (format!("batch/{name}"), b.record().to_value())).collect()
 }
 
 fn record_forms() -> Forms {
     let rows: Vec<_> = machines().into_iter().map(|(n, r)| (n.to_owned(), r)).collect();
-    let (pages, lost) = pages([json!(["a", 1]), json!(["b"])], 50);
+    let (pages, lost) = split_into_pages([json!(["a", 1]), json!(["b"])], 50);
     assert_eq!(lost, 0);
     let mut out: Forms = vec![
         ("epoch".into(), serde_json::to_value(epoch()).expect("plain")),
         ("machines".into(), page_of(&rows)),
         ("team".into(), team()),
-        ("ledger".into(), CoordinationRecord::open(1, ledger().body()).value()),
+        ("ledger".into(), CoordinationRecord::open(1, ledger().body()).to_value()),
         ("pact/pages".into(), pages.into()),
     ];
     for (kind, name) in [(Kind::Release, "release"), (Kind::Batch, "batch"), (Kind::Loan, "loan")] {
         let key = Key::new(kind, "n").expect("a name");
-        out.push((format!("pact/keys/{name}"), json!([kind.prefix(), key.head(), key.page(3, 12)])));
+        out.push((format!("pact/keys/{name}"), json!([kind.prefix(), key.head_key(), key.page_key(3, 12)])));
     }
     out.extend(release_forms());
     out.extend(batch_forms());
@@ -471,15 +486,15 @@
     let record = CoordinationRecord::read(&golden["ledger"]).expect("a record");
     let read = Ledger::read(&record.body).expect("a ledger");
     assert_eq!(read, ledger());
-    again("ledger", CoordinationRecord { body: read.body(), ..record }.value());
+    again("ledger", CoordinationRecord { body: read.body(), ..record }.to_value());
 
     for page in golden["pact/pages"].as_array().expect("pages") {
-        let (again, lost) = pages(items(page).expect("a page").iter().cloned(), 50);
+        let (again, lost) = split_into_pages(read_page_items(page).expect("a page").iter().cloned(), 50);
         assert_eq!((again, lost), (vec![page.clone()], 0));
     }
     for name in ["release", "batch", "loan"] {
         let head = golden[&format!("pact/keys/{name}")][1].as_str().expect("a key");
-        assert_eq!(Key::parse(head).expect("a key").head(), head);
+        assert_eq!(Key::parse(head).expect("a key").head_key(), head);
     }
 }
 
@@ -487,20 +502,21 @@
 fn releases_and_batches_are_read_and_written_again_alike() {
     for (name, stored) in fixtures("records") {
         if name.starts_with("release/page/") {
-            let (again, _) = pages(items(&stored).expect("a page").iter().cloned(), 2048);
+            let (again, _) =
+                split_into_pages(read_page_items(&stored).expect("a page").iter().cloned(), 2048);
             assert_eq!(again, std::slice::from_ref(&stored), "{name}");
-            assert_eq!(set::members_on_pages([&stored]).expect("members").len(), 2);
+            assert_eq!(release_record::read_member_pages([&stored]).expect("members").len(), 2);
         } else if name.starts_with("release/") {
             let record = CoordinationRecord::read(&stored).expect("a record");
             let body = serde_json::to_value(Release::read(&record).expect("a release")).expect("plain");
             assert_eq!(
-                CoordinationRecord { body, ..record }.value().to_string(),
+                CoordinationRecord { body, ..record }.to_value().to_string(),
                 stored.to_string(),
                 "{name}"
             );
         } else if name.starts_with("batch/") {
             let read = Batch::read(&CoordinationRecord::read(&stored).expect("a record")).expect("a batch");
-            assert_eq!(read.record().value().to_string(), stored.to_string(), "{name}");
+            assert_eq!(read.record().to_value().to_string(), stored.to_string(), "{name}");
         }
     }
 }
@@ -541,7 +557,7 @@
             self.last.insert(key.clone(), value.clone());
             self.rows.insert(key, (value, self.revision));
         }
-        for key in c.drops {
+        for key in c.deletes {
             self.rows.remove(&key);
         }
         StoreAnswer::Committed(self.revision)
@@ -557,7 +573,7 @@
             StoreRequest::Transaction(c) => self.commit(c),
             StoreRequest::Grant(_) => StoreAnswer::Granted(1),
             StoreRequest::Renew(_) => StoreAnswer::Renewed,
-            StoreRequest::Revision => StoreAnswer::At(self.revision),
+            StoreRequest::Revision => StoreAnswer::CurrentRevision(self.revision),
             StoreRequest::Watch(..) => StoreAnswer::Changes(self.revision, Vec::new()),
         }
     }
@@ -666,7 +682,7 @@
     }
 
     fn withdraw(&mut self, id: &str) -> Value {
-        self.user(UserRequest::Withdraw(id.into()))
+        self.user(UserRequest::Cancel(id.into()))
     }
 }
 
@@ -686,13 +702,13 @@
         Heartbeat {
             machine: "i-000231".into(),
             addr: "10.1.0.232:9000".into(),
-            kind: "k8".into(),
+            machine_type: "k8".into(),
             zone: "z".into(),
             spot: false,
             incarnation: 1,
             sequence: self.seq,
             token: self.token,
-            notice_s: None,
+            time_to_termination_s: None,
             tasks: self.tasks.clone(),
         }
     }
@@ -775,7 +791,7 @@
     note("withdraw when done", play.withdraw("wk-000001"));
     note("submit when done", play.submit(&small("wk-000001")));
     let withdrawn =
-        play.begin(|ticket| Event::User { ticket, request: UserRequest::Withdraw("wk-000002".into()) });
+        play.begin(|ticket| Event::User { ticket, request: UserRequest::Cancel("wk-000002".into()) });
     worker.heartbeats(&mut play, 8);
     let reply = play.answered(withdrawn).expect("an answer");
     note("withdraw while it runs", told(&reply));
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -8,7 +8,7 @@
 use hazelsaddle::peer::*;
 use hazelsaddle::quota::QuotaLedger;
 use hazelsaddle::spec::JobSpec;
-use hazelsaddle::units::{Micros, Ranges, Resources};
+use hazelsaddle::units::{Micros, Resources, TaskIndexSet};
 use serde_json::{Value, json};
 
 const ROOM: Resources = Resources { cpus: 4000, gpus: 0, memory: 8000 };
@@ -69,13 +69,13 @@
     Heartbeat {
         machine: t.machine.clone(),
         addr: String::new(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "z".into(),
         spot: false,
         incarnation: 1,
         sequence: seq,
         token,
-        notice_s: None,
+        time_to_termination_s: None,
         tasks: tasks.iter().map(task).collect(),
     }
 }
@@ -84,7 +84,7 @@
     DesiredTask {
         key: TaskKey { job: t.job.clone(), index: 0, attempt },
         machine: t.machine.clone(),
-        room: Resources { cpus: 3000, gpus: 0, memory: 0 },
+        resources: Resources { cpus: 3000, gpus: 0, memory: 0 },
         action: want,
         priority: 0,
         image: 0,
@@ -92,7 +92,7 @@
 }
 
 fn whole(rev: u64, list: Vec<DesiredTask>) -> DesiredState {
-    DesiredState { revision: rev, base_revision: 0, list, removed: Vec::new() }
+    DesiredState { revision: rev, base_revision: 0, tasks: list, removed: Vec::new() }
 }
 
 /// The old home, which has just sent out a start, and the new one.
@@ -127,7 +127,7 @@
     assert!(new.apply_handoff(at(1005.0), &t.new, machine.clone()));
     let d = digest(&new, at(1005.0), &t);
     assert_eq!(
-        (d.standing, d.free.cpus, d.tasks[0].phase),
+        (d.inventory_state, d.free.cpus, d.tasks[0].phase),
         (InventoryState::Known, 1000, TaskPhase::InDoubt)
     );
     assert!(!new.apply_handoff(at(1005.1), &t.new, machine.clone()), "twice changes nothing");
@@ -155,11 +155,11 @@
         let (old, mut new) = homes(&t);
         // It shows the old token: alone it proves nothing.
         new.apply_heartbeat(at(1004.0), &t.new, &report(&t, seq, 7, &[]));
-        assert_eq!(digest(&new, at(1004.0), &t).standing, InventoryState::Unconfirmed);
+        assert_eq!(digest(&new, at(1004.0), &t).inventory_state, InventoryState::Unconfirmed);
         let machine = old.pack_handoff(at(100.0), &t.next).remove(&1).expect("it moves").remove(0);
         new.apply_handoff(at(1005.0), &t.new, machine);
         let d = digest(&new, at(1005.0), &t);
-        assert_eq!((d.standing, d.free.cpus), (InventoryState::Known, cpus), "report {seq}");
+        assert_eq!((d.inventory_state, d.free.cpus), (InventoryState::Known, cpus), "report {seq}");
     }
 }
 
@@ -199,13 +199,13 @@
             assert!(parcels.is_empty(), "others may still be answering it");
         } else {
             let machine = parcels[&1][0].clone();
-            assert!(!machine.known);
+            assert!(!machine.inventory_known);
             new.apply_handoff(at(1001.5), &t.new, machine);
         }
         // A worker's lease and its margin after 16 s, when the last right of the epoch before ended: by the old home's
         // clock at 35, so 5 s after packing; by the new one's own a member lease, a worker lease and the margin after 1 s.
         let mut over = 1002.0;
-        while digest(&new, at(over), &t).standing == InventoryState::Unconfirmed {
+        while digest(&new, at(over), &t).inventory_state == InventoryState::Unconfirmed {
             over += 0.25;
             new.expire_leases(at(over), &t.new);
             assert!(over < 1060.0);
@@ -236,7 +236,8 @@
     home.adopt_epoch(at(30.0), &t.next, true, |_| None);
     let known = |home: &mut MachineShard, s: f64| {
         home.expire_leases(at(s), &t.next);
-        home.status_delta(at(s), &t.next, 0, 0, |_| Some(ROOM)).machines[0].standing == InventoryState::Known
+        home.status_delta(at(s), &t.next, 0, 0, |_| Some(ROOM)).machines[0].inventory_state
+            == InventoryState::Known
     };
     assert!(!known(&mut home, 34.0));
     assert!(known(&mut home, 36.0));
@@ -274,7 +275,7 @@
         raw.clone(),
         JobSpec::from_value(&raw).expect("valid"),
         Micros(1),
-        Ranges::default(),
+        TaskIndexSet::default(),
         1,
         false,
     );
@@ -283,19 +284,19 @@
     let room = Resources { cpus: 80_000, gpus: 0, memory: 90_000 };
     let d = MachineStatus {
         name: "i-free".into(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "z".into(),
         spot: true,
-        standing: InventoryState::Known,
-        open: true,
-        notice: None,
+        inventory_state: InventoryState::Known,
+        is_schedulable: true,
+        time_to_termination: None,
         free: room,
         total: room,
-        by_priority: Vec::new(),
+        used_by_priority: Vec::new(),
         images: Vec::new(),
-        busy: 0,
-        idle: None,
-        silent: None,
+        task_count: 0,
+        idle_time: None,
+        silent_time: None,
         tasks: Vec::new(),
     };
     (o, QuotaLedger::new(&s.teams), d)
@@ -309,9 +310,9 @@
         let none = Resources::default();
         let other = |&(name, standing): &(&str, InventoryState)| MachineStatus {
             name: name.into(),
-            standing,
+            inventory_state: standing,
             free: none,
-            open: false,
+            is_schedulable: false,
             ..free.clone()
         };
         let all = others.iter().map(other).chain([free.clone()]);
@@ -328,7 +329,7 @@
 
 fn placed(o: &mut JobShard, t: &Two, teams: &QuotaLedger, now: f64) -> Vec<u32> {
     o.run_scheduling_pass(at(now), at(now), &t.new, teams);
-    let mut all: Vec<DesiredTask> = (0..2).flat_map(|h| o.next_desired_state(h, &t.new).list).collect();
+    let mut all: Vec<DesiredTask> = (0..2).flat_map(|h| o.next_desired_state(h, &t.new).tasks).collect();
     all.retain(|w| w.action == DesiredAction::Run || w.action == DesiredAction::Hold);
     let mut out: Vec<u32> = all.iter().map(|w| w.key.index).collect();
     out.sort_unstable();
@@ -428,7 +429,7 @@
     o.accept_handoff(at(5.1), vec![job], &[]);
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty());
     let stops: Vec<DesiredAction> =
-        (0..2).flat_map(|h| o.next_desired_state(h, &t.new).list).map(|w| w.action).collect();
+        (0..2).flat_map(|h| o.next_desired_state(h, &t.new).tasks).map(|w| w.action).collect();
     assert_eq!(stops, [DesiredAction::Stop(Micros(0))]);
     hear(
         &mut o,
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -37,7 +37,7 @@
     let commit = StoreRequest::Transaction(Transaction {
         conditions: vec![("a/b".into(), 0)],
         puts: vec![("a/b".into(), json!({"x": 1}), Some(7))],
-        drops: vec!["c/d".into()],
+        deletes: vec!["c/d".into()],
     });
     let row = json!({"k": "a/b", "v": {"x": 1}, "mark": 412, "tether": 7});
     let (addr, asked) = stand_in(vec![
@@ -88,7 +88,8 @@
         (200, json!({})),
     ]);
     let c = CloudClient::new(addr);
-    let rental = ScaleOut { name: "r-17".into(), kind: "g8".into(), zone: "a".into(), spot: true, count: 12 };
+    let rental =
+        ScaleOut { name: "r-17".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, count: 12 };
     let rent = CloudRequest::ScaleOut(rental);
     assert_eq!(c.call(&rent), CloudAnswer::ScaledOut(vec!["i-000231".into()]));
     assert_eq!(c.call(&rent), CloudAnswer::NoCapacity);
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -32,13 +32,13 @@
     let report = Heartbeat {
         machine: "i-1".into(),
         addr: String::new(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "z".into(),
         spot: false,
         incarnation: 1,
         sequence: 1,
         token: EPOCH,
-        notice_s: None,
+        time_to_termination_s: None,
         tasks: Vec::new(),
     };
     home.apply_heartbeat(Micros(2), &m, &report);
@@ -54,7 +54,7 @@
     let wish = DesiredTask {
         key: TaskKey { job: "wk-1".into(), index: 0, attempt: 1 },
         machine: "i-1".into(),
-        room: Resources { cpus: 1000, gpus: 0, memory: 1000 },
+        resources: Resources { cpus: 1000, gpus: 0, memory: 1000 },
         action: DesiredAction::Run,
         priority: 0,
         image: 0,
@@ -62,7 +62,7 @@
     let ahead = DesiredState {
         revision: first + 5,
         base_revision: first + 4,
-        list: vec![wish.clone()],
+        tasks: vec![wish.clone()],
         removed: Vec::new(),
     };
     assert!(!home.apply_desired_state(Micros(3), 0, &ahead, &m, room));
@@ -108,13 +108,13 @@
         reply: Reply::json(code, &serde_json::json!({"rein": EPOCH, "calls": []})),
     };
     let give_back = || Effect::Cloud(CloudRequest::ScaleIn(vec!["i-1".into()]));
-    assert_eq!(status(node.vetted(at(2), answer(200))), Some((200, None)));
-    assert!(node.vetted(at(2), give_back()).is_some());
+    assert_eq!(status(node.revalidate_effect(at(2), answer(200))), Some((200, None)));
+    assert!(node.revalidate_effect(at(2), give_back()).is_some());
     // A lease of six seconds has run out; nothing has happened in between.
-    assert_eq!(status(node.vetted(at(30), answer(200))), Some((503, Some(1))));
-    assert_eq!(status(node.vetted(at(30), answer(201))), Some((503, Some(1))));
-    assert_eq!(status(node.vetted(at(30), answer(421))), Some((421, None)), "this needs no right");
-    assert!(node.vetted(at(30), give_back()).is_none());
+    assert_eq!(status(node.revalidate_effect(at(30), answer(200))), Some((503, Some(1))));
+    assert_eq!(status(node.revalidate_effect(at(30), answer(201))), Some((503, Some(1))));
+    assert_eq!(status(node.revalidate_effect(at(30), answer(421))), Some((421, None)), "this needs no right");
+    assert!(node.revalidate_effect(at(30), give_back()).is_none());
 }
 
 /// What is no list of job ids is refused by the field's name; absent, null and empty mean none.
--- a/tests/old_reports.rs
+++ b/tests/old_reports.rs
@@ -55,13 +55,13 @@
         Heartbeat {
             machine: self.machine.clone(),
             addr: "10.0.0.5:1".into(),
-            kind: "k".into(),
+            machine_type: "k".into(),
             zone: "z".into(),
             spot: false,
             incarnation: self.session,
             sequence: self.seq,
             token: self.token,
-            notice_s: None,
+            time_to_termination_s: None,
             tasks: self.tasks.iter().map(task).collect(),
         }
     }
@@ -254,7 +254,7 @@
         let wish = |attempt, want| DesiredTask {
             key: TaskKey { job: job.clone(), index: 0, attempt },
             machine: machine.clone(),
-            room: Resources { cpus: 1000, gpus: 0, memory: 1000 },
+            resources: Resources { cpus: 1000, gpus: 0, memory: 1000 },
             action: want,
             priority: 0,
             image: 0,
@@ -268,18 +268,18 @@
             };
             list.push(wish(t.key.attempt, want));
         }
-        if d.standing == InventoryState::Known
+        if d.inventory_state == InventoryState::Known
             && !d.tasks.iter().any(|t| !matches!(t.phase, TaskPhase::Exited(_)))
         {
             reign.starts += 1;
             list.push(wish((reign.m.epoch << 24) + reign.starts, DesiredAction::Run));
         }
         reign.rev += 1;
-        let wishes = DesiredState { revision: reign.rev, base_revision: 0, list, removed: Vec::new() };
+        let wishes = DesiredState { revision: reign.rev, base_revision: 0, tasks: list, removed: Vec::new() };
         let m = reign.m.clone();
         reign.home.apply_desired_state(at(now), 0, &wishes, &m, |_| Some(ROOM));
         let Some(d) = digest(&reign) else { continue };
-        if d.standing == InventoryState::Known {
+        if d.inventory_state == InventoryState::Known {
             for (attempt, _) in w.tasks.iter().filter(|(_, ended)| !**ended) {
                 let listed = d.tasks.iter().any(|t| t.key.attempt == *attempt);
                 assert!(
@@ -326,12 +326,15 @@
             // A report that came just before that may have been answered: its lease, once.
             let worst = bound + LEASE;
             if reign.m.epoch > 7 && now > reign.began + worst {
-                assert_eq!(d.standing, InventoryState::Known, "seed {seed}, {now} ms");
+                assert_eq!(d.inventory_state, InventoryState::Known, "seed {seed}, {now} ms");
                 late += 1;
             }
             // Three reports without the token tell.
             if reign.m.epoch > 7 && now > *since.get_or_insert(now) + 20_000 {
-                assert!(!d.open, "seed {seed}, {now} ms: it would get tasks that it never hears of");
+                assert!(
+                    !d.is_schedulable,
+                    "seed {seed}, {now} ms: it would get tasks that it never hears of"
+                );
             }
         });
     }
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -85,7 +85,7 @@
             }
         }
         let tune = t.waits(|a| a.spec.class == "tune");
-        let worst = tune.iter().max().expect("some").secs();
+        let worst = tune.iter().max().expect("some").as_secs();
         println!("seed {seed}: idle {:.2}, gangs' worst wait {worst:.0} s", idle as f64 / of.max(1) as f64);
         assert!(of > 0 && idle * 4 < of, "seed {seed}: {idle} of {of} idle");
         assert!(worst < 240.0, "seed {seed}: a gang began after {worst:.0} s");
@@ -138,8 +138,11 @@
         }
         for class in ["largest", "wide"] {
             let waits = t.waits(|a| a.spec.class == class);
-            let worst = waits.iter().max().expect("some").secs();
-            println!("seed {seed}: {class} {:?}", waits.iter().map(|w| w.secs() as u64).collect::<Vec<_>>());
+            let worst = waits.iter().max().expect("some").as_secs();
+            println!(
+                "seed {seed}: {class} {:?}",
+                waits.iter().map(|w| w.as_secs() as u64).collect::<Vec<_>>()
+            );
             assert!(worst < 240.0, "seed {seed}: {class} began after {worst:.0} s");
         }
     }
--- a/tests/spec.rs
+++ b/tests/spec.rs
@@ -4,8 +4,8 @@
 use hazelsaddle::job_shard::JobShard;
 use hazelsaddle::peer::Reply;
 use hazelsaddle::server::http_api::{self, Dispatch};
-use hazelsaddle::spec::{JobSpec, MachineType, Types};
-use hazelsaddle::units::{Micros, Ranges, Resources};
+use hazelsaddle::spec::{JobSpec, MachineType, MachineTypes};
+use hazelsaddle::units::{Micros, Resources, TaskIndexSet};
 use hazelsaddle::wire::users::submission::SubmissionError;
 use serde_json::{Value, json};
 
@@ -89,7 +89,7 @@
     assert_eq!(post(&with(&[("strides", json!(100_000))]).to_string()), None);
 }
 
-fn types() -> Types {
+fn types() -> MachineTypes {
     let t = |name: &str, cpus: f64, gpus: f64, zones: &[&str]| MachineType {
         name: name.into(),
         cpus,
@@ -178,7 +178,7 @@
 #[test]
 fn odd_amounts_overflow_nothing() {
     let room = Resources { cpus: i64::MAX / 4, gpus: i64::MAX / 4, memory: i64::MAX / 4 };
-    let fits = room.count_of(Resources::default());
+    let fits = room.max_count_of(Resources::default());
     assert!(fits >= 100_000 && fits.checked_mul(100_000).is_some(), "{fits}");
     let mut owner = JobShard::new(&settings());
     for (n, tasks) in [(1, 100_000), (2, 100_000), (3, 7)] {
@@ -193,7 +193,7 @@
             ("ramGb", json!(0)),
         ]);
         let spec = JobSpec::from_value(&raw).expect("well-formed");
-        owner.insert_job(raw, spec, Micros(n), Ranges::default(), 1, true);
+        owner.insert_job(raw, spec, Micros(n), TaskIndexSet::default(), 1, true);
     }
     assert_eq!(owner.queue_order().len(), 3);
 }
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -15,7 +15,7 @@
 };
 use hazelsaddle::quota::{AllocationInput, QuotaLedger};
 use hazelsaddle::spec::{JobKind, JobSpec, MachineType};
-use hazelsaddle::units::{Micros, Ranges, Resources};
+use hazelsaddle::units::{Micros, Resources, TaskIndexSet};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -56,19 +56,19 @@
         let mine = self.entries.iter().filter(|(k, _)| m.job_leader(&k.job) == Some(to));
         MachineStatus {
             name: self.name.clone(),
-            kind: self.kind.clone(),
+            machine_type: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            standing: if self.alive { InventoryState::Known } else { InventoryState::Gone },
-            open: self.alive,
-            notice: None,
+            inventory_state: if self.alive { InventoryState::Known } else { InventoryState::Gone },
+            is_schedulable: self.alive,
+            time_to_termination: None,
             free: self.free(),
             total: self.total,
-            by_priority: sums.into_iter().collect(),
+            used_by_priority: sums.into_iter().collect(),
             images: Vec::new(),
-            busy: alive().count() as u32,
-            idle: self.entries.is_empty().then_some(Micros(0)),
-            silent: None,
+            task_count: alive().count() as u32,
+            idle_time: self.entries.is_empty().then_some(Micros(0)),
+            silent_time: None,
             tasks: mine.map(|(k, e)| ObservedTask { key: k.clone(), phase: e.phase }).collect(),
         }
     }
@@ -152,7 +152,7 @@
     }
 
     pub fn add_machines(&mut self, kind: &str, zone: &str, spot: bool, n: usize) {
-        let total = self.types.iter().find(|t| t.name == kind).expect("a known type").room();
+        let total = self.types.iter().find(|t| t.name == kind).expect("a known type").capacity();
         for _ in 0..n {
             let name = format!("i-{:06}", self.machines.len());
             let (kind, zone) = (kind.to_owned(), zone.to_owned());
@@ -177,7 +177,7 @@
                 let a = &self.jobs[id];
                 if self.members[i].job_leader(id) == Some(i) && a.done.is_none() {
                     let spec = a.spec.clone();
-                    self.owners[i].insert_job(raw.clone(), spec, a.at, Ranges::default(), 1, false);
+                    self.owners[i].insert_job(raw.clone(), spec, a.at, TaskIndexSet::default(), 1, false);
                 }
             }
             let names: Vec<String> =
@@ -191,7 +191,7 @@
         let spec = JobSpec::from_value(&raw).expect("a valid description");
         let id = spec.id.clone();
         let owner = self.members[0].job_leader(&id).expect("owned");
-        self.owners[owner].insert_job(raw.clone(), spec.clone(), self.now, Ranges::default(), 1, true);
+        self.owners[owner].insert_job(raw.clone(), spec.clone(), self.now, TaskIndexSet::default(), 1, true);
         let asked =
             Asked { spec, run, at: self.now, begun: None, done: None, stopped: 0, running: BTreeSet::new() };
         self.jobs.insert(id.clone(), asked);
@@ -272,7 +272,12 @@
         let seen: Vec<MachineSnapshot> = digests.collect();
         let all: Vec<&MachineSnapshot> = seen.iter().collect();
         for _ in 0..4 {
-            let fleet = FleetView { machines: &all, all_reported: true, rebuilt: true, members: &[0, 1, 2] };
+            let fleet = FleetView {
+                machines: &all,
+                all_reported: true,
+                failover_complete: true,
+                members: &[0, 1, 2],
+            };
             let Some(r) = self.autoscaler.next_request(now, Some(fleet)) else { break };
             let answer = match &r {
                 CloudRequest::MachineTypes => CloudAnswer::MachineTypes(self.types.clone()),
@@ -305,8 +310,8 @@
             let input = AllocationInput {
                 team: &team,
                 needs: &list,
-                is_ours: &mine,
-                is_released: &|j| owner.has_released_resources(j),
+                is_led_locally: &mine,
+                can_release: &|j| owner.has_released_resources(j),
                 value_bytes: 4096,
             };
             let w = self.quota[i].next_write(now, &input);
@@ -330,7 +335,7 @@
                 continue;
             }
             self.seen[home][from] = self.seen[home][from].max(w.revision);
-            for x in w.list {
+            for x in w.tasks {
                 let m = self.machines.iter_mut().find(|m| m.name == x.machine).expect("a machine");
                 let shown = x.priority;
                 if let Some(e) = m.entries.get_mut(&x.key) {
@@ -352,12 +357,12 @@
                     e.want = x.action;
                 } else if matches!(x.action, DesiredAction::Run | DesiredAction::Hold) {
                     self.placed += 1;
-                    if m.alive && m.free().holds(x.room) {
+                    if m.alive && m.free().can_hold(x.resources) {
                         let phase =
                             if x.action == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
                         m.entries.insert(
                             x.key,
-                            Entry { room: x.room, priority: shown, phase, want: x.action, since: now },
+                            Entry { room: x.resources, priority: shown, phase, want: x.action, since: now },
                         );
                     } else {
                         self.refused += 1;
@@ -414,11 +419,11 @@
         for m in self.machines.iter_mut().filter(|m| m.alive) {
             for (k, e) in &mut m.entries {
                 let a = self.jobs.get_mut(&k.job).expect("asked");
-                let all = going.get(&(k.job.clone(), k.attempt)).copied() == Some(a.spec.tasks);
+                let all = going.get(&(k.job.clone(), k.attempt)).copied() == Some(a.spec.task_count);
                 let ready = a.spec.kind != JobKind::Gang || all;
                 let next = match (e.phase, e.want) {
                     (TaskPhase::Exited(_) | TaskPhase::Held, _) => continue,
-                    (TaskPhase::Saving, _) if now.since(e.since) >= a.spec.save => {
+                    (TaskPhase::Saving, _) if now.since(e.since) >= a.spec.checkpoint_duration => {
                         TaskPhase::Exited(TaskExit::Stopped(true))
                     }
                     (TaskPhase::Saving, _) => continue,
@@ -429,7 +434,7 @@
                     }
                     (TaskPhase::Waiting, _) if ready => {
                         a.running.insert(k.index);
-                        if a.spec.kind != JobKind::Gang || a.running.len() == a.spec.tasks as usize {
+                        if a.spec.kind != JobKind::Gang || a.running.len() == a.spec.task_count as usize {
                             a.begun.get_or_insert(now);
                         }
                         TaskPhase::Running
--- a/tests/world/batches.rs
+++ b/tests/world/batches.rs
@@ -80,7 +80,7 @@
         let mut left = 0;
         for (class, n) in old {
             let newer = self.jobs.iter().filter(|(p, j)| {
-                let at = |b: &hazelsaddle::spec::Batch| b.name == of.name && b.version == record.version;
+                let at = |b: &hazelsaddle::spec::BatchRef| b.name == of.name && b.version == record.version;
                 j.spec.class == class
                     && j.spec.batch.as_ref().is_some_and(at)
                     && !needs.contains(p.as_str())
--- a/tests/world/cancels.rs
+++ b/tests/world/cancels.rs
@@ -137,12 +137,12 @@
 
     /// A change of the state service is carried out: a job is new on record only once.
     pub(crate) fn note_change(&mut self, c: &Transaction, done: bool) {
-        let n = (c.puts.len() + c.drops.len()) as f64;
+        let n = (c.puts.len() + c.deletes.len()) as f64;
         let (left, at) = self.cancels.spent;
         let over = (left - (self.now - at) as f64 / 1e6 * self.shape.write_rps).max(0.0) + n;
         self.cancels.spent = (over, self.now);
         self.cancels.burst = self.cancels.burst.max(over);
-        for key in c.puts.iter().map(|p| &p.0).chain(&c.drops) {
+        for key in c.puts.iter().map(|p| &p.0).chain(&c.deletes) {
             let kind = key.split('/').next().unwrap_or("").to_owned();
             *self.cancels.changes.entry(kind).or_default() += 1;
         }
@@ -212,7 +212,10 @@
     pub(crate) fn team_use(&self, team: &str) -> i64 {
         let lives = |w: &&Worker| !w.gone && !w.dead && self.now <= w.lease_from + (LEASE_S * 1e6) as u64;
         let on = self.workers.iter().filter(lives).flat_map(|w| &w.tasks).filter(|t| t.on());
-        on.map(|t| &self.jobs[&t.job].spec).filter(|s| s.team == team).map(|s| s.room.cpus).sum()
+        on.map(|t| &self.jobs[&t.job].spec)
+            .filter(|s| s.team == team)
+            .map(|s| s.resources_per_task.cpus)
+            .sum()
     }
 }
 
--- a/tests/world/days/compound.rs
+++ b/tests/world/days/compound.rs
@@ -160,7 +160,7 @@
                 // One moves on just as tasks end, or before anybody has heard of it.
                 let until = w.now + w.rng.random_range(S..12 * S);
                 w.run(0, until);
-                let part = |j: &&UserJob| !j.done.is_empty() && j.done.len() < j.spec.tasks as usize;
+                let part = |j: &&UserJob| !j.done.is_empty() && j.done.len() < j.spec.task_count as usize;
                 split += w.jobs.values().filter(part).count();
                 let n = (seed as usize + i) % 3;
                 match (seed + i as u64) % 4 {
@@ -176,7 +176,7 @@
             settle(w, 520 * S);
         });
         ended(&mut w, seed);
-        let all = |j: &UserJob| j.known == Known::Done && j.done.len() == j.spec.tasks as usize;
+        let all = |j: &UserJob| j.known == Known::Done && j.done.len() == j.spec.task_count as usize;
         assert!(w.jobs.values().all(all), "seed {seed}: nobody cancelled anything");
     }
     assert!(split > 40, "{split} jobs with some tasks done over a change");
--- a/tests/world/days/loans.rs
+++ b/tests/world/days/loans.rs
@@ -84,7 +84,7 @@
                     ledger.loans.iter().filter(|l| l.job == *job && l.state != LoanStanding::Returning);
                 let n: u32 = live.map(|l| l.replicas).sum();
                 seen.most = seen.most.max(n);
-                let all = w.jobs[job].spec.tasks;
+                let all = w.jobs[job].spec.task_count;
                 assert!(n <= all, "taken in vain: {n} replicas of {job} in {:#?}", ledger.loans);
             }
             // Numbers are used once in a ledger; here one team borrows.
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -485,7 +485,8 @@
                     let d = node.machine_shard.status_delta(w.clock(n), &node.membership, n, 0, |_| None);
                     for d in d.machines.iter().filter(|d| names.contains(&d.name)) {
                         assert!(
-                            !d.open && d.tasks.iter().all(|t| t.key.attempt >> 24 < node.membership.epoch),
+                            !d.is_schedulable
+                                && d.tasks.iter().all(|t| t.key.attempt >> 24 < node.membership.epoch),
                             "{d:?}"
                         );
                     }
--- a/tests/world/days/pairs.rs
+++ b/tests/world/days/pairs.rs
@@ -96,7 +96,7 @@
 #[test]
 fn each_trouble_just_after_a_job_has_finished() {
     each(22_600, |w, ids, trouble, n| {
-        let whole = |w: &World, id: &String| w.jobs[id].done.len() == w.jobs[id].spec.tasks as usize;
+        let whole = |w: &World, id: &String| w.jobs[id].done.len() == w.jobs[id].spec.task_count as usize;
         while !ids.iter().any(|id| whole(w, id)) {
             let until = w.now + S / 10;
             w.run(0, until);
--- a/tests/world/days/plain.rs
+++ b/tests/world/days/plain.rs
@@ -78,7 +78,7 @@
     assert_eq!(w.jobs[&id].known, Known::Accepted, "within a second");
     let boots = w.boots.clone();
     play_until(&mut w, 150 * S);
-    assert_eq!((w.boots, w.jobs[&id].done.len()), (boots, w.jobs[&id].spec.tasks as usize));
+    assert_eq!((w.boots, w.jobs[&id].done.len()), (boots, w.jobs[&id].spec.task_count as usize));
 }
 
 /// The bar that `play` holds every day to can fail: workers refuse all starts of one class, and it is named.
@@ -121,7 +121,7 @@
     let large = |w: &World| {
         let of = |j: &&UserJob| j.spec.class == CLASS && !j.cancel_asked && !j.mistaken;
         let (all, large) =
-            (w.jobs.values().filter(of), w.jobs.values().filter(of).filter(|j| j.spec.tasks >= 9));
+            (w.jobs.values().filter(of), w.jobs.values().filter(of).filter(|j| j.spec.task_count >= 9));
         let (all, large) = (all.count(), large.count());
         2 * large > all.div_ceil(5) && 2 * large < all
     };
--- a/tests/world/days/takeovers.rs
+++ b/tests/world/days/takeovers.rs
@@ -98,10 +98,13 @@
             let n = (seed as usize + i) % 3;
             w.later(1, What::Controller(n, 0, Event::Leave));
             let told = w.now;
-            while !w.nodes[n].as_ref().is_some_and(|node| node.gone(w.clock(n))) {
+            while !w.nodes[n].as_ref().is_some_and(|node| node.can_exit(w.clock(n))) {
                 let until = w.now + S / 10;
                 w.run(0, until);
-                assert!(w.now < told + hazelsaddle::controller::LEAVING.0 + S, "seed {seed}: {n} stays");
+                assert!(
+                    w.now < told + hazelsaddle::controller::LEAVE_TIMEOUT.0 + S,
+                    "seed {seed}: {n} stays"
+                );
             }
             assert!(w.now < told + 2 * S, "seed {seed}: {n} took {} s", (w.now - told) as f64 / 1e6);
             w.crash(n);
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -182,7 +182,7 @@
         let n = (round as usize + i) % 3;
         w.later(1, What::Controller(n, 0, Event::Leave));
         let end = w.now + 4 * S;
-        while w.now < end && !w.nodes[n].as_ref().is_some_and(|node| node.gone(w.clock(n))) {
+        while w.now < end && !w.nodes[n].as_ref().is_some_and(|node| node.can_exit(w.clock(n))) {
             let until = w.now + S / 10;
             w.run(0, until);
         }
@@ -429,7 +429,7 @@
         let (name, kind, zone) = ("r".into(), "large".into(), "a".into());
         Effect::Cloud(CloudRequest::ScaleOut(hazelsaddle::autoscaler::ScaleOut {
             name,
-            kind,
+            machine_type: kind,
             zone,
             spot,
             count,
@@ -437,8 +437,8 @@
     };
     let all = [
         Effect::Reply { ticket: 1, reply: Reply::error(503, "later") },
-        Effect::Reply { ticket: 1, reply: Reply::later("later") },
-        Effect::Reply { ticket: 2, reply: Reply::later("later") },
+        Effect::Reply { ticket: 1, reply: Reply::retry_later("later") },
+        Effect::Reply { ticket: 2, reply: Reply::retry_later("later") },
         Effect::Reply { ticket: 1, reply: Reply::error(404, "later") },
         store(StoreRequest::Get("a".into())),
         Effect::Store { id: 2, request: StoreRequest::Get("a".into()), lane: StoreLane::Records },
@@ -457,7 +457,7 @@
         put(json!(2), None),
         commit(Transaction { conditions: vec![("a".into(), 1)], ..Transaction::default() }),
         commit(Transaction { conditions: vec![("a".into(), 2)], ..Transaction::default() }),
-        commit(Transaction { drops: vec!["a".into()], ..Transaction::default() }),
+        commit(Transaction { deletes: vec!["a".into()], ..Transaction::default() }),
         Effect::Cloud(CloudRequest::MachineTypes),
         Effect::Cloud(CloudRequest::List(String::new())),
         Effect::Cloud(CloudRequest::List("a".into())),
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -196,7 +196,7 @@
                     j.cancel_asked = true;
                 }
                 self.looks.of_ended += usize::from(self.register.knows(&id).1);
-                UserRequest::Withdraw(id)
+                UserRequest::Cancel(id)
             }
             _ => UserRequest::Query(id),
         };
--- a/tests/world/lost.rs
+++ b/tests/world/lost.rs
@@ -140,7 +140,7 @@
 /// The keys that a transaction writes or deletes.
 fn keys_of(r: &StoreRequest) -> Vec<String> {
     let StoreRequest::Transaction(c) = r else { return Vec::new() };
-    c.puts.iter().map(|p| &p.0).chain(&c.drops).cloned().collect()
+    c.puts.iter().map(|p| &p.0).chain(&c.deletes).cloned().collect()
 }
 
 impl World {
--- a/tests/world/net.rs
+++ b/tests/world/net.rs
@@ -59,7 +59,7 @@
     pub(crate) fn effects(&mut self, n: usize, out: Vec<Effect>) {
         let now = self.clock(n);
         for e in out {
-            let vetted = self.nodes[n].as_mut().and_then(|node| node.vetted(now, e));
+            let vetted = self.nodes[n].as_mut().and_then(|node| node.revalidate_effect(now, e));
             if let Some(e) = vetted {
                 // A process that ends now has done what came before, and perhaps this.
                 let ends = self.ends_at(&e);
@@ -119,7 +119,7 @@
                         | Message::Handoff { .. }
                         | Message::HandoffAck(_)
                         | Message::ReplicateStarts { .. }
-                        | Message::StartsReplicated(_)
+                        | Message::ReplicationAck(_)
                         | Message::Lending(_) => true,
                         Message::ForwardRequest { request: UserRequest::Submit(_, body), .. } => {
                             let names = body.contains("\"follows\":[\"") || body.contains("\"release\":{");
--- a/tests/world/outside.rs
+++ b/tests/world/outside.rs
@@ -91,7 +91,7 @@
             return StoreAnswer::Refused;
         }
         self.store.limits = if self.now >= self.limits_fall { NEXT_LIMITS } else { LIMITS };
-        if let StoreRequest::Transaction(Transaction { conditions, puts, drops }) = &r {
+        if let StoreRequest::Transaction(Transaction { conditions, puts, deletes: drops }) = &r {
             // Late or deposed writers are kept out by conditions: on the epoch for everything
             // but the ring's own keys, on the record's version for jobs and teams.
             for key in puts.iter().map(|p| &p.0).chain(drops).filter(|k| !k.starts_with("ring/")) {
@@ -124,7 +124,7 @@
             CloudRequest::List(after) => {
                 let listed = |w: &Worker| CloudMachine {
                     name: w.name.clone(),
-                    kind: w.kind.clone(),
+                    machine_type: w.kind.clone(),
                     zone: w.zone.clone(),
                     spot: w.spot,
                     state: if w.dead {
@@ -164,7 +164,7 @@
                             _ => self.rng.random_range(3 * S..20 * S),
                         };
                         let soon = self.lost.boots.clone().map(|b| self.rng.random_range(b));
-                        self.add_worker(&r.kind, &r.zone, r.spot, soon.unwrap_or(boot))
+                        self.add_worker(&r.machine_type, &r.zone, r.spot, soon.unwrap_or(boot))
                     })
                     .collect();
                 self.rentals.insert(r.name.clone(), names.clone());
--- a/tests/world/register.rs
+++ b/tests/world/register.rs
@@ -5,7 +5,7 @@
 use super::*;
 use hazelsaddle::config::settings::TeamSettings;
 use hazelsaddle::server::http_api::{self, Dispatch};
-use hazelsaddle::spec::Types;
+use hazelsaddle::spec::MachineTypes;
 
 /// A request under way.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     order: u64,
     open: BTreeMap<u64, Open>,
     cells: BTreeMap<String, Cell>,
-    limits: Option<(Types, Vec<TeamSettings>)>,
+    limits: Option<(MachineTypes, Vec<TeamSettings>)>,
     /// Answers that say how a job stands; those to requests sent when somebody knew that it is accepted; or its end.
     pub(crate) answers: usize,
     pub(crate) bound: [usize; 2],
@@ -68,7 +68,7 @@
         let kind = match request {
             UserRequest::Submit(..) => 's',
             UserRequest::Query(_) => 'q',
-            UserRequest::Withdraw(_) => 'w',
+            UserRequest::Cancel(_) => 'w',
             UserRequest::Why(_) | UserRequest::Permit(..) => return,
         };
         if self.register.open.contains_key(&ticket) {
@@ -160,7 +160,7 @@
         if ends {
             let other = cell.end.as_ref().filter(|e| e.stance != stance);
             assert!(other.is_none(), "went_back: {id} has two ends, {other:?} {context}");
-            let whole = self.jobs.get(id).is_none_or(|j| j.done.len() == j.spec.tasks as usize);
+            let whole = self.jobs.get(id).is_none_or(|j| j.done.len() == j.spec.task_count as usize);
             assert!(stance != "done" || whole, "not_done: {id} {context}");
             let called_off = cell.withdrawn || self.follows_withdrawn(id);
             assert!(stance != "aborted" || called_off, "went_back: {id} cancelled by nobody {context}");
@@ -183,7 +183,7 @@
     fn follows_withdrawn(&self, id: &str) -> bool {
         let (mut seen, mut next) = (BTreeSet::new(), vec![id]);
         while let Some(id) = next.pop() {
-            for p in self.jobs.get(id).into_iter().flat_map(|j| &j.spec.follows) {
+            for p in self.jobs.get(id).into_iter().flat_map(|j| &j.spec.dependencies) {
                 if self.register.cells.get(p).is_some_and(|c| c.withdrawn) {
                     return true;
                 }
--- a/tests/world/rules.rs
+++ b/tests/world/rules.rs
@@ -27,8 +27,8 @@
                 if let Some(other) = on.insert((&t.job, t.index), &w.name) {
                     panic!("ran_twice: {}/{} on {other} and {} at {}", t.job, t.index, w.name, self.now);
                 }
-                *used.entry(&j.spec.team).or_default() += j.spec.room.cpus;
-                assert!(w.spot <= j.spec.spot, "wrong_place: {} on a spot machine", t.job);
+                *used.entry(&j.spec.team).or_default() += j.spec.resources_per_task.cpus;
+                assert!(w.spot <= j.spec.spot_allowed, "wrong_place: {} on a spot machine", t.job);
                 zones.entry(&t.job).or_default().insert(&w.zone);
             }
         }
@@ -57,7 +57,7 @@
 
     /// How many jobs that follow others were accepted.
     pub(crate) fn accepted_chains(&self) -> usize {
-        let taken = |j: &&UserJob| !j.spec.follows.is_empty() && j.known != Known::Nothing;
+        let taken = |j: &&UserJob| !j.spec.dependencies.is_empty() && j.known != Known::Nothing;
         self.jobs.values().filter(taken).count()
     }
 
@@ -72,7 +72,7 @@
     fn largest(&self) -> Vec<&UserJob> {
         let mut by: BTreeMap<&str, Vec<&UserJob>> = BTreeMap::new();
         self.counted().for_each(|j| by.entry(&j.spec.class).or_default().push(j));
-        by.values_mut().for_each(|list| list.sort_by_key(|j| std::cmp::Reverse(j.spec.tasks)));
+        by.values_mut().for_each(|list| list.sort_by_key(|j| std::cmp::Reverse(j.spec.task_count)));
         by.into_values().flat_map(|list| list[..list.len().div_ceil(5)].to_vec()).collect()
     }
 
@@ -98,9 +98,13 @@
     pub(crate) fn begun_late(&self) -> Vec<String> {
         let late = |j: &&&UserJob| {
             let since = j.accepted_at.unwrap_or(self.now).max(self.silence.calm_from);
-            j.spec.follows.is_empty() && j.begun_at.unwrap_or(self.now) > since + 240 * S
+            j.spec.dependencies.is_empty() && j.begun_at.unwrap_or(self.now) > since + 240 * S
         };
-        self.largest().iter().filter(late).map(|j| format!("{}: {} tasks", j.spec.id, j.spec.tasks)).collect()
+        self.largest()
+            .iter()
+            .filter(late)
+            .map(|j| format!("{}: {} tasks", j.spec.id, j.spec.task_count))
+            .collect()
     }
 
     /// Jobs that have not ended as they should have.
@@ -115,7 +119,7 @@
                 }
                 _ => true,
             })
-            .map(|(id, j)| format!("{id} {:?} {}/{}", j.known, j.done.len(), j.spec.tasks))
+            .map(|(id, j)| format!("{id} {:?} {}/{}", j.known, j.done.len(), j.spec.task_count))
             .collect()
     }
 }
--- a/tests/world/silence.rs
+++ b/tests/world/silence.rs
@@ -153,7 +153,7 @@
         let stance = body["stance"].as_str().expect("a stance").to_owned();
         let j = &self.jobs[id];
         assert_eq!(body["uid"], *id, "an answer to another question");
-        assert!(stance != "done" || j.done.len() == j.spec.tasks as usize, "not_done: {id}");
+        assert!(stance != "done" || j.done.len() == j.spec.task_count as usize, "not_done: {id}");
         // Of two questions under way at once either may be answered first; a later one may not say less.
         match self.silence.ended.get(id) {
             Some((at, end)) if asked > *at => assert_eq!(stance, *end, "went_back: {id} at {}", self.now),
--- a/tests/world/trace.rs
+++ b/tests/world/trace.rs
@@ -109,7 +109,7 @@
         Some(lease) => json!({"write": key, "v": value, "tether": lease}),
         None => json!({"write": key, "v": value}),
     });
-    let writes: Vec<Value> = puts.chain(commit.drops.iter().map(|key| json!({"drop": key}))).collect();
+    let writes: Vec<Value> = puts.chain(commit.deletes.iter().map(|key| json!({"drop": key}))).collect();
     json!({"if": conditions, "writes": writes}).to_string()
 }
 
@@ -119,7 +119,7 @@
         CloudRequest::MachineTypes => "GET /flavors\n".into(),
         CloudRequest::List(after) if after.is_empty() => "GET /rentals?limit=500\n".into(),
         CloudRequest::List(after) => format!("GET /rentals?after={after}&limit=500\n"),
-        CloudRequest::ScaleOut(ScaleOut { name, kind, zone, spot, count }) => {
+        CloudRequest::ScaleOut(ScaleOut { name, machine_type: kind, zone, spot, count }) => {
             let body =
                 json!({"hire": name, "stallKind": kind, "paddock": zone, "borrowed": spot, "count": count});
             format!("POST /rentals\n{body}")
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -63,10 +63,10 @@
     /// All that a job needs, directly or through others.
     pub(crate) fn needed(&self, id: &str) -> BTreeSet<&str> {
         let mut all = BTreeSet::new();
-        let mut next: Vec<&str> = self.jobs[id].spec.follows.iter().map(String::as_str).collect();
+        let mut next: Vec<&str> = self.jobs[id].spec.dependencies.iter().map(String::as_str).collect();
         while let Some(p) = next.pop() {
             if all.insert(p) {
-                next.extend(self.jobs[p].spec.follows.iter().map(String::as_str));
+                next.extend(self.jobs[p].spec.dependencies.iter().map(String::as_str));
             }
         }
         all
@@ -80,18 +80,19 @@
             let n = self.rng.random_range(0..3usize);
             let cancel = self.rng.random_bool(0.3);
             // A user names only jobs that were accepted.
-            let named = &self.jobs[&id].spec.follows;
+            let named = &self.jobs[&id].spec.dependencies;
             let ready = named.iter().all(|p| self.jobs[p].known != Known::Nothing);
             let Some(j) = self.jobs.get_mut(&id) else { continue };
             j.next = self.now + pause;
             // Nothing new is asked of an old controller.
-            if !ready || ((!j.spec.follows.is_empty() || j.spec.has_coordination_record()) && self.limited[n])
+            if !ready
+                || ((!j.spec.dependencies.is_empty() || j.spec.has_coordination_record()) && self.limited[n])
             {
                 continue;
             }
             let (kind, request) = match j.known {
                 Known::Nothing => ('s', UserRequest::Submit(id.clone(), j.body.clone())),
-                Known::Accepted if j.cancel_asked && cancel => ('w', UserRequest::Withdraw(id.clone())),
+                Known::Accepted if j.cancel_asked && cancel => ('w', UserRequest::Cancel(id.clone())),
                 // A repeated submission may come at any time, even after the end.
                 Known::Done | Known::Cancelled if cancel => {
                     ('s', UserRequest::Submit(id.clone(), j.body.clone()))
@@ -144,7 +145,7 @@
         self.tickets.insert(ticket, Ticket::User(id.into(), 'w'));
         self.later(
             1000,
-            What::Controller(n, 0, Event::User { ticket, request: UserRequest::Withdraw(id.into()) }),
+            What::Controller(n, 0, Event::User { ticket, request: UserRequest::Cancel(id.into()) }),
         );
     }
 
@@ -203,7 +204,7 @@
         let stance = body["stance"].as_str().expect("a stance");
         match stance {
             "done" => {
-                assert_eq!(j.done.len(), j.spec.tasks as usize, "not_done: {id}");
+                assert_eq!(j.done.len(), j.spec.task_count as usize, "not_done: {id}");
                 assert_ne!(j.known, Known::Cancelled, "went_back: {id}");
                 j.known = Known::Done;
             }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -14,13 +14,13 @@
         Heartbeat {
             machine: self.name.clone(),
             addr: self.name.clone(),
-            kind: self.kind.clone(),
+            machine_type: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
             incarnation: self.session,
             sequence: self.seq,
             token: self.token,
-            notice_s: None,
+            time_to_termination_s: None,
             tasks: self.tasks.iter().map(task).collect(),
         }
     }
@@ -134,17 +134,17 @@
                     .tasks
                     .iter()
                     .filter(|t| t.state != "ended")
-                    .map(|t| self.jobs[&t.job].spec.room.cpus)
+                    .map(|t| self.jobs[&t.job].spec.resources_per_task.cpus)
                     .sum();
                 let alive = self.workers[i].tasks.iter().filter(|t| t.state != "ended");
-                let gpus: i64 = alive.map(|t| self.jobs[&t.job].spec.room.gpus).sum();
+                let gpus: i64 = alive.map(|t| self.jobs[&t.job].spec.resources_per_task.gpus).sum();
                 let has = if w.kind == "gpu" { 4000 } else { 0 };
                 let cap = if w.kind == "small" { 4000 } else { 8000 };
                 let why = if busy {
                     Some("busy")
-                } else if used + spec.room.cpus > cap
-                    || gpus + spec.room.gpus > has
-                    || (self.starved == Some(spec.class.as_str()) && spec.tasks >= self.starved_from)
+                } else if used + spec.resources_per_task.cpus > cap
+                    || gpus + spec.resources_per_task.gpus > has
+                    || (self.starved == Some(spec.class.as_str()) && spec.task_count >= self.starved_from)
                 {
                     Some("no_room")
                 } else {
@@ -171,9 +171,9 @@
                     self.workers[i].begun = true;
                     self.note_start_of(job, index);
                     self.merge_starts(job);
-                    for p in &self.jobs[job].spec.follows {
+                    for p in &self.jobs[job].spec.dependencies {
                         let p = &self.jobs[p];
-                        let all = p.done.len() == p.spec.tasks as usize;
+                        let all = p.done.len() == p.spec.task_count as usize;
                         assert!(all, "too_early: {job}/{index} before {} at {}", p.spec.id, self.now);
                     }
                 }
@@ -224,7 +224,7 @@
                     _ => continue,
                 };
                 if why == Some("done") {
-                    let all = job.spec.tasks;
+                    let all = job.spec.task_count;
                     let j = self.jobs.get_mut(&t.job).expect("known");
                     let before = j.done.len();
                     if gang {
@@ -305,7 +305,7 @@
                     continue;
                 }
                 let key = (t.job.clone(), t.attempt);
-                let all = j.spec.tasks as usize;
+                let all = j.spec.task_count as usize;
                 if t.state == "waiting" && waiting.get(&key).is_some_and(|s| s.len() == all) {
                     t.state = "running";
                     t.until = now + j.run;
--- a/tests/world/zones.rs
+++ b/tests/world/zones.rs
@@ -164,9 +164,12 @@
         let s = &self.jobs[job].spec;
         let w = &self.workers[i];
         let (now, name) = (self.now, &w.name);
-        assert!(s.kinds.is_empty() || s.kinds.contains(&w.kind), "wrong_place: {job} on {name} at {now}");
+        assert!(
+            s.machine_types.is_empty() || s.machine_types.contains(&w.kind),
+            "wrong_place: {job} on {name} at {now}"
+        );
         assert!(s.zone.as_ref().is_none_or(|z| *z == w.zone), "wrong_place: {job} on {name} at {now}");
-        assert!(s.spot || !w.spot, "wrong_place: {job} on {name} at {now}");
+        assert!(s.spot_allowed || !w.spot, "wrong_place: {job} on {name} at {now}");
         let lives = |x: &&Worker| !x.gone && !x.dead && now <= x.lease_from + (LEASE_S * 1e6) as u64;
         let there: Vec<(&Worker, usize)> = (self.workers.iter().filter(lives))
             .map(|x| (x, x.tasks.iter().filter(|t| t.job == job && t.on()).count()))
@@ -175,9 +178,13 @@
         let here: usize = there.iter().filter(|(x, _)| x.zone == w.zone).map(|(_, n)| n).sum();
         let all: usize = there.iter().map(|(_, n)| n).sum();
         assert!(!s.one_zone || here == all, "wrong_place: {job} on {name}, others elsewhere at {now}");
-        let most = s.tasks.div_ceil(2) as usize;
-        assert!(!s.spread || here <= most, "wrong_place: {job}: {here} of {} on {name} at {now}", s.tasks);
-        let bound = s.one_zone || s.spread || s.zone.is_some() || !s.kinds.is_empty();
+        let most = s.task_count.div_ceil(2) as usize;
+        assert!(
+            !s.spread || here <= most,
+            "wrong_place: {job}: {here} of {} on {name} at {now}",
+            s.task_count
+        );
+        let bound = s.one_zone || s.spread || s.zone.is_some() || !s.machine_types.is_empty();
         let hidden = there.iter().any(|(x, _)| x.name != *name && self.unseen(x));
         let hidden = (s.one_zone || s.spread) && hidden;
         let zone = w.zone.clone();
