--- a/src/autoscaler/cloud.rs
+++ b/src/autoscaler/cloud.rs
@@ -32,7 +32,7 @@
     /// The idempotency key.
     pub name: String,
     /// The machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// The zone.
     pub zone: String,
     /// Whether the machines are spot machines.
@@ -58,7 +58,7 @@
     /// Its name. Names sort in the order of creation.
     pub name: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -11,17 +11,19 @@
 impl Demand {
     /// Whether the work may run on machines of this type.
     pub(super) fn can_run_on_type(&self, kind: &str) -> bool {
-        self.kinds.is_empty() || self.kinds.iter().any(|allowed| allowed == kind)
+        self.machine_types.is_empty() || self.machine_types.iter().any(|allowed| allowed == kind)
     }
 
     /// Whether the work may run on machines of this type in this zone, spot or on-demand.
     pub(super) fn can_run_on(&self, kind: &str, zone: &str, spot: bool) -> bool {
-        self.can_run_on_type(kind) && self.zone.as_ref().is_none_or(|only| only == zone) && spot <= self.spot
+        self.can_run_on_type(kind)
+            && self.zone.as_ref().is_none_or(|only| only == zone)
+            && spot <= self.spot_allowed
     }
 
     /// Whether the work may queue for some time before a machine is added for it.
     pub(super) fn can_queue(&self) -> bool {
-        self.horizon.0 > 0 && self.estimate.0 > 0
+        self.max_queue_time.0 > 0 && self.estimated_run_time.0 > 0
     }
 }
 
@@ -70,7 +72,7 @@
     pub(super) fn fresh(&self, now: Micros) -> Vec<Demand> {
         let fresh = self.by_member.values().filter(|report| now.since(report.received_at) < DEMAND_TTL);
         let mut demands: Vec<Demand> = fresh.flat_map(|report| report.demands.iter().cloned()).collect();
-        demands.sort_by_key(|demand| (Reverse(demand.priority), demand.horizon));
+        demands.sort_by_key(|demand| (Reverse(demand.priority), demand.max_queue_time));
         demands
     }
 
@@ -78,12 +80,12 @@
     pub(super) fn update_typical(&mut self, demands: &[Demand]) {
         for demand in demands.iter().filter(|demand| demand.can_queue()) {
             let typical = self.typical.get_or_insert(TypicalTask {
-                resources: demand.room,
-                run_time: demand.estimate,
-                horizon: demand.horizon,
+                resources: demand.resources_per_task,
+                run_time: demand.estimated_run_time,
+                horizon: demand.max_queue_time,
             });
-            typical.run_time = Micros((typical.run_time.0 * 7 + demand.estimate.0) / 8);
-            typical.horizon = Micros((typical.horizon.0 * 63 / 64).max(demand.horizon.0));
+            typical.run_time = Micros((typical.run_time.0 * 7 + demand.estimated_run_time.0) / 8);
+            typical.horizon = Micros((typical.horizon.0 * 63 / 64).max(demand.max_queue_time.0));
         }
     }
 }
--- a/src/autoscaler/headroom.rs
+++ b/src/autoscaler/headroom.rs
@@ -5,7 +5,7 @@
 use super::scale_out::Capacity;
 use crate::machine_view::MachineSnapshot;
 use crate::peer::Demand;
-use crate::spec::{MachineType, Types};
+use crate::spec::{MachineType, MachineTypes};
 use crate::units::{Micros, Resources};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
 /// surge, and machines take long to boot.
 pub(super) fn headroom_demands(
     guaranteed: Resources,
-    types: &Types,
+    types: &MachineTypes,
     machines: &BTreeMap<&str, &MachineSnapshot>,
 ) -> Vec<Demand> {
     let missing = |dimension| missing_headroom(guaranteed, types, machines, dimension);
@@ -40,7 +40,7 @@
 
 fn missing_headroom(
     guaranteed: Resources,
-    types: &Types,
+    types: &MachineTypes,
     machines: &BTreeMap<&str, &MachineSnapshot>,
     dimension: Dimension,
 ) -> Option<Demand> {
@@ -50,25 +50,26 @@
         |total: Resources| (total.gpus > 0) == is_for_gpus || (!has_types_without_gpus && !is_for_gpus);
     let largest = types
         .values()
-        .map(MachineType::room)
+        .map(MachineType::capacity)
         .filter(|total| is_counted(*total))
         .max_by_key(|total| dimension.amount_in(*total))?;
-    let schedulable = || machines.values().filter(|machine| machine.open && is_counted(machine.total));
+    let schedulable =
+        || machines.values().filter(|machine| machine.is_schedulable && is_counted(machine.total));
     let free: i64 = schedulable().map(|machine| dimension.amount_in(machine.free).max(0)).sum();
     let used: i64 = schedulable().map(|machine| dimension.amount_in(machine.total)).sum::<i64>() - free;
     // Headroom grows with the resources in use and is zero when nothing runs.
     let missing = crate::job_shard::headroom(dimension.amount_in(guaranteed), used) - free;
     (missing > 0).then(|| Demand {
-        room: largest,
-        kinds: Vec::new(),
+        resources_per_task: largest,
+        machine_types: Vec::new(),
         zone: None,
         one_zone: false,
-        spot: false,
+        spot_allowed: false,
         count: u32::try_from(missing / dimension.amount_in(largest).max(1) + 1).unwrap_or(u32::MAX),
-        estimate: Micros(0),
+        estimated_run_time: Micros(0),
         priority: 0,
-        horizon: Micros(0),
-        together: 1,
+        max_queue_time: Micros(0),
+        gang_size: 1,
     })
 }
 
@@ -77,17 +78,17 @@
 /// over several zones could not run the gang.
 pub(super) fn choose_gang_zone(
     demand: &Demand,
-    types: &Types,
+    types: &MachineTypes,
     arriving: &[Capacity],
     is_exhausted: impl Fn(&str) -> bool,
 ) -> Option<String> {
-    if !demand.one_zone || demand.together <= 1 {
+    if !demand.one_zone || demand.gang_size <= 1 {
         return None;
     }
     let mut tasks_by_zone: BTreeMap<&str, i64> = BTreeMap::new();
     for Capacity { pool, resources } in arriving {
         if demand.can_run_on(&pool.kind, &pool.zone, pool.spot) {
-            let tasks = resources.count_of(demand.room).clamp(0, MAX_TASKS_PER_MACHINE);
+            let tasks = resources.max_count_of(demand.resources_per_task).clamp(0, MAX_TASKS_PER_MACHINE);
             *tasks_by_zone.entry(&pool.zone).or_default() += tasks;
         }
     }
--- a/src/autoscaler/lost_machines.rs
+++ b/src/autoscaler/lost_machines.rs
@@ -27,7 +27,8 @@
 
     /// Whether a machine that sends no heartbeats is missing from the list although the list is complete at its age.
     pub(super) fn is_lost(&self, machine: &MachineSnapshot, complete_up_to: Option<&str>) -> bool {
-        let is_silent = machine.standing == InventoryState::Unconfirmed || machine.silent_since.is_some();
+        let is_silent =
+            machine.inventory_state == InventoryState::Unconfirmed || machine.silent_since.is_some();
         is_silent
             && complete_up_to.is_some_and(|name| machine.name.as_str() < name)
             && self.listed.as_ref().is_some_and(|listed| !listed.contains_key(&machine.name))
--- a/src/autoscaler/lost_machines/tests.rs
+++ b/src/autoscaler/lost_machines/tests.rs
@@ -8,7 +8,7 @@
     let snapshot = machine(i, "small", 4.0, 4.0);
     let machine_listed = CloudMachine {
         name: snapshot.name.clone(),
-        kind: "small".into(),
+        machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
         state: MachineState::Running,
@@ -31,7 +31,7 @@
             if i < 8 {
                 snapshot = MachineSnapshot::new(
                     now,
-                    MachineStatus { standing: InventoryState::Unconfirmed, ..(*snapshot).clone() },
+                    MachineStatus { inventory_state: InventoryState::Unconfirmed, ..(*snapshot).clone() },
                 );
             }
             snapshot
--- a/src/autoscaler/reserved_capacity.rs
+++ b/src/autoscaler/reserved_capacity.rs
@@ -17,7 +17,7 @@
 
 /// How many machines should be available for gangs of this shape: enough for two gangs at the same time.
 fn machines_at_hand(demand: &Demand) -> usize {
-    demand.together as usize * 2
+    demand.gang_size as usize * 2
 }
 
 /// A machine type, spot or on-demand.
@@ -29,11 +29,11 @@
 
 impl MachineClass {
     fn of_machine(machine: &MachineSnapshot) -> MachineClass {
-        MachineClass { kind: machine.kind.clone(), spot: machine.spot }
+        MachineClass { kind: machine.machine_type.clone(), spot: machine.spot }
     }
 
     fn contains(&self, machine: &MachineSnapshot) -> bool {
-        self.kind == machine.kind && self.spot == machine.spot
+        self.kind == machine.machine_type && self.spot == machine.spot
     }
 }
 
@@ -110,13 +110,15 @@
     fn machine_classes(&self) -> BTreeSet<MachineClass> {
         let spot_and_on_demand =
             |kind: &String| [false, true].map(|spot| MachineClass { kind: kind.clone(), spot });
-        self.types.values().flat_map(|machine_type| spot_and_on_demand(&machine_type.name)).collect()
+        self.machine_types.values().flat_map(|machine_type| spot_and_on_demand(&machine_type.name)).collect()
     }
 
     fn can_run_on_class(&self, demand: &Demand, class: &MachineClass) -> bool {
-        class.spot <= demand.spot
+        class.spot <= demand.spot_allowed
             && demand.can_run_on_type(&class.kind)
-            && self.resources_of(&class.kind).is_some_and(|resources| resources.holds(demand.room))
+            && self
+                .resources_of(&class.kind)
+                .is_some_and(|resources| resources.can_hold(demand.resources_per_task))
     }
 
     /// Reserves the classes on which this shape fits if it fits on no others and they make up the smaller part of the
@@ -146,7 +148,7 @@
         }
         for class in only_classes {
             let schedulable =
-                machines.iter().filter(|machine| machine.open && class.contains(machine)).count();
+                machines.iter().filter(|machine| machine.is_schedulable && class.contains(machine)).count();
             let plenty_count = plenty_machines.entry(class.clone()).or_default();
             *plenty_count = (*plenty_count).max(machines_at_hand(demand) * PLENTY_FACTOR);
             let entry = ReservedClass { class: class.clone(), priority: demand.priority };
@@ -170,10 +172,11 @@
                 !reserved.iter().any(|other| other.class == *class && other.priority > demand.priority)
             };
             let (mut fitting, mut available) = (0, 0);
-            for machine in machines.iter().filter(|machine| machine.open) {
+            for machine in machines.iter().filter(|machine| machine.is_schedulable) {
                 let class = MachineClass::of_machine(machine);
                 if self.can_run_on_class(demand, &class) {
-                    let slots = machine.total.count_of(demand.room).clamp(0, MAX_TASKS_PER_MACHINE);
+                    let slots =
+                        machine.total.max_count_of(demand.resources_per_task).clamp(0, MAX_TASKS_PER_MACHINE);
                     fitting += slots;
                     available += if is_available(&class) { slots } else { 0 };
                 }
@@ -204,15 +207,16 @@
     ) -> BTreeMap<String, u8> {
         let mut chosen: BTreeMap<String, u8> = BTreeMap::new();
         let fraction = if self.has_guarantees { GUARANTEES_RESERVED_FRACTION } else { RESERVED_FRACTION };
-        for demand in demands.iter().filter(|demand| demand.priority > lowest_priority && demand.together > 1)
+        for demand in
+            demands.iter().filter(|demand| demand.priority > lowest_priority && demand.gang_size > 1)
         {
             let fitting: Vec<&MachineSnapshot> = machines
                 .iter()
                 .copied()
                 .filter(|machine| {
-                    machine.open
-                        && demand.can_run_on(&machine.kind, &machine.zone, machine.spot)
-                        && machine.total.count_of(demand.room) == 1
+                    machine.is_schedulable
+                        && demand.can_run_on(&machine.machine_type, &machine.zone, machine.spot)
+                        && machine.total.max_count_of(demand.resources_per_task) == 1
                 })
                 .collect();
             let count = machines_at_hand(demand).min(fitting.len() / fraction);
@@ -240,10 +244,14 @@
         let mut zones: BTreeMap<&str, ZoneCandidates> = BTreeMap::new();
         for machine in fitting {
             // Tasks that are being stopped don't count, or the machine would lose its reservation while it is emptied.
-            let counted = machine.by_priority.iter().filter(|(priority, _)| *priority >= demand.priority);
+            let counted =
+                machine.used_by_priority.iter().filter(|(priority, _)| *priority >= demand.priority);
             let remaining = counted.fold(machine.total, |left, (_, taken)| left - *taken);
             let is_draining = self.scale_in.draining.contains(&machine.name);
-            if remaining.holds(demand.room) && !is_draining && !chosen.contains_key(&machine.name) {
+            if remaining.can_hold(demand.resources_per_task)
+                && !is_draining
+                && !chosen.contains_key(&machine.name)
+            {
                 let zone = if demand.one_zone { machine.zone.as_str() } else { "" };
                 let is_new = !self.reserved.machines.contains_key(&machine.name);
                 let candidate = (is_new, -machine.free.cpus, machine.name.as_str());
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -65,12 +65,12 @@
 impl QueueLoad {
     /// How many typical tasks a machine can run at the same time.
     fn slots(&self, machine: &MachineSnapshot) -> i64 {
-        machine.total.count_of(self.typical.resources).clamp(0, MAX_TASKS_PER_MACHINE)
+        machine.total.max_count_of(self.typical.resources).clamp(0, MAX_TASKS_PER_MACHINE)
     }
 
     /// How many more typical tasks the machine could run now.
     fn free_slots(&self, machine: &MachineSnapshot) -> i64 {
-        machine.free.count_of(self.typical.resources).clamp(0, MAX_TASKS_PER_MACHINE)
+        machine.free.max_count_of(self.typical.resources).clamp(0, MAX_TASKS_PER_MACHINE)
     }
 
     /// How long this many slots take for the whole load, in microseconds.
@@ -101,7 +101,7 @@
         let mut draining = BTreeSet::new();
         for machine in machines.values().copied() {
             let name = &machine.name;
-            if machine.standing == InventoryState::Gone || self.inventory.is_removed(name) {
+            if machine.inventory_state == InventoryState::Gone || self.inventory.is_removed(name) {
                 continue;
             }
             if self.has_failed(now, machine, complete_up_to) {
@@ -135,17 +135,17 @@
     fn has_to_drain(&self, now: Micros, machine: &MachineSnapshot, is_unused: bool) -> bool {
         self.scale_in.surplus.contains(&machine.name)
             || machine.idle_for(now) > self.idle_limit(machine, is_unused)
-            || (self.scale_in.draining.contains(&machine.name) && machine.busy == 0)
+            || (self.scale_in.draining.contains(&machine.name) && machine.task_count == 0)
     }
 
     /// How long a machine may be idle. Keeping it is worthwhile as long as that costs less than booting a new one. A
     /// machine that urgent work may need sooner than a new one could boot is kept longer.
     fn idle_limit(&self, machine: &MachineSnapshot, is_unused: bool) -> Micros {
-        let boot_time = self.boot_time(&machine.kind).0;
+        let boot_time = self.boot_time(&machine.machine_type).0;
         if self.has_guarantees && !is_unused {
             GUARANTEES_IDLE_LIMIT
         } else if self.reserved.machines.contains_key(&machine.name)
-            || self.reserved.is_class_reserved(&machine.kind, machine.spot)
+            || self.reserved.is_class_reserved(&machine.machine_type, machine.spot)
         {
             Micros(boot_time * 5 / 4)
         } else {
@@ -156,9 +156,9 @@
     /// Whether a machine was announced as draining and its shard has confirmed that no task is left on it.
     fn is_drained(&self, machine: &MachineSnapshot) -> bool {
         self.scale_in.draining.contains(&machine.name)
-            && !machine.open
-            && machine.busy == 0
-            && machine.standing == InventoryState::Known
+            && !machine.is_schedulable
+            && machine.task_count == 0
+            && machine.inventory_state == InventoryState::Known
     }
 
     /// Whether a listed machine that no shard reports has failed or should have sent a heartbeat long ago: it never
@@ -173,7 +173,7 @@
         if machines.contains_key(listed.name.as_str()) || self.inventory.is_removed(&listed.name) {
             return false;
         }
-        let limit = Micros(self.boot_time(&listed.kind).0 * 3) + FIRST_HEARTBEAT_SLACK;
+        let limit = Micros(self.boot_time(&listed.machine_type).0 * 3) + FIRST_HEARTBEAT_SLACK;
         now.since(leader_since) > TAKEOVER_TIME
             && (listed.state == MachineState::Failed || Micros::from_secs(listed.age_s) > limit)
     }
@@ -193,7 +193,7 @@
             machines.values().copied().filter(|machine| self.can_serve_queue(machine)).collect();
         let queue = queue_load(typical, &demands, &queue_machines);
         let schedulable: Vec<&MachineSnapshot> =
-            queue_machines.into_iter().filter(|machine| machine.open).collect();
+            queue_machines.into_iter().filter(|machine| machine.is_schedulable).collect();
         let slots: i64 = schedulable.iter().map(|machine| queue.slots(machine)).sum();
         if queue.time_with(slots) > typical.horizon.0 as f64 {
             self.scale_in.surplus.clear();
@@ -208,9 +208,9 @@
 
     /// Whether queueable work may run on the machine.
     fn can_serve_queue(&self, machine: &MachineSnapshot) -> bool {
-        machine.standing == InventoryState::Known
+        machine.inventory_state == InventoryState::Known
             && !self.reserved.machines.contains_key(&machine.name)
-            && !self.reserved.is_class_reserved(&machine.kind, machine.spot)
+            && !self.reserved.is_class_reserved(&machine.machine_type, machine.spot)
     }
 
     /// Chooses which of the `schedulable` machines become surplus. Only one is chosen at a time, unless the queue is
@@ -263,13 +263,15 @@
             self.inventory.get(&machine.name).is_some_and(|listed| listed.age_s > MIN_BILLED_S)
         };
         let price = |machine: &MachineSnapshot| {
-            let Some(machine_type) = self.types.get(&machine.kind) else { return 0.0 };
+            let Some(machine_type) = self.machine_types.get(&machine.machine_type) else { return 0.0 };
             let price = if machine.spot { machine_type.spot_price } else { machine_type.price };
             price / queue.slots(machine).max(1) as f64
         };
         let mut by_price: Vec<&MachineSnapshot> =
             machines.iter().filter(is_past_min_billing).copied().collect();
-        by_price.sort_by(|one, other| price(other).total_cmp(&price(one)).then(one.busy.cmp(&other.busy)));
+        by_price.sort_by(|one, other| {
+            price(other).total_cmp(&price(one)).then(one.task_count.cmp(&other.task_count))
+        });
         by_price
     }
 }
@@ -277,14 +279,15 @@
 /// Whether there has been no work at all for some time. Capacity kept for guarantees is useful only while there is
 /// work. Removed machines stay in the machine status until the next epoch, so they are left out.
 fn is_fleet_unused(now: Micros, machines: &BTreeMap<&str, &MachineSnapshot>) -> bool {
-    let mut present = machines.values().filter(|machine| machine.standing != InventoryState::Gone);
-    present.all(|machine| machine.busy == 0 && machine.idle_for(now) > UNUSED_FLEET_TIME)
+    let mut present = machines.values().filter(|machine| machine.inventory_state != InventoryState::Gone);
+    present.all(|machine| machine.task_count == 0 && machine.idle_for(now) > UNUSED_FLEET_TIME)
 }
 
 fn queue_load(typical: TypicalTask, demands: &[Demand], machines: &[&MachineSnapshot]) -> QueueLoad {
-    let running: i64 = machines.iter().map(|machine| i64::from(machine.busy)).sum();
-    let queueable = demands.iter().filter(|demand| demand.horizon.0 > 0);
-    let queued: f64 = queueable.map(|demand| f64::from(demand.count) * demand.estimate.0 as f64).sum();
+    let running: i64 = machines.iter().map(|machine| i64::from(machine.task_count)).sum();
+    let queueable = demands.iter().filter(|demand| demand.max_queue_time.0 > 0);
+    let queued: f64 =
+        queueable.map(|demand| f64::from(demand.count) * demand.estimated_run_time.0 as f64).sum();
     // On average a running task still has half of its run time left.
     let load = queued + running as f64 * typical.run_time.0 as f64 / 2.0;
     QueueLoad { typical, queued, load }
@@ -292,5 +295,6 @@
 
 /// Whether a task of this shape fits on the machine when the machine is empty.
 fn can_fit_when_empty(demand: &Demand, machine: &MachineSnapshot) -> bool {
-    demand.can_run_on(&machine.kind, &machine.zone, machine.spot) && machine.total.holds(demand.room)
+    demand.can_run_on(&machine.machine_type, &machine.zone, machine.spot)
+        && machine.total.can_hold(demand.resources_per_task)
 }
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -26,7 +26,7 @@
 
 impl CapacityPool {
     fn of_scale_out(scale_out: &ScaleOut) -> CapacityPool {
-        let ScaleOut { kind, zone, spot, .. } = scale_out.clone();
+        let ScaleOut { machine_type: kind, zone, spot, .. } = scale_out.clone();
         CapacityPool { kind, zone, spot }
     }
 
@@ -97,7 +97,7 @@
         let mut supply = Supply { schedulable: self.schedulable_capacity(machines), arriving, queued: 0.0 };
         let mut demands = self.demand.fresh(now);
         demands.retain(|demand| demand.count > 0);
-        demands.extend(headroom_demands(self.guaranteed, &self.types, machines));
+        demands.extend(headroom_demands(self.guaranteed, &self.machine_types, machines));
         let cheapest = demands.iter().find_map(|demand| {
             let shortfall = self.shortfall(demand, &mut supply)?;
             self.cheapest_scale_out(demand, &shortfall, &supply)
@@ -142,9 +142,13 @@
                 || self.inventory.is_removed(&listed.name);
             if listed.state != MachineState::Failed
                 && !is_counted
-                && !is_overdue(&listed.name, Micros::from_secs(listed.age_s), self.boot_time(&listed.kind))
+                && !is_overdue(
+                    &listed.name,
+                    Micros::from_secs(listed.age_s),
+                    self.boot_time(&listed.machine_type),
+                )
             {
-                arriving.push(capacity(&listed.kind, &listed.zone, listed.spot));
+                arriving.push(capacity(&listed.machine_type, &listed.zone, listed.spot));
             }
         }
         if overdue != self.scale_out.overdue {
@@ -156,9 +160,10 @@
 
     /// Schedulable machines that are not reserved for a gang.
     fn schedulable_capacity(&self, machines: &BTreeMap<&str, &MachineSnapshot>) -> Vec<Capacity> {
-        let is_schedulable = |m: &&&MachineSnapshot| m.open && !self.reserved.machines.contains_key(&m.name);
+        let is_schedulable =
+            |m: &&&MachineSnapshot| m.is_schedulable && !self.reserved.machines.contains_key(&m.name);
         let capacity = |m: &&MachineSnapshot| Capacity {
-            pool: CapacityPool { kind: m.kind.clone(), zone: m.zone.clone(), spot: m.spot },
+            pool: CapacityPool { kind: m.machine_type.clone(), zone: m.zone.clone(), spot: m.spot },
             resources: m.total,
         };
         machines.values().filter(is_schedulable).map(capacity).collect()
@@ -177,13 +182,13 @@
     /// Compares queueable work with what the present and arriving machines can run in the time that it may queue.
     /// Machines are added only for the excess, because they cost money while they boot.
     fn queue_excess(&self, demand: &Demand, supply: &mut Supply) -> Option<i64> {
-        let run_time = demand.estimate.max(MIN_SPAN).0 as f64;
-        let max_queue_time = demand.horizon.max(MIN_SPAN).0 as f64;
+        let run_time = demand.estimated_run_time.max(MIN_SPAN).0 as f64;
+        let max_queue_time = demand.max_queue_time.max(MIN_SPAN).0 as f64;
         // The last queued task should have finished within `max_queue_time`. Its run time is taken from the average of the
         // queue, so that one long job at the end does not add machines for all the work before it.
         let typical_run_time = self.demand.typical.map_or(run_time, |typical| typical.run_time.0 as f64);
         let window = (max_queue_time - typical_run_time / 2.0).max(max_queue_time / 2.0);
-        let slots = |capacity: &Capacity| capacity.resources.count_of(demand.room);
+        let slots = |capacity: &Capacity| capacity.resources.max_count_of(demand.resources_per_task);
         let is_usable = |capacity: &&Capacity| {
             let CapacityPool { kind, spot, .. } = &capacity.pool;
             capacity.pool.can_serve(demand) && !self.reserved.is_reserved_from(kind, *spot, demand.priority)
@@ -200,16 +205,19 @@
     /// The shortfall of work that must start immediately. Present machines are taken already, so only arriving capacity
     /// counts, and each part of it for one demand only.
     fn immediate_shortfall(&self, demand: &Demand, arriving: &mut [Capacity]) -> Shortfall {
-        let only_zone = choose_gang_zone(demand, &self.types, arriving, |zone| {
+        let only_zone = choose_gang_zone(demand, &self.machine_types, arriving, |zone| {
             let fitting = |t: &&MachineType| demand.can_run_on(&t.name, zone, false);
-            self.types.values().filter(fitting).all(|t| self.scale_out.is_exhausted(&t.name, zone, false))
+            self.machine_types
+                .values()
+                .filter(fitting)
+                .all(|t| self.scale_out.is_exhausted(&t.name, zone, false))
         });
         let mut tasks = i64::from(demand.count);
         for Capacity { pool, resources } in arriving {
             let is_in_zone = only_zone.as_ref().is_none_or(|zone| *zone == pool.zone);
             if tasks > 0 && pool.can_serve(demand) && is_in_zone {
-                let served = resources.count_of(demand.room).clamp(0, tasks);
-                *resources = *resources - demand.room.times(served);
+                let served = resources.max_count_of(demand.resources_per_task).clamp(0, tasks);
+                *resources = *resources - demand.resources_per_task.times(served);
                 tasks -= served;
             }
         }
@@ -224,8 +232,9 @@
         supply: &Supply,
     ) -> Option<ScaleOut> {
         let mut options: Vec<(f64, ScaleOut)> = Vec::new();
-        for machine_type in self.types.values() {
-            let tasks_each = machine_type.room().count_of(demand.room).min(i64::from(u32::MAX));
+        for machine_type in self.machine_types.values() {
+            let tasks_each =
+                machine_type.capacity().max_count_of(demand.resources_per_task).min(i64::from(u32::MAX));
             if tasks_each <= 0 {
                 continue;
             }
@@ -235,7 +244,7 @@
             for zone in &machine_type.zones {
                 for spot in [false, true] {
                     let (kind, zone) = (machine_type.name.clone(), zone.clone());
-                    let option = ScaleOut { name: String::new(), kind, zone, spot, count };
+                    let option = ScaleOut { name: String::new(), machine_type: kind, zone, spot, count };
                     if self.is_eligible(demand, shortfall, supply, &option) {
                         let price = if spot { machine_type.spot_price } else { machine_type.price };
                         // For a large backlog the price of the needed capacity counts, for a small one that of whole
@@ -256,7 +265,7 @@
         supply: &Supply,
         option: &ScaleOut,
     ) -> bool {
-        let ScaleOut { kind, zone, spot, count, .. } = option;
+        let ScaleOut { machine_type: kind, zone, spot, count, .. } = option;
         let is_in_zone = shortfall.only_zone.as_ref().is_none_or(|only| only == zone);
         if !demand.can_run_on(kind, zone, *spot)
             || !is_in_zone
--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -7,23 +7,23 @@
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Demand {
     /// Resources of one task.
-    pub room: Resources,
+    pub resources_per_task: Resources,
     /// Allowed machine types; empty if any is allowed.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// The only allowed zone, if there is one.
     pub zone: Option<String>,
     /// Whether all tasks must run in the same zone.
     pub one_zone: bool,
     /// Whether spot machines are allowed.
-    pub spot: bool,
+    pub spot_allowed: bool,
     /// Number of waiting tasks. 0 if none waits but such work was seen recently.
     pub count: u32,
     /// Estimated run time of one task.
-    pub estimate: Micros,
+    pub estimated_run_time: Micros,
     /// Priority, higher first.
     pub priority: u8,
     /// How long this work may queue before a machine is added for it; 0 if it should start immediately.
-    pub horizon: Micros,
+    pub max_queue_time: Micros,
     /// How many tasks must run at the same time: the gang's size, otherwise 1.
-    pub together: u32,
+    pub gang_size: u32,
 }
--- a/src/peer/desired_state.rs
+++ b/src/peer/desired_state.rs
@@ -27,7 +27,7 @@
     /// The machine.
     pub machine: String,
     /// The resources that it uses.
-    pub room: Resources,
+    pub resources: Resources,
     /// The desired state.
     pub action: DesiredAction,
     /// Effective priority of the job, higher first.
@@ -44,7 +44,7 @@
     /// The revision held by the receiver to which the change applies; 0 if this is the full state.
     pub base_revision: u64,
     /// The attempts that are new or changed.
-    pub list: Vec<DesiredTask>,
+    pub tasks: Vec<DesiredTask>,
     /// The attempts that are no longer desired, each with its machine.
     pub removed: Vec<(String, TaskKey)>,
 }
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -5,7 +5,7 @@
 use super::handoff::HandoffBatch;
 use super::machine_status::MachineStatusDelta;
 use super::replication::ReplicatedItem;
-use super::scheduling::{Lending, Reservation};
+use super::scheduling::{LendingReport, Reservation};
 use super::user_request::{Reply, UserRequest};
 use crate::units::Micros;
 use hazelsaddle_cluster::transport::{self, Framed};
@@ -26,13 +26,13 @@
     /// Autoscaler to all controllers: draining, removed and reserved machines.
     ScalingPlan {
         /// Machines that must not get new tasks because they are about to be removed.
-        drain: Vec<String>,
+        draining: Vec<String>,
         /// Machines whose scale-in the cloud has confirmed.
-        gone: Vec<String>,
+        removed: Vec<String>,
         /// Reserved classes of machines (machine type, whether spot), each with the lowest priority that may use it.
-        kept: Vec<(String, bool, u8)>,
+        reserved_classes: Vec<(String, bool, u8)>,
         /// Reserved machines, each with the lowest priority that may use it.
-        kept_machines: Vec<(String, u8)>,
+        reserved_machines: Vec<(String, u8)>,
     },
     /// A user's request forwarded to the job's leader.
     ForwardRequest {
@@ -80,10 +80,10 @@
         removed: Vec<ReplicatedItem>,
     },
     /// Since format version 3: acknowledges that the sender holds the receiver's replicated state at this revision.
-    StartsReplicated(u64),
+    ReplicationAck(u64),
     /// Since format version 4, if operators have enabled GPU lending: which GPUs the sender's jobs could lend, and
     /// which resources they lack.
-    Lending(Lending),
+    Lending(LendingReport),
 }
 
 /// The unit of communication between controllers. Beside the message, every frame tells the receiver which epoch the
@@ -149,7 +149,7 @@
                 is_newer_epoch || is_newer
             }
             (ReplicateStarts { revision, .. }, ReplicateStarts { revision: older_revision, .. })
-            | (StartsReplicated(revision), StartsReplicated(older_revision)) => {
+            | (ReplicationAck(revision), ReplicationAck(older_revision)) => {
                 is_newer_epoch || revision >= older_revision
             }
             (Demands(_), Demands(_))
--- a/src/peer/handoff.rs
+++ b/src/peer/handoff.rs
@@ -16,10 +16,10 @@
     /// Machines, for their new leader.
     pub machines: Vec<MachineHandoff>,
     /// What former members had replicated to the sender.
-    pub testimony: Vec<ReplicatedStarts>,
+    pub replicated_starts: Vec<ReplicatedStarts>,
     /// Machines led by the receiver that the cloud has certainly removed although pages of the machine registry still
     /// list them.
-    pub gone: Vec<String>,
+    pub removed_machines: Vec<String>,
 }
 
 /// A job, as known to its leader in the previous epoch.
@@ -58,7 +58,7 @@
     /// The machine.
     pub name: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
@@ -69,16 +69,16 @@
     pub on_record: bool,
     /// Whether the machine's tasks are exactly those listed here, some of them possibly still on their way in the
     /// response to the latest heartbeat.
-    pub known: bool,
+    pub inventory_known: bool,
     /// Incarnation and sequence number of its latest heartbeat.
-    pub last: (u64, u64),
+    pub last_heartbeat: (u64, u64),
     /// Time from the latest heartbeat to the packing of this batch. If the tasks are not known: time since the last
     /// moment at which another controller could have answered a heartbeat of the machine.
-    pub silent: Micros,
+    pub silent_time: Micros,
     /// Time until the cloud terminates the machine, if the cloud has announced that.
-    pub notice: Option<Micros>,
+    pub time_to_termination: Option<Micros>,
     /// How long it has had no task; None if it has one.
-    pub idle: Option<Micros>,
+    pub idle_time: Option<Micros>,
     /// Hashes of the names of the images that are probably cached on it.
     pub images: Vec<u64>,
     /// Its tasks.
@@ -91,7 +91,7 @@
     /// The attempt.
     pub key: TaskKey,
     /// The resources that it uses, if its job shard has reported them.
-    pub room: Option<Resources>,
+    pub resources: Option<Resources>,
     /// Priority of its job.
     pub priority: u8,
     /// Hash of its image's name.
@@ -101,5 +101,5 @@
     /// The job shard's desired state, if there is one.
     pub action: Option<DesiredAction>,
     /// Incarnation and sequence number of the heartbeat in whose response the start command was sent.
-    pub sent_to: (u64, u64),
+    pub sent_with_heartbeat: (u64, u64),
 }
--- a/src/peer/machine_status.rs
+++ b/src/peer/machine_status.rs
@@ -30,31 +30,31 @@
     /// The machine.
     pub name: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Whether the list of its tasks is complete.
-    pub standing: InventoryState,
+    pub inventory_state: InventoryState,
     /// Whether new tasks may be placed on it.
-    pub open: bool,
+    pub is_schedulable: bool,
     /// Time until the cloud terminates the machine, if the cloud has announced that.
-    pub notice: Option<Micros>,
+    pub time_to_termination: Option<Micros>,
     /// Its free resources.
     pub free: Resources,
     /// Its capacity.
     pub total: Resources,
     /// Resources used at each priority, without tasks that are being stopped.
-    pub by_priority: Vec<(u8, Resources)>,
+    pub used_by_priority: Vec<(u8, Resources)>,
     /// Hashes of the names of the images that are probably cached on it.
     pub images: Vec<u64>,
     /// Number of tasks, of any job, that are on it or accepted for it.
-    pub busy: u32,
+    pub task_count: u32,
     /// How long it has had no task; None if it has one.
-    pub idle: Option<Micros>,
+    pub idle_time: Option<Micros>,
     /// Time since the latest heartbeat, if heartbeats were missed.
-    pub silent: Option<Micros>,
+    pub silent_time: Option<Micros>,
     /// Its tasks whose jobs the receiver leads.
     pub tasks: Vec<ObservedTask>,
 }
--- a/src/peer/replication.rs
+++ b/src/peer/replication.rs
@@ -26,21 +26,21 @@
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ReplicatedStarts {
     /// The member number of the former member.
-    pub of: u32,
+    pub former_member: u32,
     /// The last epoch of which it was a member.
-    pub epoch: u64,
+    pub last_epoch: u64,
     /// The members of that epoch. Everything replicated is known only from the reports of all of them together.
     pub members: Vec<u32>,
     /// The epoch in which the sender last received replicated state from the former member; 0 if it never did.
-    pub heard_in: u64,
+    pub last_contact_epoch: u64,
     /// The members of the epoch `last_contact_epoch`.
-    pub heard_with: Vec<u32>,
+    pub last_contact_members: Vec<u32>,
     /// The first epoch of the unbroken series of epochs that the sender has adopted and in which attempts had to be
     /// replicated before they started.
-    pub since: u64,
+    pub adopted_since: u64,
     /// The replicated items of jobs that the receiver leads now.
     pub items: Vec<ReplicatedItem>,
     /// Jobs that the sender accepted during `last_epoch` on behalf of the former member, so no attempt of them can have
     /// started before.
-    pub fresh: Vec<String>,
+    pub accepted_jobs: Vec<String>,
 }
--- a/src/peer/scheduling.rs
+++ b/src/peer/scheduling.rs
@@ -11,34 +11,34 @@
     /// Priority of the work.
     pub priority: u8,
     /// Resources that the work needs on the machine.
-    pub need: Resources,
+    pub resources: Resources,
     /// Whether tasks of lower priority must be preempted for the work.
-    pub evict: bool,
+    pub must_preempt: bool,
 }
 
 /// The sender's jobs that use GPUs beyond their teams' guarantees, and the resources that work within a guarantee
 /// lacks.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
-pub struct Lending {
+pub struct LendingReport {
     /// Jobs from which GPUs could be reclaimed.
-    pub jobs: Vec<Lendable>,
+    pub jobs: Vec<LendableJob>,
     /// By team: the resources that its work within the guarantee lacks, and for how long it has lacked them.
-    pub lacks: Vec<(String, Resources, Micros)>,
+    pub shortfalls: Vec<(String, Resources, Micros)>,
 }
 
 /// A job from which GPUs could be reclaimed by preempting some of its tasks.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Lendable {
+pub struct LendableJob {
     /// The job.
     pub job: String,
     /// Its team.
     pub team: String,
     /// Its priority, without the bonus of a guarantee.
-    pub rank: u8,
+    pub priority: u8,
     /// Whether it is a gang, whose tasks can only be stopped all together.
-    pub gang: bool,
+    pub is_gang: bool,
     /// Resources of one task.
-    pub room: Resources,
+    pub resources_per_task: Resources,
     /// Its tasks.
     pub tasks: Vec<LendableTask>,
 }
@@ -53,7 +53,7 @@
     /// The machine.
     pub machine: String,
     /// Run time that would be lost by preempting it, in milliseconds.
-    pub lost_ms: u64,
+    pub lost_work_ms: u64,
     /// Whether it must not be preempted at present.
-    pub fixed: bool,
+    pub is_protected: bool,
 }
--- a/src/peer/task.rs
+++ b/src/peer/task.rs
@@ -38,7 +38,7 @@
 impl TaskPhase {
     /// Whether the worker is known to have received the start command.
     #[must_use]
-    pub fn arrived(self) -> bool {
+    pub fn has_arrived(self) -> bool {
         !matches!(self, TaskPhase::Held | TaskPhase::Queued | TaskPhase::InDoubt)
     }
 }
@@ -51,15 +51,15 @@
     /// Stopped by command; whether it saved its progress.
     Stopped(bool),
     /// It stopped because another task of its gang had ended or disappeared.
-    Peers,
+    PeerLost,
     /// It did not start because its gang was not complete in time.
-    Alone,
+    GangIncomplete,
     /// It failed.
     Error,
     /// The worker refused it because the machine had not enough free resources.
     NoRoom,
     /// The worker refused it because another attempt of the task is still on the machine.
-    Busy,
+    AttemptConflict,
     /// The worker has no such task.
-    Unknown,
+    UnknownTask,
 }
--- a/src/quota/allocation.rs
+++ b/src/quota/allocation.rs
@@ -30,7 +30,7 @@
     /// Resources used by its tasks now, including unresolved and exiting ones.
     pub in_use: Resources,
     /// Whether `in_use` is complete. False while machines that may hold tasks of the job have not sent a heartbeat.
-    pub is_settled: bool,
+    pub is_usage_known: bool,
     /// How many more tasks could be started.
     pub more_tasks: i64,
     /// Whether all of these tasks must start together, as in a gang.
@@ -63,10 +63,10 @@
     /// The live jobs that this controller leads, in the order in which they should get resources.
     pub needs: &'a [QuotaNeed],
     /// Whether this controller leads the job.
-    pub is_ours: &'a dyn Fn(&str) -> bool,
+    pub is_led_locally: &'a dyn Fn(&str) -> bool,
     /// Whether the allocation of a job that this controller leads and that is no longer live may be released, because
     /// all its tasks are gone.
-    pub is_released: &'a dyn Fn(&str) -> bool,
+    pub can_release: &'a dyn Fn(&str) -> bool,
     /// Maximum size of a record in bytes.
     pub value_bytes: usize,
 }
@@ -164,7 +164,7 @@
 
     /// Drops the allocations of jobs led by this controller that have ended and whose tasks are all gone.
     fn drop_ended(&mut self) {
-        let AllocationInput { needs, is_ours, is_released, .. } = self.input;
+        let AllocationInput { needs, is_led_locally: is_ours, can_release: is_released, .. } = self.input;
         let live: BTreeSet<&str> = needs.iter().map(|need| need.job.as_str()).collect();
         self.allocations.retain(|job, allocation| {
             let is_kept = !is_ours(job) || live.contains(job.as_str()) || !is_released(job);
@@ -179,7 +179,7 @@
     /// known completely are skipped: tasks on machines that have not sent a heartbeat since a failover use resources
     /// too.
     fn shrink_unused(&mut self) {
-        for need in self.input.needs.iter().filter(|need| need.is_settled) {
+        for need in self.input.needs.iter().filter(|need| need.is_usage_known) {
             let Some(allocation) = self.allocations.get_mut(&need.job) else { continue };
             let target = need.target();
             let shrunk = Resources { memory: 0, ..Resources::min(*allocation, target) };
@@ -190,7 +190,7 @@
 
     /// Clears the requests of jobs led by this controller, since they are computed again.
     fn clear_requests(&mut self) {
-        let (is_ours, allocations) = (self.input.is_ours, &self.allocations);
+        let (is_ours, allocations) = (self.input.is_led_locally, &self.allocations);
         self.notes.retain(|job, note| {
             if is_ours(job) {
                 note.request = None;
@@ -215,7 +215,7 @@
             return;
         }
         // A job that needs all its resources at once gets the unused allocations of less urgent jobs.
-        if need.all_or_nothing && !self.free.holds(lacking) {
+        if need.all_or_nothing && !self.free.can_hold(lacking) {
             self.release_unused(self.input.needs[index + 1..].iter(), lacking);
         }
         let Some(added) = self.available_to(need, lacking) else {
@@ -236,12 +236,12 @@
         let place = need.place();
         let earlier = self.waiting.iter().filter(|job| job.place < place).map(|job| &job.lacking);
         let left = remaining(self.free, sum(earlier));
-        if left.holds(lacking) {
+        if left.can_hold(lacking) {
             Some(lacking)
         } else if need.all_or_nothing {
             None
         } else {
-            let tasks = left.count_of(need.per_task).clamp(0, need.more_tasks);
+            let tasks = left.max_count_of(need.per_task).clamp(0, need.more_tasks);
             Some(Resources { memory: 0, ..need.per_task.times(tasks) })
         }
     }
@@ -249,7 +249,7 @@
     /// Reserves resources for the first job that needs all of them at once and lacks some. Otherwise it might never
     /// start: smaller jobs, here and on other controllers, would take all released resources before there are enough.
     fn set_requester(&mut self, need: &'a QuotaNeed, lacking: Resources) {
-        if self.requester.is_none() && self.team.limit.holds(need.target()) {
+        if self.requester.is_none() && self.team.limit.can_hold(need.target()) {
             self.requester = Some(need);
             self.free = remaining(self.free, lacking);
         }
@@ -259,7 +259,7 @@
     fn release_for_waiting_jobs(&mut self) {
         let needs = self.input.needs;
         for WaitingJob { place, lacking } in self.waiting.clone() {
-            if !self.free.holds(lacking) {
+            if !self.free.can_hold(lacking) {
                 self.release_unused(needs.iter().filter(|need| need.place() > place), lacking);
             }
             self.free = remaining(self.free, lacking);
@@ -270,12 +270,12 @@
     /// never shrink below the resources in use.
     fn release_unused(&mut self, from: impl DoubleEndedIterator<Item = &'a QuotaNeed>, lacking: Resources) {
         for need in from.rev() {
-            if self.free.holds(lacking) {
+            if self.free.can_hold(lacking) {
                 return;
             }
             // Prevents an allocation below the actual use: a job taken over from another leader may have running tasks
             // that this controller has no record of yet.
-            if !need.is_settled {
+            if !need.is_usage_known {
                 continue;
             }
             let Some(allocation) = self.allocations.get_mut(&need.job) else { continue };
@@ -319,7 +319,7 @@
     fn has_changed_requests(&self, now: Micros) -> bool {
         let requesters = |notes: &BTreeMap<String, AllocationNote>| -> Vec<String> {
             let local_requests =
-                notes.iter().filter(|(job, note)| note.request.is_some() && (self.input.is_ours)(job));
+                notes.iter().filter(|(job, note)| note.request.is_some() && (self.input.is_led_locally)(job));
             local_requests.map(|(job, _)| job.clone()).collect()
         };
         let (before, after) = (requesters(&self.team.notes), requesters(&self.notes));
@@ -351,12 +351,12 @@
 
 /// The jobs of other controllers that wait for quota and fit into the team's limit.
 fn waiting_jobs<'a>(team: &'a TeamQuota, input: &AllocationInput) -> Vec<WaitingJob<'a>> {
-    let others = team.notes.iter().filter(|(job, _)| !(input.is_ours)(job));
+    let others = team.notes.iter().filter(|(job, _)| !(input.is_led_locally)(job));
     let waiting = others.filter_map(|(job, note)| {
         let lacking = note.request?.lacking;
         Some(WaitingJob { place: note.place(job)?, lacking })
     });
-    let mut waiting: Vec<WaitingJob> = waiting.filter(|job| team.limit.holds(job.lacking)).collect();
+    let mut waiting: Vec<WaitingJob> = waiting.filter(|job| team.limit.can_hold(job.lacking)).collect();
     waiting.sort_unstable_by_key(|job| job.place);
     waiting
 }
--- a/src/quota/ledger.rs
+++ b/src/quota/ledger.rs
@@ -55,7 +55,7 @@
     fn new(settings: &TeamSettings) -> TeamQuota {
         TeamQuota {
             limit: team_limit(settings.cpus_max, settings.gpus_max),
-            guarantee: Resources::need(settings.cpus, settings.gpus, 0.0),
+            guarantee: Resources::rounded_up(settings.cpus, settings.gpus, 0.0),
             allocations: BTreeMap::new(),
             notes: BTreeMap::new(),
             version: 0,
@@ -277,7 +277,7 @@
             let is_short = needs.iter().any(|need| self.is_short(&name, need));
             let has_unused = needs.iter().any(|need| {
                 let allocation = Resources { memory: 0, ..self.allocation(&name, &need.job) };
-                !need.in_use.holds(allocation)
+                !need.in_use.can_hold(allocation)
             });
             let Some(team) = self.teams.get_mut(&name) else { continue };
             // A controller with unused allocations has no other reason to read the record and see the requests of
@@ -298,7 +298,7 @@
     /// Whether a job could start more tasks than its allocation allows.
     fn is_short(&self, team: &str, need: &QuotaNeed) -> bool {
         let running = need.in_use.cpus / need.per_task.cpus.max(1);
-        need.more_tasks > 0 && self.usable(team, &need.job).count_of(need.per_task) <= running
+        need.more_tasks > 0 && self.usable(team, &need.job).max_count_of(need.per_task) <= running
     }
 
     /// The next write of a team's record, if one is needed and may be sent now. It takes effect only when
--- a/src/quota/tier.rs
+++ b/src/quota/tier.rs
@@ -4,7 +4,7 @@
 //!
 //! Specified in PROTOCOL, "Preemption" and "How aims are counted".
 
-use crate::spec::GUARANTEED;
+use crate::spec::GUARANTEED_PRIORITY_BONUS;
 use crate::units::{Micros, Resources};
 
 /// How long work within a guarantee waits for a machine before tasks beyond a guarantee are preempted there: first
@@ -90,7 +90,7 @@
 /// job's own priority, without the bonus, so that work within a guarantee counts their resources as preemptible.
 #[must_use]
 pub fn effective_priority(priority: u8, tier: QuotaTier) -> u8 {
-    if tier == QuotaTier::Beyond { priority % GUARANTEED } else { priority }
+    if tier == QuotaTier::Beyond { priority % GUARANTEED_PRIORITY_BONUS } else { priority }
 }
 
 /// The priority with which waiting work may preempt other tasks. Work that is beyond its guarantee, or may be, has only
@@ -98,7 +98,7 @@
 #[must_use]
 pub fn preempting_priority(priority: u8, tier: QuotaTier) -> u8 {
     match tier {
-        QuotaTier::Beyond | QuotaTier::Unknown => priority % GUARANTEED,
+        QuotaTier::Beyond | QuotaTier::Unknown => priority % GUARANTEED_PRIORITY_BONUS,
         QuotaTier::NoGuarantee | QuotaTier::Within => priority,
     }
 }
@@ -111,7 +111,8 @@
     match tier {
         QuotaTier::NoGuarantee => priority < by,
         QuotaTier::Beyond => {
-            by >= GUARANTEED && waited >= if saves { PREEMPT_SAVING_AFTER } else { PREEMPT_ALL_AFTER }
+            by >= GUARANTEED_PRIORITY_BONUS
+                && waited >= if saves { PREEMPT_SAVING_AFTER } else { PREEMPT_ALL_AFTER }
         }
         QuotaTier::Within | QuotaTier::Unknown => false,
     }
--- a/src/quota/tier/tests.rs
+++ b/src/quota/tier/tests.rs
@@ -56,7 +56,7 @@
         };
         let within = jobs.iter().filter(|j| tier_of_job(j) == QuotaTier::Within);
         let sum = within.fold(Resources::default(), |a, (.., r)| a + *r);
-        assert!(guarantee.holds(sum), "seed {seed}");
+        assert!(guarantee.can_hold(sum), "seed {seed}");
     }
 }
 
--- a/src/state_store/client.rs
+++ b/src/state_store/client.rs
@@ -88,7 +88,7 @@
     fn read_revision(&self) -> StoreAnswer {
         match self.get(&format!("{}/store?prefix=ring/epoch&limit=1", self.base)) {
             Some((200, text)) => {
-                parse_answer(&text, |at: wire::RevisionResponse| StoreAnswer::At(at.revision))
+                parse_answer(&text, |at: wire::RevisionResponse| StoreAnswer::CurrentRevision(at.revision))
             }
             other => failure_answer(other),
         }
@@ -101,7 +101,7 @@
         let request = self.agent.get(&url).timeout(self.timeout + Duration::from_micros(wait.0));
         match read_answer(request.call()) {
             Some((200, text)) => parse_answer(&text, |changes: wire::Changes| changes.into()),
-            Some((410, _)) => StoreAnswer::TooOld,
+            Some((410, _)) => StoreAnswer::Compacted,
             other => failure_answer(other),
         }
     }
--- a/src/state_store/request.rs
+++ b/src/state_store/request.rs
@@ -30,14 +30,14 @@
     /// Keys to write, with their values and optionally the lease with which the key expires.
     pub puts: Vec<(String, Value, Option<u64>)>,
     /// Keys to delete.
-    pub drops: Vec<String>,
+    pub deletes: Vec<String>,
 }
 
 impl Transaction {
     /// The cost in tokens of the write rate limiter: one for each key that is written or deleted.
     #[must_use]
     pub fn cost(&self) -> f64 {
-        (self.puts.len() + self.drops.len()) as f64
+        (self.puts.len() + self.deletes.len()) as f64
     }
 }
 
@@ -70,11 +70,11 @@
     /// The lease was renewed.
     Renewed,
     /// The store's current revision.
-    At(u64),
+    CurrentRevision(u64),
     /// The revision up to which changes are included, and the keys that were written, with their values.
     Changes(u64, Vec<(String, Value)>),
     /// The requested changes have been compacted and can no longer be read.
-    TooOld,
+    Compacted,
     /// The request was certainly not carried out (429, 503, or the service called the transaction malformed).
     Refused,
     /// There was no usable answer. The request may have been carried out, or may still be carried out later.
--- a/src/units.rs
+++ b/src/units.rs
@@ -27,14 +27,14 @@
     /// Creates resources from processors, GPUs and gigabytes. Amounts are rounded up, so that the sum of many tasks is
     /// never below their actual need.
     #[must_use]
-    pub fn need(cpus: f64, gpus: f64, memory: f64) -> Resources {
+    pub fn rounded_up(cpus: f64, gpus: f64, memory: f64) -> Resources {
         let round_up = |amount: f64| (amount * MILLI - ROUNDING).ceil() as i64;
         Resources { cpus: round_up(cpus), gpus: round_up(gpus), memory: round_up(memory) }
     }
 
     /// Whether `other` fits into `self` in every dimension.
     #[must_use]
-    pub fn holds(self, other: Resources) -> bool {
+    pub fn can_hold(self, other: Resources) -> bool {
         self.cpus >= other.cpus && self.gpus >= other.gpus && self.memory >= other.memory
     }
 
@@ -67,7 +67,7 @@
     /// How often `one` fits into `self`. If `one` is zero, the result exceeds the number of tasks of any job, but a sum
     /// over machines doesn't overflow.
     #[must_use]
-    pub fn count_of(self, one: Resources) -> i64 {
+    pub fn max_count_of(self, one: Resources) -> i64 {
         let count = |have: i64, each: i64| if each <= 0 { i64::from(u32::MAX) } else { have.max(0) / each };
         count(self.cpus, one.cpus).min(count(self.gpus, one.gpus)).min(count(self.memory, one.memory))
     }
@@ -97,13 +97,13 @@
 
 /// A set of task numbers stored as ranges, so that the set of a job with 100,000 mostly completed tasks stays small.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ranges {
+pub struct TaskIndexSet {
     /// The last number of each range, by its first. Ranges are never adjacent.
     spans: BTreeMap<u32, u32>,
     len: u32,
 }
 
-impl Ranges {
+impl TaskIndexSet {
     /// The number of elements.
     #[must_use]
     pub fn len(&self) -> u32 {
@@ -183,8 +183,8 @@
 
     /// Decodes the output of `encode`; None if it is malformed or contains a number that is not below `total`.
     #[must_use]
-    pub fn decode(text: &str, total: u32) -> Option<Ranges> {
-        let mut ranges = Ranges::default();
+    pub fn decode(text: &str, total: u32) -> Option<TaskIndexSet> {
+        let mut ranges = TaskIndexSet::default();
         for part in text.split(',').filter(|part| !part.is_empty()) {
             let (first, last): (u32, u32) = match part.split_once('-') {
                 Some((first, last)) => (first.parse().ok()?, last.parse().ok()?),
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -18,7 +18,7 @@
 pub const PENDING: &str = "pending";
 
 /// The protocol's state of a job with this outcome.
-pub fn stance_of(outcome: JobOutcome) -> &'static str {
+pub fn state_word(outcome: JobOutcome) -> &'static str {
     match outcome {
         JobOutcome::Done => "done",
         JobOutcome::Cancelled => "aborted",
@@ -26,27 +26,27 @@
 }
 
 /// The response to a status query: the job's state, and how many of its tasks are done and running.
-pub fn job_state(job: &str, stance: &str, done: u32, running: u32) -> Value {
+pub fn job_state_body(job: &str, stance: &str, done: u32, running: u32) -> Value {
     json!({"uid": job, "stance": stance, "done": done, "running": running})
 }
 
 /// The response to a submission that has been stored.
-pub fn accepted(job: &str) -> Value {
+pub fn accepted_body(job: &str) -> Value {
     json!({"uid": job, "stance": PENDING})
 }
 
 /// The response to a cancellation, with the outcome of the job.
-pub fn outcome(job: &str, outcome: JobOutcome) -> Value {
-    json!({"uid": job, "stance": stance_of(outcome)})
+pub fn outcome_body(job: &str, outcome: JobOutcome) -> Value {
+    json!({"uid": job, "stance": state_word(outcome)})
 }
 
 /// The response to the query why a job waits: its state, the jobs that it waits for, and any other reason.
-pub fn waiting(job: &str, state: &str, prerequisites: &[&str], held: Option<&str>) -> Value {
+pub fn waiting_body(job: &str, state: &str, prerequisites: &[&str], held: Option<&str>) -> Value {
     json!({"uid": job, STATE: state, "waits_for": prerequisites, "held": held})
 }
 
 /// Reads a job's state from a response, if it has one.
-pub fn state_in(answer: &Value) -> Option<&str> {
+pub fn read_state(answer: &Value) -> Option<&str> {
     answer.get(STATE).and_then(Value::as_str)
 }
 
--- a/src/wire/users/submission/tests.rs
+++ b/src/wire/users/submission/tests.rs
@@ -61,6 +61,6 @@
     let spec =
         with("release", json!({"title": "t", "stage": "rotation", "night": "2026-12-01"})).expect("valid");
     assert!(spec.is_rotation() && spec.has_coordination_record());
-    assert_eq!(spec.release.and_then(|r| r.key()).map(|k| k.head()), Some("pact/r/t@2026-12-01".into()));
+    assert_eq!(spec.release.and_then(|r| r.key()).map(|k| k.head_key()), Some("pact/r/t@2026-12-01".into()));
     assert!(with("batch", Value::Null).is_ok_and(|spec| !spec.has_coordination_record()));
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -21,7 +21,7 @@
     /// The address at which its worker accepts direct commands; empty if it accepts none.
     pub addr: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
@@ -33,7 +33,7 @@
     /// The highest fencing token that the worker has received.
     pub token: u64,
     /// Seconds until the cloud terminates the machine, if the cloud has announced that.
-    pub notice_s: Option<f64>,
+    pub time_to_termination_s: Option<f64>,
     /// Its tasks.
     pub tasks: Vec<HeartbeatTask>,
 }
@@ -105,11 +105,11 @@
     match cause {
         Some("done") => TaskExit::Done,
         Some("stopped") => TaskExit::Stopped(saved),
-        Some("peers") => TaskExit::Peers,
-        Some("alone") => TaskExit::Alone,
+        Some("peers") => TaskExit::PeerLost,
+        Some("alone") => TaskExit::GangIncomplete,
         Some("no_room") => TaskExit::NoRoom,
-        Some("busy") => TaskExit::Busy,
-        Some("unknown") => TaskExit::Unknown,
+        Some("busy") => TaskExit::AttemptConflict,
+        Some("unknown") => TaskExit::UnknownTask,
         _ => TaskExit::Error,
     }
 }
@@ -168,7 +168,7 @@
 
 /// The response that redirects a worker's heartbeats to another controller.
 #[must_use]
-pub fn redirect(leader: &str) -> Value {
+pub fn redirect_body(leader: &str) -> Value {
     json!({"rider": leader})
 }
 
