--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -129,8 +129,8 @@
 
     /// The total resources of a machine of this type, if the type is known.
     #[must_use]
-    pub fn resources_of(&self, kind: &str) -> Option<Resources> {
-        self.machine_types.get(kind).map(MachineType::capacity)
+    pub fn resources_of(&self, machine_type: &str) -> Option<Resources> {
+        self.machine_types.get(machine_type).map(MachineType::capacity)
     }
 
     /// Records the work that a member's job shard cannot place. It replaces the shard's previous report.
@@ -160,7 +160,7 @@
     #[must_use]
     pub fn reserved_classes(&self) -> Vec<(String, bool, u8)> {
         let classes = self.reserved.classes.iter();
-        classes.map(|entry| (entry.class.kind.clone(), entry.class.spot, entry.priority)).collect()
+        classes.map(|entry| (entry.class.machine_type.clone(), entry.class.spot, entry.priority)).collect()
     }
 
     /// Reserved machines, each with the lowest priority that may use it.
@@ -202,8 +202,8 @@
     }
 
     fn apply_scale_out(&mut self, now: Micros, scale_out: &ScaleOut, names: Vec<String>) {
-        let ScaleOut { name, machine_type: kind, zone, spot, count } = scale_out;
-        tracing::info!(%name, machine_type = %kind, %zone, spot, requested = count, added = names.len(), "scale-out completed");
+        let ScaleOut { name, machine_type, zone, spot, count } = scale_out;
+        tracing::info!(%name, machine_type = %machine_type, %zone, spot, requested = count, added = names.len(), "scale-out completed");
         if names.len() < *count as usize {
             self.scale_out.pause_pool(now, scale_out);
         }
@@ -213,8 +213,8 @@
 
     fn apply_no_capacity(&mut self, now: Micros, scale_out: &ScaleOut) {
         self.scale_out.pause_pool(now, scale_out);
-        let ScaleOut { name, machine_type: kind, zone, spot, .. } = scale_out;
-        tracing::debug!(%name, machine_type = %kind, %zone, spot, "scale-out refused: no capacity");
+        let ScaleOut { name, machine_type, zone, spot, .. } = scale_out;
+        tracing::debug!(%name, machine_type = %machine_type, %zone, spot, "scale-out refused: no capacity");
         self.scale_out.unconfirmed = None;
     }
 
@@ -346,8 +346,8 @@
         );
     }
 
-    fn boot_time(&self, kind: &str) -> Micros {
-        let boot_s = self.machine_types.get(kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
+    fn boot_time(&self, machine_type: &str) -> Micros {
+        let boot_s = self.machine_types.get(machine_type).map_or(DEFAULT_BOOT_S, |known| known.boot_s);
         Micros::from_secs(boot_s)
     }
 }
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -10,13 +10,13 @@
 
 impl Demand {
     /// Whether the work may run on machines of this type.
-    pub(super) fn can_run_on_type(&self, kind: &str) -> bool {
-        self.machine_types.is_empty() || self.machine_types.iter().any(|allowed| allowed == kind)
+    pub(super) fn can_run_on_type(&self, machine_type: &str) -> bool {
+        self.machine_types.is_empty() || self.machine_types.iter().any(|allowed| allowed == machine_type)
     }
 
     /// Whether the work may run on machines of this type in this zone, spot or on-demand.
-    pub(super) fn can_run_on(&self, kind: &str, zone: &str, spot: bool) -> bool {
-        self.can_run_on_type(kind)
+    pub(super) fn can_run_on(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
+        self.can_run_on_type(machine_type)
             && self.zone.as_ref().is_none_or(|only| only == zone)
             && spot <= self.spot_allowed
     }
@@ -41,7 +41,7 @@
     /// Run time of one task.
     pub(super) run_time: Micros,
     /// How long the work may queue.
-    pub(super) horizon: Micros,
+    pub(super) max_queue_time: Micros,
 }
 
 /// The demand of all job shards.
@@ -82,10 +82,11 @@
             let typical = self.typical.get_or_insert(TypicalTask {
                 resources: demand.resources_per_task,
                 run_time: demand.estimated_run_time,
-                horizon: demand.max_queue_time,
+                max_queue_time: demand.max_queue_time,
             });
             typical.run_time = Micros((typical.run_time.0 * 7 + demand.estimated_run_time.0) / 8);
-            typical.horizon = Micros((typical.horizon.0 * 63 / 64).max(demand.max_queue_time.0));
+            typical.max_queue_time =
+                Micros((typical.max_queue_time.0 * 63 / 64).max(demand.max_queue_time.0));
         }
     }
 }
--- a/src/autoscaler/headroom.rs
+++ b/src/autoscaler/headroom.rs
@@ -87,7 +87,7 @@
     }
     let mut tasks_by_zone: BTreeMap<&str, i64> = BTreeMap::new();
     for Capacity { pool, resources } in arriving {
-        if demand.can_run_on(&pool.kind, &pool.zone, pool.spot) {
+        if demand.can_run_on(&pool.machine_type, &pool.zone, pool.spot) {
             let tasks = resources.max_count_of(demand.resources_per_task).clamp(0, MAX_TASKS_PER_MACHINE);
             *tasks_by_zone.entry(&pool.zone).or_default() += tasks;
         }
--- a/src/autoscaler/headroom/tests.rs
+++ b/src/autoscaler/headroom/tests.rs
@@ -1,7 +1,7 @@
 use super::super::scale_out::CapacityPool;
 use super::*;
 
-fn kind(name: &str, cpus: f64, gpus: f64) -> (String, MachineType) {
+fn machine_type(name: &str, cpus: f64, gpus: f64) -> (String, MachineType) {
     let machine_type = MachineType {
         name: name.into(),
         cpus,
@@ -18,7 +18,7 @@
 /// A single-zone gang cannot use machines if half of them are added in each of two zones.
 #[test]
 fn single_zone_gang_is_completed_in_the_zone_of_its_arriving_machines() {
-    let types: MachineTypes = [kind("k", 16.0, 0.0)].into();
+    let types: MachineTypes = [machine_type("k", 16.0, 0.0)].into();
     let demand = Demand {
         resources_per_task: Resources::rounded_up(15.0, 0.0, 1.0),
         machine_types: Vec::new(),
@@ -31,7 +31,7 @@
         max_queue_time: Micros(0),
         gang_size: 24,
     };
-    let pool = CapacityPool { kind: "k".into(), zone: "b".into(), spot: false };
+    let pool = CapacityPool { machine_type: "k".into(), zone: "b".into(), spot: false };
     let machine = Capacity { pool, resources: Resources::rounded_up(16.0, 0.0, 64.0) };
     let arriving = |count: usize| vec![machine.clone(); count];
     let zone = |count: usize, out: &[&str]| {
@@ -45,23 +45,23 @@
 
 #[test]
 fn headroom_counts_gpus_and_processors_separately() {
-    let types: MachineTypes = [kind("k", 16.0, 0.0), kind("g", 96.0, 8.0)].into();
+    let types: MachineTypes = [machine_type("k", 16.0, 0.0), machine_type("g", 96.0, 8.0)].into();
     let none = BTreeMap::new();
     assert!(
         headroom_demands(Resources::rounded_up(500.0, 40.0, 0.0), &types, &none).is_empty(),
         "nothing runs"
     );
-    let seen = |name: &str, kind: &str, free: Resources| {
+    let seen = |name: &str, machine_type: &str, free: Resources| {
         let status = crate::peer::MachineStatus {
             name: name.into(),
-            machine_type: kind.into(),
+            machine_type: machine_type.into(),
             zone: "a".into(),
             spot: false,
             inventory_state: crate::peer::InventoryState::Known,
             is_schedulable: true,
             time_to_termination: None,
             free,
-            total: types[kind].capacity(),
+            total: types[machine_type].capacity(),
             used_by_priority: Vec::new(),
             images: Vec::new(),
             task_count: 1,
--- a/src/autoscaler/inventory.rs
+++ b/src/autoscaler/inventory.rs
@@ -20,7 +20,7 @@
 /// A machine that was added and sends no heartbeats yet.
 #[derive(Clone, Debug)]
 pub(super) struct BootingMachine {
-    pub(super) kind: String,
+    pub(super) machine_type: String,
     pub(super) zone: String,
     pub(super) spot: bool,
     pub(super) since: Micros,
@@ -74,8 +74,8 @@
     /// Records the machines that a scale-out added.
     pub(super) fn add_booting(&mut self, now: Micros, scale_out: &ScaleOut, names: Vec<String>) {
         for name in names {
-            let ScaleOut { machine_type: kind, zone, spot, .. } = scale_out.clone();
-            self.booting.insert(name, BootingMachine { kind, zone, spot, since: now });
+            let ScaleOut { machine_type, zone, spot, .. } = scale_out.clone();
+            self.booting.insert(name, BootingMachine { machine_type, zone, spot, since: now });
         }
     }
 
--- a/src/autoscaler/reserved_capacity.rs
+++ b/src/autoscaler/reserved_capacity.rs
@@ -23,17 +23,17 @@
 /// A machine type, spot or on-demand.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MachineClass {
-    pub(super) kind: String,
+    pub(super) machine_type: String,
     pub(super) spot: bool,
 }
 
 impl MachineClass {
     fn of_machine(machine: &MachineSnapshot) -> MachineClass {
-        MachineClass { kind: machine.machine_type.clone(), spot: machine.spot }
+        MachineClass { machine_type: machine.machine_type.clone(), spot: machine.spot }
     }
 
     fn contains(&self, machine: &MachineSnapshot) -> bool {
-        self.kind == machine.machine_type && self.spot == machine.spot
+        self.machine_type == machine.machine_type && self.spot == machine.spot
     }
 }
 
@@ -58,19 +58,24 @@
 
 impl ReservedCapacity {
     /// Whether the class is reserved as a whole, for any priority.
-    pub(super) fn is_class_reserved(&self, kind: &str, spot: bool) -> bool {
-        self.classes.iter().any(|reserved| reserved.class.kind == kind && reserved.class.spot == spot)
+    pub(super) fn is_class_reserved(&self, machine_type: &str, spot: bool) -> bool {
+        self.classes
+            .iter()
+            .any(|reserved| reserved.class.machine_type == machine_type && reserved.class.spot == spot)
     }
 
     /// Whether the class is reserved for work of a higher priority than `priority`.
-    pub(super) fn is_reserved_from(&self, kind: &str, spot: bool, priority: u8) -> bool {
-        let same = |class: &MachineClass| class.kind == kind && class.spot == spot;
+    pub(super) fn is_reserved_from(&self, machine_type: &str, spot: bool, priority: u8) -> bool {
+        let same = |class: &MachineClass| class.machine_type == machine_type && class.spot == spot;
         self.classes.iter().any(|reserved| same(&reserved.class) && reserved.priority > priority)
     }
 
     /// The number of machines from which on the class is available to other work as well.
-    pub(super) fn plenty_machines(&self, kind: &str, spot: bool) -> usize {
-        self.plenty_machines.get(&MachineClass { kind: kind.to_owned(), spot }).copied().unwrap_or(0)
+    pub(super) fn plenty_machines(&self, machine_type: &str, spot: bool) -> usize {
+        self.plenty_machines
+            .get(&MachineClass { machine_type: machine_type.to_owned(), spot })
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -108,16 +113,17 @@
     }
 
     fn machine_classes(&self) -> BTreeSet<MachineClass> {
-        let spot_and_on_demand =
-            |kind: &String| [false, true].map(|spot| MachineClass { kind: kind.clone(), spot });
+        let spot_and_on_demand = |machine_type: &String| {
+            [false, true].map(|spot| MachineClass { machine_type: machine_type.clone(), spot })
+        };
         self.machine_types.values().flat_map(|machine_type| spot_and_on_demand(&machine_type.name)).collect()
     }
 
     fn can_run_on_class(&self, demand: &Demand, class: &MachineClass) -> bool {
         class.spot <= demand.spot_allowed
-            && demand.can_run_on_type(&class.kind)
+            && demand.can_run_on_type(&class.machine_type)
             && self
-                .resources_of(&class.kind)
+                .resources_of(&class.machine_type)
                 .is_some_and(|resources| resources.can_hold(demand.resources_per_task))
     }
 
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -195,7 +195,7 @@
         let schedulable: Vec<&MachineSnapshot> =
             queue_machines.into_iter().filter(|machine| machine.is_schedulable).collect();
         let slots: i64 = schedulable.iter().map(|machine| queue.slots(machine)).sum();
-        if queue.time_with(slots) > typical.horizon.0 as f64 {
+        if queue.time_with(slots) > typical.max_queue_time.0 as f64 {
             self.scale_in.surplus.clear();
         }
         let chosen = self.choose_surplus(&schedulable, &demands, &queue);
@@ -243,7 +243,7 @@
                     || staying.iter().any(|other| is_staying(other) && can_fit_when_empty(demand, other))
             });
             let time = queue.time_with(slots - own_slots);
-            if !is_replaceable || time >= queue.typical.horizon.0 as f64 * SURPLUS_QUEUE_FRACTION {
+            if !is_replaceable || time >= queue.typical.max_queue_time.0 as f64 * SURPLUS_QUEUE_FRACTION {
                 break;
             }
             slots -= own_slots;
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -19,19 +19,19 @@
 /// A pool of the cloud's machines: a machine type in a zone, spot or on-demand.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CapacityPool {
-    pub(super) kind: String,
+    pub(super) machine_type: String,
     pub(super) zone: String,
     pub(super) spot: bool,
 }
 
 impl CapacityPool {
     fn of_scale_out(scale_out: &ScaleOut) -> CapacityPool {
-        let ScaleOut { machine_type: kind, zone, spot, .. } = scale_out.clone();
-        CapacityPool { kind, zone, spot }
+        let ScaleOut { machine_type, zone, spot, .. } = scale_out.clone();
+        CapacityPool { machine_type, zone, spot }
     }
 
     fn can_serve(&self, demand: &Demand) -> bool {
-        demand.can_run_on(&self.kind, &self.zone, self.spot)
+        demand.can_run_on(&self.machine_type, &self.zone, self.spot)
     }
 }
 
@@ -61,8 +61,8 @@
         self.exhausted_pools.insert(CapacityPool::of_scale_out(scale_out), now + NO_CAPACITY_PAUSE);
     }
 
-    fn is_exhausted(&self, kind: &str, zone: &str, spot: bool) -> bool {
-        let pool = CapacityPool { kind: kind.to_owned(), zone: zone.to_owned(), spot };
+    fn is_exhausted(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
+        let pool = CapacityPool { machine_type: machine_type.to_owned(), zone: zone.to_owned(), spot };
         self.exhausted_pools.contains_key(&pool)
     }
 }
@@ -127,13 +127,13 @@
             is_late
         };
         let mut arriving = Vec::new();
-        let capacity = |kind: &String, zone: &String, spot: bool| Capacity {
-            pool: CapacityPool { kind: kind.clone(), zone: zone.clone(), spot },
-            resources: self.resources_of(kind).unwrap_or_default(),
+        let capacity = |machine_type: &String, zone: &String, spot: bool| Capacity {
+            pool: CapacityPool { machine_type: machine_type.clone(), zone: zone.clone(), spot },
+            resources: self.resources_of(machine_type).unwrap_or_default(),
         };
         for (name, booting) in &self.inventory.booting {
-            if !is_overdue(name, now.since(booting.since), self.boot_time(&booting.kind)) {
-                arriving.push(capacity(&booting.kind, &booting.zone, booting.spot));
+            if !is_overdue(name, now.since(booting.since), self.boot_time(&booting.machine_type)) {
+                arriving.push(capacity(&booting.machine_type, &booting.zone, booting.spot));
             }
         }
         for listed in self.inventory.iter() {
@@ -163,7 +163,7 @@
         let is_schedulable =
             |m: &&&MachineSnapshot| m.is_schedulable && !self.reserved.machines.contains_key(&m.name);
         let capacity = |m: &&MachineSnapshot| Capacity {
-            pool: CapacityPool { kind: m.machine_type.clone(), zone: m.zone.clone(), spot: m.spot },
+            pool: CapacityPool { machine_type: m.machine_type.clone(), zone: m.zone.clone(), spot: m.spot },
             resources: m.total,
         };
         machines.values().filter(is_schedulable).map(capacity).collect()
@@ -190,8 +190,9 @@
         let window = (max_queue_time - typical_run_time / 2.0).max(max_queue_time / 2.0);
         let slots = |capacity: &Capacity| capacity.resources.max_count_of(demand.resources_per_task);
         let is_usable = |capacity: &&Capacity| {
-            let CapacityPool { kind, spot, .. } = &capacity.pool;
-            capacity.pool.can_serve(demand) && !self.reserved.is_reserved_from(kind, *spot, demand.priority)
+            let CapacityPool { machine_type, spot, .. } = &capacity.pool;
+            capacity.pool.can_serve(demand)
+                && !self.reserved.is_reserved_from(machine_type, *spot, demand.priority)
         };
         let schedulable: i64 = supply.schedulable.iter().filter(is_usable).map(slots).sum();
         let arriving: i64 =
@@ -232,21 +233,21 @@
         supply: &Supply,
     ) -> Option<ScaleOut> {
         let mut options: Vec<(f64, ScaleOut)> = Vec::new();
-        for machine_type in self.machine_types.values() {
+        for candidate in self.machine_types.values() {
             let tasks_each =
-                machine_type.capacity().max_count_of(demand.resources_per_task).min(i64::from(u32::MAX));
+                candidate.capacity().max_count_of(demand.resources_per_task).min(i64::from(u32::MAX));
             if tasks_each <= 0 {
                 continue;
             }
             let exact_count = shortfall.tasks as f64 / tasks_each as f64;
             let whole_count = (shortfall.tasks + tasks_each - 1) / tasks_each;
             let count = whole_count.min(i64::from(SCALE_OUT_LIMIT)) as u32;
-            for zone in &machine_type.zones {
+            for zone in &candidate.zones {
                 for spot in [false, true] {
-                    let (kind, zone) = (machine_type.name.clone(), zone.clone());
-                    let option = ScaleOut { name: String::new(), machine_type: kind, zone, spot, count };
+                    let (machine_type, zone) = (candidate.name.clone(), zone.clone());
+                    let option = ScaleOut { name: String::new(), machine_type, zone, spot, count };
                     if self.is_eligible(demand, shortfall, supply, &option) {
-                        let price = if spot { machine_type.spot_price } else { machine_type.price };
+                        let price = if spot { candidate.spot_price } else { candidate.price };
                         // For a large backlog the price of the needed capacity counts, for a small one that of whole
                         // machines.
                         options.push((price * f64::from(count).max(exact_count), option));
@@ -265,20 +266,21 @@
         supply: &Supply,
         option: &ScaleOut,
     ) -> bool {
-        let ScaleOut { machine_type: kind, zone, spot, count, .. } = option;
+        let ScaleOut { machine_type, zone, spot, count, .. } = option;
         let is_in_zone = shortfall.only_zone.as_ref().is_none_or(|only| only == zone);
-        if !demand.can_run_on(kind, zone, *spot)
+        if !demand.can_run_on(machine_type, zone, *spot)
             || !is_in_zone
-            || self.scale_out.is_exhausted(kind, zone, *spot)
+            || self.scale_out.is_exhausted(machine_type, zone, *spot)
         {
             return false;
         }
         // A class reserved for higher priorities helps this work only once the class has plenty of machines.
-        let is_same_class = |capacity: &&Capacity| capacity.pool.kind == *kind && capacity.pool.spot == *spot;
+        let is_same_class =
+            |capacity: &&Capacity| capacity.pool.machine_type == *machine_type && capacity.pool.spot == *spot;
         let class_machines = supply.schedulable.iter().filter(is_same_class).count()
             + supply.arriving.iter().filter(is_same_class).count()
             + *count as usize;
-        !self.reserved.is_reserved_from(kind, *spot, demand.priority)
-            || class_machines >= self.reserved.plenty_machines(kind, *spot)
+        !self.reserved.is_reserved_from(machine_type, *spot, demand.priority)
+            || class_machines >= self.reserved.plenty_machines(machine_type, *spot)
     }
 }
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -60,10 +60,10 @@
     assert_eq!(autoscaler.reserved_classes(), Vec::new());
 }
 
-pub(super) fn machine(i: usize, kind: &str, free: f64, total: f64) -> MachineSnapshot {
+pub(super) fn machine(i: usize, machine_type: &str, free: f64, total: f64) -> MachineSnapshot {
     let status = crate::peer::MachineStatus {
         name: format!("i-{i:03}"),
-        machine_type: kind.into(),
+        machine_type: machine_type.into(),
         zone: "a".into(),
         spot: false,
         inventory_state: InventoryState::Known,
@@ -158,7 +158,7 @@
     autoscaler.demand.typical = Some(TypicalTask {
         resources: Resources::rounded_up(1.0, 0.0, 1.0),
         run_time: Micros(20_000_000),
-        horizon: Micros(60_000_000),
+        max_queue_time: Micros(60_000_000),
     });
     let idle: Vec<MachineSnapshot> = (0..100).map(|i| machine(i, "small", 3.0, 4.0)).collect();
     let by_name = by_name(&idle);
@@ -195,7 +195,8 @@
         let waiting = Demand { count: 8 * added as u32, ..demand(4.0, false, 1) };
         let since = Micros(1_000_000);
         for i in 0..added {
-            let booting = BootingMachine { kind: "large".into(), zone: "a".into(), spot: false, since };
+            let booting =
+                BootingMachine { machine_type: "large".into(), zone: "a".into(), spot: false, since };
             autoscaler.inventory.booting.insert(format!("i-{i}"), booting);
         }
         let mut scale_out = |seconds: u64| {
@@ -204,7 +205,8 @@
             autoscaler.next_scale_out(now, &BTreeMap::new()).map(|r| (r.machine_type, r.count))
         };
         assert_eq!(scale_out(50), None, "a boot takes 40 s");
-        let added_slots = scale_out(90).map(|(kind, n)| n * if kind == "large" { 8 } else { 1 });
+        let added_slots =
+            scale_out(90).map(|(machine_type, n)| n * if machine_type == "large" { 8 } else { 1 });
         assert_eq!(added_slots, Some(8 * replaced), "{added} added");
     }
 }
--- a/src/quota/allocation.rs
+++ b/src/quota/allocation.rs
@@ -164,10 +164,10 @@
 
     /// Drops the allocations of jobs led by this controller that have ended and whose tasks are all gone.
     fn drop_ended(&mut self) {
-        let AllocationInput { needs, is_led_locally: is_ours, can_release: is_released, .. } = self.input;
+        let AllocationInput { needs, is_led_locally, can_release, .. } = self.input;
         let live: BTreeSet<&str> = needs.iter().map(|need| need.job.as_str()).collect();
         self.allocations.retain(|job, allocation| {
-            let is_kept = !is_ours(job) || live.contains(job.as_str()) || !is_released(job);
+            let is_kept = !is_led_locally(job) || live.contains(job.as_str()) || !can_release(job);
             if !is_kept {
                 self.released = self.released + *allocation;
             }
@@ -190,9 +190,9 @@
 
     /// Clears the requests of jobs led by this controller, since they are computed again.
     fn clear_requests(&mut self) {
-        let (is_ours, allocations) = (self.input.is_led_locally, &self.allocations);
+        let (is_led_locally, allocations) = (self.input.is_led_locally, &self.allocations);
         self.notes.retain(|job, note| {
-            if is_ours(job) {
+            if is_led_locally(job) {
                 note.request = None;
             }
             allocations.contains_key(job) || note.request.is_some()
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -26,17 +26,11 @@
     ledger: &QuotaLedger,
     now: Micros,
     needs: &[QuotaNeed],
-    is_ours: impl Fn(&str) -> bool,
-    is_released: impl Fn(&str) -> bool,
+    is_led_locally: impl Fn(&str) -> bool,
+    can_release: impl Fn(&str) -> bool,
 ) -> Option<AllocationWrite> {
-    let (is_ours, is_released) = (&is_ours, &is_released);
-    let input = AllocationInput {
-        team: "t",
-        needs,
-        is_led_locally: is_ours,
-        can_release: is_released,
-        value_bytes: 4096,
-    };
+    let (is_led_locally, can_release) = (&is_led_locally, &can_release);
+    let input = AllocationInput { team: "t", needs, is_led_locally, can_release, value_bytes: 4096 };
     ledger.next_write(now, &input)
 }
 
