--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,14 +1,15 @@
-//! The event loop of one controller: dispatch, and a file a duty.
+//! The event loop of one controller: event dispatch here, and one submodule per responsibility.
 //!
-//! [`Controller::step`] takes an event and the time, [`Controller::reconcile`] works off what is due, and both give back the
-//! effects that are to be carried out. Neither reads a clock, does input or output, or blocks, so that the simulated cluster
-//! drives the code that runs. Each duty's struct owns its state; `Controller` has one field a duty.
+//! [`Controller::step`] applies one event; [`Controller::reconcile`] runs the periodic work. Both take the
+//! current time as an argument and append the resulting effects to a list. Neither reads a clock, performs
+//! I/O or blocks, so the simulated cluster in the tests runs the same code as production. Each responsibility
+//! keeps its state in a struct of its own, and `Controller` has one field for each of them.
 
 mod coordination;
 mod dependencies;
 mod fencing_probe;
 mod flap_damping;
-mod frame_forms;
+mod format_versions;
 mod freshness;
 mod gpu_lending;
 mod handoff;
@@ -28,20 +29,20 @@
 use self::dependencies::Dependencies;
 use self::fencing_probe::FencingProbes;
 use self::flap_damping::FlapDamping;
-use self::frame_forms::FrameForms;
+use self::format_versions::FormatVersions;
 use self::freshness::{Freshness, PendingFreshnessRequest};
 use self::gpu_lending::{Loans, PendingLoanRequest};
 use self::handoff::Handoff;
 pub use self::handoff::LEAVING;
 use self::heartbeats::HeldHeartbeats;
-use self::membership::{MembershipLoop, PendingRingRequest};
+use self::membership::{MembershipLoop, PendingMembershipRequest};
 pub use self::operator_requests::{OperatorCommand, ReleaseSelector};
 use self::peer_traffic::PeerTraffic;
 use self::record_loading::{LoadStage, RecordLoading};
 use self::release::Releases;
 use self::start_replica::StartReplica;
 use self::state_store_io::{PendingStoreRequest, StateStoreIo};
-use self::user_requests::{Caller, CoordinatedWrite, StandIns, UserRequests};
+use self::user_requests::{Caller, CoordinatedWrite, ProxyAcceptances, UserRequests};
 use crate::autoscaler::{Autoscaler, CloudAnswer, CloudRequest, FleetView};
 use crate::config::settings::Settings;
 use crate::job_shard::{JobOutcome, JobShard, RecordWrite};
@@ -60,106 +61,106 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Where the epoch record is kept.
+/// Key of the epoch record in the state store.
 const EPOCH_KEY: &str = "ring/epoch";
-/// Requests of one purpose under way at the state store.
-const IN_FLIGHT: usize = 12;
-/// A gap between two rounds from which on this process is taken to have stood still. Rounds are a
+/// Limit of concurrent state store requests for background work.
+const MAX_IN_FLIGHT: usize = 12;
+/// A gap between two rounds of at least this length counts as a stall of this process. Rounds are normally a
 /// tenth of a second apart.
-const STALL: Micros = Micros::from_millis(1000);
-/// A scheduling pass is made so often while something has changed, and so often otherwise.
+const STALL_THRESHOLD: Micros = Micros::from_millis(1000);
+/// Time between scheduling passes while there are changes; without changes, [`IDLE_PASS_DELAY`] is added.
 const PASS_PERIOD: Micros = Micros::from_millis(100);
 const IDLE_PASS_DELAY: Micros = Micros::from_millis(400);
-/// Rows of a list that is shown in the status.
-const SHOWN: usize = 20;
-/// Machines tried in one probe.
-const PROBED: usize = 3;
+/// Maximum number of rows in a list in the status response.
+const MAX_STATUS_ROWS: usize = 20;
+/// Number of machines tried in one probe.
+const PROBE_SAMPLE_SIZE: usize = 3;
 
-/// What happens to a controller.
+/// An input of the controller.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A machine's heartbeat; the answer goes to the ticket.
+    /// A heartbeat of a machine.
     Heartbeat {
-        /// Where the answer goes.
+        /// The request to answer.
         ticket: u64,
-        /// What the machine says.
+        /// The content of the heartbeat.
         heartbeat: Heartbeat,
     },
-    /// A user's request, its syntax checked.
+    /// A user's request whose syntax has been checked.
     User {
-        /// Where the answer goes.
+        /// The request to answer.
         ticket: u64,
         /// The request.
         request: UserRequest,
     },
     /// An operator's request about releases or batches.
     Operator {
-        /// Where the answer goes.
+        /// The request to answer.
         ticket: u64,
         /// The request.
         request: OperatorCommand,
     },
     /// A health probe, with its ticket.
     Ready(u64),
-    /// An operator asks for the status, with the ticket of the answer.
+    /// An operator's status request, with its ticket.
     Status(u64),
-    /// Another controller's frame.
+    /// A frame from another controller.
     Frame(Box<Frame>),
-    /// An answer of the state store.
+    /// A response of the state store.
     Store {
         /// The number of the request.
         id: u64,
-        /// The answer.
+        /// The response.
         answer: StoreAnswer,
     },
-    /// An answer of the cloud.
+    /// A response of the cloud.
     Cloud {
-        /// The request that it answers.
+        /// The request.
         request: CloudRequest,
-        /// The answer.
+        /// The response.
         answer: CloudAnswer,
     },
-    /// Whether one of the machines that were to be probed has answered.
+    /// Whether any of the probed machines has responded.
     Probed(bool),
-    /// What a machine answered to a fencing probe.
+    /// A machine's response to a fencing probe.
     FencingProbeAnswered(Heartbeat),
-    /// The process is to end: hand everything off and leave the ring.
+    /// The process is shutting down: hand off all jobs and machines and leave the ring.
     Leave,
-    /// Only time has passed.
+    /// Time has passed; nothing else has happened.
     Tick,
 }
 
-/// What a controller wants done.
+/// An output of the controller.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Answer a request.
     Reply {
-        /// Whose.
+        /// The request to answer.
         ticket: u64,
         /// The answer.
         reply: Reply,
     },
     /// Send a frame to another controller.
     Send {
-        /// Its number.
+        /// The receiver's number.
         to: usize,
         /// The frame.
         frame: Frame,
     },
-    /// Ask the state store.
+    /// Send a request to the state store.
     Store {
-        /// The number under which the answer is expected.
+        /// The number under which the response is expected.
         id: u64,
         /// The request.
         request: StoreRequest,
-        /// The line that it goes out on.
+        /// The connection to use.
         lane: StoreLane,
     },
-    /// Ask the cloud.
+    /// Send a request to the cloud.
     Cloud(CloudRequest),
-    /// Find out whether a machine at one of these addresses answers.
+    /// Check whether any machine at these addresses responds.
     Probe(Vec<String>),
-    /// Tell these machines the fencing token, without any command, and bring back their heartbeats.
+    /// Send the fencing token, without any commands, to these machines, and return their heartbeats.
     FencingProbe {
         /// The fencing token.
         epoch: u64,
@@ -168,29 +169,29 @@
     },
 }
 
-/// The lines to the state store.
+/// The connections to the state store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreLane {
-    /// The line kept for the membership loop, so that nothing else delays it.
+    /// Reserved for the membership loop, so that other requests can't delay it.
     Membership,
-    /// All else.
+    /// Used by all other requests.
     Records,
 }
 
-/// One controller: a field a duty.
+/// One controller, with one field for each responsibility.
 pub struct Controller {
     settings: Settings,
-    /// The random number of this process.
+    /// Random ID of this process.
     boot: u64,
-    /// The ring and the epoch as this controller knows them.
+    /// The ring and the epoch as far as this controller has learned them.
     pub membership: Membership,
-    /// The jobs whose leader this controller is.
+    /// The jobs that this controller leads.
     pub job_shard: JobShard,
-    /// The machines whose leader this controller is.
+    /// The machines that this controller leads.
     pub machine_shard: MachineShard,
-    /// The teams' quota and what is allocated of it.
+    /// The teams' quotas and their allocation.
     pub quota: QuotaLedger,
-    /// Scaling, where this controller is the one that decides about it.
+    /// Scales the fleet if this controller is the ring's autoscaler.
     pub autoscaler: Autoscaler,
     machine_registry: MachineRegistry,
     membership_loop: MembershipLoop,
@@ -201,8 +202,8 @@
     request_ids: RequestIds,
     rounds: Rounds,
     user_requests: UserRequests,
-    stand_ins: StandIns,
-    frame_forms: FrameForms,
+    proxy_acceptances: ProxyAcceptances,
+    format_versions: FormatVersions,
     dependencies: Dependencies,
     coordination: CoordinationRecords,
     freshness: Freshness,
@@ -215,25 +216,26 @@
     fencing_probes: FencingProbes,
 }
 
-/// The rounds of the event loop.
+/// State of the event loop's rounds.
 #[derive(Default)]
 struct Rounds {
-    /// The time of day at the latest event.
+    /// Wall-clock time of the latest event.
     wall: Micros,
-    /// When the last round ended; a gap means that the process stood still.
+    /// When the last round ended; a long gap means that the process was stalled.
     last_round: Micros,
     next_scheduling_pass: Micros,
-    /// Whether this controller was a leader in the last round.
+    /// Whether this controller was entitled to act as a leader in the last round.
     was_leader: bool,
 }
 
-/// Numbers for what must be told apart: requests to the state store and to peers, readings of records.
+/// Generates IDs for state store requests, peer requests and record lookups.
 struct RequestIds {
     last: u64,
 }
 
 impl RequestIds {
-    /// Peers answer late: what an earlier process asked must not answer what this one asks under the same number.
+    /// Starts at a value that depends on the boot ID: a late response to a request of an earlier process must
+    /// not match a request of this one.
     fn new(boot: u64) -> RequestIds {
         RequestIds { last: boot << 12 }
     }
@@ -245,7 +247,7 @@
 }
 
 impl Controller {
-    /// A controller that has just started; `boot` is a random number.
+    /// Creates a controller that has just started; `boot` is its random boot ID.
     pub fn new(settings: Settings, boot: u64) -> Controller {
         let controllers = settings.members.len();
         Controller {
@@ -264,8 +266,8 @@
             request_ids: RequestIds::new(boot),
             rounds: Rounds::default(),
             user_requests: UserRequests::default(),
-            stand_ins: StandIns::default(),
-            frame_forms: FrameForms::default(),
+            proxy_acceptances: ProxyAcceptances::default(),
+            format_versions: FormatVersions::default(),
             dependencies: Dependencies::default(),
             coordination: CoordinationRecords::default(),
             freshness: Freshness::default(),
@@ -280,23 +282,24 @@
         }
     }
 
-    /// Takes one event. What is to be done is added to `out`, in the order in which it is to go out.
+    /// Applies one event. Appends the resulting effects to `out` in the order in which they must be carried
+    /// out.
     pub fn step(&mut self, now: Micros, wall: Micros, event: Event, out: &mut Vec<Effect>) {
         self.rounds.wall = wall;
         self.note_stall(now);
         match event {
-            Event::Heartbeat { ticket, heartbeat } => self.take_heartbeat(now, ticket, &heartbeat, out),
+            Event::Heartbeat { ticket, heartbeat } => self.handle_heartbeat(now, ticket, &heartbeat, out),
             Event::User { ticket, request } => {
-                self.take_user_request(now, Caller::Ticket(ticket), request, out)
+                self.handle_user_request(now, Caller::Ticket(ticket), request, out)
             }
-            Event::Operator { ticket, request } => self.operator(now, ticket, request, out),
-            Event::Ready(ticket) => out.push(Effect::Reply { ticket, reply: self.readiness(now) }),
+            Event::Operator { ticket, request } => self.handle_operator_request(now, ticket, request, out),
+            Event::Ready(ticket) => out.push(Effect::Reply { ticket, reply: self.check_readiness(now) }),
             Event::Status(ticket) => {
                 out.push(Effect::Reply { ticket, reply: Reply::json(200, &self.status(now)) })
             }
-            Event::Frame(frame) => self.take_frame(now, *frame, out),
-            Event::Store { id, answer } => self.take_store_answer(now, id, answer, out),
-            Event::Cloud { request, answer } => self.take_cloud_answer(now, &request, answer),
+            Event::Frame(frame) => self.handle_frame(now, *frame, out),
+            Event::Store { id, answer } => self.handle_store_answer(now, id, answer, out),
+            Event::Cloud { request, answer } => self.handle_cloud_answer(now, &request, answer),
             Event::Probed(reached) => self.step_down.record_probe(reached),
             Event::FencingProbeAnswered(heartbeat) => self.apply_fencing_probe_answer(now, &heartbeat),
             Event::Leave => self.handoff.leave(now),
@@ -305,24 +308,25 @@
     }
 
     /// The answer to a health probe.
-    fn readiness(&self, now: Micros) -> Reply {
-        // Also while it reads its records: polls and submissions are answered all the same, and what is not
-        // would not be through another controller either. The load balancer leaves out who fails two probes for 3 s,
-        // and for twice as long each time, up to a minute. While nobody can act, being left out helps no user
-        // either, and when the trouble is over all are missing.
-        let helps = self.membership.is_leader(now)
+    fn check_readiness(&self, now: Micros) -> Reply {
+        // The controller is also ready while it loads its records: it already answers polls and submissions,
+        // and requests that it can't answer yet would fail at the other controllers too. The load balancer
+        // removes a controller after two failed probes for 3 s, and for twice as long after each further
+        // failure, up to a minute. While no controller is able to act, removal would not help any user, and
+        // after the outage all controllers would be missing from the load balancer.
+        let can_serve = self.membership.is_leader(now)
             || self.membership.can_forward(now)
             || self.membership.is_leaderless(now);
         if self.handoff.leaving().is_some() {
             Reply::later("leaving")
-        } else if helps {
+        } else if can_serve {
             Reply::json(200, &json!({"ready": true}))
         } else {
             Reply::later("not yet able to act")
         }
     }
 
-    fn take_cloud_answer(&mut self, now: Micros, request: &CloudRequest, answer: CloudAnswer) {
+    fn handle_cloud_answer(&mut self, now: Micros, request: &CloudRequest, answer: CloudAnswer) {
         let types_before = (*request == CloudRequest::MachineTypes).then(|| self.autoscaler.types.clone());
         self.autoscaler.apply_answer(now, request, answer);
         if types_before.is_some_and(|types| types != self.autoscaler.types) {
@@ -330,29 +334,30 @@
         }
     }
 
-    /// Called before anything else is done: notes whether this process stood still while its clock
-    /// ran on. What others did in that time was not heard, so it can't be held against them.
+    /// Detects a stall of this process; must run before any other work. Messages that other components sent
+    /// during the stall were not received, so the silence must not count against them.
     fn note_stall(&mut self, now: Micros) {
         let gap = now.since(self.rounds.last_round);
-        if self.rounds.last_round > Micros(0) && gap >= STALL {
+        if self.rounds.last_round > Micros(0) && gap >= STALL_THRESHOLD {
             tracing::info!(epoch = self.membership.epoch, seconds = gap.secs(), "event loop stalled");
             self.machine_shard.discount_pause(now, gap);
             self.step_down.discount_pause(now, gap);
-            // Its standing may have changed: that comes first.
+            // Leadership may have been lost during the stall, so membership is checked first.
             self.membership_loop.step_at_once(now);
         }
         self.rounds.last_round = now;
     }
 
-    /// The last look before an effect goes out. Between a decision and its effect the process may
-    /// have stood still and lost its leadership: what rests on that is taken back.
+    /// Checks an effect immediately before it is carried out. The process may have been stalled between the
+    /// decision and this point and have lost its leadership: an effect that depends on leadership is then
+    /// withdrawn.
     #[must_use]
     pub fn vetted(&mut self, now: Micros, effect: Effect) -> Option<Effect> {
         if !self.rounds.was_leader || self.membership.is_leader(now) {
             return Some(effect);
         }
         match effect {
-            // Never a user's answer that may be out of date by now, nor a command.
+            // Successful user responses may be out of date by now, and scaling commands need leadership.
             Effect::Reply { ticket, reply } if (200..300).contains(&reply.status) => {
                 Some(Effect::Reply { ticket, reply: Reply::later("not entitled to act any more") })
             }
@@ -364,8 +369,7 @@
         }
     }
 
-    /// Works off the differences between what is wanted and what is. Called after events and at
-    /// least every tenth of a second.
+    /// Reconciles the desired and the actual state. Called after events and at least every tenth of a second.
     pub fn reconcile(&mut self, now: Micros, wall: Micros, out: &mut Vec<Effect>) {
         self.rounds.wall = wall;
         self.note_stall(now);
@@ -373,7 +377,7 @@
         self.run_membership_loop(now, out);
         self.load_records(now, out);
         self.note_leadership(now, out);
-        // One that has stepped down leaves it to the new leaders to say what is gone.
+        // After stepping down, only the new leaders may declare leases expired.
         if !self.membership.has_stepped_down {
             self.machine_shard.expire_leases(now, &self.membership);
         }
@@ -381,11 +385,11 @@
         if self.rounds.was_leader && self.job_shard.loaded {
             self.schedule(now);
             self.write_quota(now, out);
-            self.loan_loop(now, out);
+            self.reconcile_loans(now, out);
             self.write_records(now, out);
             self.scale(now, out);
         } else {
-            self.learn_machine_types(now, out);
+            self.fetch_machine_types(now, out);
         }
         self.watch_outcomes(now, out);
         self.run_coordination(now, out);
@@ -410,7 +414,7 @@
         self.release_held_heartbeats(now, out);
     }
 
-    /// A scheduling pass, if one is due.
+    /// Runs a scheduling pass if one is due.
     fn schedule(&mut self, now: Micros) {
         let next = self.rounds.next_scheduling_pass;
         if now < next || !(self.job_shard.replan || now >= next + IDLE_PASS_DELAY) {
@@ -422,14 +426,15 @@
         self.job_shard.preempt_tasks(now, &self.membership);
     }
 
-    /// The autoscaler's next request to the cloud, if one is due.
+    /// Sends the autoscaler's next request to the cloud if one is due.
     fn scale(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if !self.autoscaler.is_due(now) {
             return;
         }
-        let decides = self.membership.autoscaler() == Some(self.settings.me);
-        let machines: Vec<_> = self.job_shard.machines(self.membership.epoch).filter(|_| decides).collect();
-        let fleet = decides.then(|| FleetView {
+        let is_autoscaler = self.membership.autoscaler() == Some(self.settings.me);
+        let machines: Vec<_> =
+            self.job_shard.machines(self.membership.epoch).filter(|_| is_autoscaler).collect();
+        let fleet = is_autoscaler.then(|| FleetView {
             machines: &machines,
             all_reported: self.job_shard.has_heard_all_machine_shards(&self.membership),
             rebuilt: self.job_shard.is_rebuilt(),
@@ -439,8 +444,9 @@
         out.extend(request.map(Effect::Cloud));
     }
 
-    /// Who doesn't act must know the machine types too: it may have to accept jobs.
-    fn learn_machine_types(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    /// Fetches the machine types also while this controller is not entitled to act, since it may have to
+    /// accept jobs.
+    fn fetch_machine_types(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if self.autoscaler.types.is_empty() {
             let request = self.autoscaler.next_request(now, None);
             out.extend(request.map(Effect::Cloud));
@@ -448,12 +454,15 @@
     }
 }
 
-/// Reads the record of a job's end.
-pub fn read_end(v: &Value) -> Option<(JobOutcome, u32)> {
-    let f = match v.get("end")?.as_str()? {
+/// Parses the final record of a job: its outcome, and how many of its tasks were done.
+pub fn read_end(record: &Value) -> Option<(JobOutcome, u32)> {
+    let outcome = match record.get("end")?.as_str()? {
         "done" => JobOutcome::Done,
         "cancelled" => JobOutcome::Cancelled,
         _ => return None,
     };
-    Some((f, v.get("done").and_then(Value::as_u64).and_then(|n| u32::try_from(n).ok()).unwrap_or(0)))
+    Some((
+        outcome,
+        record.get("done").and_then(Value::as_u64).and_then(|done| u32::try_from(done).ok()).unwrap_or(0),
+    ))
 }
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -1,11 +1,13 @@
-//! Coordination records: what binds jobs of several leaders, a release or a batch. Joining them, and what each round does.
+//! Coordination records, which bind jobs of several leaders: releases and batches. Handles submissions that
+//! join them, and the periodic work on them.
 //!
-//! [`CoordinationRecords`] owns what was read, and what waits for it. What a release or a batch means is the business of
-//! `release` and `freshness`. A record is changed by compare-and-swap only.
+//! [`CoordinationRecords`] owns what was read of the records, and the requests that wait for them. The
+//! modules `release` and `freshness` define the meaning of releases and batches. Records are changed by
+//! compare-and-swap only.
 
 mod census;
 mod changes;
-mod readings;
+mod record_reads;
 
 use super::*;
 use crate::job_shard::says_of_record;
@@ -13,56 +15,56 @@
 use hazelsaddle_coordination::record::{self, CoordinationRecord, Key};
 use hazelsaddle_coordination::record_cache::{CachedRecord, RecordCache};
 
-/// Work that looks at all records is done so often.
-const ROUND: Micros = Micros::from_millis(300);
-/// A record that something here waits for is read again after so long.
-const PAUSE_HELD: Micros = Micros::from_millis(1000);
-/// A reading that failed is tried again after so long.
-const PAUSE_FAILED: Micros = Micros::from_millis(300);
-/// Heads are listed so often, a page.
-const PAUSE_LIST: Micros = Micros::from_millis(5000);
-/// A submission waits so long for a record before its user is told to come back.
-const PATIENCE: Micros = Micros::from_millis(1500);
-/// Records are forgotten that nobody has needed for so long.
-const FORGET: Micros = Micros::from_millis(10_000);
+/// Time between two passes over all records.
+const ROUND_PERIOD: Micros = Micros::from_millis(300);
+/// Delay before a record that is still needed is read again.
+const READ_PERIOD: Micros = Micros::from_millis(1000);
+/// Delay before a failed read is retried.
+const RETRY_DELAY: Micros = Micros::from_millis(300);
+/// Time between two listings of the head records.
+const LIST_PERIOD: Micros = Micros::from_millis(5000);
+/// A submission waits this long for a record before its user is asked to retry.
+const SUBMISSION_TIMEOUT: Micros = Micros::from_millis(1500);
+/// Records that have not been used for this long are dropped from the cache.
+const UNUSED_RECORD_LIFETIME: Micros = Micros::from_millis(10_000);
 
-/// What an acceptance rests on.
+/// Whether a submission may be stored.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum JoinDecision {
-    /// It may be put on record on these conditions.
-    Open(Vec<(String, u64)>),
-    /// A record must be read, or changed, first; asked again in the next round.
-    Wait,
-    /// Not now.
-    Later(String),
-    /// Never, unless it was accepted before.
-    Never(String),
+    /// It may be stored on these conditions.
+    Allow(Vec<(String, u64)>),
+    /// A record must be read or changed first; the decision is repeated in the next round.
+    Pending,
+    /// Rejected for now, with the reason.
+    Defer(String),
+    /// Rejected for good, with the reason, unless it was accepted before.
+    Reject(String),
 }
 
-/// What a request to the state store about a record is for.
+/// The purpose of a state store request about a coordination record.
 #[derive(Clone, Debug)]
 pub(super) enum PendingRecordRequest {
     Read {
         key: Key,
         asked_at: Micros,
     },
-    /// A page of the list of heads.
+    /// Lists a page of head records.
     Heads {
         epoch: u64,
         asked_at: Micros,
     },
     Change(Box<Change>),
-    /// A page that is written before the head that counts it; then the rest.
+    /// Writes a page, before the head that counts the pages; then continues the change.
     Page(Box<Change>),
     Census {
         epoch: u64,
     },
-    /// The end of a member that was live when it was last seen.
+    /// Reads the final record of a member that was live when last seen.
     Member {
         epoch: u64,
         job: String,
     },
-    /// A page of a closed set's members.
+    /// Reads a page of a closed release's members.
     Members {
         key: Key,
         version: u64,
@@ -70,114 +72,117 @@
     },
 }
 
-/// A change of a record under way.
+/// A change of a record in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Change {
     key: Key,
     epoch: u64,
     store_version: u64,
     next: CoordinationRecord,
-    /// Pages and their keys, the last first.
+    /// Keys and values of the pages, last page first.
     pages: Vec<(String, Value)>,
     sent_at: Micros,
-    /// What an operator hears once it is on record.
-    then: Option<(u64, Reply)>,
+    /// The operator request to answer once the change is stored, and the answer.
+    reply_when_stored: Option<(u64, Reply)>,
 }
 
-/// A census' outcome: members of a record, by job.
-pub(super) type Members = BTreeMap<String, hazelsaddle_coordination::census::Member>;
+/// The result of a census: the members of a record, by job ID.
+pub(super) type CensusMembers = BTreeMap<String, hazelsaddle_coordination::census::Member>;
 
-/// An operator's request that is under way.
+/// A pending operator request.
 pub(super) struct OperatorRequest {
     pub(super) ticket: u64,
-    pub(super) request: OperatorCommand,
-    pub(super) began: Micros,
+    pub(super) command: OperatorCommand,
+    pub(super) received_at: Micros,
 }
 
-/// What this controller knows of coordination records.
+/// The state of coordination records on this controller.
 #[derive(Default)]
 pub(super) struct CoordinationRecords {
     pub(super) records: RecordCache,
-    /// Keys under change by this process.
+    /// Keys of the records that this process is changing.
     changing: BTreeSet<Key>,
     /// Submissions that wait for a record.
-    waiting: BTreeSet<String>,
-    /// Operators' requests under way; one whose change is being written is not among them.
-    pub(super) operating: Vec<OperatorRequest>,
-    /// Tickets that a change under way answers.
-    pub(super) replying: BTreeSet<u64>,
-    listing: bool,
-    listed_after: String,
-    next_list: Micros,
-    /// When the last whole list of heads of this epoch was begun.
-    pub(super) listed: Option<Micros>,
-    list_began: Micros,
-    /// Records that the latest list has found and that are not over; the list under way.
+    waiting_submissions: BTreeSet<String>,
+    /// Pending operator requests, without those that wait for a change to be stored.
+    pub(super) operator_requests: Vec<OperatorRequest>,
+    /// Tickets that are answered by a change in progress.
+    pub(super) answered_by_change: BTreeSet<u64>,
+    is_list_in_flight: bool,
+    list_after_key: String,
+    next_list_at: Micros,
+    /// When the last complete listing of the head records in this epoch began.
+    pub(super) last_list_began: Option<Micros>,
+    current_list_began: Micros,
+    /// Unfinished records found by the last complete listing, and by the current one.
     pub(super) listed_keys: BTreeSet<Key>,
-    listing_keys: BTreeSet<Key>,
-    /// Each title's latest night on record, also one that is over: what operators mean who name none.
-    pub(super) latest: BTreeMap<String, String>,
-    next_round: Micros,
-    /// Ends that were read or told of since the epoch began, of members that matter.
-    ends: BTreeMap<String, CensusJobState>,
+    pending_listed_keys: BTreeSet<Key>,
+    /// The latest stored night of each title, also if its release is finished: selected by operators who name
+    /// no night.
+    pub(super) latest_nights: BTreeMap<String, String>,
+    next_round_at: Micros,
+    /// Outcomes of members that matter, as read or watched since the epoch began.
+    member_outcomes: BTreeMap<String, CensusJobState>,
     census: Option<(Census, Micros)>,
-    census_busy: bool,
-    census_retry: Micros,
-    census_took: Micros,
-    /// Records that a census is wanted for, by head; filled anew in each round.
-    wanted: BTreeSet<String>,
-    /// The latest whole census of each record, with when it began.
-    found: BTreeMap<String, (Micros, Members)>,
-    /// Live members whose ends matter: a watch tells of them, and those in `unread` are read.
-    awaited: BTreeSet<String>,
-    unread: BTreeSet<String>,
-    /// Records of jobs that no census could read.
-    unreadable: Vec<String>,
-    next_keep: Micros,
-    used: BTreeMap<Key, Micros>,
+    census_request_in_flight: bool,
+    census_retry_at: Micros,
+    last_census_duration: Micros,
+    /// Head keys of the records that need a census; rebuilt in each round.
+    census_wanted: BTreeSet<String>,
+    /// The latest complete census of each record, and when it began.
+    census_results: BTreeMap<String, (Micros, CensusMembers)>,
+    /// Live members whose outcomes matter: the watch reports them, and those in `unread_members` are read.
+    awaited_members: BTreeSet<String>,
+    unread_members: BTreeSet<String>,
+    /// Jobs whose records the last census could not read.
+    unreadable_jobs: Vec<String>,
+    next_cleanup_at: Micros,
+    last_used_at: BTreeMap<Key, Micros>,
 }
 
 impl Controller {
-    /// A new epoch: what rests on the order of readings within the last one is begun anew. Records stay as read: they
-    /// only go forward, and every change is conditional on what is held.
+    /// Restarts everything that relies on the order of reads within an epoch. Cached records are kept:
+    /// their versions only grow, and every change is conditional on the cached version.
     pub(super) fn restart_coordination(&mut self) {
         let records = &mut self.coordination;
-        (records.census, records.census_busy, records.listing) = (None, false, false);
-        (records.listed, records.next_list) = (None, Micros(0));
-        records.listed_after.clear();
-        records.ends.clear();
-        records.found.clear();
-        records.awaited.clear();
-        records.unread.clear();
+        (records.census, records.census_request_in_flight, records.is_list_in_flight) = (None, false, false);
+        (records.last_list_began, records.next_list_at) = (None, Micros(0));
+        records.list_after_key.clear();
+        records.member_outcomes.clear();
+        records.census_results.clear();
+        records.awaited_members.clear();
+        records.unread_members.clear();
         records.changing.clear();
     }
 
-    /// Whether this controller does what a record needs by itself: the leader of the head's key on the ring.
-    pub(super) fn keeps_record(&self, key: &Key) -> bool {
+    /// Whether this controller maintains a record: it is the owner of the head's key on the ring.
+    pub(super) fn is_record_maintainer(&self, key: &Key) -> bool {
         self.membership.ring.owner(&key.head()) == Some(self.settings.me)
     }
 
-    /// Whether coordination records are of any concern here.
-    fn coordination_is_on(&self) -> bool {
-        self.takes_coordination()
-            && (self.releases_on() || self.batches_on() || self.job_shard.held_jobs().next().is_some())
+    /// Whether coordination records matter on this controller.
+    fn is_coordination_enabled(&self) -> bool {
+        self.can_accept_coordination()
+            && (self.has_release_calendar()
+                || self.is_freshness_enabled()
+                || self.job_shard.held_jobs().next().is_some())
     }
 
-    /// What a record says, as far as is known; it is read again while anybody asks.
+    /// The cached record; it is kept up to date while it is used.
     pub(super) fn coordination_record(&mut self, now: Micros, key: &Key) -> CachedRecord {
         self.coordination.records.want(key);
-        self.coordination.used.insert(key.clone(), now);
+        self.coordination.last_used_at.insert(key.clone(), now);
         self.coordination.records.get(key).clone()
     }
 
-    /// What a record says in a reading that began no earlier than `since`; asks for one if there is none.
+    /// The record from a read that began no earlier than `since`; requests one if there is none.
     pub(super) fn coordination_record_since(
         &mut self,
         now: Micros,
         key: &Key,
         since: Micros,
     ) -> Option<CachedRecord> {
-        self.coordination.used.insert(key.clone(), now);
+        self.coordination.last_used_at.insert(key.clone(), now);
         let held = self.coordination.records.get_since(key, since).cloned();
         if held.is_none() {
             self.coordination.records.want_since(key, since);
@@ -185,45 +190,50 @@
         held
     }
 
-    /// The conditions on which a submission may be put on record.
-    pub(super) fn gate_submission(&mut self, now: Micros, id: &str, out: &mut Vec<Effect>) -> JoinDecision {
+    /// Decides whether a submission may be stored, and on which conditions.
+    pub(super) fn decide_submission_join(
+        &mut self,
+        now: Micros,
+        id: &str,
+        out: &mut Vec<Effect>,
+    ) -> JoinDecision {
         if !self
             .user_requests
             .submissions
             .get(id)
             .is_some_and(|submission| submission.spec.has_coordination_record())
         {
-            return JoinDecision::Open(Vec::new());
+            return JoinDecision::Allow(Vec::new());
         }
-        // Guards against an older controller that has joined since the submission came.
-        if !self.takes_coordination() {
-            return JoinDecision::Later("not every controller knows of releases and batches yet".into());
+        // An older controller may have joined since the submission arrived.
+        if !self.can_accept_coordination() {
+            return JoinDecision::Defer("not every controller knows of releases and batches yet".into());
         }
-        let Some(submission) = self.user_requests.submissions.get(id) else { return JoinDecision::Wait };
-        if now.since(submission.came_at) >= PATIENCE {
-            return JoinDecision::Later("a record that it names could not be read or changed in time".into());
+        let Some(submission) = self.user_requests.submissions.get(id) else { return JoinDecision::Pending };
+        if now.since(submission.arrived_at) >= SUBMISSION_TIMEOUT {
+            return JoinDecision::Defer("a record that it names could not be read or changed in time".into());
         }
-        let mut all = Vec::new();
-        for gate in [Controller::release_gate, Controller::batch_gate] {
-            match gate(self, now, id, out) {
-                JoinDecision::Open(conditions) => all.extend(conditions),
-                JoinDecision::Wait => {
-                    self.coordination.waiting.insert(id.to_owned());
-                    return JoinDecision::Wait;
+        let mut conditions = Vec::new();
+        for decide_join in [Controller::decide_release_join, Controller::decide_batch_join] {
+            match decide_join(self, now, id, out) {
+                JoinDecision::Allow(more) => conditions.extend(more),
+                JoinDecision::Pending => {
+                    self.coordination.waiting_submissions.insert(id.to_owned());
+                    return JoinDecision::Pending;
                 }
                 other => return other,
             }
         }
-        JoinDecision::Open(all)
+        JoinDecision::Allow(conditions)
     }
 
-    /// The condition that a job joins a record under, as it was read.
+    /// The condition on which a job joins a record: the record is unchanged since it was read.
     pub(super) fn join_condition(&self, key: &Key) -> (String, u64) {
         (key.head(), self.coordination.records.store_version(key))
     }
 
-    /// A submission met a record that had changed: that says nothing about the job, so it is looked at anew. Says
-    /// whether it is.
+    /// Repeats the decision about a submission if its write failed only because a coordination record had
+    /// changed, which does not affect whether the job can be accepted. Returns whether it does.
     pub(super) fn retry_after_record_change(
         &mut self,
         now: Micros,
@@ -242,30 +252,31 @@
         for key in records {
             self.coordination.records.want_since(&key, now);
         }
-        self.put_on_record(now, id.to_owned(), out);
+        self.write_acceptance(now, id.to_owned(), out);
         true
     }
 
-    /// Reads what is due, does what records need, and goes on with submissions and operators' requests that wait.
+    /// Reads records that are due, does the periodic work on them, and continues waiting submissions and
+    /// operator requests.
     pub(super) fn run_coordination(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let round = now >= self.coordination.next_round;
-        if round {
-            self.coordination.next_round = now + ROUND;
-            self.coordination.wanted.clear();
+        let is_round_due = now >= self.coordination.next_round_at;
+        if is_round_due {
+            self.coordination.next_round_at = now + ROUND_PERIOD;
+            self.coordination.census_wanted.clear();
         }
-        for id in std::mem::take(&mut self.coordination.waiting) {
-            self.put_on_record(now, id, out);
+        for id in std::mem::take(&mut self.coordination.waiting_submissions) {
+            self.write_acceptance(now, id, out);
         }
-        self.operate(now, out);
-        if !self.membership.is_leader(now) || !self.job_shard.loaded || !self.coordination_is_on() {
+        self.continue_operator_requests(now, out);
+        if !self.membership.is_leader(now) || !self.job_shard.loaded || !self.is_coordination_enabled() {
             return;
         }
-        if round {
-            self.coordination.awaited.clear();
-            self.release_loop(now, out);
-            self.batch_loop(now, out);
+        if is_round_due {
+            self.coordination.awaited_members.clear();
+            self.reconcile_releases(now, out);
+            self.request_batch_censuses(now, out);
         }
-        self.batch_now(now, out);
+        self.reconcile_batches(now, out);
         if now < self.state_store.paused_until {
             return;
         }
@@ -275,7 +286,8 @@
         self.read_awaited_members(now, out);
     }
 
-    /// An answer of the state store about a record. What was begun in an epoch that has passed was begun anew since.
+    /// Applies a response of the state store about a record. Responses to listings and censuses of an earlier
+    /// epoch are ignored, since these were restarted.
     pub(super) fn apply_coordination_answer(
         &mut self,
         now: Micros,
@@ -284,43 +296,45 @@
         out: &mut Vec<Effect>,
     ) {
         use PendingRecordRequest::*;
-        let current = self.membership.epoch;
+        let current_epoch = self.membership.epoch;
         match pending {
             Read { key, asked_at } => self.apply_record(now, &key, asked_at, &answer),
-            Heads { epoch, asked_at } if epoch == current => self.apply_head_list(now, asked_at, answer),
-            Census { epoch } if epoch == current => self.apply_census_page(now, answer),
-            Member { epoch, job } if epoch == current => self.apply_member_record(job, &answer),
+            Heads { epoch, asked_at } if epoch == current_epoch => {
+                self.apply_head_list(now, asked_at, answer)
+            }
+            Census { epoch } if epoch == current_epoch => self.apply_census_page(now, answer),
+            Member { epoch, job } if epoch == current_epoch => self.apply_member_record(job, &answer),
             Heads { .. } | Census { .. } | Member { .. } => {}
-            Members { key, version, page } => self.members_page(now, key, version, page, answer),
+            Members { key, version, page } => self.apply_members_page(now, key, version, page, answer),
             Page(change) => self.apply_written_page(now, change, answer, out),
             Change(change) => self.apply_change(now, *change, answer, out),
         }
     }
 
-    /// How coordination records stand, for operators.
+    /// The state of coordination records, for operators.
     pub(super) fn coordination_status(&self) -> Value {
         let held: Vec<Value> = self
             .job_shard
             .held_jobs()
-            .take(SHOWN)
-            .map(|(id, _, h)| json!({"job": id, "why": h.why()}))
+            .take(MAX_STATUS_ROWS)
+            .map(|(id, _, hold)| json!({"job": id, "why": hold.why()}))
             .collect();
         let unreadable: Vec<String> = self
             .coordination
             .records
             .iter()
-            .filter(|(_, h)| matches!(h, CachedRecord::Unreadable(_)))
-            .map(|(k, _)| k.head())
+            .filter(|(_, cached)| matches!(cached, CachedRecord::Unreadable(_)))
+            .map(|(key, _)| key.head())
             .collect();
         json!({
-            "takes": self.takes_coordination(),
-            "records": self.coordination.records.iter().filter(|(_, h)| matches!(h, CachedRecord::Present(_))).count(),
+            "takes": self.can_accept_coordination(),
+            "records": self.coordination.records.iter().filter(|(_, cached)| matches!(cached, CachedRecord::Present(_))).count(),
             "jobs_held": self.job_shard.held_jobs().count(),
             "held": held,
             "unreadable": unreadable,
-            "jobs_unreadable": self.coordination.unreadable,
+            "jobs_unreadable": self.coordination.unreadable_jobs,
             "census_under_way": self.coordination.census.is_some(),
-            "members_awaited": self.coordination.awaited.len(),
+            "members_awaited": self.coordination.awaited_members.len(),
             "releases": self.release_status(),
         })
     }
--- a/src/controller/coordination/changes.rs
+++ b/src/controller/coordination/changes.rs
@@ -1,22 +1,24 @@
-//! Changing coordination records, on condition of the epoch and of the record as last read.
+//! Changes coordination records, conditional on the epoch and on the record as last read.
 
 use super::*;
 
 impl Controller {
-    /// ReplicationDelta a record, on condition of the epoch and of the record as last read. Returns whether the change is
-    /// under way; what becomes of it is seen in the record. `then` is told to an operator once it is on record.
+    /// Changes a record, conditional on the epoch and on the record as last read. Returns whether the change
+    /// was started; the record shows its outcome. `reply_when_stored` is the operator request to answer once
+    /// the change is stored, and the answer.
     pub(in crate::controller) fn change_record(
         &mut self,
         now: Micros,
         key: &Key,
         next: CoordinationRecord,
         pages: Vec<(String, Value)>,
-        then: Option<(u64, Reply)>,
+        reply_when_stored: Option<(u64, Reply)>,
         out: &mut Vec<Effect>,
     ) -> bool {
-        // A reading under way may bring what makes the change wrong, but its version then fails the condition.
+        // A read in flight may invalidate the change, but the version that it finds then fails the
+        // condition.
         let allowed = match self.coordination.records.get(key) {
-            CachedRecord::Present(r) => r.allows(&next).is_ok(),
+            CachedRecord::Present(record) => record.allows(&next).is_ok(),
             CachedRecord::Absent => true,
             CachedRecord::NotRead | CachedRecord::Unreadable(_) => false,
         };
@@ -33,24 +35,25 @@
             return false;
         }
         self.coordination.changing.insert(key.clone());
-        self.coordination.replying.extend(then.as_ref().map(|(ticket, _)| *ticket));
+        self.coordination.answered_by_change.extend(reply_when_stored.as_ref().map(|(ticket, _)| *ticket));
         let store_version = self.coordination.records.store_version(key);
         let pages = pages.into_iter().rev().collect();
         let epoch = self.membership.epoch;
-        let change = Change { key: key.clone(), epoch, store_version, next, pages, sent_at: now, then };
+        let change =
+            Change { key: key.clone(), epoch, store_version, next, pages, sent_at: now, reply_when_stored };
         self.continue_change(Box::new(change), out);
         true
     }
 
-    /// Writes the next page of a change, or its head when all pages are on record. Pages are conditional on the head too:
-    /// one that is written late changes nothing that was decided.
+    /// Writes the next page of a change, or its head once all pages are stored. Pages are conditional on the
+    /// head's version too, so that a late write of a page can't alter an earlier decision.
     pub(super) fn continue_change(&mut self, mut change: Box<Change>, out: &mut Vec<Effect>) {
-        let conditions = vec![self.fence(), (change.key.head(), change.store_version)];
+        let conditions = vec![self.fencing_condition(), (change.key.head(), change.store_version)];
         let mut transaction = Transaction { conditions, ..Transaction::default() };
         match change.pages.pop() {
             Some((key, page)) => {
                 transaction.puts.push((key, page, None));
-                self.ask_store(
+                self.send_store_request(
                     PendingStoreRequest::Coordination(PendingRecordRequest::Page(change)),
                     StoreRequest::Transaction(transaction),
                     out,
@@ -58,7 +61,7 @@
             }
             None => {
                 transaction.puts.push((change.key.head(), change.next.value(), None));
-                self.ask_store(
+                self.send_store_request(
                     PendingStoreRequest::Coordination(PendingRecordRequest::Change(change)),
                     StoreRequest::Transaction(transaction),
                     out,
@@ -86,14 +89,14 @@
                     change.next,
                     store_version,
                 );
-                if let Some((ticket, reply)) = change.then {
+                if let Some((ticket, reply)) = change.reply_when_stored {
                     out.push(Effect::Reply { ticket, reply });
                 }
             }
             answer => {
-                // It may have been carried out: the record tells.
+                // The change may have been applied; reading the record shows it.
                 self.coordination.records.want_since(&change.key, now);
-                if let Some((ticket, _)) = change.then {
+                if let Some((ticket, _)) = change.reply_when_stored {
                     let why = match answer {
                         StoreAnswer::Conflict(_) => "the record has changed meanwhile: ask again",
                         _ => "the change could not be put on record: ask again",
@@ -104,7 +107,7 @@
         }
     }
 
-    /// A page is on record, or not: then the change is over.
+    /// Applies the result of writing a page: continues the change, or ends it after a failure.
     pub(super) fn apply_written_page(
         &mut self,
         now: Micros,
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Whether a change of a record is under way here.
+    /// Whether this controller is changing a record.
     pub(in crate::controller) fn is_record_changing(&self, key: &Key) -> bool {
         self.coordination.changing.contains(key)
     }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -1,53 +1,56 @@
-//! Jobs that wait for others: watching for the ends of the jobs they follow, and handing priorities on to those.
+//! Jobs that follow others: watching the outcomes of the jobs that they follow, and passing on their
+//! priorities.
 //!
-//! [`Dependencies`] owns how far ends have been watched; which jobs wait is the job shard's. A job is never let go on
-//! anything but a final record.
+//! [`Dependencies`] owns the state of the watch; the job shard owns the waiting jobs. A waiting job is
+//! released only by a final record.
 
 use super::*;
 use crate::wire::users;
 
-/// How long a watch stays open. One whose answer is lost on the way costs that much and a little more.
-const WATCH: Micros = Micros::from_millis(2_000);
-/// A request that failed is repeated after so long.
-const RETRY: Micros = Micros::from_millis(300);
-/// A final record that can't be read is read again after so long.
-const RETRY_UNREADABLE: Micros = Micros::from_millis(5000);
-/// Ids remembered as accepted, so that a retry that follows a refusal gets further than it did.
-const KNOWN: usize = 5000;
-/// Most jobs that one may name: as many as can be looked up while a user goes on trying.
-pub(super) const MOST_DEPENDENCIES: usize = 250;
+/// How long the store keeps a watch open. A watch whose response is lost costs this time and a little more.
+const WATCH_DURATION: Micros = Micros::from_millis(2_000);
+/// Delay before a failed request is retried.
+const RETRY_DELAY: Micros = Micros::from_millis(300);
+/// Delay before an unreadable final record is read again.
+const UNREADABLE_RETRY_DELAY: Micros = Micros::from_millis(5000);
+/// Number of jobs remembered as accepted, so that each retry of a rejected submission has fewer left to look
+/// up.
+const MAX_KNOWN_JOBS: usize = 5000;
+/// Maximum number of jobs that a job may follow: as many as can be looked up while a user keeps retrying.
+pub(super) const MAX_DEPENDENCIES: usize = 250;
 
-/// How far the ends of jobs have been watched.
+/// The state of the watch on outcomes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum Watch {
-    /// Nothing waits.
+    /// No outcome is awaited.
     #[default]
     Off,
-    /// The store is asked for its revision.
+    /// The store's current revision has been requested.
     Starting,
-    /// All changes up to this revision have been seen; `waiting`: the store is asked for the next.
-    At { revision: u64, waiting: bool },
+    /// All changes up to this revision have been seen; `request_in_flight`: the store has been asked for the
+    /// next ones.
+    At { revision: u64, request_in_flight: bool },
 }
 
-/// What this controller knows beside its waiting jobs.
+/// The state of dependencies, apart from the waiting jobs.
 #[derive(Default)]
 pub(super) struct Dependencies {
     watch: Watch,
     retry_at: Micros,
-    /// Jobs that were found to be accepted and no services.
+    /// Jobs that are known to have been accepted and not to be services.
     known: BTreeSet<String>,
-    /// Controllers that were last sent a list of priorities that is not empty.
-    inheritors: BTreeSet<usize>,
+    /// Controllers whose last list of priorities was not empty.
+    priority_receivers: BTreeSet<usize>,
 }
 
 impl Dependencies {
-    /// Whether ends are told of from here on.
+    /// Whether the watch reports all outcomes from now on.
     pub(super) fn is_watching(&self) -> bool {
         matches!(self.watch, Watch::At { .. })
     }
 
     fn note_known(&mut self, id: &str) {
-        if self.known.len() >= KNOWN {
+        if self.known.len() >= MAX_KNOWN_JOBS {
             self.known.clear();
         }
         self.known.insert(id.to_owned());
@@ -55,22 +58,22 @@
 }
 
 impl Controller {
-    /// Tells the leaders of jobs that others follow how urgent those are that wait for them: the whole list, so
-    /// that a lost message heals. Called once in a digest period.
+    /// Sends the leaders of followed jobs the priorities of the jobs that wait for them. The list is always
+    /// complete, so that a lost message is made up for by the next one. Called once per digest period.
     pub(super) fn send_inherited_priorities(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for peer in self.membership.members.clone() {
-            if !self.reads_dependencies(peer) {
-                self.dependencies.inheritors.remove(&peer);
+            if !self.can_read_dependencies(peer) {
+                self.dependencies.priority_receivers.remove(&peer);
                 continue;
             }
             let priorities = self.job_shard.priorities_needed_of(peer, &self.membership);
             if priorities.is_empty() {
-                // The empty list is sent once: it takes back what was sent before.
-                if !self.dependencies.inheritors.remove(&peer) {
+                // An empty list is sent once, to revoke the previous one.
+                if !self.dependencies.priority_receivers.remove(&peer) {
                     continue;
                 }
             } else {
-                self.dependencies.inheritors.insert(peer);
+                self.dependencies.priority_receivers.insert(peer);
             }
             if peer == self.settings.me {
                 self.job_shard.apply_needed_priorities(peer, priorities);
@@ -80,22 +83,24 @@
         }
     }
 
-    /// Whether anything here waits for an end.
-    fn awaits_outcomes(&self) -> bool {
-        self.job_shard.awaits_ends() || self.awaits_members() || self.batches_watch()
+    /// Whether any outcome is awaited.
+    fn has_awaited_outcomes(&self) -> bool {
+        self.job_shard.awaits_ends() || self.has_awaited_members() || self.has_merges_awaiting_runs()
     }
 
-    /// Watches for the ends of jobs that others wait for, and reads those that no watch tells of.
+    /// Watches the outcomes of jobs that others follow, and reads those that the watch does not report.
     pub(super) fn watch_outcomes(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if now < self.dependencies.retry_at || now < self.state_store.paused_until {
             return;
         }
         match self.dependencies.watch {
-            Watch::Off if self.awaits_outcomes() && self.state_store.request_limiter.take(now, 1.0, 0.1) => {
+            Watch::Off
+                if self.has_awaited_outcomes() && self.state_store.request_limiter.take(now, 1.0, 0.1) =>
+            {
                 self.dependencies.watch = Watch::Starting;
-                self.ask_store(PendingStoreRequest::ReadRevision, StoreRequest::Revision, out);
+                self.send_store_request(PendingStoreRequest::ReadRevision, StoreRequest::Revision, out);
             }
-            Watch::At { revision, waiting: false } => self.extend_watch(now, revision, out),
+            Watch::At { revision, request_in_flight: false } => self.extend_watch(now, revision, out),
             _ => {}
         }
         if self.dependencies.is_watching() {
@@ -104,63 +109,63 @@
     }
 
     fn extend_watch(&mut self, now: Micros, revision: u64, out: &mut Vec<Effect>) {
-        if !self.awaits_outcomes() {
+        if !self.has_awaited_outcomes() {
             self.dependencies.watch = Watch::Off;
         } else if self.state_store.request_limiter.take(now, 1.0, 0.1) {
-            self.dependencies.watch = Watch::At { revision, waiting: true };
-            let watch = StoreRequest::Watch("done/".into(), revision, WATCH);
-            self.ask_store(PendingStoreRequest::WatchOutcomes, watch, out);
+            self.dependencies.watch = Watch::At { revision, request_in_flight: true };
+            let watch = StoreRequest::Watch("done/".into(), revision, WATCH_DURATION);
+            self.send_store_request(PendingStoreRequest::WatchOutcomes, watch, out);
         }
     }
 
     fn read_outcomes(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        while self.state_store.in_flight.len() < IN_FLIGHT
+        while self.state_store.in_flight.len() < MAX_IN_FLIGHT
             && self.state_store.request_limiter.level(now) >= 0.2
         {
             let Some(job) = self.job_shard.next_unread_prerequisite() else { break };
             self.state_store.request_limiter.take(now, 1.0, 0.0);
             let read = StoreRequest::Get(format!("done/{job}"));
-            self.ask_store(PendingStoreRequest::ReadOutcome { job }, read, out);
+            self.send_store_request(PendingStoreRequest::ReadOutcome { job }, read, out);
         }
     }
 
-    /// The watch, or the question that it begins with, is answered.
+    /// Applies the response to the watch, or to the request for the store's revision before it.
     pub(super) fn apply_watch_answer(&mut self, now: Micros, answer: StoreAnswer) {
         match (self.dependencies.watch, answer) {
             (Watch::Starting, StoreAnswer::At(revision)) => {
-                // Whatever ended before this must be read; whatever ends later will be told.
+                // Outcomes stored before this revision must be read; the watch reports later ones.
                 self.job_shard.reread_prerequisites();
                 self.reread_awaited_members();
-                self.batches_unwatched(now);
-                self.dependencies.watch = Watch::At { revision, waiting: false };
+                self.note_run_watch_started(now);
+                self.dependencies.watch = Watch::At { revision, request_in_flight: false };
             }
             (Watch::At { revision, .. }, StoreAnswer::Changes(newest, written)) => {
                 let revision = revision.max(newest);
-                self.dependencies.watch = Watch::At { revision, waiting: false };
-                self.take_watched_outcomes(now, &written);
+                self.dependencies.watch = Watch::At { revision, request_in_flight: false };
+                self.apply_watched_outcomes(now, &written);
             }
             (Watch::At { revision, .. }, answer) if answer != StoreAnswer::TooOld => {
-                self.dependencies.retry_at = now + RETRY;
-                self.dependencies.watch = Watch::At { revision, waiting: false };
+                self.dependencies.retry_at = now + RETRY_DELAY;
+                self.dependencies.watch = Watch::At { revision, request_in_flight: false };
             }
             _ => {
-                self.dependencies.retry_at = now + RETRY;
+                self.dependencies.retry_at = now + RETRY_DELAY;
                 self.dependencies.watch = Watch::Off;
             }
         }
     }
 
-    fn take_watched_outcomes(&mut self, now: Micros, written: &[(String, Value)]) {
+    fn apply_watched_outcomes(&mut self, now: Micros, written: &[(String, Value)]) {
         for (key, value) in written {
             let Some(job) = key.strip_prefix("done/") else { continue };
-            self.run_ended(job, value);
-            if self.job_shard.is_awaited(job) || self.awaits_member(job) {
-                self.take_outcome(now, job, value);
+            self.apply_run_outcome(job, value);
+            if self.job_shard.is_awaited(job) || self.is_awaited_member(job) {
+                self.apply_outcome(now, job, value);
             }
         }
     }
 
-    fn take_outcome(&mut self, now: Micros, job: &str, value: &Value) {
+    fn apply_outcome(&mut self, now: Micros, job: &str, value: &Value) {
         match read_end(value) {
             Some((outcome, _)) => {
                 self.job_shard.note_time(self.rounds.wall);
@@ -170,31 +175,31 @@
             None => {
                 tracing::error!(job = %job, "unreadable final record");
                 self.job_shard.retry_prerequisite_read(job);
-                self.dependencies.retry_at = now + RETRY_UNREADABLE;
+                self.dependencies.retry_at = now + UNREADABLE_RETRY_DELAY;
             }
         }
     }
 
-    /// The final record of a job that others follow was read, or it has none yet.
+    /// Applies the final record of a job that others follow, if it has one.
     pub(super) fn apply_dependency_outcome(&mut self, now: Micros, job: &str, answer: StoreAnswer) {
         match answer {
-            StoreAnswer::Got(Some(row)) => self.take_outcome(now, job, &row.value),
+            StoreAnswer::Got(Some(row)) => self.apply_outcome(now, job, &row.value),
             StoreAnswer::Got(None) => {}
             _ => {
                 self.job_shard.retry_prerequisite_read(job);
-                self.dependencies.retry_at = now + RETRY;
+                self.dependencies.retry_at = now + RETRY_DELAY;
             }
         }
     }
 
-    /// Whether a job is known to have been accepted, and to be no service.
+    /// Whether a job is known to have been accepted and not to be a service.
     fn is_known_dependency(&self, id: &str) -> bool {
         self.job_shard.jobs.get(id).is_some_and(|job| job.spec.kind != JobKind::Service)
             || self.job_shard.outcome_of(id).is_some()
             || self.dependencies.known.contains(id)
     }
 
-    /// Begins to look up the jobs that a submission names. Says why it can't be taken, if so.
+    /// Begins to look up the jobs that a submission follows. Returns a reply if it can't be accepted for now.
     pub(super) fn begin_dependency_check(
         &mut self,
         now: Micros,
@@ -204,8 +209,8 @@
     ) -> Result<BTreeSet<String>, Reply> {
         let unknown: BTreeSet<String> =
             spec.follows.iter().filter(|job| !self.is_known_dependency(job)).cloned().collect();
-        // A long list must not use up what leases and releases need: as many are looked up as the budget
-        // allows. They are remembered, so that each retry gets further.
+        // A long list must not use up the request budget that leases and releases need: only as many jobs are
+        // looked up as the budget allows. They are remembered, so that each retry gets further.
         for dependency in &unknown {
             if !self.state_store.request_limiter.take(now, 1.0, 0.3) {
                 return Err(Reply::later("some of the jobs that it follows are still to be looked up"));
@@ -213,13 +218,13 @@
             let read = StoreRequest::Get(format!("job/{dependency}"));
             let dependency = dependency.clone();
             let pending = PendingStoreRequest::CheckDependency { job: id.to_owned(), dependency };
-            self.ask_store(pending, read, out);
+            self.send_store_request(pending, read, out);
         }
         Ok(unknown)
     }
 
-    /// The store was asked for the live record of a job that a submission names. Its final record is read after that: in
-    /// this order, since a job may end between the two.
+    /// Applies the live record of a job that a submission follows. If there is none, the final record is
+    /// read, in this order because the job may end between the two reads.
     pub(super) fn apply_dependency_check(
         &mut self,
         now: Micros,
@@ -228,12 +233,12 @@
         answer: StoreAnswer,
         out: &mut Vec<Effect>,
     ) {
-        let StoreAnswer::Got(found) = answer else { return self.give_up_unread(now, &job, out) };
+        let StoreAnswer::Got(found) = answer else { return self.fail_unread_dependency(now, &job, out) };
         let Some(row) = found else {
             let read = StoreRequest::Get(format!("done/{dependency}"));
             self.state_store.request_limiter.take(now, 1.0, 0.0);
             let pending = PendingStoreRequest::CheckDependencyOutcome { job, dependency };
-            return self.ask_store(pending, read, out);
+            return self.send_store_request(pending, read, out);
         };
         if row.value.get("spec").is_some_and(users::is_service) {
             let why = format!("follows: {dependency} is a service, which is never done");
@@ -242,7 +247,7 @@
         self.note_dependency(now, job, &dependency, out);
     }
 
-    /// The store was asked for the final record of a job that a submission names and that has no live one.
+    /// Applies the final record of a job that a submission follows and that has no live record.
     pub(super) fn apply_dependency_outcome_check(
         &mut self,
         now: Micros,
@@ -257,22 +262,22 @@
                 let why = format!("follows: {dependency} was never accepted");
                 self.reject_submission(job, why, out);
             }
-            _ => self.give_up_unread(now, &job, out),
+            _ => self.fail_unread_dependency(now, &job, out),
         }
     }
 
-    fn give_up_unread(&mut self, now: Micros, job: &str, out: &mut Vec<Effect>) {
+    fn fail_unread_dependency(&mut self, now: Micros, job: &str, out: &mut Vec<Effect>) {
         let reply = Reply::later("a job that it follows could not be read");
-        self.give_up_submission(now, job, &reply, out);
+        self.fail_submission(now, job, &reply, out);
     }
 
-    /// A job that a submission names is on record: when all are, the submission is put on record too.
+    /// Notes that a job that a submission follows has a record; when all have one, the submission is stored.
     fn note_dependency(&mut self, now: Micros, job: String, dependency: &str, out: &mut Vec<Effect>) {
         self.dependencies.note_known(dependency);
         let Some(submission) = self.user_requests.submissions.get_mut(&job) else { return };
         let unchecked = &mut submission.unchecked_dependencies;
         if unchecked.remove(dependency) && unchecked.is_empty() {
-            self.put_on_record(now, job, out);
+            self.write_acceptance(now, job, out);
         }
     }
 }
--- a/src/controller/fencing_probe.rs
+++ b/src/controller/fencing_probe.rs
@@ -1,13 +1,13 @@
-//! After an epoch has been adopted, machines that have yet to show its fencing token are asked directly.
+//! After an epoch change, sends the fencing token directly to the machines that have not confirmed it yet.
 
 use super::*;
 
-/// Machines asked at a time.
-const BATCH: usize = 40;
-/// Until so long after adopting an epoch. Later only machines that have just come up are unconfirmed; they send two
-/// heartbeats within a second by themselves.
+/// Machines probed at a time.
+const PROBE_BATCH_SIZE: usize = 40;
+/// Probing stops this long after the epoch was adopted. Machines that are unconfirmed later have just
+/// started, and send two heartbeats within a second without being probed.
 const PROBE_WINDOW: Micros = Micros::from_millis(12_000);
-/// What the former leaders hand off comes first.
+/// Delay after the adoption, so that the hand-off of the former leaders arrives first.
 const HANDOFF_GRACE: Micros = Micros::from_millis(250);
 const PROBE_PERIOD: Micros = Micros::from_millis(100);
 
@@ -28,13 +28,13 @@
             return;
         }
         self.fencing_probes.next_at = now + PROBE_PERIOD;
-        let probes = self.machine_shard.take_due_probes(now, BATCH);
+        let probes = self.machine_shard.take_due_probes(now, PROBE_BATCH_SIZE);
         if !probes.is_empty() {
             out.push(Effect::FencingProbe { epoch: self.membership.epoch, probes });
         }
     }
 
-    /// A machine has answered.
+    /// Applies a machine's response to a probe.
     pub(super) fn apply_fencing_probe_answer(&mut self, now: Micros, heartbeat: &Heartbeat) {
         if self.machine_shard.apply_probe_answer(now, &self.membership, heartbeat) == HeartbeatOutcome::Fenced
         {
--- a/src/controller/flap_damping/tests.rs
+++ b/src/controller/flap_damping/tests.rs
@@ -1,4 +1,4 @@
-//! How long a controller that comes and goes is kept out of the ring.
+//! Tests of the time for which a flapping controller is kept out of the ring.
 
 use super::*;
 
@@ -11,8 +11,8 @@
 }
 
 #[test]
-fn pauses_grow_with_each_join_and_are_forgotten() {
-    let (s, mut damping) = (settings(), FlapDamping::default());
+fn pause_grows_with_each_join_and_expires() {
+    let (settings, mut damping) = (settings(), FlapDamping::default());
     let wall = |secs: u64| Micros(1_000_000_000_000 + secs * 1_000_000);
     let mut record = json!({});
     let mut old = EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] };
@@ -20,17 +20,21 @@
     for boot in 0..8 {
         let mut next = old.clone();
         next.members = vec![("c0".into(), 1), ("c1".into(), boot)];
-        pauses.push(damping.pause(&s, wall(boot)).0 / 1_000_000);
-        damping.write(&s, wall(boot), &old, &next, &mut record);
+        pauses.push(damping.pause(&settings, wall(boot)).0 / 1_000_000);
+        damping.write(&settings, wall(boot), &old, &next, &mut record);
         damping.read(&record);
         old = next;
     }
     assert_eq!(pauses, [0, 0, 0, 6, 12, 24, 48, 60]);
-    assert_eq!(damping.pause(&s, wall(80)), Micros(0));
-    assert_eq!(damping.pause(&s, wall(0).since(wall(0) + Micros(1))), Micros(0), "a clock that was set back");
-    // Who stays is not named again, and a list that can't be read holds nobody back.
-    damping.write(&s, wall(8), &old, &old, &mut record);
-    assert_eq!(record[KEY].as_array().map(Vec::len), Some(8));
+    assert_eq!(damping.pause(&settings, wall(80)), Micros(0));
+    assert_eq!(
+        damping.pause(&settings, wall(0).since(wall(0) + Micros(1))),
+        Micros(0),
+        "a clock that was set back"
+    );
+    // A controller that remains a member is not added again, and an unreadable list holds no controller back.
+    damping.write(&settings, wall(8), &old, &old, &mut record);
+    assert_eq!(record[JOINS_KEY].as_array().map(Vec::len), Some(8));
     damping.read(&json!({"came": 7}));
-    assert_eq!(damping.pause(&s, wall(8)), Micros(0));
+    assert_eq!(damping.pause(&settings, wall(8)), Micros(0));
 }
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -1,147 +1,158 @@
-//! Who may write: a permit of the batch's version, on record, given from a record that was read after the question came.
+//! Permits to write: a permit is for a version of the batch, is stored, and is granted from a record that was
+//! read after the request arrived.
 
 use super::*;
 
-fn told(l: &UpstreamFindings) -> Value {
-    let old = l.old.iter().map(|o| {
+fn stale_inputs_json(findings: &UpstreamFindings) -> Value {
+    let stale_runs = findings.old.iter().map(|run| {
         json!({
-            "job": o.job,
-            "class": o.class,
-            "batch": o.read.as_ref().map(|r| &r.name),
-            "version": o.read.as_ref().map(|r| r.version),
+            "job": run.job,
+            "class": run.class,
+            "batch": run.read.as_ref().map(|read| &read.name),
+            "version": run.read.as_ref().map(|read| read.version),
         })
     });
-    json!({"old": old.collect::<Vec<_>>(), "missing": l.missing})
+    json!({"old": stale_runs.collect::<Vec<_>>(), "missing": findings.missing})
 }
 
 impl Controller {
-    /// A merge asks whether it may write; its job is ours to answer for. None: answered later.
-    pub(in crate::controller) fn permit(
+    /// Handles a merge's request for a permit to write; this controller leads its job. None: the answer is
+    /// sent later.
+    pub(in crate::controller) fn handle_permit_request(
         &mut self,
         now: Micros,
-        from: Caller,
+        caller: Caller,
         id: &str,
         attempt: u64,
         task: u32,
         _out: &mut Vec<Effect>,
     ) -> Option<Reply> {
-        if !self.batches_on() {
+        if !self.is_freshness_enabled() {
             return Some(Reply::error(404, "batches are not switched on here"));
         }
-        let j = self.job_shard.jobs.get(id)?;
-        if j.spec.merges.is_none() {
+        let job = self.job_shard.jobs.get(id)?;
+        if job.spec.merges.is_none() {
             return Some(Reply::error(409, "the job names no batch that it merges"));
         }
-        if task >= j.spec.tasks {
+        if task >= job.spec.tasks {
             return Some(Reply::error(404, "no such task"));
         }
-        if self.freshness.asking.len() >= ASKING {
+        if self.freshness.permit_requests.len() >= MAX_PERMIT_REQUESTS {
             return Some(Reply::later("overloaded"));
         }
         let job = id.to_owned();
-        self.freshness.asking.push(Asking { from, job, attempt, task, came: now });
+        self.freshness.permit_requests.push(PermitRequest { caller, job, attempt, task, received_at: now });
         None
     }
 
-    pub(super) fn answer_writers(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        for a in std::mem::take(&mut self.freshness.asking) {
-            let reply = if now.since(a.came) >= PATIENCE {
+    pub(super) fn answer_permit_requests(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        for request in std::mem::take(&mut self.freshness.permit_requests) {
+            let reply = if now.since(request.received_at) >= PERMIT_REQUEST_TIMEOUT {
                 Some(Reply::later("the batch's record could not be read or changed in time"))
             } else {
-                self.answer_writer(now, &a, out)
+                self.decide_permit_request(now, &request, out)
             };
             match reply {
-                Some(r) => {
-                    match r.status {
+                Some(reply) => {
+                    match reply.status {
                         200 => self.freshness.counts.permits += 1,
                         409 => self.freshness.counts.refused += 1,
                         _ => {}
                     }
-                    self.reply(now, a.from, r, out);
+                    self.reply(now, request.caller, reply, out);
                 }
-                None => self.freshness.asking.push(a),
+                None => self.freshness.permit_requests.push(request),
             }
         }
     }
 
-    /// The answer to a writer, from a record that was read after its question came; None: not yet.
-    fn answer_writer(&mut self, now: Micros, a: &Asking, out: &mut Vec<Effect>) -> Option<Reply> {
-        if !self.answers_for(now, &a.job) {
+    /// The answer to a writer, from a record that was read after its request arrived; None: not yet.
+    fn decide_permit_request(
+        &mut self,
+        now: Micros,
+        request: &PermitRequest,
+        out: &mut Vec<Effect>,
+    ) -> Option<Reply> {
+        if !self.can_answer_for(now, &request.job) {
             return Some(Reply::later("taking over"));
         }
-        let Some(j) = self.job_shard.jobs.get(&a.job).filter(|j| j.pending_outcome.is_none()) else {
+        let Some(job) = self.job_shard.jobs.get(&request.job).filter(|job| job.pending_outcome.is_none())
+        else {
             return Some(Reply::error(409, "the job has ended"));
         };
-        let task = (j.spec.kind != JobKind::Gang).then_some(a.task);
-        let standing = self.job_shard.attempt_status(&a.job, task, a.attempt);
-        match standing {
+        let task = (job.spec.kind != JobKind::Gang).then_some(request.task);
+        let attempt_status = self.job_shard.attempt_status(&request.job, task, request.attempt);
+        match attempt_status {
             AttemptStatus::Over => return Some(Reply::error(409, "no such attempt runs")),
             AttemptStatus::Unknown => return Some(Reply::later("taking over")),
             AttemptStatus::Stands | AttemptStatus::Stopping => {}
         }
-        let (key, merge) = self.merge_of(&a.job)?;
-        let held = self.coordination_record_since(now, &key, a.came)?;
-        let verdict = self.verdict(&held, &merge, &key);
-        let writer = Writer { job: a.job.clone(), attempt: a.attempt, task };
-        // What has ended makes room for what begins.
-        let known = match &held {
-            CachedRecord::Present(r) => {
-                Batch::read(r).ok().and_then(|b| b.release_permits(|p| self.permit_over(p)))
-            }
+        let (key, merge) = self.find_merge(&request.job)?;
+        let cached = self.coordination_record_since(now, &key, request.received_at)?;
+        let verdict = self.assess_merge(&cached, &merge, &key);
+        let writer = Writer { job: request.job.clone(), attempt: request.attempt, task };
+        // Permits of ended attempts make room for new ones.
+        let pruned_batch = match &cached {
+            CachedRecord::Present(record) => Batch::read(record)
+                .ok()
+                .and_then(|batch| batch.release_permits(|permit| self.has_permit_attempt_ended(permit))),
             _ => None,
         };
-        let held = known.map_or(held, |b| CachedRecord::Present(b.record()));
-        match guard::decide_permit(&verdict, &held, &writer, self.settings.value_bytes) {
-            PermitAnswer::AlreadyHeld(p) => {
+        let cached = pruned_batch.map_or(cached, |batch| CachedRecord::Present(batch.record()));
+        match guard::decide_permit(&verdict, &cached, &writer, self.settings.value_bytes) {
+            PermitAnswer::AlreadyHeld(permit) => {
                 let batch = merge.of.name;
-                Some(Reply::json(200, &json!({"batch": batch, "version": p.version, "fence": p.fence})))
+                Some(Reply::json(
+                    200,
+                    &json!({"batch": batch, "version": permit.version, "fence": permit.fence}),
+                ))
             }
-            PermitAnswer::Record(..) if standing == AttemptStatus::Stopping => {
+            PermitAnswer::Record(..) if attempt_status == AttemptStatus::Stopping => {
                 Some(Reply::error(409, "the attempt is being stopped"))
             }
-            PermitAnswer::Record(next, p) => {
+            PermitAnswer::Record(next, permit) => {
                 if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
                     tracing::info!(
-                        job = %a.job,
-                        attempt = a.attempt,
-                        task = a.task,
+                        job = %request.job,
+                        attempt = request.attempt,
+                        task = request.task,
                         batch = %key.name(),
-                        version = p.version,
-                        fence = p.fence,
-                        "permit to write"
+                        version = permit.version,
+                        fence = permit.fence,
+                        "permit granted"
                     );
                 }
                 None
             }
-            PermitAnswer::Stale(..) if !self.runs_known(&key) => {
-                self.mark_stale(now, &a.job, &key);
+            PermitAnswer::Stale(..) if !self.has_all_runs(&key) => {
+                self.mark_stale(now, &request.job, &key);
                 None
             }
-            PermitAnswer::Stale(version, look) => {
+            PermitAnswer::Stale(version, findings) => {
                 tracing::info!(
-                    job = %a.job,
-                    attempt = a.attempt,
+                    job = %request.job,
+                    attempt = request.attempt,
                     reason = %verdict.reason(),
                     "permit refused"
                 );
-                let mut body = told(&look);
+                let mut body = stale_inputs_json(&findings);
                 body["error"] = verdict.reason().into();
                 body["batch"] = merge.of.name.into();
                 body["version"] = version.into();
-                self.freshness.next = Micros(0);
+                self.freshness.next_check_at = Micros(0);
                 Some(Reply::json(409, &body))
             }
             PermitAnswer::Superseded => Some(Reply::error(409, "a newer attempt of the task writes")),
-            // Records are still being read: within its patience.
+            // Records are still being read; the request waits until its timeout.
             PermitAnswer::Retry(_) => None,
         }
     }
 
-    /// Whether a permit's attempt has certainly ended, as far as its job's leader knows; only that one says so.
-    fn permit_over(&self, p: &Permit) -> bool {
+    /// Whether a permit's attempt has certainly ended; only the leader of its job can decide this.
+    fn has_permit_attempt_ended(&self, permit: &Permit) -> bool {
         self.job_shard.loaded
-            && self.membership.job_leader(&p.job) == Some(self.settings.me)
-            && self.job_shard.attempt_status(&p.job, p.task, p.attempt) == AttemptStatus::Over
+            && self.membership.job_leader(&permit.job) == Some(self.settings.me)
+            && self.job_shard.attempt_status(&permit.job, permit.task, permit.attempt) == AttemptStatus::Over
     }
 
     pub(super) fn release_permits(&mut self, now: Micros, out: &mut Vec<Effect>) {
@@ -149,24 +160,29 @@
         {
             return;
         }
-        self.freshness.released.retain(|_, t| now < *t);
-        let over = |b: &Batch| b.release_permits(|p| self.permit_over(p));
+        self.freshness.next_permit_release.retain(|_, next_at| now < *next_at);
+        let without_ended =
+            |batch: &Batch| batch.release_permits(|permit| self.has_permit_attempt_ended(permit));
         let due: Vec<(Key, Batch)> = self
             .coordination
             .records
             .iter()
-            .filter(|(k, _)| k.kind() == Sort::Batch && !self.freshness.released.contains_key(k))
-            .filter_map(|(k, h)| match h {
-                CachedRecord::Present(r) => Some((k.clone(), over(&Batch::read(r).ok()?)?)),
+            .filter(|(key, _)| {
+                key.kind() == RecordKind::Batch && !self.freshness.next_permit_release.contains_key(key)
+            })
+            .filter_map(|(key, cached)| match cached {
+                CachedRecord::Present(record) => {
+                    Some((key.clone(), without_ended(&Batch::read(record).ok()?)?))
+                }
                 _ => None,
             })
             .collect();
         for (key, next) in due {
-            // Read on until its permits are given back.
+            // Keeps the record in use until its permits are released.
             self.coordination_record(now, &key);
-            self.freshness.released.insert(key.clone(), now + RELEASE);
+            self.freshness.next_permit_release.insert(key.clone(), now + PERMIT_RELEASE_PERIOD);
             if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
-                tracing::debug!(batch = %key.name(), held = next.permits.len(), "permits given back");
+                tracing::debug!(batch = %key.name(), held = next.permits.len(), "permits of ended attempts released");
             }
         }
     }
--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -1,7 +1,9 @@
-//! Hand-off: what this controller knows of jobs and machines goes to their next leaders, and comes from their last.
+//! Hand-off: passes the state of jobs and machines to their next leaders, and receives it from their previous
+//! ones.
 //!
-//! [`Handoff`] owns the batches out and in, and how this epoch's failover stands. A batch counts in one epoch only: in a later
-//! one others have commanded what it lists.
+//! [`Handoff`] owns the outgoing and incoming batches and the progress of this epoch's failover. A batch is
+//! valid in one epoch only: in later ones, other controllers have commanded the jobs and machines that it
+//! lists.
 
 use super::*;
 use crate::membership::Membership;
@@ -9,36 +11,36 @@
 use crate::peer::{HandoffBatch, JobHandoff, MachineHandoff, ReplicatedStarts};
 use hazelsaddle_failover::handoff_batch::{Inbox, Outbox};
 
-/// The form of frames that hand-off and replicated starts need.
-pub(super) const FORM: u64 = 3;
-/// A process that was told to end is gone after so long, whatever has become of its batches.
+/// The format version that hand-off and replicated starts need.
+pub(super) const HANDOFF_FORMAT_VERSION: u64 = 3;
+/// A process that is shutting down exits after this time, even if its batches are not acknowledged.
 pub const LEAVING: Micros = Micros::from_millis(5000);
-/// Starts in one batch, so that none holds up what travels behind it for long.
-const STARTS_IN_BATCH: usize = 1500;
+/// Maximum number of starts in a batch, so that no batch delays the frames behind it for long.
+const MAX_STARTS_IN_BATCH: usize = 1500;
 
-/// Jobs, and the sets of machines that they wait for.
-struct HandedJobs {
+/// Jobs handed off to this controller, and the sets of machines that may run unknown tasks of theirs.
+struct HandedOffJobs {
     jobs: Vec<JobHandoff>,
     unresolved: Vec<Vec<String>>,
 }
 
-/// Batches out and in, and what this epoch's failover came to.
+/// Outgoing and incoming batches, and the progress of this epoch's failover.
 pub(super) struct Handoff {
     outbox: Outbox<HandoffBatch>,
-    /// The epoch that what is packed counts in.
-    packed_for: u64,
-    /// The epoch that this process may yet leave the ring by: it asked the store to raise it without itself and had no
-    /// answer.
-    unanswered_departure: Option<u64>,
-    /// Jobs that came before the records were read.
-    jobs: Inbox<HandedJobs>,
-    /// Per controller, the batches of its that have come and are not acknowledged.
-    owed_acks: Vec<Vec<u64>>,
-    /// Since when this epoch's failover has been under way; None: every job's starts are known.
+    /// The epoch in which the packed batches are valid.
+    packed_epoch: u64,
+    /// The epoch that may still exclude this process: it asked the store to raise the epoch without itself,
+    /// and the outcome is unknown.
+    unconfirmed_departure: Option<u64>,
+    /// Jobs that were received before the records were loaded.
+    inbox: Inbox<HandedOffJobs>,
+    /// By controller number: received batches that have yet to be acknowledged.
+    pending_acks: Vec<Vec<u64>>,
+    /// When this epoch's failover began; None once the starts of every job are known.
     failover_since: Option<Micros>,
-    taken_jobs: usize,
-    taken_machines: usize,
-    /// Since when this process has been told to end.
+    adopted_jobs: usize,
+    adopted_machines: usize,
+    /// When this process was told to shut down.
     leaving: Option<Micros>,
 }
 
@@ -46,48 +48,50 @@
     pub(super) fn new(controllers: usize) -> Handoff {
         Handoff {
             outbox: Outbox::default(),
-            packed_for: 0,
-            unanswered_departure: None,
-            jobs: Inbox::default(),
-            owed_acks: vec![Vec::new(); controllers],
+            packed_epoch: 0,
+            unconfirmed_departure: None,
+            inbox: Inbox::default(),
+            pending_acks: vec![Vec::new(); controllers],
             failover_since: None,
-            taken_jobs: 0,
-            taken_machines: 0,
+            adopted_jobs: 0,
+            adopted_machines: 0,
             leaving: None,
         }
     }
 
-    /// The process is to end. Saying so twice changes nothing.
+    /// Starts the shutdown. Repeated calls have no effect.
     pub(super) fn leave(&mut self, now: Micros) {
         if self.leaving.is_none() {
-            tracing::info!("leaving the ring: the process is to end");
+            tracing::info!("leaving the ring: the process is shutting down");
         }
         self.leaving.get_or_insert(now);
     }
 
-    /// The store is asked to raise this epoch without us, and may carry that out late. None: it has answered.
+    /// Records that the store was asked to raise this epoch without this process and may still do so. None:
+    /// it has responded.
     pub(super) fn note_departure_request(&mut self, epoch: Option<u64>) {
-        self.unanswered_departure = epoch;
+        self.unconfirmed_departure = epoch;
     }
 
-    /// Whether our place in this epoch may yet be taken by a change of our own that has had no answer. Who came back must
-    /// not act in it: the others would take a process that is no member for one whose lease had ended before.
-    pub(super) fn may_be_out_after(&self, epoch: u64) -> bool {
-        self.unanswered_departure == Some(epoch + 1)
+    /// Whether a departure of our own, of unknown outcome, may still end our membership in this epoch. A
+    /// controller that has returned must not act in it: the others would assume that this process, no longer
+    /// a member, had lost its lease earlier.
+    pub(super) fn has_unconfirmed_departure(&self, epoch: u64) -> bool {
+        self.unconfirmed_departure == Some(epoch + 1)
     }
 
     pub(super) fn leaving(&self) -> Option<Micros> {
         self.leaving
     }
 
-    /// Packs what a process that has just joined can't know.
+    /// Packs the list of gone machines, which a process that has just joined lacks.
     pub(super) fn pack_gone(&mut self, now: Micros, to: usize, gone: Vec<String>) {
         if !gone.is_empty() {
             self.outbox.push(now, to, HandoffBatch { gone, ..HandoffBatch::default() });
         }
     }
 
-    /// Packs the replicated starts of a controller that is gone, for a job's new leader.
+    /// Packs the replicated starts of a departed controller for the new leader of its jobs.
     pub(super) fn pack_replicated_starts(&mut self, now: Micros, to: usize, starts: ReplicatedStarts) {
         self.outbox.push(now, to, HandoffBatch { testimony: vec![starts], ..HandoffBatch::default() });
     }
@@ -97,109 +101,110 @@
     }
 }
 
-/// Splits a list into pieces that weigh little.
-fn pieces<T>(list: Vec<T>, weight: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
+/// Splits a list into pieces of limited weight.
+fn split_by_weight<T>(items: Vec<T>, weight: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut pieces: Vec<Vec<T>> = Vec::new();
-    let mut room = 0;
-    for item in list {
+    let mut remaining_weight = 0;
+    for item in items {
         let item_weight = weight(&item) + 1;
         match pieces.last_mut() {
-            Some(piece) if item_weight <= room => piece.push(item),
+            Some(piece) if item_weight <= remaining_weight => piece.push(item),
             _ => {
                 pieces.push(vec![item]);
-                room = STARTS_IN_BATCH;
+                remaining_weight = MAX_STARTS_IN_BATCH;
             }
         }
-        room = room.saturating_sub(item_weight);
+        remaining_weight = remaining_weight.saturating_sub(item_weight);
     }
     pieces
 }
 
 impl Controller {
-    /// A new epoch has been adopted by the membership, and by nothing else yet. What it gives to others is handed to them
-    /// if nobody else can have commanded it in between.
+    /// Called when the membership has adopted a new epoch, before any other component has. Hands off what
+    /// this controller no longer leads, provided that no other controller can have commanded it in between.
     pub(super) fn hand_off(&mut self, now: Micros, follows: bool) {
         let handoff = &mut self.handoff;
         handoff.outbox.clear();
-        handoff.packed_for = self.membership.epoch;
-        handoff.unanswered_departure = None;
-        handoff.jobs.clear();
-        handoff.owed_acks.iter_mut().for_each(Vec::clear);
-        (handoff.failover_since, handoff.taken_jobs, handoff.taken_machines) = (Some(now), 0, 0);
+        handoff.packed_epoch = self.membership.epoch;
+        handoff.unconfirmed_departure = None;
+        handoff.inbox.clear();
+        handoff.pending_acks.iter_mut().for_each(Vec::clear);
+        (handoff.failover_since, handoff.adopted_jobs, handoff.adopted_machines) = (Some(now), 0, 0);
         if follows {
             let next = self.membership.clone();
             self.pack(now, &next);
         }
     }
 
-    /// It has left the ring by its own decision, and commands nothing any more. Whoever raised the epoch without it: its
-    /// own change may have had no answer, or have come second.
+    /// Hands off everything after this controller has left the ring by its own decision and commands nothing
+    /// any more. It doesn't matter which controller raised the epoch: our own change may have had no
+    /// response, or may have come second.
     pub(super) fn hand_off_on_leaving(&mut self, now: Micros, record: &EpochRecord, store_version: u64) {
         if self.step_down.absence_reason().is_none()
             || !self.membership.has_stepped_down
-            || self.handoff.packed_for >= record.epoch
+            || self.handoff.packed_epoch >= record.epoch
         {
             return;
         }
         let mut next = self.membership.clone();
         self.handoff.outbox.clear();
-        self.handoff.packed_for = record.epoch;
+        self.handoff.packed_epoch = record.epoch;
         if next.adopt_epoch(now, record, store_version) {
             self.pack(now, &next);
         }
     }
 
-    /// Leaves the ring because the process is to end. The epoch decides, as always: until it is raised without us we only
-    /// command and answer nothing any more.
+    /// Leaves the ring because the process is shutting down. As always, the epoch decides: until it is raised
+    /// without this process, the process merely stops commanding and answering.
     pub(super) fn leave_ring(&mut self, now: Micros) {
-        let others = !self.membership_loop.live_peers.is_empty();
-        if self.step_down.absence_reason().is_none() && others && self.membership.has_store_lease(now) {
+        let has_others = !self.membership_loop.live_peers.is_empty();
+        if self.step_down.absence_reason().is_none() && has_others && self.membership.has_store_lease(now) {
             self.step_down.leave(now, StepDownReason::Requested);
             self.membership.has_stepped_down = true;
             self.membership_loop.step_at_once(now);
         }
     }
 
-    /// Whether a process that was told to end may: it is out of the ring and what it knew has been taken, or there is
-    /// nobody to take it, or its time is up.
+    /// Whether a process that is shutting down may exit: it is out of the ring and its batches are
+    /// acknowledged, there is no other controller to take over, or its time is up.
     #[must_use]
     pub fn gone(&self, now: Micros) -> bool {
         let Some(since) = self.handoff.leaving else { return false };
         let membership = &self.membership;
         let is_member = membership.epoch > 0 && membership.members.contains(&membership.me);
-        let left = self.membership_loop.newest_record.as_ref().is_some_and(|read| {
+        let has_left = self.membership_loop.newest_record.as_ref().is_some_and(|read| {
             read.record.epoch > membership.epoch && !membership.is_member_of(&read.record)
         });
-        let asked = self.step_down.absence_reason() == Some(StepDownReason::Requested);
-        // That it is out is read before it has packed.
-        let packed = self
+        let is_requested = self.step_down.absence_reason() == Some(StepDownReason::Requested);
+        // The record that excludes this process may be read before its batches are packed.
+        let is_packed = self
             .membership_loop
             .newest_record
             .as_ref()
-            .is_some_and(|read| read.record.epoch <= self.handoff.packed_for);
-        let handed = asked && left && packed && self.handoff.outbox.is_empty();
-        let nobody = self.membership_loop.live_peers.is_empty() && self.membership_loop.lease.is_some();
-        let out = self.step_down.absence_reason().is_some() && !asked;
-        !is_member || handed || nobody || out || now.since(since) >= LEAVING
+            .is_some_and(|read| read.record.epoch <= self.handoff.packed_epoch);
+        let is_handed_off = is_requested && has_left && is_packed && self.handoff.outbox.is_empty();
+        let is_alone = self.membership_loop.live_peers.is_empty() && self.membership_loop.lease.is_some();
+        let is_absent = self.step_down.absence_reason().is_some() && !is_requested;
+        !is_member || is_handed_off || is_alone || is_absent || now.since(since) >= LEAVING
     }
 
     fn pack(&mut self, now: Micros, next: &Membership) {
         let jobs = self.job_shard.handoff_batches(next);
         let machines = self.machine_shard.pack_handoff(now, next);
-        let (of_jobs, of_machines) = (
-            jobs.values().map(|p| p.jobs.len()).sum::<usize>(),
+        let (job_count, machine_count) = (
+            jobs.values().map(|batch| batch.jobs.len()).sum::<usize>(),
             machines.values().map(Vec::len).sum::<usize>(),
         );
-        if of_jobs + of_machines > 0 {
-            tracing::info!(epoch = next.epoch, jobs = of_jobs, machines = of_machines, "handing off");
+        if job_count + machine_count > 0 {
+            tracing::info!(epoch = next.epoch, jobs = job_count, machines = machine_count, "handing off");
         }
         for (to, list) in machines {
-            for machines in pieces(list, |m: &MachineHandoff| m.tasks.len()) {
+            for machines in split_by_weight(list, |machine: &MachineHandoff| machine.tasks.len()) {
                 self.handoff.outbox.push(now, to, HandoffBatch { machines, ..HandoffBatch::default() });
             }
         }
         for (to, HandoffBatch { jobs, unresolved_sets, .. }) in jobs {
-            for jobs in pieces(jobs, |j: &JobHandoff| j.starts.len()) {
+            for jobs in split_by_weight(jobs, |job: &JobHandoff| job.starts.len()) {
                 let unresolved_sets = unresolved_sets.clone();
                 self.handoff.outbox.push(
                     now,
@@ -210,29 +215,30 @@
         }
     }
 
-    /// Sends batches that are due, and acknowledges those that have come.
+    /// Sends batches that are due, and acknowledges received ones.
     pub(super) fn send_handoff_batches(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        // What was packed for an older epoch must not go out under the newer one's name. Who left by its own decision has
-        // packed for the epoch that its frames name.
+        // Batches packed for an older epoch must not be sent in a newer one. A controller that left by its
+        // own decision has packed for the epoch that its frames advertise.
         if self.membership.has_yielded() && !self.membership.has_stepped_down {
             return;
         }
-        let pause = self.settings.digest;
-        // Who has left names the newest epoch that it has read. What it packed is as of the one that it acted in, and
-        // counts only in the next: in a later one others have commanded what it lists.
-        if self.known_epoch().0 != self.handoff.packed_for {
+        let period = self.settings.digest;
+        // A controller that has left advertises the newest epoch that it has read. Its batches describe the
+        // epoch in which it acted and are valid only in the next one: in later epochs other controllers have
+        // commanded what they list.
+        if self.advertised_epoch().0 != self.handoff.packed_epoch {
             self.handoff.outbox.clear();
         }
         for peer in (0..self.settings.members.len()).filter(|&peer| peer != self.settings.me) {
-            if !self.reads(peer, FORM) {
+            if !self.can_read_format(peer, HANDOFF_FORMAT_VERSION) {
                 continue;
             }
-            for (number, batch) in self.handoff.outbox.take_due(now, peer, pause) {
+            for (number, batch) in self.handoff.outbox.take_due(now, peer, period) {
                 self.send(now, peer, Message::Handoff { number, batch }, out);
             }
-            let owed = std::mem::take(&mut self.handoff.owed_acks[peer]);
-            if !owed.is_empty() {
-                self.send(now, peer, Message::HandoffAck(owed), out);
+            let acks = std::mem::take(&mut self.handoff.pending_acks[peer]);
+            if !acks.is_empty() {
+                self.send(now, peer, Message::HandoffAck(acks), out);
             }
         }
         self.note_failover_complete(now);
@@ -248,17 +254,17 @@
             tracing::info!(
                 epoch = self.membership.epoch,
                 seconds = now.since(since).secs(),
-                handed_jobs = handoff.taken_jobs,
-                handed_machines = handoff.taken_machines,
-                replicated_jobs = self.start_replica.taken(),
+                handed_jobs = handoff.adopted_jobs,
+                handed_machines = handoff.adopted_machines,
+                replicated_jobs = self.start_replica.recovered_jobs(),
                 unheard = self.job_shard.unconfirmed_machine_count(),
                 "failover complete: every job's starts are known"
             );
         }
     }
 
-    /// A batch of this epoch has come.
-    pub(super) fn take_batch(
+    /// Applies a batch of this epoch.
+    pub(super) fn apply_handoff_batch(
         &mut self,
         now: Micros,
         from: usize,
@@ -266,53 +272,54 @@
         number: u64,
         batch: HandoffBatch,
     ) {
-        if let Some(owed) = self.handoff.owed_acks.get_mut(from) {
+        if let Some(owed) = self.handoff.pending_acks.get_mut(from) {
             owed.push(number);
         }
         self.machine_shard.mark_returned(&batch.gone);
-        // One that comes again finds its machines known, and its jobs settled.
+        // For a repeated batch, the machines are known and the jobs are settled already.
         for machine in batch.machines {
             let is_new = self.machine_shard.apply_handoff(now, &self.membership, machine);
-            self.handoff.taken_machines += usize::from(is_new);
+            self.handoff.adopted_machines += usize::from(is_new);
         }
         for starts in batch.testimony {
-            self.start_replica.take_report(from, starts);
+            self.start_replica.record_report(from, starts);
         }
         if !batch.jobs.is_empty() {
-            self.handoff.jobs.accept(
+            self.handoff.inbox.accept(
                 from,
                 boot,
                 number,
-                HandedJobs { jobs: batch.jobs, unresolved: batch.unresolved_sets },
+                HandedOffJobs { jobs: batch.jobs, unresolved: batch.unresolved_sets },
             );
         }
-        self.take_handed_jobs(now);
+        self.apply_handed_off_jobs(now);
     }
 
-    /// Jobs that were handed to us, once it is known from the records which are live.
-    pub(super) fn take_handed_jobs(&mut self, now: Micros) {
+    /// Applies the received jobs once the records show which of them are live.
+    pub(super) fn apply_handed_off_jobs(&mut self, now: Micros) {
         if !self.job_shard.loaded {
             return;
         }
-        for (_, HandedJobs { jobs, unresolved }) in self.handoff.jobs.take_waiting() {
-            self.handoff.taken_jobs += self.job_shard.accept_handoff(now, jobs, &unresolved);
+        for (_, HandedOffJobs { jobs, unresolved }) in self.handoff.inbox.take_waiting() {
+            self.handoff.adopted_jobs += self.job_shard.accept_handoff(now, jobs, &unresolved);
         }
         self.use_replicated_starts(now);
     }
 
-    /// How this epoch's failover stands, for operators.
+    /// The progress of this epoch's failover, for operators.
     pub(super) fn failover_status(&self, now: Micros) -> Value {
         let handoff = &self.handoff;
-        let waits: Vec<&String> = self.job_shard.unconfirmed_machines(SHOWN).collect();
+        let unconfirmed_machines: Vec<&String> =
+            self.job_shard.unconfirmed_machines(MAX_STATUS_ROWS).collect();
         json!({
             "under_way_s": handoff.failover_since.map(|t| now.since(t).secs()),
             "jobs_in_doubt": self.job_shard.unresolved_job_count(),
-            "jobs_handed_to_us": handoff.taken_jobs,
-            "machines_handed_to_us": handoff.taken_machines,
-            "jobs_witnessed": self.start_replica.taken(),
-            "starts_await_a_witness": self.start_replica.holds_back(),
+            "jobs_handed_to_us": handoff.adopted_jobs,
+            "machines_handed_to_us": handoff.adopted_machines,
+            "jobs_witnessed": self.start_replica.recovered_jobs(),
+            "starts_await_a_witness": self.start_replica.is_replication_required(),
             "parcels_not_acknowledged": handoff.outbox.len(),
-            "waits_for_machines": waits,
+            "waits_for_machines": unconfirmed_machines,
         })
     }
 }
--- a/src/controller/handoff/tests.rs
+++ b/src/controller/handoff/tests.rs
@@ -1,4 +1,4 @@
-//! Who leaves the ring, and in which epoch what it hands over counts.
+//! Tests of leaving the ring, and of the epoch in which the hand-off is valid.
 
 use super::super::peer_traffic::ClockReading;
 use super::*;
@@ -17,29 +17,29 @@
 }
 
 fn record(epoch: u64, members: &[usize]) -> EpochRecord {
-    EpochRecord { epoch, members: members.iter().map(|m| (format!("c{m}"), 1)).collect() }
+    EpochRecord { epoch, members: members.iter().map(|member| (format!("c{member}"), 1)).collect() }
 }
 
-pub(crate) fn at(ms: u64) -> Micros {
+pub(crate) fn at_ms(ms: u64) -> Micros {
     Micros::from_millis(ms)
 }
 
-/// c0, which acts in epoch 7 beside c1 and c2 and knows some machines.
-pub(crate) fn node() -> Controller {
-    let mut n = Controller::new(settings(), 1);
-    n.membership.adopt_epoch(at(1000), &record(7, &[0, 1, 2]), 7);
-    n.machine_shard.adopt_epoch(at(1000), &n.membership, false, |_| None);
-    n.job_shard.adopt_epoch(&n.membership, false);
-    n.membership.renew_store_lease(at(1000));
-    for p in [1, 2] {
-        n.peer_traffic.links[p].heard = ClockReading { boot: 1, clock: at(1) };
+/// Controller c0, which acts in epoch 7 with c1 and c2 and has received the heartbeats of some machines.
+pub(crate) fn test_controller() -> Controller {
+    let mut controller = Controller::new(settings(), 1);
+    controller.membership.adopt_epoch(at_ms(1000), &record(7, &[0, 1, 2]), 7);
+    controller.machine_shard.adopt_epoch(at_ms(1000), &controller.membership, false, |_| None);
+    controller.job_shard.adopt_epoch(&controller.membership, false);
+    controller.membership.renew_store_lease(at_ms(1000));
+    for peer in [1, 2] {
+        controller.peer_traffic.links[peer].last_clock = ClockReading { boot: 1, clock: at_ms(1) };
     }
-    n.note_forms(&members(), &mut Vec::new());
-    n.membership_loop.lease = Some(LEASE);
-    n.membership_loop.registered = true;
-    for i in 0..60 {
-        let r = Heartbeat {
-            machine: format!("i-{i:06}"),
+    controller.note_format_versions(&members(), &mut Vec::new());
+    controller.membership_loop.lease = Some(LEASE);
+    controller.membership_loop.registered = true;
+    for number in 0..60 {
+        let heartbeat = Heartbeat {
+            machine: format!("i-{number:06}"),
             addr: String::new(),
             kind: "k".into(),
             zone: "z".into(),
@@ -50,159 +50,182 @@
             notice_s: None,
             tasks: Vec::new(),
         };
-        if n.membership.machine_leader(&r.machine) == Some(0) {
-            n.machine_shard.apply_heartbeat(at(1100), &n.membership, &r);
+        if controller.membership.machine_leader(&heartbeat.machine) == Some(0) {
+            controller.machine_shard.apply_heartbeat(at_ms(1100), &controller.membership, &heartbeat);
         }
     }
-    n
+    controller
 }
 
-/// The members' keys, each of which says that it reads the newest form.
+/// The member keys, which list the format version that hand-off needs.
 fn members() -> Vec<KeyValue> {
-    let key = |i: usize| format!("ring/m/c{i}");
-    let row = |i| KeyValue { key: key(i), value: json!({"boot": 1, "reads": FORM}), store_version: 1 };
+    let key = |number: usize| format!("ring/m/c{number}");
+    let row = |number| KeyValue {
+        key: key(number),
+        value: json!({"boot": 1, "reads": HANDOFF_FORMAT_VERSION}),
+        store_version: 1,
+    };
     (0..3).map(row).collect()
 }
 
-/// The node answers and commands nothing any more.
-fn leaves(n: &mut Controller) {
-    n.step_down.leave(at(1200), StepDownReason::NoPeers);
-    n.membership.has_stepped_down = true;
+/// The controller steps down: it sends no answers or commands any more.
+fn step_down(controller: &mut Controller) {
+    controller.step_down.leave(at_ms(1200), StepDownReason::NoPeers);
+    controller.membership.has_stepped_down = true;
 }
 
-/// One reading of the ring, by which the epoch record is `r` at version `mark`, and what follows from it.
-fn reads(n: &mut Controller, now: Micros, r: &EpochRecord, store_version: u64) -> Vec<Effect> {
-    let epoch =
-        KeyValue { key: EPOCH_KEY.into(), value: serde_json::to_value(r).expect("plain"), store_version };
+/// Reads the ring once, with the epoch record `record` at version `store_version`, and returns the effects.
+fn read_ring(
+    controller: &mut Controller,
+    now: Micros,
+    record: &EpochRecord,
+    store_version: u64,
+) -> Vec<Effect> {
+    let epoch = KeyValue {
+        key: EPOCH_KEY.into(),
+        value: serde_json::to_value(record).expect("plain"),
+        store_version,
+    };
     let mut out = Vec::new();
-    n.apply_ring_answer(
+    controller.apply_membership_answer(
         now,
-        PendingRingRequest::ReadEpoch { asked_at: now },
+        PendingMembershipRequest::ReadEpoch { asked_at: now },
         StoreAnswer::Got(Some(epoch)),
         &mut out,
     );
     out.clear();
     let page = StoreAnswer::Page(members(), false);
-    n.apply_ring_answer(now, PendingRingRequest::ListMembers { asked_at: now }, page, &mut out);
+    controller.apply_membership_answer(
+        now,
+        PendingMembershipRequest::ListMembers { asked_at: now },
+        page,
+        &mut out,
+    );
     out
 }
 
-/// The epochs in whose name parcels go out.
-fn parcels(n: &mut Controller, now: Micros) -> Vec<u64> {
+/// The epochs of the hand-off batches that are sent.
+fn sent_batch_epochs(controller: &mut Controller, now: Micros) -> Vec<u64> {
     let mut out = Vec::new();
-    n.send_handoff_batches(now, &mut out);
-    let of = |e: &Effect| match e {
+    controller.send_handoff_batches(now, &mut out);
+    let epoch_of = |effect: &Effect| match effect {
         Effect::Send { frame: Frame { epoch, body: Message::Handoff { .. }, .. }, .. } => Some(*epoch),
         _ => None,
     };
-    out.iter().filter_map(of).collect()
+    out.iter().filter_map(epoch_of).collect()
 }
 
-/// One who left hands over in the epoch after the one that it acted in. It goes on reading the ring: in the next epoch
-/// others have started tasks where its parcels say that there are none, and their receivers would take them for complete.
+/// A controller that left hands off in the epoch after the one in which it acted, and keeps reading the ring.
+/// In a later epoch, others have started tasks on machines that its batches list as free, and the receivers
+/// would take the batches for complete.
 #[test]
-fn what_is_handed_on_leaving_counts_in_the_next_epoch_and_in_no_later_one() {
-    let mut n = node();
-    leaves(&mut n);
-    n.apply_ring_answer(
-        at(1300),
-        PendingRingRequest::RaiseEpoch { record: record(8, &[1, 2]) },
+fn handoff_on_leaving_is_valid_only_in_the_next_epoch() {
+    let mut controller = test_controller();
+    step_down(&mut controller);
+    controller.apply_membership_answer(
+        at_ms(1300),
+        PendingMembershipRequest::RaiseEpoch { record: record(8, &[1, 2]) },
         StoreAnswer::Committed(8),
         &mut Vec::new(),
     );
-    let first = parcels(&mut n, at(1400));
-    assert!(!first.is_empty() && first.iter().all(|e| *e == 8), "{first:?}");
-    // Nobody has said that it has them, and the ring moves on.
+    let sent = sent_batch_epochs(&mut controller, at_ms(1400));
+    assert!(!sent.is_empty() && sent.iter().all(|sent_epoch| *sent_epoch == 8), "{sent:?}");
+    // No batch has been acknowledged, and the epoch is raised again.
     let epoch = KeyValue { key: EPOCH_KEY.into(), value: json!(record(9, &[1])), store_version: 9 };
-    n.apply_ring_answer(
-        at(3000),
-        PendingRingRequest::ReadEpoch { asked_at: at(3000) },
+    controller.apply_membership_answer(
+        at_ms(3000),
+        PendingMembershipRequest::ReadEpoch { asked_at: at_ms(3000) },
         StoreAnswer::Got(Some(epoch)),
         &mut Vec::new(),
     );
-    assert_eq!(n.known_epoch().0, 9);
-    assert_eq!(parcels(&mut n, at(3100)), Vec::<u64>::new());
+    assert_eq!(controller.advertised_epoch().0, 9);
+    assert_eq!(sent_batch_epochs(&mut controller, at_ms(3100)), Vec::<u64>::new());
 }
 
-/// Its own change had no answer, or somebody else's came first: it commands nothing all the same, so what it knows holds.
+/// The controller's own change had no response, or another controller's change came first. It commands
+/// nothing in either case, so its batches are correct.
 #[test]
-fn who_is_out_of_the_ring_hands_over_whoever_raised_the_epoch() {
-    let mut n = node();
-    leaves(&mut n);
-    n.apply_ring_answer(
-        at(1300),
-        PendingRingRequest::RaiseEpoch { record: record(8, &[1, 2]) },
+fn departed_controller_hands_off_regardless_of_who_raised_the_epoch() {
+    let mut controller = test_controller();
+    step_down(&mut controller);
+    controller.apply_membership_answer(
+        at_ms(1300),
+        PendingMembershipRequest::RaiseEpoch { record: record(8, &[1, 2]) },
         StoreAnswer::Unknown,
         &mut Vec::new(),
     );
-    assert_eq!(parcels(&mut n, at(1400)), Vec::<u64>::new());
-    reads(&mut n, at(1700), &record(8, &[1, 2]), 8);
-    let said = parcels(&mut n, at(1800));
-    assert!(!said.is_empty() && said.iter().all(|e| *e == 8), "{said:?}");
-    // One that was told to end stays until that is taken.
-    let mut n = node();
-    n.handoff.leave(at(1200));
-    n.step_down.leave(at(1200), StepDownReason::Requested);
-    n.membership.has_stepped_down = true;
-    n.membership_loop.live_peers = vec![1, 2];
+    assert_eq!(sent_batch_epochs(&mut controller, at_ms(1400)), Vec::<u64>::new());
+    read_ring(&mut controller, at_ms(1700), &record(8, &[1, 2]), 8);
+    let sent = sent_batch_epochs(&mut controller, at_ms(1800));
+    assert!(!sent.is_empty() && sent.iter().all(|sent_epoch| *sent_epoch == 8), "{sent:?}");
+    // A process that is shutting down stays until its batches are acknowledged.
+    let mut controller = test_controller();
+    controller.handoff.leave(at_ms(1200));
+    controller.step_down.leave(at_ms(1200), StepDownReason::Requested);
+    controller.membership.has_stepped_down = true;
+    controller.membership_loop.live_peers = vec![1, 2];
     let epoch = KeyValue { key: EPOCH_KEY.into(), value: json!(record(8, &[1, 2])), store_version: 8 };
-    n.apply_ring_answer(
-        at(1700),
-        PendingRingRequest::ReadEpoch { asked_at: at(1700) },
+    controller.apply_membership_answer(
+        at_ms(1700),
+        PendingMembershipRequest::ReadEpoch { asked_at: at_ms(1700) },
         StoreAnswer::Got(Some(epoch)),
         &mut Vec::new(),
     );
-    assert!(!n.gone(at(1701)), "out, and nothing packed yet");
-    reads(&mut n, at(1702), &record(8, &[1, 2]), 8);
-    assert!(!n.gone(at(1703)), "packed, and not taken");
+    assert!(!controller.gone(at_ms(1701)), "excluded, and nothing packed yet");
+    read_ring(&mut controller, at_ms(1702), &record(8, &[1, 2]), 8);
+    assert!(!controller.gone(at_ms(1703)), "packed, and not acknowledged");
     let numbers: Vec<u64> = (0..100).collect();
-    (1..3).for_each(|p| n.handoff.apply_acknowledgements(p, &numbers));
-    assert!(n.gone(at(1704)));
-    // Not from two epochs back: who raised the one between may have given its machines to others.
-    let mut n = node();
-    leaves(&mut n);
-    reads(&mut n, at(1700), &record(9, &[1, 2]), 9);
-    assert_eq!(parcels(&mut n, at(1800)), Vec::<u64>::new());
+    (1..3).for_each(|peer| controller.handoff.apply_acknowledgements(peer, &numbers));
+    assert!(controller.gone(at_ms(1704)));
+    // No hand-off from two epochs back: the controller that raised the epoch in between may have given the
+    // machines to others.
+    let mut controller = test_controller();
+    step_down(&mut controller);
+    read_ring(&mut controller, at_ms(1700), &record(9, &[1, 2]), 9);
+    assert_eq!(sent_batch_epochs(&mut controller, at_ms(1800)), Vec::<u64>::new());
 }
 
-/// It asked to leave, had no answer, and came back while the epoch was still its own. The change may be carried out yet,
-/// and the others would take it for one whose lease had ended before.
+/// The controller asked to leave, had no response, and returned while it was still a member. The change may
+/// be applied later, and the others would assume that the controller's lease had expired earlier.
 #[test]
-fn who_came_back_before_its_leaving_was_answered_acts_only_in_a_new_epoch() {
-    for (answer, again) in [(StoreAnswer::Unknown, true), (StoreAnswer::Refused, false)] {
-        let mut n = node();
-        leaves(&mut n);
-        n.apply_ring_answer(
-            at(1300),
-            PendingRingRequest::RaiseEpoch { record: record(8, &[1, 2]) },
+fn returning_controller_with_unconfirmed_departure_acts_only_in_a_new_epoch() {
+    for (answer, needs_new_epoch) in [(StoreAnswer::Unknown, true), (StoreAnswer::Refused, false)] {
+        let mut controller = test_controller();
+        step_down(&mut controller);
+        controller.apply_membership_answer(
+            at_ms(1300),
+            PendingMembershipRequest::RaiseEpoch { record: record(8, &[1, 2]) },
             answer,
             &mut Vec::new(),
         );
-        n.step_down.rejoin(at(9000));
-        let out = reads(&mut n, at(9100), &record(7, &[0, 1, 2]), 7);
-        let raises = out.iter().any(|e| match e {
+        controller.step_down.rejoin(at_ms(9000));
+        let out = read_ring(&mut controller, at_ms(9100), &record(7, &[0, 1, 2]), 7);
+        let raises_epoch = out.iter().any(|effect| match effect {
             Effect::Store {
                 request: StoreRequest::Transaction(Transaction { conditions, puts, .. }),
                 ..
             } => {
-                // The epoch as it was read, and each member's key.
-                let keys = conditions[1..].iter().all(|(k, _)| k.starts_with("ring/m/"));
+                // The conditions: the epoch record as it was read, and each member's key.
+                let are_member_keys = conditions[1..].iter().all(|(key, _)| key.starts_with("ring/m/"));
                 conditions[0] == (EPOCH_KEY.to_owned(), 7)
                     && conditions.len() == 4
-                    && keys
+                    && are_member_keys
                     && puts[0].1["epoch"] == json!(8)
             }
             _ => false,
         });
-        assert_eq!((raises, n.membership.has_stepped_down), (again, again));
-        if again {
-            n.apply_ring_answer(
-                at(9200),
-                PendingRingRequest::RaiseEpoch { record: record(8, &[0, 1, 2]) },
+        assert_eq!(
+            (raises_epoch, controller.membership.has_stepped_down),
+            (needs_new_epoch, needs_new_epoch)
+        );
+        if needs_new_epoch {
+            controller.apply_membership_answer(
+                at_ms(9200),
+                PendingMembershipRequest::RaiseEpoch { record: record(8, &[0, 1, 2]) },
                 StoreAnswer::Committed(9),
                 &mut Vec::new(),
             );
-            assert_eq!((n.membership.epoch, n.membership.has_stepped_down), (8, false));
+            assert_eq!((controller.membership.epoch, controller.membership.has_stepped_down), (8, false));
         }
     }
 }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,41 +1,42 @@
-//! Machines' heartbeats, and the answers that wait a little for something to say.
+//! Machines' heartbeats, and the responses that are held until there are commands to send.
 //!
-//! [`HeldHeartbeats`] owns the heartbeats that are held. A machine gets commands, and has its lease renewed, from its leader
-//! alone, and only while the leaders of its tasks' jobs are in reach.
+//! [`HeldHeartbeats`] owns the held heartbeats. A machine receives commands and lease renewals from its
+//! leader alone, and only while that leader is in contact with the leaders of the jobs whose tasks the
+//! machine runs.
 
 use super::*;
 use crate::peer::TaskKey;
 use crate::wire::workers;
 
-/// Heartbeats whose answer waits for something to say.
+/// Heartbeats whose response is held.
 #[derive(Default)]
 pub(super) struct HeldHeartbeats {
-    /// The ticket of the answer, by machine.
+    /// The ticket of the held heartbeat, by machine.
     tickets: BTreeMap<String, u64>,
-    /// The order in which they came.
+    /// The held heartbeats in the order of arrival.
     order: VecDeque<HeldHeartbeat>,
-    /// Machines whose heartbeat is held because a leader of their tasks' jobs is out of reach.
-    owner_unreachable: BTreeSet<String>,
+    /// Machines whose heartbeat is held because the leader of one of their tasks' jobs is out of contact.
+    job_leader_unreachable: BTreeSet<String>,
 }
 
 struct HeldHeartbeat {
-    came_at: Micros,
+    arrived_at: Micros,
     machine: String,
     ticket: u64,
 }
 
 impl HeldHeartbeats {
     fn hold(&mut self, now: Micros, machine: &str, ticket: u64) {
-        self.order.push_back(HeldHeartbeat { came_at: now, machine: machine.to_owned(), ticket });
+        self.order.push_back(HeldHeartbeat { arrived_at: now, machine: machine.to_owned(), ticket });
         self.tickets.insert(machine.to_owned(), ticket);
     }
 
-    /// Takes out machines whose heartbeat has been held for as long as it may be.
+    /// Removes and returns the machines whose heartbeat has been held for the maximum time.
     fn take_expired(&mut self, now: Micros, longest: Micros) -> Vec<String> {
         let mut expired = Vec::new();
-        while let Some(HeldHeartbeat { came_at, machine, ticket }) = self.order.front() {
+        while let Some(HeldHeartbeat { arrived_at, machine, ticket }) = self.order.front() {
             let answered = self.tickets.get(machine) != Some(ticket);
-            if !answered && now.since(*came_at) < longest {
+            if !answered && now.since(*arrived_at) < longest {
                 break;
             }
             if !answered {
@@ -48,8 +49,8 @@
 }
 
 impl Controller {
-    /// A machine's heartbeat: answers it, or holds it.
-    pub(super) fn take_heartbeat(
+    /// Answers a machine's heartbeat or holds it.
+    pub(super) fn handle_heartbeat(
         &mut self,
         now: Micros,
         ticket: u64,
@@ -75,14 +76,15 @@
         }
         match self.machine_shard.apply_heartbeat(now, &self.membership, heartbeat) {
             HeartbeatOutcome::Accepted => {
-                // The machine has given up on an older heartbeat, or it would not have sent this one.
+                // The machine has given up on its previous heartbeat, or it would not have sent this one.
                 if let Some(ticket) = self.held_heartbeats.tickets.remove(&heartbeat.machine) {
                     out.push(Effect::Reply { ticket, reply: Reply::later("out of date") });
                 }
-                // Out of a job leader's reach it waits too: right after a failover the leader speaks in a moment.
+                // The heartbeat is also held while a job's leader is out of contact: right after a failover
+                // its first message arrives soon.
                 if !self.machine_shard.may_renew_lease(now, &heartbeat.machine) {
-                    self.held_heartbeats.owner_unreachable.insert(heartbeat.machine.clone());
-                } else if !self.may_hold(now, &heartbeat.machine) {
+                    self.held_heartbeats.job_leader_unreachable.insert(heartbeat.machine.clone());
+                } else if !self.can_hold(now, &heartbeat.machine) {
                     return Some(self.command(&heartbeat.machine));
                 }
                 self.held_heartbeats.hold(now, &heartbeat.machine, ticket);
@@ -90,15 +92,16 @@
             }
             HeartbeatOutcome::Stale => Some(Reply::later("out of date")),
             HeartbeatOutcome::Fenced => {
-                // Somebody has raised the epoch; find out.
+                // Another controller has raised the epoch: read the record now.
                 self.membership_loop.step_at_once(now);
                 Some(Reply::later("a newer epoch is known"))
             }
         }
     }
 
-    /// A machine that has had its leader's answers and comes here doesn't get them any more. Its
-    /// leader is told, since it may hear no machine at all and not know that they live.
+    /// Records the heartbeat of a machine that another controller leads. The leader is notified of machines
+    /// whose heartbeats it has answered before: it may be unreachable for all machines and not notice that
+    /// they are alive.
     fn note_misrouted_heartbeat(&mut self, heartbeat: &Heartbeat) {
         let leader = self.membership.machine_leader(&heartbeat.machine);
         let leader = leader.filter(|&leader| leader != self.settings.me);
@@ -108,35 +111,36 @@
         }
     }
 
-    /// Whether there is nothing yet to tell a machine.
-    fn may_hold(&self, now: Micros, machine: &str) -> bool {
-        let room = |kind: &str| self.autoscaler.resources_of(kind);
-        self.machine_shard.can_hold_response(now, machine, room, |task| self.may_start(machine, task))
+    /// Whether there is nothing to send to a machine yet.
+    fn can_hold(&self, now: Micros, machine: &str) -> bool {
+        let capacity_of = |kind: &str| self.autoscaler.resources_of(kind);
+        self.machine_shard.can_hold_response(now, machine, capacity_of, |task| self.can_start(machine, task))
     }
 
-    fn may_start(&self, machine: &str, task: &TaskKey) -> bool {
-        self.start_replica.may_start(&self.membership, &self.job_shard, task, machine)
+    fn can_start(&self, machine: &str, task: &TaskKey) -> bool {
+        self.start_replica.can_start(&self.membership, &self.job_shard, task, machine)
     }
 
-    /// The answer to a machine's heartbeat if this controller may not command it.
+    /// The answer to a machine's heartbeat if this controller is not entitled to command the machine.
     fn refuse_unless_machine_leader(&self, now: Micros, machine: &str) -> Option<Reply> {
         match self.membership.machine_forward_target(machine) {
             Some(leader) if leader == self.settings.me => {
-                let ours =
+                let is_leader =
                     self.membership.machine_leader(machine) == Some(leader) && self.membership.is_leader(now);
-                (!ours).then(|| Reply::later("not entitled to act"))
+                (!is_leader).then(|| Reply::later("not entitled to act"))
             }
             Some(leader) => Some(Reply::json(421, &workers::redirect(self.membership.name(leader)))),
             None => Some(Reply::later("no home")),
         }
     }
 
-    /// The answer to a heartbeat that has been held, by what holds now.
+    /// The answer to a held heartbeat, by the current state.
     fn answer_held(&mut self, now: Micros, machine: &str) -> Reply {
         if let Some(reply) = self.refuse_unless_machine_leader(now, machine) {
             return reply;
         }
-        // A 200 keeps its lease alive, and with it tasks of which the leader may have said that they are cancelled.
+        // Status 200 renews the machine's lease and keeps its tasks alive. The unreachable leader may already
+        // have reported some of them as cancelled.
         match self.machine_shard.may_renew_lease(now, machine) {
             true => self.command(machine),
             false => Reply::later("the owner of one of its tasks is out of reach"),
@@ -146,8 +150,8 @@
     /// The commands for a machine.
     fn command(&mut self, machine: &str) -> Reply {
         let (replica, membership, jobs) = (&self.start_replica, &self.membership, &self.job_shard);
-        let may_start = |task: &TaskKey| replica.may_start(membership, jobs, task, machine);
-        match self.machine_shard.issue_commands(membership, machine, may_start) {
+        let can_start = |task: &TaskKey| replica.can_start(membership, jobs, task, machine);
+        match self.machine_shard.issue_commands(membership, machine, can_start) {
             Some(commands) => {
                 let body = serde_json::to_string(&commands).unwrap_or_default();
                 Reply { status: 200, body, retry_after: None }
@@ -156,36 +160,36 @@
         }
     }
 
-    /// Answers heartbeats that were held, once there is something to say or their time is up.
-    /// Looks only at machines that changed and at those held longest.
+    /// Answers held heartbeats when there are commands to send or the maximum time has passed. Checks only
+    /// machines that changed and those held longest.
     pub(super) fn answer_due_heartbeats(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let longest = Micros(self.settings.report.0 * 2 / 5);
         let mut due = self.held_heartbeats.take_expired(now, longest);
         for machine in self.machine_shard.take_rechecks() {
             if self.held_heartbeats.tickets.contains_key(&machine)
                 && self.machine_shard.may_renew_lease(now, &machine)
-                && !self.may_hold(now, &machine)
+                && !self.can_hold(now, &machine)
             {
                 due.push(machine);
             }
         }
         if self.machine_shard.take_owner_news() {
             let machines = &self.machine_shard;
-            let waiting = &mut self.held_heartbeats.owner_unreachable;
+            let waiting = &mut self.held_heartbeats.job_leader_unreachable;
             due.extend(waiting.extract_if(.., |machine| machines.may_renew_lease(now, machine)));
         }
         for machine in due {
             let Some(ticket) = self.held_heartbeats.tickets.remove(&machine) else { continue };
-            self.held_heartbeats.owner_unreachable.remove(&machine);
+            self.held_heartbeats.job_leader_unreachable.remove(&machine);
             let reply = self.answer_held(now, &machine);
             out.push(Effect::Reply { ticket, reply });
         }
     }
 
-    /// The ring or the leadership has changed: whoever waits is answered by what holds now.
+    /// Answers all held heartbeats by the current state, after a change of the ring or of leadership.
     pub(super) fn release_held_heartbeats(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.held_heartbeats.order.clear();
-        self.held_heartbeats.owner_unreachable.clear();
+        self.held_heartbeats.job_leader_unreachable.clear();
         for (machine, ticket) in std::mem::take(&mut self.held_heartbeats.tickets) {
             let reply = self.answer_held(now, &machine);
             out.push(Effect::Reply { ticket, reply });
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -1,49 +1,51 @@
-//! Membership: this controller's lease and member key, the epoch record, and what follows when a new epoch is adopted.
+//! Membership: this controller's lease and member key, the epoch record, and the steps that follow when a new
+//! epoch is adopted.
 //!
-//! [`MembershipLoop`] owns what was read of the ring. One request is under way at a time. Nothing here may act as a leader:
-//! that is decided by [`Membership`] alone, from what this loop confirms.
+//! [`MembershipLoop`] owns what was read about the ring. It has at most one request in flight. This module
+//! never decides whether this controller may act as a leader: only [`Membership`] does, from what this loop
+//! confirms.
 
 use super::*;
 
-/// Prefix of the keys under which controllers show that they live.
+/// Prefix of the member keys, by which controllers show that they are alive.
 const MEMBER_PREFIX: &str = "ring/m/";
-/// A step that has failed is tried again after so long.
-const RETRY: Micros = Micros::from_millis(300);
-/// The same after an epoch record that can't be read.
-const RETRY_UNREADABLE: Micros = Micros::from_millis(1000);
-/// The same after another controller has raised the epoch first.
-const RETRY_CONFLICT: Micros = Micros::from_millis(20);
-const AT_ONCE: Micros = Micros(0);
-
-/// The loop that keeps this controller's place on the ring.
+/// Delay before a failed step is retried.
+const RETRY_DELAY: Micros = Micros::from_millis(300);
+/// Delay before an unreadable epoch record is read again.
+const UNREADABLE_RETRY_DELAY: Micros = Micros::from_millis(1000);
+/// Delay before retrying after another controller has raised the epoch first.
+const CONFLICT_RETRY_DELAY: Micros = Micros::from_millis(20);
+const NO_DELAY: Micros = Micros(0);
+
+/// State of the loop that maintains this controller's membership.
 #[derive(Default)]
 pub(super) struct MembershipLoop {
-    /// The lease under which the state store keeps the member key.
+    /// The state store lease that the member key is attached to.
     pub(super) lease: Option<u64>,
-    /// Whether the member key stands and says what it should.
+    /// Whether the member key is stored with the value that it should have.
     pub(super) registered: bool,
     /// The epoch record as last read.
-    pub(super) newest_record: Option<EpochReading>,
+    pub(super) newest_record: Option<EpochRead>,
     request_in_flight: bool,
     next_step_at: Micros,
-    /// Other controllers whose member keys stood when last read, and that want a place.
+    /// The other controllers whose member keys existed when last read and that want to be members.
     pub(super) live_peers: Vec<usize>,
-    /// The version of the member key, if it was read since that was last written.
+    /// The version of our member key, if it was read since the last write.
     own_key_version: Option<u64>,
-    /// What was last written to the member key, until that is answered.
+    /// The value last written to our member key, until the write is confirmed.
     unconfirmed_own_key: Option<Value>,
 }
 
-/// The epoch record, and the version under which it is on record.
+/// The epoch record, and its version in the state store.
 #[derive(Clone, Debug)]
-pub(super) struct EpochReading {
+pub(super) struct EpochRead {
     pub(super) record: EpochRecord,
     pub(super) store_version: u64,
 }
 
-/// What a request of this loop to the state store is for.
+/// The purpose of a request of this loop to the state store.
 #[derive(Clone, Debug)]
-pub(super) enum PendingRingRequest {
+pub(super) enum PendingMembershipRequest {
     GrantLease,
     ReadOwnKey,
     WriteOwnKey,
@@ -56,42 +58,42 @@
     RaiseEpoch {
         record: EpochRecord,
     },
-    /// `asked_at`: when the reading of the ring began that the renewal ends.
+    /// `asked_at`: when the pass that this renewal completes began to read the ring.
     RenewLease {
         asked_at: Micros,
     },
 }
 
-/// What one reading of the ring has found.
-struct RingReading {
-    epoch: EpochReading,
+/// The result of reading the epoch record and the member keys.
+struct MembershipRead {
+    epoch: EpochRead,
     asked_at: Micros,
     lease: u64,
-    /// Processes that live and want a place, by the name of their controller.
+    /// Processes that are alive and want to be members, by controller name.
     live: Vec<(String, u64)>,
-    /// Whether this controller wants no place.
+    /// Whether this controller wants no membership.
     out_of_ring: bool,
 }
 
 impl MembershipLoop {
-    /// Has the epoch record read in the next round.
+    /// Starts the next pass in the next round.
     pub(super) fn step_at_once(&mut self, now: Micros) {
         self.next_step_at = now;
     }
 
-    fn step_again_after(&mut self, now: Micros, pause: Micros) {
+    fn schedule_next_step(&mut self, now: Micros, delay: Micros) {
         self.request_in_flight = false;
-        self.next_step_at = now + pause;
+        self.next_step_at = now + delay;
     }
 
-    /// The lease is gone, and with it the member key.
+    /// Called when the lease is lost, and the member key with it.
     fn forget_lease(&mut self) {
         self.lease = None;
         self.registered = false;
         self.unconfirmed_own_key = None;
     }
 
-    /// The member key stands as it was last written.
+    /// Called when the member key is known to be stored as last written.
     fn confirm_own_key(&mut self) {
         self.registered = true;
         self.unconfirmed_own_key = None;
@@ -102,8 +104,8 @@
     format!("{MEMBER_PREFIX}{name}")
 }
 
-/// Processes whose member keys stand, but for those that have stepped down: they live, and want no place.
-fn processes_that_want_a_place(rows: &[KeyValue]) -> impl Iterator<Item = (String, u64)> {
+/// The processes that have member keys, without those that are alive but want no membership.
+fn processes_wanting_membership(rows: &[KeyValue]) -> impl Iterator<Item = (String, u64)> {
     rows.iter().filter(|row| row.value.get("aside").is_none_or(|aside| aside != true)).filter_map(|row| {
         let name = row.key.strip_prefix(MEMBER_PREFIX)?;
         Some((name.to_owned(), row.value.get("boot")?.as_u64()?))
@@ -111,7 +113,7 @@
 }
 
 impl Controller {
-    /// Takes the next step that is due: a lease, the member key, or the epoch record.
+    /// Takes the next step: grant a lease, write the member key, or read the epoch record.
     pub(super) fn run_membership_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if self.membership_loop.request_in_flight || now < self.membership_loop.next_step_at {
             return;
@@ -119,53 +121,68 @@
         self.membership_loop.request_in_flight = true;
         let Some(lease) = self.membership_loop.lease else {
             let ms = self.settings.member_lease.0 / 1000;
-            return self.ask_ring(PendingRingRequest::GrantLease, StoreRequest::Grant(ms), out);
+            return self.send_membership_request(
+                PendingMembershipRequest::GrantLease,
+                StoreRequest::Grant(ms),
+                out,
+            );
         };
-        // How often it joined of late stands in the epoch record: once read, its key may take back that it wants a place.
+        // Whether flap damping applies is known only from the epoch record; once it has been read, the member
+        // key may be rewritten to request no membership.
         if !self.membership_loop.registered {
             return self.register(now, lease, out);
         }
         let read = StoreRequest::Get(EPOCH_KEY.into());
-        self.ask_ring(PendingRingRequest::ReadEpoch { asked_at: now }, read, out);
+        self.send_membership_request(PendingMembershipRequest::ReadEpoch { asked_at: now }, read, out);
     }
 
-    fn ask_ring(&mut self, pending: PendingRingRequest, request: StoreRequest, out: &mut Vec<Effect>) {
-        self.ask_store(PendingStoreRequest::Ring(pending), request, out);
+    fn send_membership_request(
+        &mut self,
+        pending: PendingMembershipRequest,
+        request: StoreRequest,
+        out: &mut Vec<Effect>,
+    ) {
+        self.send_store_request(PendingStoreRequest::Ring(pending), request, out);
     }
 
-    /// Writes the member key, once its version is known.
+    /// Writes our member key, after reading its version.
     fn register(&mut self, now: Micros, lease: u64, out: &mut Vec<Effect>) {
-        let held_back = self.membership_loop.newest_record.is_some() && self.is_held_back(now);
-        if held_back && !self.flap_damping.is_out_of_ring() {
-            tracing::info!("flap damping: this controller has joined too often of late");
+        let is_held_back = self.membership_loop.newest_record.is_some() && self.is_held_back(now);
+        if is_held_back && !self.flap_damping.is_out_of_ring() {
+            tracing::info!("flap damping: held back after too many recent joins");
         }
         let Some(store_version) = self.membership_loop.own_key_version.take() else {
             let read = StoreRequest::Get(member_key(&self.settings.member));
-            return self.ask_ring(PendingRingRequest::ReadOwnKey, read, out);
+            return self.send_membership_request(PendingMembershipRequest::ReadOwnKey, read, out);
         };
-        self.flap_damping.note_registration(held_back);
-        let own_key = self.own_key(lease, held_back || self.step_down.absence_reason().is_some());
+        self.flap_damping.note_registration(is_held_back);
+        let own_key = self.own_key(lease, is_held_back || self.step_down.absence_reason().is_some());
         self.membership_loop.unconfirmed_own_key = Some(own_key.1.clone());
-        // Guards against one that is carried out late, after a newer one of this process or the next: the key would
-        // say that a controller wants no place, or is another process, and the others would put it out while it acts.
+        // The condition on the key's version keeps a late write from overwriting a newer one of this process
+        // or its successor. The key would then show the wrong process, or that this controller wants no
+        // membership, and the others would remove the controller from the ring while it acts.
         let transaction = Transaction {
             conditions: vec![(own_key.0.clone(), store_version)],
             puts: vec![own_key],
             ..Transaction::default()
         };
-        self.ask_ring(PendingRingRequest::WriteOwnKey, StoreRequest::Transaction(transaction), out);
+        self.send_membership_request(
+            PendingMembershipRequest::WriteOwnKey,
+            StoreRequest::Transaction(transaction),
+            out,
+        );
     }
 
-    /// The key that shows that this process lives, and whether it wants a place on the ring.
+    /// The member key, which shows that this process is alive and whether it wants to be a member.
     fn own_key(&self, lease: u64, out_of_ring: bool) -> (String, Value, Option<u64>) {
-        let mut value = json!({"boot": self.boot, "reads": frame_forms::NEWEST});
+        let mut value = json!({"boot": self.boot, "reads": format_versions::CURRENT_FORMAT_VERSION});
         if out_of_ring {
             value["aside"] = true.into();
         }
         (member_key(&self.settings.member), value, Some(lease))
     }
 
-    /// Steps down, or comes back, when the evidence says so.
+    /// Steps down or returns to the ring if the evidence requires it.
     pub(super) fn step_down_or_return(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if self.handoff.leaving().is_some() {
             return self.leave_ring(now);
@@ -177,13 +194,14 @@
         {
             tracing::info!(epoch = self.membership.epoch, "returning to the ring");
             self.step_down.rejoin(now);
-            // The key must say so before the epoch is raised, or others would raise it again. Until
-            // the ring has it back this process still doesn't act.
+            // The member key must be updated before the epoch is raised, or the others would raise it again.
+            // Until the ring includes this process again, it doesn't act as a leader.
             self.membership_loop.registered = false;
             self.membership_loop.step_at_once(now);
         } else if self.step_down.take_due_probe(now) {
-            let addresses = self.machine_shard.sample_addresses(PROBED, now);
-            // Guards against a stay of minutes after those it knew have gone: nobody is left to try, so it tries its place.
+            let addresses = self.machine_shard.sample_addresses(PROBE_SAMPLE_SIZE, now);
+            // If all known machines are gone, there is none left to probe. Returning without a probe avoids
+            // an absence of minutes.
             match addresses.is_empty() {
                 true => self.step_down.record_probe(true),
                 false => out.push(Effect::Probe(addresses)),
@@ -192,7 +210,7 @@
     }
 
     fn step_down_on_evidence(&mut self, now: Micros) {
-        // With the store's word only: leaving takes a change of the epoch record.
+        // Requires a valid store lease, since leaving requires a change of the epoch record.
         if !self.membership.has_store_lease(now) || self.membership.has_stepped_down {
             return;
         }
@@ -204,23 +222,23 @@
         };
         tracing::info!(epoch = self.membership.epoch, ?missing, "stepping down");
         self.step_down.leave(now, missing);
-        // From here on nothing is commanded or answered, before anybody else may do so.
+        // From here on this controller sends no commands or answers, before another controller may take over.
         self.membership.has_stepped_down = true;
         self.membership_loop.step_at_once(now);
     }
 
-    /// An answer of the state store to this loop.
-    pub(super) fn apply_ring_answer(
+    /// Applies a response of the state store to this loop.
+    pub(super) fn apply_membership_answer(
         &mut self,
         now: Micros,
-        pending: PendingRingRequest,
+        pending: PendingMembershipRequest,
         answer: StoreAnswer,
         out: &mut Vec<Effect>,
     ) {
-        use PendingRingRequest::*;
+        use PendingMembershipRequest::*;
         match (pending, answer) {
             (_, StoreAnswer::NoLease) => self.lose_lease(now),
-            (GrantLease, StoreAnswer::Granted(lease)) => self.take_lease(now, lease),
+            (GrantLease, StoreAnswer::Granted(lease)) => self.apply_granted_lease(now, lease),
             (ReadOwnKey, StoreAnswer::Got(row)) => self.apply_own_key(now, row),
             (WriteOwnKey, StoreAnswer::Committed(_)) => self.finish_registration(now),
             (ReadEpoch { asked_at }, StoreAnswer::Got(row)) => {
@@ -230,56 +248,59 @@
                 self.apply_member_list(now, asked_at, &rows, out)
             }
             (RaiseEpoch { record }, StoreAnswer::Committed(store_version)) => {
-                self.apply_raised_epoch(now, EpochReading { record, store_version }, out)
+                self.apply_raised_epoch(now, EpochRead { record, store_version }, out)
+            }
+            (RaiseEpoch { .. }, StoreAnswer::Conflict(_)) => {
+                self.schedule_next_step(now, CONFLICT_RETRY_DELAY)
             }
-            (RaiseEpoch { .. }, StoreAnswer::Conflict(_)) => self.step_again_after(now, RETRY_CONFLICT),
-            // It may be carried out yet. One that the store refused is not.
+            // With an unknown outcome the transaction may still be applied later; a refused one is not.
             (RaiseEpoch { record }, StoreAnswer::Unknown) if !self.membership.is_member_of(&record) => {
                 self.handoff.note_departure_request(Some(record.epoch));
-                self.step_again_after(now, RETRY);
+                self.schedule_next_step(now, RETRY_DELAY);
             }
             (RenewLease { asked_at }, StoreAnswer::Renewed) => self.apply_lease_renewal(now, asked_at),
-            _ => self.step_again_after(now, RETRY),
+            _ => self.schedule_next_step(now, RETRY_DELAY),
         }
     }
 
-    fn step_again_after(&mut self, now: Micros, pause: Micros) {
-        self.membership_loop.step_again_after(now, pause);
+    fn schedule_next_step(&mut self, now: Micros, pause: Micros) {
+        self.membership_loop.schedule_next_step(now, pause);
     }
 
     fn lose_lease(&mut self, now: Micros) {
         tracing::info!(epoch = self.membership.epoch, "store lease expired");
         self.membership_loop.forget_lease();
         self.membership.lose_store_lease();
-        self.step_again_after(now, AT_ONCE);
+        self.schedule_next_step(now, NO_DELAY);
     }
 
-    fn take_lease(&mut self, now: Micros, lease: u64) {
+    fn apply_granted_lease(&mut self, now: Micros, lease: u64) {
         self.membership_loop.lease = Some(lease);
-        self.step_again_after(now, AT_ONCE);
+        self.schedule_next_step(now, NO_DELAY);
     }
 
     fn apply_own_key(&mut self, now: Micros, row: Option<KeyValue>) {
-        // Guards against a controller that never joins: what it wrote may stand although no answer ever comes, and
-        // others count it in while it writes again until its lease ends. With its lease the key would be gone.
+        // A write may have been applied although its response was lost. Rewriting the key until its lease
+        // expires would keep this controller from joining while the others count it as alive. If the lease
+        // had expired, the key would be gone.
         let written = self.membership_loop.unconfirmed_own_key.as_ref();
         if row.as_ref().is_some_and(|row| written == Some(&row.value)) {
             self.membership_loop.confirm_own_key();
         } else {
             self.membership_loop.own_key_version = Some(row.map_or(0, |row| row.store_version));
         }
-        self.step_again_after(now, AT_ONCE);
+        self.schedule_next_step(now, NO_DELAY);
     }
 
     fn finish_registration(&mut self, now: Micros) {
         self.membership_loop.confirm_own_key();
-        self.step_again_after(now, AT_ONCE);
+        self.schedule_next_step(now, NO_DELAY);
     }
 
     fn apply_lease_renewal(&mut self, now: Micros, asked_at: Micros) {
         self.membership.renew_store_lease(asked_at);
         // A sixth of the lease.
-        self.step_again_after(now, Micros::from_millis(self.settings.member_lease.0 / 6000));
+        self.schedule_next_step(now, Micros::from_millis(self.settings.member_lease.0 / 6000));
     }
 
     fn apply_epoch_record(
@@ -296,53 +317,54 @@
                 Ok(record) => (record, store_version),
                 Err(error) => {
                     tracing::error!(reason = %error, "unreadable epoch record");
-                    return self.step_again_after(now, RETRY_UNREADABLE);
+                    return self.schedule_next_step(now, UNREADABLE_RETRY_DELAY);
                 }
             },
         };
-        self.membership_loop.newest_record = Some(EpochReading { record, store_version });
+        self.membership_loop.newest_record = Some(EpochRead { record, store_version });
         let list = StoreRequest::List(MEMBER_PREFIX.into(), String::new());
-        self.ask_ring(PendingRingRequest::ListMembers { asked_at }, list, out);
+        self.send_membership_request(PendingMembershipRequest::ListMembers { asked_at }, list, out);
     }
 
-    /// The member keys were read: raises the epoch, adopts it, or renews the lease.
+    /// Applies the list of member keys: raises the epoch, adopts it, or renews the lease.
     fn apply_member_list(&mut self, now: Micros, asked_at: Micros, rows: &[KeyValue], out: &mut Vec<Effect>) {
         let Some(epoch) = self.membership_loop.newest_record.clone() else {
-            return self.step_again_after(now, RETRY);
+            return self.schedule_next_step(now, RETRY_DELAY);
         };
-        self.note_forms(rows, out);
-        let held_back = !self.membership.is_member_of(&epoch.record) && self.is_held_back(now);
-        if self.flap_damping.is_out_of_ring() != held_back {
-            // Its key must say so before the epoch is raised.
+        self.note_format_versions(rows, out);
+        let is_held_back = !self.membership.is_member_of(&epoch.record) && self.is_held_back(now);
+        if self.flap_damping.is_out_of_ring() != is_held_back {
+            // The member key must be updated before the epoch is raised.
             self.membership_loop.registered = false;
-            return self.step_again_after(now, AT_ONCE);
+            return self.schedule_next_step(now, NO_DELAY);
         }
-        // Whose lease has ended without its knowledge must get a new one before it joins:
-        // the others would put it out again at once, and so on in turns.
-        if !self.own_key_stands(rows) {
+        // If our lease has expired unnoticed, a new one is needed before joining: otherwise the others would
+        // remove this controller again at once, and both sides would keep raising the epoch.
+        if !self.has_own_key(rows) {
             return self.lose_lease(now);
         }
         let out_of_ring = self.step_down.absence_reason().is_some() || self.flap_damping.is_out_of_ring();
         let live = self.note_live_members(rows, out_of_ring);
         let (Some(lease), false) = (self.membership_loop.lease, live.is_empty()) else {
-            return self.step_again_after(now, RETRY);
+            return self.schedule_next_step(now, RETRY_DELAY);
         };
-        let reading = RingReading { epoch, asked_at, lease, live, out_of_ring };
-        if self.must_raise_epoch(&reading) {
+        let reading = MembershipRead { epoch, asked_at, lease, live, out_of_ring };
+        if self.is_epoch_change_needed(&reading) {
             return self.raise_epoch(now, &reading, rows, out);
         }
         self.follow_epoch(now, &reading, out);
     }
 
-    fn own_key_stands(&self, rows: &[KeyValue]) -> bool {
+    fn has_own_key(&self, rows: &[KeyValue]) -> bool {
         let key = member_key(&self.settings.member);
         rows.iter().any(|row| row.key == key && row.value.get("boot").is_some_and(|boot| *boot == self.boot))
     }
 
-    /// Notes which other controllers live and want a place; returns them, and this one if it wants one.
+    /// Records which other controllers are alive and want to be members; returns them, and this one if it
+    /// wants to be one.
     fn note_live_members(&mut self, rows: &[KeyValue], out_of_ring: bool) -> Vec<(String, u64)> {
         let names = &self.settings.members;
-        let mut live: Vec<(String, u64)> = processes_that_want_a_place(rows)
+        let mut live: Vec<(String, u64)> = processes_wanting_membership(rows)
             .filter(|(name, _)| names.contains(name) && *name != self.settings.member)
             .collect();
         self.membership_loop.live_peers =
@@ -353,25 +375,36 @@
         live
     }
 
-    /// Whether the epoch is to be raised: to join, to leave, or because a member's lease has ended.
-    fn must_raise_epoch(&self, reading: &RingReading) -> bool {
+    /// Whether the epoch must be raised: to join, to leave, or because a member's lease has expired.
+    fn is_epoch_change_needed(&self, reading: &MembershipRead) -> bool {
         let record = &reading.epoch.record;
-        let lost = record.members.iter().any(|member| !reading.live.contains(member));
-        // One that came back while its own leaving has no answer raises an epoch with itself: then a late one fails.
-        let in_doubt = !reading.out_of_ring && self.handoff.may_be_out_after(record.epoch);
-        (!reading.out_of_ring && !self.membership.is_member_of(record)) || lost || in_doubt
+        let is_member_lost = record.members.iter().any(|member| !reading.live.contains(member));
+        // If this controller returned while its own departure is unconfirmed, it raises an epoch that
+        // includes itself, so that the late departure fails.
+        let is_departure_unconfirmed =
+            !reading.out_of_ring && self.handoff.has_unconfirmed_departure(record.epoch);
+        (!reading.out_of_ring && !self.membership.is_member_of(record))
+            || is_member_lost
+            || is_departure_unconfirmed
     }
 
-    fn raise_epoch(&mut self, now: Micros, reading: &RingReading, rows: &[KeyValue], out: &mut Vec<Effect>) {
-        let EpochReading { record, store_version } = &reading.epoch;
+    fn raise_epoch(
+        &mut self,
+        now: Micros,
+        reading: &MembershipRead,
+        rows: &[KeyValue],
+        out: &mut Vec<Effect>,
+    ) {
+        let EpochRead { record, store_version } = &reading.epoch;
         let next = record.successor(&reading.live);
         let Ok(mut value) = serde_json::to_value(&next) else {
-            return self.step_again_after(now, RETRY);
+            return self.schedule_next_step(now, RETRY_DELAY);
         };
         self.flap_damping.write(&self.settings, self.rounds.wall, record, &next, &mut value);
         let mut conditions = vec![(EPOCH_KEY.into(), *store_version)];
-        // Guards against a raise that is carried out late: who is left out must not live at that moment. One
-        // whose lease had ended, and who has a new one since, still is a member of the old epoch and acts.
+        // A late transaction must not remove a live controller: the member keys must be unchanged. A
+        // controller whose lease expired and that has a new one since is still a member of the old epoch and
+        // acts in it.
         conditions.extend(self.settings.members.iter().map(|name| {
             let key = member_key(name);
             let version = rows.iter().find(|row| row.key == key).map_or(0, |row| row.store_version);
@@ -382,31 +415,32 @@
         if reading.out_of_ring {
             transaction.puts.push(self.own_key(reading.lease, true));
         }
-        let pending = PendingRingRequest::RaiseEpoch { record: next };
-        self.ask_ring(pending, StoreRequest::Transaction(transaction), out);
+        let pending = PendingMembershipRequest::RaiseEpoch { record: next };
+        self.send_membership_request(pending, StoreRequest::Transaction(transaction), out);
     }
 
-    /// The epoch record stands as it was read: adopts it, and renews the lease if this controller's place is settled.
-    fn follow_epoch(&mut self, now: Micros, reading: &RingReading, out: &mut Vec<Effect>) {
-        let EpochReading { record, store_version } = &reading.epoch;
-        let renewal = PendingRingRequest::RenewLease { asked_at: reading.asked_at };
+    /// The epoch record needs no change: adopts it, and renews the lease if this controller's membership is
+    /// settled.
+    fn follow_epoch(&mut self, now: Micros, reading: &MembershipRead, out: &mut Vec<Effect>) {
+        let EpochRead { record, store_version } = &reading.epoch;
+        let renewal = PendingMembershipRequest::RenewLease { asked_at: reading.asked_at };
         if reading.out_of_ring {
             self.hand_off_on_leaving(now, record, *store_version);
-            return self.ask_ring(renewal, StoreRequest::Renew(reading.lease), out);
+            return self.send_membership_request(renewal, StoreRequest::Renew(reading.lease), out);
         }
         if record.epoch > self.membership.epoch {
             self.adopt_epoch(now, record, *store_version, out);
         }
         if record.epoch == self.membership.epoch {
             self.job_shard.confirm_epoch(reading.asked_at);
-            // It came back before it had left: its place is still its own.
+            // This controller returned before it had left, so it is still a member.
             self.membership.has_stepped_down = false;
-            return self.ask_ring(renewal, StoreRequest::Renew(reading.lease), out);
+            return self.send_membership_request(renewal, StoreRequest::Renew(reading.lease), out);
         }
-        self.step_again_after(now, RETRY);
+        self.schedule_next_step(now, RETRY_DELAY);
     }
 
-    fn apply_raised_epoch(&mut self, now: Micros, raised: EpochReading, out: &mut Vec<Effect>) {
+    fn apply_raised_epoch(&mut self, now: Micros, raised: EpochRead, out: &mut Vec<Effect>) {
         if self.membership.is_member_of(&raised.record) {
             self.adopt_epoch(now, &raised.record, raised.store_version, out);
         } else {
@@ -414,10 +448,10 @@
             self.hand_off_on_leaving(now, &raised.record, raised.store_version);
             self.membership_loop.newest_record = Some(raised);
         }
-        self.step_again_after(now, AT_ONCE);
+        self.schedule_next_step(now, NO_DELAY);
     }
 
-    /// Takes up an epoch that this controller is a member of: all records are read again, by everybody.
+    /// Adopts an epoch that this controller is a member of. Every member reads all records again.
     fn adopt_epoch(&mut self, now: Micros, record: &EpochRecord, store_version: u64, out: &mut Vec<Effect>) {
         let ring_before = self.membership.ring.clone();
         self.membership.has_stepped_down = self.step_down.absence_reason().is_some();
@@ -431,21 +465,21 @@
             "epoch adopted"
         );
         self.hand_off(now, follows);
-        self.report_lost_controllers(now, record, follows);
+        self.report_departed_controllers(now, record, follows);
         self.machine_shard
             .adopt_epoch(now, &self.membership, follows, |job| ring_before.owner(&format!("job/{job}")));
         self.job_shard.adopt_epoch(&self.membership, follows);
         self.restart_coordination();
-        self.batches_anew();
-        self.loans_anew();
-        self.stand_ins.next_notice.clear();
+        self.reset_batches();
+        self.reset_loans();
+        self.proxy_acceptances.next_notice_at.clear();
         self.quota.begin_epoch();
         self.machine_registry.begin_epoch();
         self.peer_traffic.forget_revisions();
         self.release_held_heartbeats(now, out);
         self.record_loading.restart(now);
         for caller in self.user_requests.take_waiting() {
-            // The job may have another leader now.
+            // The job may have a different leader now.
             self.reply(now, caller, Reply::later("the ring has changed"), out);
         }
     }
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -1,5 +1,5 @@
-//! Operators' requests about releases and batches, and why a job waits. Any controller answers, from the records
-//! themselves, by conditional changes.
+//! Operators' requests about releases and batches, and users' requests why a job waits. Any controller
+//! answers them from the stored records and changes those by compare-and-swap.
 
 use super::coordination::OperatorRequest;
 use super::*;
@@ -10,97 +10,101 @@
 pub struct ReleaseSelector {
     /// The title.
     pub title: String,
-    /// The night, YYYY-MM-DD; None: the latest that is on record.
+    /// The night, YYYY-MM-DD; None selects the latest stored one.
     pub night: Option<String>,
 }
 
-/// What an operator asks about releases or batches, its syntax checked.
+/// An operator's request about releases or batches whose syntax has been checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
     /// List all releases.
     ListReleases,
     /// Show one release.
     ShowRelease(ReleaseSelector),
-    /// Close a release: no job joins it any more.
+    /// Close a release: no further job may join it.
     CloseRelease(ReleaseSelector),
-    /// Open one again that was closed.
+    /// Reopen a closed release.
     ReopenRelease(ReleaseSelector),
-    /// Let a rotation do without a job.
+    /// Allow a rotation to start without a job.
     Waive {
         /// The release.
         release: ReleaseSelector,
-        /// The job, or `missing`: the renders that are missing.
+        /// The job, or `missing` for the declared renders that are missing.
         job: String,
-        /// Why. It is kept on record.
+        /// The reason, which is stored.
         reason: String,
     },
     /// List all batches.
     ListBatches,
     /// Show one batch.
     ShowBatch {
-        /// Its name.
+        /// The batch's name.
         name: String,
     },
-    /// Put a batch's version on record.
+    /// Store a new version of a batch.
     PutBatch {
-        /// Its name.
+        /// The batch's name.
         name: String,
-        /// The version. It only rises.
+        /// The version. Versions never decrease.
         version: u64,
     },
 }
 
-/// A request that can't be answered for so long is given up.
-const PATIENCE: Micros = Micros::from_millis(8000);
-/// Requests under way at the most.
-const MOST: usize = 50;
+/// A request that could not be answered for this long is answered with an error.
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(8000);
+/// Maximum number of pending requests.
+const MAX_PENDING_REQUESTS: usize = 50;
 
 impl Controller {
-    /// An operator's request has come.
-    pub(super) fn operator(
+    /// Handles a new operator request.
+    pub(super) fn handle_operator_request(
         &mut self,
         now: Micros,
         ticket: u64,
         request: OperatorCommand,
         out: &mut Vec<Effect>,
     ) {
-        if self.coordination.operating.len() >= MOST {
+        if self.coordination.operator_requests.len() >= MAX_PENDING_REQUESTS {
             return out.push(Effect::Reply { ticket, reply: Reply::later("overloaded") });
         }
-        self.coordination.operating.push(OperatorRequest { ticket, request, began: now });
-        self.operate(now, out);
+        self.coordination.operator_requests.push(OperatorRequest {
+            ticket,
+            command: request,
+            received_at: now,
+        });
+        self.continue_operator_requests(now, out);
     }
 
-    /// Goes on with requests that wait for a record.
-    pub(super) fn operate(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        for o in std::mem::take(&mut self.coordination.operating) {
+    /// Continues requests that wait for a record.
+    pub(super) fn continue_operator_requests(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        for request in std::mem::take(&mut self.coordination.operator_requests) {
             let reply = if !self.membership.is_leader(now) {
                 Some(Reply::later("not able to act"))
-            } else if now.since(o.began) >= PATIENCE {
+            } else if now.since(request.received_at) >= REQUEST_TIMEOUT {
                 Some(Reply::later("the records could not be read or changed in time"))
             } else {
-                match o.request {
+                match request.command {
                     OperatorCommand::ListBatches
                     | OperatorCommand::ShowBatch { .. }
-                    | OperatorCommand::PutBatch { .. } => self.batch_request(now, &o, out),
-                    _ => self.release_request(now, &o, out),
+                    | OperatorCommand::PutBatch { .. } => self.answer_batch_request(now, &request, out),
+                    _ => self.answer_release_request(now, &request, out),
                 }
             };
             match reply {
-                Some(r) => out.push(Effect::Reply { ticket: o.ticket, reply: r }),
-                // A change under way answers when it is on record.
-                None if self.coordination.replying.remove(&o.ticket) => {}
-                None => self.coordination.operating.push(o),
+                Some(reply) => out.push(Effect::Reply { ticket: request.ticket, reply }),
+                // The pending change sends the answer once it is stored.
+                None if self.coordination.answered_by_change.remove(&request.ticket) => {}
+                None => self.coordination.operator_requests.push(request),
             }
         }
     }
 
-    /// Why a job of ours waits.
-    pub(super) fn why(&self, id: &str) -> Option<Reply> {
+    /// Explains why a job led by this controller waits.
+    pub(super) fn explain_wait(&self, id: &str) -> Option<Reply> {
         let job = self.job_shard.jobs.get(id)?;
         let prerequisites: Vec<&str> = job.unfinished_prerequisites().collect();
         let state = self.job_shard.user_status(id).map_or(users::PENDING, |status| status.0);
-        let held = job.hold().map(|hold| hold.why());
-        Some(Reply::json(200, &users::waiting(id, state, &prerequisites, held)))
+        let reason = job.hold().map(|hold| hold.why());
+        Some(Reply::json(200, &users::waiting(id, state, &prerequisites, reason)))
     }
 }
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -1,39 +1,40 @@
 //! Frames from and to other controllers.
 //!
-//! [`PeerTraffic`] owns what each was sent and has acknowledged. What a frame says counts in its own epoch alone, and none
-//! is sent under an epoch that this controller does not speak for.
+//! [`PeerTraffic`] owns, for each controller, what was sent to it and what it has acknowledged. Most messages
+//! are valid only in the epoch of their frame, and state is sent only while this controller is an active
+//! member of its epoch.
 
-use super::membership::EpochReading;
+use super::membership::EpochRead;
 use super::*;
 use hazelsaddle_failover::start_replica::ReplicationDelta;
 
-/// A reading of a process' clock.
+/// A clock reading of one process.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ClockReading {
     pub(super) boot: u64,
     pub(super) clock: Micros,
 }
 
-/// What has passed between this controller and another one, or itself.
+/// The exchange with one controller, which may be this controller itself.
 #[derive(Default)]
 pub(super) struct PeerLink {
-    /// The latest reading of its clock that was heard.
-    pub(super) heard: ClockReading,
-    /// When it was last sent our state.
+    /// The latest clock reading received from the peer.
+    pub(super) last_clock: ClockReading,
+    /// When our state was last sent to the peer.
     state_sent_at: Micros,
-    /// The revision of our machines' state that it was last sent.
+    /// The revision of our machines' state that was last sent to the peer.
     revision_sent: u64,
-    /// The revision of our machines' state that it says it holds.
+    /// The revision of our machines' state that the peer has acknowledged.
     pub(super) revision_acked: u64,
-    /// Whether it waits to hear which revision of its machines' state we hold.
-    owes_ack: bool,
-    /// Heartbeats of its machines that came here.
+    /// Whether the peer is still owed an acknowledgement of its machines' state.
+    is_ack_owed: bool,
+    /// Heartbeats of machines that the peer leads but that were sent to this controller.
     pub(super) misrouted: MisroutedHeartbeats,
 }
 
-/// What is said to other controllers, and when.
+/// What is sent to other controllers, and when.
 pub(super) struct PeerTraffic {
-    /// By controller.
+    /// By controller number.
     pub(super) links: Vec<PeerLink>,
     demands_sent_at: Micros,
 }
@@ -44,12 +45,12 @@
         PeerTraffic { links, demands_sent_at: Micros(0) }
     }
 
-    /// A new epoch: heartbeats that came here in the last one say nothing of it.
+    /// Called for a new epoch: misrouted heartbeats of the previous epoch don't apply to it.
     pub(super) fn forget_misrouted(&mut self) {
         self.links.iter_mut().for_each(|link| link.misrouted = MisroutedHeartbeats::default());
     }
 
-    /// A new epoch: everybody is sent everything again.
+    /// Called for a new epoch: every peer is sent the full state again.
     pub(super) fn forget_revisions(&mut self) {
         for link in &mut self.links {
             (link.revision_acked, link.revision_sent) = (0, 0);
@@ -57,41 +58,49 @@
     }
 }
 
-/// Who has sent a frame, and when.
+/// The sender of a frame.
 struct Sender {
     from: usize,
     boot: u64,
-    /// The reading of our clock that it had heard.
+    /// Our clock reading that the sender has echoed.
     echo: Micros,
-    /// The revision of our machines' state that it holds.
+    /// The revision of our machines' state that the sender holds.
     revision_seen: u64,
-    is_self: bool,
+    is_from_self: bool,
 }
 
 impl Controller {
-    /// The newest epoch that others may take it from us that we know. One that has stepped down says
-    /// so by naming the epoch without it: nobody need wait for its lease to end.
-    pub(super) fn known_epoch(&self) -> (u64, Vec<u32>) {
+    /// The newest epoch that this controller advertises in its frames, and the members of that epoch. A
+    /// controller that has stepped down advertises the epoch that excludes it, so that the others need not
+    /// wait for its lease to expire.
+    pub(super) fn advertised_epoch(&self) -> (u64, Vec<u32>) {
         let out_of_ring = self.membership.has_stepped_down || self.flap_damping.is_out_of_ring();
-        if let (true, Some(EpochReading { record, .. })) = (out_of_ring, &self.membership_loop.newest_record)
+        if let (true, Some(EpochRead { record, .. })) = (out_of_ring, &self.membership_loop.newest_record)
             && record.epoch > self.membership.epoch
             && !self.membership.is_member_of(record)
         {
-            let number = |member: &(String, u64)| self.settings.members.iter().position(|n| *n == member.0);
-            // It may name an earlier process of ours. Guards against processes that are held back and wait for one another,
-            // each heard as a member that is there.
-            let others = record.members.iter().filter_map(number).filter(|n| *n != self.settings.me);
-            return (record.epoch, others.map(|n| n as u32).collect());
+            let number_of =
+                |member: &(String, u64)| self.settings.members.iter().position(|name| *name == member.0);
+            // The record may list an earlier process of this controller. Listing this controller would let
+            // processes that are all held back by flap damping count one another as members and wait for each
+            // other.
+            let others =
+                record.members.iter().filter_map(number_of).filter(|number| *number != self.settings.me);
+            return (record.epoch, others.map(|number| number as u32).collect());
         }
         let (epoch, members) = self.membership.acknowledged_epoch();
-        // Who has given way takes no part in that epoch, even if it names an earlier process of ours: to others its word
-        // must not count as that of a member who is there.
-        let is_out = |member: usize| self.membership.has_yielded() && member == self.settings.me;
-        (epoch, members.iter().filter(|m| !is_out(**m)).map(|&m| m as u32).collect())
+        // A controller that has yielded takes no part in the announced epoch, even if that epoch lists an
+        // earlier process of it: its frames must not count as those of a live member.
+        let is_self_yielded = |member: usize| self.membership.has_yielded() && member == self.settings.me;
+        (
+            epoch,
+            members.iter().filter(|member| !is_self_yielded(**member)).map(|&member| member as u32).collect(),
+        )
     }
 
-    /// Whether it speaks in the name of its epoch: the records are read, and it has neither stepped down nor given way.
-    pub(super) fn speaks_for_epoch(&self) -> bool {
+    /// Whether this controller is an active member of its epoch: its records are loaded, and it has neither
+    /// stepped down nor yielded to a newer epoch.
+    pub(super) fn is_active_member(&self) -> bool {
         let membership = &self.membership;
         self.record_loading.is_done()
             && membership.epoch > 0
@@ -99,17 +108,17 @@
             && !membership.has_yielded()
     }
 
-    pub(super) fn envelope(&self, now: Micros, to: usize, body: Message) -> Frame {
-        let heard = self.peer_traffic.links.get(to).map(|link| link.heard).unwrap_or_default();
-        let (epoch, members) = self.known_epoch();
+    pub(super) fn build_frame(&self, now: Micros, to: usize, body: Message) -> Frame {
+        let last_clock = self.peer_traffic.links.get(to).map(|link| link.last_clock).unwrap_or_default();
+        let (epoch, members) = self.advertised_epoch();
         Frame {
             from: self.settings.me as u32,
             epoch,
             members,
             clock: now,
             boot: self.boot,
-            echo: heard.clock,
-            echo_boot: heard.boot,
+            echo: last_clock.clock,
+            echo_boot: last_clock.boot,
             sequence_seen: self.job_shard.applied_status_sequence(to, self.membership.epoch),
             body,
         }
@@ -117,69 +126,73 @@
 
     /// Sends a message to another controller.
     pub(super) fn send(&self, now: Micros, to: usize, body: Message, out: &mut Vec<Effect>) {
-        out.push(Effect::Send { to, frame: self.envelope(now, to, body) });
+        out.push(Effect::Send { to, frame: self.build_frame(now, to, body) });
     }
 
-    /// The same, or keeps it in `own` if it is for this controller.
-    fn send_or_keep(
+    /// Sends a message to another controller, or adds its frame to `local_frames` if the receiver is this
+    /// controller.
+    fn send_or_queue_locally(
         &self,
         now: Micros,
         to: usize,
         body: Message,
-        own: &mut Vec<Frame>,
+        local_frames: &mut Vec<Frame>,
         out: &mut Vec<Effect>,
     ) {
-        let frame = self.envelope(now, to, body);
-        if to == self.settings.me { own.push(frame) } else { out.push(Effect::Send { to, frame }) }
+        let frame = self.build_frame(now, to, body);
+        if to == self.settings.me { local_frames.push(frame) } else { out.push(Effect::Send { to, frame }) }
     }
 
-    /// Takes a frame of another controller, or of this one.
-    pub(super) fn take_frame(&mut self, now: Micros, frame: Frame, out: &mut Vec<Effect>) {
+    /// Handles a frame from another controller or from this one.
+    pub(super) fn handle_frame(&mut self, now: Micros, frame: Frame, out: &mut Vec<Effect>) {
         let from = frame.from as usize;
         if from >= self.settings.members.len() {
             tracing::error!(from, "frame from an unknown controller");
             return;
         }
-        let is_self = from == self.settings.me;
-        // What we say to ourselves needs no echo.
-        let echo = if is_self { now } else { self.note_sender(now, from, &frame) };
-        // Who has given way to a newer epoch takes no part in its own any more.
+        let is_from_self = from == self.settings.me;
+        // Frames to ourselves need no echo.
+        let echo = if is_from_self { now } else { self.record_frame_header(now, from, &frame) };
+        // A controller that has yielded to a newer epoch no longer takes part in its own.
         let is_same_epoch =
             frame.epoch == self.membership.epoch && frame.epoch > 0 && !self.membership.has_yielded();
         if is_same_epoch {
-            let acked = &mut self.peer_traffic.links[from].revision_acked;
-            *acked = (*acked).max(frame.sequence_seen);
+            let revision_acked = &mut self.peer_traffic.links[from].revision_acked;
+            *revision_acked = (*revision_acked).max(frame.sequence_seen);
         }
         match frame.body {
-            // Who leaves the ring hands over in an epoch that it doesn't adopt. An older process of ours had other
-            // numbers.
+            // A controller that leaves the ring hands off in an epoch that it doesn't adopt, so the epoch is
+            // not compared here. Acknowledgements to an earlier process of this controller refer to other
+            // batch numbers.
             Message::HandoffAck(numbers) if frame.echo_boot == self.boot => {
                 self.handoff.apply_acknowledgements(from, &numbers)
             }
             Message::ForwardRequest { id, request } => {
-                self.take_user_request(now, Caller::Peer { peer: from, request: id }, request, out)
+                self.handle_user_request(now, Caller::Peer { peer: from, request: id }, request, out)
             }
             Message::ForwardResponse { id, reply } => {
                 self.apply_forward_response(now, frame.epoch, id, reply, out)
             }
             message if is_same_epoch => {
                 let revision_seen = frame.sequence_seen;
-                let sender = Sender { from, boot: frame.boot, echo, revision_seen, is_self };
-                self.take_epoch_message(now, &sender, message, out);
+                let sender = Sender { from, boot: frame.boot, echo, revision_seen, is_from_self };
+                self.handle_epoch_message(now, &sender, message, out);
             }
             _ => {}
         }
     }
 
-    /// Notes what the head of another controller's frame says; returns the reading of our clock that it had heard.
-    fn note_sender(&mut self, now: Micros, from: usize, frame: &Frame) -> Micros {
-        self.peer_traffic.links[from].heard = ClockReading { boot: frame.boot, clock: frame.clock };
-        let is_ours = frame.echo_boot == self.boot && frame.echo <= now;
-        let echo = if is_ours { frame.echo } else { Micros(0) };
+    /// Records the header of another controller's frame; returns our clock reading that the sender has
+    /// echoed.
+    fn record_frame_header(&mut self, now: Micros, from: usize, frame: &Frame) -> Micros {
+        self.peer_traffic.links[from].last_clock = ClockReading { boot: frame.boot, clock: frame.clock };
+        let is_own_clock = frame.echo_boot == self.boot && frame.echo <= now;
+        let echo = if is_own_clock { frame.echo } else { Micros(0) };
         self.membership.record_confirmation(from, frame.epoch, echo);
         self.step_down.record_echo(from, echo);
         self.membership.record_named_epoch(now, from, frame.epoch);
-        // By a member's word only: those that keep out of the ring would take one another's for it.
+        // Accepted only from members: controllers that are kept out of the ring would otherwise confirm the
+        // announcement to one another.
         if frame.members.contains(&frame.from) {
             self.membership.record_announcement(now, frame.epoch, &frame.members);
         }
@@ -189,13 +202,19 @@
         echo
     }
 
-    /// Takes a message that counts in our epoch.
-    fn take_epoch_message(&mut self, now: Micros, sender: &Sender, message: Message, out: &mut Vec<Effect>) {
+    /// Handles a message that is valid only in the current epoch.
+    fn handle_epoch_message(
+        &mut self,
+        now: Micros,
+        sender: &Sender,
+        message: Message,
+        out: &mut Vec<Effect>,
+    ) {
         let from = sender.from;
         match message {
             Message::State(desired, delta) => self.apply_peer_state(now, sender, &desired, delta),
             Message::Demands(demands) => self.autoscaler.record_demand(now, from, demands),
-            Message::Reserve(list) if !sender.is_self => {
+            Message::Reserve(list) if !sender.is_from_self => {
                 self.job_shard.apply_peer_reservations(now, from, list)
             }
             Message::ScalingPlan { drain, gone, kept, kept_machines }
@@ -205,16 +224,18 @@
                 self.machine_shard.apply_scaling_plan(&drain.into_iter().collect(), &gone);
             }
             Message::MisroutedHeartbeats(machines) => self.note_misrouted(now, machines),
-            Message::Lending(told) if !sender.is_self => self.job_shard.apply_peer_lending(now, from, told),
+            Message::Lending(lending) if !sender.is_from_self => {
+                self.job_shard.apply_peer_lending(now, from, lending)
+            }
             Message::InheritedPriorities(list) => self.job_shard.apply_needed_priorities(from, list),
-            Message::Handoff { number, batch } => self.take_batch(now, from, sender.boot, number, batch),
-            Message::ReplicateStarts { revision, base_revision, added, removed: dropped }
-                if !sender.is_self =>
-            {
+            Message::Handoff { number, batch } => {
+                self.apply_handoff_batch(now, from, sender.boot, number, batch)
+            }
+            Message::ReplicateStarts { revision, base_revision, added, removed } if !sender.is_from_self => {
                 self.replicate_starts(
                     now,
                     sender,
-                    ReplicationDelta { revision, base_revision, added, dropped },
+                    ReplicationDelta { revision, base_revision, added, dropped: removed },
                     out,
                 );
             }
@@ -232,26 +253,27 @@
     ) {
         let from = sender.from;
         let autoscaler = &self.autoscaler;
-        let room = |kind: &str| autoscaler.resources_of(kind);
-        if self.machine_shard.apply_desired_state(now, from, desired, &self.membership, room) {
+        let capacity_of = |kind: &str| autoscaler.resources_of(kind);
+        if self.machine_shard.apply_desired_state(now, from, desired, &self.membership, capacity_of) {
             self.machine_shard.note_owner_message(from, sender.echo, sender.revision_seen);
         }
-        let owes_ack = self.job_shard.apply_machine_status(now, &self.membership, from, delta);
-        self.peer_traffic.links[from].owes_ack |= owes_ack;
-        // What we hold of our own machines needs no frame.
-        if sender.is_self {
+        let is_ack_owed = self.job_shard.apply_machine_status(now, &self.membership, from, delta);
+        self.peer_traffic.links[from].is_ack_owed |= is_ack_owed;
+        // The state of our own machines is already up to date and needs no acknowledgement frame.
+        if sender.is_from_self {
             let held = self.job_shard.applied_status_sequence(from, self.membership.epoch);
             self.peer_traffic.links[from].revision_acked = held;
         }
     }
 
-    /// Another controller has heartbeats of machines that we lead: we may hear no machine at all.
+    /// Handles a peer's report that machines led by this controller send their heartbeats to the peer: this
+    /// controller may be unreachable for all machines.
     fn note_misrouted(&mut self, now: Micros, machines: Vec<String>) {
         let (shard, membership) = (&self.machine_shard, &self.membership);
-        let ours = machines.into_iter().filter(|name| {
+        let led_here = machines.into_iter().filter(|name| {
             membership.machine_leader(name) == Some(membership.me) && shard.is_gone(name) == Some(false)
         });
-        self.step_down.record_misrouted(now, ours);
+        self.step_down.record_misrouted(now, led_here);
     }
 
     fn replicate_starts(
@@ -263,31 +285,31 @@
     ) {
         let from = sender.from;
         if let Some(revision) = self.start_replica.receive(from, sender.boot, changes)
-            && self.reads(from, handoff::FORM)
+            && self.can_read_format(from, handoff::HANDOFF_FORMAT_VERSION)
         {
             self.send(now, from, Message::StartsReplicated(revision), out);
         }
     }
 
-    /// Sends what other controllers should know: at once when it changed, and every digest period.
+    /// Sends our state to the other controllers: soon after a change, and once per digest period.
     pub(super) fn send_state(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if !self.speaks_for_epoch() {
+        if !self.is_active_member() {
             return self.send_keep_alives(now, out);
         }
-        let mut own = Vec::new();
+        let mut local_frames = Vec::new();
         for peer in 0..self.settings.members.len() {
-            self.send_state_to(now, peer, &mut own, out);
+            self.send_state_to(now, peer, &mut local_frames, out);
         }
-        self.take_own_frames(now, own, out);
+        self.handle_own_frames(now, local_frames, out);
         if now.since(self.peer_traffic.demands_sent_at) >= self.settings.digest {
             self.peer_traffic.demands_sent_at = now;
             self.send_periodic(now, out);
         }
     }
 
-    fn take_own_frames(&mut self, now: Micros, own: Vec<Frame>, out: &mut Vec<Effect>) {
-        for frame in own {
-            self.take_frame(now, frame, out);
+    fn handle_own_frames(&mut self, now: Micros, local_frames: Vec<Frame>, out: &mut Vec<Effect>) {
+        for frame in local_frames {
+            self.handle_frame(now, frame, out);
         }
     }
 
@@ -301,37 +323,44 @@
         }
     }
 
-    fn send_state_to(&mut self, now: Micros, peer: usize, own: &mut Vec<Frame>, out: &mut Vec<Effect>) {
+    fn send_state_to(
+        &mut self,
+        now: Micros,
+        peer: usize,
+        local_frames: &mut Vec<Frame>,
+        out: &mut Vec<Effect>,
+    ) {
         let period = self.settings.digest;
-        // ReplicationDelta are gathered for a moment: a frame costs more than what it says.
-        let gather = if peer == self.settings.me { period.0 / 25 } else { period.0 / 5 };
+        // Changes are batched for a moment, because a frame costs more than its content.
+        let batching_delay = if peer == self.settings.me { period.0 / 25 } else { period.0 / 5 };
         let link = &self.peer_traffic.links[peer];
-        let waited = now.since(link.state_sent_at);
-        let has_news = self.machine_shard.revision() > link.revision_sent || link.owes_ack;
-        if waited < period
-            && (waited.0 < gather || !(has_news || self.job_shard.has_changes_for(peer, &self.membership)))
+        let since_last = now.since(link.state_sent_at);
+        let has_news = self.machine_shard.revision() > link.revision_sent || link.is_ack_owed;
+        if since_last < period
+            && (since_last.0 < batching_delay
+                || !(has_news || self.job_shard.has_changes_for(peer, &self.membership)))
         {
             return;
         }
         let link = &mut self.peer_traffic.links[peer];
         link.state_sent_at = now;
         link.revision_sent = self.machine_shard.revision();
-        link.owes_ack = false;
+        link.is_ack_owed = false;
         let acked = link.revision_acked;
         let desired = match self.membership.members.contains(&peer) {
             true => self.job_shard.next_desired_state(peer, &self.membership),
             false => DesiredState::default(),
         };
         let autoscaler = &self.autoscaler;
-        let room = |kind: &str| autoscaler.resources_of(kind);
-        let delta = self.machine_shard.status_delta(now, &self.membership, peer, acked, room);
-        self.send_or_keep(now, peer, Message::State(desired, delta), own, out);
+        let capacity_of = |kind: &str| autoscaler.resources_of(kind);
+        let delta = self.machine_shard.status_delta(now, &self.membership, peer, acked, capacity_of);
+        self.send_or_queue_locally(now, peer, Message::State(desired, delta), local_frames, out);
     }
 
-    /// Sends what is sent once in a digest period.
+    /// Sends the messages that are due once per digest period.
     fn send_periodic(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let peers = self.settings.members.len();
-        let mut own = Vec::new();
+        let mut local_frames = Vec::new();
         self.send_inherited_priorities(now, out);
         for peer in 0..peers {
             let machines = self.peer_traffic.links[peer].misrouted.take_unreported();
@@ -345,17 +374,17 @@
         }
         if let Some(autoscaler) = self.membership.autoscaler() {
             let demands = Message::Demands(self.job_shard.demands());
-            self.send_or_keep(now, autoscaler, demands, &mut own, out);
+            self.send_or_queue_locally(now, autoscaler, demands, &mut local_frames, out);
             if autoscaler == self.settings.me && self.autoscaler.can_publish() {
                 for peer in 0..peers {
-                    self.send_or_keep(now, peer, self.scaling_plan(), &mut own, out);
+                    self.send_or_queue_locally(now, peer, self.build_scaling_plan(), &mut local_frames, out);
                 }
             }
         }
-        self.take_own_frames(now, own, out);
+        self.handle_own_frames(now, local_frames, out);
     }
 
-    fn scaling_plan(&self) -> Message {
+    fn build_scaling_plan(&self) -> Message {
         Message::ScalingPlan {
             drain: self.autoscaler.draining(),
             gone: self.autoscaler.removed(),
--- a/src/controller/record_loading.rs
+++ b/src/controller/record_loading.rs
@@ -1,19 +1,19 @@
-//! The reading of all records that begins each epoch.
+//! Loads all records at the beginning of each epoch.
 //!
-//! [`RecordLoading`] owns how far it has come. Until it is over this controller answers for no job.
+//! [`RecordLoading`] owns the progress. Until loading is complete, this controller answers for no job.
 
 use super::*;
 
-/// A page that could not be read is asked for again after so long.
-const RETRY: Micros = Micros::from_millis(300);
+/// Delay before a page that could not be read is requested again.
+const RETRY_DELAY: Micros = Micros::from_millis(300);
 
-/// What is read, in this order.
+/// The records to load, in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum LoadStage {
     Jobs,
     Machines,
     Quota,
-    /// Controllers that have started tasks without replication.
+    /// Exemptions of controllers that started tasks without replication.
     UnreplicatedStarts,
     #[default]
     Done,
@@ -34,24 +34,24 @@
             LoadStage::Jobs => "job/",
             LoadStage::Machines => machine_registry::PREFIX,
             LoadStage::Quota => "team/",
-            LoadStage::UnreplicatedStarts | LoadStage::Done => start_replica::PREFIX,
+            LoadStage::UnreplicatedStarts | LoadStage::Done => start_replica::EXEMPTION_PREFIX,
         }
     }
 }
 
-/// How far the reading of this epoch has come.
+/// The progress of loading in this epoch.
 #[derive(Default)]
 pub(super) struct RecordLoading {
     pub(super) stage: LoadStage,
     after_key: String,
     request_in_flight: bool,
     retry_at: Micros,
-    /// Machines that the registry's pages name.
+    /// The machines listed in the registry's pages.
     machines: Vec<String>,
 }
 
 impl RecordLoading {
-    /// Begins anew: a new epoch has been adopted.
+    /// Starts loading again for a new epoch.
     pub(super) fn restart(&mut self, now: Micros) {
         *self = RecordLoading { stage: LoadStage::Jobs, retry_at: now, ..RecordLoading::default() };
     }
@@ -62,7 +62,7 @@
 }
 
 impl Controller {
-    /// Asks for the next page.
+    /// Requests the next page.
     pub(super) fn load_records(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let loading = &self.record_loading;
         if loading.is_done()
@@ -79,17 +79,17 @@
         let stage = self.record_loading.stage;
         let request = StoreRequest::List(stage.prefix().into(), self.record_loading.after_key.clone());
         let pending = PendingStoreRequest::LoadPage { stage, epoch: self.membership.epoch };
-        self.ask_store(pending, request, out);
+        self.send_store_request(pending, request, out);
     }
 
-    /// A page has come, or could not be read.
+    /// Applies a page, or schedules a retry if it could not be read.
     pub(super) fn apply_load_page(&mut self, now: Micros, stage: LoadStage, epoch: u64, answer: StoreAnswer) {
         if epoch != self.membership.epoch {
             return;
         }
         self.record_loading.request_in_flight = false;
         let StoreAnswer::Page(rows, more) = answer else {
-            self.record_loading.retry_at = now + RETRY;
+            self.record_loading.retry_at = now + RETRY_DELAY;
             return;
         };
         if let Some(last) = rows.last() {
@@ -111,7 +111,7 @@
     fn load_row(&mut self, now: Micros, stage: LoadStage, row: KeyValue) {
         match stage {
             LoadStage::Jobs => {
-                self.take_job_row(row);
+                self.apply_job_row(row);
             }
             LoadStage::Machines => self.load_registry_page(now, &row),
             LoadStage::Quota => {
@@ -147,18 +147,20 @@
             machines = self.job_shard.unconfirmed_machine_count(),
             "records loaded"
         );
-        self.take_handed_jobs(now);
+        self.apply_handed_off_jobs(now);
     }
 
-    /// Takes a job's live record; false if it can't be read, in which case nothing may be said of the job.
-    pub(super) fn take_job_row(&mut self, row: KeyValue) -> bool {
+    /// Applies a job's live record. Returns false if it is unreadable, in which case the job's state is
+    /// unknown.
+    pub(super) fn apply_job_row(&mut self, row: KeyValue) -> bool {
         let Some(id) = row.key.strip_prefix("job/") else { return false };
         if self.membership.job_leader(id) != Some(self.settings.me) {
             return true;
         }
         match JobShard::read_record(&row.value) {
             Some((raw, spec, accepted, done)) if spec.id == id => {
-                // Of one that we know the latest write may be our own, and says nothing of what it had before us.
+                // If the job is known, the latest write may be our own and doesn't show whether another
+                // leader held the job before.
                 let unknown = !self.job_shard.jobs.contains_key(id);
                 self.job_shard.insert_job(raw, spec, accepted, done, row.store_version, false);
                 if unknown
