--- a/src/controller/record_writes.rs
+++ b/src/controller/record_writes.rs
@@ -1,24 +1,24 @@
-//! What this controller writes to the state store as a leader: jobs' records, quota, and the machine registry.
+//! Writes this controller's records as a leader to the state store: jobs, quotas and the machine registry.
 //!
-//! The records themselves are owned by the job shard, the quota ledger and the registry; here they are read again and
-//! written within the store's limits. Nothing is written without the fencing condition.
+//! The records are owned by the job shard, the quota ledger and the registry. This module reads and writes
+//! them within the store's rate limits, and every write carries the fencing condition.
 
 use super::*;
 
-/// A look at the quota records is taken so often.
+/// Time between two checks of the quota records.
 const QUOTA_PERIOD: Micros = Micros::from_millis(100);
-/// Machines that are gone leave the registry so often.
+/// Time between two removals of returned machines from the registry.
 const REGISTRY_PRUNE_PERIOD: Micros = Micros::from_millis(5000);
-/// The write budget holds a second's worth and no more. It is kept nearly full, which costs no throughput, so that a
-/// submission that comes now is not turned away. Ends of jobs are written from this level on.
-const LEVEL_FOR_ENDS: f64 = 0.75;
-/// Pages of the registry are written from this level on.
-const LEVEL_FOR_REGISTRY: f64 = 0.5;
-/// What can wait is written from this level on.
-const LEVEL_TO_SPARE: f64 = 0.9;
+/// The write budget holds at most one second's worth of writes. It is kept nearly full, which costs no
+/// throughput, so that a new submission is not rejected. Jobs' outcomes are written from this level on.
+const MIN_BUDGET_FOR_OUTCOMES: f64 = 0.75;
+/// Registry pages are written from this level on.
+const MIN_BUDGET_FOR_REGISTRY: f64 = 0.5;
+/// Writes that can be deferred are made from this level on.
+const MIN_BUDGET_FOR_DEFERRABLE: f64 = 0.9;
 
 impl Controller {
-    /// Reads teams' quota records, and writes what is allocated.
+    /// Reads the teams' quota records and writes allocations.
     pub(super) fn write_quota(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if now < self.state_store.next_quota_pass || now < self.state_store.paused_until {
             return;
@@ -27,14 +27,14 @@
         let needs = self.job_shard.quota_needs(&self.quota);
         for team in self.quota.next_reads(now, &needs) {
             let read = StoreRequest::Get(format!("team/{team}"));
-            self.ask_store(PendingStoreRequest::ReadQuota { team }, read, out);
+            self.send_store_request(PendingStoreRequest::ReadQuota { team }, read, out);
         }
-        let none = Vec::new();
+        let no_needs = Vec::new();
         for team in self.quota.team_names() {
             let (membership, me) = (&self.membership, self.settings.me);
             let input = AllocationInput {
                 team: &team,
-                needs: needs.get(&team).unwrap_or(&none),
+                needs: needs.get(&team).unwrap_or(&no_needs),
                 is_ours: &|job| membership.job_leader(job) == Some(me),
                 is_released: &|job| self.job_shard.has_released_resources(job),
                 value_bytes: self.settings.value_bytes,
@@ -47,12 +47,12 @@
             self.quota.begin_write(now, &write);
             let key = format!("team/{team}");
             let transaction = Transaction {
-                conditions: vec![self.fence(), (key.clone(), write.base_version)],
+                conditions: vec![self.fencing_condition(), (key.clone(), write.base_version)],
                 puts: vec![(key, write.value.clone(), None)],
                 drops: Vec::new(),
             };
             let pending = PendingStoreRequest::WriteAllocation(write);
-            self.ask_store(pending, StoreRequest::Transaction(transaction), out);
+            self.send_store_request(pending, StoreRequest::Transaction(transaction), out);
         }
     }
 
@@ -76,22 +76,22 @@
         }
     }
 
-    /// Writes what is due of jobs' records and of the machine registry: ends first, progress last.
+    /// Writes the job records and registry pages that are due: outcomes first, progress last.
     pub(super) fn write_records(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if now < self.state_store.paused_until || self.state_store.in_flight.len() > IN_FLIGHT {
+        if now < self.state_store.paused_until || self.state_store.in_flight.len() > MAX_IN_FLIGHT {
             return;
         }
         self.verify_jobs(now, out);
-        while self.state_store.write_limiter.level(now) >= LEVEL_FOR_ENDS
-            && self.state_store.in_flight.len() < IN_FLIGHT
+        while self.state_store.write_limiter.level(now) >= MIN_BUDGET_FOR_OUTCOMES
+            && self.state_store.in_flight.len() < MAX_IN_FLIGHT
         {
             let Some((job, write, store_version)) = self.job_shard.next_write(now, true) else { break };
             self.state_store.write_limiter.take(now, 2.0, 0.0);
             self.write_job(job, write, store_version, out);
         }
-        self.keep_registry(now, out);
-        while self.state_store.write_limiter.level(now) >= LEVEL_TO_SPARE
-            && self.state_store.in_flight.len() < IN_FLIGHT
+        self.update_registry(now, out);
+        while self.state_store.write_limiter.level(now) >= MIN_BUDGET_FOR_DEFERRABLE
+            && self.state_store.in_flight.len() < MAX_IN_FLIGHT
         {
             let Some((job, write, store_version)) = self.job_shard.next_write(now, false) else { break };
             self.state_store.write_limiter.take(now, 1.0, 0.0);
@@ -109,7 +109,7 @@
             }
             let read = StoreRequest::Get(format!("job/{id}"));
             let pending = PendingStoreRequest::VerifyJob { job: id, epoch: self.membership.epoch };
-            self.ask_store(pending, read, out);
+            self.send_store_request(pending, read, out);
         }
     }
 
@@ -120,9 +120,9 @@
         store_version: u64,
         out: &mut Vec<Effect>,
     ) {
-        // The record's own version keeps a late transaction from bringing back an older state.
+        // The record's own version keeps a late transaction from restoring an older state.
         let mut transaction = Transaction {
-            conditions: vec![self.fence(), (format!("job/{job}"), store_version)],
+            conditions: vec![self.fencing_condition(), (format!("job/{job}"), store_version)],
             ..Transaction::default()
         };
         match &write {
@@ -135,7 +135,7 @@
             }
         }
         let pending = PendingStoreRequest::WriteJob { job, write };
-        self.ask_store(pending, StoreRequest::Transaction(transaction), out);
+        self.send_store_request(pending, StoreRequest::Transaction(transaction), out);
     }
 
     pub(super) fn apply_job_write(
@@ -173,8 +173,8 @@
         answer: StoreAnswer,
         out: &mut Vec<Effect>,
     ) {
-        // Guards against what was read in an earlier epoch: the job may have ended since under another leader, and would
-        // live again here. Each epoch has what it keeps read anew.
+        // A read that was requested in an earlier epoch is dropped: the job may have ended under another
+        // leader since, and would be restored here. In each epoch all of a leader's records are read again.
         if epoch != self.membership.epoch {
             return;
         }
@@ -182,12 +182,12 @@
             StoreAnswer::Got(Some(row)) => {
                 if let Some(job) = self.job_shard.jobs.get_mut(&id) {
                     job.write_in_flight = false;
-                    self.take_job_row(row);
+                    self.apply_job_row(row);
                 }
             }
             StoreAnswer::Got(None) => {
                 let read = StoreRequest::Get(format!("done/{id}"));
-                self.ask_store(PendingStoreRequest::VerifyOutcome { job: id, epoch }, read, out);
+                self.send_store_request(PendingStoreRequest::VerifyOutcome { job: id, epoch }, read, out);
             }
             _ => self.job_shard.fail_write(now, &id, false),
         }
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Keeps our pages of the machine registry.
-    fn keep_registry(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    /// Keeps our pages of the machine registry up to date.
+    fn update_registry(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for (name, entry) in self.machine_shard.take_unregistered() {
             self.machine_registry.register(&name, &entry);
         }
@@ -225,13 +225,13 @@
         let epoch = self.membership.epoch;
         while let Some((page, key)) = self.machine_registry.next_read() {
             let pending = PendingStoreRequest::ReadRegistryPage { epoch, page };
-            self.ask_store(pending, StoreRequest::Get(key), out);
+            self.send_store_request(pending, StoreRequest::Get(key), out);
         }
-        while self.state_store.write_limiter.level(now) >= LEVEL_FOR_REGISTRY
-            && self.state_store.in_flight.len() < IN_FLIGHT
+        while self.state_store.write_limiter.level(now) >= MIN_BUDGET_FOR_REGISTRY
+            && self.state_store.in_flight.len() < MAX_IN_FLIGHT
         {
-            let to_spare = self.state_store.write_limiter.level(now) >= LEVEL_TO_SPARE;
-            let Some(write) = self.machine_registry.next_write(to_spare) else { break };
+            let has_spare_budget = self.state_store.write_limiter.level(now) >= MIN_BUDGET_FOR_DEFERRABLE;
+            let Some(write) = self.machine_registry.next_write(has_spare_budget) else { break };
             self.state_store.write_limiter.take(now, 1.0, 0.0);
             self.write_registry_page(epoch, write, out);
         }
@@ -257,7 +257,7 @@
 
     fn write_registry_page(&mut self, epoch: u64, write: PageWrite, out: &mut Vec<Effect>) {
         let mut transaction = Transaction {
-            conditions: vec![self.fence(), (write.key.clone(), write.base_version)],
+            conditions: vec![self.fencing_condition(), (write.key.clone(), write.base_version)],
             ..Transaction::default()
         };
         match &write.value {
@@ -265,10 +265,11 @@
             None => transaction.drops.push(write.key.clone()),
         }
         let pending = PendingStoreRequest::WriteRegistryPage { epoch, write };
-        self.ask_store(pending, StoreRequest::Transaction(transaction), out);
+        self.send_store_request(pending, StoreRequest::Transaction(transaction), out);
     }
 
-    /// A page was written, or not. Of an epoch that has passed it says nothing: the page has been read again since.
+    /// Applies the result of a registry write. Ignored for an earlier epoch, because the page has been read
+    /// again since.
     pub(super) fn apply_registry_write(&mut self, epoch: u64, write: &PageWrite, answer: StoreAnswer) {
         if epoch != self.membership.epoch {
             return;
@@ -296,7 +297,8 @@
             _ => None,
         };
         let read = read.as_ref().map(|(store_version, rows)| (*store_version, rows.as_slice()));
-        // Guards against machines that get no work for as long as no write of their page is answered.
+        // Without this, the machines would get no work if the response to every write of their page were
+        // lost.
         for name in self.machine_registry.apply_read_back(page, read) {
             self.machine_shard.confirm_registered(&name);
         }
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -1,7 +1,8 @@
-//! Releases: opened by calendar with the first submission, joined, closed, counted, and only then rotated. What a set is
-//! and when a rotation may start is `hazelsaddle_release`'s; here its records are read and written.
+//! Releases: opened according to the calendar by the first submission, then joined, closed and counted; only
+//! then may their rotation start. `hazelsaddle_release` defines a release and when its rotation may start;
+//! this module reads and writes its records.
 
-use super::coordination::{JoinDecision, Members, OperatorRequest};
+use super::coordination::{CensusMembers, JoinDecision, OperatorRequest};
 use super::*;
 use crate::job_shard::Hold;
 use hazelsaddle_coordination::census::CensusJobState;
@@ -15,35 +16,36 @@
 use hazelsaddle_release::set::{self, ChangeError, Member, Release};
 use hazelsaddle_release::status::ReleaseStatus;
 
-/// Open sets are counted so often, to close those that have all renders that were declared.
-const COUNT: Micros = Micros::from_millis(5000);
-/// A page that could not be read is asked for again after so long.
-const AGAIN: Micros = Micros::from_millis(300);
-/// Causes named in a held job's reason.
-const CAUSES: usize = 3;
+/// Time between two counts of open releases, which close those that have all declared renders.
+const COUNT_PERIOD: Micros = Micros::from_millis(5000);
+/// Delay before a page that could not be read is requested again.
+const RETRY_DELAY: Micros = Micros::from_millis(300);
+/// Maximum number of causes listed in a held job's reason.
+const MAX_LISTED_CAUSES: usize = 3;
 
-/// What this controller knows of releases.
+/// The state of releases on this controller.
 #[derive(Default)]
 pub(super) struct Releases {
-    /// When a set was first seen here as closing or closed, by version. Only a census that began later has all members.
+    /// When a release was first seen as closing or closed, by version. Only a census that began later
+    /// includes all members.
     closed_at: BTreeMap<(Key, u64), Micros>,
-    /// Pages of closed sets, as far as they are read.
+    /// Pages of closed releases, as far as they have been read.
     pages: BTreeMap<(Key, u64), Vec<Option<Value>>>,
-    asked: BTreeMap<(Key, u64, usize), Micros>,
-    /// The census whose live members have been read again.
-    checked: BTreeMap<Key, Micros>,
-    /// A count of open sets that began no earlier than this is wanted.
-    count_since: Micros,
-    late: BTreeSet<(Key, u64)>,
+    page_retry_at: BTreeMap<(Key, u64, usize), Micros>,
+    /// By record: the start time of the census whose live members have been read again.
+    rechecked_census: BTreeMap<Key, Micros>,
+    /// Open releases need a census that began no earlier than this.
+    census_wanted_since: Micros,
+    reported_late: BTreeSet<(Key, u64)>,
 }
 
-/// What a rotation's verdict rests on.
-struct Known {
+/// What is known of a release's members.
+struct ReleaseMembers {
     members: Option<Vec<Member>>,
-    facts: BTreeMap<String, MemberState>,
+    states: BTreeMap<String, MemberState>,
 }
 
-/// A release that an operator has named, with its record as it was read.
+/// A release named by an operator, and its record as read.
 struct SelectedRelease {
     title: String,
     night: String,
@@ -51,160 +53,176 @@
     record: CoordinationRecord,
 }
 
-impl Known {
-    fn fact(&self, id: &str) -> MemberState {
-        self.facts.get(id).copied().unwrap_or(MemberState::Unread)
+impl ReleaseMembers {
+    fn state_of(&self, id: &str) -> MemberState {
+        self.states.get(id).copied().unwrap_or(MemberState::Unread)
     }
 }
 
-fn fact_of(s: CensusJobState) -> MemberState {
-    match s {
+fn member_state(state: CensusJobState) -> MemberState {
+    match state {
         CensusJobState::Live => MemberState::Live,
         CensusJobState::Done => MemberState::Done,
         CensusJobState::Cancelled => MemberState::Cancelled,
     }
 }
 
-/// The rebuilds and renders among those that a census found.
-fn seen(members: &Members) -> Vec<Member> {
-    let of = |id: &String, says: &Value| {
-        let s = ReleaseRef::parse(says).ok()?;
-        let rotates = s.stage == hazelsaddle_release::calendar::Stage::Rotation;
-        (!rotates).then(|| Member { id: id.clone(), stage: s.stage, expects: s.expects })
+/// The rebuilds and renders among the members that a census found.
+fn rebuilds_and_renders(members: &CensusMembers) -> Vec<Member> {
+    let member_of = |id: &String, declaration: &Value| {
+        let release_ref = ReleaseRef::parse(declaration).ok()?;
+        let is_rotation = release_ref.stage == hazelsaddle_release::calendar::Stage::Rotation;
+        (!is_rotation).then(|| Member {
+            id: id.clone(),
+            stage: release_ref.stage,
+            expects: release_ref.expects,
+        })
     };
-    members.iter().filter_map(|(id, m)| of(id, &m.declaration)).collect()
+    members.iter().filter_map(|(id, member)| member_of(id, &member.declaration)).collect()
 }
 
 impl Controller {
     /// Whether operators have set a calendar.
-    pub(super) fn releases_on(&self) -> bool {
+    pub(super) fn has_release_calendar(&self) -> bool {
         !self.settings.operators.calendars.0.is_empty()
     }
 
-    /// Whether a record is of no use to anybody but its own rotation any more.
-    pub(super) fn release_over(&self, r: &CoordinationRecord) -> bool {
-        Release::read(r).is_ok_and(|b| b.rotated)
+    /// Whether a release is finished: its record matters to its own rotation only.
+    pub(super) fn is_release_finished(&self, record: &CoordinationRecord) -> bool {
+        Release::read(record).is_ok_and(|release| release.rotated)
     }
 
-    /// The condition on which a submission joins its release.
-    pub(super) fn release_gate(&mut self, now: Micros, id: &str, out: &mut Vec<Effect>) -> JoinDecision {
-        let Some(a) = self.user_requests.submissions.get(id) else { return JoinDecision::Wait };
-        let Some(mut says) = a.spec.release.clone() else { return JoinDecision::Open(Vec::new()) };
-        if !self.releases_on() {
-            return JoinDecision::Never("release: no calendar is set here".into());
+    /// Decides whether a submission may join its release.
+    pub(super) fn decide_release_join(
+        &mut self,
+        now: Micros,
+        id: &str,
+        out: &mut Vec<Effect>,
+    ) -> JoinDecision {
+        let Some(submission) = self.user_requests.submissions.get(id) else { return JoinDecision::Pending };
+        let Some(mut named) = submission.spec.release.clone() else { return JoinDecision::Allow(Vec::new()) };
+        if !self.has_release_calendar() {
+            return JoinDecision::Reject("release: no calendar is set here".into());
         }
-        let (began, class, wall) = (a.came_at, a.spec.class.clone(), self.rounds.wall.0);
-        if says.night.is_none() {
-            if self.coordination.listed.is_none() {
-                return JoinDecision::Wait;
+        let (requested_at, class, wall) =
+            (submission.arrived_at, submission.spec.class.clone(), self.rounds.wall.0);
+        if named.night.is_none() {
+            if self.coordination.last_list_began.is_none() {
+                return JoinDecision::Pending;
             }
-            let sets: Vec<(Phase, Release)> = self
+            let releases: Vec<(Phase, Release)> = self
                 .coordination
                 .records
                 .iter()
-                .filter_map(|(_, h)| match h {
-                    CachedRecord::Present(r) => Some((r.phase, Release::read(r).ok()?)),
+                .filter_map(|(_, entry)| match entry {
+                    CachedRecord::Present(record) => Some((record.phase, Release::read(record).ok()?)),
                     _ => None,
                 })
                 .collect();
-            let sets = sets.iter().map(|(p, r)| (*p, r));
-            match join::resolve_night(&self.settings.operators.calendars, sets, &says, wall) {
-                Ok(night) => says.night = Some(night),
-                Err(e) => return JoinDecision::Never(format!("release: {e}")),
+            let releases = releases.iter().map(|(phase, release)| (*phase, release));
+            match join::resolve_night(&self.settings.operators.calendars, releases, &named, wall) {
+                Ok(night) => named.night = Some(night),
+                Err(error) => return JoinDecision::Reject(format!("release: {error}")),
             }
-            // From here on the job names its night, also on record.
-            if let Some(a) = self.user_requests.submissions.get_mut(id) {
-                a.description["release"] = says.value();
-                a.spec.release = Some(says.clone());
+            // From now on the job's description, also as stored, names its night.
+            if let Some(submission) = self.user_requests.submissions.get_mut(id) {
+                submission.description["release"] = named.value();
+                submission.spec.release = Some(named.clone());
             }
         }
-        let Some(key) = says.key() else {
-            return JoinDecision::Never("release: it has no such night".into());
+        let Some(key) = named.key() else {
+            return JoinDecision::Reject("release: it has no such night".into());
         };
-        let held = self.coordination_record(now, &key);
-        match join::decide_join(&held, &self.settings.operators.calendars, &says, &class, wall) {
-            // A rotation is no member: nobody waits for it.
-            ReleaseJoin::Join if says.stage == hazelsaddle_release::calendar::Stage::Rotation => {
-                JoinDecision::Open(Vec::new())
+        let cached = self.coordination_record(now, &key);
+        match join::decide_join(&cached, &self.settings.operators.calendars, &named, &class, wall) {
+            // A rotation is not a member: the release doesn't wait for it.
+            ReleaseJoin::Join if named.stage == hazelsaddle_release::calendar::Stage::Rotation => {
+                JoinDecision::Allow(Vec::new())
             }
-            // Guards against one that joins while the set closes: what was read must still be on record.
-            ReleaseJoin::Join => JoinDecision::Open(vec![self.join_condition(&key)]),
+            // The release may start closing while the job joins, so the record must be unchanged.
+            ReleaseJoin::Join => JoinDecision::Allow(vec![self.join_condition(&key)]),
             ReleaseJoin::OpenFirst(record) => {
                 if !self.is_record_changing(&key) {
-                    tracing::info!(title = %says.title, night = ?says.night, first = id, "release opened");
+                    tracing::info!(title = %named.title, night = ?named.night, first = id, "release opened");
                     self.change_record(now, &key, record, Vec::new(), None, out);
                 }
-                JoinDecision::Wait
+                JoinDecision::Pending
             }
-            ReleaseJoin::Retry(_) => JoinDecision::Wait,
-            // A refusal is for good, so it must not rest on what was read before the question came.
-            ReleaseJoin::Refused(why) => match self.coordination_record_since(now, &key, began) {
-                Some(_) => JoinDecision::Never(format!("release: {why}")),
-                None => JoinDecision::Wait,
+            ReleaseJoin::Retry(_) => JoinDecision::Pending,
+            // A refusal is final, so it must not be based on a read that began before the request arrived.
+            ReleaseJoin::Refused(why) => match self.coordination_record_since(now, &key, requested_at) {
+                Some(_) => JoinDecision::Reject(format!("release: {why}")),
+                None => JoinDecision::Pending,
             },
         }
     }
 
-    /// What releases need in each round.
-    pub(super) fn release_loop(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if now >= self.releases.count_since + COUNT.max(Micros(self.census_took().0 * 10)) {
-            self.releases.count_since = now;
+    /// The periodic work on releases.
+    pub(super) fn reconcile_releases(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        if now
+            >= self.releases.census_wanted_since
+                + COUNT_PERIOD.max(Micros(self.last_census_duration().0 * 10))
+        {
+            self.releases.census_wanted_since = now;
         }
-        self.inherit_dues();
-        let sets: Vec<(Key, CoordinationRecord)> = self
+        self.inherit_due_times();
+        let releases: Vec<(Key, CoordinationRecord)> = self
             .coordination
             .records
             .iter()
-            .filter(|(k, _)| self.keeps_record(k))
-            .filter_map(|(k, h)| match h {
-                CachedRecord::Present(r) if k.kind() == hazelsaddle_coordination::record::Kind::Release => {
-                    Some((k.clone(), r.clone()))
+            .filter(|(key, _)| self.is_record_maintainer(key))
+            .filter_map(|(key, cached)| match cached {
+                CachedRecord::Present(record)
+                    if key.kind() == hazelsaddle_coordination::record::Kind::Release =>
+                {
+                    Some((key.clone(), record.clone()))
                 }
                 _ => None,
             })
             .collect();
-        for (key, record) in sets {
+        for (key, record) in releases {
             if !self.is_record_changing(&key) {
-                self.keep_release(now, &key, &record, out);
+                self.maintain_release(now, &key, &record, out);
             }
         }
-        let held: Vec<(String, Key, u8)> = self
+        let held_rotations: Vec<(String, Key, u8)> = self
             .job_shard
             .held_jobs()
-            .filter(|(_, _, h)| matches!(h, Hold::Release(_)))
-            .filter_map(|(id, j, _)| {
-                let key = j.spec.release.as_ref()?.key()?;
-                Some((id.clone(), key, j.spec.priority % crate::spec::GUARANTEED))
+            .filter(|(_, _, hold)| matches!(hold, Hold::Release(_)))
+            .filter_map(|(id, job, _)| {
+                let key = job.spec.release.as_ref()?.key()?;
+                Some((id.clone(), key, job.spec.priority % crate::spec::GUARANTEED))
             })
             .collect();
-        let mut needs: BTreeMap<String, u8> = BTreeMap::new();
-        for (id, key, rank) in held {
-            let known = self.hold_rotation(now, &id, &key, out);
-            for (member, fact) in known.facts {
-                if fact == MemberState::Live {
-                    let r = needs.entry(member).or_default();
-                    *r = (*r).max(rank);
+        let mut priorities: BTreeMap<String, u8> = BTreeMap::new();
+        for (id, key, priority) in held_rotations {
+            let members = self.check_rotation(now, &id, &key, out);
+            for (member, state) in members.states {
+                if state == MemberState::Live {
+                    let highest = priorities.entry(member).or_default();
+                    *highest = (*highest).max(priority);
                 }
             }
         }
-        self.job_shard.set_release_priorities(needs);
-        let live: BTreeSet<&Key> = self.coordination.records.iter().map(|(k, _)| k).collect();
-        self.releases.closed_at.retain(|(k, _), _| live.contains(k));
-        self.releases.pages.retain(|(k, _), _| live.contains(k));
-        self.releases.checked.retain(|k, _| live.contains(k));
+        self.job_shard.set_release_priorities(priorities);
+        let live: BTreeSet<&Key> = self.coordination.records.iter().map(|(key, _)| key).collect();
+        self.releases.closed_at.retain(|(key, _), _| live.contains(key));
+        self.releases.pages.retain(|(key, _), _| live.contains(key));
+        self.releases.rechecked_census.retain(|key, _| live.contains(key));
     }
 
-    /// Rebuilds and renders of ours are due when their release is: of two titles, what is due first goes first.
-    fn inherit_dues(&mut self) {
+    /// Rebuilds and renders led by this controller inherit the due time of their release, so that of two
+    /// releases the one that is due first is scheduled first.
+    fn inherit_due_times(&mut self) {
         let mut dues: BTreeMap<Key, Option<Micros>> = BTreeMap::new();
-        let members = self.job_shard.jobs.iter().filter(|(_, j)| !j.spec.is_rotation());
+        let members = self.job_shard.jobs.iter().filter(|(_, job)| !job.spec.is_rotation());
         let members: Vec<(String, Key)> =
-            members.filter_map(|(id, j)| Some((id.clone(), j.spec.release.as_ref()?.key()?))).collect();
+            members.filter_map(|(id, job)| Some((id.clone(), job.spec.release.as_ref()?.key()?))).collect();
         for (id, key) in members {
             let records = &self.coordination.records;
             let due = *dues.entry(key).or_insert_with_key(|key| match records.get(key) {
-                CachedRecord::Present(r) => {
-                    priority_inheritance::of_set(&Release::read(r).ok()?, [])?.due.map(Micros)
+                CachedRecord::Present(record) => {
+                    priority_inheritance::of_set(&Release::read(record).ok()?, [])?.due.map(Micros)
                 }
                 _ => None,
             });
@@ -212,54 +230,66 @@
         }
     }
 
-    /// What the keeper of a set does by itself.
-    fn keep_release(&mut self, now: Micros, key: &Key, record: &CoordinationRecord, out: &mut Vec<Effect>) {
-        let Ok(body) = Release::read(record) else { return };
-        if body.rotated {
+    /// Does what the controller that maintains a release does on its own: closing it.
+    fn maintain_release(
+        &mut self,
+        now: Micros,
+        key: &Key,
+        record: &CoordinationRecord,
+        out: &mut Vec<Effect>,
+    ) {
+        let Ok(release) = Release::read(record) else { return };
+        if release.rotated {
             return;
         }
-        if body.is_late(self.rounds.wall.0) && self.releases.late.insert((key.clone(), record.version)) {
-            tracing::info!(title = %body.title, night = %body.night, phase = ?record.phase, "release late: its rotation is due and has not started");
+        if release.is_late(self.rounds.wall.0)
+            && self.releases.reported_late.insert((key.clone(), record.version))
+        {
+            tracing::info!(title = %release.title, night = %release.night, phase = ?record.phase, "release late: its rotation is due and has not started");
         }
         match record.phase {
             Phase::Open => {
-                self.census_since(key, self.releases.count_since);
+                self.census_since(key, self.releases.census_wanted_since);
                 let known = self.members_so_far(key);
-                let there = |m: &Member| {
-                    known.and_then(|k| k.get(&m.id)).is_some_and(|m| m.state != CensusJobState::Cancelled)
+                let is_not_cancelled = |member: &Member| {
+                    known
+                        .and_then(|members| members.get(&member.id))
+                        .is_some_and(|found| found.state != CensusJobState::Cancelled)
                 };
-                let members: Vec<Member> = known.map(seen).unwrap_or_default();
-                let Some(by) = body.due_to_close(members.iter().filter(|m| there(m)), self.rounds.wall.0)
-                else {
+                let members: Vec<Member> = known.map(rebuilds_and_renders).unwrap_or_default();
+                let Some(closed_by) = release.due_to_close(
+                    members.iter().filter(|member| is_not_cancelled(member)),
+                    self.rounds.wall.0,
+                ) else {
                     return;
                 };
-                let Ok(next) = set::begin_closing(record, by) else { return };
+                let Ok(next) = set::begin_closing(record, closed_by) else { return };
                 if self.change_record(now, key, next, Vec::new(), None, out) {
                     tracing::info!(
-                        title = %body.title,
-                        night = %body.night,
-                        by = by.word(),
+                        title = %release.title,
+                        night = %release.night,
+                        closed_by = closed_by.word(),
                         "release closing"
                     );
                 }
             }
             Phase::Closing => {
-                // Guards against a census that began while members could still join.
+                // Members could still join during a census that began earlier.
                 let since = *self.releases.closed_at.entry((key.clone(), record.version)).or_insert(now);
                 let Some(found) = self.census_since(key, since).cloned() else { return };
                 match set::finish_closing(key, record, &found, self.settings.value_bytes) {
                     Ok((pages, next)) => {
                         if self.change_record(now, key, next, pages, None, out) {
                             tracing::info!(
-                                title = %body.title,
-                                night = %body.night,
+                                title = %release.title,
+                                night = %release.night,
                                 members = found.len(),
                                 "release closed"
                             );
                         }
                     }
-                    Err(e) => {
-                        tracing::error!(record = %key.head(), reason = %e, "a release can't be closed")
+                    Err(error) => {
+                        tracing::error!(record = %key.head(), reason = %error, "a release can't be closed")
                     }
                 }
             }
@@ -267,12 +297,12 @@
         }
     }
 
-    /// Looks at what a held rotation waits for, and lets it go when its release is on record as complete.
-    fn hold_rotation(&mut self, now: Micros, id: &str, key: &Key, out: &mut Vec<Effect>) -> Known {
-        let held = self.coordination_record(now, key);
-        let known = self.release_known(now, key, &held, out);
-        match assess(&held, known.members.as_deref(), |m| known.fact(m)) {
-            // Only what is on record lets a task start: a controller that comes next must find the same.
+    /// Checks what a held rotation waits for, and releases it when its release is stored as complete.
+    fn check_rotation(&mut self, now: Micros, id: &str, key: &Key, out: &mut Vec<Effect>) -> ReleaseMembers {
+        let cached = self.coordination_record(now, key);
+        let members = self.known_release_members(now, key, &cached, out);
+        match assess(&cached, members.members.as_deref(), |member| members.state_of(member)) {
+            // Only the stored state lets a task start, since the next leader must reach the same decision.
             Readiness::Open => {
                 tracing::info!(job = id, record = %key.head(), "rotation released");
                 self.job_shard.note_time(self.rounds.wall);
@@ -283,128 +313,146 @@
                     tracing::info!(job = id, record = %key.head(), "release complete");
                 }
             }
-            Readiness::Held { why } => {
-                let mut text: Vec<String> = why.iter().take(CAUSES).map(ToString::to_string).collect();
-                if why.len() > CAUSES {
-                    text.push(format!("and {} more", why.len() - CAUSES));
+            Readiness::Held { why: causes } => {
+                let mut text: Vec<String> =
+                    causes.iter().take(MAX_LISTED_CAUSES).map(ToString::to_string).collect();
+                if causes.len() > MAX_LISTED_CAUSES {
+                    text.push(format!("and {} more", causes.len() - MAX_LISTED_CAUSES));
                 }
                 self.job_shard.hold_job(id, Hold::Release(text.join("; ")));
             }
         }
-        known
+        members
     }
 
-    /// All that is known of a set's members: of a closed one those on its pages, otherwise those found so far.
-    fn release_known(&mut self, now: Micros, key: &Key, held: &CachedRecord, out: &mut Vec<Effect>) -> Known {
-        let mut known = Known { members: None, facts: BTreeMap::new() };
-        let CachedRecord::Present(record) = held else { return known };
+    /// What is known of a release's members: for a closed release those on its pages, otherwise those found
+    /// so far.
+    fn known_release_members(
+        &mut self,
+        now: Micros,
+        key: &Key,
+        cached: &CachedRecord,
+        out: &mut Vec<Effect>,
+    ) -> ReleaseMembers {
+        let mut members = ReleaseMembers { members: None, states: BTreeMap::new() };
+        let CachedRecord::Present(record) = cached else { return members };
         if record.phase != Phase::Closed {
             if let Some(found) = self.members_so_far(key) {
-                known.facts = found.iter().map(|(id, m)| (id.clone(), fact_of(m.state))).collect();
-                let members = seen(found);
-                known.facts.retain(|id, _| members.iter().any(|m| m.id == *id));
-                known.members = Some(members);
+                members.states =
+                    found.iter().map(|(id, member)| (id.clone(), member_state(member.state))).collect();
+                let found = rebuilds_and_renders(found);
+                members.states.retain(|id, _| found.iter().any(|member| member.id == *id));
+                members.members = Some(found);
             }
-            return known;
+            return members;
         }
-        if self.release_over(record) {
-            return known;
+        if self.is_release_finished(record) {
+            return members;
         }
-        known.members = self.release_members(now, key, record, out);
+        members.members = self.read_closed_members(now, key, record, out);
         let since = *self.releases.closed_at.entry((key.clone(), record.version)).or_insert(now);
-        let Some(found) = self.census_since(key, since).cloned() else { return known };
-        let mut open: Vec<String> = Vec::new();
-        for m in known.members.iter().flatten() {
-            let by_census = found.get(&m.id).map(|f| f.state).unwrap_or(CensusJobState::Live);
-            let stands = by_census.max(self.member_outcome(&m.id).unwrap_or(CensusJobState::Live));
-            known.facts.insert(m.id.clone(), fact_of(stands));
-            if stands == CensusJobState::Live {
-                open.push(m.id.clone());
+        let Some(found) = self.census_since(key, since).cloned() else { return members };
+        let mut live: Vec<String> = Vec::new();
+        for member in members.members.iter().flatten() {
+            let by_census =
+                found.get(&member.id).map(|found_member| found_member.state).unwrap_or(CensusJobState::Live);
+            let state = by_census.max(self.member_outcome(&member.id).unwrap_or(CensusJobState::Live));
+            members.states.insert(member.id.clone(), member_state(state));
+            if state == CensusJobState::Live {
+                live.push(member.id.clone());
             }
         }
-        self.await_members(open.iter().cloned());
-        // The watch tells of ends from here on; those that came between the census' page and now are read.
-        let began = self.census_began(key);
-        if known.members.is_some() && self.releases.checked.get(key).copied() != began {
-            self.releases.checked.extend(began.map(|t| (key.clone(), t)));
-            self.read_live(open.into_iter());
+        self.await_members(live.iter().cloned());
+        // The watch reports outcomes from now on; those stored between the census and now must be read.
+        let census_began = self.census_began(key);
+        if members.members.is_some() && self.releases.rechecked_census.get(key).copied() != census_began {
+            self.releases.rechecked_census.extend(census_began.map(|began_at| (key.clone(), began_at)));
+            self.reread_live_members(live.into_iter());
         }
-        known
+        members
     }
 
-    /// The members on the pages of a closed set, once all are read.
-    fn release_members(
+    /// The members on the pages of a closed release, once all pages are read.
+    fn read_closed_members(
         &mut self,
         now: Micros,
         key: &Key,
         record: &CoordinationRecord,
         out: &mut Vec<Effect>,
     ) -> Option<Vec<Member>> {
-        let of = (key.clone(), record.version);
-        let pages = self.releases.pages.entry(of).or_insert_with(|| vec![None; record.pages]);
+        let page_set = (key.clone(), record.version);
+        let pages = self.releases.pages.entry(page_set).or_insert_with(|| vec![None; record.pages]);
         if pages.len() != record.pages {
             *pages = vec![None; record.pages];
         }
-        let missing: Vec<usize> = (0..pages.len()).filter(|n| pages[*n].is_none()).collect();
+        let missing: Vec<usize> = (0..pages.len()).filter(|page| pages[*page].is_none()).collect();
         if missing.is_empty() {
             return match set::members_on_pages(pages.iter().flatten()) {
                 Ok(members) => Some(members),
-                Err(e) => {
-                    tracing::error!(record = %key.head(), reason = %e, "a page of members can't be read");
+                Err(error) => {
+                    tracing::error!(record = %key.head(), reason = %error, "unreadable page of a release's members");
                     None
                 }
             };
         }
-        for n in missing {
-            let this = (key.clone(), record.version, n);
-            if self.releases.asked.get(&this).is_some_and(|t| now < *t) {
+        for page in missing {
+            let page_key = (key.clone(), record.version, page);
+            if self.releases.page_retry_at.get(&page_key).is_some_and(|retry_at| now < *retry_at) {
                 continue;
             }
-            if self.state_store.in_flight.len() >= IN_FLIGHT
+            if self.state_store.in_flight.len() >= MAX_IN_FLIGHT
                 || !self.state_store.request_limiter.take(now, 1.0, 0.2)
             {
                 break;
             }
-            self.releases.asked.insert(this, now + Micros::from_millis(4000));
-            let get = StoreRequest::Get(key.page(record.version, n));
-            let purpose =
-                PendingRecordRequest::Members { key: key.clone(), version: record.version, page: n };
-            self.ask_store(PendingStoreRequest::Coordination(purpose), get, out);
+            self.releases.page_retry_at.insert(page_key, now + Micros::from_millis(4000));
+            let read = StoreRequest::Get(key.page(record.version, page));
+            let pending = PendingRecordRequest::Members { key: key.clone(), version: record.version, page };
+            self.send_store_request(PendingStoreRequest::Coordination(pending), read, out);
         }
         None
     }
 
-    pub(super) fn members_page(&mut self, now: Micros, key: Key, version: u64, n: usize, a: StoreAnswer) {
-        let this = (key.clone(), version, n);
-        if let StoreAnswer::Got(Some(row)) = a {
-            self.releases.asked.remove(&this);
-            if let Some(p) = self.releases.pages.get_mut(&(key, version)).and_then(|p| p.get_mut(n)) {
-                *p = Some(row.value);
+    pub(super) fn apply_members_page(
+        &mut self,
+        now: Micros,
+        key: Key,
+        version: u64,
+        page: usize,
+        answer: StoreAnswer,
+    ) {
+        let page_key = (key.clone(), version, page);
+        if let StoreAnswer::Got(Some(row)) = answer {
+            self.releases.page_retry_at.remove(&page_key);
+            if let Some(stored_page) =
+                self.releases.pages.get_mut(&(key, version)).and_then(|pages| pages.get_mut(page))
+            {
+                *stored_page = Some(row.value);
             }
         } else {
-            if a == StoreAnswer::Got(None) {
-                tracing::error!(page = %key.page(version, n), "a page of members is missing");
+            if answer == StoreAnswer::Got(None) {
+                tracing::error!(page = %key.page(version, page), "missing page of a release's members");
             }
-            self.releases.asked.insert(this, now + AGAIN);
+            self.releases.page_retry_at.insert(page_key, now + RETRY_DELAY);
         }
     }
 
     // ---- Operators ----
 
-    /// An operator's request about releases: the answer, or None if it is to be asked again in the next round.
-    pub(super) fn release_request(
+    /// Answers an operator's request about releases; None if it must be repeated in the next round.
+    pub(super) fn answer_release_request(
         &mut self,
         now: Micros,
         request: &OperatorRequest,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
-        if !self.releases_on() {
+        if !self.has_release_calendar() {
             return Some(Reply::error(404, "releases are not switched on: no calendar is set here"));
         }
-        if !self.takes_coordination() {
+        if !self.can_accept_coordination() {
             return Some(Reply::later("not every controller knows of releases yet"));
         }
-        let selector = match &request.request {
+        let selector = match &request.command {
             OperatorCommand::ShowRelease(release)
             | OperatorCommand::CloseRelease(release)
             | OperatorCommand::ReopenRelease(release)
@@ -415,12 +463,13 @@
             Ok(selected) => selected,
             Err(answer) => return answer,
         };
-        let change = match &request.request {
+        let change = match &request.command {
             OperatorCommand::CloseRelease(_) => set::close(&selected.record),
             OperatorCommand::ReopenRelease(_) => set::reopen(&selected.record),
             OperatorCommand::Waive { job, reason, .. } => {
-                let known = self.members_for(now, request, &selected.key, &selected.record, out)?;
-                set::waive(&selected.record, &known.members.unwrap_or_default(), job, reason)
+                let members =
+                    self.members_since_request(now, request, &selected.key, &selected.record, out)?;
+                set::waive(&selected.record, &members.members.unwrap_or_default(), job, reason)
             }
             _ => return self.show_release(now, request, &selected, out),
         };
@@ -428,13 +477,14 @@
     }
 
     fn list_releases(&mut self, request: &OperatorRequest) -> Option<Reply> {
-        if !self.list_since(request.began) {
+        if !self.has_list_since(request.received_at) {
             return None;
         }
         Some(Reply::json(200, &json!({"releases": self.release_status()})))
     }
 
-    /// The record of the release that an operator names; otherwise the answer, or None if it is to be asked again.
+    /// The record of the release that an operator names. Otherwise the answer, or None if the request must be
+    /// repeated.
     fn select_release(
         &mut self,
         now: Micros,
@@ -444,8 +494,8 @@
         let ReleaseSelector { title, night } = selector;
         let night = match night {
             Some(night) => night.clone(),
-            None if !self.list_since(request.began) => return Err(None),
-            None => match self.coordination.latest.get(title) {
+            None if !self.has_list_since(request.received_at) => return Err(None),
+            None => match self.coordination.latest_nights.get(title) {
                 Some(night) => night.clone(),
                 None => return Err(Some(self.no_such_title(title))),
             },
@@ -453,7 +503,7 @@
         let Some(key) = release_ref::release_key(title, &night) else {
             return Err(Some(Reply::error(400, "title: can't be the name of a release")));
         };
-        match self.coordination_record_since(now, &key, request.began).ok_or(None)? {
+        match self.coordination_record_since(now, &key, request.received_at).ok_or(None)? {
             CachedRecord::Present(record) => Ok(SelectedRelease { title: title.clone(), night, key, record }),
             CachedRecord::Absent => {
                 Err(Some(Reply::error(404, &format!("no release of {title} on {night}"))))
@@ -470,21 +520,27 @@
         selected: &SelectedRelease,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
-        let known = self.members_for(now, request, &selected.key, &selected.record, out)?;
-        let held = CachedRecord::Present(selected.record.clone());
+        let members = self.members_since_request(now, request, &selected.key, &selected.record, out)?;
+        let cached = CachedRecord::Present(selected.record.clone());
         let name = (selected.title.as_str(), selected.night.as_str());
         let wall = self.rounds.wall.0;
-        let shown = ReleaseStatus::of(name, &held, known.members.as_deref(), |m| known.fact(m), wall);
+        let shown = ReleaseStatus::of(
+            name,
+            &cached,
+            members.members.as_deref(),
+            |member| members.state_of(member),
+            wall,
+        );
         Some(match serde_json::to_value(&shown) {
             Ok(mut value) => {
                 value["text"] = shown.to_string().into();
                 Reply::json(200, &value)
             }
-            Err(e) => Reply::error(500, &e.to_string()),
+            Err(error) => Reply::error(500, &error.to_string()),
         })
     }
 
-    /// Puts an operator's change on record; the operator is answered once it is there.
+    /// Stores an operator's change; the operator is answered once it is stored.
     fn change_release(
         &mut self,
         now: Micros,
@@ -495,65 +551,70 @@
     ) -> Option<Reply> {
         let next = match change {
             Ok(next) => next,
-            Err(e @ (ChangeError::Reason | ChangeError::NoMember { .. })) => {
-                return Some(Reply::error(422, &e.to_string()));
+            Err(error @ (ChangeError::Reason | ChangeError::NoMember { .. })) => {
+                return Some(Reply::error(422, &error.to_string()));
             }
-            Err(e @ ChangeError::Counting) => return Some(Reply::later(&e.to_string())),
-            Err(e) => return Some(Reply::error(409, &e.to_string())),
+            Err(error @ ChangeError::Counting) => return Some(Reply::later(&error.to_string())),
+            Err(error) => return Some(Reply::error(409, &error.to_string())),
         };
         let SelectedRelease { title, night, key, .. } = selected;
         let body = json!({"title": title, "night": night, "phase": next.phase, "version": next.version});
-        tracing::info!(title = %title, night = %night, request = ?request.request, "operator's change of a release");
+        tracing::info!(title = %title, night = %night, request = ?request.command, "operator's change of a release");
         let answer = Some((request.ticket, Reply::json(200, &body)));
         self.change_record(now, &key, next, Vec::new(), answer, out);
         None
     }
 
-    /// Members and how they stand, by a census that began after the question: None until it is over.
-    fn members_for(
+    /// The members and their states, by a census that began after the request arrived; None until it is
+    /// complete.
+    fn members_since_request(
         &mut self,
         now: Micros,
-        o: &OperatorRequest,
+        request: &OperatorRequest,
         key: &Key,
         record: &CoordinationRecord,
         out: &mut Vec<Effect>,
-    ) -> Option<Known> {
-        let found = self.census_since(key, o.began).cloned();
+    ) -> Option<ReleaseMembers> {
+        let found = self.census_since(key, request.received_at).cloned();
         let members = match record.phase {
-            Phase::Closed => self.release_members(now, key, record, out),
-            _ => found.as_ref().map(seen),
+            Phase::Closed => self.read_closed_members(now, key, record, out),
+            _ => found.as_ref().map(rebuilds_and_renders),
         };
         let (found, members) = (found?, members?);
-        let stands = |m: &Member| found.get(&m.id).map_or(MemberState::Unread, |f| fact_of(f.state));
-        let facts = members.iter().map(|m| (m.id.clone(), stands(m))).collect();
-        Some(Known { members: Some(members), facts })
+        let state_of = |member: &Member| {
+            found.get(&member.id).map_or(MemberState::Unread, |found_member| member_state(found_member.state))
+        };
+        let states = members.iter().map(|member| (member.id.clone(), state_of(member))).collect();
+        Some(ReleaseMembers { members: Some(members), states })
     }
 
     fn no_such_title(&self, title: &str) -> Reply {
-        let known = self.coordination.latest.keys().map(String::as_str);
-        let like = nearest(title, known).map(|t| format!("; the nearest is {t}")).unwrap_or_default();
-        Reply::error(404, &format!("no release of {title} is on record{like}"))
+        let titles = self.coordination.latest_nights.keys().map(String::as_str);
+        let suggestion = nearest(title, titles)
+            .map(|nearest_title| format!("; the nearest is {nearest_title}"))
+            .unwrap_or_default();
+        Reply::error(404, &format!("no release of {title} is on record{suggestion}"))
     }
 
-    /// Releases that are not over, as the latest list had them.
+    /// The status of the unfinished releases found by the latest listing.
     pub(super) fn release_status(&self) -> Vec<Value> {
-        let of = |key: &Key| {
+        let row_of = |key: &Key| {
             let (title, night) = release_ref::title_and_night(key)?;
             Some(match self.coordination.records.get(key) {
-                CachedRecord::Present(r) => match Release::read(r) {
-                    Ok(b) => {
+                CachedRecord::Present(record) => match Release::read(record) {
+                    Ok(release) => {
                         json!({
                             "title": title,
                             "night": night,
-                            "phase": r.phase,
-                            "version": r.version,
-                            "late": b.is_late(self.rounds.wall.0),
-                            "closed_by": b.closed_by,
-                            "waived": b.waived.len(),
-                            "rotated": b.rotated,
+                            "phase": record.phase,
+                            "version": record.version,
+                            "late": release.is_late(self.rounds.wall.0),
+                            "closed_by": release.closed_by,
+                            "waived": release.waived.len(),
+                            "rotated": release.rotated,
                         })
                     }
-                    Err(e) => json!({"title": title, "night": night, "unreadable": e.to_string()}),
+                    Err(error) => json!({"title": title, "night": night, "unreadable": error.to_string()}),
                 },
                 CachedRecord::Unreadable(why) => {
                     json!({"title": title, "night": night, "unreadable": why.to_string()})
@@ -561,6 +622,6 @@
                 CachedRecord::NotRead | CachedRecord::Absent => return None,
             })
         };
-        self.coordination.listed_keys.iter().filter_map(of).collect()
+        self.coordination.listed_keys.iter().filter_map(row_of).collect()
     }
 }
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -1,105 +1,114 @@
-//! Replication before effect: starts that a leader decides and carries out itself are told to another member, its replica,
-//! before they go out; and what was heard of one that is there no more is told to the new leaders of its jobs.
+//! Replication before effect. A start that a controller both decides (as the job's leader) and carries out
+//! (as the machine's leader) is replicated to another member before it is sent to the machine. When a
+//! controller leaves the ring, its replicas report its starts to the new leaders of its jobs.
 //!
-//! [`StartReplica`] owns what this controller tells, and what it holds for others. Who can't reach any replica puts on record
-//! that it goes on without: for the rest of that epoch nobody's word about it counts, and its successor asks every machine.
+//! [`StartReplica`] owns the starts that this controller replicates and those that it holds for others. A
+//! controller that reaches no replica stores an exemption and starts tasks without replication. For the rest
+//! of that epoch the replicas' reports about it don't count, and the new leaders wait for every machine
+//! instead.
 
-use super::handoff::FORM;
+use super::handoff::HANDOFF_FORMAT_VERSION;
 use super::*;
 use crate::job_shard::JobShard;
 use crate::membership::{Membership, Ring};
 use crate::peer::{ReplicatedItem, ReplicatedStarts, TaskKey};
 use hazelsaddle_failover::start_replica::{ReplicationDelta, ReplicationReceiver, ReplicationSender};
 
-/// Where it is put on record that a controller starts tasks without replication: its latest such epoch under its name.
-pub(super) const PREFIX: &str = "unwitnessed/";
-/// How long starts are held back for want of a replica.
-const PATIENCE: Micros = Micros::from_millis(2000);
-/// ReplicationDelta are gathered for so long before a replica is told: a start waits for its machine's heartbeat anyway, and a
-/// frame costs more than what it says.
-const GATHER: Micros = Micros::from_millis(100);
-/// The next member is told what the others are not, unless it has said nothing for so long.
-const FIRST_REPLICA_PATIENCE: Micros = Micros::from_millis(500);
+/// Key prefix of the exemptions: under a controller's name, the latest epoch in which it started tasks
+/// without replication.
+pub(super) const EXEMPTION_PREFIX: &str = "unwitnessed/";
+/// How long starts wait for an acknowledgement before the exemption is requested.
+const REPLICATION_TIMEOUT: Micros = Micros::from_millis(2000);
+/// Changes are batched this long before they are sent to a replica: a start waits for its machine's heartbeat
+/// anyway, and a frame costs more than its content.
+const BATCHING_DELAY: Micros = Micros::from_millis(100);
+/// If the first replica has been silent for this long, changes are sent to all members.
+const FIRST_REPLICA_TIMEOUT: Micros = Micros::from_millis(500);
 
-/// Whether starts on our own machines need a replica.
+/// Whether starts on our own machines must be replicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
-    /// No: there is nobody to be one, or somebody who would not understand.
+    /// Not required: there is no other member, or one that doesn't support replication.
     Off,
-    /// Yes, until this epoch ends or it is on record that we go on without.
+    /// Required until this epoch ends or an exemption is stored.
     Required,
-    /// That is being put on record.
+    /// The exemption is being stored.
     RecordingExemption,
-    /// It is on record.
+    /// The exemption is stored.
     Exempt,
 }
 
-/// A controller that is there no more, as its replicas remember it: who has reported, and what.
+/// The replicas' reports about a departed controller, by reporting controller.
 #[derive(Default)]
-struct LostController {
+struct DepartedController {
     reports: BTreeMap<usize, ReplicatedStarts>,
 }
 
-/// What all replicas of a controller know together.
+/// The combined reports of all replicas of a departed controller.
 struct CombinedStarts {
-    /// The first epoch that it rests on: in none from there on may the controller have gone on without replication.
+    /// The first epoch that the reports depend on. If the controller had an exemption in this epoch or a
+    /// later one, the reports don't count.
     epoch: u64,
-    /// The members of the epochs that it rests on. By each of them a job must be the controller's, and a machine.
+    /// The members of the epochs that the reports depend on. They apply only to jobs and machines that the
+    /// controller led in each of these epochs.
     rings: Vec<Vec<u32>>,
     items: BTreeSet<ReplicatedItem>,
 }
 
-/// What another member has told us.
+/// The starts that this controller holds as a replica of another one.
 #[derive(Default)]
-struct Stream {
-    /// Its process.
+struct HeldStarts {
+    /// The other controller's boot ID.
     boot: u64,
-    /// The epoch in which it last told us, and that epoch's members.
+    /// The epoch in which the other controller last replicated to us, and that epoch's members.
     epoch: u64,
     members: Vec<u32>,
-    told: ReplicationReceiver<ReplicatedItem>,
+    receiver: ReplicationReceiver<ReplicatedItem>,
 }
 
-/// What is known of the epoch before the one that begins.
+/// What is known of the previous epoch when a new one begins.
 struct EndedEpoch {
     epoch: u64,
-    /// Its members, by number and process.
+    /// Its members: number and boot ID.
     members: Vec<(usize, u64)>,
-    /// Whether the new epoch follows it directly, and this process was a member.
+    /// Whether the new epoch directly follows it and this process was a member of it.
     follows: bool,
-    /// From which epoch on we have taken up every one, and in each of which starts had to be replicated.
-    since: u64,
-    /// What members told that are there no more, or all if it is not followed directly.
-    streams: BTreeMap<usize, Stream>,
+    /// This controller has adopted every epoch from this one on, and starts had to be replicated in each of
+    /// them.
+    unbroken_since: u64,
+    /// The held starts of members that have departed, or of all members if the new epoch doesn't directly
+    /// follow.
+    held_starts: BTreeMap<usize, HeldStarts>,
 }
 
-/// What we tell replicas, what we hold as one, and what new leaders are told.
+/// The starts that we replicate, those that we hold as a replica, and the reports about departed controllers.
 pub(super) struct StartReplica {
     mode: Mode,
     outgoing: ReplicationSender<ReplicatedItem>,
     last_sent: Vec<Micros>,
-    /// When somebody last said that it holds something, or when there was first something to hold.
+    /// When a replica last acknowledged a change, or when there was nothing to acknowledge.
     last_acknowledged: Micros,
-    next_try: Micros,
-    streams: Vec<Stream>,
-    /// The epoch, and the processes that are its members.
-    ring: (u64, Vec<(usize, u64)>),
-    /// From which epoch on we have taken up every one, and in each of which every member read this form.
-    since: u64,
-    /// The newest form that each process reads, by what the store said of it.
-    forms: BTreeMap<u64, u64>,
-    /// Members of the epoch before that are there no more.
-    lost: BTreeMap<usize, LostController>,
-    /// Per controller, the latest epoch in which it started tasks without replication.
-    exempt: BTreeMap<usize, u64>,
-    /// Jobs that we accepted in this epoch in place of a leader that has not answered since: nobody can have started
-    /// them before it.
-    accepted: BTreeSet<String>,
-    taken: usize,
+    next_exemption_request_at: Micros,
+    held_starts: Vec<HeldStarts>,
+    /// The epoch, and number and boot ID of its members.
+    epoch_processes: (u64, Vec<(usize, u64)>),
+    /// This controller has adopted every epoch from this one on, and every member supported replication in
+    /// each of them.
+    unbroken_since: u64,
+    /// The newest format version that each process reads, from its member key.
+    format_versions: BTreeMap<u64, u64>,
+    /// Members of the previous epoch that have departed.
+    departed: BTreeMap<usize, DepartedController>,
+    /// By controller: the latest epoch in which it started tasks without replication.
+    exemptions: BTreeMap<usize, u64>,
+    /// Jobs that we accepted in this epoch on behalf of a leader that has not responded since. No task of
+    /// them can have been started before.
+    proxy_accepted: BTreeSet<String>,
+    recovered_jobs: usize,
 }
 
-/// Processes whose form is remembered.
-const FORMS: usize = 200;
+/// Maximum number of processes whose format version is remembered.
+const MAX_REMEMBERED_PROCESSES: usize = 200;
 
 impl StartReplica {
     pub(super) fn new(controllers: usize) -> StartReplica {
@@ -108,37 +117,43 @@
             outgoing: ReplicationSender::default(),
             last_sent: vec![Micros(0); controllers],
             last_acknowledged: Micros(0),
-            next_try: Micros(0),
-            streams: (0..controllers).map(|_| Stream::default()).collect(),
-            ring: (0, Vec::new()),
-            since: 0,
-            forms: BTreeMap::new(),
-            lost: BTreeMap::new(),
-            exempt: BTreeMap::new(),
-            accepted: BTreeSet::new(),
-            taken: 0,
+            next_exemption_request_at: Micros(0),
+            held_starts: (0..controllers).map(|_| HeldStarts::default()).collect(),
+            epoch_processes: (0, Vec::new()),
+            unbroken_since: 0,
+            format_versions: BTreeMap::new(),
+            departed: BTreeMap::new(),
+            exemptions: BTreeMap::new(),
+            proxy_accepted: BTreeSet::new(),
+            recovered_jobs: 0,
         }
     }
 
-    /// The store says which form a process reads; that never changes.
-    pub(super) fn note_form(&mut self, boot: u64, form: u64) {
-        if self.forms.len() >= FORMS {
-            // Processes come with random numbers: which ones stay is chance, and a form that is not known costs a wait.
-            self.forms.pop_first();
+    /// Records the format version that a process reads, which never changes.
+    pub(super) fn note_format_version(&mut self, boot: u64, version: u64) {
+        if self.format_versions.len() >= MAX_REMEMBERED_PROCESSES {
+            // Boot IDs are random, so an arbitrary process is forgotten. An unknown version only costs a
+            // wait.
+            self.format_versions.pop_first();
         }
-        self.forms.insert(boot, form);
+        self.format_versions.insert(boot, version);
     }
 
-    /// Whether in this epoch starts go out without replication, because a member is known not to understand.
-    fn is_off(&self, me: usize) -> bool {
-        let mut others = self.ring.1.iter().filter(|(n, _)| *n != me).peekable();
-        others.peek().is_none() || others.any(|(_, boot)| self.forms.get(boot).is_some_and(|f| *f < FORM))
+    /// Whether starts need no replication in this epoch, because there is no other member or one that is
+    /// known not to support it.
+    fn is_replication_off(&self, me: usize) -> bool {
+        let mut others = self.epoch_processes.1.iter().filter(|(number, _)| *number != me).peekable();
+        others.peek().is_none()
+            || others.any(|(_, boot)| {
+                self.format_versions.get(boot).is_some_and(|version| *version < HANDOFF_FORMAT_VERSION)
+            })
     }
 
-    /// Whether a start may go out to one of our machines. One that another leader decided is known to that one too.
-    pub(super) fn may_start(
+    /// Whether a start may be sent to one of our machines. A start that another controller decided is known
+    /// to that controller too.
+    pub(super) fn can_start(
         &self,
-        m: &Membership,
+        membership: &Membership,
         job_shard: &JobShard,
         key: &TaskKey,
         machine: &str,
@@ -146,7 +161,7 @@
         match self.mode {
             Mode::Off | Mode::Exempt => true,
             Mode::Required | Mode::RecordingExemption => {
-                m.job_leader(&key.job) != Some(m.me)
+                membership.job_leader(&key.job) != Some(membership.me)
                     || job_shard
                         .replicated_start(machine, key)
                         .is_some_and(|item| self.outgoing.is_replicated(&item))
@@ -154,100 +169,108 @@
         }
     }
 
-    /// Whether starts on our own machines wait for a replica.
-    pub(super) fn holds_back(&self) -> bool {
+    /// Whether starts on our own machines must wait for a replica's acknowledgement.
+    pub(super) fn is_replication_required(&self) -> bool {
         matches!(self.mode, Mode::Required | Mode::RecordingExemption)
     }
 
-    /// A job was accepted in this epoch in place of its leader; `waiting` are those whose leaders have not answered.
-    pub(super) fn note_stand_in(&mut self, job: &str, waiting: &BTreeMap<String, Micros>) {
-        self.accepted.retain(|id| waiting.contains_key(id));
-        self.accepted.insert(job.to_owned());
+    /// Records a job that was accepted in this epoch on behalf of its leader; `waiting` are the jobs whose
+    /// leaders have not responded.
+    pub(super) fn note_proxy_acceptance(&mut self, job: &str, waiting: &BTreeMap<String, Micros>) {
+        self.proxy_accepted.retain(|id| waiting.contains_key(id));
+        self.proxy_accepted.insert(job.to_owned());
     }
 
-    /// Jobs of this epoch that need not wait, by what replicas reported.
-    pub(super) fn taken(&self) -> usize {
-        self.taken
+    /// Number of jobs in this epoch whose starts were recovered from replicas.
+    pub(super) fn recovered_jobs(&self) -> usize {
+        self.recovered_jobs
     }
 
-    /// Takes what another member has told; returns the number to say in answer.
+    /// Applies a delta from another member; returns the revision to acknowledge.
     pub(super) fn receive(
         &mut self,
         from: usize,
         boot: u64,
-        c: ReplicationDelta<ReplicatedItem>,
+        delta: ReplicationDelta<ReplicatedItem>,
     ) -> Option<u64> {
-        let epoch = self.ring.0;
-        let of = self.streams.get_mut(from)?;
-        if of.boot != boot {
-            *of = Stream { boot, ..Stream::default() };
+        let epoch = self.epoch_processes.0;
+        let held = self.held_starts.get_mut(from)?;
+        if held.boot != boot {
+            *held = HeldStarts { boot, ..HeldStarts::default() };
         }
-        // The first word in an epoch is the whole set.
-        if of.epoch != epoch && c.base_revision != 0 {
+        // The first delta in an epoch must be the complete set.
+        if held.epoch != epoch && delta.base_revision != 0 {
             return None;
         }
-        let rev = of.told.apply(c)?;
-        if of.epoch != epoch {
-            of.epoch = epoch;
-            of.members = self.ring.1.iter().map(|(n, _)| *n as u32).collect();
+        let revision = held.receiver.apply(delta)?;
+        if held.epoch != epoch {
+            held.epoch = epoch;
+            held.members = self.epoch_processes.1.iter().map(|(number, _)| *number as u32).collect();
         }
-        Some(rev)
+        Some(revision)
     }
 
-    /// Begins an epoch, with the processes that are its members; returns what is known of the one that ends. `own` is this
+    /// Begins an epoch with these members; returns what is known of the epoch that ends. `own` is this
     /// process.
     fn begin_epoch(
         &mut self,
         now: Micros,
         own: (usize, u64),
-        ring: (u64, Vec<(usize, u64)>),
+        processes: (u64, Vec<(usize, u64)>),
         follows: bool,
     ) -> EndedEpoch {
-        let new_epoch = ring.0;
+        let new_epoch = processes.0;
         let me = own.0;
-        let reads = |boot: &u64| self.forms.get(boot).is_some_and(|form| *form >= FORM);
-        let all_read = self.ring.1.iter().all(|(number, boot)| *number == me || reads(boot));
-        let (epoch, members) = std::mem::replace(&mut self.ring, ring);
+        let supports_replication = |boot: &u64| {
+            self.format_versions.get(boot).is_some_and(|version| *version >= HANDOFF_FORMAT_VERSION)
+        };
+        let all_support_replication =
+            self.epoch_processes.1.iter().all(|(number, boot)| *number == me || supports_replication(boot));
+        let (epoch, members) = std::mem::replace(&mut self.epoch_processes, processes);
         let follows = follows && epoch + 1 == new_epoch && members.contains(&own);
-        // In an epoch in which not all read of them, starts may have gone out that nobody was told.
-        if !follows || !all_read {
-            self.since = new_epoch;
+        // If not every member of an epoch supported replication, tasks may have been started without it.
+        if !follows || !all_support_replication {
+            self.unbroken_since = new_epoch;
         }
-        let since = if all_read { self.since } else { epoch + 1 };
-        self.lost.clear();
-        self.exempt.clear();
-        self.taken = 0;
-        // Starts that wait in the machine shards must not slip out before the replicas of this epoch have been told.
-        self.mode = if self.is_off(me) { Mode::Off } else { Mode::Required };
-        self.outgoing.restart(self.ring.1.iter().map(|(number, _)| *number).filter(|number| *number != me));
+        let unbroken_since = if all_support_replication { self.unbroken_since } else { epoch + 1 };
+        self.departed.clear();
+        self.exemptions.clear();
+        self.recovered_jobs = 0;
+        // Starts that wait in the machine shards must not be sent before the replicas of this epoch have
+        // acknowledged them.
+        self.mode = if self.is_replication_off(me) { Mode::Off } else { Mode::Required };
+        self.outgoing
+            .restart(self.epoch_processes.1.iter().map(|(number, _)| *number).filter(|number| *number != me));
         self.last_sent.fill(Micros(0));
         self.last_acknowledged = now;
-        let mut streams = BTreeMap::new();
-        for (number, stream) in self.streams.iter_mut().enumerate() {
-            // What a member told stays with us until it tells us anew: it may be gone before it does.
-            if !follows || !self.ring.1.contains(&(number, stream.boot)) {
-                streams.insert(number, std::mem::take(stream));
+        let mut held_starts = BTreeMap::new();
+        for (number, held) in self.held_starts.iter_mut().enumerate() {
+            // Keep what a remaining member has replicated until it replicates again: it may depart before it
+            // does.
+            if !follows || !self.epoch_processes.1.contains(&(number, held.boot)) {
+                held_starts.insert(number, std::mem::take(held));
             }
         }
-        EndedEpoch { epoch, members, follows, since, streams }
+        EndedEpoch { epoch, members, follows, unbroken_since, held_starts }
     }
 
-    /// A replica reports what it holds of a controller that is there no more.
-    pub(super) fn take_report(&mut self, from: usize, starts: ReplicatedStarts) {
-        if starts.epoch + 1 == self.ring.0 && starts.members.contains(&(from as u32)) {
-            self.lost.entry(starts.of as usize).or_default().reports.entry(from).or_insert(starts);
+    /// Records a replica's report about a departed controller.
+    pub(super) fn record_report(&mut self, from: usize, starts: ReplicatedStarts) {
+        if starts.epoch + 1 == self.epoch_processes.0 && starts.members.contains(&(from as u32)) {
+            self.departed.entry(starts.of as usize).or_default().reports.entry(from).or_insert(starts);
         }
     }
 
-    /// What those who have reported `lost` know together; None while somebody who may hold something has not reported, or
-    /// if what they heard is too old.
-    fn combine_reports(&self, lost: usize) -> Option<CombinedStarts> {
-        let reports = &self.lost.get(&lost)?.reports;
-        let all_reported = |members: &[u32], since: u64| {
+    /// Combines the reports about `departed`. None while a replica that may hold starts has not reported, or
+    /// if the reports are too old.
+    fn combine_reports(&self, departed: usize) -> Option<CombinedStarts> {
+        let reports = &self.departed.get(&departed)?.reports;
+        let all_reported = |members: &[u32], latest_adopted: u64| {
             let mut others =
-                members.iter().map(|member| *member as usize).filter(|member| *member != lost).peekable();
+                members.iter().map(|member| *member as usize).filter(|member| *member != departed).peekable();
             others.peek().is_some()
-                && others.all(|member| reports.get(&member).is_some_and(|report| report.since <= since))
+                && others
+                    .all(|member| reports.get(&member).is_some_and(|report| report.since <= latest_adopted))
         };
         let first = reports.values().next()?;
         if !all_reported(&first.members, first.epoch)
@@ -255,113 +278,120 @@
         {
             return None;
         }
-        // The latest epoch in which anybody heard of it. What it told in that one named all there was before; if nobody
-        // heard of it in the one after, nothing was replicated there and, as starts had to be, nothing started. Further
-        // back, its jobs may have been another's in between.
+        // The latest epoch in which any replica received starts from the controller. The set it replicated
+        // then included all its earlier starts. If no replica received anything in the following epoch,
+        // nothing was replicated in it and so nothing was started, as replication was required. Older epochs
+        // don't count, since the jobs may have had other leaders in between.
         let latest = reports.values().max_by_key(|report| report.heard_in)?;
-        let fresh: Vec<String> = reports.values().flat_map(|report| report.fresh.iter().cloned()).collect();
-        let heard = latest.heard_in > 0
+        let accepted_jobs: Vec<String> =
+            reports.values().flat_map(|report| report.fresh.iter().cloned()).collect();
+        let has_contact = latest.heard_in > 0
             && latest.heard_in + 1 >= first.epoch
             && all_reported(&latest.heard_with, latest.heard_in);
         let mut combined =
             CombinedStarts { epoch: first.epoch, rings: vec![first.members.clone()], items: BTreeSet::new() };
-        if heard {
-            let same = reports.values().filter(|report| report.heard_in == latest.heard_in);
-            combined.items = same.flat_map(|report| report.items.iter().cloned()).collect();
+        if has_contact {
+            let reports_of_epoch = reports.values().filter(|report| report.heard_in == latest.heard_in);
+            combined.items = reports_of_epoch.flat_map(|report| report.items.iter().cloned()).collect();
             combined.epoch = latest.heard_in;
             combined.rings.push(latest.heard_with.clone());
         } else if latest.heard_in == first.epoch {
             return None;
         }
-        combined.items.extend(fresh.into_iter().map(ReplicatedItem::Job));
+        combined.items.extend(accepted_jobs.into_iter().map(ReplicatedItem::Job));
         Some(combined)
     }
 }
 
 impl Controller {
-    /// A new epoch has been taken up by the membership: what was heard of members that are there no more goes to the new
-    /// leaders of their jobs, and who has just joined is told which machines are gone.
-    pub(super) fn report_lost_controllers(&mut self, now: Micros, record: &EpochRecord, follows: bool) {
-        let number = |name: &String| self.settings.members.iter().position(|member| member == name);
+    /// Called when a new epoch has been adopted: reports the starts of departed members to the new leaders of
+    /// their jobs, and sends members that have just joined the list of gone machines.
+    pub(super) fn report_departed_controllers(&mut self, now: Micros, record: &EpochRecord, follows: bool) {
+        let number_of = |name: &String| self.settings.members.iter().position(|member| member == name);
         let processes: Vec<(usize, u64)> =
-            record.members.iter().filter_map(|(name, boot)| Some((number(name)?, *boot))).collect();
+            record.members.iter().filter_map(|(name, boot)| Some((number_of(name)?, *boot))).collect();
         let own = (self.settings.me, self.boot);
         let ended = self.start_replica.begin_epoch(now, own, (record.epoch, processes), follows);
-        let mut fresh = std::mem::take(&mut self.start_replica.accepted);
-        fresh.retain(|job| self.stand_ins.next_notice.contains_key(job));
+        let mut accepted_jobs = std::mem::take(&mut self.start_replica.proxy_accepted);
+        accepted_jobs.retain(|job| self.proxy_acceptances.next_notice_at.contains_key(job));
         if !ended.follows {
             return;
         }
-        let members = self.start_replica.ring.1.clone();
+        let members = self.start_replica.epoch_processes.1.clone();
         for (to, _) in members.iter().filter(|process| !ended.members.contains(process)) {
             let gone = self.machine_shard.returned_machines_of(*to, &self.membership);
             self.handoff.pack_gone(now, *to, gone);
         }
-        for (lost, boot) in ended.members.iter().filter(|process| !members.contains(process)) {
-            self.report_lost_controller(now, &ended, (*lost, *boot), &fresh);
+        for (departed, boot) in ended.members.iter().filter(|process| !members.contains(process)) {
+            self.report_departed_controller(now, &ended, (*departed, *boot), &accepted_jobs);
         }
     }
 
-    fn report_lost_controller(
+    fn report_departed_controller(
         &mut self,
         now: Micros,
         ended: &EndedEpoch,
-        (lost, boot): (usize, u64),
-        fresh: &BTreeSet<String>,
+        (departed, boot): (usize, u64),
+        accepted_jobs: &BTreeSet<String>,
     ) {
-        let none = Stream::default();
-        let stream = ended.streams.get(&lost).filter(|stream| stream.boot == boot && stream.epoch > 0);
-        let stream = stream.unwrap_or(&none);
+        let none = HeldStarts::default();
+        let held = ended.held_starts.get(&departed).filter(|held| held.boot == boot && held.epoch > 0);
+        let held = held.unwrap_or(&none);
         for to in self.membership.members.clone() {
-            let theirs = |job: &str| self.membership.job_leader(job) == Some(to);
+            let is_led_by_receiver = |job: &str| self.membership.job_leader(job) == Some(to);
             let starts = ReplicatedStarts {
-                of: lost as u32,
+                of: departed as u32,
                 epoch: ended.epoch,
                 members: ended.members.iter().map(|(number, _)| *number as u32).collect(),
-                heard_in: stream.epoch,
-                heard_with: stream.members.clone(),
-                since: ended.since,
-                items: stream.told.items().filter(|item| theirs(job_of(item))).cloned().collect(),
-                fresh: fresh.iter().filter(|job| theirs(job)).cloned().collect(),
+                heard_in: held.epoch,
+                heard_with: held.members.clone(),
+                since: ended.unbroken_since,
+                items: held
+                    .receiver
+                    .items()
+                    .filter(|item| is_led_by_receiver(job_of(item)))
+                    .cloned()
+                    .collect(),
+                fresh: accepted_jobs.iter().filter(|job| is_led_by_receiver(job)).cloned().collect(),
             };
             if to == self.settings.me {
-                self.start_replica.take_report(to, starts);
+                self.start_replica.record_report(to, starts);
             } else {
                 self.handoff.pack_replicated_starts(now, to, starts);
             }
         }
     }
 
-    /// Where all replicas of one that is there no more have reported, its jobs need not wait for its machines.
+    /// Jobs of a departed controller need not wait for its machines once all its replicas have reported.
     pub(super) fn use_replicated_starts(&mut self, now: Micros) {
         if !self.job_shard.loaded {
             return;
         }
-        for lost in self.start_replica.lost.keys().copied().collect::<Vec<_>>() {
-            let Some(combined) = self.start_replica.combine_reports(lost) else { continue };
-            self.start_replica.lost.remove(&lost);
-            // It started tasks without replication: they don't know all.
-            if self.start_replica.exempt.get(&lost).is_some_and(|epoch| *epoch >= combined.epoch) {
+        for departed in self.start_replica.departed.keys().copied().collect::<Vec<_>>() {
+            let Some(combined) = self.start_replica.combine_reports(departed) else { continue };
+            self.start_replica.departed.remove(&departed);
+            // The controller started tasks without replication, so the reports may be incomplete.
+            if self.start_replica.exemptions.get(&departed).is_some_and(|epoch| *epoch >= combined.epoch) {
                 continue;
             }
-            let ring = |members: &Vec<u32>| {
+            let ring_of = |members: &Vec<u32>| {
                 let members: Vec<usize> = members.iter().map(|&m| m as usize).collect();
                 Ring::new(&self.settings.members, &members)
             };
-            let rings: Vec<Ring> = combined.rings.iter().map(ring).collect();
-            let helped = self.job_shard.apply_start_replicas(now, lost, &rings, &combined.items);
+            let rings: Vec<Ring> = combined.rings.iter().map(ring_of).collect();
+            let resolved_jobs = self.job_shard.apply_start_replicas(now, departed, &rings, &combined.items);
             let (epoch, items) = (combined.epoch, combined.items.len());
-            tracing::info!(epoch, lost = %self.settings.members[lost], jobs = helped, items, "replicated starts adopted");
-            self.start_replica.taken += helped;
+            tracing::info!(epoch, lost = %self.settings.members[departed], jobs = resolved_jobs, items, "replicated starts adopted");
+            self.start_replica.recovered_jobs += resolved_jobs;
         }
     }
 
-    /// Tells the replicas what has changed, before it may have effect.
+    /// Replicates new starts before they take effect.
     pub(super) fn send_replicated_starts(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if !self.speaks_for_epoch() || self.start_replica.mode == Mode::Exempt {
+        if !self.is_active_member() || self.start_replica.mode == Mode::Exempt {
             return;
         }
-        if self.start_replica.is_off(self.settings.me) {
+        if self.start_replica.is_replication_off(self.settings.me) {
             self.start_replica.mode = Mode::Off;
             return;
         }
@@ -369,46 +399,49 @@
         if due.is_empty() {
             return;
         }
-        // What the machine shards are to hear is noted here too.
+        // The call also records the starts that have yet to be sent to the machine shards.
         self.job_shard.has_changes_for(self.settings.me, &self.membership);
-        for (item, there) in self.job_shard.take_replication_changes() {
-            self.start_replica.outgoing.set(item, there);
+        for (item, is_present) in self.job_shard.take_replication_changes() {
+            self.start_replica.outgoing.set(item, is_present);
         }
-        let mut all_wait = true;
+        let mut all_awaiting = true;
         for replica in due {
-            all_wait &= self.start_replica.outgoing.awaits_acknowledgement(replica);
+            all_awaiting &= self.start_replica.outgoing.awaits_acknowledgement(replica);
             self.send_replicated_starts_to(now, replica, out);
         }
-        if !all_wait {
+        if !all_awaiting {
             self.start_replica.last_acknowledged = now;
         } else {
             self.ask_for_exemption_if_unanswered(now, out);
         }
     }
 
-    /// Replicas that are to be told what is new, if anything is.
+    /// The replicas to which changes are due.
     fn replicas_due(&mut self, now: Micros) -> Vec<usize> {
-        // One replica will do, and costs half of what two do: the next member by number, and all if that one is silent.
+        // One replica is enough and costs half as much as two: the next member by number, or all members if
+        // that one is silent.
         let (me, controllers) = (self.settings.me, self.settings.members.len());
         let others = (1..controllers).map(|step| (me + step) % controllers);
         let others = others.filter(|peer| self.membership.members.contains(peer));
         let replica = &mut self.start_replica;
-        let is_silent = now.since(replica.last_acknowledged) >= FIRST_REPLICA_PATIENCE;
-        let asked: Vec<usize> = others.take(if is_silent { controllers } else { 1 }).collect();
-        if let (false, [first]) = (is_silent, &asked[..])
+        let is_silent = now.since(replica.last_acknowledged) >= FIRST_REPLICA_TIMEOUT;
+        let selected: Vec<usize> = others.take(if is_silent { controllers } else { 1 }).collect();
+        if let (false, [first]) = (is_silent, &selected[..])
             && !replica.outgoing.awaits_acknowledgement(*first)
         {
             (0..controllers).filter(|peer| peer != first).for_each(|peer| replica.outgoing.forget(peer));
         }
-        asked.into_iter().filter(|&peer| now.since(replica.last_sent[peer]) >= GATHER).collect()
+        selected.into_iter().filter(|&peer| now.since(replica.last_sent[peer]) >= BATCHING_DELAY).collect()
     }
 
     fn send_replicated_starts_to(&mut self, now: Micros, peer: usize, out: &mut Vec<Effect>) {
         let replica = &self.start_replica;
         let repeats = replica.outgoing.awaits_acknowledgement(peer)
             && now.since(replica.last_sent[peer]) >= self.settings.digest;
-        // It may have been replaced by an older version since the epoch began.
-        if !(replica.outgoing.has_unsent(peer) || repeats) || !self.reads(peer, FORM) {
+        // The peer may have been replaced by an older version since the epoch began.
+        if !(replica.outgoing.has_unsent(peer) || repeats)
+            || !self.can_read_format(peer, HANDOFF_FORMAT_VERSION)
+        {
             return;
         }
         self.start_replica.last_sent[peer] = now;
@@ -419,66 +452,68 @@
         }
     }
 
-    /// No replica has answered for long: puts on record that starts go out without.
+    /// If no replica has acknowledged for too long, requests the exemption to start tasks without
+    /// replication.
     fn ask_for_exemption_if_unanswered(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let replica = &mut self.start_replica;
         if replica.mode != Mode::Required
-            || now.since(replica.last_acknowledged) < PATIENCE
-            || now < replica.next_try
+            || now.since(replica.last_acknowledged) < REPLICATION_TIMEOUT
+            || now < replica.next_exemption_request_at
             || !self.membership.is_leader(now)
         {
             return;
         }
         let epoch = self.membership.epoch;
-        tracing::info!(epoch, "no replica answers: starting tasks without replication");
+        tracing::info!(epoch, "no replica acknowledges: starting tasks without replication");
         replica.mode = Mode::RecordingExemption;
-        let key = format!("{PREFIX}{}", self.settings.member);
+        let key = format!("{EXEMPTION_PREFIX}{}", self.settings.member);
         let transaction = Transaction {
-            conditions: vec![self.fence()],
+            conditions: vec![self.fencing_condition()],
             puts: vec![(key, json!({"epoch": epoch}), None)],
             ..Transaction::default()
         };
-        // It goes out whatever is left of the budget: without it this controller starts nothing on its machines.
+        // Sent even if the write budget is used up: without the exemption this controller starts nothing on
+        // its machines.
         self.state_store.write_limiter.take(now, 1.0, 0.0);
         let pending = PendingStoreRequest::RecordUnreplicatedStarts { epoch };
-        self.ask_store(pending, StoreRequest::Transaction(transaction), out);
+        self.send_store_request(pending, StoreRequest::Transaction(transaction), out);
     }
 
-    /// A replica holds what that message said: starts that waited for it may go out.
-    pub(super) fn apply_replicated(&mut self, now: Micros, from: usize, rev: u64) {
+    /// Applies a replica's acknowledgement: starts that waited for it may be sent.
+    pub(super) fn apply_replicated(&mut self, now: Micros, from: usize, revision: u64) {
         self.start_replica.last_acknowledged = now;
-        for item in self.start_replica.outgoing.acknowledge(from, rev) {
+        for item in self.start_replica.outgoing.acknowledge(from, revision) {
             if let ReplicatedItem::Start { machine, .. } = item {
                 self.machine_shard.recheck_response(&machine);
             }
         }
     }
 
-    /// It is on record, or not, that we start tasks without replication.
+    /// Applies the result of storing the exemption.
     pub(super) fn apply_unreplicated_starts(&mut self, now: Micros, epoch: u64, committed: bool) {
         if epoch != self.membership.epoch || self.start_replica.mode != Mode::RecordingExemption {
             return;
         }
         self.start_replica.mode = if committed { Mode::Exempt } else { Mode::Required };
-        self.start_replica.next_try = now + Micros::from_millis(500);
+        self.start_replica.next_exemption_request_at = now + Micros::from_millis(500);
         if committed {
             self.machine_shard.recheck_all_responses();
         }
     }
 
-    /// The store says that a controller started tasks without replication in some epoch.
+    /// Loads a controller's exemption from its record.
     pub(super) fn load_unreplicated_starts(&mut self, row: &KeyValue) {
-        let name = row.key.strip_prefix(PREFIX);
-        let number = name.and_then(|n| self.settings.members.iter().position(|m| m == n));
+        let name = row.key.strip_prefix(EXEMPTION_PREFIX);
+        let number = name.and_then(|name| self.settings.members.iter().position(|member| member == name));
         let Some(number) = number else { return };
         match row.value.get("epoch").and_then(Value::as_u64) {
             Some(epoch) => {
-                self.start_replica.exempt.insert(number, epoch);
+                self.start_replica.exemptions.insert(number, epoch);
             }
             None => {
-                // What can't be read is taken for the worst.
+                // An unreadable record is treated as an exemption in the previous epoch.
                 tracing::error!(key = %row.key, "unreadable record; its controller's replicas don't count");
-                self.start_replica.exempt.insert(number, self.membership.epoch.saturating_sub(1));
+                self.start_replica.exemptions.insert(number, self.membership.epoch.saturating_sub(1));
             }
         }
     }
--- a/src/controller/state_store_io.rs
+++ b/src/controller/state_store_io.rs
@@ -1,38 +1,39 @@
-//! Requests to the state store: numbering them, keeping to the store's limits, and taking each answer to who asked.
+//! Requests to the state store: numbering, rate limits, and dispatch of the responses.
 //!
-//! [`StateStoreIo`] owns the requests under way. Every change of a record carries the fencing condition: without it a
-//! controller that has been deposed could still write.
+//! [`StateStoreIo`] owns the requests in flight. Every change of a record carries the fencing condition;
+//! without it, a deposed controller could still write.
 
 use super::*;
 
-/// After a refusal nothing but the ring's requests is sent for so long: a pause costs less than more refusals.
-const PAUSE_AFTER_REFUSAL: Micros = Micros::from_millis(200);
+/// After a refusal, only membership requests are sent for this long: a pause costs less than further
+/// refusals.
+const REFUSAL_PAUSE: Micros = Micros::from_millis(200);
 
-/// What a request to the state store is for.
+/// The purpose of a request to the state store.
 #[derive(Clone, Debug)]
 pub(super) enum PendingStoreRequest {
     /// A step of the membership loop.
-    Ring(PendingRingRequest),
-    /// A page of the records that are read when an epoch begins.
+    Ring(PendingMembershipRequest),
+    /// Reads a page of the records at the beginning of an epoch.
     LoadPage {
         stage: LoadStage,
         epoch: u64,
     },
-    /// Puts on record that this controller starts tasks without replication in this epoch.
+    /// Stores that this controller starts tasks without replication in this epoch.
     RecordUnreplicatedStarts {
         epoch: u64,
     },
-    /// Puts a new job on record.
+    /// Stores a new job.
     AcceptJob {
         job: String,
         epoch: u64,
     },
-    /// Writes a job's progress or end.
+    /// Writes a job's progress or outcome.
     WriteJob {
         job: String,
         write: RecordWrite,
     },
-    /// Reads a live record again after a write of unknown outcome; then the job's final record.
+    /// Reads a job's live record, and if there is none its final record, after a write of unknown outcome.
     VerifyJob {
         job: String,
         epoch: u64,
@@ -41,7 +42,7 @@
         job: String,
         epoch: u64,
     },
-    /// Reads the live record of a job that is not known here; then its final record.
+    /// Reads the live record of a job that is unknown here, and if there is none its final record.
     LookUpJob {
         job: String,
         lookup: u64,
@@ -50,12 +51,12 @@
         job: String,
         lookup: u64,
     },
-    /// Reads the live record of a job whose leader does not answer, for a poll.
+    /// Reads the live record of a job whose leader is unresponsive, to answer a poll.
     PollRecord {
         job: String,
         caller: Caller,
     },
-    /// Writes, and reads again, a page of the machine registry.
+    /// Writes a page of the machine registry, and reads it back after an uncertain write.
     WriteRegistryPage {
         epoch: u64,
         write: PageWrite,
@@ -64,26 +65,26 @@
         epoch: u64,
         page: u32,
     },
-    /// Writes, and reads, a team's quota record.
+    /// Writes and reads a team's quota record.
     WriteAllocation(AllocationWrite),
     ReadQuota {
         team: String,
     },
-    /// Puts on record that all controllers have read this form of frames at one time.
-    RecordFrameForm {
-        form: u64,
+    /// Stores that all controllers have read this format version at the same time.
+    RecordClusterFormat {
+        version: u64,
     },
     Coordination(PendingRecordRequest),
     Freshness(PendingFreshnessRequest),
     Lending(PendingLoanRequest),
-    /// The store's revision, from which ends of jobs are watched, and the watch.
+    /// Reads the store's revision from which outcomes are watched, and watches them.
     ReadRevision,
     WatchOutcomes,
-    /// Reads the final record of a job that others wait for.
+    /// Reads the final record of a job that others follow.
     ReadOutcome {
         job: String,
     },
-    /// Reads the live record of a job that a submission names; then its final record.
+    /// Reads the live record of a job that a submission names, and if there is none its final record.
     CheckDependency {
         job: String,
         dependency: String,
@@ -92,19 +93,19 @@
         job: String,
         dependency: String,
     },
-    /// Has the store confirm that nothing of a job is on record, before it is turned down for good.
+    /// Verifies that no record of a job exists before its submission is finally rejected.
     RejectJob {
         job: String,
         reason: String,
     },
 }
 
-/// Requests to the state store under way, and the limits that they keep to.
+/// The requests in flight to the state store, and their rate limits.
 pub(super) struct StateStoreIo {
     pub(super) in_flight: BTreeMap<u64, PendingStoreRequest>,
     pub(super) request_limiter: RateLimiter,
     pub(super) write_limiter: RateLimiter,
-    /// The store has refused a request: until then only the ring's are sent.
+    /// After a refusal, only membership requests are sent until this time.
     pub(super) paused_until: Micros,
     pub(super) next_quota_pass: Micros,
     pub(super) next_registry_prune: Micros,
@@ -124,14 +125,14 @@
 }
 
 impl Controller {
-    /// The condition that every change carries: a controller that has been deposed can't write, not
-    /// even by a transaction that is applied late.
-    pub(super) fn fence(&self) -> (String, u64) {
+    /// The fencing condition of every change: a deposed controller can't write, not even by a transaction
+    /// that is applied late.
+    pub(super) fn fencing_condition(&self) -> (String, u64) {
         (EPOCH_KEY.into(), self.membership.store_version)
     }
 
     /// Sends a request to the state store.
-    pub(super) fn ask_store(
+    pub(super) fn send_store_request(
         &mut self,
         pending: PendingStoreRequest,
         request: StoreRequest,
@@ -146,8 +147,9 @@
         out.push(Effect::Store { id, request, lane });
     }
 
-    /// Takes an answer of the state store to who asked. One to a request that is not under way changes nothing.
-    pub(super) fn take_store_answer(
+    /// Dispatches a response of the state store by the purpose of its request. A response to an unknown
+    /// request has no effect.
+    pub(super) fn handle_store_answer(
         &mut self,
         now: Micros,
         id: u64,
@@ -161,7 +163,7 @@
             self.membership_loop.step_at_once(now);
         }
         if answer == StoreAnswer::Refused {
-            self.state_store.paused_until = now + PAUSE_AFTER_REFUSAL;
+            self.state_store.paused_until = now + REFUSAL_PAUSE;
         }
         self.dispatch_store_answer(now, pending, answer, out);
     }
@@ -176,7 +178,7 @@
         use PendingStoreRequest::*;
         let committed = matches!(answer, StoreAnswer::Committed(_));
         match pending {
-            Ring(pending) => self.apply_ring_answer(now, pending, answer, out),
+            Ring(pending) => self.apply_membership_answer(now, pending, answer, out),
             LoadPage { stage, epoch } => self.apply_load_page(now, stage, epoch, answer),
             RecordUnreplicatedStarts { epoch } => self.apply_unreplicated_starts(now, epoch, committed),
             AcceptJob { job, epoch } => self.apply_acceptance(now, job, epoch, answer, out),
@@ -190,10 +192,10 @@
             ReadRegistryPage { epoch, page } => self.apply_registry_page(epoch, page, &answer),
             WriteAllocation(write) => self.apply_allocation_write(write, answer),
             ReadQuota { team } => self.apply_quota_record(&team, &answer),
-            RecordFrameForm { form } => self.apply_recorded_form(form, committed),
+            RecordClusterFormat { version } => self.apply_recorded_cluster_format(version, committed),
             Coordination(pending) => self.apply_coordination_answer(now, pending, answer, out),
-            Freshness(pending) => self.fresh_answer(now, pending, answer, out),
-            Lending(pending) => self.loan_answer(now, pending, answer),
+            Freshness(pending) => self.apply_freshness_answer(now, pending, answer, out),
+            Lending(pending) => self.apply_loan_answer(now, pending, answer),
             ReadRevision | WatchOutcomes => self.apply_watch_answer(now, answer),
             ReadOutcome { job } => self.apply_dependency_outcome(now, &job, answer),
             CheckDependency { job, dependency } => {
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -1,21 +1,21 @@
-//! How a controller stands, for operators: the body of `/status`.
+//! The controller's status for operators: the body of `/status`.
 
 use super::*;
 use crate::units::Resources;
 
 impl Controller {
-    /// How things stand, for operators.
+    /// The status of this controller, for operators.
     pub fn status(&mut self, now: Micros) -> Value {
-        let m = &self.membership;
-        let (jobs, placed, left) = self.job_shard.task_counts();
-        let (bad_jobs, bad_machines) = self.job_shard.quarantined(now);
-        let (known, machines) = self.machine_shard.counts();
+        let membership = &self.membership;
+        let (jobs, tasks_placed, tasks_left) = self.job_shard.task_counts();
+        let (quarantined_jobs, quarantined_machines) = self.job_shard.quarantined(now);
+        let (known_machines, machines) = self.machine_shard.counts();
         let waiting = self.job_shard.waiting_jobs();
-        let shown = |j: &&crate::job_shard::Job| {
-            let on: Vec<&str> = j.unfinished_prerequisites().take(SHOWN).collect();
-            json!({"job": j.spec.id, "waits_for": on, "for_s": self.rounds.wall.since(j.accepted_wall).secs()})
+        let to_row = |job: &&crate::job_shard::Job| {
+            let dependencies: Vec<&str> = job.unfinished_prerequisites().take(MAX_STATUS_ROWS).collect();
+            json!({"job": job.spec.id, "waits_for": dependencies, "for_s": self.rounds.wall.since(job.accepted_wall).secs()})
         };
-        let oldest: Vec<Value> = waiting.iter().take(SHOWN).map(shown).collect();
+        let oldest: Vec<Value> = waiting.iter().take(MAX_STATUS_ROWS).map(to_row).collect();
         let teams: BTreeMap<&str, Value> = self
             .quota
             .usage()
@@ -28,21 +28,21 @@
             .collect();
         let mut status = json!({
             "member": self.settings.member,
-            "epoch": m.epoch,
-            "members": m.members.iter().map(|&i| m.name(i)).collect::<Vec<_>>(),
-            "acting": m.is_leader(now),
+            "epoch": membership.epoch,
+            "members": membership.members.iter().map(|&i| membership.name(i)).collect::<Vec<_>>(),
+            "acting": membership.is_leader(now),
             "aside": self.step_down.absence_reason().map(|reason| reason.to_string()),
-            "decider": m.autoscaler().map(|d| m.name(d)),
+            "decider": membership.autoscaler().map(|d| membership.name(d)),
             "records_read": self.job_shard.loaded,
             "machines_unheard": self.job_shard.unconfirmed_machine_count(),
             "takeover": self.failover_status(now),
-            "home": {"machines": machines, "known": known},
-            "jobs": {"live": jobs, "tasks_placed": placed, "tasks_left": left},
+            "home": {"machines": machines, "known": known_machines},
+            "jobs": {"live": jobs, "tasks_placed": tasks_placed, "tasks_left": tasks_left},
             "waiting": {"jobs": waiting.len(), "oldest": oldest},
-            "takes_follows": self.takes_dependencies(),
+            "takes_follows": self.can_accept_dependencies(),
             "pacts": self.coordination_status(),
             "batches": self.batch_status(),
-            "suspected": {"jobs": bad_jobs, "machines": bad_machines},
+            "suspected": {"jobs": quarantined_jobs, "machines": quarantined_machines},
             "overdue": self.autoscaler.overdue(),
             "teams": teams,
             "store": {"requests_left": self.state_store.request_limiter.level(now), "writes_left": self.state_store.write_limiter.level(now), "in_flight": self.state_store.in_flight.len()},
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,13 +1,13 @@
-//! Users' requests: answered here, passed to the leader of the job's shard, or looked up in the job's record.
+//! Users' requests: answered here, forwarded to the job's leader, or answered from the job's record.
 //!
-//! [`UserRequests`] owns the requests that wait for an answer of the state store or of a peer. A user is never told what may
-//! be older than what another user was told before the request came.
+//! [`UserRequests`] owns the requests that wait for a response of the state store or of a peer. An answer
+//! must never be older than an answer that another user received before the request arrived.
 
 mod forwarding;
 mod lookups;
 mod submissions;
 
-pub(super) use self::forwarding::{ForwardedRequest, StandIns};
+pub(super) use self::forwarding::{ForwardedRequest, ProxyAcceptances};
 pub(super) use self::lookups::Lookup;
 #[cfg(test)]
 use self::submissions::NewJob;
@@ -15,40 +15,41 @@
 use super::*;
 use crate::wire::users;
 
-/// Users' requests that wait for an answer of the state store or of a peer; more are turned away at once.
-const WAITING_LIMIT: usize = 1000;
+/// Limit of users' requests of one kind that wait for the state store or a peer; further ones are rejected at
+/// once.
+const MAX_WAITING_REQUESTS: usize = 1000;
 
-/// Who waits for an answer.
+/// The receiver of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Caller {
-    /// A user whose connection is open here.
+    /// A user connected to this controller.
     Ticket(u64),
-    /// A user of another controller, and the number of the request there.
+    /// A user connected to another controller, with that controller's number for the request.
     Peer { peer: usize, request: u64 },
 }
 
-/// A user's request and who waits for its answer.
+/// A user's request and the receiver of its answer.
 #[derive(Clone, Debug)]
 pub(super) struct WaitingRequest {
     caller: Caller,
     request: UserRequest,
 }
 
-/// Users' requests that wait.
+/// The pending requests of users.
 #[derive(Default)]
 pub(super) struct UserRequests {
-    /// Jobs that are being accepted, by id.
+    /// Submissions that are being stored, by job ID.
     pub(super) submissions: BTreeMap<String, Submission>,
-    /// Readings of records of jobs that are not known here, by id.
+    /// Lookups of the records of jobs that are unknown here, by job ID.
     pub(super) lookups: BTreeMap<String, Lookup>,
-    /// Who waits for a job's cancellation, by id.
+    /// The callers that wait for a job's cancellation, by job ID.
     pub(super) cancellations: BTreeMap<String, Vec<Caller>>,
-    /// Requests passed to their job's leader, by the number under which it answers.
+    /// Requests forwarded to the job's leader, by their number.
     pub(super) forwarded: BTreeMap<u64, ForwardedRequest>,
 }
 
 impl UserRequests {
-    /// Takes out who waits for a cancellation or for a record: the ring has changed.
+    /// Removes and returns the callers that wait for a cancellation or a lookup, after a change of the ring.
     pub(super) fn take_waiting(&mut self) -> Vec<Caller> {
         let cancellations = std::mem::take(&mut self.cancellations).into_values().flatten();
         let lookups = std::mem::take(&mut self.lookups).into_values().flat_map(Lookup::into_callers);
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Takes a user's request, its syntax checked, from a user or from another controller.
-    pub(super) fn take_user_request(
+    /// Handles a user's request whose syntax has been checked, from a user or from another controller.
+    pub(super) fn handle_user_request(
         &mut self,
         now: Micros,
         caller: Caller,
@@ -92,7 +93,7 @@
         let reply = match self.membership.job_forward_target(&job) {
             None => Some(Reply::later("no ring yet")),
             Some(leader) if leader != me => self.forward_or_refuse(now, caller, leader, request, out),
-            Some(_) if !self.answers_for(now, &job) => {
+            Some(_) if !self.can_answer_for(now, &job) => {
                 self.answer_while_taking_over(now, caller, &request, out)
             }
             Some(_) => self.answer_as_leader(now, caller, request, out),
@@ -104,7 +105,8 @@
         self.reply(now, caller, reply, out);
     }
 
-    /// This controller leads the job's shard, and may not answer for it yet. None: the answer comes later.
+    /// Handles a request while this controller leads the job but is not yet able to answer as its leader.
+    /// None: the answer is sent later.
     fn answer_while_taking_over(
         &mut self,
         now: Micros,
@@ -112,24 +114,25 @@
         request: &UserRequest,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
-        let taken = match request {
-            // A new job can be put on record all the same: the record must not exist yet.
-            UserRequest::Submit(job, body) => self.accept_unseen(now, caller, job, body, out),
-            UserRequest::Query(job) => self.poll_record(now, caller, job, out),
+        let is_handled = match request {
+            // A new job can be stored even now, since the write is conditional on the absence of its record.
+            UserRequest::Submit(job, body) => self.accept_without_lookup(now, caller, job, body, out),
+            UserRequest::Query(job) => self.read_record_for_poll(now, caller, job, out),
             _ => false,
         };
-        (!taken).then(|| Reply::later("taking over"))
+        (!is_handled).then(|| Reply::later("taking over"))
     }
 
-    /// A job's leader answers only while nobody else can be giving answers as its leader.
-    pub(super) fn answers_for(&self, now: Micros, job: &str) -> bool {
+    /// Whether this controller may answer as the job's leader: no other controller can still be answering as
+    /// its leader.
+    pub(super) fn can_answer_for(&self, now: Micros, job: &str) -> bool {
         self.membership.is_leader(now)
             && self.membership.job_leader(job) == Some(self.settings.me)
             && self.job_shard.loaded
             && self.membership.have_older_leaders_stopped(now)
     }
 
-    /// The answer of the job's leader. None: it comes later.
+    /// Answers a request as the job's leader. None: the answer is sent later.
     fn answer_as_leader(
         &mut self,
         now: Micros,
@@ -144,7 +147,7 @@
                     self.cancel_job(id, caller);
                     return None;
                 }
-                UserRequest::Why(_) => return self.why(&id),
+                UserRequest::Why(_) => return self.explain_wait(&id),
                 UserRequest::Permit(_, task) => {
                     return self.answer_permit_request(now, caller, &id, task, out);
                 }
@@ -165,16 +168,16 @@
         }
         match &request {
             UserRequest::Submit(_, body) => match self.submit_as_leader(now, caller, &id, body, out) {
-                Decision::Refused(reply) => return Some(reply),
-                Decision::Taken => return None,
-                Decision::NeedsRecord => {}
+                SubmissionDecision::Rejected(reply) => return Some(reply),
+                SubmissionDecision::Pending => return None,
+                SubmissionDecision::NeedsRecord => {}
             },
             _ if self.user_requests.submissions.contains_key(&id) => {
                 return Some(Reply::later("being accepted"));
             }
             _ => {}
         }
-        // Unknown here: only the store can tell whether it was ever accepted.
+        // The job is unknown here: only its record shows whether it was ever accepted.
         self.look_up(now, &id, vec![WaitingRequest { caller, request }], out);
         None
     }
@@ -196,12 +199,12 @@
     ) -> Option<Reply> {
         let (attempt, task) = attempt_and_task.split_once('/').unwrap_or_default();
         match (attempt.parse(), task.parse()) {
-            (Ok(attempt), Ok(task)) => self.permit(now, caller, job, attempt, task, out),
+            (Ok(attempt), Ok(task)) => self.handle_permit_request(now, caller, job, attempt, task, out),
             _ => Some(Reply::error(400, "attempt and task must be whole numbers")),
         }
     }
 
-    /// How a job stands, if it is known here.
+    /// The state of a job, if it is known here.
     fn job_state(&self, id: &str) -> Option<Reply> {
         let mut body = if let Some((stance, done, running)) = self.job_shard.user_status(id) {
             users::job_state(id, stance, done, running)
@@ -216,7 +219,8 @@
         Some(Reply::json(200, &body))
     }
 
-    /// A job's end is on record: it leaves the shard, and who waits for its cancellation is told.
+    /// Handles that a job's outcome is stored: removes the job from the shard and answers the callers that
+    /// wait for its cancellation.
     pub(super) fn finish_job(&mut self, now: Micros, id: &str, outcome: JobOutcome, out: &mut Vec<Effect>) {
         self.job_shard.end_job(id, outcome);
         let callers = self.user_requests.cancellations.remove(id).unwrap_or_default();
@@ -224,12 +228,12 @@
     }
 }
 
-/// What becomes of a submission at once.
-enum Decision {
-    Refused(Reply),
-    /// It is being put on record, or waits with one that is.
-    Taken,
-    /// Only the job's record can tell.
+/// The immediate result of a submission.
+enum SubmissionDecision {
+    Rejected(Reply),
+    /// The submission is being stored, or has joined a pending one of the same job.
+    Pending,
+    /// The decision needs the job's record.
     NeedsRecord,
 }
 
--- a/src/controller/user_requests/forwarding.rs
+++ b/src/controller/user_requests/forwarding.rs
@@ -1,19 +1,19 @@
-//! Requests passed to the leader of the job's shard, and jobs accepted in its place.
+//! Requests forwarded to the job's leader, and jobs accepted on its behalf.
 
 use super::*;
 
-/// A poll that has had no answer for so long is answered from the record: its user waits for two seconds.
-const POLL_PATIENCE: Micros = Micros::from_millis(600);
-/// Any other request that has had no answer for so long is turned away.
-const REQUEST_PATIENCE: Micros = Micros::from_millis(1500);
-/// A leader is told of a job that was accepted in its place so often.
+/// A poll without an answer is answered from the record after this time; its user waits for two seconds.
+const POLL_TIMEOUT: Micros = Micros::from_millis(600);
+/// Any other request without an answer is rejected after this time.
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(1500);
+/// Time between two notifications of a leader about a job accepted on its behalf.
 const NOTICE_PERIOD: Micros = Micros::from_millis(1000);
-/// A submission is helped out while so much of the write budget is left here.
-const LEVEL_TO_HELP_OUT: f64 = 0.5;
+/// Write budget required to accept a submission that its leader has rejected for the time being.
+const MIN_BUDGET_FOR_OVERFLOW: f64 = 0.5;
 
-/// A request passed to a peer.
+/// A request forwarded to a peer.
 pub(in crate::controller) struct ForwardedRequest {
-    /// Who waits for the answer, if anybody does.
+    /// The ticket of the request; None if no answer is needed.
     pub(in crate::controller) ticket: Option<u64>,
     sent_at: Micros,
     pub(in crate::controller) request: UserRequest,
@@ -21,8 +21,8 @@
 
 impl ForwardedRequest {
     fn is_overdue(&self, now: Micros) -> bool {
-        let poll = self.ticket.is_some() && matches!(self.request, UserRequest::Query(_));
-        now.since(self.sent_at) >= if poll { POLL_PATIENCE } else { REQUEST_PATIENCE }
+        let is_poll = self.ticket.is_some() && matches!(self.request, UserRequest::Query(_));
+        now.since(self.sent_at) >= if is_poll { POLL_TIMEOUT } else { REQUEST_TIMEOUT }
     }
 
     fn is_users_submission(&self) -> bool {
@@ -30,15 +30,15 @@
     }
 }
 
-/// Jobs accepted in place of a leader that did not answer.
+/// Jobs accepted on behalf of an unresponsive leader.
 #[derive(Default)]
-pub(in crate::controller) struct StandIns {
-    /// When the leader is next told of the job, by id.
-    pub(in crate::controller) next_notice: BTreeMap<String, Micros>,
+pub(in crate::controller) struct ProxyAcceptances {
+    /// When the leader is next notified of the job, by job ID.
+    pub(in crate::controller) next_notice_at: BTreeMap<String, Micros>,
 }
 
 impl Controller {
-    /// Passes a user's request to the job's leader. Some: it can't be.
+    /// Forwards a user's request to the job's leader; returns a reply if that is not possible.
     pub(super) fn forward_or_refuse(
         &mut self,
         now: Micros,
@@ -51,7 +51,7 @@
             return Some(Reply::later("not every controller can run such jobs yet"));
         }
         match caller {
-            Caller::Ticket(ticket) if self.user_requests.forwarded.len() < WAITING_LIMIT => {
+            Caller::Ticket(ticket) if self.user_requests.forwarded.len() < MAX_WAITING_REQUESTS => {
                 self.forward(now, leader, Some(ticket), request, out);
                 None
             }
@@ -59,10 +59,10 @@
         }
     }
 
-    /// Whether a peer takes all of what a request says. An older version would take the job without the jobs that it
-    /// follows, or without the records that it names, or would drop the link.
+    /// Whether a peer reads everything that a request says. An older version would accept the job without the
+    /// jobs that it follows or the records that it names, or would close the connection.
     fn can_read_request(&self, peer: usize, request: &UserRequest) -> bool {
-        if self.reads(peer, frame_forms::COORDINATION_FORM) {
+        if self.can_read_format(peer, format_versions::COORDINATION_FORMAT_VERSION) {
             return true;
         }
         let body = match request {
@@ -71,7 +71,7 @@
             UserRequest::Why(_) | UserRequest::Permit(..) => return false,
         };
         !JobSpec::parse(body).is_ok_and(|spec| {
-            spec.has_coordination_record() || (!spec.follows.is_empty() && !self.reads_dependencies(peer))
+            spec.has_coordination_record() || (!spec.follows.is_empty() && !self.can_read_dependencies(peer))
         })
     }
 
@@ -88,7 +88,7 @@
         self.user_requests.forwarded.insert(id, ForwardedRequest { ticket, sent_at: now, request });
     }
 
-    /// The job's leader has answered, in this epoch.
+    /// Applies the response of a job's leader; `epoch` is the responder's.
     pub(in crate::controller) fn apply_forward_response(
         &mut self,
         now: Micros,
@@ -98,53 +98,55 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(forwarded) = self.user_requests.forwarded.remove(&id) else { return };
-        // One that is in a newer epoch than ours can't have started it in this one: that it is new stays worth saying.
+        // A responder in a newer epoch can't have started the job in this one, so the job is still reported
+        // as not started.
         if reply.status == 200 && epoch <= self.membership.epoch {
-            self.stand_ins.next_notice.remove(forwarded.request.job());
+            self.proxy_acceptances.next_notice_at.remove(forwarded.request.job());
         }
         let Some(ticket) = forwarded.ticket else { return };
-        // A leader that has spent its share of the write budget is helped out by one that has not.
+        // A leader whose write budget is used up is relieved by a controller that has budget left.
         if let (503, UserRequest::Submit(job, body)) = (reply.status, &forwarded.request)
-            && self.state_store.write_limiter.level(now) >= LEVEL_TO_HELP_OUT
-            && self.accept_unseen(now, Caller::Ticket(ticket), job, body, out)
+            && self.state_store.write_limiter.level(now) >= MIN_BUDGET_FOR_OVERFLOW
+            && self.accept_without_lookup(now, Caller::Ticket(ticket), job, body, out)
         {
             return;
         }
         out.push(Effect::Reply { ticket, reply });
     }
 
-    /// Requests passed to a peer that has not answered: a submission is taken in its place, others are
-    /// told to come back. Leaders in whose place jobs were accepted are told until they know them.
+    /// Handles forwarded requests that the peer has not answered: submissions are accepted on its behalf,
+    /// other requests are rejected with a retry. Notifies leaders of the jobs accepted on their behalf until
+    /// they report them as known.
     pub(in crate::controller) fn handle_overdue_requests(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        // An answer takes a few hundredths of a second. Users of new jobs wait for no more than that.
-        let submission_patience = Micros(self.settings.digest.0 / 4);
-        let slow: Vec<u64> = self
+        // An answer normally takes a few hundredths of a second. Users who submit new jobs need not wait much
+        // longer.
+        let submission_timeout = Micros(self.settings.digest.0 / 4);
+        let due_ids: Vec<u64> = self
             .user_requests
             .forwarded
             .iter()
             .filter(|(_, forwarded)| {
                 let waited = now.since(forwarded.sent_at);
-                forwarded.is_overdue(now)
-                    || (forwarded.is_users_submission() && waited >= submission_patience)
+                forwarded.is_overdue(now) || (forwarded.is_users_submission() && waited >= submission_timeout)
             })
             .map(|(id, _)| *id)
             .collect();
-        for id in slow {
+        for id in due_ids {
             self.answer_in_place_of_leader(now, id, out);
         }
-        self.notify_leaders_of_stand_ins(now, out);
+        self.notify_leaders_of_proxy_acceptances(now, out);
     }
 
     fn answer_in_place_of_leader(&mut self, now: Micros, id: u64, out: &mut Vec<Effect>) {
         let Some(forwarded) = self.user_requests.forwarded.remove(&id) else { return };
         let Some(ticket) = forwarded.ticket else { return };
         let caller = Caller::Ticket(ticket);
-        let taken = match &forwarded.request {
-            UserRequest::Submit(job, body) => self.accept_unseen(now, caller, job, body, out),
-            UserRequest::Query(job) => self.poll_record(now, caller, job, out),
+        let is_handled = match &forwarded.request {
+            UserRequest::Submit(job, body) => self.accept_without_lookup(now, caller, job, body, out),
+            UserRequest::Query(job) => self.read_record_for_poll(now, caller, job, out),
             _ => false,
         };
-        if taken {
+        if is_handled {
             return;
         }
         if forwarded.is_overdue(now) {
@@ -156,19 +158,19 @@
         }
     }
 
-    fn notify_leaders_of_stand_ins(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let due = self.stand_ins.next_notice.iter().filter(|(_, at)| now >= **at);
+    fn notify_leaders_of_proxy_acceptances(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let due = self.proxy_acceptances.next_notice_at.iter().filter(|(_, at)| now >= **at);
         let due: Vec<String> = due.map(|(job, _)| job.clone()).collect();
         for job in due {
             match self.membership.job_leader(&job) {
                 Some(leader) if leader != self.settings.me => {
-                    if self.user_requests.forwarded.len() < WAITING_LIMIT {
-                        self.stand_ins.next_notice.insert(job.clone(), now + NOTICE_PERIOD);
+                    if self.user_requests.forwarded.len() < MAX_WAITING_REQUESTS {
+                        self.proxy_acceptances.next_notice_at.insert(job.clone(), now + NOTICE_PERIOD);
                         self.forward(now, leader, None, UserRequest::Query(job), out);
                     }
                 }
                 _ => {
-                    self.stand_ins.next_notice.remove(&job);
+                    self.proxy_acceptances.next_notice_at.remove(&job);
                 }
             }
         }
--- a/src/controller/user_requests/lookups.rs
+++ b/src/controller/user_requests/lookups.rs
@@ -1,18 +1,19 @@
-//! Jobs that are not known here, looked up in the state store.
+//! Lookups of jobs that are unknown here, in the state store.
 
 use super::*;
 
-/// With so many requests under way at the state store, polls of jobs whose leader doesn't answer are not looked up.
-const IN_FLIGHT_FOR_POLLS: usize = 30;
+/// From this number of state store requests in flight on, polls of jobs with an unresponsive leader are not
+/// looked up.
+const MAX_IN_FLIGHT_FOR_POLLS: usize = 30;
 
-/// A reading of a job's record that is under way.
+/// A lookup of a job's record.
 pub(in crate::controller) struct Lookup {
-    /// Tells its answer from those of earlier readings, also of an earlier epoch.
+    /// Distinguishes its response from those of earlier lookups, also of earlier epochs.
     number: u64,
-    /// Requests that came before it began.
+    /// Requests that arrived before the lookup began.
     waiting: Vec<WaitingRequest>,
-    /// Requests that came since. What is being read may be older than what their users were told before they asked, so they
-    /// wait for the next reading.
+    /// Requests that arrived since. The record being read may be older than what their users were told
+    /// before, so they wait for the next lookup.
     next: Vec<WaitingRequest>,
 }
 
@@ -23,14 +24,16 @@
 }
 
 impl UserRequests {
-    /// Guards against the answer to an earlier reading of the same job, which is older than those who wait now.
+    /// Whether a response belongs to the current lookup of a job. The response to an earlier lookup is older
+    /// than the requests that wait now.
     fn is_current_lookup(&self, job: &str, number: u64) -> bool {
         self.lookups.get(job).is_some_and(|lookup| lookup.number == number)
     }
 }
 
 impl Controller {
-    /// Has the record of a job that isn't known here read for these requests, by a reading that begins now or later.
+    /// Looks up the record of a job that is unknown here for these requests, by a lookup that begins now or
+    /// later.
     pub(super) fn look_up(
         &mut self,
         now: Micros,
@@ -41,13 +44,13 @@
         if waiting.is_empty() {
             return;
         }
-        let full = self.user_requests.lookups.len() >= WAITING_LIMIT;
+        let is_full = self.user_requests.lookups.len() >= MAX_WAITING_REQUESTS;
         if let Some(lookup) = self.user_requests.lookups.get_mut(id)
-            && lookup.next.len() < WAITING_LIMIT
+            && lookup.next.len() < MAX_WAITING_REQUESTS
         {
             return lookup.next.extend(waiting);
         }
-        if full
+        if is_full
             || self.user_requests.lookups.contains_key(id)
             || !self.state_store.request_limiter.take(now, 2.0, 0.3)
         {
@@ -57,7 +60,7 @@
         let number = self.request_ids.next();
         self.user_requests.lookups.insert(id.to_owned(), Lookup { number, waiting, next: Vec::new() });
         let pending = PendingStoreRequest::LookUpJob { job: id.to_owned(), lookup: number };
-        self.ask_store(pending, StoreRequest::Get(format!("job/{id}")), out);
+        self.send_store_request(pending, StoreRequest::Get(format!("job/{id}")), out);
     }
 
     pub(in crate::controller) fn apply_looked_up_job(
@@ -73,12 +76,12 @@
         }
         match answer {
             StoreAnswer::Got(Some(row)) => {
-                let readable = self.take_job_row(row);
+                let readable = self.apply_job_row(row);
                 self.finish_lookup(now, &job, readable, out);
             }
             StoreAnswer::Got(None) => {
                 let read = StoreRequest::Get(format!("done/{job}"));
-                self.ask_store(PendingStoreRequest::LookUpOutcome { job, lookup }, read, out);
+                self.send_store_request(PendingStoreRequest::LookUpOutcome { job, lookup }, read, out);
             }
             _ => self.finish_lookup(now, &job, false, out),
         }
@@ -112,13 +115,14 @@
         self.finish_lookup(now, job, readable, out);
     }
 
-    /// Answers who waits for a job's record; `readable` tells whether the store has said what is on record.
+    /// Answers the requests that wait for a lookup; `readable`: whether the store's response shows the job's
+    /// state.
     fn finish_lookup(&mut self, now: Micros, id: &str, readable: bool, out: &mut Vec<Effect>) {
         let Some(lookup) = self.user_requests.lookups.remove(id) else { return };
         for WaitingRequest { caller, request } in lookup.waiting {
             let reply = if !readable {
                 Some(Reply::later("the job's record could not be read"))
-            } else if self.is_on_hand(id) {
+            } else if self.is_known_job(id) {
                 self.answer_as_leader(now, caller, request, out)
             } else {
                 Some(self.answer_never_accepted(&request))
@@ -130,11 +134,11 @@
         self.answer_or_look_up(now, id, lookup.next, out);
     }
 
-    fn is_on_hand(&self, id: &str) -> bool {
+    fn is_known_job(&self, id: &str) -> bool {
         self.job_shard.jobs.contains_key(id) || self.job_shard.outcome_of(id).is_some()
     }
 
-    /// The answer about a job of which nothing is on record.
+    /// The answer about a job without any record.
     fn answer_never_accepted(&self, request: &UserRequest) -> Reply {
         let UserRequest::Submit(_, body) = request else { return Reply::error(404, "no such job") };
         let raw = serde_json::from_str(body).unwrap_or(Value::Null);
@@ -142,11 +146,11 @@
             Ok(spec) => spec,
             Err(error) => return Reply::error(error.status(), &error.to_string()),
         };
-        match self.why_it_can_never_run(&stored_description(&raw, &spec), &spec) {
+        match self.permanent_rejection_reason(&stored_description(&raw, &spec), &spec) {
             Some(why) => Reply::error(422, &why),
-            None => self
-                .why_it_must_wait_for_upgrade(&spec)
-                .unwrap_or_else(|| Reply::later("machine types have changed")),
+            None => {
+                self.upgrade_rejection(&spec).unwrap_or_else(|| Reply::later("machine types have changed"))
+            }
         }
     }
 
@@ -157,7 +161,7 @@
         waiting: Vec<WaitingRequest>,
         out: &mut Vec<Effect>,
     ) {
-        if !self.is_on_hand(id) {
+        if !self.is_known_job(id) {
             return self.look_up(now, id, waiting, out);
         }
         for WaitingRequest { caller, request } in waiting {
@@ -167,9 +171,9 @@
         }
     }
 
-    /// Answers a poll from the record where the job's leader can't: a live record says that nobody has told its end. Returns
-    /// whether the record is asked for.
-    pub(super) fn poll_record(
+    /// Answers a poll from the job's record if the leader can't: while a live record exists, no outcome has
+    /// been reported to a user. Returns whether the record was requested.
+    pub(super) fn read_record_for_poll(
         &mut self,
         now: Micros,
         caller: Caller,
@@ -178,19 +182,21 @@
     ) -> bool {
         if !self.membership.is_leader(now)
             || now < self.state_store.paused_until
-            || self.state_store.in_flight.len() >= IN_FLIGHT_FOR_POLLS
+            || self.state_store.in_flight.len() >= MAX_IN_FLIGHT_FOR_POLLS
             || !self.state_store.request_limiter.take(now, 2.0, 0.3)
         {
             return false;
         }
         let pending = PendingStoreRequest::PollRecord { job: id.to_owned(), caller };
-        self.ask_store(pending, StoreRequest::Get(format!("job/{id}")), out);
+        self.send_store_request(pending, StoreRequest::Get(format!("job/{id}")), out);
         true
     }
 
-    /// The record of a job of somebody else's. That there is none proves nothing: its end may just be moving. An end that
-    /// is on record is not told here: the leader may not know yet that it is, since the answer to its write was lost or is
-    /// late. It would go on saying that the job runs, and have its tasks run on, after its user was told that it has ended.
+    /// Answers a poll from the live record of a job that another controller leads. A missing live record
+    /// proves nothing, because the job may just be ending. An outcome is not reported from its record either:
+    /// the leader may not have learned yet that it is stored, as the response to its write was lost or is
+    /// late. The leader would go on reporting the job as running, and keep its tasks running, after the user
+    /// was told that it had ended.
     pub(in crate::controller) fn answer_poll_from_record(
         &mut self,
         now: Micros,
--- a/src/controller/user_requests/submissions.rs
+++ b/src/controller/user_requests/submissions.rs
@@ -1,36 +1,37 @@
-//! New jobs: checked, and put on record on condition that nothing of them is on record yet.
+//! New jobs: checked, and stored on condition that no record of them exists.
 
 use super::*;
 use crate::controller::coordination::JoinDecision;
-use crate::controller::dependencies::MOST_DEPENDENCIES;
+use crate::controller::dependencies::MAX_DEPENDENCIES;
 
-/// A submission that has to be taken in place of the job's leader needs so much of the write budget.
-const LEVEL_TO_STAND_IN: f64 = 0.2;
-/// Bytes that a release's night takes in a record; it is filled in after the length is checked.
+/// Write budget required to accept a job on behalf of its leader.
+const MIN_BUDGET_FOR_PROXY_ACCEPTANCE: f64 = 0.2;
+/// Space reserved in a record for the release's night, which is filled in after the length has been checked.
 const NIGHT_BYTES: usize = 32;
 
 /// A job that is being accepted.
 pub(in crate::controller) struct Submission {
     callers: Vec<Caller>,
-    /// Requests that came after it was sent to the store: by the time of the answer the job may have ended.
+    /// Callers whose requests arrived after the write was sent: the job may have ended by the time of the
+    /// response.
     late_callers: Vec<Caller>,
     is_sent: bool,
     pub(in crate::controller) spec: JobSpec,
-    /// The description as it goes on record.
+    /// The description as it will be stored.
     pub(in crate::controller) description: Value,
-    /// The time of day at which it came.
+    /// The wall-clock time at which it arrived.
     accepted_wall: Micros,
     /// Jobs that it follows and that are not yet known to have been accepted.
     pub(in crate::controller) unchecked_dependencies: BTreeSet<String>,
-    /// When it came, by the steady clock.
-    pub(in crate::controller) came_at: Micros,
-    /// Readings that decide about it must have begun since.
-    pub(in crate::controller) readings_since: Micros,
-    /// A record that is written together with it.
+    /// When it arrived, by the monotonic clock.
+    pub(in crate::controller) arrived_at: Micros,
+    /// Only record reads requested since this time count for the decision.
+    pub(in crate::controller) reads_since: Micros,
+    /// A record written in the same transaction.
     pub(in crate::controller) coordinated_write: Option<CoordinatedWrite>,
 }
 
-/// A coordination record that is written in the transaction that puts a job on record.
+/// A coordination record written in the transaction that stores a job.
 #[derive(Clone, Debug)]
 pub(in crate::controller) struct CoordinatedWrite {
     pub(in crate::controller) key: Key,
@@ -38,39 +39,40 @@
     pub(in crate::controller) sent_at: Micros,
 }
 
-/// A job that can run, as far as its description tells.
+/// A job whose description is valid.
 pub(super) struct NewJob {
     pub(super) id: String,
     pub(super) spec: JobSpec,
-    /// Trimmed: a body with superfluous fields must not make a record that the store won't take.
+    /// Without superfluous fields, which could make the record too long for the store.
     pub(super) description: Value,
 }
 
 impl Submission {
-    /// It is sent to the store now: all requests so far came before.
+    /// Marks the submission as sent to the store; all callers so far count as earlier than the write.
     pub(in crate::controller) fn mark_sent(&mut self) {
         self.is_sent = true;
         self.callers.append(&mut self.late_callers);
     }
 
-    /// Another submission of the same job. Guards against an answer that is older than what its user was told before asking:
-    /// while the store's answer is on its way the job may be ended through another controller.
+    /// Adds another submission of the same job. While the write is in flight the job may already end through
+    /// another controller, so a caller that joins now must not be answered by the write's response: it could
+    /// be older than what its user was told before.
     fn join(&mut self, caller: Caller) {
         if self.is_sent { self.late_callers.push(caller) } else { self.callers.push(caller) }
     }
 
-    /// What goes on record of it.
+    /// The record to store.
     pub(in crate::controller) fn record(&self) -> Value {
         JobShard::new_record(&self.description, &self.spec, self.accepted_wall)
     }
 }
 
 impl Controller {
-    /// Accepts a job without having seen whether it is known: its leader does not answer, or may not yet
-    /// answer itself. That is safe because acceptance needs nothing but the record, which is written on
-    /// condition of the epoch and of there being no record of the job. Anything but a new job is left
-    /// to the leader. Says whether the request was taken.
-    pub(super) fn accept_unseen(
+    /// Accepts a job without looking up whether it is known, on behalf of a leader that is unresponsive or
+    /// not yet able to answer. This is safe because acceptance needs only the write of the record, which is
+    /// conditional on the epoch and on the absence of any record of the job. Any request that is not clearly
+    /// a new, valid job is left to the leader. Returns whether the request was handled.
+    pub(super) fn accept_without_lookup(
         &mut self,
         now: Micros,
         caller: Caller,
@@ -84,15 +86,15 @@
         }
         if !self.membership.is_leader(now)
             || self.autoscaler.types.is_empty()
-            || self.state_store.write_limiter.level(now) < LEVEL_TO_STAND_IN
+            || self.state_store.write_limiter.level(now) < MIN_BUDGET_FOR_PROXY_ACCEPTANCE
         {
             return false;
         }
         let raw: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let Ok(spec) = JobSpec::from_value(&raw) else { return false };
         let description = stored_description(&raw, &spec);
-        if self.why_it_can_never_run(&description, &spec).is_some()
-            || self.why_it_must_wait_for_upgrade(&spec).is_some()
+        if self.permanent_rejection_reason(&description, &spec).is_some()
+            || self.upgrade_rejection(&spec).is_some()
         {
             return false;
         }
@@ -102,7 +104,7 @@
         true
     }
 
-    /// A submission of a job that this controller leads and does not know.
+    /// Handles the submission of a job that this controller leads and that is unknown here.
     pub(super) fn submit_as_leader(
         &mut self,
         now: Micros,
@@ -110,32 +112,33 @@
         id: &str,
         body: &str,
         out: &mut Vec<Effect>,
-    ) -> Decision {
+    ) -> SubmissionDecision {
         if let Some(submission) = self.user_requests.submissions.get_mut(id) {
             submission.join(caller);
-            return Decision::Taken;
+            return SubmissionDecision::Pending;
         }
         let raw: Value = serde_json::from_str(body).unwrap_or(Value::Null);
-        // One that can't be taken may still repeat a job that was: its record is read before it is turned down.
-        let Ok(spec) = JobSpec::from_value(&raw) else { return Decision::NeedsRecord };
+        // An invalid submission may repeat an accepted one, so the record is read before it is rejected.
+        let Ok(spec) = JobSpec::from_value(&raw) else { return SubmissionDecision::NeedsRecord };
         if self.autoscaler.types.is_empty() {
-            return Decision::Refused(Reply::later("machine types are not known yet"));
+            return SubmissionDecision::Rejected(Reply::later("machine types are not known yet"));
         }
         let description = stored_description(&raw, &spec);
-        if self.why_it_must_wait_for_upgrade(&spec).is_some()
-            || self.why_it_can_never_run(&description, &spec).is_some()
+        if self.upgrade_rejection(&spec).is_some()
+            || self.permanent_rejection_reason(&description, &spec).is_some()
         {
-            return Decision::NeedsRecord;
+            return SubmissionDecision::NeedsRecord;
         }
         match self.accept(now, caller, NewJob { id: id.to_owned(), spec, description }, out) {
-            Some(reply) => Decision::Refused(reply),
-            None => Decision::Taken,
+            Some(reply) => SubmissionDecision::Rejected(reply),
+            None => SubmissionDecision::Pending,
         }
     }
 
-    /// Why a job can never run here, if so, by its trimmed description. Nobody is told before its record was looked for: a
-    /// repeated submission may have another body than the first, which was taken.
-    pub(super) fn why_it_can_never_run(&self, description: &Value, spec: &JobSpec) -> Option<String> {
+    /// The reason why a job can never run, if there is one, by its trimmed description. It is sent to the
+    /// user only after the job's record has been looked up: a repeated submission may have a different body
+    /// than the one that was accepted.
+    pub(super) fn permanent_rejection_reason(&self, description: &Value, spec: &JobSpec) -> Option<String> {
         if let Err(error) = spec.check(&self.autoscaler.types, &self.settings.teams) {
             return Some(error.to_string());
         }
@@ -147,14 +150,14 @@
                 "the description is too long to be kept: its record may have {limit} bytes"
             ));
         }
-        if spec.follows.len() > MOST_DEPENDENCIES {
-            let most = MOST_DEPENDENCIES;
+        if spec.follows.len() > MAX_DEPENDENCIES {
+            let most = MAX_DEPENDENCIES;
             return Some(format!("follows: a job may name {most} others at most"));
         }
         None
     }
 
-    /// Begins to put a job on record that can run. Some: it is turned away for now.
+    /// Begins to store a valid job. Returns a reply if it is rejected for now.
     pub(super) fn accept(
         &mut self,
         now: Micros,
@@ -162,7 +165,7 @@
         job: NewJob,
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
-        if self.user_requests.submissions.len() >= WAITING_LIMIT {
+        if self.user_requests.submissions.len() >= MAX_WAITING_REQUESTS {
             return Some(Reply::later("overloaded"));
         }
         let unchecked_dependencies = match self.begin_dependency_check(now, &job.id, &job.spec, out) {
@@ -177,53 +180,53 @@
             description: job.description,
             accepted_wall: self.rounds.wall,
             unchecked_dependencies,
-            came_at: now,
-            readings_since: now,
+            arrived_at: now,
+            reads_since: now,
             coordinated_write: None,
         };
         self.user_requests.submissions.insert(job.id.clone(), submission);
-        self.put_on_record(now, job.id, out);
+        self.write_acceptance(now, job.id, out);
         None
     }
 
-    /// Puts a checked submission on record, on condition of the coordination records that it joins.
-    pub(in crate::controller) fn put_on_record(&mut self, now: Micros, id: String, out: &mut Vec<Effect>) {
+    /// Stores a checked submission, on the conditions of the coordination records that it joins.
+    pub(in crate::controller) fn write_acceptance(&mut self, now: Micros, id: String, out: &mut Vec<Effect>) {
         let Some(submission) = self.user_requests.submissions.get(&id) else { return };
         if !submission.unchecked_dependencies.is_empty() {
             return;
         }
         if !self.membership.is_leader(now) {
-            return self.give_up_submission(now, &id, &Reply::later("not able to act"), out);
+            return self.fail_submission(now, &id, &Reply::later("not able to act"), out);
         }
-        let joins = match self.gate_submission(now, &id, out) {
-            JoinDecision::Open(joins) => joins,
-            JoinDecision::Wait => return,
-            JoinDecision::Later(why) => return self.give_up_submission(now, &id, &Reply::later(&why), out),
-            JoinDecision::Never(why) => return self.reject_submission(id, why, out),
+        let joins = match self.decide_submission_join(now, &id, out) {
+            JoinDecision::Allow(joins) => joins,
+            JoinDecision::Pending => return,
+            JoinDecision::Defer(why) => return self.fail_submission(now, &id, &Reply::later(&why), out),
+            JoinDecision::Reject(why) => return self.reject_submission(id, why, out),
         };
         let submission = self.user_requests.submissions.get(&id);
         let writes_two = submission.is_some_and(|submission| submission.coordinated_write.is_some());
         if !self.state_store.write_limiter.take(now, if writes_two { 2.0 } else { 1.0 }, 0.0) {
-            return self.give_up_submission(now, &id, &Reply::later("overloaded"), out);
+            return self.fail_submission(now, &id, &Reply::later("overloaded"), out);
         }
         let mut conditions = self.conditions_for_new_job(&id);
         conditions.extend(joins);
         let Some(submission) = self.user_requests.submissions.get_mut(&id) else { return };
         submission.mark_sent();
         let mut puts = vec![(format!("job/{id}"), submission.record(), None)];
-        let together = submission.coordinated_write.iter();
-        puts.extend(together.map(|write| (write.key.head(), write.record.value(), None)));
+        let joint_writes = submission.coordinated_write.iter();
+        puts.extend(joint_writes.map(|write| (write.key.head(), write.record.value(), None)));
         let transaction = Transaction { conditions, puts, drops: Vec::new() };
         let pending = PendingStoreRequest::AcceptJob { job: id, epoch: self.membership.epoch };
-        self.ask_store(pending, StoreRequest::Transaction(transaction), out);
+        self.send_store_request(pending, StoreRequest::Transaction(transaction), out);
     }
 
-    /// Nothing of the job is on record, neither live nor ended.
+    /// The conditions that neither a live nor a final record of the job exists.
     fn conditions_for_new_job(&self, id: &str) -> Vec<(String, u64)> {
-        vec![self.fence(), (format!("job/{id}"), 0), (format!("done/{id}"), 0)]
+        vec![self.fencing_condition(), (format!("job/{id}"), 0), (format!("done/{id}"), 0)]
     }
 
-    /// A submission can never be taken, unless it was taken before: only the store can tell.
+    /// Rejects a submission, provided that the job was not accepted before, which the store must confirm.
     pub(in crate::controller) fn reject_submission(
         &mut self,
         id: String,
@@ -235,10 +238,10 @@
         let conditions = self.conditions_for_new_job(&id);
         let transaction = Transaction { conditions, ..Transaction::default() };
         let pending = PendingStoreRequest::RejectJob { job: id, reason };
-        self.ask_store(pending, StoreRequest::Transaction(transaction), out);
+        self.send_store_request(pending, StoreRequest::Transaction(transaction), out);
     }
 
-    /// The store has compared: if nothing of the job is on record it is refused for good.
+    /// Applies the store's response to a rejection: final if no record of the job exists.
     pub(in crate::controller) fn apply_rejection(
         &mut self,
         now: Micros,
@@ -248,7 +251,7 @@
         out: &mut Vec<Effect>,
     ) {
         match answer {
-            StoreAnswer::Committed(_) => self.give_up_submission(now, &id, &Reply::error(422, reason), out),
+            StoreAnswer::Committed(_) => self.fail_submission(now, &id, &Reply::error(422, reason), out),
             answer => {
                 let epoch = self.membership.epoch;
                 self.apply_acceptance(now, id, epoch, answer, out);
@@ -256,7 +259,7 @@
         }
     }
 
-    /// The store has answered whether the job is on record now.
+    /// Applies the store's response to the write that accepts a job.
     pub(in crate::controller) fn apply_acceptance(
         &mut self,
         now: Micros,
@@ -273,10 +276,10 @@
             StoreAnswer::Committed(store_version) => {
                 self.finish_acceptance(now, &id, epoch, submission, store_version, out);
             }
-            // It was accepted before.
+            // The job was accepted before.
             StoreAnswer::Conflict(keys) if !keys.iter().any(|key| key == EPOCH_KEY) => {
                 let callers = submission.callers.into_iter().chain(submission.late_callers).collect();
-                self.answer_as_known(now, &id, &submission.description, callers, out);
+                self.answer_repeated_submissions(now, &id, &submission.description, callers, out);
             }
             _ => {
                 let callers = submission.callers.into_iter().chain(submission.late_callers);
@@ -297,15 +300,15 @@
     ) {
         let Submission { callers, late_callers, spec, description, accepted_wall, .. } = submission;
         tracing::info!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, epoch, "job accepted");
-        self.raised(id, submission.coordinated_write, store_version);
-        // Written under an epoch that has passed, it may have been another's since, and have ended: what lives
-        // is among the records that are read in this one.
+        self.note_raised_batch(id, submission.coordinated_write, store_version);
+        // If the write was made in an earlier epoch, the job may have had another leader since and have
+        // ended. The records that are loaded in this epoch show whether it is live.
         let is_current = epoch == self.membership.epoch;
         if self.membership.job_leader(id) != Some(self.settings.me) {
-            // Its leader reads the record when it is asked about the job, or in the next epoch.
-            self.stand_ins.next_notice.insert(id.to_owned(), now);
+            // The job's leader reads the record when it is asked about the job, or in the next epoch.
+            self.proxy_acceptances.next_notice_at.insert(id.to_owned(), now);
             if is_current {
-                self.start_replica.note_stand_in(id, &self.stand_ins.next_notice);
+                self.start_replica.note_proxy_acceptance(id, &self.proxy_acceptances.next_notice_at);
             }
         } else if is_current {
             let none_done = Ranges::default();
@@ -318,16 +321,17 @@
                 true,
             );
         }
-        // The end may have been told meanwhile: the record can be read before the answer to its write is here.
-        let ended = self.job_shard.outcome_of(id).and_then(|_| self.job_state(id));
-        let reply = ended.unwrap_or_else(|| Reply::json(201, &users::accepted(id)));
+        // The job's outcome may be known already, since the record can be read before the response to its
+        // write arrives.
+        let state_if_ended = self.job_shard.outcome_of(id).and_then(|_| self.job_state(id));
+        let reply = state_if_ended.unwrap_or_else(|| Reply::json(201, &users::accepted(id)));
         self.reply_to_all(now, callers, &reply, out);
-        self.answer_as_known(now, id, &description, late_callers, out);
+        self.answer_repeated_submissions(now, id, &description, late_callers, out);
     }
 
-    /// Answers repeated submissions of a job that is on record by how it stands now: by the leader's word, or, where the
-    /// leader does not answer, by the record.
-    fn answer_as_known(
+    /// Answers repeated submissions of a stored job by its current state if this controller leads the job,
+    /// and by its record otherwise.
+    fn answer_repeated_submissions(
         &mut self,
         now: Micros,
         id: &str,
@@ -338,21 +342,21 @@
         if callers.is_empty() {
             return;
         }
-        if self.answers_for(now, id) {
+        if self.can_answer_for(now, id) {
             let body = description.to_string();
-            let again =
+            let to_submission =
                 |caller| WaitingRequest { caller, request: UserRequest::Submit(id.to_owned(), body.clone()) };
-            return self.answer_or_look_up(now, id, callers.into_iter().map(again).collect(), out);
+            return self.answer_or_look_up(now, id, callers.into_iter().map(to_submission).collect(), out);
         }
         for caller in callers {
-            if !self.poll_record(now, caller, id, out) {
+            if !self.read_record_for_poll(now, caller, id, out) {
                 self.reply(now, caller, Reply::later("the job could not be put on record"), out);
             }
         }
     }
 
-    /// A submission is not taken: tells who waits for it.
-    pub(in crate::controller) fn give_up_submission(
+    /// Ends a submission that is not accepted, and answers its callers.
+    pub(in crate::controller) fn fail_submission(
         &mut self,
         now: Micros,
         id: &str,
@@ -361,7 +365,8 @@
     ) {
         let Some(submission) = self.user_requests.submissions.remove(id) else { return };
         self.reply_to_all(now, submission.callers, reply, out);
-        // What was compared is older than these requests: somebody else may have accepted it since.
+        // The late callers' requests arrived after the conditions were compared: another controller may have
+        // accepted the job since.
         let reply = Reply::later("the job could not be put on record");
         self.reply_to_all(now, submission.late_callers, &reply, out);
     }
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -1,19 +1,22 @@
-//! What users are told.
+//! Tests of the answers to users.
 
-use super::super::handoff::tests::{at, node};
+use super::super::handoff::tests::{at_ms, test_controller};
 use super::*;
 
-/// The owner may not know that its end is on record, as its write had no answer or is late, and says that the job runs.
+/// The leader may not have learned yet that the outcome is stored, as the response to its write is lost or
+/// late, and may report that the job runs.
 #[test]
-fn who_peeks_at_a_record_tells_live_jobs_and_no_end() {
-    let mut n = node();
-    let mut told = |value: Option<Value>| {
+fn poll_from_record_reports_live_jobs_but_no_outcome() {
+    let mut controller = test_controller();
+    let mut poll = |value: Option<Value>| {
         let mut out = Vec::new();
-        let got =
+        let answer =
             StoreAnswer::Got(value.map(|value| KeyValue { key: String::new(), value, store_version: 9 }));
-        n.answer_poll_from_record(at(2000), "wk-1", Caller::Ticket(5), &got, &mut out);
+        controller.answer_poll_from_record(at_ms(2000), "wk-1", Caller::Ticket(5), &answer, &mut out);
         match &out[..] {
-            [Effect::Reply { ticket: 5, reply: r }] => (r.status, r.body.contains("\"stance\":\"pending\"")),
+            [Effect::Reply { ticket: 5, reply }] => {
+                (reply.status, reply.body.contains("\"stance\":\"pending\""))
+            }
             other => panic!("{other:?}"),
         }
     };
@@ -36,17 +39,18 @@
         "restS": 0,
         "unsaddleS": 0,
     });
-    assert_eq!(told(Some(JobShard::record(&raw, Micros(1), ""))), (200, true));
-    assert_eq!(told(None).0, 503, "its end may be on record");
-    assert_eq!(told(Some(json!({"end": "done", "done": 2}))).0, 503);
+    assert_eq!(poll(Some(JobShard::record(&raw, Micros(1), ""))), (200, true));
+    assert_eq!(poll(None).0, 503, "its outcome may be stored");
+    assert_eq!(poll(Some(json!({"end": "done", "done": 2}))).0, 503);
 }
 
-/// c0 with its records read and the machine types known, while nobody acts in an older epoch; and a job that it owns, or not.
-fn owner(owns: bool) -> (Controller, String) {
-    let mut n = node();
-    n.membership.renew_store_lease(NOW);
-    n.job_shard.finish_loading(std::iter::empty());
-    n.record_loading.stage = LoadStage::Done;
+/// Controller c0 with its records loaded and the machine types known, while no controller acts in an older
+/// epoch; and a job that it leads or does not lead, as `is_leader` says.
+fn controller_and_job(is_leader: bool) -> (Controller, String) {
+    let mut controller = test_controller();
+    controller.membership.renew_store_lease(NOW);
+    controller.job_shard.finish_loading(std::iter::empty());
+    controller.record_loading.stage = LoadStage::Done;
     let kind = json!({
         "sku": "k",
         "vcpus": 8,
@@ -60,7 +64,10 @@
         "paddocks": ["z"],
     });
     let types = [serde_json::from_value(kind).expect("a machine type")];
-    n.autoscaler.types = types.into_iter().map(|t: crate::spec::MachineType| (t.name.clone(), t)).collect();
+    controller.autoscaler.types = types
+        .into_iter()
+        .map(|machine_type: crate::spec::MachineType| (machine_type.name.clone(), machine_type))
+        .collect();
     let team = crate::config::settings::TeamSettings {
         name: "t".into(),
         cpus: 0.0,
@@ -68,11 +75,14 @@
         gpus: 0.0,
         gpus_max: 0.0,
     };
-    n.settings.teams.push(team);
-    let ids = (0..).map(|i| format!("wk-{i:06}"));
-    let id = ids.into_iter().find(|id| (n.membership.job_leader(id) == Some(0)) == owns).expect("a job");
-    assert_eq!(n.answers_for(NOW, &id), owns);
-    (n, id)
+    controller.settings.teams.push(team);
+    let ids = (0..).map(|number| format!("wk-{number:06}"));
+    let id = ids
+        .into_iter()
+        .find(|id| (controller.membership.job_leader(id) == Some(0)) == is_leader)
+        .expect("a job");
+    assert_eq!(controller.can_answer_for(NOW, &id), is_leader);
+    (controller, id)
 }
 
 const NOW: Micros = Micros::from_millis(60_000);
@@ -104,40 +114,44 @@
     StoreAnswer::Got(Some(KeyValue { key: format!("job/{id}"), value, store_version }))
 }
 
-/// What an event brings about: answers to users as (ticket, status, stance), and requests to the state service.
+/// The effects of an event: answers to users as (ticket, status, stance), and requests to the state store.
 #[derive(Debug, Default)]
-struct Told {
+struct Effects {
     answers: Vec<(u64, u16, String)>,
     reads: Vec<(u64, String)>,
     commits: Vec<(u64, Vec<String>)>,
 }
 
-impl Told {
-    fn by(n: &mut Controller, event: Event) -> Told {
+impl Effects {
+    fn of(controller: &mut Controller, event: Event) -> Effects {
         let mut out = Vec::new();
-        n.step(NOW, Micros(1), event, &mut out);
-        let mut told = Told::default();
-        for e in out {
-            match e {
-                Effect::Reply { ticket: t, reply: r } => {
-                    let body: Value = serde_json::from_str(&r.body).unwrap_or_default();
-                    told.answers.push((t, r.status, body["stance"].as_str().unwrap_or("").to_owned()));
+        controller.step(NOW, Micros(1), event, &mut out);
+        let mut effects = Effects::default();
+        for effect in out {
+            match effect {
+                Effect::Reply { ticket, reply } => {
+                    let body: Value = serde_json::from_str(&reply.body).unwrap_or_default();
+                    effects.answers.push((
+                        ticket,
+                        reply.status,
+                        body["stance"].as_str().unwrap_or("").to_owned(),
+                    ));
                 }
-                Effect::Store { id, request: StoreRequest::Get(key), .. } => told.reads.push((id, key)),
-                Effect::Store { id, request: StoreRequest::Transaction(c), .. } => {
-                    told.commits.push((id, c.puts.into_iter().map(|p| p.0).collect()));
+                Effect::Store { id, request: StoreRequest::Get(key), .. } => effects.reads.push((id, key)),
+                Effect::Store { id, request: StoreRequest::Transaction(transaction), .. } => {
+                    effects.commits.push((id, transaction.puts.into_iter().map(|put| put.0).collect()));
                 }
                 _ => {}
             }
         }
-        told
+        effects
     }
 
-    fn asked(n: &mut Controller, ticket: u64, r: UserRequest) -> Told {
-        Told::by(n, Event::User { ticket, request: r })
+    fn of_request(controller: &mut Controller, ticket: u64, request: UserRequest) -> Effects {
+        Effects::of(controller, Event::User { ticket, request })
     }
 
-    fn one(self) -> (u64, u16, String) {
+    fn only_answer(self) -> (u64, u16, String) {
         assert_eq!(self.answers.len(), 1, "{self:?}");
         self.answers.into_iter().next().expect("an answer")
     }
@@ -151,119 +165,140 @@
     UserRequest::Query(id.into())
 }
 
-/// Between the reading and the second question another controller may have accepted the job and said so.
+/// Between the lookup and the second request another controller may have accepted the job and reported that.
 #[test]
-fn a_question_is_answered_by_a_reading_that_began_after_it() {
-    let (mut n, id) = owner(true);
-    let first = Told::asked(&mut n, 1, query(&id));
+fn request_is_answered_by_a_lookup_that_began_after_it() {
+    let (mut controller, id) = controller_and_job(true);
+    let first = Effects::of_request(&mut controller, 1, query(&id));
     let (number, _) = first.reads[0];
-    let joined = Told::asked(&mut n, 2, query(&id));
+    let joined = Effects::of_request(&mut controller, 2, query(&id));
     assert!(
         joined.answers.is_empty() && joined.reads.is_empty(),
-        "one reading of a job at a time: {joined:?}"
+        "one lookup of a job at a time: {joined:?}"
     );
-    let end = Told::by(&mut n, Event::Store { id: number, answer: StoreAnswer::Got(None) });
-    let end = Told::by(&mut n, Event::Store { id: end.reads[0].0, answer: StoreAnswer::Got(None) });
+    let end = Effects::of(&mut controller, Event::Store { id: number, answer: StoreAnswer::Got(None) });
+    let end =
+        Effects::of(&mut controller, Event::Store { id: end.reads[0].0, answer: StoreAnswer::Got(None) });
     assert_eq!(end.answers, [(1, 404, String::new())]);
-    let again = Told::by(&mut n, Event::Store { id: end.reads[0].0, answer: live(&id, 9) });
-    assert_eq!(again.one(), (2, 200, "pending".into()));
+    let again = Effects::of(&mut controller, Event::Store { id: end.reads[0].0, answer: live(&id, 9) });
+    assert_eq!(again.only_answer(), (2, 200, "pending".into()));
 }
 
-/// Its answer may be that of a reading in an epoch that has passed.
+/// The response may belong to a lookup of an earlier epoch.
 #[test]
-fn the_answer_to_an_earlier_reading_is_nobodys() {
-    let (mut n, id) = owner(true);
-    let (old, _) = Told::asked(&mut n, 1, query(&id)).reads.remove(0);
-    n.user_requests.lookups.clear();
-    let (new, _) = Told::asked(&mut n, 2, query(&id)).reads.remove(0);
-    let told = Told::by(&mut n, Event::Store { id: old, answer: StoreAnswer::Got(None) });
-    assert!(told.answers.is_empty() && told.reads.is_empty(), "{told:?}");
-    assert_eq!(Told::by(&mut n, Event::Store { id: new, answer: live(&id, 9) }).one().1, 200);
+fn response_to_an_earlier_lookup_is_ignored() {
+    let (mut controller, id) = controller_and_job(true);
+    let (old, _) = Effects::of_request(&mut controller, 1, query(&id)).reads.remove(0);
+    controller.user_requests.lookups.clear();
+    let (new, _) = Effects::of_request(&mut controller, 2, query(&id)).reads.remove(0);
+    let effects = Effects::of(&mut controller, Event::Store { id: old, answer: StoreAnswer::Got(None) });
+    assert!(effects.answers.is_empty() && effects.reads.is_empty(), "{effects:?}");
+    assert_eq!(
+        Effects::of(&mut controller, Event::Store { id: new, answer: live(&id, 9) }).only_answer().1,
+        200
+    );
 }
 
-/// The record can be read, and the job be cancelled, before the answer to the write that accepted it is here.
+/// The record can be read, and the job be cancelled, before the response to the write that accepted the job
+/// arrives.
 #[test]
-fn an_acceptance_that_is_answered_after_the_end_brings_nothing_back() {
-    let (mut n, id) = owner(true);
-    let (read, _) = Told::asked(&mut n, 1, query(&id)).reads.remove(0);
-    let (accept, _) = Told::asked(&mut n, 2, submit(&id)).commits.remove(0);
+fn late_acceptance_response_does_not_restore_an_ended_job() {
+    let (mut controller, id) = controller_and_job(true);
+    let (read, _) = Effects::of_request(&mut controller, 1, query(&id)).reads.remove(0);
+    let (accept, _) = Effects::of_request(&mut controller, 2, submit(&id)).commits.remove(0);
     assert_eq!(
-        Told::by(&mut n, Event::Store { id: read, answer: live(&id, 9) }).one(),
+        Effects::of(&mut controller, Event::Store { id: read, answer: live(&id, 9) }).only_answer(),
         (1, 200, "pending".into())
     );
-    // The epoch stands, so nobody else can have started it.
-    n.job_shard.confirm_epoch(NOW + Micros(1));
-    assert!(Told::asked(&mut n, 3, UserRequest::Withdraw(id.clone())).answers.is_empty());
-    let (_, end, store_version) = n.job_shard.next_write(NOW, true).expect("its end is due");
+    // The epoch is unchanged, so no other controller can have started the job.
+    controller.job_shard.confirm_epoch(NOW + Micros(1));
+    assert!(Effects::of_request(&mut controller, 3, UserRequest::Withdraw(id.clone())).answers.is_empty());
+    let (_, end, store_version) = controller.job_shard.next_write(NOW, true).expect("its outcome is due");
     let mut out = Vec::new();
-    n.write_job(id.clone(), end, store_version, &mut out);
+    controller.write_job(id.clone(), end, store_version, &mut out);
     let Some(Effect::Store { id: write, .. }) = out.first() else { panic!("{out:?}") };
     assert_eq!(
-        Told::by(&mut n, Event::Store { id: *write, answer: StoreAnswer::Committed(10) }).one(),
+        Effects::of(&mut controller, Event::Store { id: *write, answer: StoreAnswer::Committed(10) })
+            .only_answer(),
         (3, 200, "aborted".into())
     );
     assert_eq!(
-        Told::by(&mut n, Event::Store { id: accept, answer: StoreAnswer::Committed(9) }).one(),
+        Effects::of(&mut controller, Event::Store { id: accept, answer: StoreAnswer::Committed(9) })
+            .only_answer(),
         (2, 200, "aborted".into())
     );
-    assert_eq!(Told::asked(&mut n, 4, query(&id)).one(), (4, 200, "aborted".into()));
+    assert_eq!(Effects::of_request(&mut controller, 4, query(&id)).only_answer(), (4, 200, "aborted".into()));
 }
 
-/// While the answer to a stand-in's write is on its way, the owner may have read the record and told the job's end.
+/// While the response to the write of a proxy acceptance is in flight, the leader may have read the record
+/// and reported the job's outcome.
 #[test]
-fn who_repeats_a_submission_is_not_told_by_a_write_that_went_out_before() {
-    let (mut n, id) = owner(false);
+fn repeated_submission_is_not_answered_by_an_earlier_write() {
+    let (mut controller, id) = controller_and_job(false);
     let mut out = Vec::new();
-    assert!(n.accept_unseen(NOW, Caller::Ticket(1), &id, &body(&id).to_string(), &mut out));
+    assert!(controller.accept_without_lookup(NOW, Caller::Ticket(1), &id, &body(&id).to_string(), &mut out));
     let Some(Effect::Store { id: accept, request: StoreRequest::Transaction(_), .. }) = out.pop() else {
         panic!("{out:?}")
     };
-    assert!(n.accept_unseen(NOW, Caller::Ticket(2), &id, &body(&id).to_string(), &mut out) && out.is_empty());
-    let told = Told::by(&mut n, Event::Store { id: accept, answer: StoreAnswer::Committed(9) });
-    assert_eq!(told.answers, [(1, 201, "pending".into())]);
-    let (peek, key) = &told.reads[0];
+    assert!(
+        controller.accept_without_lookup(NOW, Caller::Ticket(2), &id, &body(&id).to_string(), &mut out)
+            && out.is_empty()
+    );
+    let effects =
+        Effects::of(&mut controller, Event::Store { id: accept, answer: StoreAnswer::Committed(9) });
+    assert_eq!(effects.answers, [(1, 201, "pending".into())]);
+    let (poll, key) = &effects.reads[0];
     assert_eq!(*key, format!("job/{id}"));
     assert_eq!(
-        Told::by(&mut n, Event::Store { id: *peek, answer: StoreAnswer::Got(None) }).one().1,
+        Effects::of(&mut controller, Event::Store { id: *poll, answer: StoreAnswer::Got(None) })
+            .only_answer()
+            .1,
         503,
         "it has ended"
     );
 }
 
 #[test]
-fn a_repeat_that_lacks_a_field_is_turned_down_only_if_there_is_no_record() {
+fn invalid_repeated_submission_is_rejected_only_without_a_record() {
     let odd = |id: &str| UserRequest::Submit(id.into(), json!({"uid": id, "breed": "b"}).to_string());
-    let (mut n, id) = owner(true);
-    let (read, _) = Told::asked(&mut n, 1, odd(&id)).reads.remove(0);
+    let (mut controller, id) = controller_and_job(true);
+    let (read, _) = Effects::of_request(&mut controller, 1, odd(&id)).reads.remove(0);
     assert_eq!(
-        Told::by(&mut n, Event::Store { id: read, answer: live(&id, 9) }).one(),
+        Effects::of(&mut controller, Event::Store { id: read, answer: live(&id, 9) }).only_answer(),
         (1, 200, "pending".into())
     );
-    let (mut n, id) = owner(true);
-    let (read, _) = Told::asked(&mut n, 1, odd(&id)).reads.remove(0);
-    let (end, _) =
-        Told::by(&mut n, Event::Store { id: read, answer: StoreAnswer::Got(None) }).reads.remove(0);
-    assert_eq!(Told::by(&mut n, Event::Store { id: end, answer: StoreAnswer::Got(None) }).one().1, 400);
+    let (mut controller, id) = controller_and_job(true);
+    let (read, _) = Effects::of_request(&mut controller, 1, odd(&id)).reads.remove(0);
+    let (end, _) = Effects::of(&mut controller, Event::Store { id: read, answer: StoreAnswer::Got(None) })
+        .reads
+        .remove(0);
+    assert_eq!(
+        Effects::of(&mut controller, Event::Store { id: end, answer: StoreAnswer::Got(None) })
+            .only_answer()
+            .1,
+        400
+    );
 }
 
-/// What this one has read of a job in an earlier epoch says nothing in this one: another owner may have ended it.
+/// A record read in an earlier epoch must not be used in this one: another leader may have ended the job
+/// since.
 #[test]
-fn what_was_read_in_an_earlier_epoch_brings_nothing_back() {
-    let (mut n, id) = owner(true);
+fn read_from_an_earlier_epoch_does_not_restore_a_job() {
+    let (mut controller, id) = controller_and_job(true);
     let mut out = Vec::new();
-    n.ask_store(
+    controller.send_store_request(
         PendingStoreRequest::VerifyJob { job: id.clone(), epoch: 6 },
         StoreRequest::Get(format!("job/{id}")),
         &mut out,
     );
     let Some(Effect::Store { id: old, .. }) = out.first() else { panic!("{out:?}") };
-    Told::by(&mut n, Event::Store { id: *old, answer: live(&id, 9) });
-    assert!(!n.job_shard.jobs.contains_key(&id));
-    // Nor does an acceptance that was sent in it.
+    Effects::of(&mut controller, Event::Store { id: *old, answer: live(&id, 9) });
+    assert!(!controller.job_shard.jobs.contains_key(&id));
+    // Nor may the response to an acceptance that was sent in an earlier epoch.
     let spec = JobSpec::from_value(&body(&id)).expect("valid");
     let job = NewJob { id: id.clone(), spec, description: body(&id) };
-    n.accept(NOW, Caller::Ticket(1), job, &mut out);
-    n.job_shard.loaded = false;
-    n.apply_acceptance(NOW, id.clone(), 6, StoreAnswer::Committed(9), &mut out);
-    assert!(!n.job_shard.jobs.contains_key(&id));
+    controller.accept(NOW, Caller::Ticket(1), job, &mut out);
+    controller.job_shard.loaded = false;
+    controller.apply_acceptance(NOW, id.clone(), 6, StoreAnswer::Committed(9), &mut out);
+    assert!(!controller.job_shard.jobs.contains_key(&id));
 }
