--- a/src/controller.rs
+++ b/src/controller.rs
@@ -33,7 +33,7 @@
 use self::freshness::{Freshness, PendingFreshnessRequest};
 use self::gpu_lending::{Loans, PendingLoanRequest};
 use self::handoff::Handoff;
-pub use self::handoff::LEAVING;
+pub use self::handoff::LEAVE_TIMEOUT;
 use self::heartbeats::HeldHeartbeats;
 use self::membership::{MembershipLoop, PendingMembershipRequest};
 pub use self::operator_requests::{OperatorCommand, ReleaseSelector};
@@ -55,7 +55,7 @@
 use crate::quota::{AllocationInput, AllocationWrite, QuotaLedger};
 use crate::spec::{JobKind, JobSpec};
 use crate::state_store::{KeyValue, RateLimiter, StoreAnswer, StoreRequest, Transaction};
-use crate::units::{Micros, Ranges};
+use crate::units::{Micros, TaskIndexSet};
 use crate::wire::users::submission::stored_description;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key};
 use serde_json::{Value, json};
@@ -318,18 +318,19 @@
             || self.membership.can_forward(now)
             || self.membership.is_leaderless(now);
         if self.handoff.leaving().is_some() {
-            Reply::later("leaving")
+            Reply::retry_later("leaving")
         } else if can_serve {
             Reply::json(200, &json!({"ready": true}))
         } else {
-            Reply::later("not yet able to act")
+            Reply::retry_later("not yet able to act")
         }
     }
 
     fn handle_cloud_answer(&mut self, now: Micros, request: &CloudRequest, answer: CloudAnswer) {
-        let types_before = (*request == CloudRequest::MachineTypes).then(|| self.autoscaler.types.clone());
+        let types_before =
+            (*request == CloudRequest::MachineTypes).then(|| self.autoscaler.machine_types.clone());
         self.autoscaler.apply_answer(now, request, answer);
-        if types_before.is_some_and(|types| types != self.autoscaler.types) {
+        if types_before.is_some_and(|types| types != self.autoscaler.machine_types) {
             self.machine_shard.mark_all_changed();
         }
     }
@@ -339,7 +340,7 @@
     fn note_stall(&mut self, now: Micros) {
         let gap = now.since(self.rounds.last_round);
         if self.rounds.last_round > Micros(0) && gap >= STALL_THRESHOLD {
-            tracing::info!(epoch = self.membership.epoch, seconds = gap.secs(), "event loop stalled");
+            tracing::info!(epoch = self.membership.epoch, seconds = gap.as_secs(), "event loop stalled");
             self.machine_shard.discount_pause(now, gap);
             self.step_down.discount_pause(now, gap);
             // Leadership may have been lost during the stall, so membership is checked first.
@@ -352,14 +353,14 @@
     /// decision and this point and have lost its leadership: an effect that depends on leadership is then
     /// withdrawn.
     #[must_use]
-    pub fn vetted(&mut self, now: Micros, effect: Effect) -> Option<Effect> {
+    pub fn revalidate_effect(&mut self, now: Micros, effect: Effect) -> Option<Effect> {
         if !self.rounds.was_leader || self.membership.is_leader(now) {
             return Some(effect);
         }
         match effect {
             // Successful user responses may be out of date by now, and scaling commands need leadership.
             Effect::Reply { ticket, reply } if (200..300).contains(&reply.status) => {
-                Some(Effect::Reply { ticket, reply: Reply::later("not entitled to act any more") })
+                Some(Effect::Reply { ticket, reply: Reply::retry_later("not entitled to act any more") })
             }
             Effect::Cloud(request @ (CloudRequest::ScaleOut(_) | CloudRequest::ScaleIn(_))) => {
                 self.autoscaler.apply_answer(now, &request, CloudAnswer::Failed);
@@ -381,7 +382,7 @@
         if !self.membership.has_stepped_down {
             self.machine_shard.expire_leases(now, &self.membership);
         }
-        self.job_shard.alone = self.membership.have_older_leaders_stopped(now);
+        self.job_shard.older_leaders_stopped = self.membership.have_older_leaders_stopped(now);
         if self.rounds.was_leader && self.job_shard.loaded {
             self.schedule(now);
             self.write_quota(now, out);
@@ -436,8 +437,8 @@
             self.job_shard.machines(self.membership.epoch).filter(|_| is_autoscaler).collect();
         let fleet = is_autoscaler.then(|| FleetView {
             machines: &machines,
-            all_reported: self.job_shard.has_heard_all_machine_shards(&self.membership),
-            rebuilt: self.job_shard.is_rebuilt(),
+            all_reported: self.job_shard.have_all_machine_shards_reported(&self.membership),
+            failover_complete: self.job_shard.is_rebuilt(),
             members: &self.membership.members,
         });
         let request = self.autoscaler.next_request(now, fleet);
@@ -447,7 +448,7 @@
     /// Fetches the machine types also while this controller is not entitled to act, since it may have to
     /// accept jobs.
     fn fetch_machine_types(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.autoscaler.types.is_empty() {
+        if self.autoscaler.machine_types.is_empty() {
             let request = self.autoscaler.next_request(now, None);
             out.extend(request.map(Effect::Cloud));
         }
@@ -455,7 +456,7 @@
 }
 
 /// Parses the final record of a job: its outcome, and how many of its tasks were done.
-pub fn read_end(record: &Value) -> Option<(JobOutcome, u32)> {
+pub fn read_final_record(record: &Value) -> Option<(JobOutcome, u32)> {
     let outcome = match record.get("end")?.as_str()? {
         "done" => JobOutcome::Done,
         "cancelled" => JobOutcome::Cancelled,
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -10,8 +10,8 @@
 mod record_reads;
 
 use super::*;
-use crate::job_shard::says_of_record;
-use hazelsaddle_coordination::census::{Census, CensusJobState, CensusStep, JobReading};
+use crate::job_shard::declarations_in_record;
+use hazelsaddle_coordination::census::{Census, CensusJobState, CensusStep, JobMemberships};
 use hazelsaddle_coordination::record::{self, CoordinationRecord, Key};
 use hazelsaddle_coordination::record_cache::{CachedRecord, RecordCache};
 
@@ -157,7 +157,7 @@
 
     /// Whether this controller maintains a record: it is the owner of the head's key on the ring.
     pub(super) fn is_record_maintainer(&self, key: &Key) -> bool {
-        self.membership.ring.owner(&key.head()) == Some(self.settings.me)
+        self.membership.ring.owner(&key.head_key()) == Some(self.settings.me)
     }
 
     /// Whether coordination records matter on this controller.
@@ -170,7 +170,7 @@
 
     /// The cached record; it is kept up to date while it is used.
     pub(super) fn coordination_record(&mut self, now: Micros, key: &Key) -> CachedRecord {
-        self.coordination.records.want(key);
+        self.coordination.records.track(key);
         self.coordination.last_used_at.insert(key.clone(), now);
         self.coordination.records.get(key).clone()
     }
@@ -185,7 +185,7 @@
         self.coordination.last_used_at.insert(key.clone(), now);
         let held = self.coordination.records.get_since(key, since).cloned();
         if held.is_none() {
-            self.coordination.records.want_since(key, since);
+            self.coordination.records.require_read_since(key, since);
         }
         held
     }
@@ -229,7 +229,7 @@
 
     /// The condition on which a job joins a record: the record is unchanged since it was read.
     pub(super) fn join_condition(&self, key: &Key) -> (String, u64) {
-        (key.head(), self.coordination.records.store_version(key))
+        (key.head_key(), self.coordination.records.store_version(key))
     }
 
     /// Repeats the decision about a submission if its write failed only because a coordination record had
@@ -250,7 +250,7 @@
             return false;
         }
         for key in records {
-            self.coordination.records.want_since(&key, now);
+            self.coordination.records.require_read_since(&key, now);
         }
         self.write_acceptance(now, id.to_owned(), out);
         true
@@ -317,14 +317,14 @@
             .job_shard
             .held_jobs()
             .take(MAX_STATUS_ROWS)
-            .map(|(id, _, hold)| json!({"job": id, "why": hold.why()}))
+            .map(|(id, _, hold)| json!({"job": id, "why": hold.reason()}))
             .collect();
         let unreadable: Vec<String> = self
             .coordination
             .records
             .iter()
             .filter(|(_, cached)| matches!(cached, CachedRecord::Unreadable(_)))
-            .map(|(key, _)| key.head())
+            .map(|(key, _)| key.head_key())
             .collect();
         json!({
             "takes": self.can_accept_coordination(),
--- a/src/controller/coordination/census.rs
+++ b/src/controller/coordination/census.rs
@@ -8,15 +8,15 @@
 const UNREADABLE_RETRY_DELAY: Micros = Micros::from_millis(5000);
 
 /// The head keys of the records that a job joined, and the job's state, from its record.
-fn parse_job_record(key: &str, value: &Value) -> Option<JobReading> {
-    if key.starts_with(hazelsaddle_coordination::census::ENDS) {
-        let (outcome, _) = read_end(value)?;
+fn parse_job_record(key: &str, value: &Value) -> Option<JobMemberships> {
+    if key.starts_with(hazelsaddle_coordination::census::FINAL_RECORD_PREFIX) {
+        let (outcome, _) = read_final_record(value)?;
         let joined = value.get("says").map(joined_records).unwrap_or_default();
-        return Some(JobReading { joined, state: state_of(outcome) });
+        return Some(JobMemberships { joined, state: state_of(outcome) });
     }
     JobShard::read_record(value)?;
-    let joined = says_of_record(value).as_ref().map(joined_records).unwrap_or_default();
-    Some(JobReading { joined, state: CensusJobState::Live })
+    let joined = declarations_in_record(value).as_ref().map(joined_records).unwrap_or_default();
+    Some(JobMemberships { joined, state: CensusJobState::Live })
 }
 
 fn state_of(outcome: JobOutcome) -> CensusJobState {
@@ -32,7 +32,7 @@
         && let (Some(title), Some(night)) = (text(release, "title"), text(release, "night"))
         && let Some(key) = hazelsaddle_release::release_ref::release_key(&title, &night)
     {
-        records.push((key.head(), release.clone()));
+        records.push((key.head_key(), release.clone()));
     }
     if let Some(batch) = declarations.get("batch")
         && let Some(name) = text(batch, "name")
@@ -41,7 +41,7 @@
         // The search for runs of a batch needs their classes.
         let mut batch = batch.clone();
         batch[users::CLASS] = declarations.get(users::CLASS).cloned().unwrap_or_default();
-        records.push((key.head(), batch));
+        records.push((key.head_key(), batch));
     }
     records
 }
@@ -50,7 +50,7 @@
     /// The members of a record by a census that began no earlier than `since`; requests a census if there is
     /// none.
     pub(in crate::controller) fn census_since(&mut self, key: &Key, since: Micros) -> Option<&CensusMembers> {
-        let head = key.head();
+        let head = key.head_key();
         if self.coordination.census_results.get(&head).is_none_or(|(began, _)| *began < since) {
             self.coordination.census_wanted.insert(head);
             return None;
@@ -60,12 +60,12 @@
 
     /// When the latest complete census of a record began.
     pub(in crate::controller) fn census_began(&self, key: &Key) -> Option<Micros> {
-        self.coordination.census_results.get(&key.head()).map(|(began, _)| *began)
+        self.coordination.census_results.get(&key.head_key()).map(|(began, _)| *began)
     }
 
     /// The members of a record by its latest census, whenever that began.
     pub(in crate::controller) fn members_so_far(&self, key: &Key) -> Option<&CensusMembers> {
-        self.coordination.census_results.get(&key.head()).map(|(_, members)| members)
+        self.coordination.census_results.get(&key.head_key()).map(|(_, members)| members)
     }
 
     /// How long the last census took.
@@ -113,7 +113,7 @@
         }
         let found: Vec<_> =
             census.records().iter().filter_map(|head| Some((head.clone(), census.members(head)?))).collect();
-        tracing::debug!(records = found.len(), seconds = now.since(began).secs(), "census complete");
+        tracing::debug!(records = found.len(), seconds = now.since(began).as_secs(), "census complete");
         records.census_results.extend(found.into_iter().map(|(head, members)| (head, (began, members))));
         records.unreadable_jobs = unreadable;
         records.census = None;
@@ -162,7 +162,7 @@
     /// Applies the final record of a member, if it has one.
     pub(super) fn apply_member_record(&mut self, job: String, answer: &StoreAnswer) {
         match answer {
-            StoreAnswer::Got(Some(row)) => match read_end(&row.value) {
+            StoreAnswer::Got(Some(row)) => match read_final_record(&row.value) {
                 Some((outcome, _)) => self.apply_member_outcome(&job, outcome),
                 None => tracing::error!(job = %job, "unreadable final record"),
             },
--- a/src/controller/coordination/changes.rs
+++ b/src/controller/coordination/changes.rs
@@ -18,7 +18,7 @@
         // A read in flight may invalidate the change, but the version that it finds then fails the
         // condition.
         let allowed = match self.coordination.records.get(key) {
-            CachedRecord::Present(record) => record.allows(&next).is_ok(),
+            CachedRecord::Present(record) => record.check_transition(&next).is_ok(),
             CachedRecord::Absent => true,
             CachedRecord::NotRead | CachedRecord::Unreadable(_) => false,
         };
@@ -26,7 +26,7 @@
             || !self.membership.is_leader(now)
             || now < self.state_store.paused_until
             || self.coordination.changing.contains(key)
-            || next.value().to_string().len() > self.settings.value_bytes
+            || next.to_value().to_string().len() > self.settings.value_bytes
         {
             return false;
         }
@@ -48,7 +48,7 @@
     /// Writes the next page of a change, or its head once all pages are stored. Pages are conditional on the
     /// head's version too, so that a late write of a page can't alter an earlier decision.
     pub(super) fn continue_change(&mut self, mut change: Box<Change>, out: &mut Vec<Effect>) {
-        let conditions = vec![self.fencing_condition(), (change.key.head(), change.store_version)];
+        let conditions = vec![self.fencing_condition(), (change.key.head_key(), change.store_version)];
         let mut transaction = Transaction { conditions, ..Transaction::default() };
         match change.pages.pop() {
             Some((key, page)) => {
@@ -60,7 +60,7 @@
                 );
             }
             None => {
-                transaction.puts.push((change.key.head(), change.next.value(), None));
+                transaction.puts.push((change.key.head_key(), change.next.to_value(), None));
                 self.send_store_request(
                     PendingStoreRequest::Coordination(PendingRecordRequest::Change(change)),
                     StoreRequest::Transaction(transaction),
@@ -80,7 +80,7 @@
         if change.epoch == self.membership.epoch {
             self.coordination.changing.remove(&change.key);
         }
-        self.coordination.records.want(&change.key);
+        self.coordination.records.track(&change.key);
         match answer {
             StoreAnswer::Committed(store_version) => {
                 self.coordination.records.apply_commit(
@@ -95,13 +95,13 @@
             }
             answer => {
                 // The change may have been applied; reading the record shows it.
-                self.coordination.records.want_since(&change.key, now);
+                self.coordination.records.require_read_since(&change.key, now);
                 if let Some((ticket, _)) = change.reply_when_stored {
                     let why = match answer {
                         StoreAnswer::Conflict(_) => "the record has changed meanwhile: ask again",
                         _ => "the change could not be put on record: ask again",
                     };
-                    out.push(Effect::Reply { ticket, reply: Reply::later(why) });
+                    out.push(Effect::Reply { ticket, reply: Reply::retry_later(why) });
                 }
             }
         }
--- a/src/controller/coordination/record_reads.rs
+++ b/src/controller/coordination/record_reads.rs
@@ -17,7 +17,7 @@
             wanted.extend(listed.chain(&self.coordination.changing).cloned());
             self.coordination.records.retain(&wanted);
         }
-        for key in self.coordination.records.due(now, MAX_READS_PER_ROUND) {
+        for key in self.coordination.records.due_reads(now, MAX_READS_PER_ROUND) {
             // Records that are not in use here are kept up to date by the listing alone.
             if !self.coordination.last_used_at.contains_key(&key)
                 && *self.coordination.records.get(&key) != CachedRecord::NotRead
@@ -31,7 +31,7 @@
                 break;
             }
             self.coordination.records.record_request(&key, now);
-            let read = StoreRequest::Get(key.head());
+            let read = StoreRequest::Get(key.head_key());
             let pending = PendingRecordRequest::Read { key, asked_at: now };
             self.send_store_request(PendingStoreRequest::Coordination(pending), read, out);
         }
@@ -84,7 +84,7 @@
             if is_finished && *self.coordination.records.get(&key) == CachedRecord::NotRead {
                 continue;
             }
-            self.coordination.records.want(&key);
+            self.coordination.records.track(&key);
             self.apply_record_row(&key, asked_at, now, Some((&row.value, row.store_version)));
             if !is_finished {
                 self.coordination.pending_listed_keys.insert(key);
@@ -118,7 +118,7 @@
     ) {
         if self.coordination.records.apply_answer(key, asked_at, now + READ_PERIOD, row) {
             if let CachedRecord::Unreadable(why) = self.coordination.records.get(key) {
-                tracing::error!(record = %key.head(), reason = %why, "unreadable coordination record: everything that depends on it is held");
+                tracing::error!(record = %key.head_key(), reason = %why, "unreadable coordination record: everything that depends on it is held");
             }
             self.job_shard.replan = true;
         }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -66,7 +66,7 @@
                 self.dependencies.priority_receivers.remove(&peer);
                 continue;
             }
-            let priorities = self.job_shard.priorities_needed_of(peer, &self.membership);
+            let priorities = self.job_shard.inherited_priorities_for(peer, &self.membership);
             if priorities.is_empty() {
                 // An empty list is sent once, to revoke the previous one.
                 if !self.dependencies.priority_receivers.remove(&peer) {
@@ -76,7 +76,7 @@
                 self.dependencies.priority_receivers.insert(peer);
             }
             if peer == self.settings.me {
-                self.job_shard.apply_needed_priorities(peer, priorities);
+                self.job_shard.apply_inherited_priorities(peer, priorities);
             } else {
                 self.send(now, peer, Message::InheritedPriorities(priorities), out);
             }
@@ -85,7 +85,9 @@
 
     /// Whether any outcome is awaited.
     fn has_awaited_outcomes(&self) -> bool {
-        self.job_shard.awaits_ends() || self.has_awaited_members() || self.has_merges_awaiting_runs()
+        self.job_shard.has_awaited_dependencies()
+            || self.has_awaited_members()
+            || self.has_merges_awaiting_runs()
     }
 
     /// Watches the outcomes of jobs that others follow, and reads those that the watch does not report.
@@ -122,7 +124,7 @@
         while self.state_store.in_flight.len() < MAX_IN_FLIGHT
             && self.state_store.request_limiter.level(now) >= 0.2
         {
-            let Some(job) = self.job_shard.next_unread_prerequisite() else { break };
+            let Some(job) = self.job_shard.next_unread_dependency() else { break };
             self.state_store.request_limiter.take(now, 1.0, 0.0);
             let read = StoreRequest::Get(format!("done/{job}"));
             self.send_store_request(PendingStoreRequest::ReadOutcome { job }, read, out);
@@ -132,9 +134,9 @@
     /// Applies the response to the watch, or to the request for the store's revision before it.
     pub(super) fn apply_watch_answer(&mut self, now: Micros, answer: StoreAnswer) {
         match (self.dependencies.watch, answer) {
-            (Watch::Starting, StoreAnswer::At(revision)) => {
+            (Watch::Starting, StoreAnswer::CurrentRevision(revision)) => {
                 // Outcomes stored before this revision must be read; the watch reports later ones.
-                self.job_shard.reread_prerequisites();
+                self.job_shard.reread_dependencies();
                 self.reread_awaited_members();
                 self.note_run_watch_started(now);
                 self.dependencies.watch = Watch::At { revision, request_in_flight: false };
@@ -144,7 +146,7 @@
                 self.dependencies.watch = Watch::At { revision, request_in_flight: false };
                 self.apply_watched_outcomes(now, &written);
             }
-            (Watch::At { revision, .. }, answer) if answer != StoreAnswer::TooOld => {
+            (Watch::At { revision, .. }, answer) if answer != StoreAnswer::Compacted => {
                 self.dependencies.retry_at = now + RETRY_DELAY;
                 self.dependencies.watch = Watch::At { revision, request_in_flight: false };
             }
@@ -166,15 +168,15 @@
     }
 
     fn apply_outcome(&mut self, now: Micros, job: &str, value: &Value) {
-        match read_end(value) {
+        match read_final_record(value) {
             Some((outcome, _)) => {
-                self.job_shard.note_time(self.rounds.wall);
-                self.job_shard.apply_prerequisite_end(job, outcome);
+                self.job_shard.advance_wall_clock(self.rounds.wall);
+                self.job_shard.apply_dependency_outcome(job, outcome);
                 self.apply_member_outcome(job, outcome);
             }
             None => {
                 tracing::error!(job = %job, "unreadable final record");
-                self.job_shard.retry_prerequisite_read(job);
+                self.job_shard.retry_dependency_read(job);
                 self.dependencies.retry_at = now + UNREADABLE_RETRY_DELAY;
             }
         }
@@ -186,7 +188,7 @@
             StoreAnswer::Got(Some(row)) => self.apply_outcome(now, job, &row.value),
             StoreAnswer::Got(None) => {}
             _ => {
-                self.job_shard.retry_prerequisite_read(job);
+                self.job_shard.retry_dependency_read(job);
                 self.dependencies.retry_at = now + RETRY_DELAY;
             }
         }
@@ -208,12 +210,12 @@
         out: &mut Vec<Effect>,
     ) -> Result<BTreeSet<String>, Reply> {
         let unknown: BTreeSet<String> =
-            spec.follows.iter().filter(|job| !self.is_known_dependency(job)).cloned().collect();
+            spec.dependencies.iter().filter(|job| !self.is_known_dependency(job)).cloned().collect();
         // A long list must not use up the request budget that leases and releases need: only as many jobs are
         // looked up as the budget allows. They are remembered, so that each retry gets further.
         for dependency in &unknown {
             if !self.state_store.request_limiter.take(now, 1.0, 0.3) {
-                return Err(Reply::later("some of the jobs that it follows are still to be looked up"));
+                return Err(Reply::retry_later("some of the jobs that it follows are still to be looked up"));
             }
             let read = StoreRequest::Get(format!("job/{dependency}"));
             let dependency = dependency.clone();
@@ -267,7 +269,7 @@
     }
 
     fn fail_unread_dependency(&mut self, now: Micros, job: &str, out: &mut Vec<Effect>) {
-        let reply = Reply::later("a job that it follows could not be read");
+        let reply = Reply::retry_later("a job that it follows could not be read");
         self.fail_submission(now, job, &reply, out);
     }
 
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -6,7 +6,7 @@
 
 use super::coordination::{JoinDecision, OperatorRequest};
 use super::*;
-use crate::job_shard::dependencies::unpacked;
+use crate::job_shard::dependencies::unpack_job_ids;
 use crate::job_shard::{AttemptStatus, Hold, Job};
 use crate::wire::users;
 use hazelsaddle_coordination::census::CensusJobState;
@@ -14,8 +14,8 @@
 use hazelsaddle_coordination::record_cache::CachedRecord;
 use hazelsaddle_freshness::batch::{Batch, Permit, VersionChange, Writer};
 use hazelsaddle_freshness::guard::{self, Merge, PermitAnswer, Verdict};
-use hazelsaddle_freshness::settings::{Settings as FreshnessSettings, nearest};
-use hazelsaddle_freshness::upstream::{BatchVersion, JobDeclaration, JobKnowledge, Run, UpstreamFindings};
+use hazelsaddle_freshness::settings::{Settings as FreshnessSettings, find_nearest};
+use hazelsaddle_freshness::upstream::{BatchVersion, JobDeclaration, JobLookup, Run, UpstreamFindings};
 
 /// Time between two checks of the merges; new information triggers a check at once.
 const MERGE_CHECK_PERIOD: Micros = Micros::from_millis(300);
@@ -100,11 +100,11 @@
 /// Parses the declaration in a job's record, live or final (`is_final`); None if it is unreadable.
 fn parse_declaration(record: &Value, is_final: bool) -> Option<JobDeclaration> {
     let (stored, is_declared) = if is_final {
-        read_end(record)?;
+        read_final_record(record)?;
         (record.get("says").cloned().unwrap_or_default(), record.get("says").is_some())
     } else {
         let class = record.get("spec")?.get(users::CLASS)?.clone();
-        let mut declaration = crate::job_shard::says_of_record(record).unwrap_or_else(|| json!({}));
+        let mut declaration = crate::job_shard::declarations_in_record(record).unwrap_or_else(|| json!({}));
         declaration[users::CLASS] = class;
         (declaration, true)
     };
@@ -119,11 +119,11 @@
             version: batch.get("version")?.as_u64()?,
         }),
     };
-    let follows = stored.get("follows").and_then(Value::as_str).map(unpacked).unwrap_or_default();
+    let follows = stored.get("follows").and_then(Value::as_str).map(unpack_job_ids).unwrap_or_default();
     Some(JobDeclaration {
         class: stored.get(users::CLASS).and_then(Value::as_str).map(str::to_owned),
         batch,
-        follows,
+        dependencies: follows,
     })
 }
 
@@ -133,7 +133,7 @@
         .batch
         .as_ref()
         .map(|batch| BatchVersion { name: batch.name.clone(), version: batch.version });
-    JobDeclaration { class: Some(job.spec.class.clone()), batch, follows: job.followed() }
+    JobDeclaration { class: Some(job.spec.class.clone()), batch, dependencies: job.declared_dependencies() }
 }
 
 fn parse_run(job: &str, declaration: &Value) -> Option<Run> {
@@ -176,7 +176,7 @@
         let Some(settings) = self.settings.operators.freshness.as_ref() else {
             return JoinDecision::Reject("batch: batches are not switched on here".into());
         };
-        if spec.merges.is_some() && !settings.merges(&spec.class) {
+        if spec.merges.is_some() && !settings.can_merge(&spec.class) {
             let mergeable_classes: Vec<&str> = settings.merges.iter().map(String::as_str).collect();
             let (class, mergeable_classes) = (&spec.class, mergeable_classes.join(", "));
             return JoinDecision::Reject(format!(
@@ -210,7 +210,7 @@
             Some(CachedRecord::Unreadable(why)) => {
                 return JoinDecision::Defer(format!("the record of its batch: {why}"));
             }
-            Some(CachedRecord::Absent) => Batch::first(version),
+            Some(CachedRecord::Absent) => Batch::new(version),
             Some(CachedRecord::Present(record)) => {
                 match Batch::read(&record).map(|batch| batch.put_version(version)) {
                     Ok(Ok(VersionChange::Raised(next))) => next,
@@ -250,14 +250,14 @@
 
     /// What is known of a job. A merge is checked only after all jobs that it follows are stored as done.
     /// Everything upstream of it has therefore ended, even if the last record read was a live one.
-    fn look_up_declaration(&self, id: &str) -> JobKnowledge {
+    fn look_up_declaration(&self, id: &str) -> JobLookup {
         if let Some(job) = self.job_shard.jobs.get(id) {
-            return JobKnowledge::Ended(declaration_of(job));
+            return JobLookup::Ended(declaration_of(job));
         }
         match self.freshness.declarations.get(id) {
-            Some(declaration) => JobKnowledge::Ended(declaration.clone()),
-            None if self.freshness.unreadable.contains_key(id) => JobKnowledge::Unreadable,
-            None => JobKnowledge::Unread,
+            Some(declaration) => JobLookup::Ended(declaration.clone()),
+            None if self.freshness.unreadable.contains_key(id) => JobLookup::Unreadable,
+            None => JobLookup::Unread,
         }
     }
 
@@ -357,7 +357,8 @@
 
     /// Applies an outcome reported by the watch.
     pub(super) fn apply_run_outcome(&mut self, id: &str, value: &Value) {
-        if self.freshness.runs.is_empty() || !matches!(read_end(value), Some((JobOutcome::Done, _))) {
+        if self.freshness.runs.is_empty() || !matches!(read_final_record(value), Some((JobOutcome::Done, _)))
+        {
             return;
         }
         let Some(declaration) = value.get("says") else { return };
@@ -366,7 +367,7 @@
             batch.get("name").and_then(Value::as_str).and_then(|name| Key::new(RecordKind::Batch, name).ok());
         let mut batch = batch.clone();
         batch[users::CLASS] = declaration.get(users::CLASS).cloned().unwrap_or_default();
-        if let Some(runs) = key.and_then(|key| self.freshness.runs.get_mut(&key.head()))
+        if let Some(runs) = key.and_then(|key| self.freshness.runs.get_mut(&key.head_key()))
             && let Some(run) = parse_run(id, &batch)
         {
             runs.1.insert(run);
@@ -377,7 +378,7 @@
     /// The known done runs of a batch: from a census, once a merge was found stale, and then from the watch.
     fn known_runs(&mut self, key: &Key) -> BTreeSet<Run> {
         let mut runs =
-            self.freshness.runs.get(&key.head()).map(|collected| collected.1.clone()).unwrap_or_default();
+            self.freshness.runs.get(&key.head_key()).map(|collected| collected.1.clone()).unwrap_or_default();
         if let Some(members) = self.members_so_far(key) {
             let done = members.iter().filter(|(_, member)| member.state == CensusJobState::Done);
             runs.extend(done.filter_map(|(id, member)| parse_run(id, &member.declaration)));
@@ -388,7 +389,7 @@
     /// The time since which a census must have begun so that, together with the watch, all done runs are
     /// known.
     fn required_census_start(&self, key: &Key) -> Option<Micros> {
-        let (since, _) = self.freshness.runs.get(&key.head())?;
+        let (since, _) = self.freshness.runs.get(&key.head_key())?;
         let watching_since = self.freshness.watching_since.filter(|_| self.dependencies.is_watching())?;
         Some(watching_since.max(*since))
     }
@@ -405,7 +406,7 @@
     fn mark_stale(&mut self, now: Micros, id: &str, key: &Key) {
         let state = MergeState { first_checked_at: now, stale: true, ever_stale: true };
         self.freshness.merges.entry(id.to_owned()).or_insert(state).ever_stale = true;
-        self.freshness.runs.entry(key.head()).or_insert((now, BTreeSet::new()));
+        self.freshness.runs.entry(key.head_key()).or_insert((now, BTreeSet::new()));
     }
 
     // ---- Verdicts ----
@@ -425,15 +426,15 @@
                 "the guard is not switched on here".into(),
             ));
         };
-        let (found, _) = hazelsaddle_freshness::upstream::upstream_closure(&merge.follows, |id| {
+        let (found, _) = hazelsaddle_freshness::upstream::upstream_closure(&merge.dependencies, |id| {
             self.look_up_declaration(id)
         });
         let unread: Vec<String> = found
             .into_iter()
-            .filter(|(_, knowledge)| *knowledge == JobKnowledge::Unread)
+            .filter(|(_, knowledge)| *knowledge == JobLookup::Unread)
             .map(|(id, _)| id)
             .collect();
-        let verdict = merge.verdict(settings, cached, |id| self.look_up_declaration(id), &runs);
+        let verdict = merge.assess(settings, cached, |id| self.look_up_declaration(id), &runs);
         self.freshness.unread.extend(unread);
         verdict
     }
@@ -442,7 +443,7 @@
         let job = self.job_shard.jobs.get(id)?;
         let batch = job.spec.merges.as_ref()?;
         let batch_version = BatchVersion { name: batch.name.clone(), version: batch.version };
-        Some((batch.key()?, Merge { of: batch_version, follows: job.followed() }))
+        Some((batch.key()?, Merge { batch: batch_version, dependencies: job.declared_dependencies() }))
     }
 
     /// The periodic work on batches: requests a census for each stale merge.
@@ -483,7 +484,7 @@
             .filter(|(_, job)| {
                 job.spec.merges.is_some()
                     && job.pending_outcome.is_none()
-                    && job.unfinished_prerequisites().next().is_none()
+                    && job.unfinished_dependencies().next().is_none()
             })
             .map(|(id, _)| id.clone())
             .collect();
@@ -514,7 +515,7 @@
             let ever_stale = state.ever_stale;
             self.freshness.merges.insert(id.clone(), state);
             if ever_stale {
-                stale_heads.insert(key.head());
+                stale_heads.insert(key.head_key());
                 self.mark_stale(now, &id, &key);
             }
             let are_runs_known = self.has_all_runs(&key);
@@ -543,7 +544,7 @@
             Verdict::Fresh(_) => "the record of its batch must be read again".to_owned(),
             verdict => verdict.reason(),
         };
-        if job.hold().is_none_or(|hold| hold.why() != reason) {
+        if job.hold().is_none_or(|hold| hold.reason() != reason) {
             tracing::info!(job = id, reason = %reason, "merge held");
             self.job_shard.hold_job(id, Hold::Batch(reason));
         }
@@ -551,7 +552,7 @@
             let has_permit = |task: Option<u32>, attempt: u64| {
                 !verdict.must_stop(cached, &Writer { job: id.to_owned(), attempt, task })
             };
-            let stopped = self.job_shard.stop_stale(id, has_permit);
+            let stopped = self.job_shard.stop_stale_attempts(id, has_permit);
             if stopped > 0 {
                 self.freshness.counts.stopped += stopped as u64;
                 tracing::info!(
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -4,15 +4,15 @@
 use super::*;
 
 fn stale_inputs_json(findings: &UpstreamFindings) -> Value {
-    let stale_runs = findings.old.iter().map(|run| {
+    let stale_runs = findings.stale_runs.iter().map(|run| {
         json!({
             "job": run.job,
             "class": run.class,
-            "batch": run.read.as_ref().map(|read| &read.name),
-            "version": run.read.as_ref().map(|read| read.version),
+            "batch": run.declared_batch.as_ref().map(|read| &read.name),
+            "version": run.declared_batch.as_ref().map(|read| read.version),
         })
     });
-    json!({"old": stale_runs.collect::<Vec<_>>(), "missing": findings.missing})
+    json!({"old": stale_runs.collect::<Vec<_>>(), "missing": findings.missing_classes})
 }
 
 impl Controller {
@@ -34,11 +34,11 @@
         if job.spec.merges.is_none() {
             return Some(Reply::error(409, "the job names no batch that it merges"));
         }
-        if task >= job.spec.tasks {
+        if task >= job.spec.task_count {
             return Some(Reply::error(404, "no such task"));
         }
         if self.freshness.permit_requests.len() >= MAX_PERMIT_REQUESTS {
-            return Some(Reply::later("overloaded"));
+            return Some(Reply::retry_later("overloaded"));
         }
         let job = id.to_owned();
         self.freshness.permit_requests.push(PermitRequest { caller, job, attempt, task, received_at: now });
@@ -48,7 +48,7 @@
     pub(super) fn answer_permit_requests(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for request in std::mem::take(&mut self.freshness.permit_requests) {
             let reply = if now.since(request.received_at) >= PERMIT_REQUEST_TIMEOUT {
-                Some(Reply::later("the batch's record could not be read or changed in time"))
+                Some(Reply::retry_later("the batch's record could not be read or changed in time"))
             } else {
                 self.decide_permit_request(now, &request, out)
             };
@@ -74,7 +74,7 @@
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
         if !self.can_answer_for(now, &request.job) {
-            return Some(Reply::later("taking over"));
+            return Some(Reply::retry_later("taking over"));
         }
         let Some(job) = self.job_shard.jobs.get(&request.job).filter(|job| job.pending_outcome.is_none())
         else {
@@ -83,9 +83,9 @@
         let task = (job.spec.kind != JobKind::Gang).then_some(request.task);
         let attempt_status = self.job_shard.attempt_status(&request.job, task, request.attempt);
         match attempt_status {
-            AttemptStatus::Over => return Some(Reply::error(409, "no such attempt runs")),
-            AttemptStatus::Unknown => return Some(Reply::later("taking over")),
-            AttemptStatus::Stands | AttemptStatus::Stopping => {}
+            AttemptStatus::Ended => return Some(Reply::error(409, "no such attempt runs")),
+            AttemptStatus::Unknown => return Some(Reply::retry_later("taking over")),
+            AttemptStatus::Active | AttemptStatus::Stopping => {}
         }
         let (key, merge) = self.find_merge(&request.job)?;
         let cached = self.coordination_record_since(now, &key, request.received_at)?;
@@ -101,16 +101,16 @@
         let cached = pruned_batch.map_or(cached, |batch| CachedRecord::Present(batch.record()));
         match guard::decide_permit(&verdict, &cached, &writer, self.settings.value_bytes) {
             PermitAnswer::AlreadyHeld(permit) => {
-                let batch = merge.of.name;
+                let batch = merge.batch.name;
                 Some(Reply::json(
                     200,
                     &json!({"batch": batch, "version": permit.version, "fence": permit.fence}),
                 ))
             }
-            PermitAnswer::Record(..) if attempt_status == AttemptStatus::Stopping => {
+            PermitAnswer::GrantAfterWrite(..) if attempt_status == AttemptStatus::Stopping => {
                 Some(Reply::error(409, "the attempt is being stopped"))
             }
-            PermitAnswer::Record(next, permit) => {
+            PermitAnswer::GrantAfterWrite(next, permit) => {
                 if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
                     tracing::info!(
                         job = %request.job,
@@ -137,7 +137,7 @@
                 );
                 let mut body = stale_inputs_json(&findings);
                 body["error"] = verdict.reason().into();
-                body["batch"] = merge.of.name.into();
+                body["batch"] = merge.batch.name.into();
                 body["version"] = version.into();
                 self.freshness.next_check_at = Micros(0);
                 Some(Reply::json(409, &body))
@@ -152,7 +152,7 @@
     fn has_permit_attempt_ended(&self, permit: &Permit) -> bool {
         self.job_shard.loaded
             && self.membership.job_leader(&permit.job) == Some(self.settings.me)
-            && self.job_shard.attempt_status(&permit.job, permit.task, permit.attempt) == AttemptStatus::Over
+            && self.job_shard.attempt_status(&permit.job, permit.task, permit.attempt) == AttemptStatus::Ended
     }
 
     pub(super) fn release_permits(&mut self, now: Micros, out: &mut Vec<Effect>) {
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -43,7 +43,7 @@
         };
         let next = match self.coordination_record_since(now, &key, received_at)? {
             CachedRecord::NotRead => return None,
-            CachedRecord::Absent => Batch::first(version),
+            CachedRecord::Absent => Batch::new(version),
             CachedRecord::Unreadable(error) => return Some(Reply::error(409, &error.to_string())),
             CachedRecord::Present(record) => {
                 match Batch::read(&record).map(|batch| batch.put_version(version)) {
@@ -82,7 +82,7 @@
             CachedRecord::Absent => {
                 let rows = self.list_batches(now, request.ticket, out)?;
                 let names = rows.iter().filter_map(|batch| batch["batch"].as_str());
-                let suggestion = nearest(name, names).map(|name| format!("; the nearest is {name}"));
+                let suggestion = find_nearest(name, names).map(|name| format!("; the nearest is {name}"));
                 let why = format!("no batch is called {name}{}", suggestion.unwrap_or_default());
                 return Some(Reply::error(404, &why));
             }
@@ -111,7 +111,7 @@
             .collect();
         let permits: Vec<Value> = batch.permits.iter().map(permit_json).collect();
         let after: Vec<Value> = batch
-            .after
+            .outdated_writes
             .iter()
             .map(|(version, fence)| json!({"version": version, "after_fence": fence}))
             .collect();
--- a/src/controller/gpu_lending.rs
+++ b/src/controller/gpu_lending.rs
@@ -99,7 +99,7 @@
             let advanced =
                 ledger.advance(wall.0, terms.back.0, |loan| self.job_shard.loan_facts(loan, membership));
             let next = advanced.or_else(|| {
-                let due = self.job_shard.loans_due(now, wall, team, ledger, membership, &self.quota);
+                let due = self.job_shard.loans_to_return(now, wall, team, ledger, membership, &self.quota);
                 ledger.begin_return(wall.0, &due)
             });
             if let Some(next) = next {
@@ -109,7 +109,7 @@
         if !self.loans.unreadable.is_empty() {
             return None;
         }
-        let proposal = self.job_shard.next_taking(now, wall, membership, &self.quota)?;
+        let proposal = self.job_shard.propose_loan(now, wall, membership, &self.quota)?;
         let none = Ledger::default();
         let mut next = self.loans.ledgers.get(&proposal.team).map_or(&none, |(_, ledger, _)| ledger).clone();
         let others: Vec<&Ledger> = self
@@ -123,7 +123,7 @@
         let max_bytes = self.settings.value_bytes.saturating_sub(100);
         let mut has_claim = false;
         for claim in &proposal.claims {
-            match next.claim(wall.0, &proposal.job, proposal.missing, claim, &others, max_bytes) {
+            match next.claim(wall.0, &proposal.job, proposal.missing_replicas, claim, &others, max_bytes) {
                 Ok(ledger) => (next, has_claim) = (ledger, true),
                 Err(why) => {
                     tracing::info!(job = %proposal.job, machine = %claim.machine, %why, "no loan");
@@ -144,22 +144,25 @@
             Some((record, ..)) => CoordinationRecord { body, ..record.clone() },
             None => CoordinationRecord::open(1, body),
         };
-        if record.value().to_string().len() > self.settings.value_bytes
+        if record.to_value().to_string().len() > self.settings.value_bytes
             || !self.state_store.write_limiter.take(now, 1.0, 0.2)
         {
             return;
         }
         let mut conditions = vec![self.fencing_condition()];
         if !self.loans.ledgers.contains_key(team) {
-            conditions.push((key.head(), 0));
+            conditions.push((key.head_key(), 0));
         }
         for (name, (_, _, store_version)) in &self.loans.ledgers {
             if let Ok(key) = Key::new(RecordKind::Loan, name) {
-                conditions.push((key.head(), *store_version));
+                conditions.push((key.head_key(), *store_version));
             }
         }
-        let transaction =
-            Transaction { conditions, puts: vec![(key.head(), record.value(), None)], drops: Vec::new() };
+        let transaction = Transaction {
+            conditions,
+            puts: vec![(key.head_key(), record.to_value(), None)],
+            deletes: Vec::new(),
+        };
         self.loans.is_change_in_flight = true;
         let purpose = PendingLoanRequest::Change(self.membership.epoch, team.to_owned(), Box::new(record));
         self.send_store_request(
--- a/src/controller/handoff.rs
+++ b/src/controller/handoff.rs
@@ -14,7 +14,7 @@
 /// The format version that hand-off and replicated starts need.
 pub(super) const HANDOFF_FORMAT_VERSION: u64 = 3;
 /// A process that is shutting down exits after this time, even if its batches are not acknowledged.
-pub const LEAVING: Micros = Micros::from_millis(5000);
+pub const LEAVE_TIMEOUT: Micros = Micros::from_millis(5000);
 /// Maximum number of starts in a batch, so that no batch delays the frames behind it for long.
 const MAX_STARTS_IN_BATCH: usize = 1500;
 
@@ -87,13 +87,17 @@
     /// Packs the list of gone machines, which a process that has just joined lacks.
     pub(super) fn pack_gone(&mut self, now: Micros, to: usize, gone: Vec<String>) {
         if !gone.is_empty() {
-            self.outbox.push(now, to, HandoffBatch { gone, ..HandoffBatch::default() });
+            self.outbox.push(now, to, HandoffBatch { removed_machines: gone, ..HandoffBatch::default() });
         }
     }
 
     /// Packs the replicated starts of a departed controller for the new leader of its jobs.
     pub(super) fn pack_replicated_starts(&mut self, now: Micros, to: usize, starts: ReplicatedStarts) {
-        self.outbox.push(now, to, HandoffBatch { testimony: vec![starts], ..HandoffBatch::default() });
+        self.outbox.push(
+            now,
+            to,
+            HandoffBatch { replicated_starts: vec![starts], ..HandoffBatch::default() },
+        );
     }
 
     pub(super) fn apply_acknowledgements(&mut self, from: usize, numbers: &[u64]) {
@@ -168,7 +172,7 @@
     /// Whether a process that is shutting down may exit: it is out of the ring and its batches are
     /// acknowledged, there is no other controller to take over, or its time is up.
     #[must_use]
-    pub fn gone(&self, now: Micros) -> bool {
+    pub fn can_exit(&self, now: Micros) -> bool {
         let Some(since) = self.handoff.leaving else { return false };
         let membership = &self.membership;
         let is_member = membership.epoch > 0 && membership.members.contains(&membership.me);
@@ -185,7 +189,7 @@
         let is_handed_off = is_requested && has_left && is_packed && self.handoff.outbox.is_empty();
         let is_alone = self.membership_loop.live_peers.is_empty() && self.membership_loop.lease.is_some();
         let is_absent = self.step_down.absence_reason().is_some() && !is_requested;
-        !is_member || is_handed_off || is_alone || is_absent || now.since(since) >= LEAVING
+        !is_member || is_handed_off || is_alone || is_absent || now.since(since) >= LEAVE_TIMEOUT
     }
 
     fn pack(&mut self, now: Micros, next: &Membership) {
@@ -253,7 +257,7 @@
             let handoff = &self.handoff;
             tracing::info!(
                 epoch = self.membership.epoch,
-                seconds = now.since(since).secs(),
+                seconds = now.since(since).as_secs(),
                 handed_jobs = handoff.adopted_jobs,
                 handed_machines = handoff.adopted_machines,
                 replicated_jobs = self.start_replica.recovered_jobs(),
@@ -275,13 +279,13 @@
         if let Some(owed) = self.handoff.pending_acks.get_mut(from) {
             owed.push(number);
         }
-        self.machine_shard.mark_returned(&batch.gone);
+        self.machine_shard.mark_returned(&batch.removed_machines);
         // For a repeated batch, the machines are known and the jobs are settled already.
         for machine in batch.machines {
             let is_new = self.machine_shard.apply_handoff(now, &self.membership, machine);
             self.handoff.adopted_machines += usize::from(is_new);
         }
-        for starts in batch.testimony {
+        for starts in batch.replicated_starts {
             self.start_replica.record_report(from, starts);
         }
         if !batch.jobs.is_empty() {
@@ -312,7 +316,7 @@
         let unconfirmed_machines: Vec<&String> =
             self.job_shard.unconfirmed_machines(MAX_STATUS_ROWS).collect();
         json!({
-            "under_way_s": handoff.failover_since.map(|t| now.since(t).secs()),
+            "under_way_s": handoff.failover_since.map(|t| now.since(t).as_secs()),
             "jobs_in_doubt": self.job_shard.unresolved_job_count(),
             "jobs_handed_to_us": handoff.adopted_jobs,
             "machines_handed_to_us": handoff.adopted_machines,
--- a/src/controller/handoff/tests.rs
+++ b/src/controller/handoff/tests.rs
@@ -41,13 +41,13 @@
         let heartbeat = Heartbeat {
             machine: format!("i-{number:06}"),
             addr: String::new(),
-            kind: "k".into(),
+            machine_type: "k".into(),
             zone: "z".into(),
             spot: false,
             incarnation: 1,
             sequence: 1,
             token: 7,
-            notice_s: None,
+            time_to_termination_s: None,
             tasks: Vec::new(),
         };
         if controller.membership.machine_leader(&heartbeat.machine) == Some(0) {
@@ -171,12 +171,12 @@
         StoreAnswer::Got(Some(epoch)),
         &mut Vec::new(),
     );
-    assert!(!controller.gone(at_ms(1701)), "excluded, and nothing packed yet");
+    assert!(!controller.can_exit(at_ms(1701)), "excluded, and nothing packed yet");
     read_ring(&mut controller, at_ms(1702), &record(8, &[1, 2]), 8);
-    assert!(!controller.gone(at_ms(1703)), "packed, and not acknowledged");
+    assert!(!controller.can_exit(at_ms(1703)), "packed, and not acknowledged");
     let numbers: Vec<u64> = (0..100).collect();
     (1..3).for_each(|peer| controller.handoff.apply_acknowledgements(peer, &numbers));
-    assert!(controller.gone(at_ms(1704)));
+    assert!(controller.can_exit(at_ms(1704)));
     // No hand-off from two epochs back: the controller that raised the epoch in between may have given the
     // machines to others.
     let mut controller = test_controller();
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -78,11 +78,11 @@
             HeartbeatOutcome::Accepted => {
                 // The machine has given up on its previous heartbeat, or it would not have sent this one.
                 if let Some(ticket) = self.held_heartbeats.tickets.remove(&heartbeat.machine) {
-                    out.push(Effect::Reply { ticket, reply: Reply::later("out of date") });
+                    out.push(Effect::Reply { ticket, reply: Reply::retry_later("out of date") });
                 }
                 // The heartbeat is also held while a job's leader is out of contact: right after a failover
                 // its first message arrives soon.
-                if !self.machine_shard.may_renew_lease(now, &heartbeat.machine) {
+                if !self.machine_shard.can_renew_lease(now, &heartbeat.machine) {
                     self.held_heartbeats.job_leader_unreachable.insert(heartbeat.machine.clone());
                 } else if !self.can_hold(now, &heartbeat.machine) {
                     return Some(self.command(&heartbeat.machine));
@@ -90,11 +90,11 @@
                 self.held_heartbeats.hold(now, &heartbeat.machine, ticket);
                 None
             }
-            HeartbeatOutcome::Stale => Some(Reply::later("out of date")),
+            HeartbeatOutcome::Stale => Some(Reply::retry_later("out of date")),
             HeartbeatOutcome::Fenced => {
                 // Another controller has raised the epoch: read the record now.
                 self.membership_loop.step_at_once(now);
-                Some(Reply::later("a newer epoch is known"))
+                Some(Reply::retry_later("a newer epoch is known"))
             }
         }
     }
@@ -127,10 +127,10 @@
             Some(leader) if leader == self.settings.me => {
                 let is_leader =
                     self.membership.machine_leader(machine) == Some(leader) && self.membership.is_leader(now);
-                (!is_leader).then(|| Reply::later("not entitled to act"))
+                (!is_leader).then(|| Reply::retry_later("not entitled to act"))
             }
-            Some(leader) => Some(Reply::json(421, &workers::redirect(self.membership.name(leader)))),
-            None => Some(Reply::later("no home")),
+            Some(leader) => Some(Reply::json(421, &workers::redirect_body(self.membership.name(leader)))),
+            None => Some(Reply::retry_later("no home")),
         }
     }
 
@@ -141,9 +141,9 @@
         }
         // Status 200 renews the machine's lease and keeps its tasks alive. The unreachable leader may already
         // have reported some of them as cancelled.
-        match self.machine_shard.may_renew_lease(now, machine) {
+        match self.machine_shard.can_renew_lease(now, machine) {
             true => self.command(machine),
-            false => Reply::later("the owner of one of its tasks is out of reach"),
+            false => Reply::retry_later("the owner of one of its tasks is out of reach"),
         }
     }
 
@@ -156,7 +156,7 @@
                 let body = serde_json::to_string(&commands).unwrap_or_default();
                 Reply { status: 200, body, retry_after: None }
             }
-            None => Reply::later("no such machine"),
+            None => Reply::retry_later("no such machine"),
         }
     }
 
@@ -167,16 +167,16 @@
         let mut due = self.held_heartbeats.take_expired(now, longest);
         for machine in self.machine_shard.take_rechecks() {
             if self.held_heartbeats.tickets.contains_key(&machine)
-                && self.machine_shard.may_renew_lease(now, &machine)
+                && self.machine_shard.can_renew_lease(now, &machine)
                 && !self.can_hold(now, &machine)
             {
                 due.push(machine);
             }
         }
-        if self.machine_shard.take_owner_news() {
+        if self.machine_shard.take_job_leader_message_flag() {
             let machines = &self.machine_shard;
             let waiting = &mut self.held_heartbeats.job_leader_unreachable;
-            due.extend(waiting.extract_if(.., |machine| machines.may_renew_lease(now, machine)));
+            due.extend(waiting.extract_if(.., |machine| machines.can_renew_lease(now, machine)));
         }
         for machine in due {
             let Some(ticket) = self.held_heartbeats.tickets.remove(&machine) else { continue };
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -411,7 +411,7 @@
             (key, version)
         }));
         let mut transaction =
-            Transaction { conditions, puts: vec![(EPOCH_KEY.into(), value, None)], drops: Vec::new() };
+            Transaction { conditions, puts: vec![(EPOCH_KEY.into(), value, None)], deletes: Vec::new() };
         if reading.out_of_ring {
             transaction.puts.push(self.own_key(reading.lease, true));
         }
@@ -474,13 +474,13 @@
         self.reset_loans();
         self.proxy_acceptances.next_notice_at.clear();
         self.quota.begin_epoch();
-        self.machine_registry.begin_epoch();
+        self.machine_registry.adopt_epoch();
         self.peer_traffic.forget_revisions();
         self.release_held_heartbeats(now, out);
         self.record_loading.restart(now);
         for caller in self.user_requests.take_waiting() {
             // The job may have a different leader now.
-            self.reply(now, caller, Reply::later("the ring has changed"), out);
+            self.reply(now, caller, Reply::retry_later("the ring has changed"), out);
         }
     }
 }
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -65,7 +65,7 @@
         out: &mut Vec<Effect>,
     ) {
         if self.coordination.operator_requests.len() >= MAX_PENDING_REQUESTS {
-            return out.push(Effect::Reply { ticket, reply: Reply::later("overloaded") });
+            return out.push(Effect::Reply { ticket, reply: Reply::retry_later("overloaded") });
         }
         self.coordination.operator_requests.push(OperatorRequest {
             ticket,
@@ -79,9 +79,9 @@
     pub(super) fn continue_operator_requests(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for request in std::mem::take(&mut self.coordination.operator_requests) {
             let reply = if !self.membership.is_leader(now) {
-                Some(Reply::later("not able to act"))
+                Some(Reply::retry_later("not able to act"))
             } else if now.since(request.received_at) >= REQUEST_TIMEOUT {
-                Some(Reply::later("the records could not be read or changed in time"))
+                Some(Reply::retry_later("the records could not be read or changed in time"))
             } else {
                 match request.command {
                     OperatorCommand::ListBatches
@@ -102,9 +102,9 @@
     /// Explains why a job led by this controller waits.
     pub(super) fn explain_wait(&self, id: &str) -> Option<Reply> {
         let job = self.job_shard.jobs.get(id)?;
-        let prerequisites: Vec<&str> = job.unfinished_prerequisites().collect();
+        let prerequisites: Vec<&str> = job.unfinished_dependencies().collect();
         let state = self.job_shard.user_status(id).map_or(users::PENDING, |status| status.0);
-        let reason = job.hold().map(|hold| hold.why());
-        Some(Reply::json(200, &users::waiting(id, state, &prerequisites, reason)))
+        let reason = job.hold().map(|hold| hold.reason());
+        Some(Reply::json(200, &users::waiting_body(id, state, &prerequisites, reason)))
     }
 }
--- a/src/controller/peer_traffic.rs
+++ b/src/controller/peer_traffic.rs
@@ -6,7 +6,7 @@
 
 use super::membership::EpochRead;
 use super::*;
-use hazelsaddle_failover::start_replica::ReplicationDelta;
+use hazelsaddle_failover::start_replication::ReplicationDelta;
 
 /// A clock reading of one process.
 #[derive(Clone, Copy, Debug, Default)]
@@ -217,9 +217,12 @@
             Message::Reserve(list) if !sender.is_from_self => {
                 self.job_shard.apply_peer_reservations(now, from, list)
             }
-            Message::ScalingPlan { drain, gone, kept, kept_machines }
-                if self.membership.autoscaler() == Some(from) =>
-            {
+            Message::ScalingPlan {
+                draining: drain,
+                removed: gone,
+                reserved_classes: kept,
+                reserved_machines: kept_machines,
+            } if self.membership.autoscaler() == Some(from) => {
                 self.job_shard.apply_autoscaler_reservations(kept, kept_machines);
                 self.machine_shard.apply_scaling_plan(&drain.into_iter().collect(), &gone);
             }
@@ -227,7 +230,7 @@
             Message::Lending(lending) if !sender.is_from_self => {
                 self.job_shard.apply_peer_lending(now, from, lending)
             }
-            Message::InheritedPriorities(list) => self.job_shard.apply_needed_priorities(from, list),
+            Message::InheritedPriorities(list) => self.job_shard.apply_inherited_priorities(from, list),
             Message::Handoff { number, batch } => {
                 self.apply_handoff_batch(now, from, sender.boot, number, batch)
             }
@@ -239,7 +242,7 @@
                     out,
                 );
             }
-            Message::StartsReplicated(revision) => self.apply_replicated(now, from, revision),
+            Message::ReplicationAck(revision) => self.apply_replicated(now, from, revision),
             _ => {}
         }
     }
@@ -255,7 +258,7 @@
         let autoscaler = &self.autoscaler;
         let capacity_of = |kind: &str| autoscaler.resources_of(kind);
         if self.machine_shard.apply_desired_state(now, from, desired, &self.membership, capacity_of) {
-            self.machine_shard.note_owner_message(from, sender.echo, sender.revision_seen);
+            self.machine_shard.record_job_leader_message(from, sender.echo, sender.revision_seen);
         }
         let is_ack_owed = self.job_shard.apply_machine_status(now, &self.membership, from, delta);
         self.peer_traffic.links[from].is_ack_owed |= is_ack_owed;
@@ -287,7 +290,7 @@
         if let Some(revision) = self.start_replica.receive(from, sender.boot, changes)
             && self.can_read_format(from, handoff::HANDOFF_FORMAT_VERSION)
         {
-            self.send(now, from, Message::StartsReplicated(revision), out);
+            self.send(now, from, Message::ReplicationAck(revision), out);
         }
     }
 
@@ -386,10 +389,10 @@
 
     fn build_scaling_plan(&self) -> Message {
         Message::ScalingPlan {
-            drain: self.autoscaler.draining(),
-            gone: self.autoscaler.removed(),
-            kept: self.autoscaler.reserved_classes(),
-            kept_machines: self.autoscaler.reserved_machines(),
+            draining: self.autoscaler.draining(),
+            removed: self.autoscaler.removed(),
+            reserved_classes: self.autoscaler.reserved_classes(),
+            reserved_machines: self.autoscaler.reserved_machines(),
         }
     }
 }
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -8,12 +8,12 @@
 use hazelsaddle_coordination::census::CensusJobState;
 use hazelsaddle_coordination::record::{CoordinationRecord, Key, Phase};
 use hazelsaddle_coordination::record_cache::CachedRecord;
-use hazelsaddle_release::calendar::nearest;
+use hazelsaddle_release::calendar::find_nearest;
 use hazelsaddle_release::join::{self, ReleaseJoin};
 use hazelsaddle_release::priority_inheritance;
 use hazelsaddle_release::readiness::{MemberState, Readiness, assess};
+use hazelsaddle_release::release_record::{self, ChangeError, Member, Release};
 use hazelsaddle_release::release_ref::{self, ReleaseRef};
-use hazelsaddle_release::set::{self, ChangeError, Member, Release};
 use hazelsaddle_release::status::ReleaseStatus;
 
 /// Time between two counts of open releases, which close those that have all declared renders.
@@ -126,7 +126,7 @@
             }
             // From now on the job's description, also as stored, names its night.
             if let Some(submission) = self.user_requests.submissions.get_mut(id) {
-                submission.description["release"] = named.value();
+                submission.description["release"] = named.to_value();
                 submission.spec.release = Some(named.clone());
             }
         }
@@ -191,7 +191,7 @@
             .filter(|(_, _, hold)| matches!(hold, Hold::Release(_)))
             .filter_map(|(id, job, _)| {
                 let key = job.spec.release.as_ref()?.key()?;
-                Some((id.clone(), key, job.spec.priority % crate::spec::GUARANTEED))
+                Some((id.clone(), key, job.spec.priority % crate::spec::GUARANTEED_PRIORITY_BONUS))
             })
             .collect();
         let mut priorities: BTreeMap<String, u8> = BTreeMap::new();
@@ -222,7 +222,9 @@
             let records = &self.coordination.records;
             let due = *dues.entry(key).or_insert_with_key(|key| match records.get(key) {
                 CachedRecord::Present(record) => {
-                    priority_inheritance::of_set(&Release::read(record).ok()?, [])?.due.map(Micros)
+                    priority_inheritance::inherited_by_members(&Release::read(record).ok()?, [])?
+                        .due_us
+                        .map(Micros)
                 }
                 _ => None,
             });
@@ -257,18 +259,18 @@
                         .is_some_and(|found| found.state != CensusJobState::Cancelled)
                 };
                 let members: Vec<Member> = known.map(rebuilds_and_renders).unwrap_or_default();
-                let Some(closed_by) = release.due_to_close(
+                let Some(closed_by) = release.close_reason(
                     members.iter().filter(|member| is_not_cancelled(member)),
                     self.rounds.wall.0,
                 ) else {
                     return;
                 };
-                let Ok(next) = set::begin_closing(record, closed_by) else { return };
+                let Ok(next) = release_record::begin_closing(record, closed_by) else { return };
                 if self.change_record(now, key, next, Vec::new(), None, out) {
                     tracing::info!(
                         title = %release.title,
                         night = %release.night,
-                        closed_by = closed_by.word(),
+                        closed_by = closed_by.description(),
                         "release closing"
                     );
                 }
@@ -277,7 +279,7 @@
                 // Members could still join during a census that began earlier.
                 let since = *self.releases.closed_at.entry((key.clone(), record.version)).or_insert(now);
                 let Some(found) = self.census_since(key, since).cloned() else { return };
-                match set::finish_closing(key, record, &found, self.settings.value_bytes) {
+                match release_record::finish_closing(key, record, &found, self.settings.value_bytes) {
                     Ok((pages, next)) => {
                         if self.change_record(now, key, next, pages, None, out) {
                             tracing::info!(
@@ -289,7 +291,7 @@
                         }
                     }
                     Err(error) => {
-                        tracing::error!(record = %key.head(), reason = %error, "a release can't be closed")
+                        tracing::error!(record = %key.head_key(), reason = %error, "a release can't be closed")
                     }
                 }
             }
@@ -303,14 +305,14 @@
         let members = self.known_release_members(now, key, &cached, out);
         match assess(&cached, members.members.as_deref(), |member| members.state_of(member)) {
             // Only the stored state lets a task start, since the next leader must reach the same decision.
-            Readiness::Open => {
-                tracing::info!(job = id, record = %key.head(), "rotation released");
-                self.job_shard.note_time(self.rounds.wall);
+            Readiness::MayStart => {
+                tracing::info!(job = id, record = %key.head_key(), "rotation released");
+                self.job_shard.advance_wall_clock(self.rounds.wall);
                 self.job_shard.lift_hold(id);
             }
             Readiness::Ready(next) => {
                 if self.change_record(now, key, next, Vec::new(), None, out) {
-                    tracing::info!(job = id, record = %key.head(), "release complete");
+                    tracing::info!(job = id, record = %key.head_key(), "release complete");
                 }
             }
             Readiness::Held { why: causes } => {
@@ -387,10 +389,10 @@
         }
         let missing: Vec<usize> = (0..pages.len()).filter(|page| pages[*page].is_none()).collect();
         if missing.is_empty() {
-            return match set::members_on_pages(pages.iter().flatten()) {
+            return match release_record::read_member_pages(pages.iter().flatten()) {
                 Ok(members) => Some(members),
                 Err(error) => {
-                    tracing::error!(record = %key.head(), reason = %error, "unreadable page of a release's members");
+                    tracing::error!(record = %key.head_key(), reason = %error, "unreadable page of a release's members");
                     None
                 }
             };
@@ -406,7 +408,7 @@
                 break;
             }
             self.releases.page_retry_at.insert(page_key, now + Micros::from_millis(4000));
-            let read = StoreRequest::Get(key.page(record.version, page));
+            let read = StoreRequest::Get(key.page_key(record.version, page));
             let pending = PendingRecordRequest::Members { key: key.clone(), version: record.version, page };
             self.send_store_request(PendingStoreRequest::Coordination(pending), read, out);
         }
@@ -431,7 +433,7 @@
             }
         } else {
             if answer == StoreAnswer::Got(None) {
-                tracing::error!(page = %key.page(version, page), "missing page of a release's members");
+                tracing::error!(page = %key.page_key(version, page), "missing page of a release's members");
             }
             self.releases.page_retry_at.insert(page_key, now + RETRY_DELAY);
         }
@@ -450,7 +452,7 @@
             return Some(Reply::error(404, "releases are not switched on: no calendar is set here"));
         }
         if !self.can_accept_coordination() {
-            return Some(Reply::later("not every controller knows of releases yet"));
+            return Some(Reply::retry_later("not every controller knows of releases yet"));
         }
         let selector = match &request.command {
             OperatorCommand::ShowRelease(release)
@@ -464,12 +466,12 @@
             Err(answer) => return answer,
         };
         let change = match &request.command {
-            OperatorCommand::CloseRelease(_) => set::close(&selected.record),
-            OperatorCommand::ReopenRelease(_) => set::reopen(&selected.record),
+            OperatorCommand::CloseRelease(_) => release_record::close(&selected.record),
+            OperatorCommand::ReopenRelease(_) => release_record::reopen(&selected.record),
             OperatorCommand::Waive { job, reason, .. } => {
                 let members =
                     self.members_since_request(now, request, &selected.key, &selected.record, out)?;
-                set::waive(&selected.record, &members.members.unwrap_or_default(), job, reason)
+                release_record::waive(&selected.record, &members.members.unwrap_or_default(), job, reason)
             }
             _ => return self.show_release(now, request, &selected, out),
         };
@@ -524,7 +526,7 @@
         let cached = CachedRecord::Present(selected.record.clone());
         let name = (selected.title.as_str(), selected.night.as_str());
         let wall = self.rounds.wall.0;
-        let shown = ReleaseStatus::of(
+        let shown = ReleaseStatus::from_record(
             name,
             &cached,
             members.members.as_deref(),
@@ -551,10 +553,10 @@
     ) -> Option<Reply> {
         let next = match change {
             Ok(next) => next,
-            Err(error @ (ChangeError::Reason | ChangeError::NoMember { .. })) => {
+            Err(error @ (ChangeError::InvalidReason | ChangeError::NoSuchMember { .. })) => {
                 return Some(Reply::error(422, &error.to_string()));
             }
-            Err(error @ ChangeError::Counting) => return Some(Reply::later(&error.to_string())),
+            Err(error @ ChangeError::CountInProgress) => return Some(Reply::retry_later(&error.to_string())),
             Err(error) => return Some(Reply::error(409, &error.to_string())),
         };
         let SelectedRelease { title, night, key, .. } = selected;
@@ -590,7 +592,7 @@
 
     fn no_such_title(&self, title: &str) -> Reply {
         let titles = self.coordination.latest_nights.keys().map(String::as_str);
-        let suggestion = nearest(title, titles)
+        let suggestion = find_nearest(title, titles)
             .map(|nearest_title| format!("; the nearest is {nearest_title}"))
             .unwrap_or_default();
         Reply::error(404, &format!("no release of {title} is on record{suggestion}"))
--- a/src/controller/start_replica.rs
+++ b/src/controller/start_replica.rs
@@ -12,7 +12,7 @@
 use crate::job_shard::JobShard;
 use crate::membership::{Membership, Ring};
 use crate::peer::{ReplicatedItem, ReplicatedStarts, TaskKey};
-use hazelsaddle_failover::start_replica::{ReplicationDelta, ReplicationReceiver, ReplicationSender};
+use hazelsaddle_failover::start_replication::{ReplicationDelta, ReplicationReceiver, ReplicationSender};
 
 /// Key prefix of the exemptions: under a controller's name, the latest epoch in which it started tasks
 /// without replication.
@@ -256,8 +256,13 @@
 
     /// Records a replica's report about a departed controller.
     pub(super) fn record_report(&mut self, from: usize, starts: ReplicatedStarts) {
-        if starts.epoch + 1 == self.epoch_processes.0 && starts.members.contains(&(from as u32)) {
-            self.departed.entry(starts.of as usize).or_default().reports.entry(from).or_insert(starts);
+        if starts.last_epoch + 1 == self.epoch_processes.0 && starts.members.contains(&(from as u32)) {
+            self.departed
+                .entry(starts.former_member as usize)
+                .or_default()
+                .reports
+                .entry(from)
+                .or_insert(starts);
         }
     }
 
@@ -269,11 +274,12 @@
             let mut others =
                 members.iter().map(|member| *member as usize).filter(|member| *member != departed).peekable();
             others.peek().is_some()
-                && others
-                    .all(|member| reports.get(&member).is_some_and(|report| report.since <= latest_adopted))
+                && others.all(|member| {
+                    reports.get(&member).is_some_and(|report| report.adopted_since <= latest_adopted)
+                })
         };
         let first = reports.values().next()?;
-        if !all_reported(&first.members, first.epoch)
+        if !all_reported(&first.members, first.last_epoch)
             || reports.values().any(|report| report.members != first.members)
         {
             return None;
@@ -282,20 +288,24 @@
         // then included all its earlier starts. If no replica received anything in the following epoch,
         // nothing was replicated in it and so nothing was started, as replication was required. Older epochs
         // don't count, since the jobs may have had other leaders in between.
-        let latest = reports.values().max_by_key(|report| report.heard_in)?;
+        let latest = reports.values().max_by_key(|report| report.last_contact_epoch)?;
         let accepted_jobs: Vec<String> =
-            reports.values().flat_map(|report| report.fresh.iter().cloned()).collect();
-        let has_contact = latest.heard_in > 0
-            && latest.heard_in + 1 >= first.epoch
-            && all_reported(&latest.heard_with, latest.heard_in);
-        let mut combined =
-            CombinedStarts { epoch: first.epoch, rings: vec![first.members.clone()], items: BTreeSet::new() };
+            reports.values().flat_map(|report| report.accepted_jobs.iter().cloned()).collect();
+        let has_contact = latest.last_contact_epoch > 0
+            && latest.last_contact_epoch + 1 >= first.last_epoch
+            && all_reported(&latest.last_contact_members, latest.last_contact_epoch);
+        let mut combined = CombinedStarts {
+            epoch: first.last_epoch,
+            rings: vec![first.members.clone()],
+            items: BTreeSet::new(),
+        };
         if has_contact {
-            let reports_of_epoch = reports.values().filter(|report| report.heard_in == latest.heard_in);
+            let reports_of_epoch =
+                reports.values().filter(|report| report.last_contact_epoch == latest.last_contact_epoch);
             combined.items = reports_of_epoch.flat_map(|report| report.items.iter().cloned()).collect();
-            combined.epoch = latest.heard_in;
-            combined.rings.push(latest.heard_with.clone());
-        } else if latest.heard_in == first.epoch {
+            combined.epoch = latest.last_contact_epoch;
+            combined.rings.push(latest.last_contact_members.clone());
+        } else if latest.last_contact_epoch == first.last_epoch {
             return None;
         }
         combined.items.extend(accepted_jobs.into_iter().map(ReplicatedItem::Job));
@@ -319,7 +329,7 @@
         }
         let members = self.start_replica.epoch_processes.1.clone();
         for (to, _) in members.iter().filter(|process| !ended.members.contains(process)) {
-            let gone = self.machine_shard.returned_machines_of(*to, &self.membership);
+            let gone = self.machine_shard.returned_machines_led_by(*to, &self.membership);
             self.handoff.pack_gone(now, *to, gone);
         }
         for (departed, boot) in ended.members.iter().filter(|process| !members.contains(process)) {
@@ -340,19 +350,19 @@
         for to in self.membership.members.clone() {
             let is_led_by_receiver = |job: &str| self.membership.job_leader(job) == Some(to);
             let starts = ReplicatedStarts {
-                of: departed as u32,
-                epoch: ended.epoch,
+                former_member: departed as u32,
+                last_epoch: ended.epoch,
                 members: ended.members.iter().map(|(number, _)| *number as u32).collect(),
-                heard_in: held.epoch,
-                heard_with: held.members.clone(),
-                since: ended.unbroken_since,
+                last_contact_epoch: held.epoch,
+                last_contact_members: held.members.clone(),
+                adopted_since: ended.unbroken_since,
                 items: held
                     .receiver
                     .items()
                     .filter(|item| is_led_by_receiver(job_of(item)))
                     .cloned()
                     .collect(),
-                fresh: accepted_jobs.iter().filter(|job| is_led_by_receiver(job)).cloned().collect(),
+                accepted_jobs: accepted_jobs.iter().filter(|job| is_led_by_receiver(job)).cloned().collect(),
             };
             if to == self.settings.me {
                 self.start_replica.record_report(to, starts);
@@ -429,7 +439,9 @@
         if let (false, [first]) = (is_silent, &selected[..])
             && !replica.outgoing.awaits_acknowledgement(*first)
         {
-            (0..controllers).filter(|peer| peer != first).for_each(|peer| replica.outgoing.forget(peer));
+            (0..controllers)
+                .filter(|peer| peer != first)
+                .for_each(|peer| replica.outgoing.reset_replica(peer));
         }
         selected.into_iter().filter(|&peer| now.since(replica.last_sent[peer]) >= BATCHING_DELAY).collect()
     }
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -9,11 +9,11 @@
         let membership = &self.membership;
         let (jobs, tasks_placed, tasks_left) = self.job_shard.task_counts();
         let (quarantined_jobs, quarantined_machines) = self.job_shard.quarantined(now);
-        let (known_machines, machines) = self.machine_shard.counts();
+        let (known_machines, machines) = self.machine_shard.count_known_and_total();
         let waiting = self.job_shard.waiting_jobs();
         let to_row = |job: &&crate::job_shard::Job| {
-            let dependencies: Vec<&str> = job.unfinished_prerequisites().take(MAX_STATUS_ROWS).collect();
-            json!({"job": job.spec.id, "waits_for": dependencies, "for_s": self.rounds.wall.since(job.accepted_wall).secs()})
+            let dependencies: Vec<&str> = job.unfinished_dependencies().take(MAX_STATUS_ROWS).collect();
+            json!({"job": job.spec.id, "waits_for": dependencies, "for_s": self.rounds.wall.since(job.accepted_wall).as_secs()})
         };
         let oldest: Vec<Value> = waiting.iter().take(MAX_STATUS_ROWS).map(to_row).collect();
         let teams: BTreeMap<&str, Value> = self
--- a/src/controller/user_requests/submissions.rs
+++ b/src/controller/user_requests/submissions.rs
@@ -63,7 +63,7 @@
 
     /// The record to store.
     pub(in crate::controller) fn record(&self) -> Value {
-        JobShard::new_record(&self.description, &self.spec, self.accepted_wall)
+        JobShard::build_new_record(&self.description, &self.spec, self.accepted_wall)
     }
 }
 
@@ -85,7 +85,7 @@
             return true;
         }
         if !self.membership.is_leader(now)
-            || self.autoscaler.types.is_empty()
+            || self.autoscaler.machine_types.is_empty()
             || self.state_store.write_limiter.level(now) < MIN_BUDGET_FOR_PROXY_ACCEPTANCE
         {
             return false;
@@ -120,8 +120,8 @@
         let raw: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         // An invalid submission may repeat an accepted one, so the record is read before it is rejected.
         let Ok(spec) = JobSpec::from_value(&raw) else { return SubmissionDecision::NeedsRecord };
-        if self.autoscaler.types.is_empty() {
-            return SubmissionDecision::Rejected(Reply::later("machine types are not known yet"));
+        if self.autoscaler.machine_types.is_empty() {
+            return SubmissionDecision::Rejected(Reply::retry_later("machine types are not known yet"));
         }
         let description = stored_description(&raw, &spec);
         if self.upgrade_rejection(&spec).is_some()
@@ -139,18 +139,18 @@
     /// user only after the job's record has been looked up: a repeated submission may have a different body
     /// than the one that was accepted.
     pub(super) fn permanent_rejection_reason(&self, description: &Value, spec: &JobSpec) -> Option<String> {
-        if let Err(error) = spec.check(&self.autoscaler.types, &self.settings.teams) {
+        if let Err(error) = spec.check(&self.autoscaler.machine_types, &self.settings.teams) {
             return Some(error.to_string());
         }
         let limit = self.settings.value_bytes;
         let lacks_night = spec.release.as_ref().is_some_and(|release| release.night.is_none());
         let night = if lacks_night { NIGHT_BYTES } else { 0 };
-        if JobShard::longest(description, spec, self.rounds.wall) + night > limit {
+        if JobShard::max_record_bytes(description, spec, self.rounds.wall) + night > limit {
             return Some(format!(
                 "the description is too long to be kept: its record may have {limit} bytes"
             ));
         }
-        if spec.follows.len() > MAX_DEPENDENCIES {
+        if spec.dependencies.len() > MAX_DEPENDENCIES {
             let most = MAX_DEPENDENCIES;
             return Some(format!("follows: a job may name {most} others at most"));
         }
@@ -166,7 +166,7 @@
         out: &mut Vec<Effect>,
     ) -> Option<Reply> {
         if self.user_requests.submissions.len() >= MAX_WAITING_REQUESTS {
-            return Some(Reply::later("overloaded"));
+            return Some(Reply::retry_later("overloaded"));
         }
         let unchecked_dependencies = match self.begin_dependency_check(now, &job.id, &job.spec, out) {
             Ok(unchecked) => unchecked,
@@ -196,18 +196,20 @@
             return;
         }
         if !self.membership.is_leader(now) {
-            return self.fail_submission(now, &id, &Reply::later("not able to act"), out);
+            return self.fail_submission(now, &id, &Reply::retry_later("not able to act"), out);
         }
         let joins = match self.decide_submission_join(now, &id, out) {
             JoinDecision::Allow(joins) => joins,
             JoinDecision::Pending => return,
-            JoinDecision::Defer(why) => return self.fail_submission(now, &id, &Reply::later(&why), out),
+            JoinDecision::Defer(why) => {
+                return self.fail_submission(now, &id, &Reply::retry_later(&why), out);
+            }
             JoinDecision::Reject(why) => return self.reject_submission(id, why, out),
         };
         let submission = self.user_requests.submissions.get(&id);
         let writes_two = submission.is_some_and(|submission| submission.coordinated_write.is_some());
         if !self.state_store.write_limiter.take(now, if writes_two { 2.0 } else { 1.0 }, 0.0) {
-            return self.fail_submission(now, &id, &Reply::later("overloaded"), out);
+            return self.fail_submission(now, &id, &Reply::retry_later("overloaded"), out);
         }
         let mut conditions = self.conditions_for_new_job(&id);
         conditions.extend(joins);
@@ -215,8 +217,8 @@
         submission.mark_sent();
         let mut puts = vec![(format!("job/{id}"), submission.record(), None)];
         let joint_writes = submission.coordinated_write.iter();
-        puts.extend(joint_writes.map(|write| (write.key.head(), write.record.value(), None)));
-        let transaction = Transaction { conditions, puts, drops: Vec::new() };
+        puts.extend(joint_writes.map(|write| (write.key.head_key(), write.record.to_value(), None)));
+        let transaction = Transaction { conditions, puts, deletes: Vec::new() };
         let pending = PendingStoreRequest::AcceptJob { job: id, epoch: self.membership.epoch };
         self.send_store_request(pending, StoreRequest::Transaction(transaction), out);
     }
@@ -283,7 +285,7 @@
             }
             _ => {
                 let callers = submission.callers.into_iter().chain(submission.late_callers);
-                let reply = Reply::later("the job could not be put on record");
+                let reply = Reply::retry_later("the job could not be put on record");
                 self.reply_to_all(now, callers, &reply, out);
             }
         }
@@ -299,7 +301,7 @@
         out: &mut Vec<Effect>,
     ) {
         let Submission { callers, late_callers, spec, description, accepted_wall, .. } = submission;
-        tracing::info!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, epoch, "job accepted");
+        tracing::info!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.task_count, epoch, "job accepted");
         self.note_raised_batch(id, submission.coordinated_write, store_version);
         // If the write was made in an earlier epoch, the job may have had another leader since and have
         // ended. The records that are loaded in this epoch show whether it is live.
@@ -311,7 +313,7 @@
                 self.start_replica.note_proxy_acceptance(id, &self.proxy_acceptances.next_notice_at);
             }
         } else if is_current {
-            let none_done = Ranges::default();
+            let none_done = TaskIndexSet::default();
             self.job_shard.insert_job(
                 description.clone(),
                 spec,
@@ -324,7 +326,7 @@
         // The job's outcome may be known already, since the record can be read before the response to its
         // write arrives.
         let state_if_ended = self.job_shard.outcome_of(id).and_then(|_| self.job_state(id));
-        let reply = state_if_ended.unwrap_or_else(|| Reply::json(201, &users::accepted(id)));
+        let reply = state_if_ended.unwrap_or_else(|| Reply::json(201, &users::accepted_body(id)));
         self.reply_to_all(now, callers, &reply, out);
         self.answer_repeated_submissions(now, id, &description, late_callers, out);
     }
@@ -350,7 +352,7 @@
         }
         for caller in callers {
             if !self.read_record_for_poll(now, caller, id, out) {
-                self.reply(now, caller, Reply::later("the job could not be put on record"), out);
+                self.reply(now, caller, Reply::retry_later("the job could not be put on record"), out);
             }
         }
     }
@@ -367,7 +369,7 @@
         self.reply_to_all(now, submission.callers, reply, out);
         // The late callers' requests arrived after the conditions were compared: another controller may have
         // accepted the job since.
-        let reply = Reply::later("the job could not be put on record");
+        let reply = Reply::retry_later("the job could not be put on record");
         self.reply_to_all(now, submission.late_callers, &reply, out);
     }
 }
--- a/src/controller/user_requests/tests.rs
+++ b/src/controller/user_requests/tests.rs
@@ -39,7 +39,7 @@
         "restS": 0,
         "unsaddleS": 0,
     });
-    assert_eq!(poll(Some(JobShard::record(&raw, Micros(1), ""))), (200, true));
+    assert_eq!(poll(Some(JobShard::build_record(&raw, Micros(1), ""))), (200, true));
     assert_eq!(poll(None).0, 503, "its outcome may be stored");
     assert_eq!(poll(Some(json!({"end": "done", "done": 2}))).0, 503);
 }
@@ -64,7 +64,7 @@
         "paddocks": ["z"],
     });
     let types = [serde_json::from_value(kind).expect("a machine type")];
-    controller.autoscaler.types = types
+    controller.autoscaler.machine_types = types
         .into_iter()
         .map(|machine_type: crate::spec::MachineType| (machine_type.name.clone(), machine_type))
         .collect();
@@ -110,7 +110,7 @@
 }
 
 fn live(id: &str, store_version: u64) -> StoreAnswer {
-    let value = JobShard::record(&body(id), Micros(1), "");
+    let value = JobShard::build_record(&body(id), Micros(1), "");
     StoreAnswer::Got(Some(KeyValue { key: format!("job/{id}"), value, store_version }))
 }
 
@@ -212,7 +212,7 @@
     );
     // The epoch is unchanged, so no other controller can have started the job.
     controller.job_shard.confirm_epoch(NOW + Micros(1));
-    assert!(Effects::of_request(&mut controller, 3, UserRequest::Withdraw(id.clone())).answers.is_empty());
+    assert!(Effects::of_request(&mut controller, 3, UserRequest::Cancel(id.clone())).answers.is_empty());
     let (_, end, store_version) = controller.job_shard.next_write(NOW, true).expect("its outcome is due");
     let mut out = Vec::new();
     controller.write_job(id.clone(), end, store_version, &mut out);
