--- a/crates/freshness/src/batch.rs
+++ b/crates/freshness/src/batch.rs
@@ -1,17 +1,17 @@
 //! The record of a batch: its version and the permits to write its tables.
 //!
-//! Every change is a value to be written on condition that the record is still the one that was read.
+//! Each change returns a new record, which the caller must write by compare-and-swap against the record that was read.
 
 use hazelsaddle_coordination::record::{CoordinationRecord, TransitionError, Unreadable};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// Most entries of [`Batch::after`] kept of permits that have ended; the oldest are dropped first.
+/// Most entries of [`Batch::after`] that are kept for permits that have ended; the oldest are dropped first.
 const ENDED_WRITE_LIMIT: usize = 32;
-/// Longest entry of [`Batch::after`] in a record, in bytes: two numbers of 64 bits and what separates them.
-const AFTER_ENTRY_BYTES: usize = 44;
+/// Longest entry of [`Batch::after`] in a record, in bytes: two 64-bit numbers and their separators.
+const OUTDATED_WRITE_BYTES: usize = 44;
 
-/// Who writes: one attempt of a task. A gang writes as one: its permit holds for all its tasks.
+/// The writer that requests or holds a permit: one attempt of a task, or of a whole gang, whose permit is for all its tasks.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Writer {
     /// The merge job.
@@ -22,65 +22,68 @@
     pub task: Option<u32>,
 }
 
-/// A permit to write tables of a batch.
+/// A permit to write the tables of a batch.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Permit {
     /// The merge job.
     pub job: String,
     /// The attempt.
     pub attempt: u64,
-    /// The task's index; missing for a gang.
+    /// The task's index; None for a gang.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub task: Option<u32>,
-    /// A fencing token: rises with each permit of the batch, so that the tables' keeper can refuse an older writer.
+    /// The fencing token. It rises with each permit of the batch, so that the storage of the tables can reject writers with
+    /// an older one.
     pub fence: u64,
-    /// The version of the batch when it was given.
+    /// The version of the batch when the permit was granted.
     pub version: u64,
 }
 
 impl Permit {
-    /// Whether it was given to this task, in whatever attempt.
+    /// Whether it was granted to this writer's task, in any attempt.
     fn is_of_task(&self, writer: &Writer) -> bool {
         self.job == writer.job && self.task == writer.task
     }
 }
 
-/// What is on record of a batch.
+/// The record of a batch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Batch {
-    /// Its version. It only rises.
+    /// The version. It only rises.
     pub version: u64,
-    /// The fence of the newest permit. It only rises, also when permits end.
+    /// The fencing token of the newest permit. It only rises, also when permits end.
     pub fence: u64,
     /// Permits that are held.
     pub permits: Vec<Permit>,
-    /// `(V, F)`: V is the first version recorded while the permit with fence F was held, so the write under F came before V.
+    /// Writes that were under way when a newer version was recorded, as pairs `(version, fence)`: `version` is the first one
+    /// recorded while the permit with fencing token `fence` was held, so that write precedes it.
     pub outdated_writes: Vec<(u64, u64)>,
 }
 
-/// What putting a version on record changes.
+/// The result of recording a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VersionChange {
-    /// The batch is at this version already; nothing is to be written.
+    /// The batch already has this version; nothing has to be written.
     Unchanged,
-    /// This is to be written, on condition that the record is unchanged.
+    /// The new record, to be written by compare-and-swap.
     Raised(Batch),
 }
 
-/// What a request for a permit changes, if the inputs are fresh.
+/// The result of a permit request whose inputs are fresh.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PermitGrant {
-    /// This attempt holds one; nothing is to be written. It stays valid when a newer version is recorded: that came after
-    /// this write.
+    /// This attempt already holds a permit; nothing has to be written. The permit stays valid when a newer version is
+    /// recorded: the write precedes that version.
     AlreadyHeld(Permit),
-    /// This batch is to be written, on condition that the record is unchanged; only then is the permit given.
+    /// The new record, to be written by compare-and-swap, and the permit, which is granted only once that has succeeded.
     New(Batch, Permit),
-    /// A newer attempt of the task holds one.
+    /// A newer attempt of the task holds a permit.
     Superseded,
-    /// No more permits fit into the record: ask again.
+    /// No further permit fits into the record; the writer has to retry.
     RecordFull,
 }
 
+/// The body of the record as it is stored.
 #[derive(Deserialize)]
 struct Body {
     fence: u64,
@@ -89,16 +92,16 @@
 }
 
 impl Batch {
-    /// A batch that was never on record.
+    /// A batch that has no record yet.
     #[must_use]
     pub fn new(version: u64) -> Batch {
         Batch { version, ..Batch::default() }
     }
 
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// # Errors
-    /// If its body is damaged.
+    /// If its body is malformed.
     pub fn read(record: &CoordinationRecord) -> Result<Batch, Unreadable> {
         let body: Body =
             serde_json::from_value(record.body.clone()).map_err(|_| Unreadable::Damaged("body"))?;
@@ -110,18 +113,18 @@
         })
     }
 
-    /// The record to be written.
+    /// Encodes the record.
     #[must_use]
-    pub fn record(&self) -> CoordinationRecord {
+    pub fn to_record(&self) -> CoordinationRecord {
         let body: Value =
             json!({"fence": self.fence, "permits": self.permits, "after": self.outdated_writes});
         CoordinationRecord::open(self.version, body)
     }
 
-    /// Puts a version on record that an operator or a submitted run names.
+    /// Records a version that an operator or a submitted run names.
     ///
     /// # Errors
-    /// If a higher one is on record.
+    /// If a higher version is recorded.
     pub fn put_version(&self, version: u64) -> Result<VersionChange, TransitionError> {
         if version < self.version {
             return Err(TransitionError::Version(self.version));
@@ -131,7 +134,7 @@
         }
         let mut next = Batch { version, ..self.clone() };
         for permit in &self.permits {
-            // The first newer version is enough: those after it came after the write as well.
+            // One entry per permit is enough: the write also precedes all later versions.
             if !self.outdated_writes.iter().any(|(_, fence)| *fence == permit.fence) {
                 next.outdated_writes.push((version, permit.fence));
             }
@@ -140,11 +143,11 @@
         Ok(VersionChange::Raised(next))
     }
 
-    /// Gives a permit to a writer whose inputs are fresh. `value_limit`: longest value of the state service, in bytes.
+    /// Grants a permit to a writer whose inputs are fresh. `value_limit`: longest value of the state service, in bytes.
     #[must_use]
     pub fn grant_permit(&self, writer: &Writer, value_limit: usize) -> PermitGrant {
-        let held = self.permits.iter().filter(|permit| permit.is_of_task(writer));
-        match held.max_by_key(|permit| permit.attempt) {
+        let held_by_task = self.permits.iter().filter(|permit| permit.is_of_task(writer));
+        match held_by_task.max_by_key(|permit| permit.attempt) {
             Some(permit) if permit.attempt == writer.attempt => {
                 return PermitGrant::AlreadyHeld(permit.clone());
             }
@@ -159,31 +162,32 @@
             version: self.version,
         };
         let mut next = Batch { fence: permit.fence, ..self.clone() };
-        // An older attempt of the task has ended, or a newer one could not ask.
+        // Any other permit of this task belongs to an older attempt, which has ended: otherwise this attempt would not run.
         next.permits.retain(|other| !other.is_of_task(writer));
         next.permits.push(permit.clone());
         next.drop_oldest_ended_writes();
-        if next.longest_record() > value_limit {
+        if next.max_record_bytes() > value_limit {
             next.outdated_writes.retain(|(_, fence)| next.permits.iter().any(|held| held.fence == *fence));
-            if next.longest_record() > value_limit {
+            if next.max_record_bytes() > value_limit {
                 return PermitGrant::RecordFull;
             }
         }
         PermitGrant::New(next, permit)
     }
 
-    /// How long the record gets if a newer version comes: that must always fit.
-    fn longest_record(&self) -> usize {
-        self.record().to_value().to_string().len() + self.permits.len() * AFTER_ENTRY_BYTES
+    /// Upper bound of the record's length after a newer version is recorded, in bytes. Recording a version must never fail
+    /// for lack of space.
+    fn max_record_bytes(&self) -> usize {
+        self.to_record().to_value().to_string().len() + self.permits.len() * OUTDATED_WRITE_BYTES
     }
 
     /// The permit that a writer holds.
     #[must_use]
-    pub fn permit_of(&self, writer: &Writer) -> Option<&Permit> {
+    pub fn find_permit(&self, writer: &Writer) -> Option<&Permit> {
         self.permits.iter().find(|permit| permit.is_of_task(writer) && permit.attempt == writer.attempt)
     }
 
-    /// Gives back the permits whose attempts have ended. None: none has.
+    /// Releases the permits whose attempts have ended. None if there are none.
     #[must_use]
     pub fn release_permits(&self, ended: impl Fn(&Permit) -> bool) -> Option<Batch> {
         let mut next = self.clone();
@@ -191,7 +195,7 @@
         (next.permits.len() < self.permits.len()).then_some(next)
     }
 
-    /// Drops the oldest entries of permits that have ended; those of permits that are held stay.
+    /// Drops the oldest entries of permits that have ended, down to [`ENDED_WRITE_LIMIT`]. Entries of held permits stay.
     fn drop_oldest_ended_writes(&mut self) {
         let permits = &self.permits;
         let is_held = |fence: u64| permits.iter().any(|permit| permit.fence == fence);
--- a/crates/freshness/src/batch/tests.rs
+++ b/crates/freshness/src/batch/tests.rs
@@ -6,64 +6,71 @@
 }
 
 #[test]
-fn a_version_only_rises_and_twice_is_fine() {
-    let b = Batch::new(7);
-    assert_eq!(b.put_version(6), Err(TransitionError::Version(7)));
-    assert_eq!(b.put_version(7), Ok(VersionChange::Unchanged));
-    let Ok(VersionChange::Raised(next)) = b.put_version(9) else { panic!("not raised") };
+fn version_only_rises_and_recording_it_again_changes_nothing() {
+    let batch = Batch::new(7);
+    assert_eq!(batch.put_version(6), Err(TransitionError::Version(7)));
+    assert_eq!(batch.put_version(7), Ok(VersionChange::Unchanged));
+    let Ok(VersionChange::Raised(next)) = batch.put_version(9) else { panic!("not raised") };
     assert_eq!(next.version, 9);
-    assert_eq!(Batch::read(&next.record()), Ok(next));
+    assert_eq!(Batch::read(&next.to_record()), Ok(next));
     assert!(Batch::read(&CoordinationRecord::open(1, json!({"fence": 1}))).is_err());
 }
 
 #[test]
-fn a_newer_version_is_marked_as_after_a_write_under_way() {
-    let PermitGrant::New(b, p) = Batch::new(7).grant_permit(&writer("m", 1), 2000) else {
+fn write_under_way_is_listed_as_preceding_a_newer_version() {
+    let PermitGrant::New(batch, permit) = Batch::new(7).grant_permit(&writer("m", 1), 2000) else {
         panic!("no permit")
     };
-    let Ok(VersionChange::Raised(b)) = b.put_version(8) else { panic!("not raised") };
-    let Ok(VersionChange::Raised(b)) = b.put_version(9) else { panic!("not raised") };
-    assert_eq!(b.outdated_writes, [(8, p.fence)], "the first says it all");
-    assert_eq!(b.grant_permit(&writer("m", 1), 2000), PermitGrant::AlreadyHeld(p), "a repeated question");
-    let b = b.release_permits(|p| p.attempt == 1).expect("one was held");
-    assert_eq!((b.permits.len(), b.fence, b.outdated_writes.len()), (0, 1, 1));
-    assert_eq!(b.release_permits(|_| true), None);
+    let Ok(VersionChange::Raised(batch)) = batch.put_version(8) else { panic!("not raised") };
+    let Ok(VersionChange::Raised(batch)) = batch.put_version(9) else { panic!("not raised") };
+    assert_eq!(batch.outdated_writes, [(8, permit.fence)], "one entry per permit");
+    assert_eq!(
+        batch.grant_permit(&writer("m", 1), 2000),
+        PermitGrant::AlreadyHeld(permit),
+        "a repeated request"
+    );
+    let batch = batch.release_permits(|permit| permit.attempt == 1).expect("one was held");
+    assert_eq!((batch.permits.len(), batch.fence, batch.outdated_writes.len()), (0, 1, 1));
+    assert_eq!(batch.release_permits(|_| true), None);
 }
 
 #[test]
-fn an_older_attempt_gets_none_and_a_newer_one_takes_its_place() {
-    let PermitGrant::New(b, _) = Batch::new(7).grant_permit(&writer("m", 2), 2000) else {
+fn older_attempt_gets_no_permit_and_newer_one_replaces_it() {
+    let PermitGrant::New(batch, _) = Batch::new(7).grant_permit(&writer("m", 2), 2000) else {
         panic!("no permit")
     };
-    assert_eq!(b.grant_permit(&writer("m", 1), 2000), PermitGrant::Superseded);
-    let PermitGrant::New(b, p) = b.grant_permit(&writer("m", 3), 2000) else { panic!("no permit") };
-    assert_eq!((b.permits.as_slice(), p.fence), ([p.clone()].as_slice(), 2));
+    assert_eq!(batch.grant_permit(&writer("m", 1), 2000), PermitGrant::Superseded);
+    let PermitGrant::New(batch, permit) = batch.grant_permit(&writer("m", 3), 2000) else {
+        panic!("no permit")
+    };
+    assert_eq!((batch.permits.as_slice(), permit.fence), ([permit.clone()].as_slice(), 2));
 }
 
 proptest! {
-    /// Whatever comes in whatever order: versions and fences rise, permits are of the version of their time, each
-    /// newer version is marked on each that is held, and the record fits.
+    /// In any sequence of operations: versions and fencing tokens only rise, a permit has the version at which it was
+    /// granted, a newer version lists each held permit as a preceding write, and the record stays within the value limit.
     #[test]
-    fn the_record_keeps_its_promises(ops in prop::collection::vec((0u8..3, 0u64..12, 0u64..4), 0..300)) {
-        const BYTES: usize = 2000;
-        let mut b = Batch::new(1);
+    fn record_invariants_hold_in_any_sequence(ops in prop::collection::vec((0u8..3, 0u64..12, 0u64..4), 0..300)) {
+        const VALUE_LIMIT: usize = 2000;
+        let mut batch = Batch::new(1);
         for (op, x, y) in ops {
-            let before = b.clone();
+            let before = batch.clone();
             match op {
-                0 => if let Ok(VersionChange::Raised(next)) = b.put_version(x + b.version.saturating_sub(4)) { b = next },
-                1 => if let PermitGrant::New(next, p) = b.grant_permit(&writer(&format!("wk-{x:06}"), y), BYTES) {
-                    prop_assert!(p.fence > b.fence && p.version == b.version);
-                    b = next;
+                0 => if let Ok(VersionChange::Raised(next)) = batch.put_version(x + batch.version.saturating_sub(4)) { batch = next },
+                1 => if let PermitGrant::New(next, permit) = batch.grant_permit(&writer(&format!("wk-{x:06}"), y), VALUE_LIMIT) {
+                    prop_assert!(permit.fence > batch.fence && permit.version == batch.version);
+                    batch = next;
                 },
-                _ => if let Some(next) = b.release_permits(|p| p.fence % 3 == y) { b = next },
+                _ => if let Some(next) = batch.release_permits(|permit| permit.fence % 3 == y) { batch = next },
             }
-            prop_assert!(b.version >= before.version && b.fence >= before.fence);
-            prop_assert!(b.record().to_value().to_string().len() <= BYTES);
-            for p in &b.permits {
-                let marked = b.outdated_writes.iter().any(|(v, f)| *f == p.fence && *v > p.version);
-                prop_assert_eq!(marked, b.version > p.version);
+            prop_assert!(batch.version >= before.version && batch.fence >= before.fence);
+            prop_assert!(batch.to_record().to_value().to_string().len() <= VALUE_LIMIT);
+            for permit in &batch.permits {
+                let is_outdated =
+                    batch.outdated_writes.iter().any(|(version, fence)| *fence == permit.fence && *version > permit.version);
+                prop_assert_eq!(is_outdated, batch.version > permit.version);
             }
-            prop_assert_eq!(Batch::read(&b.record()), Ok(b.clone()));
+            prop_assert_eq!(Batch::read(&batch.to_record()), Ok(batch.clone()));
         }
     }
 }
--- a/crates/freshness/src/guard.rs
+++ b/crates/freshness/src/guard.rs
@@ -1,6 +1,6 @@
-//! Decides what may start, who gets a permit, and which running merge must stop.
+//! Decides which merge may start, which writer gets a permit, and which running merge must stop.
 //!
-//! Nothing that is not known ever lets a merge start or write.
+//! A merge starts or writes only if everything that it depends on is known: an unread or unreadable record holds it.
 
 use crate::batch::{Batch, Permit, PermitGrant, Writer};
 use crate::settings::Settings;
@@ -8,42 +8,42 @@
 use hazelsaddle_coordination::record_cache::CachedRecord;
 use std::collections::BTreeSet;
 
-/// What the records say of a merge and of all that is upstream of it.
+/// Whether a merge's inputs are fresh, according to the records of the batch and of the jobs upstream of the merge.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// All of it is of this version of the batch.
+    /// All inputs are of this version of the batch.
     Fresh(u64),
-    /// Something is stale or missing; the batch's version.
+    /// Some inputs are stale or missing; with the batch's version.
     Stale(u64, UpstreamFindings),
-    /// Something is not known, or not done.
+    /// Some record is unavailable, or some job upstream has not ended.
     Unknown(UnknownCause),
 }
 
-/// Why nothing can be said.
+/// Why the freshness of a merge can't be decided. The texts are sent to users.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnknownCause {
-    /// The batch's record was not read since it had to be.
+    /// The batch's record has not been read recently enough.
     #[error("the record of the batch is still to be read")]
     RecordUnread,
-    /// The batch's record is damaged or of a newer form.
+    /// The batch's record is damaged or has a newer format version.
     #[error("the record of the batch: {0}")]
     RecordUnreadable(String),
-    /// No version of the batch is on record.
+    /// The batch has no record.
     #[error("no version of the batch is on record")]
     NoVersion,
-    /// The merge is of a version that is not yet on record.
+    /// The merge names a newer version than the recorded one, which is given.
     #[error("version {0} of the batch is on record, and the merge is of a newer one")]
-    NotYetOnRecord(u64),
-    /// Some records are still to be read.
+    VersionNotRecorded(u64),
+    /// The records of that many jobs upstream have not been read yet.
     #[error("{0} of the jobs that it rests on are still to be read")]
     JobsUnread(usize),
-    /// Some records can't be read.
+    /// The record of this job upstream can't be decoded.
     #[error("the record of {0} can't be read")]
     JobUnreadable(String),
-    /// More is upstream than can be walked.
+    /// There are more jobs upstream than [`crate::upstream::UPSTREAM_LIMIT`].
     #[error("it rests on too many jobs")]
     TooManyJobs,
-    /// Something that it rests on has not ended.
+    /// This job upstream has not ended.
     #[error("{0} has not ended")]
     Unfinished(String),
 }
@@ -51,88 +51,90 @@
 /// What a merge declares.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Merge {
-    /// The batch and the version that it claims.
+    /// The batch that it merges, and the version that it names.
     pub batch: BatchVersion,
-    /// The jobs that it follows.
+    /// The jobs that it depends on.
     pub dependencies: Vec<String>,
 }
 
 impl Merge {
-    /// What the records say of it: `held` is the batch's, `job` gives those of jobs, `runs` are the done runs of the batch.
+    /// Decides whether the merge's inputs are fresh. `batch_record` is the batch's record, `job` looks up jobs' records,
+    /// `runs` are the successful runs of the batch.
     #[must_use]
     pub fn assess(
         &self,
         settings: &Settings,
-        held: &CachedRecord,
+        batch_record: &CachedRecord,
         job: impl Fn(&str) -> JobLookup,
         runs: &BTreeSet<Run>,
     ) -> Verdict {
-        let record = match held {
+        let record = match batch_record {
             CachedRecord::NotRead => return Verdict::Unknown(UnknownCause::RecordUnread),
             CachedRecord::Absent => return Verdict::Unknown(UnknownCause::NoVersion),
-            CachedRecord::Unreadable(why) => {
-                return Verdict::Unknown(UnknownCause::RecordUnreadable(why.to_string()));
+            CachedRecord::Unreadable(error) => {
+                return Verdict::Unknown(UnknownCause::RecordUnreadable(error.to_string()));
             }
             CachedRecord::Present(record) => record,
         };
-        // A merge follows its batch: once that is at a newer version, only runs of that version count.
         if record.version < self.batch.version {
-            return Verdict::Unknown(UnknownCause::NotYetOnRecord(record.version));
+            return Verdict::Unknown(UnknownCause::VersionNotRecorded(record.version));
         }
-        let of = BatchVersion { name: self.batch.name.clone(), version: record.version };
-        let found = inspect_upstream(settings, &of, &self.dependencies, job, runs);
-        // A run of a newer version was accepted with that on record: this reading of the batch's record is older.
-        if found.ahead {
+        // The recorded version counts, not the one that the merge names: once the batch has a newer version, only runs of
+        // that version are fresh.
+        let current = BatchVersion { name: self.batch.name.clone(), version: record.version };
+        let findings = inspect_upstream(settings, &current, &self.dependencies, job, runs);
+        // A run is accepted only after its version has been recorded, so this copy of the batch's record is a stale read.
+        if findings.has_newer_run {
             return Verdict::Unknown(UnknownCause::RecordUnread);
         }
-        if found.too_many {
+        if findings.has_too_many_jobs {
             return Verdict::Unknown(UnknownCause::TooManyJobs);
         }
-        if let Some(job) = found.unreadable.first() {
+        if let Some(job) = findings.unreadable.first() {
             return Verdict::Unknown(UnknownCause::JobUnreadable(job.clone()));
         }
-        if !found.unread.is_empty() {
-            return Verdict::Unknown(UnknownCause::JobsUnread(found.unread.len()));
+        if !findings.unread.is_empty() {
+            return Verdict::Unknown(UnknownCause::JobsUnread(findings.unread.len()));
         }
-        if !found.stale_runs.is_empty() || !found.missing_classes.is_empty() {
-            return Verdict::Stale(of.version, found);
+        if !findings.stale_runs.is_empty() || !findings.missing_classes.is_empty() {
+            return Verdict::Stale(current.version, findings);
         }
-        match found.unfinished.first() {
+        match findings.unfinished.first() {
             Some(job) => Verdict::Unknown(UnknownCause::Unfinished(job.clone())),
-            None => Verdict::Fresh(of.version),
+            None => Verdict::Fresh(current.version),
         }
     }
 }
 
 impl Verdict {
-    /// Whether a task of the merge may start.
+    /// Whether tasks of the merge may start.
     #[must_use]
-    pub fn may_start(&self) -> bool {
+    pub fn can_start(&self) -> bool {
         matches!(self, Verdict::Fresh(_))
     }
 
-    /// Whether a running task must be stopped, with nothing saved: its inputs are known to be stale, and its write has not
-    /// begun. What is merely not known stops nothing.
+    /// Whether a running task must be stopped without a checkpoint: its inputs are known to be stale, and it holds no permit,
+    /// so its write has not begun. An unknown verdict stops nothing.
     #[must_use]
-    pub fn must_stop(&self, held: &CachedRecord, writer: &Writer) -> bool {
-        let has_permit = || match held {
+    pub fn must_stop(&self, batch_record: &CachedRecord, writer: &Writer) -> bool {
+        let has_permit = || match batch_record {
             CachedRecord::Present(record) => {
-                Batch::read(record).is_ok_and(|batch| batch.permit_of(writer).is_some())
+                Batch::read(record).is_ok_and(|batch| batch.find_permit(writer).is_some())
             }
             _ => false,
         };
         matches!(self, Verdict::Stale(..)) && !has_permit()
     }
 
-    /// In words, for people.
+    /// The verdict as text for users and operators.
     #[must_use]
     pub fn reason(&self) -> String {
         match self {
             Verdict::Fresh(version) => format!("all that it rests on is of version {version}"),
             Verdict::Unknown(cause) => cause.to_string(),
-            Verdict::Stale(version, found) => {
-                let stale = found.stale_runs.iter().map(ToString::to_string);
-                let missing = found.missing_classes.iter().map(|class| format!("no run of {class}"));
+            Verdict::Stale(version, findings) => {
+                let stale = findings.stale_runs.iter().map(ToString::to_string);
+                let missing = findings.missing_classes.iter().map(|class| format!("no run of {class}"));
                 let list: Vec<String> = stale.chain(missing).collect();
                 format!("the batch is at version {version}: {}", list.join(", "))
             }
@@ -140,42 +142,42 @@
     }
 }
 
-/// What a writer is answered.
+/// The answer to a permit request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PermitAnswer {
-    /// 200: it holds this permit, on record already.
+    /// 200: the writer already holds this permit.
     AlreadyHeld(Permit),
-    /// 200, but only once this batch is on record, written on condition that the record is unchanged.
+    /// 200, but only after this record has been written by compare-and-swap.
     GrantAfterWrite(Batch, Permit),
-    /// 409: the batch's version, and what is stale or missing.
+    /// 409: the batch's version, and the stale or missing inputs.
     Stale(u64, UpstreamFindings),
-    /// 409: a newer attempt of the task writes.
+    /// 409: a newer attempt of the task holds a permit.
     Superseded,
-    /// 503: something is not known, or the record is full; ask again.
+    /// 503: a record is unavailable, a job upstream has not ended, or the batch's record is full; the writer has to retry.
     Retry(String),
 }
 
-/// Answers a writer that asks for a permit, from a reading of the record that began after it asked. `value_limit`: longest
-/// value of the state service, in bytes.
+/// Decides a permit request. `batch_record` must come from a read that began after the request arrived. `value_limit`:
+/// longest value of the state service, in bytes.
 #[must_use]
 pub fn decide_permit(
     verdict: &Verdict,
-    held: &CachedRecord,
+    batch_record: &CachedRecord,
     writer: &Writer,
     value_limit: usize,
 ) -> PermitAnswer {
-    let CachedRecord::Present(record) = held else { return PermitAnswer::Retry(verdict.reason()) };
+    let CachedRecord::Present(record) = batch_record else { return PermitAnswer::Retry(verdict.reason()) };
     let batch = match Batch::read(record) {
         Ok(batch) => batch,
         Err(error) => return PermitAnswer::Retry(error.to_string()),
     };
-    // A write under way goes on; the record says that the newer version came after it.
-    if let Some(permit) = batch.permit_of(writer) {
+    // A write under way may finish even if its inputs are stale by now: the record lists it as preceding the newer version.
+    if let Some(permit) = batch.find_permit(writer) {
         return PermitAnswer::AlreadyHeld(permit.clone());
     }
     match verdict {
         Verdict::Fresh(_) => {}
-        Verdict::Stale(version, found) => return PermitAnswer::Stale(*version, found.clone()),
+        Verdict::Stale(version, findings) => return PermitAnswer::Stale(*version, findings.clone()),
         Verdict::Unknown(cause) => return PermitAnswer::Retry(cause.to_string()),
     }
     match batch.grant_permit(writer, value_limit) {
--- a/crates/freshness/src/lib.rs
+++ b/crates/freshness/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stale-input guard: a merge starts and writes only on runs of its batch's version.
+//! Stale-input guard: a merge starts and writes only if its inputs are runs of its batch's current version.
 //!
-//! [`batch`] is the record of a batch: its version, which only rises, and the permits that are held to write tables of it.
-//! [`upstream`] walks from a merge to all that it rests on and says which runs are old. [`guard`] decides what may start,
-//! who gets a permit, and which running merge must stop. [`settings`] says which classes all this is about. All are pure:
-//! no clock, no sockets; records are read and written by whoever calls. `docs/freshness.md` has the argument.
+//! [`batch`] is the record of a batch: its version, which only rises, and the permits that are held to write its tables.
+//! [`upstream`] collects all jobs that a merge depends on and finds the stale runs among them. [`guard`] decides which
+//! merge may start, which writer gets a permit, and which running merge must stop. [`settings`] has the job classes that
+//! the guard covers. All modules are pure: no clock, no sockets; the caller reads and writes the records.
+//! `docs/freshness.md` proves the guard correct.
 
 pub mod batch;
 pub mod guard;
--- a/crates/freshness/src/settings.rs
+++ b/crates/freshness/src/settings.rs
@@ -1,4 +1,4 @@
-//! Which classes the guard covers: `[freshness]` in the operators' settings.
+//! The job classes that the guard covers: the section `[freshness]` of the operators' settings.
 
 use std::collections::BTreeSet;
 
@@ -7,103 +7,106 @@
 /// Most classes in one list.
 const CLASS_LIMIT: usize = 64;
 /// Longest name of a class, in bytes.
-const CLASS_NAME_LIMIT: usize = 100;
+const CLASS_NAME_LIMIT_BYTES: usize = 100;
 
-/// What operators have set. Printed in its `Debug` form: names are output.
+/// The section's values. The subcommand `check` prints them in their `Debug` format, so field names are output.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Settings {
-    /// Classes whose runs read inputs: each such run upstream of a merge must be of the merge's batch.
+    /// Classes whose runs read inputs: each such run upstream of a merge must be of the merge's batch and version.
     pub sources: BTreeSet<String>,
-    /// Classes whose jobs may name `merges`; empty: all.
+    /// Classes whose jobs may declare `merges`; empty: all.
     pub merges: BTreeSet<String>,
-    /// Sources without which a merge counts as missing one.
+    /// Sources of which every merge must have a run upstream.
     pub required: BTreeSet<String>,
 }
 
-/// A setting that can't be used. The message says why, for whoever knows file and section.
+/// Why a value can't be used. The caller adds the file, the section and the key to the message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingError {
-    /// No such key.
+    /// The key is unknown; the nearest known one.
     #[error("is no setting; there are sources, merges and required (nearest: {0})")]
-    Key(&'static str),
-    /// Something in the list is no name of a class.
+    UnknownKey(&'static str),
+    /// An entry is not a valid class name.
     #[error("{0:?} is no name of a class")]
-    Name(String),
-    /// The same class twice in a list.
+    InvalidClassName(String),
+    /// A class is listed twice.
     #[error("names {0:?} twice")]
-    Twice(String),
+    DuplicateClass(String),
     /// The list is too long.
-    #[error("names {CLASS_LIMIT} classes at the most")]
-    Many,
-    /// A class is required and no source.
+    #[error("must name at most {CLASS_LIMIT} classes")]
+    TooManyClasses,
+    /// A required class is not a source.
     #[error("{0:?} is not among the sources")]
-    NoSource(String),
-    /// A class can't be both.
+    RequiredNotSource(String),
+    /// A class is both a source and a merge.
     #[error("{0:?} is among the sources as well; a merge writes what its sources read")]
-    Both(String),
+    SourceAndMerge(String),
 }
 
 impl Settings {
-    /// Sets a key to its value: classes separated by commas.
+    /// Applies one key. Its value is a comma-separated list of classes.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// If the key is unknown or the list is invalid.
     pub fn set(&mut self, key: &str, value: &str) -> Result<(), SettingError> {
         let list = match key {
             "sources" => &mut self.sources,
             "merges" => &mut self.merges,
             "required" => &mut self.required,
-            _ => return Err(SettingError::Key(find_nearest(key, KEYS).unwrap_or("sources"))),
+            _ => return Err(SettingError::UnknownKey(find_nearest(key, KEYS).unwrap_or("sources"))),
         };
         for name in value.split(',').map(str::trim).filter(|p| !p.is_empty()) {
-            if name.len() > CLASS_NAME_LIMIT || name.contains(|c: char| c.is_whitespace() || c.is_control()) {
-                return Err(SettingError::Name(name.to_owned()));
+            if name.len() > CLASS_NAME_LIMIT_BYTES
+                || name.contains(|c: char| c.is_whitespace() || c.is_control())
+            {
+                return Err(SettingError::InvalidClassName(name.to_owned()));
             }
             if !list.insert(name.to_owned()) {
-                return Err(SettingError::Twice(name.to_owned()));
+                return Err(SettingError::DuplicateClass(name.to_owned()));
             }
         }
-        if list.len() > CLASS_LIMIT { Err(SettingError::Many) } else { Ok(()) }
+        if list.len() > CLASS_LIMIT { Err(SettingError::TooManyClasses) } else { Ok(()) }
     }
 
-    /// Checks what can only be checked once all keys are set.
+    /// Checks the keys against each other, after all of them have been applied.
     ///
     /// # Errors
-    /// The key at fault and why.
+    /// The invalid key, and why it is invalid.
     pub fn check(&self) -> Result<(), (&'static str, SettingError)> {
         if let Some(name) = self.required.difference(&self.sources).next() {
-            return Err(("required", SettingError::NoSource(name.clone())));
+            return Err(("required", SettingError::RequiredNotSource(name.clone())));
         }
         match self.merges.intersection(&self.sources).next() {
-            Some(name) => Err(("merges", SettingError::Both(name.clone()))),
+            Some(name) => Err(("merges", SettingError::SourceAndMerge(name.clone()))),
             None => Ok(()),
         }
     }
 
-    /// Whether jobs of this class may name `merges`.
+    /// Whether jobs of this class may declare `merges`.
     #[must_use]
     pub fn can_merge(&self, class: &str) -> bool {
         self.merges.is_empty() || self.merges.contains(class)
     }
 }
 
-/// The known name with the fewest changes to this one.
+/// The known name with the least edit distance to this one.
 #[must_use]
 pub fn find_nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let distance = |other: &str| {
         let other: Vec<char> = other.chars().collect();
         let mut row: Vec<usize> = (0..=other.len()).collect();
-        for (i, a) in name.chars().enumerate() {
-            let mut corner = row[0];
+        for (i, name_char) in name.chars().enumerate() {
+            let mut diagonal = row[0];
             row[0] = i + 1;
-            for (j, b) in other.iter().enumerate() {
-                let next = (corner + usize::from(a != *b)).min(row[j] + 1).min(row[j + 1] + 1);
-                corner = std::mem::replace(&mut row[j + 1], next);
+            for (j, other_char) in other.iter().enumerate() {
+                let next =
+                    (diagonal + usize::from(name_char != *other_char)).min(row[j] + 1).min(row[j + 1] + 1);
+                diagonal = std::mem::replace(&mut row[j + 1], next);
             }
         }
         row.last().copied().unwrap_or(0)
     };
-    known.into_iter().min_by_key(|k| distance(k))
+    known.into_iter().min_by_key(|candidate| distance(candidate))
 }
 
 #[cfg(test)]
--- a/crates/freshness/tests/model.rs
+++ b/crates/freshness/tests/model.rs
@@ -1,10 +1,12 @@
-//! The guard's argument, checked over all interleavings of a small world, with the decisions that run.
+//! Model check of the stale-input guard: explores all interleavings of a small model that makes its decisions by the code
+//! of the crate.
 //!
-//! Two merges of one batch rest on run `s` of version 1. The version may be replaced at any moment; run `n` of version 2 is done
-//! some time after that. Machines die, the owner changes once, commits are lost or come late, questions come late. No permit is
-//! given on an old run, every newer version is marked on each write under way, fences rise, nobody is refused wrongly, no write
-//! is cut short, no owner starts a merge on what was old before its time, and wherever things stand both merges can still
-//! get done. With any guard taken out, one of these breaks.
+//! Two merges of one batch depend on run `s` of version 1. Version 2 may be recorded at any time; run `n` of version 2 ends
+//! some time after that. Machines fail, the leader changes once, writes are lost or delayed, and permit requests are
+//! delayed. Checked invariants: no permit is granted on a stale run, each newer version lists every write under way,
+//! fencing tokens rise, no request is rejected wrongly, no write is stopped, no leader starts a merge whose inputs were stale
+//! since before its epoch, and from every state both merges can still finish. Without any one of the guards, one of
+//! these breaks.
 
 use hazelsaddle_coordination::record_cache::CachedRecord;
 use hazelsaddle_freshness::batch::{Batch, Permit, VersionChange, Writer};
@@ -15,457 +17,510 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Guards {
-    /// A merge starts only on a verdict.
-    verdict: bool,
-    /// A new owner looks anew.
-    anew: bool,
-    /// A change of the batch's record is conditional on the mark that was read.
+    /// A merge starts only on a fresh verdict.
+    start_on_verdict: bool,
+    /// A new leader reads the records before it decides anything.
+    reread_after_failover: bool,
+    /// A write of the batch's record is conditional on the store version that was read.
     store_version: bool,
-    /// A question is answered from a reading that began after it came.
-    after_question: bool,
-    /// Permits end only with their attempts.
-    with_attempt: bool,
-    /// The fence goes on rising when permits end.
+    /// A permit request is answered from a read that began after the request arrived.
+    read_after_request: bool,
+    /// A permit is released only after its attempt has ended.
+    release_after_end: bool,
+    /// The fencing token goes on rising when permits end.
     fence: bool,
-    /// An older attempt's late question does not take a newer one's permit.
-    overtaken: bool,
-    /// Who writes is not stopped.
-    writes_on: bool,
-    /// Runs done under the batch supersede old ones.
+    /// A delayed request of an older attempt does not replace a newer attempt's permit.
+    reject_older_attempt: bool,
+    /// A task that holds a permit is not stopped.
+    keep_writers: bool,
+    /// Newer runs of the batch supersede stale ones.
     superseded: bool,
-    /// A permit is given once it is on record.
-    on_record: bool,
+    /// A permit is granted only after it has been recorded.
+    record_before_grant: bool,
 }
 
 const ALL: Guards = Guards {
-    verdict: true,
-    anew: true,
+    start_on_verdict: true,
+    reread_after_failover: true,
     store_version: true,
-    after_question: true,
-    with_attempt: true,
+    read_after_request: true,
+    release_after_end: true,
     fence: true,
-    overtaken: true,
-    writes_on: true,
+    reject_older_attempt: true,
+    keep_writers: true,
     superseded: true,
-    on_record: true,
+    record_before_grant: true,
 };
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Question {
+struct PermitRequest {
     attempt: u64,
-    /// All was fresh when it came and ever since.
+    /// All inputs were fresh when it arrived and have been ever since.
     fresh: bool,
-    /// The owner has read the record since it came.
+    /// The leader has read the record since it arrived.
     read: bool,
-    /// A commit for it is under way.
-    busy: bool,
+    /// A write that grants it is in flight.
+    in_flight: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Job {
     attempt: u64,
-    runs: bool,
+    running: bool,
     done: bool,
-    asks: Option<Question>,
-    /// A question of an attempt that is over, still on its way.
-    late: Option<Question>,
-    /// What the attempt was answered with 200.
-    given: Option<Permit>,
+    request: Option<PermitRequest>,
+    /// A request of an attempt that has ended, still in flight.
+    late_request: Option<PermitRequest>,
+    /// The permit with which the attempt's request was answered (200).
+    granted: Option<Permit>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum For {
+enum Purpose {
     Permit(usize, Permit),
     Release,
     Version,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Change {
+struct PendingWrite {
     epoch: u8,
     store_version: u8,
     next: Batch,
-    what: For,
+    purpose: Purpose,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     batch: Batch,
     store_version: u8,
-    /// Run `n` is done on record.
-    again: bool,
+    /// The final record of run `n` is stored.
+    rerun_done: bool,
     epoch: u8,
-    /// All was old when this epoch began, and ever since.
-    old_since: bool,
-    /// What the owner has read: the record, its mark, and whether `n` was done.
-    known: Option<(Batch, u8, bool)>,
+    /// The inputs were stale when this epoch began and have been ever since.
+    stale_all_epoch: bool,
+    /// The leader's last read: the record, its store version, and whether `n` was done.
+    leader_read: Option<(Batch, u8, bool)>,
     jobs: [Job; 2],
-    changes: Vec<Change>,
-    highest: u64,
-    /// Attempts of a merge at the most.
-    most: u64,
-    broken: Option<&'static str>,
+    pending_writes: Vec<PendingWrite>,
+    highest_fence: u64,
+    /// Most attempts of a merge.
+    max_attempts: u64,
+    violation: Option<&'static str>,
 }
 
-fn id(m: usize) -> String {
-    format!("m{m}")
+fn id(merge: usize) -> String {
+    format!("m{merge}")
 }
 
 impl Guards {
-    fn look(self, batch: &Batch, again: bool) -> (CachedRecord, Verdict) {
-        let mut s = Settings::default();
-        s.set("sources", "split").expect("valid");
-        let of = BatchVersion { name: "b".into(), version: 1 };
-        let says =
-            JobDeclaration { class: Some("split".into()), batch: Some(of.clone()), dependencies: vec![] };
+    fn assess(self, batch: &Batch, rerun_done: bool) -> (CachedRecord, Verdict) {
+        let mut settings = Settings::default();
+        settings.set("sources", "split").expect("valid");
+        let batch_version = BatchVersion { name: "b".into(), version: 1 };
+        let declaration = JobDeclaration {
+            class: Some("split".into()),
+            batch: Some(batch_version.clone()),
+            dependencies: vec![],
+        };
         let run = Run { job: "n".into(), class: "split".into(), version: 2 };
-        let runs: BTreeSet<Run> = if again && self.superseded { [run].into() } else { [].into() };
-        let held = CachedRecord::Present(batch.record());
-        let merge = Merge { batch: of, dependencies: vec!["s".into()] };
-        let v = merge.assess(&s, &held, |_| JobLookup::Ended(says.clone()), &runs);
-        (held, v)
+        let runs: BTreeSet<Run> = if rerun_done && self.superseded { [run].into() } else { [].into() };
+        let batch_record = CachedRecord::Present(batch.to_record());
+        let merge = Merge { batch: batch_version, dependencies: vec!["s".into()] };
+        let verdict =
+            merge.assess(&settings, &batch_record, |_| JobLookup::Ended(declaration.clone()), &runs);
+        (batch_record, verdict)
     }
 
-    /// Whether all was fresh by the records themselves, whatever the guards.
-    fn fresh(w: &World) -> bool {
-        w.batch.version == 1 || w.again
+    /// Whether all inputs are fresh according to the stored records, independent of the guards.
+    fn fresh(world: &World) -> bool {
+        world.batch.version == 1 || world.rerun_done
     }
 
-    fn next(self, w: &World) -> Vec<World> {
-        let mut out = Vec::new();
-        let mut then = |change: &dyn Fn(&mut World)| {
-            let mut n = w.clone();
-            change(&mut n);
-            n.old_since &= !Guards::fresh(&n);
-            for j in &mut n.jobs {
-                for q in [&mut j.asks, &mut j.late].into_iter().flatten() {
-                    q.fresh &= n.batch.version == 1 || n.again;
+    fn next(self, world: &World) -> Vec<World> {
+        let mut successors = Vec::new();
+        let mut add_successor = |apply: &dyn Fn(&mut World)| {
+            let mut successor = world.clone();
+            apply(&mut successor);
+            successor.stale_all_epoch &= !Guards::fresh(&successor);
+            for job in &mut successor.jobs {
+                for request in [&mut job.request, &mut job.late_request].into_iter().flatten() {
+                    request.fresh &= successor.batch.version == 1 || successor.rerun_done;
                 }
             }
-            self.judge(&mut n);
-            if n != *w {
-                out.push(n);
+            self.check_invariants(&mut successor);
+            if successor != *world {
+                successors.push(successor);
             }
         };
-        let room = w.changes.len() < 2;
-        then(&|n| {
-            n.known = Some((n.batch.clone(), n.store_version, n.again));
-            for q in n.jobs.iter_mut().flat_map(|j| [&mut j.asks, &mut j.late]).flatten() {
-                q.read = true;
+        let can_write = world.pending_writes.len() < 2;
+        add_successor(&|successor| {
+            successor.leader_read =
+                Some((successor.batch.clone(), successor.store_version, successor.rerun_done));
+            for request in
+                successor.jobs.iter_mut().flat_map(|job| [&mut job.request, &mut job.late_request]).flatten()
+            {
+                request.read = true;
             }
         });
-        if w.epoch == 0 {
-            then(&|n| {
-                n.epoch = 1;
-                n.old_since = !Guards::fresh(n);
-                if self.anew {
-                    n.known = None;
+        if world.epoch == 0 {
+            add_successor(&|successor| {
+                successor.epoch = 1;
+                successor.stale_all_epoch = !Guards::fresh(successor);
+                if self.reread_after_failover {
+                    successor.leader_read = None;
                 }
-                for j in &mut n.jobs {
-                    (j.asks, j.late) = (None, None);
+                for job in &mut successor.jobs {
+                    (job.request, job.late_request) = (None, None);
                 }
             });
         }
-        // Somebody names version 2, from a reading of now; the change is applied later, or never.
-        if room
-            && !w.changes.iter().any(|c| c.what == For::Version)
-            && let Ok(VersionChange::Raised(next)) = w.batch.put_version(2)
+        // A run or an operator names version 2, based on a read of the present record; the write is applied later, or never.
+        if can_write
+            && !world.pending_writes.iter().any(|write| write.purpose == Purpose::Version)
+            && let Ok(VersionChange::Raised(next)) = world.batch.put_version(2)
         {
-            let c = Change { epoch: w.epoch, store_version: w.store_version, next, what: For::Version };
-            then(&|n| n.changes.push(c.clone()));
+            let write = PendingWrite {
+                epoch: world.epoch,
+                store_version: world.store_version,
+                next,
+                purpose: Purpose::Version,
+            };
+            add_successor(&|successor| successor.pending_writes.push(write.clone()));
         }
-        if w.batch.version == 2 {
-            then(&|n| n.again = true);
+        if world.batch.version == 2 {
+            add_successor(&|successor| successor.rerun_done = true);
         }
-        for (i, c) in w.changes.iter().enumerate() {
-            then(&|n| {
-                n.changes.remove(i);
-                self.applied(n, c, true);
+        for (i, write) in world.pending_writes.iter().enumerate() {
+            add_successor(&|successor| {
+                successor.pending_writes.remove(i);
+                self.apply_write(successor, write, true);
             });
-            // Lost, or never carried out: whoever waits asks again.
-            then(&|n| {
-                n.changes.remove(i);
-                self.applied(n, c, false);
+            // The write is lost; the writer that waits for it sends its request again.
+            add_successor(&|successor| {
+                successor.pending_writes.remove(i);
+                self.apply_write(successor, write, false);
             });
         }
-        for (m, j) in w.jobs.iter().enumerate() {
-            self.job(w, m, j, room, &mut then);
+        for (merge, job) in world.jobs.iter().enumerate() {
+            self.add_job_steps(world, merge, job, can_write, &mut add_successor);
         }
-        out
+        successors
     }
 
-    fn applied(self, n: &mut World, c: &Change, reached: bool) {
-        let good =
-            reached && c.epoch == n.epoch && (!self.store_version || c.store_version == n.store_version);
-        if good {
-            if c.next.version < n.batch.version {
-                n.broken = Some("a version that goes back");
+    fn apply_write(self, successor: &mut World, write: &PendingWrite, reached: bool) {
+        let is_applied = reached
+            && write.epoch == successor.epoch
+            && (!self.store_version || write.store_version == successor.store_version);
+        if is_applied {
+            if write.next.version < successor.batch.version {
+                successor.violation = Some("a version that falls");
             }
-            n.batch = c.next.clone();
-            n.store_version += 1;
+            successor.batch = write.next.clone();
+            successor.store_version += 1;
         }
-        let For::Permit(m, p) = &c.what else { return };
-        if good && !Guards::fresh(n) {
-            n.broken = Some("a permit on an old run");
+        let Purpose::Permit(merge, permit) = &write.purpose else { return };
+        if is_applied && !Guards::fresh(successor) {
+            successor.violation = Some("a permit on a stale run");
         }
-        if good && p.fence <= n.highest {
-            n.broken = Some("a fence that does not rise");
+        if is_applied && permit.fence <= successor.highest_fence {
+            successor.violation = Some("a fence that does not rise");
         }
-        if good {
-            n.highest = n.highest.max(p.fence);
+        if is_applied {
+            successor.highest_fence = successor.highest_fence.max(permit.fence);
         }
-        let j = &mut n.jobs[*m];
-        if j.asks.as_ref().is_some_and(|q| q.attempt == p.attempt) {
-            j.asks = None;
-            if good && j.runs && j.attempt == p.attempt {
-                j.given = Some(p.clone());
+        let job = &mut successor.jobs[*merge];
+        if job.request.as_ref().is_some_and(|request| request.attempt == permit.attempt) {
+            job.request = None;
+            if is_applied && job.running && job.attempt == permit.attempt {
+                job.granted = Some(permit.clone());
             }
         }
-        if j.late.as_ref().is_some_and(|q| q.attempt == p.attempt) {
-            j.late = None;
+        if job.late_request.as_ref().is_some_and(|request| request.attempt == permit.attempt) {
+            job.late_request = None;
         }
     }
 
-    fn stop(j: &mut Job) {
-        j.runs = false;
-        j.given = None;
-        if let Some(q) = j.asks.take() {
-            j.late = Some(q);
+    fn stop(job: &mut Job) {
+        job.running = false;
+        job.granted = None;
+        if let Some(request) = job.request.take() {
+            job.late_request = Some(request);
         }
     }
 
-    fn job(self, w: &World, m: usize, j: &Job, room: bool, then: &mut impl FnMut(&dyn Fn(&mut World))) {
-        if j.done {
+    fn add_job_steps(
+        self,
+        world: &World,
+        merge: usize,
+        job: &Job,
+        can_write: bool,
+        add_successor: &mut impl FnMut(&dyn Fn(&mut World)),
+    ) {
+        if job.done {
             return;
         }
-        let known = w.known.as_ref();
-        let seen = known.map(|(b, store_version, again)| (b, *store_version, self.look(b, *again)));
-        let may = !self.verdict || seen.as_ref().is_some_and(|(.., (_, v))| v.may_start());
-        if !j.runs && j.attempt < w.most && may {
-            then(&|n| {
-                let j = &mut n.jobs[m];
-                (j.attempt, j.runs) = (j.attempt + 1, true);
-                if n.old_since {
-                    n.broken = Some("a start on what was old before");
+        let leader_read = world.leader_read.as_ref();
+        let view = leader_read.map(|(batch, store_version, rerun_done)| {
+            (batch, *store_version, self.assess(batch, *rerun_done))
+        });
+        let can_start =
+            !self.start_on_verdict || view.as_ref().is_some_and(|(.., (_, verdict))| verdict.can_start());
+        if !job.running && job.attempt < world.max_attempts && can_start {
+            add_successor(&|successor| {
+                let job = &mut successor.jobs[merge];
+                (job.attempt, job.running) = (job.attempt + 1, true);
+                if successor.stale_all_epoch {
+                    successor.violation = Some("a start on stale inputs");
                 }
             });
         }
-        if j.runs {
-            if j.attempt + 1 < w.most {
-                then(&|n| Guards::stop(&mut n.jobs[m]));
+        if job.running {
+            if job.attempt + 1 < world.max_attempts {
+                add_successor(&|successor| Guards::stop(&mut successor.jobs[merge]));
             }
-            if j.asks.is_none() && j.given.is_none() {
-                let q = Question { attempt: j.attempt, fresh: true, read: false, busy: false };
-                then(&|n| n.jobs[m].asks = Some(q.clone()));
+            if job.request.is_none() && job.granted.is_none() {
+                let request =
+                    PermitRequest { attempt: job.attempt, fresh: true, read: false, in_flight: false };
+                add_successor(&|successor| successor.jobs[merge].request = Some(request.clone()));
             }
-            if j.given.is_some() {
-                then(&|n| {
-                    let j = &mut n.jobs[m];
-                    (j.runs, j.done, j.given, j.late) = (false, true, None, None);
+            if job.granted.is_some() {
+                add_successor(&|successor| {
+                    let job = &mut successor.jobs[merge];
+                    (job.running, job.done, job.granted, job.late_request) = (false, true, None, None);
                 });
             }
-            if let Some((.., (held, v))) = &seen {
-                let writer = Writer { job: id(m), attempt: j.attempt, task: None };
-                let stops = match self.writes_on {
-                    true => v.must_stop(held, &writer),
-                    false => matches!(v, Verdict::Stale(..)),
+            if let Some((.., (batch_record, verdict))) = &view {
+                let writer = Writer { job: id(merge), attempt: job.attempt, task: None };
+                let is_stopped = match self.keep_writers {
+                    true => verdict.must_stop(batch_record, &writer),
+                    false => matches!(verdict, Verdict::Stale(..)),
                 };
-                // A stop that is decided from an older reading may meet a write that has begun since.
-                let writes = w.batch.permit_of(&writer).is_some() && held_by(held, &writer);
-                if stops {
-                    then(&|n| {
-                        if writes {
-                            n.broken = Some("a write cut short");
+                // A stop decided from a stale read may hit a write that has begun since; that is allowed.
+                let has_known_permit =
+                    world.batch.find_permit(&writer).is_some() && has_permit(batch_record, &writer);
+                if is_stopped {
+                    add_successor(&|successor| {
+                        if has_known_permit {
+                            successor.violation = Some("a write stopped");
                         }
-                        Guards::stop(&mut n.jobs[m]);
+                        Guards::stop(&mut successor.jobs[merge]);
                     });
                 }
             }
         }
-        for (late, q) in [(false, &j.asks), (true, &j.late)] {
-            let (Some(q), Some((b, store_version, (held, v)))) = (q, &seen) else { continue };
-            if q.busy || (self.after_question && !q.read) {
+        for (is_late, request) in [(false, &job.request), (true, &job.late_request)] {
+            let (Some(request), Some((batch, store_version, (batch_record, verdict)))) = (request, &view)
+            else {
+                continue;
+            };
+            if request.in_flight || (self.read_after_request && !request.read) {
                 continue;
             }
-            let writer = Writer { job: id(m), attempt: q.attempt, task: None };
-            let mut answer = decide_permit(v, held, &writer, 4000);
-            if !self.overtaken && answer == PermitAnswer::Superseded {
-                let mut without = (*b).clone();
-                without.permits.retain(|p| p.job != writer.job);
-                answer = decide_permit(v, &CachedRecord::Present(without.record()), &writer, 4000);
+            let writer = Writer { job: id(merge), attempt: request.attempt, task: None };
+            let mut answer = decide_permit(verdict, batch_record, &writer, 4000);
+            if !self.reject_older_attempt && answer == PermitAnswer::Superseded {
+                let mut without = (*batch).clone();
+                without.permits.retain(|permit| permit.job != writer.job);
+                answer = decide_permit(verdict, &CachedRecord::Present(without.to_record()), &writer, 4000);
             }
             match answer {
-                PermitAnswer::GrantAfterWrite(mut next, mut p) => {
+                PermitAnswer::GrantAfterWrite(mut next, mut permit) => {
                     if !self.fence {
-                        p.fence = b.permits.iter().map(|p| p.fence).max().unwrap_or(0) + 1;
-                        next.fence = p.fence;
-                        next.permits.last_mut().expect("new").fence = p.fence;
+                        permit.fence = batch.permits.iter().map(|permit| permit.fence).max().unwrap_or(0) + 1;
+                        next.fence = permit.fence;
+                        next.permits.last_mut().expect("new").fence = permit.fence;
                     }
-                    let what = For::Permit(m, p.clone());
-                    let c = Change { epoch: w.epoch, store_version: *store_version, next, what };
-                    if room {
-                        then(&|n| {
-                            n.changes.push(c.clone());
-                            let j = &mut n.jobs[m];
-                            let q = if late { &mut j.late } else { &mut j.asks };
-                            q.as_mut().expect("asked").busy = true;
-                            if !self.on_record && !late {
-                                (j.asks, j.given) = (None, Some(p.clone()));
+                    let purpose = Purpose::Permit(merge, permit.clone());
+                    let write =
+                        PendingWrite { epoch: world.epoch, store_version: *store_version, next, purpose };
+                    if can_write {
+                        add_successor(&|successor| {
+                            successor.pending_writes.push(write.clone());
+                            let job = &mut successor.jobs[merge];
+                            let request = if is_late { &mut job.late_request } else { &mut job.request };
+                            request.as_mut().expect("asked").in_flight = true;
+                            if !self.record_before_grant && !is_late {
+                                (job.request, job.granted) = (None, Some(permit.clone()));
                             }
                         });
                     }
                 }
-                PermitAnswer::AlreadyHeld(p) if !late => then(&|n| {
-                    let j = &mut n.jobs[m];
-                    (j.asks, j.given) = (None, Some(p.clone()));
+                PermitAnswer::AlreadyHeld(permit) if !is_late => add_successor(&|successor| {
+                    let job = &mut successor.jobs[merge];
+                    (job.request, job.granted) = (None, Some(permit.clone()));
                 }),
-                PermitAnswer::Stale(..) if !late => then(&|n| {
-                    if q.fresh {
-                        n.broken = Some("refused although all was fresh");
+                PermitAnswer::Stale(..) if !is_late => add_successor(&|successor| {
+                    if request.fresh {
+                        successor.violation = Some("fresh inputs rejected");
                     }
-                    n.jobs[m].asks = None;
-                    Guards::stop(&mut n.jobs[m]);
+                    successor.jobs[merge].request = None;
+                    Guards::stop(&mut successor.jobs[merge]);
                 }),
-                _ => then(&|n| {
-                    let j = &mut n.jobs[m];
-                    if late { j.late = None } else { j.asks = None }
+                _ => add_successor(&|successor| {
+                    let job = &mut successor.jobs[merge];
+                    if is_late { job.late_request = None } else { job.request = None }
                 }),
             }
         }
-        // What has ended gives its permit back.
-        if let Some((b, store_version, _)) = known
-            && room
+        // The leader releases the permits of attempts that have ended.
+        if let Some((batch, store_version, _)) = leader_read
+            && can_write
         {
-            let jobs = &w.jobs;
-            let over = |p: &Permit| {
-                let j = &jobs[usize::from(p.job == "m1")];
-                p.attempt < j.attempt || !j.runs || !self.with_attempt
+            let jobs = &world.jobs;
+            let has_ended = |permit: &Permit| {
+                let job = &jobs[usize::from(permit.job == "m1")];
+                permit.attempt < job.attempt || !job.running || !self.release_after_end
             };
-            if let Some(next) = b.release_permits(over) {
-                let c = Change { epoch: w.epoch, store_version: *store_version, next, what: For::Release };
-                if !w.changes.contains(&c) {
-                    then(&|n| n.changes.push(c.clone()));
+            if let Some(next) = batch.release_permits(has_ended) {
+                let write = PendingWrite {
+                    epoch: world.epoch,
+                    store_version: *store_version,
+                    next,
+                    purpose: Purpose::Release,
+                };
+                if !world.pending_writes.contains(&write) {
+                    add_successor(&|successor| successor.pending_writes.push(write.clone()));
                 }
             }
         }
     }
 
-    /// What must hold in every state.
-    fn judge(self, n: &mut World) {
-        for (m, j) in n.jobs.iter().enumerate() {
-            let Some(p) = &j.given else { continue };
-            let writer = Writer { job: id(m), attempt: j.attempt, task: None };
-            if n.batch.permit_of(&writer) != Some(p) {
-                n.broken = Some("a permit that is not on record");
-            } else if n.batch.version > p.version
-                && !n.batch.outdated_writes.iter().any(|(_, f)| *f == p.fence)
+    /// Checks the invariants that must hold in every state.
+    fn check_invariants(self, successor: &mut World) {
+        for (merge, job) in successor.jobs.iter().enumerate() {
+            let Some(permit) = &job.granted else { continue };
+            let writer = Writer { job: id(merge), attempt: job.attempt, task: None };
+            if successor.batch.find_permit(&writer) != Some(permit) {
+                successor.violation = Some("a permit that is not recorded");
+            } else if successor.batch.version > permit.version
+                && !successor.batch.outdated_writes.iter().any(|(_, fence)| *fence == permit.fence)
             {
-                n.broken = Some("a newer version that is not marked as after the write");
+                successor.violation = Some("a newer version that does not list the write");
             }
         }
     }
 }
 
-fn held_by(held: &CachedRecord, w: &Writer) -> bool {
-    matches!(held, CachedRecord::Present(r) if Batch::read(r) .is_ok_and( | b | b.permit_of(w) .is_some() ) )
+fn has_permit(record: &CachedRecord, writer: &Writer) -> bool {
+    matches!(record, CachedRecord::Present(record) if Batch::read(record) .is_ok_and( | batch | batch.find_permit(writer) .is_some() ) )
 }
 
 struct Explored {
     states: usize,
-    /// All of it was searched.
-    whole: bool,
-    broken: BTreeSet<&'static str>,
+    /// Whether the whole state space was explored.
+    complete: bool,
+    violations: BTreeSet<&'static str>,
+    /// A state from which the merges can never finish.
     stuck: Option<World>,
-    /// Some merge has waited for the new run, and got done.
-    went_on: bool,
+    /// Whether in some state both merges are done after run `n`, without a write that precedes version 2: they have waited
+    /// for the new run.
+    finished_after_rerun: bool,
 }
 
-fn explore(g: Guards, most: usize) -> Explored {
+fn explore(guards: Guards, max_states: usize) -> Explored {
+    // The first model has one merge with up to three attempts, the second two merges with up to two.
     let first = World {
         batch: Batch::new(1),
         store_version: 1,
-        again: false,
+        rerun_done: false,
         epoch: 0,
-        old_since: false,
-        known: None,
+        stale_all_epoch: false,
+        leader_read: None,
         jobs: [Job::default(), Job { done: true, ..Job::default() }],
-        changes: vec![],
-        highest: 0,
-        most: 3,
-        broken: None,
+        pending_writes: vec![],
+        highest_fence: 0,
+        max_attempts: 3,
+        violation: None,
+    };
+    let second = World { jobs: [Job::default(), Job::default()], max_attempts: 2, ..first.clone() };
+    let mut result = Explored {
+        states: 0,
+        complete: true,
+        violations: BTreeSet::new(),
+        stuck: None,
+        finished_after_rerun: false,
     };
-    let second = World { jobs: [Job::default(), Job::default()], most: 2, ..first.clone() };
-    let mut e = Explored { states: 0, whole: true, broken: BTreeSet::new(), stuck: None, went_on: false };
     for first in [first, second] {
-        let mut number = HashMap::from([(first.clone(), 0usize)]);
-        let mut back: Vec<Vec<usize>> = vec![vec![]];
+        let mut index_of = HashMap::from([(first.clone(), 0usize)]);
+        let mut predecessors: Vec<Vec<usize>> = vec![vec![]];
         let mut all = vec![first.clone()];
         let mut queue = VecDeque::from([0usize]);
         while let Some(i) = queue.pop_front() {
-            if all.len() > most {
+            if all.len() > max_states {
                 break;
             }
-            let w = all[i].clone();
-            if let Some(why) = w.broken {
-                e.broken.insert(why);
+            let world = all[i].clone();
+            if let Some(violation) = world.violation {
+                result.violations.insert(violation);
                 continue;
             }
-            for n in g.next(&w) {
-                let k = *number.entry(n.clone()).or_insert_with(|| {
-                    all.push(n);
-                    back.push(vec![]);
+            for successor in guards.next(&world) {
+                let index = *index_of.entry(successor.clone()).or_insert_with(|| {
+                    all.push(successor);
+                    predecessors.push(vec![]);
                     queue.push_back(all.len() - 1);
                     all.len() - 1
                 });
-                back[k].push(i);
+                predecessors[index].push(i);
             }
         }
-        let over = |w: &World| w.jobs.iter().all(|j| j.done);
-        let whole = all.len() <= most && e.broken.is_empty();
-        let mut good: Vec<bool> = all.iter().map(over).collect();
-        let mut reach: Vec<usize> = (0..all.len()).filter(|i| good[*i]).collect();
-        e.went_on |= all.iter().any(|w| over(w) && w.again && w.batch.outdated_writes.is_empty());
-        while let Some(i) = reach.pop() {
-            for &b in &back[i] {
-                if !std::mem::replace(&mut good[b], true) {
-                    reach.push(b);
+        let is_finished = |world: &World| world.jobs.iter().all(|job| job.done);
+        let complete = all.len() <= max_states && result.violations.is_empty();
+        let mut can_finish: Vec<bool> = all.iter().map(is_finished).collect();
+        let mut pending: Vec<usize> = (0..all.len()).filter(|i| can_finish[*i]).collect();
+        result.finished_after_rerun |= all
+            .iter()
+            .any(|world| is_finished(world) && world.rerun_done && world.batch.outdated_writes.is_empty());
+        while let Some(i) = pending.pop() {
+            for &predecessor in &predecessors[i] {
+                if !std::mem::replace(&mut can_finish[predecessor], true) {
+                    pending.push(predecessor);
                 }
             }
         }
-        if whole && let Some(i) = good.iter().position(|g| !g) {
-            e.stuck.get_or_insert_with(|| all[i].clone());
+        if complete && let Some(i) = can_finish.iter().position(|can_finish| !can_finish) {
+            result.stuck.get_or_insert_with(|| all[i].clone());
         }
-        e.states += all.len();
-        e.whole &= all.len() <= most;
+        result.states += all.len();
+        result.complete &= all.len() <= max_states;
     }
-    e
+    result
 }
 
 #[test]
-fn no_interleaving_writes_on_old_runs_or_waits_for_ever() {
-    let e = explore(ALL, 3_000_000);
-    println!("{} states, all {}", e.states, e.whole);
-    assert!(e.broken.is_empty(), "{:?}", e.broken);
-    assert!(e.stuck.is_none(), "stuck: {:#?}", e.stuck);
-    assert!(e.went_on && e.states > 5000, "{} states", e.states);
+fn no_interleaving_writes_on_stale_runs_or_gets_stuck() {
+    let result = explore(ALL, 3_000_000);
+    println!("{} states, complete: {}", result.states, result.complete);
+    assert!(result.violations.is_empty(), "{:?}", result.violations);
+    assert!(result.stuck.is_none(), "stuck: {:#?}", result.stuck);
+    assert!(result.finished_after_rerun && result.states > 5000, "{} states", result.states);
 }
 
 #[test]
-fn without_any_one_guard_some_interleaving_does() {
+fn without_any_one_guard_some_interleaving_violates_an_invariant() {
     let without = [
-        ("verdict", Guards { verdict: false, ..ALL }, "a start on what was old before"),
-        ("anew", Guards { anew: false, ..ALL }, "a start on what was old before"),
-        ("mark", Guards { store_version: false, ..ALL }, "a version that goes back"),
-        ("after question", Guards { after_question: false, ..ALL }, "refused although all was fresh"),
-        ("with attempt", Guards { with_attempt: false, ..ALL }, "a permit that is not on record"),
+        ("start on verdict", Guards { start_on_verdict: false, ..ALL }, "a start on stale inputs"),
+        ("reread after failover", Guards { reread_after_failover: false, ..ALL }, "a start on stale inputs"),
+        ("store version", Guards { store_version: false, ..ALL }, "a version that falls"),
+        ("read after request", Guards { read_after_request: false, ..ALL }, "fresh inputs rejected"),
+        ("release after end", Guards { release_after_end: false, ..ALL }, "a permit that is not recorded"),
         ("fence", Guards { fence: false, ..ALL }, "a fence that does not rise"),
-        ("overtaken", Guards { overtaken: false, ..ALL }, "a permit that is not on record"),
-        ("writes on", Guards { writes_on: false, ..ALL }, "a write cut short"),
-        ("superseded", Guards { superseded: false, ..ALL }, "refused although all was fresh"),
-        ("on record", Guards { on_record: false, ..ALL }, "a permit that is not on record"),
+        (
+            "reject older attempt",
+            Guards { reject_older_attempt: false, ..ALL },
+            "a permit that is not recorded",
+        ),
+        ("keep writers", Guards { keep_writers: false, ..ALL }, "a write stopped"),
+        ("superseded", Guards { superseded: false, ..ALL }, "fresh inputs rejected"),
+        (
+            "record before grant",
+            Guards { record_before_grant: false, ..ALL },
+            "a permit that is not recorded",
+        ),
     ];
-    for (name, guards, what) in without {
-        let e = explore(guards, 60_000);
-        assert!(e.broken.contains(what), "without {name}: {:?}", e.broken);
+    for (name, guards, violation) in without {
+        let result = explore(guards, 60_000);
+        assert!(result.violations.contains(violation), "without {name}: {:?}", result.violations);
     }
 }
--- a/crates/gpu_lending/tests/model.rs
+++ b/crates/gpu_lending/tests/model.rs
@@ -1,38 +1,39 @@
-//! The argument for claiming before stopping, checked over all interleavings.
+//! Model check of the rule that a loan is recorded before its tasks are stopped: explores all interleavings of a small model.
 //!
-//! One need of one replica, and two tasks, either of which makes room for it. Three controllers own the borrowing job one after
-//! the other: each may crash at any moment, and what it has sent may be applied late. Every owner of a lent task stops it once
-//! it reads of it. Never are both tasks stopped, never is one stopped that no record names, and wherever nothing more can
-//! happen nothing is lent. With any guard taken out, a way to break that is found.
+//! In the model one replica is missing, and each of two tasks would free enough resources for it. Three controllers lead the
+//! borrowing job one after the other; each may crash at any time, and its writes may be delayed. The leader of a lent task
+//! stops the task once it reads the loan. Checked invariants: the two tasks are never both stopped, no task is stopped
+//! without a recorded loan, and in every final state nothing is lent. Without any one of the guards, an interleaving breaks
+//! this.
 
 use std::collections::{HashSet, VecDeque};
 
-/// So many changes are looked at: a claim, its replica, its return, and one more.
-const LAST: u8 = 5;
+/// The last store version of the explored states: enough changes for a claim, its replica, its return, and one more.
+const MAX_STORE_VERSION: u8 = 5;
 
 #[derive(Clone, Copy, Debug)]
 struct Guards {
-    /// A claim is on condition of the mark that was read.
+    /// A claim is written on condition that the record has the store version that was read.
     store_version: bool,
-    /// A claim is on condition of the epoch, as all changes are. For claims alone the mark would do.
+    /// A claim is written on condition of the epoch, like every change. For claims the store version alone would suffice.
     epoch: bool,
-    /// What is on record counts against the need.
-    counted: bool,
-    /// Nothing is stopped before its claim is on record.
-    record_first: bool,
-    /// A claim without effect ends by itself.
-    ends: bool,
-    /// A loan whose job is over goes back, whoever took it.
-    returned: bool,
+    /// Recorded claims count against the missing replicas.
+    count_claims: bool,
+    /// A task is stopped only after its claim has been recorded.
+    record_before_stop: bool,
+    /// A claim without effect claim_timeout after a timeout.
+    claim_timeout: bool,
+    /// A loan whose job has ended is return_after_end by the present leader, whichever leader claimed it.
+    return_after_end: bool,
 }
 
 const ALL: Guards = Guards {
     store_version: true,
     epoch: true,
-    counted: true,
-    record_first: true,
-    ends: true,
-    returned: true,
+    count_claims: true,
+    record_before_stop: true,
+    claim_timeout: true,
+    return_after_end: true,
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -42,206 +43,245 @@
     Held,
 }
 
-/// What a claimer has sent: for which task, on which mark and epoch.
+/// A controller's write in flight: the claimed task, and the store version and epoch that are its conditions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Sent {
-    Nothing,
+enum PendingClaim {
+    Absent,
     Claim { task: usize, store_version: u8, epoch: u8 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct LoanState {
-    /// The controller that owns the job by the epoch record; each lives until it crashes.
+struct State {
+    /// The controller that leads the job according to the epoch record.
     epoch: u8,
-    lives: [bool; 3],
-    /// Which controllers take themselves for the owner still: one that stands still learns late.
-    thinks: [bool; 3],
-    /// The record: what is lent of each task.
+    /// Controllers that have not crashed.
+    alive: [bool; 3],
+    /// Controllers that act as leader; one that was paused learns of a newer epoch late.
+    acts_as_leader: [bool; 3],
+    /// The store version of the ledger.
     store_version: u8,
+    /// The ledger: the loan of each task.
     loans: [Loan; 2],
-    /// What each has read: the mark, and whether anything was claimed.
+    /// Each controller's last read of the ledger: the store version, and whether it had a claim.
     read: [Option<(u8, bool)>; 3],
-    sent: [Sent; 3],
-    /// A question that its sender has given up, and that may be carried out all the same.
-    late: Sent,
+    pending: [PendingClaim; 3],
+    /// A write whose sender has timed out; it may still be applied.
+    delayed: PendingClaim,
     stopped: [bool; 2],
-    /// A replica stands; the job is over.
-    stands: bool,
-    over: bool,
-    /// A task was stopped that no record named.
-    unnamed: bool,
-    /// Both were ever stopped for the one need.
-    twice: bool,
+    /// Whether a replica runs.
+    replica_runs: bool,
+    /// Whether the borrowing job has ended.
+    job_ended: bool,
+    /// Violation: a task was stopped without a recorded loan.
+    stopped_without_record: bool,
+    /// Violation: both tasks were stopped or lent for the one replica.
+    lent_twice: bool,
 }
 
-const FIRST: LoanState = LoanState {
+const FIRST: State = State {
     epoch: 0,
-    lives: [true; 3],
-    thinks: [true, false, false],
+    alive: [true; 3],
+    acts_as_leader: [true, false, false],
     store_version: 1,
     loans: [Loan::None; 2],
     read: [None; 3],
-    sent: [Sent::Nothing; 3],
-    late: Sent::Nothing,
+    pending: [PendingClaim::Absent; 3],
+    delayed: PendingClaim::Absent,
     stopped: [false; 2],
-    stands: false,
-    over: false,
-    unnamed: false,
-    twice: false,
+    replica_runs: false,
+    job_ended: false,
+    stopped_without_record: false,
+    lent_twice: false,
 };
 
 impl Guards {
-    fn next(self, s: &LoanState) -> Vec<LoanState> {
-        let mut out = Vec::new();
-        let mut then = |change: &dyn Fn(&mut LoanState)| {
-            let mut n = s.clone();
-            change(&mut n);
-            if n != *s {
-                out.push(n);
+    fn next(self, state: &State) -> Vec<State> {
+        let mut successors = Vec::new();
+        let mut add_successor = |apply: &dyn Fn(&mut State)| {
+            let mut successor = state.clone();
+            apply(&mut successor);
+            if successor != *state {
+                successors.push(successor);
             }
         };
-        let claimed = s.loans.iter().any(|l| *l != Loan::None);
-        let missing = !s.stands && !s.over;
-        for c in 0..3 {
-            let acts = s.lives[c] && s.thinks[c];
-            if acts && s.sent[c] == Sent::Nothing && missing {
-                then(&|n| n.read[c] = Some((s.store_version, claimed)));
-                if let Some((store_version, was)) = s.read[c]
-                    && (!was || !self.counted)
+        let claimed = state.loans.iter().any(|loan| *loan != Loan::None);
+        let missing = !state.replica_runs && !state.job_ended;
+        for controller in 0..3 {
+            let is_leader = state.alive[controller] && state.acts_as_leader[controller];
+            if is_leader && state.pending[controller] == PendingClaim::Absent && missing {
+                add_successor(&|successor| successor.read[controller] = Some((state.store_version, claimed)));
+                if let Some((store_version, had_claim)) = state.read[controller]
+                    && (!had_claim || !self.count_claims)
                 {
                     for task in [0, 1] {
-                        then(&|n| {
-                            n.sent[c] = Sent::Claim { task, store_version, epoch: c as u8 };
-                            n.read[c] = None;
-                            if !self.record_first {
-                                n.stopped[task] = true;
+                        add_successor(&|successor| {
+                            successor.pending[controller] =
+                                PendingClaim::Claim { task, store_version, epoch: controller as u8 };
+                            successor.read[controller] = None;
+                            if !self.record_before_stop {
+                                successor.stopped[task] = true;
                             }
                         });
                     }
                 }
             }
-            if s.late == Sent::Nothing && s.lives[c] {
-                then(&|n| (n.late, n.sent[c]) = (s.sent[c], Sent::Nothing));
+            if state.delayed == PendingClaim::Absent && state.alive[controller] {
+                add_successor(&|successor| {
+                    (successor.delayed, successor.pending[controller]) =
+                        (state.pending[controller], PendingClaim::Absent)
+                });
             }
-            if s.lives[c] && c < 2 {
-                then(&|n| n.lives[c] = false);
+            if state.alive[controller] && controller < 2 {
+                add_successor(&|successor| successor.alive[controller] = false);
             }
-            if s.thinks[c] && c as u8 != s.epoch {
-                then(&|n| n.thinks[c] = false);
+            if state.acts_as_leader[controller] && controller as u8 != state.epoch {
+                add_successor(&|successor| successor.acts_as_leader[controller] = false);
             }
         }
-        // What was sent is applied, late or not, or never.
-        for at in 0..4 {
-            let sent = if at < 3 { s.sent[at] } else { s.late };
-            let Sent::Claim { task, store_version, epoch } = sent else { continue };
-            let clear =
-                |n: &mut LoanState| if at < 3 { n.sent[at] = Sent::Nothing } else { n.late = Sent::Nothing };
-            let holds = (!self.store_version || store_version == s.store_version)
-                && (!self.epoch || epoch == s.epoch);
-            then(&|n| {
-                clear(n);
-                if holds && n.loans[task] == Loan::None && n.store_version < LAST {
-                    n.loans[task] = Loan::Taking;
-                    n.store_version += 1;
+        // A pending or delayed write is applied, or lost.
+        for index in 0..4 {
+            let pending = if index < 3 { state.pending[index] } else { state.delayed };
+            let PendingClaim::Claim { task, store_version, epoch } = pending else { continue };
+            let remove = |successor: &mut State| {
+                if index < 3 {
+                    successor.pending[index] = PendingClaim::Absent
+                } else {
+                    successor.delayed = PendingClaim::Absent
+                }
+            };
+            let is_accepted = (!self.store_version || store_version == state.store_version)
+                && (!self.epoch || epoch == state.epoch);
+            add_successor(&|successor| {
+                remove(successor);
+                if is_accepted
+                    && successor.loans[task] == Loan::None
+                    && successor.store_version < MAX_STORE_VERSION
+                {
+                    successor.loans[task] = Loan::Taking;
+                    successor.store_version += 1;
                 }
             });
-            then(&clear);
+            add_successor(&remove);
         }
-        // The next controller takes over, whether the last is dead or only silent.
-        if s.epoch < 2 {
-            then(&|n| {
-                n.epoch += 1;
-                n.thinks[n.epoch as usize] = true;
+        // The next controller takes over; the previous one has crashed or is only unresponsive.
+        if state.epoch < 2 {
+            add_successor(&|successor| {
+                successor.epoch += 1;
+                successor.acts_as_leader[successor.epoch as usize] = true;
             });
         }
         for task in [0, 1] {
-            // The owner of the lent task reads the record.
-            if s.loans[task] == Loan::Taking && !s.stopped[task] {
-                then(&|n| n.stopped[task] = true);
+            // The leader of the lent task reads the ledger.
+            if state.loans[task] == Loan::Taking && !state.stopped[task] {
+                add_successor(&|successor| successor.stopped[task] = true);
             }
-            // The owner of the job goes by the record, whoever wrote it.
-            let owner = s.lives[s.epoch as usize] && s.store_version < LAST;
-            if s.loans[task] == Loan::Taking && s.stopped[task] && owner && missing {
-                then(&|n| {
-                    (n.loans[task], n.stands) = (Loan::Held, true);
-                    n.store_version += 1;
+            // The job's leader acts on the ledger, whichever leader wrote it.
+            let leader_can_write =
+                state.alive[state.epoch as usize] && state.store_version < MAX_STORE_VERSION;
+            if state.loans[task] == Loan::Taking && state.stopped[task] && leader_can_write && missing {
+                add_successor(&|successor| {
+                    (successor.loans[task], successor.replica_runs) = (Loan::Held, true);
+                    successor.store_version += 1;
                 });
             }
-            if s.loans[task] == Loan::Taking && owner && self.ends && !missing {
-                then(&|n| {
-                    n.loans[task] = Loan::None;
-                    n.store_version += 1;
+            if state.loans[task] == Loan::Taking && leader_can_write && self.claim_timeout && !missing {
+                add_successor(&|successor| {
+                    successor.loans[task] = Loan::None;
+                    successor.store_version += 1;
                 });
             }
-            if s.loans[task] == Loan::Held && s.over && owner && self.returned {
-                then(&|n| {
-                    (n.loans[task], n.stopped[task]) = (Loan::None, false);
-                    n.store_version += 1;
+            if state.loans[task] == Loan::Held && state.job_ended && leader_can_write && self.return_after_end
+            {
+                add_successor(&|successor| {
+                    (successor.loans[task], successor.stopped[task]) = (Loan::None, false);
+                    successor.store_version += 1;
                 });
             }
         }
-        if !s.over {
-            then(&|n| (n.over, n.stands) = (true, false));
+        if !state.job_ended {
+            add_successor(&|successor| (successor.job_ended, successor.replica_runs) = (true, false));
         }
-        for n in &mut out {
-            n.unnamed |= (0..2).any(|t| n.stopped[t] && !s.stopped[t] && s.loans[t] == Loan::None);
-            n.twice |= n.stopped == [true, true] || n.loans.iter().all(|l| *l != Loan::None);
+        for successor in &mut successors {
+            successor.stopped_without_record |= (0..2).any(|task| {
+                successor.stopped[task] && !state.stopped[task] && state.loans[task] == Loan::None
+            });
+            successor.lent_twice |=
+                successor.stopped == [true, true] || successor.loans.iter().all(|loan| *loan != Loan::None);
         }
-        out
+        successors
     }
 }
 
 struct Explored {
     states: usize,
-    vain: Option<LoanState>,
-    unnamed: Option<LoanState>,
-    kept: Option<LoanState>,
+    /// A state in which both tasks were lent or stopped.
+    lent_twice: Option<State>,
+    /// A state in which a task was stopped without a recorded loan.
+    stopped_without_record: Option<State>,
+    /// A final state in which a task is still lent.
+    lent_for_ever: Option<State>,
 }
 
-fn explore(g: Guards) -> Explored {
+fn explore(guards: Guards) -> Explored {
     let mut seen = HashSet::from([FIRST]);
     let mut queue = VecDeque::from([FIRST]);
-    let mut e = Explored { states: 0, vain: None, unnamed: None, kept: None };
-    while let Some(s) = queue.pop_front() {
-        e.states += 1;
-        if e.vain.is_some() || e.unnamed.is_some() || e.kept.is_some() {
+    let mut result =
+        Explored { states: 0, lent_twice: None, stopped_without_record: None, lent_for_ever: None };
+    while let Some(state) = queue.pop_front() {
+        result.states += 1;
+        if result.lent_twice.is_some()
+            || result.stopped_without_record.is_some()
+            || result.lent_for_ever.is_some()
+        {
             break;
         }
-        if s.twice {
-            e.vain.get_or_insert_with(|| s.clone());
+        if state.lent_twice {
+            result.lent_twice.get_or_insert_with(|| state.clone());
         }
-        if s.unnamed {
-            e.unnamed.get_or_insert_with(|| s.clone());
+        if state.stopped_without_record {
+            result.stopped_without_record.get_or_insert_with(|| state.clone());
         }
-        let next = g.next(&s);
-        if next.is_empty() && s.store_version < LAST && s.loans.iter().any(|l| *l != Loan::None) {
-            e.kept.get_or_insert_with(|| s.clone());
+        let next = guards.next(&state);
+        if next.is_empty()
+            && state.store_version < MAX_STORE_VERSION
+            && state.loans.iter().any(|loan| *loan != Loan::None)
+        {
+            result.lent_for_ever.get_or_insert_with(|| state.clone());
         }
-        queue.extend(next.into_iter().filter(|n| seen.insert(n.clone())));
+        queue.extend(next.into_iter().filter(|successor| seen.insert(successor.clone())));
     }
-    e
+    result
 }
 
 #[test]
-fn no_interleaving_takes_twice_or_unnamed_or_keeps_for_ever() {
-    let e = explore(ALL);
-    assert!(e.vain.is_none(), "twice for one need: {:#?}", e.vain);
-    assert!(e.unnamed.is_none(), "stopped without a record: {:#?}", e.unnamed);
-    assert!(e.kept.is_none(), "kept for ever: {:#?}", e.kept);
-    assert!(e.states > 1000, "{} states", e.states);
+fn no_interleaving_lends_twice_or_without_record_or_for_ever() {
+    let result = explore(ALL);
+    assert!(result.lent_twice.is_none(), "lent twice for one replica: {:#?}", result.lent_twice);
+    assert!(
+        result.stopped_without_record.is_none(),
+        "stopped without a record: {:#?}",
+        result.stopped_without_record
+    );
+    assert!(result.lent_for_ever.is_none(), "lent for ever: {:#?}", result.lent_for_ever);
+    assert!(result.states > 1000, "{} states", result.states);
 }
 
 #[test]
-fn without_any_one_guard_some_interleaving_does() {
+fn without_any_one_guard_some_interleaving_violates_an_invariant() {
     let without = [
-        ("mark", Guards { store_version: false, ..ALL }),
-        ("counted", Guards { counted: false, ..ALL }),
-        ("record first", Guards { record_first: false, ..ALL }),
-        ("ends", Guards { ends: false, ..ALL }),
-        ("returned", Guards { returned: false, ..ALL }),
+        ("store version", Guards { store_version: false, ..ALL }),
+        ("count claims", Guards { count_claims: false, ..ALL }),
+        ("record before stop", Guards { record_before_stop: false, ..ALL }),
+        ("claim timeout", Guards { claim_timeout: false, ..ALL }),
+        ("return after end", Guards { return_after_end: false, ..ALL }),
     ];
     for (name, guards) in without {
-        let e = explore(guards);
-        assert!(e.vain.is_some() || e.unnamed.is_some() || e.kept.is_some(), "without {name} nothing breaks");
+        let result = explore(guards);
+        assert!(
+            result.lent_twice.is_some()
+                || result.stopped_without_record.is_some()
+                || result.lent_for_ever.is_some(),
+            "without {name} no invariant breaks"
+        );
     }
 }
--- a/crates/release/src/calendar.rs
+++ b/crates/release/src/calendar.rs
@@ -1,12 +1,12 @@
-//! `[calendar NAME]` of the operators' settings, and the nights that follow from it.
+//! The sections `[calendar NAME]` of the operators' settings, and the nights that they define.
 //!
-//! A night is named by the date on which it begins, in the calendar's zone. `renders_due` is the first such time of day after
-//! the beginning, `rotation_due` the first after that: either may lie after midnight.
+//! A night is named by the date on which it begins, in the calendar's time zone. `renders_due` is the first such time of day
+//! after the beginning, `rotation_due` the first one after `renders_due`; either may be after midnight.
 //!
-//! Times of day that a zone skips or repeats: a time that doesn't exist stands for the earliest later instant that does, the
-//! one at which the clocks are set forward; of a time that exists twice, the first is meant. So the order of times of day is
-//! the order of instants, and a night is 23 or 25 hours long where its zone's day is. A night whose beginning and end fall
-//! together that way (both in the hour that is skipped) is left out.
+//! Daylight saving time: a local time that the zone skips stands for the instant at which the clocks are set forward; of a
+//! local time that occurs twice, the first one counts. The order of local times is therefore the order of instants, and a
+//! night spans 23 or 25 hours where the zone's day does. A night whose beginning and end coincide (both in a skipped hour)
+//! does not exist.
 
 use jiff::Timestamp;
 use jiff::civil::{Date, DateTime, Time, Weekday};
@@ -14,9 +14,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How long before a night begins jobs may join it, in microseconds: clocks differ, and a 422 is final.
+/// How long before its beginning jobs may join a night, in microseconds. It allows for clock differences, because a user
+/// doesn't retry after a 422.
 pub const EARLY_JOIN_US: u64 = 60_000_000;
-/// How many days ahead the next night is looked for.
+/// How many days ahead [`Calendar::next_night_after`] searches.
 const SEARCH_DAYS: i32 = 400;
 
 /// A day, in microseconds.
@@ -28,52 +29,53 @@
 pub struct SettingError {
     /// The key.
     pub key: String,
-    /// What is wrong with it, and what may have been meant.
+    /// What is wrong with it, with the nearest valid value where there is one.
     pub reason: String,
 }
 
-/// What a job does for a release.
+/// The part that a job has in a release.
 #[derive(serde::Serialize, serde::Deserialize, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(rename_all = "lowercase")]
 pub enum Stage {
-    /// Makes the prices anew.
+    /// Recomputes the prices.
     Rebuild,
-    /// Makes a bundle of them.
+    /// Makes a bundle of the prices.
     Render,
-    /// Takes the bundles into the shops; waits for all others.
+    /// Brings the bundles into the shops; waits for all rebuilds and renders.
     Rotation,
 }
 
 impl Stage {
-    /// All of them.
+    /// All stages.
     pub const ALL: [Stage; 3] = [Stage::Rebuild, Stage::Render, Stage::Rotation];
-    /// As submissions and settings write it.
+    /// Its name in submissions and settings.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Stage::Rebuild => "rebuild",
             Stage::Render => "render",
             Stage::Rotation => "rotation",
         }
     }
-    /// From its word.
+    /// Parses its name.
     #[must_use]
-    pub fn parse(word: &str) -> Option<Stage> {
-        Stage::ALL.into_iter().find(|s| s.word() == word)
+    pub fn parse(name: &str) -> Option<Stage> {
+        Stage::ALL.into_iter().find(|stage| stage.as_str() == name)
     }
 }
 
 impl fmt::Display for Stage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.as_str())
     }
 }
 
-/// The known value that is most like a wrong one.
+/// The known value that is most similar to an unknown one.
 #[must_use]
-pub fn find_nearest<'a>(wrong: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    let like = |k: &str| strsim::jaro_winkler(&wrong.to_lowercase(), &k.to_lowercase());
-    known.into_iter().max_by(|a, b| like(a).total_cmp(&like(b)))
+pub fn find_nearest<'a>(unknown: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+    let similarity =
+        |candidate: &str| strsim::jaro_winkler(&unknown.to_lowercase(), &candidate.to_lowercase());
+    known.into_iter().max_by(|a, b| similarity(a).total_cmp(&similarity(b)))
 }
 
 /// The times of one night, in microseconds since 1970.
@@ -83,42 +85,43 @@
     pub date: Date,
     /// When it begins.
     pub begins: u64,
-    /// When renders must be in: it is closed then.
-    pub renders: u64,
+    /// When renders are due; the release closes then.
+    pub renders_due: u64,
     /// When the rotation is due.
-    pub rotation: u64,
-    /// From then on nothing joins it any more that would open it: the next night begins, at the latest a day after the rotation.
+    pub rotation_due: u64,
+    /// From then on no job can open a release for this night: when the next night begins, or a day after the rotation is
+    /// due if that is earlier.
     pub over: u64,
 }
 
 impl Night {
-    /// The name: the date.
+    /// The night's name: its date.
     #[must_use]
     pub fn name(&self) -> String {
         self.date.to_string()
     }
 }
 
-/// Whether this is the name of a night.
+/// Parses the name of a night, a date like 2026-12-01.
 ///
 /// # Errors
-/// What is wrong with it.
-pub fn date_of(night: &str) -> Result<Date, String> {
-    // Other forms of the same date would be other keys.
+/// If it is not a date in exactly this format.
+pub fn parse_night(night: &str) -> Result<Date, String> {
+    // The name is part of the record's key, so another spelling of the same date would be another release.
     match night.parse::<Date>() {
-        Ok(d) if d.to_string() == night => Ok(d),
+        Ok(date) if date.to_string() == night => Ok(date),
         _ => Err(format!("{night:?} is no date like 2026-12-01")),
     }
 }
 
-/// One calendar.
+/// A calendar: which nights there are for which titles, and which job classes may take part.
 ///
-/// Printed in its `Debug` form by the verb `check`: fields' names are output.
+/// The subcommand `check` prints it in its `Debug` format, so field names are output.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Calendar {
     /// Its name.
     pub name: String,
-    /// The titles that it is for: `*` stands for anything.
+    /// Pattern of the titles that it applies to; `*` matches any text.
     pub title: String,
     zone: TimeZone,
     begins: Time,
@@ -142,8 +145,8 @@
     "render",
     "rotation",
 ];
-/// Weekdays, as settings write them.
-const DAYS: [(&str, Weekday); 7] = [
+/// Names of weekdays in settings.
+const WEEKDAYS: [(&str, Weekday); 7] = [
     ("mon", Weekday::Monday),
     ("tue", Weekday::Tuesday),
     ("wed", Weekday::Wednesday),
@@ -153,23 +156,30 @@
     ("sun", Weekday::Sunday),
 ];
 
-fn list(value: &str) -> impl Iterator<Item = &str> {
-    value.split(',').map(str::trim).filter(|p| !p.is_empty())
+/// Splits a comma-separated list.
+fn split_list(value: &str) -> impl Iterator<Item = &str> {
+    value.split(',').map(str::trim).filter(|entry| !entry.is_empty())
 }
 
-fn weekday(word: &str) -> Result<i8, String> {
-    let lower = word.to_lowercase();
-    DAYS.iter().find(|(w, _)| *w == lower).map(|(_, d)| d.to_monday_zero_offset()).ok_or_else(|| {
-        let like = find_nearest(word, DAYS.map(|(w, _)| w)).unwrap_or("mon");
-        format!("{word:?} is no weekday; the nearest is {like}")
-    })
+/// Parses the name of a weekday; Monday is 0.
+fn parse_weekday(word: &str) -> Result<i8, String> {
+    let lowercase = word.to_lowercase();
+    WEEKDAYS
+        .iter()
+        .find(|(name, _)| *name == lowercase)
+        .map(|(_, day)| day.to_monday_zero_offset())
+        .ok_or_else(|| {
+            let like = find_nearest(word, WEEKDAYS.map(|(name, _)| name)).unwrap_or("mon");
+            format!("{word:?} is no weekday; the nearest is {like}")
+        })
 }
 
-fn weekdays(value: &str) -> Result<BTreeSet<i8>, String> {
+/// Parses a list of weekdays and ranges of weekdays like `fri-sun`.
+fn parse_weekdays(value: &str) -> Result<BTreeSet<i8>, String> {
     let mut days = BTreeSet::new();
-    for part in list(value) {
-        let (from, to) = part.split_once('-').unwrap_or((part, part));
-        let (mut day, to) = (weekday(from.trim())?, weekday(to.trim())?);
+    for range in split_list(value) {
+        let (from, to) = range.split_once('-').unwrap_or((range, range));
+        let (mut day, to) = (parse_weekday(from.trim())?, parse_weekday(to.trim())?);
         while days.insert(day) && day != to {
             day = (day + 1) % 7;
         }
@@ -178,35 +188,41 @@
     if days.is_empty() { Err("names no day".into()) } else { Ok(days) }
 }
 
-fn time(value: &str) -> Result<Time, String> {
-    let bad = || format!("{value:?} is no time of day like 21:30");
-    let (h, m) = value.split_once(':').ok_or_else(bad)?;
-    if h.len() != 2 || m.len() != 2 {
-        return Err(bad());
+/// Parses a time of day like 21:30.
+fn parse_time(value: &str) -> Result<Time, String> {
+    let error = || format!("{value:?} is no time of day like 21:30");
+    let (hour, minute) = value.split_once(':').ok_or_else(error)?;
+    if hour.len() != 2 || minute.len() != 2 {
+        return Err(error());
     }
-    let number = |t: &str| t.parse::<i8>().ok().filter(|_| t.bytes().all(|b| b.is_ascii_digit()));
-    number(h).zip(number(m)).and_then(|(h, m)| Time::new(h, m, 0, 0).ok()).ok_or_else(bad)
+    let number =
+        |text: &str| text.parse::<i8>().ok().filter(|_| text.bytes().all(|byte| byte.is_ascii_digit()));
+    number(hour)
+        .zip(number(minute))
+        .and_then(|(hour, minute)| Time::new(hour, minute, 0, 0).ok())
+        .ok_or_else(error)
 }
 
-fn zone(value: &str) -> Result<TimeZone, String> {
+/// Looks up a time zone by its IANA name.
+fn parse_zone(value: &str) -> Result<TimeZone, String> {
     let bundled = TimeZoneDatabase::bundled();
     bundled.get(value).map_err(|_| {
-        let names: Vec<String> = bundled.available().map(|n| n.to_string()).collect();
+        let names: Vec<String> = bundled.available().map(|name| name.to_string()).collect();
         let like = find_nearest(value, names.iter().map(String::as_str)).unwrap_or("UTC");
         format!("{value:?} is no zone; the nearest is {like}")
     })
 }
 
-/// Whether a text fits a pattern in which `*` stands for anything.
+/// Whether a text matches a pattern in which `*` matches any text.
 #[must_use]
 pub fn matches_pattern(pattern: &str, text: &str) -> bool {
-    let mut parts = pattern.split('*');
-    let Some(mut rest) = parts.next().and_then(|first| text.strip_prefix(first)) else { return false };
-    let mut parts: Vec<&str> = parts.collect();
-    let Some(last) = parts.pop() else { return rest.is_empty() };
-    for part in parts {
-        match rest.find(part) {
-            Some(at) => rest = &rest[at + part.len()..],
+    let mut literals = pattern.split('*');
+    let Some(mut rest) = literals.next().and_then(|first| text.strip_prefix(first)) else { return false };
+    let mut literals: Vec<&str> = literals.collect();
+    let Some(last) = literals.pop() else { return rest.is_empty() };
+    for literal in literals {
+        match rest.find(literal) {
+            Some(at) => rest = &rest[at + literal.len()..],
             None => return false,
         }
     }
@@ -214,79 +230,82 @@
 }
 
 impl Calendar {
-    /// Checks a section's keys and values.
+    /// Parses the keys and values of a section.
     ///
     /// # Errors
-    /// What is wrong, by key.
+    /// The first invalid key, and why it is invalid.
     pub fn parse<'a>(
         name: &str,
         pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
     ) -> Result<Calendar, SettingError> {
-        let bad = |key: &str, reason: String| SettingError { key: key.to_owned(), reason };
+        let error = |key: &str, reason: String| SettingError { key: key.to_owned(), reason };
         let mut given: BTreeMap<&str, &str> = BTreeMap::new();
         for (key, value) in pairs {
             if !KEYS.contains(&key) {
                 let like = find_nearest(key, KEYS).unwrap_or("title");
-                return Err(bad(key, format!("is no setting of a calendar; the nearest is {like}")));
+                return Err(error(key, format!("is no setting of a calendar; the nearest is {like}")));
             }
             if given.insert(key, value.trim()).is_some() {
-                return Err(bad(key, "is given twice".into()));
+                return Err(error(key, "is given twice".into()));
             }
         }
         let optional = |key: &str| given.get(key).copied();
         let required = |key: &'static str| {
-            optional(key).filter(|value| !value.is_empty()).ok_or_else(|| bad(key, "is missing".to_owned()))
+            optional(key).filter(|value| !value.is_empty()).ok_or_else(|| error(key, "is missing".to_owned()))
         };
         let title = required("title")?.to_owned();
         if title.chars().any(|c| c.is_whitespace() || c.is_control() || c == '/' || c == '@') {
-            return Err(bad("title", "must have neither spaces, slashes nor @".into()));
+            return Err(error("title", "must have neither spaces, slashes nor @".into()));
         }
-        let zone = zone(required("zone")?).map_err(|reason| bad("zone", reason))?;
-        let time_of = |key: &'static str| time(required(key)?).map_err(|reason| bad(key, reason));
+        let zone = parse_zone(required("zone")?).map_err(|reason| error("zone", reason))?;
+        let required_time =
+            |key: &'static str| parse_time(required(key)?).map_err(|reason| error(key, reason));
         let (begins, renders, rotation) =
-            (time_of("night_begins")?, time_of("renders_due")?, time_of("rotation_due")?);
+            (required_time("night_begins")?, required_time("renders_due")?, required_time("rotation_due")?);
         if renders == begins {
-            return Err(bad("renders_due", "is the time at which the night begins".into()));
+            return Err(error("renders_due", "is the time at which the night begins".into()));
         }
-        let weekdays = weekdays(optional("weekdays").unwrap_or("mon-sun"));
-        let weekdays = weekdays.map_err(|reason| bad("weekdays", reason))?;
-        let left_out = list(optional("left_out").unwrap_or("")).map(date_of).collect::<Result<_, _>>();
-        let left_out = left_out.map_err(|reason| bad("left_out", reason))?;
-        let classes =
-            Stage::ALL.map(|stage| list(optional(stage.word()).unwrap_or("")).map(str::to_owned).collect());
+        let weekdays = parse_weekdays(optional("weekdays").unwrap_or("mon-sun"));
+        let weekdays = weekdays.map_err(|reason| error("weekdays", reason))?;
+        let left_out =
+            split_list(optional("left_out").unwrap_or("")).map(parse_night).collect::<Result<_, _>>();
+        let left_out = left_out.map_err(|reason| error("left_out", reason))?;
+        let classes = Stage::ALL
+            .map(|stage| split_list(optional(stage.as_str()).unwrap_or("")).map(str::to_owned).collect());
         let name = name.to_owned();
         Ok(Calendar { name, title, zone, begins, renders, rotation, weekdays, left_out, classes })
     }
 
-    /// Whether jobs of a class may say that they are of a stage. A stage without classes takes any.
+    /// Whether jobs of a class may take part as a stage. A stage for which no classes are set accepts any.
     #[must_use]
-    pub fn accepts(&self, stage: Stage, class: &str) -> bool {
+    pub fn is_class_allowed(&self, stage: Stage, class: &str) -> bool {
         let classes = self.classes(stage);
         classes.is_empty() || classes.contains(class)
     }
 
-    /// The classes that a stage takes; none: any.
+    /// The classes that may take part as a stage; empty: any.
     #[must_use]
     pub fn classes(&self, stage: Stage) -> &BTreeSet<String> {
         &self.classes[stage as usize]
     }
 
-    /// The earliest instant at which the zone's clocks show this time or a later one.
-    fn instant(&self, at: DateTime) -> Option<Timestamp> {
-        let found = self.zone.to_ambiguous_timestamp(at);
-        match found.offset() {
-            AmbiguousOffset::Unambiguous { .. } => found.unambiguous().ok(),
-            AmbiguousOffset::Fold { .. } => found.earlier().ok(),
-            // By the offset of after it, the time lies before the clocks are set forward: that moment is meant.
+    /// The earliest instant at which clocks in the zone show this local time or a later one.
+    fn to_timestamp(&self, local: DateTime) -> Option<Timestamp> {
+        let ambiguous = self.zone.to_ambiguous_timestamp(local);
+        match ambiguous.offset() {
+            AmbiguousOffset::Unambiguous { .. } => ambiguous.unambiguous().ok(),
+            AmbiguousOffset::Fold { .. } => ambiguous.earlier().ok(),
+            // The zone skips this local time. Read with the offset that applies after the transition, it is an instant
+            // before the transition; the next transition after that instant is the one sought.
             AmbiguousOffset::Gap { .. } => {
-                let before = found.earlier().ok()?;
+                let before = ambiguous.earlier().ok()?;
                 Some(self.zone.following(before).next()?.timestamp())
             }
         }
     }
 
-    fn micros(&self, at: DateTime) -> Option<u64> {
-        u64::try_from(self.instant(at)?.as_microsecond()).ok()
+    fn to_micros(&self, local: DateTime) -> Option<u64> {
+        u64::try_from(self.to_timestamp(local)?.as_microsecond()).ok()
     }
 
     /// Whether a night begins on this date.
@@ -295,83 +314,89 @@
         self.weekdays.contains(&date.weekday().to_monday_zero_offset()) && !self.left_out.contains(&date)
     }
 
-    /// When the night of this date begins, its renders are due and its rotation is due.
+    /// When the night that begins on this date begins, when its renders are due and when its rotation is due.
     fn night_times(&self, date: Date) -> Option<(u64, u64, u64)> {
-        let next =
+        let next_date =
             |date: Date, from: Time, to: Time| if to > from { Some(date) } else { date.tomorrow().ok() };
-        let renders_on = next(date, self.begins, self.renders)?;
-        let rotation_on = next(renders_on, self.renders, self.rotation)?;
-        let begins = self.micros(date.to_datetime(self.begins))?;
-        let renders = self.micros(renders_on.to_datetime(self.renders))?;
-        let rotation = self.micros(rotation_on.to_datetime(self.rotation))?;
-        (begins < renders).then_some((begins, renders, rotation))
+        let renders_date = next_date(date, self.begins, self.renders)?;
+        let rotation_date = next_date(renders_date, self.renders, self.rotation)?;
+        let begins = self.to_micros(date.to_datetime(self.begins))?;
+        let renders_due = self.to_micros(renders_date.to_datetime(self.renders))?;
+        let rotation_due = self.to_micros(rotation_date.to_datetime(self.rotation))?;
+        (begins < renders_due).then_some((begins, renders_due, rotation_due))
     }
 
     /// The night that begins on this date, if one does.
     #[must_use]
-    pub fn night(&self, date: Date) -> Option<Night> {
-        let (begins, renders, rotation) = self.has_night_on(date).then(|| self.night_times(date))??;
-        let mut over = rotation.max(renders) + DAY_US;
-        let mut then = date;
-        // Nights may follow one another at once, so only the next few matter.
+    pub fn night_on(&self, date: Date) -> Option<Night> {
+        let (begins, renders_due, rotation_due) =
+            self.has_night_on(date).then(|| self.night_times(date))??;
+        let mut over = rotation_due.max(renders_due) + DAY_US;
+        let mut later = date;
+        // `over` is at most a day after the rotation is due, so only the next few dates matter.
         for _ in 0..4 {
-            then = then.tomorrow().ok()?;
-            if let Some((next, ..)) = self.has_night_on(then).then(|| self.night_times(then)).flatten() {
-                over = over.min(next.max(renders));
+            later = later.tomorrow().ok()?;
+            if let Some((next_begins, ..)) =
+                self.has_night_on(later).then(|| self.night_times(later)).flatten()
+            {
+                over = over.min(next_begins.max(renders_due));
                 break;
             }
         }
-        Some(Night { date, begins, renders, rotation, over })
+        Some(Night { date, begins, renders_due, rotation_due, over })
     }
 
     fn date_at(&self, wall: u64) -> Option<Date> {
-        let at = Timestamp::from_microsecond(i64::try_from(wall).ok()?).ok()?;
-        Some(self.zone.to_datetime(at).date())
+        let timestamp = Timestamp::from_microsecond(i64::try_from(wall).ok()?).ok()?;
+        Some(self.zone.to_datetime(timestamp).date())
     }
 
-    /// The night that is open at this time for jobs of a stage that name none: for rebuilds and renders until the renders are due, for
-    /// rotations until the next one begins. Shortly before a night begins, and if none is open, that night.
+    /// The night that is open at this time for jobs of a stage that name no night. A night is open for rebuilds and renders
+    /// until renders are due, for rotations until it is over. If none is open, a night that begins within
+    /// [`EARLY_JOIN_US`].
     #[must_use]
-    pub fn open_at(&self, wall: u64, stage: Stage) -> Option<Night> {
-        let until = |n: &Night| if stage == Stage::Rotation { n.over } else { n.renders };
-        let around: Vec<Night> = self.around(wall);
-        let open = around.iter().rev().find(|n| n.begins <= wall && wall < until(n));
-        let soon = || around.iter().find(|n| wall < n.begins && n.begins - wall <= EARLY_JOIN_US);
-        open.or_else(soon).cloned()
+    pub fn night_open_at(&self, wall: u64, stage: Stage) -> Option<Night> {
+        let open_until =
+            |night: &Night| if stage == Stage::Rotation { night.over } else { night.renders_due };
+        let nights: Vec<Night> = self.nights_around(wall);
+        let open = nights.iter().rev().find(|night| night.begins <= wall && wall < open_until(night));
+        let beginning_soon =
+            || nights.iter().find(|night| wall < night.begins && night.begins - wall <= EARLY_JOIN_US);
+        open.or_else(beginning_soon).cloned()
     }
 
-    /// Nights that begin on one of the days around a time, in order.
-    fn around(&self, wall: u64) -> Vec<Night> {
+    /// The nights that begin from four days before a time to two days after it, in order.
+    fn nights_around(&self, wall: u64) -> Vec<Night> {
         let Some(today) = self.date_at(wall) else { return Vec::new() };
-        let days = (-4..=2).filter_map(|n| today.checked_add(jiff::Span::new().days(n)).ok());
-        days.filter_map(|d| self.night(d)).collect()
+        let dates = (-4..=2).filter_map(|days| today.checked_add(jiff::Span::new().days(days)).ok());
+        dates.filter_map(|date| self.night_on(date)).collect()
     }
 
     /// The first night that begins after a time.
     #[must_use]
-    pub fn next_after(&self, wall: u64) -> Option<Night> {
+    pub fn next_night_after(&self, wall: u64) -> Option<Night> {
         let mut date = self.date_at(wall)?;
         for _ in 0..SEARCH_DAYS {
-            match self.night(date) {
-                Some(n) if n.begins > wall => return Some(n),
+            match self.night_on(date) {
+                Some(night) if night.begins > wall => return Some(night),
                 _ => date = date.tomorrow().ok()?,
             }
         }
         None
     }
 
-    /// A time of day as people of the calendar's zone write it.
+    /// Formats a time as local time of the calendar's zone.
     #[must_use]
     pub fn format_local(&self, wall: u64) -> String {
-        let at = i64::try_from(wall).ok().and_then(|w| Timestamp::from_microsecond(w).ok());
-        at.map_or_else(
+        let timestamp = i64::try_from(wall).ok().and_then(|wall| Timestamp::from_microsecond(wall).ok());
+        timestamp.map_or_else(
             || "-".into(),
-            |t| t.to_zoned_datetime(self.zone.clone()).strftime("%F %H:%M %Z").to_string(),
+            |timestamp| timestamp.to_zoned_datetime(self.zone.clone()).strftime("%F %H:%M %Z").to_string(),
         )
     }
 }
 
-/// All calendars, in the order of the file: the first whose pattern fits a title is its calendar.
+/// All calendars, in the order of the settings file. A title's calendar is the first one whose pattern matches it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Calendars(pub Vec<Calendar>);
 
@@ -379,12 +404,12 @@
     /// The calendar of a title.
     #[must_use]
     pub fn for_title(&self, title: &str) -> Option<&Calendar> {
-        self.0.iter().find(|c| matches_pattern(&c.title, title))
+        self.0.iter().find(|calendar| matches_pattern(&calendar.title, title))
     }
-    /// The pattern that a title is nearest to.
+    /// The pattern that is most similar to a title.
     #[must_use]
-    pub fn nearest(&self, title: &str) -> Option<&str> {
-        find_nearest(title, self.0.iter().map(|c| c.title.as_str()))
+    pub fn nearest_pattern(&self, title: &str) -> Option<&str> {
+        find_nearest(title, self.0.iter().map(|calendar| calendar.title.as_str()))
     }
 }
 
--- a/crates/release/src/readiness.rs
+++ b/crates/release/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether a rotation may start, and what it waits for.
+//! Decides whether a rotation may start, and what it waits for.
 
 use crate::calendar::Stage;
 use crate::release_record::{MISSING, Member, Release, count_renders, mark_rotated};
@@ -7,58 +7,58 @@
 use serde::Serialize;
 use std::fmt;
 
-/// The state of a member, by records alone.
+/// The state of a member according to its stored record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// It is not finished.
+    /// The job has not ended.
     Live,
-    /// It is not finished, and failed on several machines.
+    /// The job has not ended, and has failed on several machines.
     Suspected,
-    /// Its end is on record: done.
+    /// The job's final record is stored: done.
     Done,
-    /// Its end is on record: cancelled.
+    /// The job's final record is stored: cancelled.
     Cancelled,
-    /// Its record was not read yet.
+    /// The job's record has not been read yet.
     Unread,
-    /// Its record can't be read.
+    /// The job's record can't be decoded.
     Unreadable,
 }
 
-/// One thing that a rotation waits for.
+/// A cause for which a rotation is held. It is sent to operators as JSON, under the names of its variants and fields.
 #[derive(Serialize, Clone, Debug, PartialEq, Eq)]
 #[serde(tag = "cause", rename_all = "snake_case")]
 #[allow(missing_docs)]
 pub enum Cause {
-    /// The set's record was not read yet.
+    /// The release's record has not been read yet.
     Unread,
-    /// Nothing has joined: there is no set.
+    /// The release has no record: no job has joined.
     NotOpened,
-    /// The set's record can't be read.
+    /// The release's record can't be decoded.
     Unreadable { why: String },
-    /// Members may still join.
+    /// The release is open: members may still join.
     NotClosed { renders_us: u64, by_hand: bool },
-    /// Closed; the members are being counted.
+    /// The release is closing: the census of its members is not complete.
     Counting,
-    /// The list of members was not read yet, or can't be.
+    /// The pages with the list of members have not been read yet, or can't be decoded.
     Pages,
-    /// Fewer renders than were declared.
+    /// There are fewer renders than declared.
     Missing { declared: u64, missing: u64 },
-    /// No render at all: there is no bundle to take into the shops.
+    /// There is no render at all, so there is no bundle to bring into the shops.
     NoRender,
-    /// A member is not finished.
+    /// A member has not ended.
     Live { job: String, stage: Stage },
-    /// A member failed on several machines.
+    /// A member has failed on several machines.
     Suspected { job: String, stage: Stage },
     /// A member was cancelled.
     Cancelled { job: String, stage: Stage },
-    /// A member's record was not read yet.
+    /// A member's record has not been read yet.
     JobUnread { job: String, stage: Stage },
-    /// A member's record can't be read.
+    /// A member's record can't be decoded.
     JobUnreadable { job: String, stage: Stage },
 }
 
 impl Cause {
-    /// The job, if it is one.
+    /// The member that is the cause, if it is one.
     #[must_use]
     pub fn job(&self) -> Option<&str> {
         match self {
@@ -100,79 +100,82 @@
     }
 }
 
-/// Whether a rotation of a set may start.
+/// Whether a rotation of a release may start.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Readiness {
-    /// Yes, and that is on record. It never changes.
+    /// It may start: the release's record says so, and never changes after that.
     MayStart,
-    /// It may, once this is on record, written on condition of the record's mark. Nothing starts before.
+    /// It may start once this record has been written, on condition that the present one is unchanged.
     Ready(CoordinationRecord),
-    /// Not yet.
+    /// It may not start yet.
     Held {
         /// What it waits for; never empty.
         why: Vec<Cause>,
     },
 }
 
-/// Assesses whether a rotation may start. `members`: all of a closed set, from its pages; of one that is not closed those known
-/// so far, which are shown and decide nothing. `state` must come from records.
+/// Assesses whether a rotation may start. `members`: all members of a closed release, from its pages; of a release that is not
+/// closed, those known so far, which are only for display. `state` must come from stored records.
 #[must_use]
 pub fn assess(
-    held: &CachedRecord,
+    cached_record: &CachedRecord,
     members: Option<&[Member]>,
     state: impl Fn(&str) -> MemberState,
 ) -> Readiness {
-    let only = |cause| Readiness::Held { why: vec![cause] };
-    let record = match held {
-        CachedRecord::NotRead => return only(Cause::Unread),
-        CachedRecord::Absent => return only(Cause::NotOpened),
-        CachedRecord::Unreadable(why) => return only(Cause::Unreadable { why: why.to_string() }),
+    let held_by = |cause| Readiness::Held { why: vec![cause] };
+    let record = match cached_record {
+        CachedRecord::NotRead => return held_by(Cause::Unread),
+        CachedRecord::Absent => return held_by(Cause::NotOpened),
+        CachedRecord::Unreadable(error) => return held_by(Cause::Unreadable { why: error.to_string() }),
         CachedRecord::Present(record) => record,
     };
     let body = match Release::read(record) {
         Ok(body) => body,
-        Err(why) => return only(Cause::Unreadable { why: why.to_string() }),
+        Err(error) => return held_by(Cause::Unreadable { why: error.to_string() }),
     };
     if body.rotated {
         return Readiness::MayStart;
     }
-    let mut why = Vec::new();
+    let mut causes = Vec::new();
     match record.phase {
-        Phase::Open => why.push(Cause::NotClosed { renders_us: body.renders_us, by_hand: body.by_hand }),
-        Phase::Closing => why.push(Cause::Counting),
-        Phase::Closed if members.is_none() => why.push(Cause::Pages),
+        Phase::Open => causes.push(Cause::NotClosed { renders_us: body.renders_us, by_hand: body.by_hand }),
+        Phase::Closing => causes.push(Cause::Counting),
+        Phase::Closed if members.is_none() => causes.push(Cause::Pages),
         Phase::Closed => {}
     }
     let members = members.unwrap_or_default();
-    why.extend(members.iter().filter(|m| !body.waived.contains_key(&m.id)).filter_map(|m| {
-        let (job, stage) = (m.id.clone(), m.stage);
-        match state(&m.id) {
-            MemberState::Done => None,
-            MemberState::Live => Some(Cause::Live { job, stage }),
-            MemberState::Suspected => Some(Cause::Suspected { job, stage }),
-            MemberState::Cancelled => Some(Cause::Cancelled { job, stage }),
-            MemberState::Unread => Some(Cause::JobUnread { job, stage }),
-            MemberState::Unreadable => Some(Cause::JobUnreadable { job, stage }),
-        }
-    }));
-    if record.phase == Phase::Closed && !why.contains(&Cause::Pages) && !body.waived.contains_key(MISSING) {
-        // A cancelled render does not count, also if it is waived: it may have been submitted anew, and would then stand for
-        // another one that never came.
+    causes.extend(members.iter().filter(|member| !body.waived.contains_key(&member.id)).filter_map(
+        |member| {
+            let (job, stage) = (member.id.clone(), member.stage);
+            match state(&member.id) {
+                MemberState::Done => None,
+                MemberState::Live => Some(Cause::Live { job, stage }),
+                MemberState::Suspected => Some(Cause::Suspected { job, stage }),
+                MemberState::Cancelled => Some(Cause::Cancelled { job, stage }),
+                MemberState::Unread => Some(Cause::JobUnread { job, stage }),
+                MemberState::Unreadable => Some(Cause::JobUnreadable { job, stage }),
+            }
+        },
+    ));
+    if record.phase == Phase::Closed && !causes.contains(&Cause::Pages) && !body.waived.contains_key(MISSING)
+    {
+        // A cancelled render does not count, even if it is waived: it may have been submitted again, and counting both
+        // would hide that another render is missing.
         let (declared, renders) =
-            count_renders(members.iter().filter(|m| state(&m.id) != MemberState::Cancelled));
+            count_renders(members.iter().filter(|member| state(&member.id) != MemberState::Cancelled));
         let declared = declared.unwrap_or(0);
         if declared > renders {
-            why.push(Cause::Missing { declared, missing: declared - renders });
+            causes.push(Cause::Missing { declared, missing: declared - renders });
         } else if renders == 0 {
-            // Yesterday's bundles would go out again.
-            why.push(Cause::NoRender);
+            // Without a render the rotation would bring the previous night's bundles into the shops again.
+            causes.push(Cause::NoRender);
         }
     }
-    if !why.is_empty() {
-        return Readiness::Held { why };
+    if !causes.is_empty() {
+        return Readiness::Held { why: causes };
     }
     match mark_rotated(record) {
         Ok(next) => Readiness::Ready(next),
-        Err(e) => only(Cause::Unreadable { why: e.to_string() }),
+        Err(error) => held_by(Cause::Unreadable { why: error.to_string() }),
     }
 }
--- a/crates/release/src/release_record.rs
+++ b/crates/release/src/release_record.rs
@@ -1,4 +1,4 @@
-//! The record of a release's set of jobs: what it says, and every change that it allows.
+//! The record of a release: its contents, and every change that it allows.
 
 use crate::calendar::{Night, Stage, find_nearest};
 use crate::release_ref::ReleaseRef;
@@ -10,27 +10,28 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// Stands for a job in a waiver: the renders that were declared and never came, or all of them.
+/// In place of a job's id in a waiver: waives the declared renders that are missing, or that there is no render at all.
 pub const MISSING: &str = "missing";
-/// Longest reason of a waiver, in bytes. With [`WAIVER_LIMIT`] it bounds the head, which must fit into a value.
-const REASON_LIMIT: usize = 120;
-/// Most waivers of a set.
+/// Longest reason of a waiver, in bytes. Together with [`WAIVER_LIMIT`] it keeps the record's head within the state service's
+/// value limit.
+const REASON_LIMIT_BYTES: usize = 120;
+/// Most waivers of a release.
 const WAIVER_LIMIT: usize = 12;
 
-/// Who closed a set.
+/// What closed a release.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum ClosedBy {
-    /// Its renders were due.
+    /// The calendar: its renders were due.
     Calendar,
     /// An operator.
     Operator,
-    /// All declared renders were there.
+    /// The declared count: all declared renders had joined.
     Count,
 }
 
 impl ClosedBy {
-    /// In words.
+    /// As text for users and operators.
     #[must_use]
     pub const fn description(self) -> &'static str {
         match self {
@@ -41,82 +42,82 @@
     }
 }
 
-/// The body of a record. The times are the calendar's as computed when it was opened: a calendar that changes doesn't change a
-/// night under way.
+/// The body of a release's record. Its times are those that the calendar gave when the release was opened; later changes of
+/// the calendar don't affect it. It is stored under its field names.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Release {
     /// The title.
     pub title: String,
     /// The night.
     pub night: String,
-    /// The calendar that it was opened by.
+    /// The name of the calendar by which it was opened.
     pub calendar: String,
-    /// When the night begins; this and all times in microseconds since 1970.
+    /// When the night begins; this and all other times are in microseconds since 1970.
     pub begins_us: u64,
-    /// When renders are due: closed by itself then.
+    /// When renders are due; the release closes then.
     pub renders_us: u64,
     /// When the rotation is due.
     pub due_us: u64,
     /// When it was opened.
     pub opened_us: u64,
-    /// Renders declared, as the census found it: to be shown. Verdicts count themselves.
+    /// How many renders are declared, as counted by the census; only for display. [`crate::readiness::assess`] counts anew.
     #[serde(default)]
     pub expects: Option<u64>,
-    /// Who closed it.
+    /// What closed it.
     #[serde(default)]
     pub closed_by: Option<ClosedBy>,
-    /// Jobs that the rotation does without, and why. They are shown for ever.
+    /// The waivers: jobs for which the rotation doesn't wait, each with the reason. They stay on display for ever.
     #[serde(default)]
     pub waived: BTreeMap<String, String>,
-    /// On record before the first task of a rotation starts.
+    /// Whether a rotation may have started. Stored before a rotation's first task starts.
     #[serde(default)]
     pub rotated: bool,
-    /// Opened again: closed by an operator alone.
+    /// Whether it was reopened. Only an operator closes it then.
     #[serde(default)]
     pub by_hand: bool,
-    /// Members of the body that this version does not know: written again as they were read.
+    /// Fields that this version of the code does not know; written back unchanged.
     #[serde(flatten)]
     pub rest: Map<String, Value>,
 }
 
-/// A job that the rotation waits for.
+/// A member of a release: a rebuild or render that the rotation waits for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Member {
-    /// The job.
+    /// The job's id.
     pub id: String,
     /// Rebuild or render.
     pub stage: Stage,
-    /// A rebuild: how many renders it declares.
+    /// For a rebuild, how many renders it declares.
     pub expects: Option<u64>,
 }
 
-/// A change that is not allowed, for an operator to read.
+/// Why a change is not allowed. The texts are sent to operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// It is in that phase already.
+    /// The release is already in this phase, or in one that excludes the change.
     #[error("the set is {0:?} already")]
-    Already(Phase),
-    /// It is too late.
+    AlreadyInPhase(Phase),
+    /// The rotation of this title and night has started.
     #[error("the rotation of {0} on {1} has started: what it was made of can't change any more")]
-    Rotated(String, String),
-    /// Not before all members are known.
+    RotationStarted(String, String),
+    /// The members are not all known before the census is complete.
     #[error("the set is being counted; ask again in a moment")]
     CountInProgress,
-    /// No such job.
-    #[error("{job} is no render or rebuild of this set{}", like.as_ref() .map( | l | format!("; the nearest is {l}") ) .unwrap_or_default() ) ]
+    /// The job is not a member.
+    #[error("{job} is no render or rebuild of this set{}", nearest.as_ref() .map( | l | format!("; the nearest is {l}") ) .unwrap_or_default() ) ]
     NoSuchMember {
         /// The job.
         job: String,
-        /// The member nearest to it.
-        like: Option<String>,
+        /// The member with the most similar id.
+        nearest: Option<String>,
     },
-    /// The reason is missing or malformed.
-    #[error("a reason of 1 to {REASON_LIMIT} bytes on one line is needed")]
+    /// The reason is empty, too long or has control characters.
+    #[error("a reason of 1 to {REASON_LIMIT_BYTES} bytes on one line is needed")]
     InvalidReason,
-    /// The head must fit into a value of the state service.
+    /// The release has [`WAIVER_LIMIT`] waivers; more might exceed the state service's value limit.
     #[error("{WAIVER_LIMIT} are waived already; reopen the set or send the renders anew")]
     TooManyWaivers,
-    /// The record can't be read.
+    /// The record can't be decoded.
     #[error("{0}")]
     Unreadable(#[from] Unreadable),
     /// The record does not allow the change.
@@ -125,7 +126,7 @@
 }
 
 impl Release {
-    /// A set that is opened.
+    /// Creates a release in the phase open.
     #[must_use]
     pub fn open(title: &str, night: &Night, calendar: &str, now: u64) -> Release {
         Release {
@@ -133,8 +134,8 @@
             night: night.name(),
             calendar: calendar.to_owned(),
             begins_us: night.begins,
-            renders_us: night.renders,
-            due_us: night.rotation,
+            renders_us: night.renders_due,
+            due_us: night.rotation_due,
             opened_us: now,
             expects: None,
             closed_by: None,
@@ -145,53 +146,59 @@
         }
     }
 
-    /// Reads a record's body.
+    /// Decodes a record's body.
     ///
     /// # Errors
-    /// If it is malformed: what depends on it is held.
+    /// If it is malformed. Everything that depends on the record is held then.
     pub fn read(record: &CoordinationRecord) -> Result<Release, Unreadable> {
         serde_json::from_value(record.body.clone()).map_err(|_| Unreadable::Damaged("body"))
     }
 
-    /// Its record, at the first version.
+    /// Encodes the record, at version 1.
     #[must_use]
     pub fn to_record(&self) -> CoordinationRecord {
-        CoordinationRecord::open(1, self.value())
+        CoordinationRecord::open(1, self.to_json())
     }
 
-    fn value(&self) -> Value {
-        // It can't fail: all keys are strings and all numbers finite.
+    fn to_json(&self) -> Value {
+        // Can't fail: all keys are strings and all numbers are finite.
         serde_json::to_value(self).unwrap_or_default()
     }
 
-    /// Whether the rotation is late: past its due time and not started.
+    /// Whether the rotation is overdue: past its due time and not started.
     #[must_use]
     pub fn is_late(&self, now: u64) -> bool {
         !self.rotated && now > self.due_us
     }
 
-    /// Whether an open set is to be closed now, and why. `seen`: the members that are known to be on record; some may be
-    /// missing. Cancelled ones must not be among them, or a render that is submitted anew would come too late.
+    /// Whether an open release has to be closed now, and by what. `known_members` may be incomplete, but must not contain
+    /// cancelled jobs: if a cancelled render were counted, the release could close before the render is submitted again.
     #[must_use]
-    pub fn close_reason<'a>(&self, seen: impl IntoIterator<Item = &'a Member>, now: u64) -> Option<ClosedBy> {
+    pub fn close_reason<'a>(
+        &self,
+        known_members: impl IntoIterator<Item = &'a Member>,
+        now: u64,
+    ) -> Option<ClosedBy> {
         if self.by_hand {
             return None;
         }
-        let (declared, renders) = count_renders(seen);
-        if declared.is_some_and(|n| renders >= n) {
+        let (declared, renders) = count_renders(known_members);
+        if declared.is_some_and(|declared| renders >= declared) {
             return Some(ClosedBy::Count);
         }
         (now >= self.renders_us).then_some(ClosedBy::Calendar)
     }
 }
 
-/// How many renders the rebuilds declare in all, if any does, and how many renders there are.
+/// Counts the renders: how many the rebuilds declare in total (None if no rebuild declares any), and how many there are.
 pub(crate) fn count_renders<'a>(members: impl IntoIterator<Item = &'a Member>) -> (Option<u64>, u64) {
     let (mut declared, mut renders) = (None, 0);
     for member in members {
         match member.stage {
             Stage::Render => renders += 1,
-            Stage::Rebuild => declared = member.expects.map(|n| declared.unwrap_or(0) + n).or(declared),
+            Stage::Rebuild => {
+                declared = member.expects.map(|expects| declared.unwrap_or(0) + expects).or(declared)
+            }
             Stage::Rotation => {}
         }
     }
@@ -199,24 +206,26 @@
 }
 
 impl Member {
-    /// The member that a job is by what it declares; None for a rotation.
+    /// The member that a job is according to its declaration; None for a rotation.
     fn from_declaration(id: &str, declaration: &Value) -> Option<Member> {
         match ReleaseRef::parse(declaration) {
             Ok(release) if release.stage == Stage::Rotation => None,
             Ok(release) => Some(Member { id: id.to_owned(), stage: release.stage, expects: release.expects }),
-            // It has joined, whatever a newer version calls it: it is waited for.
+            // A declaration that can't be parsed may come from a newer version of the code. The job has joined, so the
+            // rotation must wait for it.
             Err(_) => Some(Member { id: id.to_owned(), stage: Stage::Render, expects: None }),
         }
     }
 
-    /// The member as an item of a page.
+    /// Encodes the member as an item of a page.
     fn to_item(&self) -> Value {
         match self.expects {
-            Some(n) => json!([self.id, self.stage, n]),
+            Some(expects) => json!([self.id, self.stage, expects]),
             None => json!([self.id, self.stage]),
         }
     }
 
+    /// Decodes an item of a page.
     fn from_item(item: &Value) -> Option<Member> {
         let id = item.get(0)?.as_str()?.to_owned();
         let stage = Stage::parse(item.get(1)?.as_str()?)?;
@@ -224,21 +233,21 @@
     }
 }
 
-/// The members on all pages of a closed set, in the order of the pages.
+/// Decodes the members on all pages of a closed release, in the order of the pages.
 ///
 /// # Errors
-/// If one can't be read: the others must not be relied on.
+/// If any page or item can't be decoded. The list would be incomplete then, so none of it may be used.
 pub fn read_member_pages<'a>(pages: impl IntoIterator<Item = &'a Value>) -> Result<Vec<Member>, Unreadable> {
-    let mut out = Vec::new();
+    let mut members = Vec::new();
     for page in pages {
         for item in read_page_items(page)? {
-            out.push(Member::from_item(item).ok_or(Unreadable::Damaged("items"))?);
+            members.push(Member::from_item(item).ok_or(Unreadable::Damaged("items"))?);
         }
     }
-    Ok(out)
+    Ok(members)
 }
 
-/// The record with its body changed, if it allows that.
+/// Changes phase and body of a record, if the record allows that transition.
 fn with_change(
     record: &CoordinationRecord,
     phase: Phase,
@@ -247,60 +256,62 @@
 ) -> Result<CoordinationRecord, ChangeError> {
     let mut body = Release::read(record)?;
     change(&mut body);
-    let next = CoordinationRecord { version: record.version, phase, pages, body: body.value() };
+    let next = CoordinationRecord { version: record.version, phase, pages, body: body.to_json() };
     record.check_transition(&next)?;
     Ok(next)
 }
 
-/// The first step of closing: once it is on record no job can join, and the census may begin.
+/// The first step of closing. Once the returned record is stored no job can join, and the census may begin.
 ///
 /// # Errors
-/// If it is not open.
+/// If the release is not open.
 pub fn begin_closing(record: &CoordinationRecord, by: ClosedBy) -> Result<CoordinationRecord, ChangeError> {
     match record.phase {
-        Phase::Open => with_change(record, Phase::Closing, 0, |b| b.closed_by = Some(by)),
-        phase => Err(ChangeError::Already(phase)),
+        Phase::Open => with_change(record, Phase::Closing, 0, |body| body.closed_by = Some(by)),
+        phase => Err(ChangeError::AlreadyInPhase(phase)),
     }
 }
 
-/// An operator closes it.
+/// Closes a release on behalf of an operator; the first step, as in [`begin_closing`].
 ///
 /// # Errors
-/// If it is not open.
+/// If the release is not open.
 pub fn close(record: &CoordinationRecord) -> Result<CoordinationRecord, ChangeError> {
     begin_closing(record, ClosedBy::Operator)
 }
 
-/// The second step: all members on pages of at most `bytes`, and the head. Pages are written before the head, each on condition
-/// that the head is unchanged, so that a page that is written late changes nothing that was decided.
+/// The second step of closing: returns the pages, of at most `page_bytes` each, with all members that the census found, and
+/// the new head. The pages must be written before the head, each on condition that the head is unchanged, so that a page whose
+/// write is delayed can't change a list that is already in use.
 ///
 /// # Errors
-/// If it is not closing, or a member fits on no page.
+/// If the release is not closing, or a member does not fit on a page.
 pub fn finish_closing(
     key: &Key,
     record: &CoordinationRecord,
     found: &BTreeMap<String, census::Member>,
-    bytes: usize,
+    page_bytes: usize,
 ) -> Result<(Vec<(String, Value)>, CoordinationRecord), ChangeError> {
     if record.phase != Phase::Closing {
-        return Err(ChangeError::Already(record.phase));
+        return Err(ChangeError::AlreadyInPhase(record.phase));
     }
     let members: Vec<Member> =
-        found.iter().filter_map(|(id, m)| Member::from_declaration(id, &m.declaration)).collect();
-    let standing =
-        |m: &&Member| found.get(&m.id).is_none_or(|f| f.state != census::CensusJobState::Cancelled);
-    let (expects, _) = count_renders(members.iter().filter(standing));
-    let (values, lost) = split_into_pages(members.iter().map(Member::to_item), bytes);
+        found.iter().filter_map(|(id, counted)| Member::from_declaration(id, &counted.declaration)).collect();
+    let is_not_cancelled = |member: &&Member| {
+        found.get(&member.id).is_none_or(|counted| counted.state != census::CensusJobState::Cancelled)
+    };
+    let (expects, _) = count_renders(members.iter().filter(is_not_cancelled));
+    let (values, lost) = split_into_pages(members.iter().map(Member::to_item), page_bytes);
     if lost > 0 {
         return Err(Unreadable::Damaged("items").into());
     }
-    let head = with_change(record, Phase::Closed, values.len(), |b| b.expects = expects)?;
-    let named = |(n, v)| (key.page_key(record.version, n), v);
-    Ok((values.into_iter().enumerate().map(named).collect(), head))
+    let head = with_change(record, Phase::Closed, values.len(), |body| body.expects = expects)?;
+    let with_key = |(index, value)| (key.page_key(record.version, index), value);
+    Ok((values.into_iter().enumerate().map(with_key).collect(), head))
 }
 
-/// Lets the rotation do without a job, or without the renders that are missing ([`MISSING`]). `known`: all members of a closed
-/// set; before that, those known so far.
+/// Adds a waiver, so that the rotation doesn't wait for a job, or for the renders that are missing ([`MISSING`]). `known`: all
+/// members of a closed release; before that, those known so far.
 ///
 /// # Errors
 /// If the rotation has started, the reason is malformed, or there is no such member.
@@ -308,62 +319,65 @@
     record: &CoordinationRecord,
     known: &[Member],
     job: &str,
-    why: &str,
+    reason: &str,
 ) -> Result<CoordinationRecord, ChangeError> {
     let body = Release::read(record)?;
     if body.rotated {
-        return Err(ChangeError::Rotated(body.title, body.night));
+        return Err(ChangeError::RotationStarted(body.title, body.night));
     }
-    if why.trim().is_empty() || why.len() > REASON_LIMIT || why.chars().any(char::is_control) {
+    if reason.trim().is_empty() || reason.len() > REASON_LIMIT_BYTES || reason.chars().any(char::is_control) {
         return Err(ChangeError::InvalidReason);
     }
-    let ids = || known.iter().map(|m| m.id.as_str());
+    let ids = || known.iter().map(|member| member.id.as_str());
     if job != MISSING && !ids().any(|id| id == job) {
-        let like = find_nearest(job, ids()).map(str::to_owned);
-        return Err(ChangeError::NoSuchMember { job: job.to_owned(), like });
+        let nearest = find_nearest(job, ids()).map(str::to_owned);
+        return Err(ChangeError::NoSuchMember { job: job.to_owned(), nearest });
     }
     if job == MISSING && record.phase != Phase::Closed {
-        // What is missing is known once the set is closed; before that, the waiver would cover whatever goes missing later.
+        // How many renders are missing is known only after the release is closed. An earlier waiver would also cover
+        // renders that go missing after the operator's decision.
         return Err(ChangeError::CountInProgress);
     }
     if body.waived.len() >= WAIVER_LIMIT && !body.waived.contains_key(job) {
         return Err(ChangeError::TooManyWaivers);
     }
-    // The first reason stands: it is what was decided.
-    with_change(record, record.phase, record.pages, |b| {
-        b.waived.entry(job.to_owned()).or_insert_with(|| why.trim().to_owned());
+    // A repeated waiver keeps the first reason, on which the decision was based.
+    with_change(record, record.phase, record.pages, |body| {
+        body.waived.entry(job.to_owned()).or_insert_with(|| reason.trim().to_owned());
     })
 }
 
-/// Lets renders join a closed set again, as a new version that only an operator closes. Those that have joined stay members.
+/// Reopens a closed release, as a new version of its record, so that renders may join again. Its members stay, and only an
+/// operator closes it.
 ///
 /// # Errors
-/// If the rotation has started, or it is not closed.
+/// If the rotation has started, or the release is not closed.
 pub fn reopen(record: &CoordinationRecord) -> Result<CoordinationRecord, ChangeError> {
     let mut body = Release::read(record)?;
     if body.rotated {
-        return Err(ChangeError::Rotated(body.title, body.night));
+        return Err(ChangeError::RotationStarted(body.title, body.night));
     }
     match record.phase {
-        Phase::Open => return Err(ChangeError::Already(Phase::Open)),
-        // The census that is under way would be of no use.
+        Phase::Open => return Err(ChangeError::AlreadyInPhase(Phase::Open)),
+        // Reopening would invalidate the census that is under way.
         Phase::Closing => return Err(ChangeError::CountInProgress),
         Phase::Closed => {}
     }
-    // What was missing then says nothing of what will be missing; it is still shown.
-    if let Some(why) = body.waived.remove(MISSING) {
-        body.waived.insert(format!("{MISSING}/{}", record.version), why);
+    // The waiver of missing renders does not extend to renders that are missing when the release is closed again. It is kept
+    // for display under the number of the old version.
+    if let Some(reason) = body.waived.remove(MISSING) {
+        body.waived.insert(format!("{MISSING}/{}", record.version), reason);
     }
     (body.closed_by, body.expects, body.by_hand) = (None, None, true);
-    let next = CoordinationRecord::open(record.version + 1, body.value());
+    let next = CoordinationRecord::open(record.version + 1, body.to_json());
     record.check_transition(&next)?;
     Ok(next)
 }
 
-/// Marks the rotation as started. It is on record before the first task starts.
+/// Marks the rotation as started. The result must be stored before the rotation's first task starts.
 pub(crate) fn mark_rotated(record: &CoordinationRecord) -> Result<CoordinationRecord, ChangeError> {
     match record.phase {
-        Phase::Closed => with_change(record, Phase::Closed, record.pages, |b| b.rotated = true),
-        phase => Err(ChangeError::Already(phase)),
+        Phase::Closed => with_change(record, Phase::Closed, record.pages, |body| body.rotated = true),
+        phase => Err(ChangeError::AlreadyInPhase(phase)),
     }
 }
--- a/crates/release/src/release_ref/tests.rs
+++ b/crates/release/src/release_ref/tests.rs
@@ -2,11 +2,11 @@
 use serde_json::json;
 
 #[test]
-fn what_a_job_says_is_read_and_kept_and_errors_name_the_field() {
-    let v = json!({"title": "boldog", "night": "2026-12-01", "stage": "rebuild", "expects": 40});
-    let s = ReleaseRef::parse(&v).expect("valid");
-    assert_eq!(s.to_value(), v);
-    let key = s.key().expect("a key");
+fn release_field_round_trips_and_errors_name_the_malformed_field() {
+    let json = json!({"title": "boldog", "night": "2026-12-01", "stage": "rebuild", "expects": 40});
+    let release_ref = ReleaseRef::parse(&json).expect("valid");
+    assert_eq!(release_ref.to_value(), json);
+    let key = release_ref.key().expect("a key");
     assert_eq!(
         (key.head_key().as_str(), title_and_night(&key)),
         ("pact/r/boldog@2026-12-01", Some(("boldog", "2026-12-01")))
@@ -15,7 +15,7 @@
         ReleaseRef::parse(&json!({"title": "t", "stage": "render", "night": null})).expect("valid").night,
         None
     );
-    for (v, named) in [
+    for (json, message_start) in [
         (json!(7), "release: must"),
         (json!({"stage": "render"}), "release.title: is missing"),
         (json!({"title": "a/b", "stage": "render"}), "release.title: must"),
@@ -30,7 +30,7 @@
         (json!({"title": "t", "stage": "render", "expects": 4}), "release.expects: is for rebuilds"),
         (json!({"title": "t", "stage": "rebuild", "expects": 0}), "release.expects: must"),
     ] {
-        let e = ReleaseRef::parse(&v).expect_err(named).to_string();
-        assert!(e.starts_with(named), "{e}");
+        let message = ReleaseRef::parse(&json).expect_err(message_start).to_string();
+        assert!(message.starts_with(message_start), "{message}");
     }
 }
--- a/crates/release/src/status.rs
+++ b/crates/release/src/status.rs
@@ -1,4 +1,5 @@
-//! The status of a set for operators. It follows from records and the time alone, so every controller says the same.
+//! The status of a release for operators. It is computed only from stored records and the time, so that all controllers
+//! report the same.
 
 use crate::calendar::Stage;
 use crate::readiness::{Cause, MemberState, Readiness, assess};
@@ -10,70 +11,70 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The status of a set.
+/// The status of a release. It is sent to operators as JSON, under its field names.
 #[derive(Serialize, Clone, Debug, PartialEq)]
 pub struct ReleaseStatus {
     /// The title.
     pub title: String,
     /// The night.
     pub night: String,
-    /// `open`, `closing`, `held`, `ready` or `rotated`; `absent`, `unread` or `unreadable` where there is no record to go by.
+    /// `open`, `closing`, `held`, `ready` or `rotated`; `absent`, `unread` or `unreadable` if there is no usable record.
     pub state: &'static str,
-    /// The record's version: above 1 it was reopened.
+    /// The record'status version; above 1 if the release was reopened.
     pub version: u64,
-    /// The calendar that it was opened by.
+    /// The calendar by which it was opened.
     pub calendar: String,
-    /// When the night began, renders are due, the rotation is due.
+    /// When the night begins, in UTC, like the other times.
     pub begins: String,
-    /// See `begins`.
+    /// When renders are due.
     pub renders_due: String,
-    /// See `begins`.
+    /// When the rotation is due.
     pub rotation_due: String,
-    /// Who closed it.
+    /// What closed it.
     pub closed_by: Option<ClosedBy>,
-    /// Renders, and those of them done; of an open set, as known so far.
+    /// How many renders there are; of a release that is not closed, as far as known.
     pub renders: usize,
-    /// See `renders`.
+    /// How many of these renders are done.
     pub renders_done: usize,
-    /// Renders declared, once closed.
+    /// How many renders are declared; known once the release is closed.
     pub expects: Option<u64>,
-    /// What the rotation does without, and why.
+    /// The waivers: jobs for which the rotation doesn't wait, each with the reason.
     pub waived: BTreeMap<String, String>,
-    /// Past the due time and not started.
+    /// Whether the rotation is overdue and has not started.
     pub late: bool,
     /// What the rotation waits for.
     pub waits_for: Vec<WaitCause>,
 }
 
-/// One thing that the rotation waits for, and its words.
+/// A cause for which the rotation is held, with its text.
 #[derive(Serialize, Clone, Debug, PartialEq)]
 pub struct WaitCause {
     /// The cause.
     #[serde(flatten)]
     pub cause: Cause,
-    /// In words.
+    /// Its text.
     pub text: String,
 }
 
 fn format_utc(us: u64) -> String {
-    let at = i64::try_from(us).ok().and_then(|us| Timestamp::from_microsecond(us).ok());
-    at.map_or_else(|| us.to_string(), |t| t.strftime("%FT%TZ").to_string())
+    let timestamp = i64::try_from(us).ok().and_then(|us| Timestamp::from_microsecond(us).ok());
+    timestamp.map_or_else(|| us.to_string(), |timestamp| timestamp.strftime("%FT%TZ").to_string())
 }
 
 impl ReleaseStatus {
-    /// The status by what is on record. See [`assess`] for `members` and `state`.
+    /// The status according to the record. See [`assess`] for `members` and `state`.
     #[must_use]
     pub fn from_record(
         (title, night): (&str, &str),
-        held: &CachedRecord,
+        cached_record: &CachedRecord,
         members: Option<&[Member]>,
         state: impl Fn(&str) -> MemberState,
         now: u64,
     ) -> ReleaseStatus {
-        let mut s = ReleaseStatus {
+        let mut status = ReleaseStatus {
             title: title.to_owned(),
             night: night.to_owned(),
-            state: match held {
+            state: match cached_record {
                 CachedRecord::NotRead => "unread",
                 CachedRecord::Absent => "absent",
                 _ => "unreadable",
@@ -91,33 +92,34 @@
             late: false,
             waits_for: Vec::new(),
         };
-        if let CachedRecord::Present(record) = held
+        if let CachedRecord::Present(record) = cached_record
             && let Ok(body) = Release::read(record)
         {
-            s.state = match record.phase {
+            status.state = match record.phase {
                 _ if body.rotated => "rotated",
                 Phase::Open => "open",
                 Phase::Closing => "closing",
                 Phase::Closed => "held",
             };
-            s.late = body.is_late(now);
-            (s.version, s.calendar, s.closed_by) = (record.version, body.calendar, body.closed_by);
-            (s.begins, s.renders_due) = (format_utc(body.begins_us), format_utc(body.renders_us));
-            s.rotation_due = format_utc(body.due_us);
-            (s.expects, s.waived) = (body.expects, body.waived);
+            status.late = body.is_late(now);
+            (status.version, status.calendar, status.closed_by) =
+                (record.version, body.calendar, body.closed_by);
+            (status.begins, status.renders_due) = (format_utc(body.begins_us), format_utc(body.renders_us));
+            status.rotation_due = format_utc(body.due_us);
+            (status.expects, status.waived) = (body.expects, body.waived);
         }
-        let renders = || members.unwrap_or_default().iter().filter(|m| m.stage == Stage::Render);
-        s.renders = renders().count();
-        s.renders_done = renders().filter(|m| state(&m.id) == MemberState::Done).count();
-        match assess(held, members, state) {
+        let renders = || members.unwrap_or_default().iter().filter(|member| member.stage == Stage::Render);
+        status.renders = renders().count();
+        status.renders_done = renders().filter(|member| state(&member.id) == MemberState::Done).count();
+        match assess(cached_record, members, state) {
             Readiness::MayStart => {}
-            Readiness::Ready(_) => s.state = "ready",
-            Readiness::Held { why } => {
-                s.waits_for =
-                    why.into_iter().map(|cause| WaitCause { text: cause.to_string(), cause }).collect();
+            Readiness::Ready(_) => status.state = "ready",
+            Readiness::Held { why: causes } => {
+                status.waits_for =
+                    causes.into_iter().map(|cause| WaitCause { text: cause.to_string(), cause }).collect();
             }
         }
-        s
+        status
     }
 }
 
@@ -131,19 +133,23 @@
                 "  calendar {}: began {}, renders due {}, rotation due {}",
                 self.calendar, self.begins, self.renders_due, self.rotation_due
             )?;
-            let again =
+            let reopened =
                 if self.version > 1 { format!(", opened {} times", self.version) } else { String::new() };
             let closed =
                 self.closed_by.map_or_else(String::new, |by| format!(", closed by {}", by.description()));
-            let of = self.expects.map_or_else(String::new, |n| format!(", {n} declared"));
-            writeln!(f, "  renders {}, done {}{of}{closed}{again}", self.renders, self.renders_done)?;
+            let declared = self.expects.map_or_else(String::new, |n| format!(", {n} declared"));
+            writeln!(
+                f,
+                "  renders {}, done {}{declared}{closed}{reopened}",
+                self.renders, self.renders_done
+            )?;
         }
-        for w in &self.waits_for {
-            writeln!(f, "  waits: {}", w.text)?;
+        for wait in &self.waits_for {
+            writeln!(f, "  waits: {}", wait.text)?;
         }
-        for (job, why) in &self.waived {
-            let what = if job.starts_with(MISSING) { "missing renders" } else { job };
-            writeln!(f, "  waived: {what} ({why})")?;
+        for (job, reason) in &self.waived {
+            let waived = if job.starts_with(MISSING) { "missing renders" } else { job };
+            writeln!(f, "  waived: {waived} ({reason})")?;
         }
         Ok(())
     }
--- a/crates/release/tests/races.rs
+++ b/crates/release/tests/races.rs
@@ -1,5 +1,6 @@
-//! Random races against a conditional store, with the package's own decisions: joins race closing, ends, cancels, waivers and
-//! reopening; three controllers hold old readings, forget all in a crash, get no answers, and their commits come late.
+//! Randomised test of the crate's decisions against a store with conditional writes. Joins race with closing, ends,
+//! cancellations, waivers and reopening. Three controllers work on stale reads, lose their state in crashes, miss answers of
+//! the store, and have their commits delayed.
 
 use hazelsaddle_coordination::census::{
     Census, CensusJobState, CensusStep, FINAL_RECORD_PREFIX, JobMemberships, LIVE_JOB_PREFIX,
@@ -20,7 +21,7 @@
 /// 20:00 UTC of that day; renders are due at 22:00.
 const BEGINS: u64 = 1_796_155_200_000_000;
 const MINUTE: u64 = 60_000_000;
-const PAGE: usize = 120;
+const PAGE_BYTES: usize = 120;
 
 fn calendars() -> Calendars {
     let pairs = [
@@ -33,14 +34,15 @@
     Calendars(vec![Calendar::parse("nightly", pairs).expect("valid")])
 }
 
-fn key() -> Key {
-    says(Stage::Render, None).key().expect("a key")
+fn release_key() -> Key {
+    release_ref(Stage::Render, None).key().expect("a key")
 }
 
-fn says(stage: Stage, expects: Option<u64>) -> ReleaseRef {
+fn release_ref(stage: Stage, expects: Option<u64>) -> ReleaseRef {
     ReleaseRef { title: TITLE.into(), night: Some(NIGHT.into()), stage, expects }
 }
 
+/// A transaction: its writes are applied if all keys have these store versions.
 #[derive(Clone, Debug)]
 struct Commit {
     conditions: Vec<(String, u64)>,
@@ -49,67 +51,72 @@
 
 #[derive(Default)]
 struct Store {
-    ledger: u64,
+    /// The store version of the last commit.
+    revision: u64,
+    /// Values with their store versions, by key.
     rows: BTreeMap<String, (Value, u64)>,
-    late: Vec<Commit>,
+    /// Commits in flight.
+    delayed: Vec<Commit>,
 }
 
 impl Store {
     fn store_version(&self, key: &str) -> u64 {
-        self.rows.get(key).map_or(0, |r| r.1)
+        self.rows.get(key).map_or(0, |row| row.1)
     }
-    fn apply(&mut self, c: &Commit) -> bool {
-        if c.conditions.iter().any(|(k, store_version)| self.store_version(k) != *store_version) {
+    fn apply(&mut self, commit: &Commit) -> bool {
+        if commit.conditions.iter().any(|(key, store_version)| self.store_version(key) != *store_version) {
             return false;
         }
-        self.ledger += 1;
-        for (k, v) in &c.writes {
-            match v {
-                Some(v) => self.rows.insert(k.clone(), (v.clone(), self.ledger)),
-                None => self.rows.remove(k),
+        self.revision += 1;
+        for (key, value) in &commit.writes {
+            match value {
+                Some(value) => self.rows.insert(key.clone(), (value.clone(), self.revision)),
+                None => self.rows.remove(key),
             };
         }
         true
     }
-    fn held(&self) -> (CachedRecord, u64) {
-        match self.rows.get(&key().head_key()) {
+    fn release_record(&self) -> (CachedRecord, u64) {
+        match self.rows.get(&release_key().head_key()) {
             None => (CachedRecord::Absent, 0),
-            Some((v, store_version)) => (
-                CoordinationRecord::read(v).map_or_else(CachedRecord::Unreadable, CachedRecord::Present),
+            Some((value, store_version)) => (
+                CoordinationRecord::read(value).map_or_else(CachedRecord::Unreadable, CachedRecord::Present),
                 *store_version,
             ),
         }
     }
-    fn fact(&self, id: &str) -> MemberState {
+    fn member_state(&self, id: &str) -> MemberState {
         match self.rows.get(&format!("{FINAL_RECORD_PREFIX}{id}")) {
-            Some((v, _)) if v["end"] == "done" => MemberState::Done,
+            Some((record, _)) if record["end"] == "done" => MemberState::Done,
             Some(_) => MemberState::Cancelled,
             None => MemberState::Live,
         }
     }
-    /// Every rebuild and render that was accepted, as its own record says.
-    fn accepted(&self) -> Vec<(String, ReleaseRef)> {
-        let of = |(k, (v, _)): (&String, &(Value, u64))| {
-            let id = k.strip_prefix(LIVE_JOB_PREFIX).or_else(|| k.strip_prefix(FINAL_RECORD_PREFIX))?;
-            let says = ReleaseRef::parse(&v["says"]).expect("written by us");
-            (says.stage != Stage::Rotation).then(|| (id.to_owned(), says))
+    /// All accepted rebuilds and renders, according to the jobs' own records.
+    fn accepted_members(&self) -> Vec<(String, ReleaseRef)> {
+        let member = |(key, (record, _)): (&String, &(Value, u64))| {
+            let id = key.strip_prefix(LIVE_JOB_PREFIX).or_else(|| key.strip_prefix(FINAL_RECORD_PREFIX))?;
+            let release_ref = ReleaseRef::parse(&record["release"]).expect("written by this test");
+            (release_ref.stage != Stage::Rotation).then(|| (id.to_owned(), release_ref))
         };
-        self.rows.iter().filter_map(of).collect()
+        self.rows.iter().filter_map(member).collect()
     }
 }
 
-fn read(_: &str, v: &Value) -> Option<JobMemberships> {
-    let state = match v["end"].as_str() {
+/// Reads a job's record for the census.
+fn read_job(_: &str, record: &Value) -> Option<JobMemberships> {
+    let state = match record["end"].as_str() {
         None => CensusJobState::Live,
         Some("done") => CensusJobState::Done,
         Some(_) => CensusJobState::Cancelled,
     };
-    Some(JobMemberships { joined: vec![(key().head_key(), v["says"].clone())], state })
+    Some(JobMemberships { joined: vec![(release_key().head_key(), record["release"].clone())], state })
 }
 
-/// What one controller holds; all of it is gone in a crash.
+/// The state of one controller, which a crash loses.
 struct Controller {
-    held: CachedRecord,
+    /// The release's record as it was last read, and its store version.
+    record: CachedRecord,
     store_version: u64,
     census: Option<Census>,
     members: Option<Vec<Member>>,
@@ -117,35 +124,44 @@
 
 impl Controller {
     fn new() -> Controller {
-        Controller { held: CachedRecord::NotRead, store_version: 0, census: None, members: None }
+        Controller { record: CachedRecord::NotRead, store_version: 0, census: None, members: None }
     }
     fn read(&mut self, store: &Store) {
-        let (held, store_version) = store.held();
-        if store_version != self.store_version || self.held == CachedRecord::NotRead {
-            *self = Controller { held, store_version, census: None, members: None };
+        let (record, store_version) = store.release_record();
+        if store_version != self.store_version || self.record == CachedRecord::NotRead {
+            *self = Controller { record, store_version, census: None, members: None };
         }
     }
 }
 
-/// How a commit fares.
+/// What happens to a commit.
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum Delivery {
+    /// It is applied, and its sender gets the answer.
     Answered,
+    /// It is applied, but its sender gets no answer.
     NoAnswer,
-    Late,
+    /// It stays in flight.
+    Delayed,
 }
 
+/// One step of the test. The first number is a controller's index, unless noted.
 #[derive(Clone, Debug)]
 enum Op {
     Read(usize),
+    /// This job is submitted; the flag says whether the controller reads the record first.
     Join(usize, u8, bool),
+    /// This job ends; the flag says whether it is cancelled.
     End(u8, bool),
     Step(usize),
     Close(usize),
+    /// An operator waives this job; 9 stands for [`MISSING`].
     Waive(usize, u8),
     Reopen(usize),
-    Late(usize),
+    /// The delayed commit of this index (modulo their number) is applied.
+    ApplyDelayed(usize),
     Crash(usize),
+    /// This many minutes pass.
     Minutes(u64),
 }
 
@@ -155,7 +171,8 @@
     calendars: Calendars,
     now: u64,
     started: bool,
-    refused: BTreeSet<String>,
+    /// Jobs that were rejected.
+    rejected: BTreeSet<String>,
 }
 
 impl World {
@@ -166,104 +183,119 @@
             calendars: calendars(),
             now: BEGINS + MINUTE,
             started: false,
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
         }
     }
 
-    fn send(&mut self, c: usize, commit: Commit, way: Way) -> bool {
-        match way {
-            Way::Answered => {
-                let done = self.store.apply(&commit);
-                self.controllers[c].read(&self.store);
-                done
+    /// Sends a commit; true if the controller gets the answer that it was applied.
+    fn send(&mut self, controller: usize, commit: Commit, delivery: Delivery) -> bool {
+        match delivery {
+            Delivery::Answered => {
+                let applied = self.store.apply(&commit);
+                self.controllers[controller].read(&self.store);
+                applied
             }
-            Way::NoAnswer => {
+            Delivery::NoAnswer => {
                 self.store.apply(&commit);
                 false
             }
-            Way::Late => {
-                self.store.late.push(commit);
+            Delivery::Delayed => {
+                self.store.delayed.push(commit);
                 false
             }
         }
     }
 
-    fn head(&mut self, c: usize, record: &CoordinationRecord, way: Way) -> bool {
-        let key = key().head_key();
-        if let CachedRecord::Present(old) = &self.controllers[c].held {
-            old.check_transition(record).expect("no decision goes back");
+    /// Writes the head of the release's record, on condition that it is unchanged since the controller read it.
+    fn write_head(&mut self, controller: usize, record: &CoordinationRecord, delivery: Delivery) -> bool {
+        let key = release_key().head_key();
+        if let CachedRecord::Present(old) = &self.controllers[controller].record {
+            old.check_transition(record).expect("an allowed transition");
         }
         let commit = Commit {
-            conditions: vec![(key.clone(), self.controllers[c].store_version)],
+            conditions: vec![(key.clone(), self.controllers[controller].store_version)],
             writes: vec![(key, Some(record.to_value()))],
         };
-        self.send(c, commit, way)
+        self.send(controller, commit, delivery)
     }
 
-    fn join(&mut self, c: usize, job: u8, way: Way) {
+    /// A controller handles the submission of a job: job 0 is a rebuild that declares three renders, the others are renders.
+    fn join(&mut self, controller: usize, job: u8, delivery: Delivery) {
         let id = format!("wk-{job}");
         let stage = if job == 0 { Stage::Rebuild } else { Stage::Render };
-        let says = says(stage, (job == 0).then_some(3));
-        match decide_join(&self.controllers[c].held, &self.calendars, &says, "any", self.now) {
+        let release_ref = release_ref(stage, (job == 0).then_some(3));
+        match decide_join(
+            &self.controllers[controller].record,
+            &self.calendars,
+            &release_ref,
+            "any",
+            self.now,
+        ) {
             ReleaseJoin::Join => {
                 let conditions = vec![
-                    (key().head_key(), self.controllers[c].store_version),
+                    (release_key().head_key(), self.controllers[controller].store_version),
                     (format!("{LIVE_JOB_PREFIX}{id}"), 0),
                     (format!("{FINAL_RECORD_PREFIX}{id}"), 0),
                 ];
-                let writes = vec![(format!("{LIVE_JOB_PREFIX}{id}"), Some(json!({"says": says.to_value()})))];
-                self.send(c, Commit { conditions, writes }, way);
+                let writes = vec![(
+                    format!("{LIVE_JOB_PREFIX}{id}"),
+                    Some(json!({"release": release_ref.to_value()})),
+                )];
+                self.send(controller, Commit { conditions, writes }, delivery);
             }
             ReleaseJoin::OpenFirst(record) => {
-                self.head(c, &record, way);
+                self.write_head(controller, &record, delivery);
             }
-            ReleaseJoin::Refused(why) => {
-                assert!(matches!(why, Refusal::Closed { .. } | Refusal::Over { .. }), "{why}");
-                self.refused.insert(id);
+            ReleaseJoin::Refused(refusal) => {
+                assert!(matches!(refusal, Refusal::Closed { .. } | Refusal::Over { .. }), "{refusal}");
+                self.rejected.insert(id);
             }
             ReleaseJoin::Retry(_) => {}
         }
     }
 
-    /// What a controller does by itself, one step.
-    fn step(&mut self, c: usize, way: Way) {
-        let CachedRecord::Present(record) = self.controllers[c].held.clone() else { return };
+    /// A controller takes the next step towards the rotation: closing, census, reading the pages, or the start.
+    fn step(&mut self, controller: usize, delivery: Delivery) {
+        let CachedRecord::Present(record) = self.controllers[controller].record.clone() else { return };
         let body = Release::read(&record).expect("readable");
         match record.phase {
             Phase::Open => {
                 let live: Vec<Member> = self
                     .store
-                    .accepted()
+                    .accepted_members()
                     .into_iter()
-                    .filter_map(|(id, s)| {
-                        let counts = self.store.fact(&id) != MemberState::Cancelled;
-                        counts.then_some(Member { id, stage: s.stage, expects: s.expects })
+                    .filter_map(|(id, member)| {
+                        let counts = self.store.member_state(&id) != MemberState::Cancelled;
+                        counts.then_some(Member { id, stage: member.stage, expects: member.expects })
                     })
                     .collect();
                 if let Some(by) = body.close_reason(&live, self.now) {
                     let next = release_record::begin_closing(&record, by).expect("it is open");
-                    self.head(c, &next, way);
+                    self.write_head(controller, &next, delivery);
                 }
             }
-            Phase::Closing => self.count(c, &record, way),
+            Phase::Closing => self.advance_census(controller, &record, delivery),
             Phase::Closed => {
-                if self.controllers[c].members.is_none() {
+                if self.controllers[controller].members.is_none() {
                     let pages: Vec<Value> = (0..record.pages)
-                        .filter_map(|n| {
-                            self.store.rows.get(&key().page_key(record.version, n)).map(|r| r.0.clone())
+                        .filter_map(|index| {
+                            self.store
+                                .rows
+                                .get(&release_key().page_key(record.version, index))
+                                .map(|row| row.0.clone())
                         })
                         .collect();
                     if pages.len() == record.pages {
-                        self.controllers[c].members =
+                        self.controllers[controller].members =
                             Some(release_record::read_member_pages(&pages).expect("readable"));
                     }
                     return;
                 }
-                let me = &self.controllers[c];
-                match assess(&me.held, me.members.as_deref(), |id| self.store.fact(id)) {
+                let this = &self.controllers[controller];
+                match assess(&this.record, this.members.as_deref(), |id| self.store.member_state(id)) {
                     Readiness::MayStart => self.started = true,
                     Readiness::Ready(next) => {
-                        self.head(c, &next, way);
+                        self.write_head(controller, &next, delivery);
                     }
                     Readiness::Held { why } => assert!(!why.is_empty()),
                 }
@@ -271,116 +303,137 @@
         }
     }
 
-    fn count(&mut self, c: usize, record: &CoordinationRecord, way: Way) {
-        let census =
-            self.controllers[c].census.get_or_insert_with(|| Census::begin([key().head_key()].into()));
+    /// One step of a controller's census. After the last one it writes the pages and the closed head.
+    fn advance_census(&mut self, controller: usize, record: &CoordinationRecord, delivery: Delivery) {
+        let census = self.controllers[controller]
+            .census
+            .get_or_insert_with(|| Census::begin([release_key().head_key()].into()));
         match census.next_step() {
             CensusStep::ReadPage { prefix, after } => {
-                let rows = self.store.rows.range(after..).filter(|(k, _)| k.starts_with(prefix));
-                let mut rows: Vec<(String, Value)> = rows.map(|(k, r)| (k.clone(), r.0.clone())).collect();
+                let rows = self.store.rows.range(after..).filter(|(key, _)| key.starts_with(prefix));
+                let mut rows: Vec<(String, Value)> =
+                    rows.map(|(key, row)| (key.clone(), row.0.clone())).collect();
                 if let CensusStep::ReadPage { after, .. } = census.next_step() {
-                    rows.retain(|(k, _)| *k > after);
+                    rows.retain(|(key, _)| *key > after);
                 }
-                let more = rows.len() > 2;
-                census.apply_page(rows.into_iter().take(2), more, read);
+                let has_more = rows.len() > 2;
+                census.apply_page(rows.into_iter().take(2), has_more, read_job);
             }
             CensusStep::Complete => {
-                let found = census.members(&key().head_key()).expect("all readable");
+                let found = census.members(&release_key().head_key()).expect("all readable");
                 let (pages, head) =
-                    release_record::finish_closing(&key(), record, &found, PAGE).expect("closing");
-                let store_version = self.controllers[c].store_version;
-                for (k, v) in pages {
+                    release_record::finish_closing(&release_key(), record, &found, PAGE_BYTES)
+                        .expect("closing");
+                let store_version = self.controllers[controller].store_version;
+                for (key, page) in pages {
                     let commit = Commit {
-                        conditions: vec![(key().head_key(), store_version)],
-                        writes: vec![(k, Some(v))],
+                        conditions: vec![(release_key().head_key(), store_version)],
+                        writes: vec![(key, Some(page))],
                     };
-                    // The head counts on its pages: it is written once each is known to be there.
-                    if !self.store.rows.contains_key(&commit.writes[0].0) && !self.send(c, commit, way) {
+                    // The head depends on its pages, so it is written only after all of them are known to be stored.
+                    if !self.store.rows.contains_key(&commit.writes[0].0)
+                        && !self.send(controller, commit, delivery)
+                    {
                         return;
                     }
                 }
-                self.head(c, &head, way);
+                self.write_head(controller, &head, delivery);
             }
         }
     }
 
-    fn operator(
+    /// A controller carries out an operator's change, if it is allowed.
+    fn apply_operator_change(
         &mut self,
-        c: usize,
+        controller: usize,
         change: impl Fn(&CoordinationRecord, &[Member]) -> Result<CoordinationRecord, release_record::ChangeError>,
-        way: Way,
+        delivery: Delivery,
     ) {
-        let CachedRecord::Present(record) = self.controllers[c].held.clone() else { return };
-        let known = self.controllers[c].members.clone().unwrap_or_default();
+        let CachedRecord::Present(record) = self.controllers[controller].record.clone() else { return };
+        let known = self.controllers[controller].members.clone().unwrap_or_default();
         if let Ok(next) = change(&record, &known) {
-            self.head(c, &next, way);
+            self.write_head(controller, &next, delivery);
         }
     }
 
-    fn end(&mut self, job: u8, cancel: bool) {
-        let live = format!("{LIVE_JOB_PREFIX}wk-{job}");
-        if let Some((mut v, _)) = self.store.rows.get(&live).cloned() {
-            v["end"] = if cancel { "cancelled" } else { "done" }.into();
-            let writes = vec![(live, None), (format!("{FINAL_RECORD_PREFIX}wk-{job}"), Some(v))];
+    /// Ends a job: replaces its live record by a final one.
+    fn end(&mut self, job: u8, is_cancelled: bool) {
+        let live_key = format!("{LIVE_JOB_PREFIX}wk-{job}");
+        if let Some((mut record, _)) = self.store.rows.get(&live_key).cloned() {
+            record["end"] = if is_cancelled { "cancelled" } else { "done" }.into();
+            let writes = vec![(live_key, None), (format!("{FINAL_RECORD_PREFIX}wk-{job}"), Some(record))];
             self.store.apply(&Commit { conditions: vec![], writes });
         }
     }
 
-    fn play(&mut self, op: &Op, way: Way) {
+    fn run(&mut self, op: &Op, delivery: Delivery) {
         match *op {
-            Op::Read(c) => self.controllers[c].read(&self.store),
-            Op::Join(c, job, fresh) => {
-                if fresh {
-                    self.controllers[c].read(&self.store);
+            Op::Read(controller) => self.controllers[controller].read(&self.store),
+            Op::Join(controller, job, reads_first) => {
+                if reads_first {
+                    self.controllers[controller].read(&self.store);
                 }
-                self.join(c, job, way);
+                self.join(controller, job, delivery);
             }
-            Op::End(job, cancel) => self.end(job, cancel),
-            Op::Step(c) => self.step(c, way),
-            Op::Close(c) => self.operator(c, |r, _| release_record::close(r), way),
-            Op::Waive(c, job) => {
+            Op::End(job, is_cancelled) => self.end(job, is_cancelled),
+            Op::Step(controller) => self.step(controller, delivery),
+            Op::Close(controller) => {
+                self.apply_operator_change(controller, |r, _| release_record::close(r), delivery)
+            }
+            Op::Waive(controller, job) => {
                 let job = if job == 9 { MISSING.to_owned() } else { format!("wk-{job}") };
-                self.operator(c, |r, known| release_record::waive(r, known, &job, "we do without"), way);
+                self.apply_operator_change(
+                    controller,
+                    |record, known| release_record::waive(record, known, &job, "not needed"),
+                    delivery,
+                );
             }
-            Op::Reopen(c) => self.operator(c, |r, _| release_record::reopen(r), way),
-            Op::Late(n) => {
-                if !self.store.late.is_empty() {
-                    let n = n % self.store.late.len();
-                    let commit = self.store.late.swap_remove(n);
+            Op::Reopen(controller) => {
+                self.apply_operator_change(controller, |record, _| release_record::reopen(record), delivery)
+            }
+            Op::ApplyDelayed(number) => {
+                if !self.store.delayed.is_empty() {
+                    let index = number % self.store.delayed.len();
+                    let commit = self.store.delayed.swap_remove(index);
                     self.store.apply(&commit);
                 }
             }
-            Op::Crash(c) => self.controllers[c] = Controller::new(),
-            Op::Minutes(n) => self.now += n * MINUTE,
+            Op::Crash(controller) => self.controllers[controller] = Controller::new(),
+            Op::Minutes(minutes) => self.now += minutes * MINUTE,
         }
-        self.rules();
+        self.check_invariants();
     }
 
-    /// Once the rotation has started: all that was ever accepted is done on record, or waived there; and no declared render is
-    /// missing that nobody said to do without.
-    fn rules(&self) {
+    /// Once the rotation has started, every accepted member is done or waived according to its record, and no declared render
+    /// is missing without a waiver.
+    fn check_invariants(&self) {
         if !self.started {
             return;
         }
-        let (held, _) = self.store.held();
-        let CachedRecord::Present(record) = held else { panic!("started without a record") };
+        let (record, _) = self.store.release_record();
+        let CachedRecord::Present(record) = record else { panic!("started without a record") };
         let body = Release::read(&record).expect("readable");
         assert!(record.phase == Phase::Closed && body.rotated, "started before it was closed: {record:?}");
-        let all = self.store.accepted();
-        for (id, _) in &all {
-            let good = self.store.fact(id) == MemberState::Done || body.waived.contains_key(id);
-            assert!(good, "{id} was accepted and not waited for");
+        let members = self.store.accepted_members();
+        for (id, _) in &members {
+            let may_start = self.store.member_state(id) == MemberState::Done || body.waived.contains_key(id);
+            assert!(may_start, "the rotation did not wait for {id}, which was accepted");
         }
-        // What is waived may have been cancelled only after the start.
-        let stands = |id: &String| self.store.fact(id) != MemberState::Cancelled;
-        let there = |id: &String| stands(id) || body.waived.contains_key(id);
-        let renders = all.iter().filter(|(id, s)| s.stage == Stage::Render && there(id)).count() as u64;
-        let declared = all.iter().filter(|(id, _)| stands(id)).filter_map(|(_, s)| s.expects).sum::<u64>();
+        // A waived render may have been cancelled after the start, so it counts.
+        let is_active = |id: &String| self.store.member_state(id) != MemberState::Cancelled;
+        let counts = |id: &String| is_active(id) || body.waived.contains_key(id);
+        let renders =
+            members.iter().filter(|(id, member)| member.stage == Stage::Render && counts(id)).count() as u64;
+        let declared = members
+            .iter()
+            .filter(|(id, _)| is_active(id))
+            .filter_map(|(_, member)| member.expects)
+            .sum::<u64>();
         let missing = renders == 0 || declared > renders;
         assert!(!missing || body.waived.contains_key(MISSING), "{renders} of {declared} renders");
     }
 
-    /// Troubles are over: one controller does all that is left, operators waive what was cancelled or never came.
+    /// After all failures one controller completes the release; an operator waives cancelled members and missing renders.
     fn settle(&mut self) {
         self.controllers[0] = Controller::new();
         for job in 0..8 {
@@ -388,23 +441,24 @@
         }
         self.now += 24 * 60 * MINUTE;
         for _ in 0..60 {
-            self.play(&Op::Read(0), Way::Answered);
-            self.play(&Op::Step(0), Way::Answered);
-            if let CachedRecord::Present(r) = &self.controllers[0].held
-                && Release::read(r).is_ok_and(|b| b.by_hand && r.phase == Phase::Open)
+            self.run(&Op::Read(0), Delivery::Answered);
+            self.run(&Op::Step(0), Delivery::Answered);
+            if let CachedRecord::Present(record) = &self.controllers[0].record
+                && Release::read(record).is_ok_and(|body| body.by_hand && record.phase == Phase::Open)
             {
-                self.play(&Op::Close(0), Way::Answered);
+                self.run(&Op::Close(0), Delivery::Answered);
             }
-            let me = &self.controllers[0];
-            if let (Some(members), Readiness::Held { why }) =
-                (&me.members, assess(&me.held, me.members.as_deref(), |id| self.store.fact(id)))
-            {
+            let this = &self.controllers[0];
+            if let (Some(members), Readiness::Held { why }) = (
+                &this.members,
+                assess(&this.record, this.members.as_deref(), |id| self.store.member_state(id)),
+            ) {
                 let known = members.clone();
-                let job = why.iter().find_map(|c| c.job()).unwrap_or(MISSING).to_owned();
-                self.operator(
+                let job = why.iter().find_map(|cause| cause.job()).unwrap_or(MISSING).to_owned();
+                self.apply_operator_change(
                     0,
-                    |r, _| release_record::waive(r, &known, &job, "we do without"),
-                    Way::Answered,
+                    |record, _| release_record::waive(record, &known, &job, "not needed"),
+                    Delivery::Answered,
                 );
             }
         }
@@ -412,66 +466,75 @@
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let c = 0usize..3;
+    let controller = 0usize..3;
     prop_oneof![
-        3 => c.clone().prop_map(Op::Read),
-        5 => (c.clone(), 0u8..8, any::<bool>()).prop_map(|(c, j, f)| Op::Join(c, j, f)),
-        3 => (0u8..8, prop::bool::weighted(0.15)).prop_map(|(j, x)| Op::End(j, x)),
-        10 => c.clone().prop_map(Op::Step),
-        1 => c.clone().prop_map(Op::Close),
-        1 => (c.clone(), 0u8..10).prop_map(|(c, j)| Op::Waive(c, j)),
-        1 => c.clone().prop_map(Op::Reopen),
-        2 => (0usize..8).prop_map(Op::Late),
-        1 => c.prop_map(Op::Crash),
+        3 => controller.clone().prop_map(Op::Read),
+        5 => (controller.clone(), 0u8..8, any::<bool>()).prop_map(|(controller, job, reads_first)| Op::Join(controller, job, reads_first)),
+        3 => (0u8..8, prop::bool::weighted(0.15)).prop_map(|(job, is_cancelled)| Op::End(job, is_cancelled)),
+        10 => controller.clone().prop_map(Op::Step),
+        1 => controller.clone().prop_map(Op::Close),
+        1 => (controller.clone(), 0u8..10).prop_map(|(controller, job)| Op::Waive(controller, job)),
+        1 => controller.clone().prop_map(Op::Reopen),
+        2 => (0usize..8).prop_map(Op::ApplyDelayed),
+        1 => controller.prop_map(Op::Crash),
         1 => (1u64..40).prop_map(Op::Minutes),
     ]
 }
 
-fn way() -> impl Strategy<Value = Way> {
-    prop_oneof![6 => Just(Way::Answered), 1 => Just(Way::NoAnswer), 2 => Just(Way::Late)]
+fn delivery() -> impl Strategy<Value = Delivery> {
+    prop_oneof![6 => Just(Delivery::Answered), 1 => Just(Delivery::NoAnswer), 2 => Just(Delivery::Delayed)]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(3000))]
     #[test]
-    fn a_rotation_waits_for_all_that_was_accepted_and_for_nothing_for_ever(
-        ops in prop::collection::vec((op(), way()), 20..160)
+    fn rotation_waits_for_all_accepted_members_and_always_starts(
+        ops in prop::collection::vec((op(), delivery()), 20..160)
     ) {
-        let mut w = World::new();
-        for (op, way) in &ops {
-            w.play(op, *way);
+        let mut world = World::new();
+        for (op, delivery) in &ops {
+            world.run(op, *delivery);
         }
-        let begun = !matches!(w.store.held().0, CachedRecord::Absent);
-        w.settle();
-        prop_assert!(w.started || !begun, "held for ever: {:?}", w.store.held());
-        // Whatever comes late now changes nothing.
-        while !w.store.late.is_empty() {
-            w.play(&Op::Late(0), Way::Answered);
+        let opened = !matches!(world.store.release_record().0, CachedRecord::Absent);
+        world.settle();
+        prop_assert!(world.started || !opened, "held for ever: {:?}", world.store.release_record());
+        // Delayed commits that are applied after the start must not break the invariants.
+        while !world.store.delayed.is_empty() {
+            world.run(&Op::ApplyDelayed(0), Delivery::Answered);
         }
     }
 }
 
 #[test]
-fn the_races_reach_every_outcome() {
+fn random_runs_reach_every_outcome() {
     use proptest::strategy::ValueTree;
     use proptest::test_runner::TestRunner;
     let mut runner = TestRunner::deterministic();
-    let (mut refused, mut started, mut reopened, mut cancelled) = (0, 0, 0, 0);
+    let (mut rejected, mut started, mut reopened, mut cancelled) = (0, 0, 0, 0);
     for _ in 0..400 {
-        let ops =
-            prop::collection::vec((op(), way()), 80..160).new_tree(&mut runner).expect("a tree").current();
-        let mut w = World::new();
-        for (op, way) in &ops {
-            w.play(op, *way);
+        let ops = prop::collection::vec((op(), delivery()), 80..160)
+            .new_tree(&mut runner)
+            .expect("a tree")
+            .current();
+        let mut world = World::new();
+        for (op, delivery) in &ops {
+            world.run(op, *delivery);
         }
-        refused += usize::from(!w.refused.is_empty());
-        started += usize::from(w.started);
-        reopened += usize::from(matches!(w.store.held().0, CachedRecord::Present(r) if r.version > 1));
-        cancelled +=
-            usize::from(w.store.accepted().iter().any(|(id, _)| w.store.fact(id) == MemberState::Cancelled));
+        rejected += usize::from(!world.rejected.is_empty());
+        started += usize::from(world.started);
+        reopened += usize::from(
+            matches!(world.store.release_record().0, CachedRecord::Present(record) if record.version > 1),
+        );
+        cancelled += usize::from(
+            world
+                .store
+                .accepted_members()
+                .iter()
+                .any(|(id, _)| world.store.member_state(id) == MemberState::Cancelled),
+        );
     }
     assert!(
-        refused > 20 && started > 20 && reopened > 5 && cancelled > 20,
-        "{refused} {started} {reopened} {cancelled}"
+        rejected > 20 && started > 20 && reopened > 5 && cancelled > 20,
+        "{rejected} {started} {reopened} {cancelled}"
     );
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,5 +1,4 @@
-//! The command line's verbs that ask a running controller. They print what it answers, in words or as it is, and decide
-//! nothing.
+//! The subcommands that query a running controller. They print its answer as text or as JSON and decide nothing.
 
 pub mod batches;
 mod client;
@@ -20,30 +19,30 @@
     pub json: bool,
 }
 
-/// Why a verb has no answer to print. Its text is printed after the program's name.
+/// Why a subcommand has no answer to print. The message is printed after the program's name.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
     /// The list of controllers is empty.
     #[error("no controller is named")]
     NoController,
-    /// The last controller asked gives no complete answer.
+    /// The last controller asked did not answer, or not completely.
     #[error("{address} does not answer")]
     NoAnswer {
         /// Its address.
         address: String,
     },
-    /// The last controller asked can't answer now.
+    /// The last controller asked can't answer at present.
     #[error("{address}: {reason}")]
     Unavailable {
         /// Its address.
         address: String,
-        /// What it said, or what went wrong on the way.
+        /// The reason in its answer, or the transport error.
         reason: String,
     },
-    /// A controller refuses for good.
+    /// A controller has rejected the request; a retry would be rejected too.
     #[error("{reason}")]
     Refused {
-        /// What it said.
+        /// The reason in its answer.
         reason: String,
     },
 }
