--- a/src/cli/releases.rs
+++ b/src/cli/releases.rs
@@ -1,12 +1,12 @@
-//! The verb `release`.
+//! The subcommand `release`.
 
-use super::client::{ask, one_line};
+use super::client::{format_json, send_request};
 use super::{CliError, ControllerArgs};
 use crate::wire::percent_encoding::percent_encode;
 use clap::{Args, Subcommand};
 use serde_json::{Value, json};
 
-/// Where releases are asked for.
+/// The path of the operators' API for releases.
 const PATH: &str = "/ops/releases";
 
 /// A release: its title, and the night if it is not the latest.
@@ -46,10 +46,10 @@
     },
 }
 
-/// Carries out a command about releases; the text to print.
+/// Runs a command about releases and returns the text to print.
 ///
 /// # Errors
-/// If no controller answers, or one refuses.
+/// If no controller answers, or one rejects the request.
 pub fn run(command: &ReleaseCommand) -> Result<String, CliError> {
     match command {
         ReleaseCommand::List(controllers) => list(controllers),
@@ -61,37 +61,37 @@
 }
 
 fn list(controllers: &ControllerArgs) -> Result<String, CliError> {
-    let answer = ask(controllers, "GET", PATH, None)?;
+    let answer = send_request(controllers, "GET", PATH, None)?;
     if controllers.json {
-        return Ok(one_line(&answer));
+        return Ok(format_json(&answer));
     }
-    let line = |release: &Value| {
+    let format_line = |release: &Value| {
         let late = if release["late"] == true { ", late" } else { "" };
         let text = |key: &str| release[key].as_str().unwrap_or("unreadable").to_owned();
         format!("{} {}: {}{late}\n", text("title"), text("night"), text("phase"))
     };
-    Ok(answer["releases"].as_array().into_iter().flatten().map(line).collect())
+    Ok(answer["releases"].as_array().into_iter().flatten().map(format_line).collect())
 }
 
 fn show(release: &ReleaseArgs) -> Result<String, CliError> {
     let query = release.night.as_deref().map(|night| format!("?night={}", percent_encode(night)));
     let path = format!("{PATH}/{}{}", percent_encode(&release.title), query.unwrap_or_default());
-    let answer = ask(&release.controllers, "GET", &path, None)?;
+    let answer = send_request(&release.controllers, "GET", &path, None)?;
     if release.controllers.json {
-        return Ok(one_line(&answer));
+        return Ok(format_json(&answer));
     }
     Ok(answer["text"].as_str().unwrap_or_default().to_owned())
 }
 
-/// Has a release changed; `more` goes into the body beside the release.
-fn change(release: &ReleaseArgs, change: &str, more: &[(&str, &str)]) -> Result<String, CliError> {
+/// Requests a change of a release; `extra_fields` are added to the request's body.
+fn change(release: &ReleaseArgs, change: &str, extra_fields: &[(&str, &str)]) -> Result<String, CliError> {
     let mut body = json!({"title": release.title, "night": release.night});
-    for (key, value) in more {
+    for (key, value) in extra_fields {
         body[*key] = (*value).into();
     }
-    let answer = ask(&release.controllers, "POST", &format!("{PATH}/{change}"), Some(&body))?;
+    let answer = send_request(&release.controllers, "POST", &format!("{PATH}/{change}"), Some(&body))?;
     if release.controllers.json {
-        return Ok(one_line(&answer));
+        return Ok(format_json(&answer));
     }
     let text = |key: &str| answer[key].as_str().unwrap_or("?").to_owned();
     Ok(format!("{} {}: {}\n", text("title"), text("night"), text("phase")))
--- a/src/cli/why.rs
+++ b/src/cli/why.rs
@@ -1,19 +1,19 @@
-//! The verb `why`: why a job waits.
+//! The subcommand `why`: shows what a job waits for.
 
-use super::client::{ask, one_line};
+use super::client::{format_json, send_request};
 use super::{CliError, ControllerArgs};
 use crate::wire::percent_encoding::percent_encode;
 use crate::wire::users;
 use serde_json::Value;
 
-/// Asks why a job waits; the text to print.
+/// Asks what a job waits for and returns the text to print.
 ///
 /// # Errors
-/// If no controller answers, or one refuses.
+/// If no controller answers, or one rejects the request.
 pub fn run(controllers: &ControllerArgs, job: &str) -> Result<String, CliError> {
-    let answer = ask(controllers, "GET", &format!("/ops/why/{}", percent_encode(job)), None)?;
+    let answer = send_request(controllers, "GET", &format!("/ops/why/{}", percent_encode(job)), None)?;
     if controllers.json {
-        return Ok(one_line(&answer));
+        return Ok(format_json(&answer));
     }
     let mut text = format!("{job}: {}\n", users::read_state(&answer).unwrap_or("?"));
     let dependencies: Vec<&str> =
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: the platform's settings file (TOML), the operators' own settings (INI) and what follows from them.
+//! Configuration: the platform's settings file (TOML), the operators' settings file (INI) and the values derived from them.
 
 pub mod operators;
 pub mod settings;
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -1,5 +1,5 @@
-//! Operators' own settings, beyond the platform's file: an INI file named by `--operators`. Without one everything that it
-//! could switch on is off.
+//! Operators' settings: an INI file named by `--operators`, in addition to the platform's settings file. All features that
+//! it enables are off without it.
 
 use crate::units::Micros;
 use hazelsaddle_freshness::settings::Settings as Freshness;
@@ -7,39 +7,39 @@
 use hazelsaddle_release::calendar::{Calendar, Calendars};
 use std::net::SocketAddrV4;
 
-/// Most log stores: their addresses are in every answer about a job.
+/// Most log stores. The limit exists because every answer about a job lists their addresses.
 const LOG_STORE_LIMIT: usize = 16;
-/// Range of `back_s`, in seconds. Resources must not be kept for long for a lender that doesn't use them.
-const RECLAIM_RANGE_S: (f64, f64) = (1.0, 30.0);
-/// Range of the other times of loans, in seconds.
+/// Allowed range of `back_s`, in seconds. Short, because a lender may leave the resources reserved for it unused.
+const BACK_RANGE_S: (f64, f64) = (1.0, 30.0);
+/// Allowed range of the other durations in `[loans]`, in seconds.
 const LOAN_TIME_RANGE_S: (f64, f64) = (0.0, 86_400.0);
 
-/// What is wrong with a key that is not known.
+/// Error text for an unknown key.
 const UNKNOWN_KEY: &str = "is no setting";
 
-/// What operators have set. The verb `check` prints it in its `Debug` form: fields' names are output.
+/// The operators' settings. The subcommand `check` prints them in their `Debug` format, so field names are output.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Operators {
-    /// Addresses of log stores to read from; in every answer about a job.
+    /// Addresses at which log stores serve readers; listed in every answer about a job.
     pub log_stores: Vec<SocketAddrV4>,
-    /// Which classes the stale-input guard covers; None: it is off.
+    /// The classes that the stale-input guard covers; None: the guard is off.
     pub freshness: Option<Freshness>,
-    /// Release calendars; without one releases are off.
+    /// Release calendars; without one, releases are off.
     pub calendars: Calendars,
-    /// On which terms GPUs are lent; None: lending is off.
+    /// The terms on which GPUs are lent; None: lending is off.
     pub loans: Option<LoanTerms>,
 }
 
-/// On which terms GPUs are lent.
+/// The terms on which GPUs are lent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoanTerms {
     /// Teams or classes whose services may borrow.
     pub borrowers: Vec<String>,
-    /// How long a replica that work was preempted for may stay, though its lender lacks GPUs.
+    /// Minimum time for which a replica that runs on lent GPUs keeps them, even if the lender is short of GPUs.
     pub stay: Micros,
-    /// How long resources that were reclaimed are reserved for their lender.
+    /// How long reclaimed resources stay reserved for their lender.
     pub back: Micros,
-    /// How long a lender, or a service, must have lacked GPUs before it counts.
+    /// How long a lender or a service must have been short of GPUs before GPUs are reclaimed or lent for it.
     pub burst: Micros,
 }
 
@@ -55,13 +55,13 @@
 }
 
 impl LoanTerms {
-    /// Sets the value of a key of `[loans]`.
+    /// Applies one key of `[loans]`.
     fn set(&mut self, key: &str, value: &str) -> Result<(), String> {
         match key {
-            "borrowers" => self.borrowers = names_in(value).map(str::to_owned).collect(),
-            "stay_s" => self.stay = seconds_in(value, LOAN_TIME_RANGE_S)?,
-            "back_s" => self.back = seconds_in(value, RECLAIM_RANGE_S)?,
-            "burst_s" => self.burst = seconds_in(value, LOAN_TIME_RANGE_S)?,
+            "borrowers" => self.borrowers = split_list(value).map(str::to_owned).collect(),
+            "stay_s" => self.stay = parse_seconds(value, LOAN_TIME_RANGE_S)?,
+            "back_s" => self.back = parse_seconds(value, BACK_RANGE_S)?,
+            "burst_s" => self.burst = parse_seconds(value, LOAN_TIME_RANGE_S)?,
             _ => return Err(UNKNOWN_KEY.into()),
         }
         Ok(())
@@ -69,15 +69,15 @@
 }
 
 impl Operators {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// What is wrong, with file, section and key.
+    /// The first problem, with file, section and key.
     pub fn load(file: &str) -> Result<Operators, ConfigError> {
         Operators::parse(file, &text_of(file)?)
     }
 
-    /// Checks the text of a file; `file` is named in errors.
+    /// Parses the text of a settings file; `file` is its name in error messages.
     ///
     /// # Errors
     /// As [`Operators::load`].
@@ -120,38 +120,39 @@
         Ok(())
     }
 
-    /// Sets the value of a key of `[logs]`.
+    /// Applies one key of `[logs]`.
     fn set_log_stores(&mut self, key: &str, value: &str) -> Result<(), String> {
         if key != "stores" {
             return Err(UNKNOWN_KEY.into());
         }
-        for address in names_in(value) {
+        for address in split_list(value) {
             let parsed = address.parse().map_err(|_| format!("{address:?} is no IPv4 address and port"))?;
             self.log_stores.push(parsed);
         }
         if self.log_stores.len() > LOG_STORE_LIMIT {
-            return Err(format!("names {LOG_STORE_LIMIT} stores at the most"));
+            return Err(format!("must name at most {LOG_STORE_LIMIT} stores"));
         }
         Ok(())
     }
 
-    /// Sets the value of a key of `[freshness]`.
+    /// Applies one key of `[freshness]`.
     fn set_freshness(&mut self, key: &str, value: &str) -> Result<(), String> {
         self.freshness.get_or_insert_default().set(key, value).map_err(|reason| reason.to_string())
     }
 }
 
-/// The name of the calendar that a section is about.
+/// The calendar's name in the header of a section `[calendar NAME]`; None for any other section.
 fn calendar_name(section: &str) -> Option<&str> {
     section.strip_prefix("calendar ").map(str::trim).filter(|name| !name.is_empty())
 }
 
-/// The parts of a list separated by commas.
-fn names_in(value: &str) -> impl Iterator<Item = &str> {
+/// Splits a comma-separated list.
+fn split_list(value: &str) -> impl Iterator<Item = &str> {
     value.split(',').map(str::trim).filter(|name| !name.is_empty())
 }
 
-fn seconds_in(value: &str, (least, most): (f64, f64)) -> Result<Micros, String> {
+/// Parses a duration in seconds that must be from `least` to `most`.
+fn parse_seconds(value: &str, (least, most): (f64, f64)) -> Result<Micros, String> {
     let seconds: Option<f64> = value.parse().ok().filter(|seconds| (least..=most).contains(seconds));
     let seconds =
         seconds.ok_or_else(|| format!("{value:?} is no number of seconds from {least} to {most}"))?;
--- a/src/config/operators/tests.rs
+++ b/src/config/operators/tests.rs
@@ -1,15 +1,17 @@
 use super::*;
 
 #[test]
-fn the_file_in_deploy_is_valid_and_wrong_keys_are_named() {
-    let all = Operators::parse("f.ini", include_str!("../../../deploy/operators.ini")).expect("valid");
-    assert_eq!(all, Operators::default(), "everything in it is commented out");
-    let on = Operators::parse("f.ini", "[logs]\nstores = 10.3.0.1:7103, 10.3.0.2:7103\n").expect("valid");
-    assert_eq!(on.log_stores.len(), 2);
-    let on = Operators::parse("f.ini", "[loans]\nborrowers = serve, chat\nstay_s = 60\n").expect("valid");
-    let terms = on.loans.expect("switched on");
+fn shipped_operators_file_is_valid_and_errors_name_section_and_key() {
+    let shipped = Operators::parse("f.ini", include_str!("../../../deploy/operators.ini")).expect("valid");
+    assert_eq!(shipped, Operators::default(), "all its settings are commented out");
+    let with_logs =
+        Operators::parse("f.ini", "[logs]\nstores = 10.3.0.1:7103, 10.3.0.2:7103\n").expect("valid");
+    assert_eq!(with_logs.log_stores.len(), 2);
+    let with_loans =
+        Operators::parse("f.ini", "[loans]\nborrowers = serve, chat\nstay_s = 60\n").expect("valid");
+    let terms = with_loans.loans.expect("lending is on");
     assert_eq!((terms.borrowers.len(), terms.stay, terms.back.as_secs()), (2, Micros::from_secs(60.0), 30.0));
-    for (text, named) in [
+    for (text, prefix) in [
         ("[logs]\nstores = here:1\n", "f.ini: [logs] stores"),
         ("[logs]\nstore = 10.0.0.1:1\n", "f.ini: [logs] store:"),
         ("[calendar n]\ntitel = x\n", "f.ini: [calendar n] titel:"),
@@ -22,7 +24,7 @@
         ("[freshness]\nsources = bet bolu\n", "f.ini: [freshness] sources"),
         ("[freshness]\nsources = a\nrequired = b\n", "f.ini: [freshness] required"),
     ] {
-        let e = Operators::parse("f.ini", text).expect_err(text).to_string();
-        assert!(e.starts_with(named) && !e.contains('\n'), "{e}");
+        let message = Operators::parse("f.ini", text).expect_err(text).to_string();
+        assert!(message.starts_with(prefix) && !message.contains('\n'), "{message}");
     }
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file (TOML), checked, and the timers and limits that follow from it.
+//! Parses and checks the platform's settings file (TOML) and derives the controller's timers and limits from it.
 //!
 //! Settings are read once, before the controller starts, and never change after that.
 
@@ -12,23 +12,23 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// Largest rate, size or time.
+/// Largest rate, size or time that a settings file may have.
 const AMOUNT_LIMIT: f64 = 1e6;
-/// Largest guarantee or limit of a team.
+/// Largest guarantee or quota limit of a team.
 const TEAM_AMOUNT_LIMIT: f64 = 1e9;
-/// The longest transaction of a controller must fit.
-const LEAST_TRANSACTION: usize = 4;
+/// Least limit of operations per transaction with which a controller's longest transaction still fits.
+const MIN_TRANSACTION_OPS: usize = 4;
 /// Most controllers.
 const MEMBER_LIMIT: usize = 64;
-/// How much of the state service's rates the controllers share out. The rest is left unspent: the service counts in its own
-/// seconds.
+/// Fraction of the state service's rate limits that the controllers use together. The rest is a reserve, because the
+/// one-second windows in which the service counts requests are not aligned with the controllers' windows.
 const STORE_RATE_SHARE: f64 = 0.9;
 /// Shortest and longest lease of a controller.
 const MEMBER_LEASE_RANGE: (Micros, Micros) = (Micros::from_millis(500), Micros::from_millis(60_000));
 /// Shortest and longest interval of status messages between controllers.
 const DIGEST_RANGE: (Micros, Micros) = (Micros::from_millis(100), Micros::from_millis(1000));
 
-/// Why the settings can't be used: one line that names the file or the key.
+/// Why the settings can't be used; the message is one line that names the file or the key.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -36,7 +36,7 @@
     Read {
         /// The file's name.
         file: String,
-        /// What the system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// It is not TOML, or a key is missing or of the wrong type.
@@ -72,15 +72,15 @@
 
 /// Another controller.
 ///
-/// This, like all that [`Settings`] holds, is printed by the verb `check` in its `Debug` form: fields' names are output.
+/// The subcommand `check` prints this, like all of [`Settings`], in its `Debug` format, so field names are output.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Seed {
     /// Its name.
     pub member: String,
-    /// Its zone; empty if none is given.
+    /// Its zone; empty if the file names none.
     #[serde(default)]
     pub location: String,
-    /// Where it listens for peers.
+    /// The address at which it listens for peers.
     pub addr: SocketAddrV4,
 }
 
@@ -90,7 +90,7 @@
     state: SocketAddrV4,
 }
 
-/// The table `settings`. Like those of its parts, its name is in the texts of errors.
+/// The table `settings`. Error messages contain the names of this struct (as given by `expecting`) and of its sub-tables.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(expecting = "struct Inner")]
 struct PlatformSettings {
@@ -122,7 +122,7 @@
     pub gpus_max: f64,
 }
 
-/// What is expected for a class of jobs.
+/// A service-level objective for a class of jobs.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Objective {
     /// `wait`, `finished`, `deadline`, `guarantee` or others.
@@ -131,7 +131,7 @@
     /// The class.
     #[serde(default)]
     pub class: String,
-    /// Within how many seconds it is expected.
+    /// The objective's time limit, in seconds.
     #[serde(default)]
     pub within_s: f64,
 }
@@ -155,7 +155,7 @@
     next: NextState,
 }
 
-/// The limits that the state service will have from some moment on, without notice.
+/// Limits of the state service that will come into force at some unknown time, without notice.
 #[derive(Deserialize, Clone, Debug, Default)]
 struct NextState {
     rps: Option<f64>,
@@ -165,16 +165,16 @@
 }
 
 impl State {
-    /// The lesser of each limit, now and later. A write must not depend on a limit that may have gone: nobody says when, and
-    /// a refused value looks like a malformed one. Staying within both from the start needs no guess, and a restarted
-    /// controller nothing to remember.
-    fn lesser(&self) -> State {
-        let later = &self.next;
+    /// The lower one of each present limit and its future value. The service does not announce the change, and its answer
+    /// to a value that is too long looks like the one to a malformed value. Observing both limits from the start avoids
+    /// guessing when the change came, and leaves a restarted controller no state to recover.
+    fn lower_limits(&self) -> State {
+        let next = &self.next;
         State {
-            rps: later.rps.map_or(self.rps, |limit| limit.min(self.rps)),
-            write_rps: later.write_rps.map_or(self.write_rps, |limit| limit.min(self.write_rps)),
-            value_kb: later.value_kb.map_or(self.value_kb, |limit| limit.min(self.value_kb)),
-            txn_ops: later.txn_ops.map_or(self.txn_ops, |limit| limit.min(self.txn_ops)),
+            rps: next.rps.map_or(self.rps, |limit| limit.min(self.rps)),
+            write_rps: next.write_rps.map_or(self.write_rps, |limit| limit.min(self.write_rps)),
+            value_kb: next.value_kb.map_or(self.value_kb, |limit| limit.min(self.value_kb)),
+            txn_ops: next.txn_ops.map_or(self.txn_ops, |limit| limit.min(self.txn_ops)),
             next: NextState::default(),
         }
     }
@@ -186,22 +186,22 @@
     list_lag_s: f64,
 }
 
-/// The settings of a controller. The verb `check` prints them in their `Debug` form: fields' names are output.
+/// The settings of a controller. The subcommand `check` prints them in their `Debug` format, so field names are output.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This controller's name.
     pub member: String,
     /// Its zone.
     pub zone: String,
-    /// Where users, workers and health checks connect.
+    /// The address for users, workers and health checks.
     pub api: SocketAddrV4,
-    /// Where peers connect.
+    /// The address for peers.
     pub back: SocketAddrV4,
     /// The other controllers.
     pub seeds: Vec<Seed>,
-    /// All controllers' names, sorted; an index into this list stands for a controller.
+    /// All controllers' names, sorted. A controller's member index is its position in this list.
     pub members: Vec<String>,
-    /// This controller's index.
+    /// This controller's member index.
     pub me: usize,
     /// The cloud's address.
     pub cloud: SocketAddrV4,
@@ -209,42 +209,42 @@
     pub state: SocketAddrV4,
     /// The teams.
     pub teams: Vec<TeamSettings>,
-    /// What is expected of each class.
+    /// The service-level objectives of job classes.
     pub objectives: Vec<Objective>,
     /// Interval of workers' heartbeats.
     pub report: Micros,
-    /// How long a worker runs its tasks without an answer to a heartbeat.
+    /// How long a worker goes on running its tasks after the last heartbeat that was answered.
     pub worker_lease: Micros,
     /// How long a gang's task waits for the others to start.
     pub gang_wait: Micros,
-    /// How soon a gang notices that one of its tasks is lost.
+    /// Time within which a gang's tasks detect that one of them is lost.
     pub gang_peer: Micros,
-    /// How soon a cancelled job's tasks must be gone.
+    /// Time within which all tasks of a cancelled job must have stopped.
     pub cancel: Micros,
-    /// This controller's share of the state service's requests per second; like the limits that follow, the
-    /// lesser of what holds now and what will hold later.
+    /// This controller's share of the state service's requests per second. For this and the three limits below the lower
+    /// one of the present and the announced limit counts.
     pub store_rps: f64,
-    /// This controller's share of changes per second.
+    /// This controller's share of the state service's writes per second.
     pub store_write_rps: f64,
-    /// Longest value, in bytes.
+    /// Longest value of the state service, in bytes.
     pub value_bytes: usize,
-    /// Most changes a transaction.
+    /// Most operations per transaction of the state service.
     pub txn_ops: usize,
     /// Cloud calls per second.
     pub cloud_rps: f64,
-    /// How old the cloud's list may be.
+    /// How stale the cloud's machine list may be.
     pub list_lag: Micros,
-    /// How long a controller's lease at the state service lasts. A third of the workers' lease: a silent controller is
-    /// replaced while its workers still have time to find the new leader.
+    /// Duration of a controller's lease at the state service. It is a third of the workers' lease, so that a failed
+    /// controller is replaced while its workers still have time to find the new leader.
     pub member_lease: Micros,
-    /// How long a peer's confirmation that it knows no newer epoch is valid.
+    /// How long a peer's confirmation that it has seen no newer epoch stays valid.
     pub confirmation: Micros,
-    /// How long a machine's leader answers it without hearing from the leaders of its tasks' jobs; see
-    /// [`CancellationBudget`].
+    /// How long a machine leader goes on answering the machine's heartbeats while it gets no messages from the leaders of
+    /// its tasks' jobs; see [`CancellationBudget::leader_silence_limit`].
     pub reach: Micros,
-    /// How often controllers tell each other their status when nothing changes.
+    /// Interval of status messages between controllers while nothing changes.
     pub digest: Micros,
-    /// What operators have set beyond the platform's file.
+    /// The operators' settings; set after the platform's file has been read.
     pub operators: Operators,
 }
 
@@ -252,36 +252,36 @@
     /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// If it can't be read, is no TOML of this form, or a value is out of range.
+    /// If the file can't be read, is not TOML of this structure, or a value is out of range.
     pub fn load(file: &str) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(file)
             .map_err(|source| SettingsError::Read { file: file.into(), source })?;
         Settings::parse(file, &text)
     }
 
-    /// Checks the text of a settings file; `file` is named in errors.
+    /// Parses the text of a settings file; `file` is its name in error messages.
     ///
     /// # Errors
     /// As [`Settings::load`].
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
-        let form: SettingsFile = toml::from_str(text).map_err(|e| SettingsError::Form {
+        let parsed: SettingsFile = toml::from_str(text).map_err(|e| SettingsError::Form {
             file: file.into(),
             reason: e.to_string().split_whitespace().collect::<Vec<_>>().join(" "),
         })?;
-        let platform = &form.settings;
+        let platform = &parsed.settings;
         platform.check_amounts()?;
         platform.check_transaction_limits()?;
         check_teams(&platform.teams)?;
-        let members = member_names(&form)?;
-        Ok(Settings::derive(form, members))
+        let members = member_names(&parsed)?;
+        Ok(Settings::derive(parsed, members))
     }
 
-    /// The settings that follow from a valid file.
-    fn derive(form: SettingsFile, members: Vec<String>) -> Settings {
-        let PlatformSettings { teams, objectives, workers, state, cloud } = form.settings;
-        let state = state.lesser();
-        let me = members.iter().position(|member| *member == form.member).unwrap_or(0);
-        let share = members.len() as f64;
+    /// Derives the settings from a valid file.
+    fn derive(file: SettingsFile, members: Vec<String>) -> Settings {
+        let PlatformSettings { teams, objectives, workers, state, cloud } = file.settings;
+        let state = state.lower_limits();
+        let me = members.iter().position(|member| *member == file.member).unwrap_or(0);
+        let controller_count = members.len() as f64;
         let worker_lease = Micros::from_secs(workers.lease_s);
         let member_lease = Micros((worker_lease.0 / 3).clamp(MEMBER_LEASE_RANGE.0.0, MEMBER_LEASE_RANGE.1.0));
         let report = Micros::from_secs(workers.report_s);
@@ -289,13 +289,13 @@
         Settings {
             me,
             members,
-            member: form.member,
-            zone: form.location,
-            api: form.api_addr,
-            back: form.back,
-            seeds: form.seeds,
-            cloud: form.outside.cloud,
-            state: form.outside.state,
+            member: file.member,
+            zone: file.location,
+            api: file.api_addr,
+            back: file.back,
+            seeds: file.seeds,
+            cloud: file.outside.cloud,
+            state: file.outside.state,
             teams,
             objectives,
             report,
@@ -303,9 +303,9 @@
             gang_wait: Micros::from_secs(workers.gang_wait_s),
             gang_peer: Micros::from_secs(workers.gang_peer_s),
             cancel,
-            reach: CancellationBudget::new(cancel, worker_lease, report).reach,
-            store_rps: state.rps * STORE_RATE_SHARE / share,
-            store_write_rps: state.write_rps * STORE_RATE_SHARE / share,
+            reach: CancellationBudget::new(cancel, worker_lease, report).leader_silence_limit,
+            store_rps: state.rps * STORE_RATE_SHARE / controller_count,
+            store_write_rps: state.write_rps * STORE_RATE_SHARE / controller_count,
             value_bytes: (state.value_kb * 1024.0) as usize,
             txn_ops: state.txn_ops,
             cloud_rps: cloud.rps,
@@ -319,7 +319,7 @@
 }
 
 impl PlatformSettings {
-    /// Rates, sizes and times must be numbers that can be used; a limit of later may be missing.
+    /// Checks that rates, sizes and times are finite and in range. Future limits are optional.
     fn check_amounts(&self) -> Result<(), SettingsError> {
         let (workers, state) = (&self.workers, &self.state);
         let next = &state.next;
@@ -350,9 +350,9 @@
     fn check_transaction_limits(&self) -> Result<(), SettingsError> {
         for (key, limit) in [
             ("settings.state.txn_ops", self.state.txn_ops),
-            ("settings.state.next.txn_ops", self.state.next.txn_ops.unwrap_or(LEAST_TRANSACTION)),
+            ("settings.state.next.txn_ops", self.state.next.txn_ops.unwrap_or(MIN_TRANSACTION_OPS)),
         ] {
-            if limit < LEAST_TRANSACTION {
+            if limit < MIN_TRANSACTION_OPS {
                 return Err(out_of_range(key, "must be at least 4"));
             }
         }
@@ -385,14 +385,15 @@
     Ok(())
 }
 
-/// The names of all controllers, sorted: each has the same index everywhere.
-fn member_names(form: &SettingsFile) -> Result<Vec<String>, SettingsError> {
-    let mut names: Vec<String> = form.seeds.iter().map(|seed| seed.member.clone()).collect();
-    names.push(form.member.clone());
+/// The names of all controllers, sorted, so that each has the same member index on all controllers.
+fn member_names(file: &SettingsFile) -> Result<Vec<String>, SettingsError> {
+    let mut names: Vec<String> = file.seeds.iter().map(|seed| seed.member.clone()).collect();
+    names.push(file.member.clone());
     names.sort();
-    let given = names.len();
+    let count_with_duplicates = names.len();
     names.dedup();
-    if names.len() != given || names.iter().any(|name| name.is_empty() || name.contains(' ')) {
+    if names.len() != count_with_duplicates || names.iter().any(|name| name.is_empty() || name.contains(' '))
+    {
         return Err(out_of_range("seeds", "names must be distinct, not empty and without spaces"));
     }
     if names.len() > MEMBER_LIMIT {
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -11,10 +11,10 @@
 }
 
 #[test]
-fn of_each_limit_now_and_later_the_lesser_holds() {
+fn lower_one_of_present_and_future_limit_is_used() {
     let limits = |next: &str| {
-        let s = parse(next).expect("valid");
-        (s.store_rps.round(), s.store_write_rps.round(), s.value_bytes, s.txn_ops)
+        let settings = parse(next).expect("valid");
+        (settings.store_rps.round(), settings.store_write_rps.round(), settings.value_bytes, settings.txn_ops)
     };
     assert_eq!(limits(""), (90.0, 18.0, 4096, 8));
     assert_eq!(
@@ -26,16 +26,16 @@
 }
 
 #[test]
-fn limits_that_make_no_sense_are_refused_by_name() {
+fn invalid_future_limits_are_rejected_and_named() {
     for key in ["rps", "write_rps", "value_kb", "txn_ops"] {
         for value in ["0", "-1", "\"x\"", "nan"] {
-            let e = parse(&format!("[settings.state.next]\n{key} = {value}")).expect_err("refused");
-            assert!(e.contains(key) && !e.contains('\n'), "{e}");
+            let message = parse(&format!("[settings.state.next]\n{key} = {value}")).expect_err("rejected");
+            assert!(message.contains(key) && !message.contains('\n'), "{message}");
         }
     }
 }
 
-/// Each deployment's `report_s`, `lease_s` and `cancel_s`.
+/// `report_s`, `lease_s` and `cancel_s` of each deployment.
 const DEPLOYMENTS: [(f64, f64, f64); 6] = [
     (3.0, 21.0, 51.0),
     (3.0, 18.0, 43.0),
@@ -46,23 +46,38 @@
 ];
 
 #[test]
-fn on_the_settings_of_every_deployment_a_cancelled_jobs_tasks_are_gone_in_time() {
+fn cancelled_tasks_stop_within_cancel_s_on_every_deployments_settings() {
     for (report, lease, cancel) in DEPLOYMENTS {
         let [report, lease, cancel] = [report, lease, cancel].map(Micros::from_secs);
-        let b = CancellationBudget::new(cancel, lease, report);
-        assert_eq!(b.check(), Ok(()));
-        // Each step, on the clock on which it is longest.
-        let drift = |t: Micros| Micros(t.0 + t.0 / 2000);
-        assert!(drift(drift(b.reach)) + drift(lease) + Micros::from_millis(500) < cancel, "{b:?}");
-        assert!(b.reach.0 > report.0 * 4, "a takeover is over long before: {b:?}");
+        let budget = CancellationBudget::new(cancel, lease, report);
+        assert_eq!(budget.check(), Ok(()));
+        // Each step is measured by the clock on which it takes longest.
+        let with_drift = |time: Micros| Micros(time.0 + time.0 / 2000);
+        assert!(
+            with_drift(with_drift(budget.leader_silence_limit))
+                + with_drift(lease)
+                + Micros::from_millis(500)
+                < cancel,
+            "{budget:?}"
+        );
+        assert!(
+            budget.leader_silence_limit.0 > report.0 * 4,
+            "a failover takes much less than this limit: {budget:?}"
+        );
     }
 }
 
 #[test]
-fn settings_that_leave_no_time_are_named_with_their_figures() {
-    let s = |x| Micros::from_secs(x);
-    let b = CancellationBudget::new(s(30.0), s(26.0), s(5.0));
-    assert_eq!(b.reach, s(10.0), "the least that serves");
-    let e = b.check().expect_err("it can't be held").to_string();
-    assert!(e.contains("cancel_s") && e.contains("30 s") && e.contains("26 s") && !e.contains('\n'), "{e}");
+fn unattainable_cancel_s_is_reported_with_its_figures() {
+    let secs = |seconds| Micros::from_secs(seconds);
+    let budget = CancellationBudget::new(secs(30.0), secs(26.0), secs(5.0));
+    assert_eq!(budget.leader_silence_limit, secs(10.0), "its minimum");
+    let message = budget.check().expect_err("it can't be held").to_string();
+    assert!(
+        message.contains("cancel_s")
+            && message.contains("30 s")
+            && message.contains("26 s")
+            && !message.contains('\n'),
+        "{message}"
+    );
 }
--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -205,7 +205,7 @@
         };
         let condition = self.join_condition(&key);
         if let Some(a) = self.user_requests.submissions.get_mut(id) {
-            a.coordinated_write = Some(CoordinatedWrite { key, record: next.record(), sent_at: now });
+            a.coordinated_write = Some(CoordinatedWrite { key, record: next.to_record(), sent_at: now });
         }
         JoinDecision::Open(vec![condition])
     }
@@ -488,7 +488,7 @@
     /// Lifts a merge's hold, or holds it; what runs of one whose inputs are old is stopped.
     fn guard_merge(&mut self, id: &str, held: &CachedRecord, verdict: &Verdict, recent: bool, known: bool) {
         let Some(j) = self.job_shard.jobs.get(id) else { return };
-        if verdict.may_start() && recent {
+        if verdict.can_start() && recent {
             if matches!(j.hold(), Some(Hold::Batch(_))) {
                 self.job_shard.lift_hold(id);
             }
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -90,7 +90,7 @@
             }
             _ => None,
         };
-        let held = known.map_or(held, |b| CachedRecord::Present(b.record()));
+        let held = known.map_or(held, |b| CachedRecord::Present(b.to_record()));
         match guard::decide_permit(&verdict, &held, &writer, self.settings.value_bytes) {
             PermitAnswer::AlreadyHeld(p) => {
                 let batch = merge.batch.name;
@@ -100,7 +100,7 @@
                 Some(Reply::error(409, "the attempt is being stopped"))
             }
             PermitAnswer::GrantAfterWrite(next, p) => {
-                if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
+                if self.change_record(now, &key, next.to_record(), Vec::new(), None, out) {
                     tracing::info!(
                         job = %a.job,
                         attempt = a.attempt,
@@ -165,7 +165,7 @@
             // Read on until its permits are given back.
             self.coordination_record(now, &key);
             self.freshness.released.insert(key.clone(), now + RELEASE);
-            if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
+            if self.change_record(now, &key, next.to_record(), Vec::new(), None, out) {
                 tracing::debug!(batch = %key.name(), held = next.permits.len(), "permits given back");
             }
         }
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -53,7 +53,7 @@
             },
         };
         // Once it is on record the next round finds it there; if another change came first it is looked at anew.
-        if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
+        if self.change_record(now, &key, next.to_record(), Vec::new(), None, out) {
             tracing::info!(batch = name, version, by = "operator", "batch is to be at a newer version");
             self.freshness.counts.raised += 1;
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! hazelsaddle: a cluster scheduler. Three controllers take jobs from users, rent machines and
-//! decide what runs where. `docs/architecture.md` shows the parts, `docs/design.md` why they are as they are.
+//! hazelsaddle: a cluster scheduler. Three controllers accept jobs from users, rent machines and place tasks on them.
+//! `docs/architecture.md` describes the components, `docs/design.md` the reasons for the design.
 
 pub mod autoscaler;
 pub mod cli;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The command line: arguments, verbs and exit codes. Each verb is a function; what it prints is decided elsewhere.
+//! The command line: arguments, subcommands and exit codes. Each subcommand is a function; its output is formatted in
+//! [`hazelsaddle::cli`] and [`hazelsaddle_logs::cli`].
 
 use clap::{Parser, Subcommand};
 use hazelsaddle::cli::batches::BatchCommand;
@@ -16,11 +17,11 @@
 #[command(version, about)]
 struct Cli {
     #[command(subcommand)]
-    command: Action,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Action {
+enum Command {
     /// Run a controller. SIGTERM or SIGINT makes it hand on what it knows, leave the ring and end with code 0
     /// within 5 s; a second one ends it at once. Logs go to standard error, as much as LOG_LEVEL (error, info
     /// or debug) says.
@@ -73,9 +74,9 @@
 /// Exit code for a controller that can't start.
 const EXIT_SERVER: u8 = 1;
 
-/// Why a verb failed.
+/// Why a subcommand failed.
 #[derive(Debug, thiserror::Error)]
-enum Failure {
+enum CommandError {
     /// The platform's settings can't be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -85,27 +86,27 @@
     /// A controller can't start.
     #[error(transparent)]
     Server(#[from] ServerError),
-    /// A verb that asks a controller.
+    /// A subcommand that queries a controller failed.
     #[error(transparent)]
     Cli(#[from] CliError),
-    /// A verb of the log stores: its exit code and a line.
+    /// A subcommand of the log stores failed: its exit code and its message.
     #[error("{1}")]
     Logs(u8, String),
 }
 
-impl From<logs_cli::Failure> for Failure {
-    fn from(failure: logs_cli::Failure) -> Failure {
-        Failure::Logs(failure.0, failure.1)
+impl From<logs_cli::Failure> for CommandError {
+    fn from(failure: logs_cli::Failure) -> CommandError {
+        CommandError::Logs(failure.0, failure.1)
     }
 }
 
-impl Failure {
+impl CommandError {
     fn exit_code(&self) -> u8 {
         match self {
-            Failure::Settings(_) | Failure::Operators(_) => EXIT_SETTINGS,
-            Failure::Server(_) => EXIT_SERVER,
-            Failure::Cli(e) => e.exit_code(),
-            Failure::Logs(code, _) => *code,
+            CommandError::Settings(_) | CommandError::Operators(_) => EXIT_SETTINGS,
+            CommandError::Server(_) => EXIT_SERVER,
+            CommandError::Cli(e) => e.exit_code(),
+            CommandError::Logs(code, _) => *code,
         }
     }
 }
@@ -120,49 +121,49 @@
     }
 }
 
-fn run(action: Action) -> Result<(), Failure> {
-    match action {
-        Action::Run { config, operators } => run_controller(&config, operators.as_deref()),
-        Action::Store(args) => run_log_store(&args),
-        Action::Stores(command) => Ok(logs_cli::stores(&command)?),
-        Action::Logs(args) => Ok(logs_cli::logs(&args)?),
-        Action::Artefacts(command) => Ok(logs_cli::artefacts(&command)?),
-        Action::Release(command) => print_answer(cli::releases::run(&command)),
-        Action::Batch(command) => print_answer(cli::batches::run(&command)),
-        Action::Why { job, controllers } => print_answer(cli::why::run(&controllers, &job)),
-        Action::Loans(controllers) => print_answer(cli::loans::run(&controllers)),
-        Action::Check { config, operators } => check_settings(&config, operators.as_deref()),
+fn run(command: Command) -> Result<(), CommandError> {
+    match command {
+        Command::Run { config, operators } => run_controller(&config, operators.as_deref()),
+        Command::Store(args) => run_log_store(&args),
+        Command::Stores(command) => Ok(logs_cli::stores(&command)?),
+        Command::Logs(args) => Ok(logs_cli::logs(&args)?),
+        Command::Artefacts(command) => Ok(logs_cli::artefacts(&command)?),
+        Command::Release(command) => print_output(cli::releases::run(&command)),
+        Command::Batch(command) => print_output(cli::batches::run(&command)),
+        Command::Why { job, controllers } => print_output(cli::why::run(&controllers, &job)),
+        Command::Loans(controllers) => print_output(cli::loans::run(&controllers)),
+        Command::Check { config, operators } => check_settings(&config, operators.as_deref()),
     }
 }
 
-fn run_controller(config: &str, operators: Option<&str>) -> Result<(), Failure> {
+fn run_controller(config: &str, operators: Option<&str>) -> Result<(), CommandError> {
     log_to_stderr();
     let settings = load_settings(config, operators)?;
-    if let Err(e) = CancellationBudget::of(&settings).check() {
-        // A controller that starts does more for its users than one that refuses to.
+    if let Err(e) = CancellationBudget::from_settings(&settings).check() {
+        // The controller starts all the same: one that misses `cancel_s` serves its users better than none.
         tracing::error!(reason = %e, "cancel_s can't be held on these settings");
     }
     server::run(settings)?;
     Ok(())
 }
 
-fn run_log_store(args: &logs_cli::StoreArgs) -> Result<(), Failure> {
+fn run_log_store(args: &logs_cli::StoreArgs) -> Result<(), CommandError> {
     log_to_stderr();
     logs_cli::store(args)?;
     Ok(())
 }
 
-fn check_settings(config: &str, operators: Option<&str>) -> Result<(), Failure> {
+fn check_settings(config: &str, operators: Option<&str>) -> Result<(), CommandError> {
     println!("{:#?}", load_settings(config, operators)?);
     Ok(())
 }
 
-fn print_answer(answer: Result<String, CliError>) -> Result<(), Failure> {
-    print!("{}", answer?);
+fn print_output(output: Result<String, CliError>) -> Result<(), CommandError> {
+    print!("{}", output?);
     Ok(())
 }
 
-fn load_settings(config: &str, operators: Option<&str>) -> Result<Settings, Failure> {
+fn load_settings(config: &str, operators: Option<&str>) -> Result<Settings, CommandError> {
     let mut settings = Settings::load(config)?;
     if let Some(file) = operators {
         settings.operators = Operators::load(file)?;
@@ -170,7 +171,7 @@
     Ok(settings)
 }
 
-/// Sends the logs to standard error, as much as the environment's LOG_LEVEL says.
+/// Sends the logs to standard error, at the level that the environment variable LOG_LEVEL names.
 fn log_to_stderr() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_default();
     let filter = match level.as_str() {
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,10 +1,10 @@
-//! The edge of a running controller: threads, HTTP, peers' sockets and signals.
+//! Runs a controller process: its threads, the HTTP server, the connections to peers and the signal handlers.
 //!
-//! Edge threads do what blocks and feed what comes of it into the `inbox`; one thread, the `event_loop`, owns the
-//! [`Controller`] and everything that it knows. Nothing here decides anything about jobs or machines.
+//! I/O threads make the blocking calls and put their results into the `inbox`. One thread, the `event_loop`, owns the
+//! [`Controller`] with its whole state. Nothing here decides anything about jobs or machines.
 //!
-//! The edge threads run until the process ends: they hold nothing that must be put away, and what they wait for may take
-//! longer than a leaving controller has.
+//! The I/O threads run until the process exits and are not joined: they hold no state that has to be saved, and a call in
+//! which they block may take longer than the time limit of a controller that leaves.
 
 mod event_loop;
 pub mod http_api;
@@ -24,7 +24,7 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Instant;
 
-/// Threads that read HTTP requests; a client that sends slowly holds up one of them.
+/// Number of threads that read HTTP requests; a client that sends its request slowly blocks one of them.
 const HTTP_READERS: usize = 4;
 
 /// Why a controller can't start.
@@ -35,7 +35,7 @@
     PeerListener {
         /// The address.
         address: SocketAddrV4,
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The address for users, workers and health checks can't be bound.
@@ -43,7 +43,7 @@
     HttpListener {
         /// The address.
         address: SocketAddrV4,
-        /// What the system says.
+        /// The operating system's error.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
     /// A thread can't be started.
@@ -51,19 +51,19 @@
     Thread {
         /// The thread's name.
         name: String,
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
 }
 
-/// Runs a controller until it is told to end (SIGTERM, SIGINT) and has handed on what it knows, at most
-/// [`crate::controller::LEAVING`] later.
+/// Runs a controller until SIGTERM or SIGINT arrives and the controller has handed its state over to its peers, which
+/// takes at most [`crate::controller::LEAVING`].
 ///
 /// # Errors
 /// If a listener or a thread can't be started.
 pub fn run(settings: Settings) -> Result<(), ServerError> {
     let start = Instant::now();
-    let (sender, inbox) = inbox::channel();
+    let (sender, inbox) = inbox::create();
     listen_for_peers(settings.back, &sender)?;
     serve_http(settings.api, &sender)?;
     let outbound = Outbound::start(&settings, &sender)?;
@@ -76,18 +76,18 @@
     Ok(())
 }
 
-/// Starts the threads that read peers' frames.
+/// Starts the threads that receive frames from peers.
 fn listen_for_peers(address: SocketAddrV4, sender: &InboxSender) -> Result<(), ServerError> {
     let sender = sender.clone();
     peer::listen(address, move |frame: Frame| {
-        // The loop has ended: the process is about to.
+        // Fails only after the event loop has ended; the process exits right after that.
         let _ = sender.send(Event::Frame(Box::new(frame)));
     })
     .map_err(|source| ServerError::PeerListener { address, source })?;
     Ok(())
 }
 
-/// Starts the threads that read HTTP requests.
+/// Starts the HTTP server and the threads that read its requests.
 fn serve_http(address: SocketAddrV4, sender: &InboxSender) -> Result<(), ServerError> {
     let server =
         tiny_http::Server::http(address).map_err(|source| ServerError::HttpListener { address, source })?;
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-/// Starts a named thread that runs until the process ends.
+/// Starts a named thread that runs until the process exits.
 fn spawn(name: String, work: impl FnOnce() + Send + 'static) -> Result<(), ServerError> {
     match std::thread::Builder::new().name(name.clone()).spawn(work) {
         Ok(_) => Ok(()),
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -1,7 +1,7 @@
-//! The event loop: the only thread that touches the controller.
+//! The event loop: the only thread that accesses the controller.
 //!
-//! It feeds events in, has the controller reconcile, and carries out the effects. It reads the clocks for the controller,
-//! which reads none itself.
+//! It passes events to the controller, lets the controller reconcile, and executes the resulting effects. It also reads
+//! the clocks: the controller gets the time as an argument and never reads a clock itself.
 
 use super::http_api;
 use super::inbox::{Inbound, Inbox};
@@ -14,28 +14,29 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Where the steady clock starts. The controller reads zero as "never", and what peers say happened a while ago must have
-/// its place on the clock of a process that has just started.
+/// Where the monotonic clock of this process starts. It isn't zero because the controller reads zero as "never", and
+/// because events that peers report as some time ago must have a representable time in a process that has just started.
 const CLOCK_START: Micros = Micros::from_millis(3_600_000);
-/// Events handled between two reconciliations.
+/// Most events handled between two reconciliations.
 const EVENTS_PER_ROUND: usize = 64;
 
-/// The controller and what connects it with the edge.
+/// The controller and its connections to the I/O threads.
 pub(super) struct EventLoop {
     controller: Controller,
     start: Instant,
     inbox: Inbox,
     outbound: Outbound,
-    /// HTTP requests that wait for their answer, by the number that the controller knows them by.
+    /// HTTP requests not yet answered, by the request id (ticket) under which the controller answers them.
     open_requests: HashMap<u64, tiny_http::Request>,
-    /// Effects that are not yet carried out, in order.
+    /// Effects not yet executed, in order.
     effects: Vec<Effect>,
-    /// Whether a signal has told the process to end.
+    /// Set by a signal handler when the process is to terminate.
     terminate: Arc<AtomicBool>,
 }
 
 impl EventLoop {
-    /// A loop that has not begun. `start` is the zero of the steady clock. Registers the signals that end it.
+    /// Creates a loop that is not running yet and registers the signals that end it. `start` is the instant at which the
+    /// monotonic clock shows [`CLOCK_START`].
     pub(super) fn new(controller: Controller, start: Instant, inbox: Inbox, outbound: Outbound) -> EventLoop {
         EventLoop {
             controller,
@@ -44,11 +45,11 @@
             outbound,
             open_requests: HashMap::new(),
             effects: Vec::new(),
-            terminate: termination_flag(),
+            terminate: register_termination_flag(),
         }
     }
 
-    /// Runs until the controller has left the ring.
+    /// Runs until the controller has left the hash ring.
     pub(super) fn run(mut self) {
         loop {
             if self.terminate.load(Ordering::Relaxed) {
@@ -59,13 +60,14 @@
             self.perform_effects();
             if self.controller.can_exit(self.clock()) {
                 self.refuse_open_requests();
-                tracing::info!("handed on and left");
+                tracing::info!("state handed over, controller left the ring");
                 return;
             }
         }
     }
 
-    /// Waits for events and handles those that are there, so many that reconciling is not put off for long.
+    /// Waits for events and handles those that are queued, at most [`EVENTS_PER_ROUND`], so that reconciliation is not
+    /// delayed for long.
     fn handle_events(&mut self) {
         let mut next = self.inbox.wait();
         let mut handled = 0;
@@ -87,15 +89,15 @@
         self.controller.step(self.clock(), wall_clock(), event, &mut self.effects);
     }
 
-    /// Carries out the effects, each after the controller's last look at it: the process may have stood still since it was
-    /// decided.
+    /// Executes the effects. The controller revalidates each one right before, because the process may have been paused
+    /// since the effect was decided.
     fn perform_effects(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         for effect in effects.drain(..) {
             let Some(effect) = self.controller.revalidate_effect(self.clock(), effect) else { continue };
             match effect {
-                Effect::Reply { ticket: id, reply } => self.respond(id, reply),
-                Effect::Send { to: member, frame } => self.outbound.send_frame(member, frame),
+                Effect::Reply { ticket, reply } => self.respond(ticket, reply),
+                Effect::Send { to, frame } => self.outbound.send_frame(to, frame),
                 Effect::Store { id, request, lane } => {
                     self.outbound.call_store(id, request, lane == StoreLane::Membership)
                 }
@@ -107,9 +109,9 @@
         self.effects = effects;
     }
 
-    /// Answers a request, unless it was answered before.
-    fn respond(&mut self, id: u64, reply: Reply) {
-        if let Some(request) = self.open_requests.remove(&id) {
+    /// Answers a request, unless it was already answered.
+    fn respond(&mut self, request_id: u64, reply: Reply) {
+        if let Some(request) = self.open_requests.remove(&request_id) {
             http_api::respond(request, reply);
         }
     }
@@ -120,7 +122,7 @@
         }
     }
 
-    /// The steady clock.
+    /// The monotonic clock.
     fn clock(&self) -> Micros {
         Micros(CLOCK_START.0 + self.start.elapsed().as_micros() as u64)
     }
@@ -131,14 +133,14 @@
     Micros(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_micros() as u64))
 }
 
-/// A flag that SIGTERM and SIGINT raise. A second signal ends the process at once.
-fn termination_flag() -> Arc<AtomicBool> {
-    // A flag needs neither a thread nor a pipe.
+/// Registers a flag that SIGTERM and SIGINT set. A second signal ends the process at once.
+fn register_termination_flag() -> Arc<AtomicBool> {
+    // A flag needs neither a signal-handling thread nor a pipe.
     let flag = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         let shutdown = signal_hook::flag::register_conditional_shutdown(signal, 1, flag.clone());
         if let Err(e) = shutdown.and_then(|_| signal_hook::flag::register(signal, flag.clone())) {
-            tracing::info!(signal, reason = %e, "can't be told to end by this signal");
+            tracing::info!(signal, reason = %e, "termination signal can't be registered");
         }
     }
     flag
--- a/src/server/http_api.rs
+++ b/src/server/http_api.rs
@@ -1,7 +1,7 @@
-//! The HTTP API: what users, workers, health probes and operators send.
+//! The HTTP API for users, workers, health probes and operators.
 //!
-//! A request is checked here, as far as that needs no knowledge of the cluster, and becomes an event for the controller.
-//! Nothing here changes any state.
+//! Checks each request as far as that needs no cluster state and turns it into an event for the controller. Nothing here
+//! changes any state.
 
 use super::inbox::{Admission, InboxSender};
 use super::operator_api;
@@ -14,17 +14,17 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Longest heartbeat accepted, in bytes: one of a machine with thousands of tasks.
-const HEARTBEAT_LIMIT: usize = 4 << 20;
+/// Longest heartbeat accepted, in bytes; leaves space for a machine with thousands of tasks.
+const HEARTBEAT_LIMIT_BYTES: usize = 4 << 20;
 /// Pause after a request that could not be received.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(20);
 
-/// What becomes of a request.
+/// How a request is handled.
 #[derive(Debug)]
 pub enum Dispatch {
-    /// The controller handles it.
+    /// The controller handles it as an event.
     Event(Event),
-    /// It is answered at once.
+    /// The HTTP thread answers it without the controller.
     Reply(Reply),
 }
 
@@ -64,11 +64,11 @@
     {
         response.add_header(header);
     }
-    // A client that is gone needs no answer.
+    // Fails if the client has closed the connection; it needs no answer then.
     let _ = request.respond(response);
 }
 
-/// Says what becomes of a request. `read_body` is called, with the limit in bytes, only where a body belongs.
+/// Routes a request. `read_body` is called, with the limit in bytes, only for requests that have a body.
 pub fn dispatch(
     request_id: u64,
     method: &str,
@@ -79,27 +79,27 @@
     match (method, path) {
         ("GET", "/ready") => Dispatch::Event(Event::Ready(request_id)),
         ("GET", "/status") => Dispatch::Event(Event::Status(request_id)),
-        ("POST", "/hello") => heartbeat(request_id, read_body(HEARTBEAT_LIMIT)),
-        ("POST", "/v1/jobs") => submission(request_id, read_body(BODY_LIMIT_BYTES)),
-        (_, "/ready" | "/status" | "/hello" | "/v1/jobs") => method_not_allowed(),
-        (_, path) if path.starts_with("/ops/") => operator_request(request_id, method, url, read_body),
+        ("POST", "/hello") => handle_heartbeat(request_id, read_body(HEARTBEAT_LIMIT_BYTES)),
+        ("POST", "/v1/jobs") => handle_submission(request_id, read_body(BODY_LIMIT_BYTES)),
+        (_, "/ready" | "/status" | "/hello" | "/v1/jobs") => reply_method_not_allowed(),
+        (_, path) if path.starts_with("/ops/") => handle_operator_request(request_id, method, url, read_body),
         (_, path) => match path.strip_prefix("/v1/jobs/") {
-            Some(rest) => job_request(request_id, method, url, rest),
+            Some(rest) => handle_job_request(request_id, method, url, rest),
             None => Dispatch::Reply(Reply::error(404, "no such path")),
         },
     }
 }
 
-fn method_not_allowed() -> Dispatch {
+fn reply_method_not_allowed() -> Dispatch {
     Dispatch::Reply(Reply::error(405, "no such method here"))
 }
 
-fn user_request(request_id: u64, request: UserRequest) -> Dispatch {
+fn dispatch_user_request(request_id: u64, request: UserRequest) -> Dispatch {
     Dispatch::Event(Event::User { ticket: request_id, request })
 }
 
 /// `POST /hello`.
-fn heartbeat(request_id: u64, body: Result<String, Reply>) -> Dispatch {
+fn handle_heartbeat(request_id: u64, body: Result<String, Reply>) -> Dispatch {
     let body = match body {
         Ok(body) => body,
         Err(reply) => return Dispatch::Reply(reply),
@@ -113,24 +113,24 @@
     }
 }
 
-/// `POST /v1/jobs`. A malformed body that names a job goes on to the controller: it may repeat a job that was accepted with
-/// another body, whose record is read first.
-fn submission(request_id: u64, body: Result<String, Reply>) -> Dispatch {
+/// `POST /v1/jobs`. A malformed body that names a job still goes to the controller: a job with that id may already have
+/// been accepted, and the controller reads its record before it rejects the body.
+fn handle_submission(request_id: u64, body: Result<String, Reply>) -> Dispatch {
     let body = match body {
         Ok(body) => body,
         Err(reply) => return Dispatch::Reply(reply),
     };
     match JobSpec::parse(&body) {
-        Ok(spec) => user_request(request_id, UserRequest::Submit(spec.id, body)),
+        Ok(spec) => dispatch_user_request(request_id, UserRequest::Submit(spec.id, body)),
         Err(e) => match read_job_id(&body) {
-            Some(id) => user_request(request_id, UserRequest::Submit(id, body)),
+            Some(id) => dispatch_user_request(request_id, UserRequest::Submit(id, body)),
             None => Dispatch::Reply(Reply::error(e.status(), &e.to_string())),
         },
     }
 }
 
-/// Everything below `/ops/`.
-fn operator_request(
+/// Handles all paths below `/ops/`.
+fn handle_operator_request(
     request_id: u64,
     method: &str,
     url: &str,
@@ -138,7 +138,7 @@
 ) -> Dispatch {
     let path = url.split('?').next().unwrap_or("");
     if let Some(id) = path.strip_prefix("/ops/why/").filter(|id| method == "GET" && is_job_id(id)) {
-        return user_request(request_id, UserRequest::Why(id.into()));
+        return dispatch_user_request(request_id, UserRequest::Why(id.into()));
     }
     match operator_api::parse(method, url, read_body) {
         Ok(request) => Dispatch::Event(Event::Operator { ticket: request_id, request }),
@@ -146,10 +146,10 @@
     }
 }
 
-/// Everything below `/v1/jobs/`; `rest` is the path behind that.
-fn job_request(request_id: u64, method: &str, url: &str, rest: &str) -> Dispatch {
+/// Handles all paths below `/v1/jobs/`; `rest` is the part of the path after that prefix.
+fn handle_job_request(request_id: u64, method: &str, url: &str, rest: &str) -> Dispatch {
     if let Some(id) = rest.strip_suffix("/permit").filter(|id| method == "GET" && is_job_id(id)) {
-        return write_permit(request_id, url, id);
+        return handle_permit_request(request_id, url, id);
     }
     let (id, is_withdrawal) = match rest.strip_suffix("/withdraw") {
         Some(id) => (id, true),
@@ -159,29 +159,29 @@
         return Dispatch::Reply(Reply::error(404, "no such job"));
     }
     match (method, is_withdrawal) {
-        ("GET", false) => user_request(request_id, UserRequest::Query(id.into())),
-        ("POST", true) => user_request(request_id, UserRequest::Cancel(id.into())),
-        _ => method_not_allowed(),
+        ("GET", false) => dispatch_user_request(request_id, UserRequest::Query(id.into())),
+        ("POST", true) => dispatch_user_request(request_id, UserRequest::Cancel(id.into())),
+        _ => reply_method_not_allowed(),
     }
 }
 
 /// `GET /v1/jobs/{id}/permit`.
-fn write_permit(request_id: u64, url: &str, id: &str) -> Dispatch {
-    match permit_query(url) {
+fn handle_permit_request(request_id: u64, url: &str, id: &str) -> Dispatch {
+    match parse_permit_query(url) {
         Some((attempt, task)) => {
-            user_request(request_id, UserRequest::Permit(id.into(), format!("{attempt}/{task}")))
+            dispatch_user_request(request_id, UserRequest::Permit(id.into(), format!("{attempt}/{task}")))
         }
         None => Dispatch::Reply(Reply::error(400, "attempt and task must be whole numbers")),
     }
 }
 
-/// The attempt and the task that a permit is asked for: `?attempt=N&task=I`.
-pub(super) fn permit_query(url: &str) -> Option<(u64, u32)> {
-    Some((query_value(url, "attempt")?.parse().ok()?, query_value(url, "task")?.parse().ok()?))
+/// The attempt and the task index of a permit request: `?attempt=N&task=I`.
+pub(super) fn parse_permit_query(url: &str) -> Option<(u64, u32)> {
+    Some((find_query_value(url, "attempt")?.parse().ok()?, find_query_value(url, "task")?.parse().ok()?))
 }
 
-/// The first value of a name in a URL's query, as it stands there.
-pub(super) fn query_value<'a>(url: &'a str, name: &str) -> Option<&'a str> {
+/// The first value of a parameter in a URL's query, not percent-decoded.
+pub(super) fn find_query_value<'a>(url: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = url.split_once('?')?;
     query.split('&').find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
 }
--- a/src/server/http_api/tests.rs
+++ b/src/server/http_api/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn bad_requests_are_answered_at_the_edge() {
+fn malformed_requests_are_rejected_without_the_controller() {
     assert_eq!(status("GET", "/ready", ""), None);
     assert_eq!(status("POST", "/ready", ""), Some(405));
     assert_eq!(status("GET", "/nowhere", ""), Some(404));
@@ -20,7 +20,11 @@
     assert_eq!(status("POST", "/v1/jobs/wk-000001/withdraw", "{}"), None);
     assert_eq!(status("POST", "/v1/jobs", "{"), Some(400));
     assert_eq!(status("POST", "/v1/jobs", r#"{"uid":"x","breed":"b"}"#), Some(400));
-    assert_eq!(status("POST", "/v1/jobs", r#"{"uid":"wk-000001","breed":"b"}"#), None, "it may be a repeat");
+    assert_eq!(
+        status("POST", "/v1/jobs", r#"{"uid":"wk-000001","breed":"b"}"#),
+        None,
+        "the job may already be accepted"
+    );
     assert_eq!(status("POST", "/v1/jobs", &"x".repeat(BODY_LIMIT_BYTES + 1)), Some(400));
     assert_eq!(status("POST", "/hello", "{}"), Some(400));
     assert_eq!(
--- a/src/server/inbox.rs
+++ b/src/server/inbox.rs
@@ -1,33 +1,34 @@
-//! The queues in front of the event loop.
+//! The queues from the I/O threads to the event loop.
 //!
-//! Users' requests and the answers that they wait for are urgent, heartbeats and the rest are not: after a restart
-//! hundreds of workers come back at once, and a health probe that waits behind them fails.
+//! User requests and the state service's answers that they depend on go to the urgent queue, heartbeats and everything
+//! else to the ordinary one: after a restart hundreds of workers report at once, and a health probe queued behind their
+//! heartbeats would time out.
 
 use crate::controller::Event;
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use std::time::Duration;
 
-/// Requests that may wait in a queue; those beyond are refused at once.
+/// Most requests that may wait in a queue; further ones are rejected at once.
 const REQUEST_LIMIT: usize = 2000;
-/// How long the loop waits for an event before it reconciles without one.
-const WAIT: Duration = Duration::from_millis(100);
+/// How long the event loop waits for an event before it reconciles without one.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// What the event loop receives.
 pub(super) enum Inbound {
-    /// An event that nobody waits at the edge for.
+    /// An event that does not come from an HTTP request.
     Event(Event),
     /// An HTTP request, and the event that it is for the controller.
     Request {
-        /// The number under which the controller answers it.
+        /// The request id (ticket) under which the controller answers it.
         id: u64,
         /// The open request.
         request: tiny_http::Request,
-        /// What it asks for.
+        /// The event for the controller.
         event: Event,
     },
 }
 
-/// The event loop has ended, and with it the need for more events.
+/// The event loop has ended and takes no more events.
 #[derive(Debug)]
 pub(super) struct LoopEnded;
 
@@ -35,28 +36,28 @@
 pub(super) enum Admission {
     /// It waits for the event loop.
     Queued,
-    /// Too many requests wait: it is to be refused.
+    /// The queue is full: the caller must reject the request.
     Overloaded(tiny_http::Request),
     /// The event loop has ended.
     LoopEnded,
 }
 
-/// The edge threads' end: any number of clones.
+/// The sending end for the I/O threads; each has its own clone.
 #[derive(Clone)]
 pub(super) struct InboxSender {
     urgent: Sender<Inbound>,
     ordinary: Sender<Inbound>,
 }
 
-/// The event loop's end.
+/// The receiving end for the event loop.
 pub(super) struct Inbox {
     urgent: Receiver<Inbound>,
     ordinary: Receiver<Inbound>,
 }
 
-/// Makes the queues. Both are unbounded, so that answers and frames never block the thread that brings them; what clients
-/// can multiply, requests, is bounded by [`REQUEST_LIMIT`].
-pub(super) fn channel() -> (InboxSender, Inbox) {
+/// Creates the queues. Both channels are unbounded, so that answers and frames never block the thread that sends them.
+/// Requests, whose number clients control, are limited by [`REQUEST_LIMIT`].
+pub(super) fn create() -> (InboxSender, Inbox) {
     let (urgent_sender, urgent) = unbounded();
     let (ordinary_sender, ordinary) = unbounded();
     (InboxSender { urgent: urgent_sender, ordinary: ordinary_sender }, Inbox { urgent, ordinary })
@@ -68,12 +69,12 @@
         self.ordinary.send(Inbound::Event(event)).map_err(|_| LoopEnded)
     }
 
-    /// Queues an event that goes before the others.
+    /// Queues an event in the urgent queue.
     pub(super) fn send_urgent(&self, event: Event) -> Result<(), LoopEnded> {
         self.urgent.send(Inbound::Event(event)).map_err(|_| LoopEnded)
     }
 
-    /// Queues a request, heartbeats behind all others.
+    /// Queues a request: heartbeats in the ordinary queue, all others in the urgent one.
     #[must_use]
     pub(super) fn send_request(&self, id: u64, request: tiny_http::Request, event: Event) -> Admission {
         let queue = if matches!(event, Event::Heartbeat { .. }) { &self.ordinary } else { &self.urgent };
@@ -88,18 +89,18 @@
 }
 
 impl Inbox {
-    /// The next event; waits a little for one.
+    /// The next event, urgent ones first; waits at most [`EVENT_TIMEOUT`] for one.
     pub(super) fn wait(&self) -> Option<Inbound> {
         self.urgent.try_recv().ok().or_else(|| {
             crossbeam_channel::select! {
                 recv(self.urgent) -> inbound => inbound.ok(),
                 recv(self.ordinary) -> inbound => inbound.ok(),
-                default(WAIT) => None,
+                default(EVENT_TIMEOUT) => None,
             }
         })
     }
 
-    /// The next event, if one waits.
+    /// The next event, urgent ones first, if one is queued.
     pub(super) fn try_next(&self) -> Option<Inbound> {
         self.urgent.try_recv().or_else(|_| self.ordinary.try_recv()).ok()
     }
--- a/src/server/operator_api/tests.rs
+++ b/src/server/operator_api/tests.rs
@@ -1,39 +1,42 @@
 use super::*;
-use crate::server::http_api::permit_query;
+use crate::server::http_api::parse_permit_query;
 use crate::wire::percent_encoding::percent_encode;
 
-fn read(method: &str, url: &str, body: &str) -> Result<OperatorCommand, u16> {
+fn parse_status(method: &str, url: &str, body: &str) -> Result<OperatorCommand, u16> {
     parse(method, url, |_| Ok(body.to_owned())).map_err(|reply| reply.status)
 }
 
-fn release(title: &str, night: Option<String>) -> ReleaseSelector {
+fn selector(title: &str, night: Option<String>) -> ReleaseSelector {
     ReleaseSelector { title: title.into(), night }
 }
 
 #[test]
-fn operators_requests_are_read_and_malformed_ones_refused() {
+fn operator_requests_are_parsed_and_malformed_ones_rejected() {
     let night = Some("2026-12-01".to_owned());
     let title = "Kő-és-Kard";
     assert_eq!(percent_decode(&percent_encode(title)).as_deref(), Some(title));
     let url = format!("/ops/releases/{}?night=2026-12-01", percent_encode(title));
-    assert_eq!(read("GET", &url, ""), Ok(OperatorCommand::ShowRelease(release(title, night.clone()))));
-    assert_eq!(read("GET", "/ops/releases", ""), Ok(OperatorCommand::ListReleases));
+    assert_eq!(
+        parse_status("GET", &url, ""),
+        Ok(OperatorCommand::ShowRelease(selector(title, night.clone())))
+    );
+    assert_eq!(parse_status("GET", "/ops/releases", ""), Ok(OperatorCommand::ListReleases));
     let close = r#"{"title":"t","night":"2026-12-01"}"#;
     assert_eq!(
-        read("POST", "/ops/releases/close", close),
-        Ok(OperatorCommand::CloseRelease(release("t", night)))
+        parse_status("POST", "/ops/releases/close", close),
+        Ok(OperatorCommand::CloseRelease(selector("t", night)))
     );
     let waive = r#"{"title":"t","job":"wk-1","why":"known"}"#;
     assert_eq!(
-        read("POST", "/ops/releases/waive", waive),
+        parse_status("POST", "/ops/releases/waive", waive),
         Ok(OperatorCommand::Waive {
-            release: release("t", None),
+            release: selector("t", None),
             job: "wk-1".into(),
             reason: "known".into()
         })
     );
     assert_eq!(
-        read("POST", "/ops/batches", r#"{"name":"b","version":7}"#),
+        parse_status("POST", "/ops/batches", r#"{"name":"b","version":7}"#),
         Ok(OperatorCommand::PutBatch { name: "b".into(), version: 7 })
     );
     for (method, url, body, status) in [
@@ -46,8 +49,8 @@
         ("DELETE", "/ops/releases", "", 405),
         ("GET", "/ops/nowhere", "", 404),
     ] {
-        assert_eq!(read(method, url, body), Err(status), "{method} {url} {body}");
+        assert_eq!(parse_status(method, url, body), Err(status), "{method} {url} {body}");
     }
-    assert_eq!(permit_query("/v1/jobs/wk-1/permit?attempt=9&task=3"), Some((9, 3)));
-    assert_eq!(permit_query("/v1/jobs/wk-1/permit?attempt=9"), None);
+    assert_eq!(parse_permit_query("/v1/jobs/wk-1/permit?attempt=9&task=3"), Some((9, 3)));
+    assert_eq!(parse_permit_query("/v1/jobs/wk-1/permit?attempt=9"), None);
 }
--- a/src/server/outbound.rs
+++ b/src/server/outbound.rs
@@ -1,6 +1,6 @@
-//! Threads that carry out what takes time: calls of the state service, of the cloud and of workers, and frames to peers.
+//! The outbound I/O threads: calls to the state service, to the cloud and to workers, and frames to peers.
 //!
-//! Each thread takes orders from a channel and brings answers to the inbox. The event loop never blocks on any of them.
+//! Each thread takes calls from a channel and puts the answers into the inbox. The event loop never blocks on any of them.
 
 use super::inbox::InboxSender;
 use super::{ServerError, spawn, worker_probe};
@@ -18,48 +18,48 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Threads that call the state service.
+/// Number of threads that make general calls to the state service.
 const STORE_THREADS: usize = 4;
-/// Threads that tell workers the fencing token. Those that don't answer cost a timeout each.
+/// Number of threads that send the fencing token to workers. Each worker that doesn't answer blocks a thread for a timeout.
 const FENCING_THREADS: usize = 6;
-/// How long an answer of the state service is waited for, beside the time that a watch stays open.
+/// Request timeout of the state service; a watch has the time that it stays open in addition.
 const STORE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Calls of the cloud that may wait; the autoscaler has one under way at a time.
-const CLOUD_QUEUE: usize = 4;
-/// Probes of workers that may wait; a further one is dropped, as it would tell nothing else.
-const PROBE_QUEUE: usize = 1;
+/// Most calls to the cloud that may be queued; the autoscaler has one in flight at a time.
+const CLOUD_QUEUE_LIMIT: usize = 4;
+/// Most reachability probes that may be queued; further ones are dropped, since they would find out the same.
+const PROBE_QUEUE_LIMIT: usize = 1;
 
-/// A call of the state service, and the number that its answer is to bear.
+/// A call to the state service, and the request id for its answer.
 struct StoreCall {
     id: u64,
     request: StoreRequest,
 }
 
-/// A worker to be told the fencing token of an epoch.
+/// A fencing probe: sends the fencing token of an epoch to one worker.
 struct FencingCall {
     epoch: u64,
     probe: FencingProbe,
 }
 
-/// The event loop's ends of the channels to the edge threads.
+/// The event loop's ends of the channels to the outbound threads.
 pub(super) struct Outbound {
-    /// Peers' send queues by member index. Bounded in bytes; what does not fit is dropped.
+    /// Peers' send queues by member index. Their size in bytes is bounded; frames that do not fit are dropped.
     peers: HashMap<usize, SendQueue<Frame>>,
-    store: StoreLines,
+    store: StoreChannels,
     cloud: Sender<CloudRequest>,
     probes: Sender<Vec<String>>,
     fencing: Sender<FencingCall>,
-    /// The epoch whose token is told now.
+    /// The newest epoch whose fencing token is being sent.
     fencing_epoch: Arc<AtomicU64>,
 }
 
-/// Channels to the threads that call the state service. Unbounded: the controller limits its calls itself.
-struct StoreLines {
-    /// Most calls; several threads.
+/// Channels to the threads that call the state service. They are unbounded: the controller limits its calls itself.
+struct StoreChannels {
+    /// All other calls; served by several threads.
     general: Sender<StoreCall>,
-    /// Calls that membership depends on; nothing holds them up.
+    /// Calls that membership depends on; served by a thread of their own, so that no other call delays them.
     membership: Sender<StoreCall>,
-    /// A watch stays open for long.
+    /// Watches, each of which blocks its thread for long.
     watch: Sender<StoreCall>,
 }
 
@@ -75,21 +75,21 @@
         Ok(Outbound { peers, store, cloud, probes, fencing, fencing_epoch })
     }
 
-    /// Sends a frame to a controller, unless its queue is full.
+    /// Sends a frame to a peer, unless its queue is full.
     pub(super) fn send_frame(&self, member: usize, frame: Frame) {
         if let Some(queue) = self.peers.get(&member) {
             peer::enqueue(queue, frame);
         }
     }
 
-    /// Calls the state service; `membership` calls have a thread of their own.
-    pub(super) fn call_store(&self, id: u64, request: StoreRequest, membership: bool) {
-        let line = match &request {
+    /// Calls the state service. Watches and calls that membership depends on go to threads of their own.
+    pub(super) fn call_store(&self, id: u64, request: StoreRequest, is_for_membership: bool) {
+        let channel = match &request {
             StoreRequest::Watch(..) => &self.store.watch,
-            _ if membership => &self.store.membership,
+            _ if is_for_membership => &self.store.membership,
             _ => &self.store.general,
         };
-        let _ = line.send(StoreCall { id, request });
+        let _ = channel.send(StoreCall { id, request });
     }
 
     /// Calls the cloud.
@@ -97,12 +97,12 @@
         let _ = self.cloud.send(request);
     }
 
-    /// Finds out whether any of these workers answers, unless that is being done.
+    /// Checks whether any of these workers is reachable. Dropped if such a check is already queued.
     pub(super) fn probe_any(&self, addresses: Vec<String>) {
         let _ = self.probes.try_send(addresses);
     }
 
-    /// Tells workers the fencing token of an epoch, instead of those that are still to be told an older one.
+    /// Sends the fencing token of an epoch to workers. Queued probes of older epochs are dropped.
     pub(super) fn send_fencing_probes(&self, epoch: u64, probes: Vec<FencingProbe>) {
         self.fencing_epoch.store(epoch, Ordering::Relaxed);
         for probe in probes {
@@ -112,26 +112,27 @@
 }
 
 fn connect_peers(settings: &Settings) -> HashMap<usize, SendQueue<Frame>> {
-    let index_of = |name: &String| settings.members.iter().position(|member| member == name);
+    let member_index = |name: &String| settings.members.iter().position(|member| member == name);
     let connect =
-        |seed: &crate::config::settings::Seed| Some((index_of(&seed.member)?, peer::dial(seed.addr)));
+        |seed: &crate::config::settings::Seed| Some((member_index(&seed.member)?, peer::dial(seed.addr)));
     settings.seeds.iter().filter_map(connect).collect()
 }
 
-fn start_store_threads(address: SocketAddrV4, inbox: &InboxSender) -> Result<StoreLines, ServerError> {
+fn start_store_threads(address: SocketAddrV4, inbox: &InboxSender) -> Result<StoreChannels, ServerError> {
     let (general, general_calls) = unbounded();
     let (membership, membership_calls) = unbounded();
     let (watch, watch_calls) = unbounded();
-    let general_lines = (0..STORE_THREADS).map(|number| (format!("store-{number}"), general_calls.clone()));
-    let own_lines = [("store-ring".to_owned(), membership_calls), ("store-watch".to_owned(), watch_calls)];
-    for (name, calls) in general_lines.chain(own_lines) {
+    let general_threads = (0..STORE_THREADS).map(|number| (format!("store-{number}"), general_calls.clone()));
+    let dedicated_threads =
+        [("store-ring".to_owned(), membership_calls), ("store-watch".to_owned(), watch_calls)];
+    for (name, calls) in general_threads.chain(dedicated_threads) {
         let inbox = inbox.clone();
-        spawn(name, move || call_store_for_each(&calls, address, &inbox))?;
+        spawn(name, move || run_store_calls(&calls, address, &inbox))?;
     }
-    Ok(StoreLines { general, membership, watch })
+    Ok(StoreChannels { general, membership, watch })
 }
 
-fn call_store_for_each(calls: &Receiver<StoreCall>, address: SocketAddrV4, inbox: &InboxSender) {
+fn run_store_calls(calls: &Receiver<StoreCall>, address: SocketAddrV4, inbox: &InboxSender) {
     let client = StoreClient::new(address, STORE_TIMEOUT);
     while let Ok(StoreCall { id, request }) = calls.recv() {
         let answer = client.call(&request);
@@ -145,7 +146,7 @@
     address: SocketAddrV4,
     inbox: &InboxSender,
 ) -> Result<Sender<CloudRequest>, ServerError> {
-    let (sender, requests) = bounded::<CloudRequest>(CLOUD_QUEUE);
+    let (sender, requests) = bounded::<CloudRequest>(CLOUD_QUEUE_LIMIT);
     let inbox = inbox.clone();
     spawn("cloud".to_owned(), move || {
         let client = CloudClient::new(address);
@@ -160,12 +161,12 @@
 }
 
 fn start_probe_thread(inbox: &InboxSender) -> Result<Sender<Vec<String>>, ServerError> {
-    let (sender, probes) = bounded::<Vec<String>>(PROBE_QUEUE);
+    let (sender, probes) = bounded::<Vec<String>>(PROBE_QUEUE_LIMIT);
     let inbox = inbox.clone();
     spawn("probe".to_owned(), move || {
         while let Ok(addresses) = probes.recv() {
-            let reached = addresses.iter().any(|address| worker_probe::is_reachable(address));
-            if inbox.send(Event::Probed(reached)).is_err() {
+            let any_reachable = addresses.iter().any(|address| worker_probe::is_reachable(address));
+            if inbox.send(Event::Probed(any_reachable)).is_err() {
                 return;
             }
         }
@@ -177,19 +178,19 @@
     newest_epoch: &Arc<AtomicU64>,
     inbox: &InboxSender,
 ) -> Result<Sender<FencingCall>, ServerError> {
-    // Unbounded: as many as there are machines, once an epoch.
+    // Unbounded: at most one call per machine and epoch.
     let (sender, calls) = unbounded();
     for number in 0..FENCING_THREADS {
         let (calls, newest_epoch, inbox) = (calls.clone(), newest_epoch.clone(), inbox.clone());
-        spawn(format!("fencing-{number}"), move || probe_for_each(&calls, &newest_epoch, &inbox))?;
+        spawn(format!("fencing-{number}"), move || run_fencing_probes(&calls, &newest_epoch, &inbox))?;
     }
     Ok(sender)
 }
 
-fn probe_for_each(calls: &Receiver<FencingCall>, newest_epoch: &AtomicU64, inbox: &InboxSender) {
-    let agent = worker_probe::fencing_agent();
+fn run_fencing_probes(calls: &Receiver<FencingCall>, newest_epoch: &AtomicU64, inbox: &InboxSender) {
+    let agent = worker_probe::build_fencing_agent();
     while let Ok(FencingCall { epoch, probe }) = calls.recv() {
-        // The answer to an older epoch's token would say nothing.
+        // A newer epoch has begun: an answer to an older token is of no use.
         if epoch < newest_epoch.load(Ordering::Relaxed) {
             continue;
         }
--- a/src/server/worker_probe.rs
+++ b/src/server/worker_probe.rs
@@ -1,31 +1,31 @@
-//! Direct calls of workers: whether one answers, and the fencing token that a new leader tells them.
+//! Direct calls to workers: the reachability probe, and the fencing probe by which a new leader sends its fencing token.
 //!
-//! No command ever goes out this way: workers get their commands in the answers to their heartbeats.
+//! Neither carries a command: workers get their commands in the responses to their heartbeats.
 
 use crate::machine_shard::{FencingProbe, Heartbeat};
 use crate::state_store;
 use crate::wire::workers::fencing_probe_body;
 use std::time::Duration;
 
-/// How long a worker may take to answer whether it is there.
+/// Request timeout of a reachability probe.
 const REACHABLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a worker may take to answer a fencing probe. One that is there answers at once; one that is not must not hold
-/// up the others.
+/// Request timeout of a fencing probe. It is short because a reachable worker answers at once, and an unreachable one must
+/// not delay the probes of others.
 const FENCING_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How much of that may go by before it is connected.
+/// Connect timeout of a fencing probe.
 const FENCING_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The second attempt is for a worker that has begun a new incarnation.
+/// Most attempts of a fencing probe. The second one is for a worker that has started a new incarnation.
 const FENCING_ATTEMPTS: usize = 2;
 
-/// Whether a worker at this address answers.
+/// Whether the worker at this address answers.
 pub(super) fn is_reachable(address: &str) -> bool {
     let agent = ureq::AgentBuilder::new().timeout(REACHABLE_TIMEOUT).redirects(0).build();
     state_store::http_exchange(&agent, "GET", &format!("http://{address}/inspect"), None)
         .is_some_and(|(status, _)| status == 200)
 }
 
-/// A client for [`send_fencing_token`].
-pub(super) fn fencing_agent() -> ureq::Agent {
+/// Builds the HTTP client for [`send_fencing_token`].
+pub(super) fn build_fencing_agent() -> ureq::Agent {
     ureq::AgentBuilder::new()
         .timeout_connect(FENCING_CONNECT_TIMEOUT)
         .timeout(FENCING_TIMEOUT)
@@ -34,8 +34,9 @@
         .build()
 }
 
-/// Tells a worker the fencing token, without any command. Returns its heartbeat, if it answers. A worker whose lease has
-/// expired meanwhile is in another incarnation than was thought: it says so, and is told again.
+/// Sends the fencing token to a worker, without any command, and returns the worker's heartbeat if it answers. A worker
+/// whose lease has expired meanwhile is in a newer incarnation than the probe names: it rejects the token and reports its
+/// incarnation, and the token is sent once more for that one.
 pub(super) fn send_fencing_token(agent: &ureq::Agent, epoch: u64, probe: &FencingProbe) -> Option<Heartbeat> {
     let url = format!("http://{}/do", probe.addr);
     let mut incarnation = probe.incarnation;
--- a/src/spec/tests.rs
+++ b/src/spec/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::{Value, json};
 
-fn body() -> Value {
+fn submission() -> Value {
     json!({"uid":"wk-000412","breed":"train","herd":"vision","gait":"group","rank":"high","strides":16,
         "vcpus":8.0,"cards":1.0,"ramGb":64.0,"tack":"img-07","imageGb":6.2,"breedsOfStall":["g8"],
         "paddock":null,"together":true,"scatter":false,"borrowed":true,"rideS":240.0,"restS":30.0,
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn jobs_that_can_never_run_are_told_so() {
+fn jobs_that_can_never_run_are_rejected() {
     let g8 = MachineType {
         name: "g8".into(),
         cpus: 96.0,
@@ -22,7 +22,7 @@
     };
     let types: MachineTypes = [("g8".to_owned(), g8)].into();
     let mut team = TeamSettings { name: "vision".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
-    let spec = JobSpec::from_value(&body()).unwrap();
+    let spec = JobSpec::from_value(&submission()).unwrap();
     assert_eq!(spec.check(&types, std::slice::from_ref(&team)), Ok(()));
     team.gpus_max = 15.0;
     assert!(spec.check(&types, std::slice::from_ref(&team)).is_err(), "gang of 16 over a limit of 15");
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -438,7 +438,7 @@
     let held = granted(&granted(&first, &writer(9, Some(3))), &writer(10, None));
     let Ok(VersionChange::Raised(raised)) = held.put_version(8) else { panic!("not raised") };
     let all = [("first", first), ("held", held), ("raised", raised)];
-    all.into_iter().map(|(name, b)| (format!("batch/{name}"), b.record().to_value())).collect()
+    all.into_iter().map(|(name, b)| (format!("batch/{name}"), b.to_record().to_value())).collect()
 }
 
 fn record_forms() -> Forms {
@@ -516,7 +516,7 @@
             );
         } else if name.starts_with("batch/") {
             let read = Batch::read(&CoordinationRecord::read(&stored).expect("a record")).expect("a batch");
-            assert_eq!(read.record().to_value().to_string(), stored.to_string(), "{name}");
+            assert_eq!(read.to_record().to_value().to_string(), stored.to_string(), "{name}");
         }
     }
 }
