--- a/crates/freshness/src/batch.rs
+++ b/crates/freshness/src/batch.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// Most entries of [`Batch::after`] that are kept for permits that have ended; the oldest are dropped first.
+/// Most entries of [`Batch::outdated_writes`] that are kept for permits that have ended; the oldest are dropped first.
 const ENDED_WRITE_LIMIT: usize = 32;
-/// Longest entry of [`Batch::after`] in a record, in bytes: two 64-bit numbers and their separators.
+/// Longest entry of [`Batch::outdated_writes`] in a record, in bytes: two 64-bit numbers and their separators.
 const OUTDATED_WRITE_BYTES: usize = 44;
 
 /// The writer that requests or holds a permit: one attempt of a task, or of a whole gang, whose permit is for all its tasks.
--- a/crates/freshness/src/upstream.rs
+++ b/crates/freshness/src/upstream.rs
@@ -100,11 +100,11 @@
 /// stopped at [`UPSTREAM_LIMIT`].
 #[must_use]
 pub fn upstream_closure(
-    follows: &[String],
+    dependencies: &[String],
     job: impl Fn(&str) -> JobLookup,
 ) -> (BTreeMap<String, JobLookup>, bool) {
     let mut upstream = BTreeMap::new();
-    let mut pending: Vec<String> = follows.to_vec();
+    let mut pending: Vec<String> = dependencies.to_vec();
     while let Some(id) = pending.pop() {
         // A job can depend only on jobs accepted before it, so there are no cycles. The check keeps the traversal finite
         // even if a damaged record makes one.
@@ -133,11 +133,11 @@
 pub fn inspect_upstream(
     settings: &Settings,
     batch: &BatchVersion,
-    follows: &[String],
+    dependencies: &[String],
     job: impl Fn(&str) -> JobLookup,
     runs: &BTreeSet<Run>,
 ) -> UpstreamFindings {
-    let (upstream, has_too_many_jobs) = upstream_closure(follows, job);
+    let (upstream, has_too_many_jobs) = upstream_closure(dependencies, job);
     let mut findings = UpstreamFindings { has_too_many_jobs, ..UpstreamFindings::default() };
     let mut classes: BTreeSet<&str> = BTreeSet::new();
     for (id, lookup) in &upstream {
--- a/crates/freshness/src/upstream/tests.rs
+++ b/crates/freshness/src/upstream/tests.rs
@@ -10,9 +10,9 @@
 fn batch(version: u64) -> BatchVersion {
     BatchVersion { name: "b".into(), version }
 }
-fn ended(class: &str, batch: Option<BatchVersion>, follows: &[&str]) -> JobLookup {
-    let follows = follows.iter().map(|id| (*id).to_owned()).collect();
-    JobLookup::Ended(JobDeclaration { class: Some(class.into()), batch, dependencies: follows })
+fn ended(class: &str, batch: Option<BatchVersion>, dependencies: &[&str]) -> JobLookup {
+    let dependencies = dependencies.iter().map(|id| (*id).to_owned()).collect();
+    JobLookup::Ended(JobDeclaration { class: Some(class.into()), batch, dependencies })
 }
 /// Inspects the jobs upstream of a merge of this version that depends on the job `check`.
 fn inspect(jobs: &[(&str, JobLookup)], version: u64, runs: &[(&str, &str, u64)]) -> UpstreamFindings {
@@ -120,14 +120,14 @@
     ) {
         let id = |number: usize| format!("j{number}");
         // An edge `(a, b)` with `b < a` makes job `a` depend on job `b`; other edges are ignored.
-        let follows = |number: usize| -> Vec<String> {
+        let dependencies = |number: usize| -> Vec<String> {
             edges.iter().filter(|(a, b)| *a == number && b < a).map(|(_, b)| id(*b)).collect()
         };
         let lookup = |job: &str| {
             let number: usize = job[1..].parse().expect("number");
             let class = if number.is_multiple_of(2) { "read" } else { "group" };
             let batch = versions[number].map(batch).filter(|_| number.is_multiple_of(2));
-            JobLookup::Ended(JobDeclaration { class: Some(class.into()), batch, dependencies: follows(number) })
+            JobLookup::Ended(JobDeclaration { class: Some(class.into()), batch, dependencies: dependencies(number) })
         };
         let mut reached = [false; 12];
         reached[11] = true;
@@ -142,7 +142,7 @@
             .filter(|n| reached[*n] && n.is_multiple_of(2) && versions[*n].is_none_or(|version| version < 7))
             .map(id)
             .collect();
-        let findings = inspect_upstream(&settings(), &batch(7), &follows(11), lookup, &BTreeSet::new());
+        let findings = inspect_upstream(&settings(), &batch(7), &dependencies(11), lookup, &BTreeSet::new());
         let found: BTreeSet<String> = findings.stale_runs.into_iter().map(|run| run.job).collect();
         prop_assert_eq!(found, expected);
     }
--- a/crates/freshness/tests/model.rs
+++ b/crates/freshness/tests/model.rs
@@ -309,16 +309,13 @@
                 }
             }
         }
-        for (is_late, request) in [(false, &job.request), (true, &job.late_request)] {
-            let (Some(request), Some((batch, store_version, (batch_record, verdict)))) = (request, &view)
-            else {
-                continue;
-            };
-            if request.in_flight || (self.read_after_request && !request.read) {
+        for (is_late, query) in [(false, &job.request), (true, &job.late_request)] {
+            let (Some(query), Some((batch, version, (record, verdict)))) = (query, &view) else { continue };
+            if query.in_flight || (self.read_after_request && !query.read) {
                 continue;
             }
-            let writer = Writer { job: id(merge), attempt: request.attempt, task: None };
-            let mut answer = decide_permit(verdict, batch_record, &writer, 4000);
+            let writer = Writer { job: id(merge), attempt: query.attempt, task: None };
+            let mut answer = decide_permit(verdict, record, &writer, 4000);
             if !self.reject_older_attempt && answer == PermitAnswer::Superseded {
                 let mut without = (*batch).clone();
                 without.permits.retain(|permit| permit.job != writer.job);
@@ -332,14 +329,13 @@
                         next.permits.last_mut().expect("new").fence = permit.fence;
                     }
                     let purpose = Purpose::Permit(merge, permit.clone());
-                    let write =
-                        PendingWrite { epoch: world.epoch, store_version: *store_version, next, purpose };
+                    let write = PendingWrite { epoch: world.epoch, store_version: *version, next, purpose };
                     if can_write {
                         add_successor(&|successor| {
                             successor.pending_writes.push(write.clone());
                             let job = &mut successor.jobs[merge];
-                            let request = if is_late { &mut job.late_request } else { &mut job.request };
-                            request.as_mut().expect("asked").in_flight = true;
+                            let query = if is_late { &mut job.late_request } else { &mut job.request };
+                            query.as_mut().expect("asked").in_flight = true;
                             if !self.record_before_grant && !is_late {
                                 (job.request, job.granted) = (None, Some(permit.clone()));
                             }
@@ -351,7 +347,7 @@
                     (job.request, job.granted) = (None, Some(permit.clone()));
                 }),
                 PermitAnswer::Stale(..) if !is_late => add_successor(&|successor| {
-                    if request.fresh {
+                    if query.fresh {
                         successor.violation = Some("fresh inputs rejected");
                     }
                     successor.jobs[merge].request = None;
--- a/src/server.rs
+++ b/src/server.rs
@@ -57,7 +57,7 @@
 }
 
 /// Runs a controller until SIGTERM or SIGINT arrives and the controller has handed its state over to its peers, which
-/// takes at most [`crate::controller::LEAVING`].
+/// takes at most [`crate::controller::LEAVE_TIMEOUT`].
 ///
 /// # Errors
 /// If a listener or a thread can't be started.
--- a/src/spec.rs
+++ b/src/spec.rs
@@ -13,7 +13,7 @@
 /// Added to the priority of work within its team's guarantee. Such work goes before all other work and may preempt the
 /// work that other teams run beyond their guarantees.
 pub const GUARANTEED_PRIORITY_BONUS: u8 = 10;
-/// Least base priority (without [`GUARANTEED`]) of urgent work.
+/// Least base priority (without [`GUARANTEED_PRIORITY_BONUS`]) of urgent work.
 const URGENT_PRIORITY: u8 = 2;
 
 /// How a job's tasks depend on one another.
@@ -38,8 +38,8 @@
     pub team: String,
     /// How its tasks depend on one another.
     pub kind: JobKind,
-    /// Jobs of higher priority go first: production 3, high 2, normal 1, idle 0; [`GUARANTEED`] is added within the
-    /// team's guarantee.
+    /// Jobs of higher priority go first: production 3, high 2, normal 1, idle 0; within the team's guarantee,
+    /// [`GUARANTEED_PRIORITY_BONUS`] is added.
     pub priority: u8,
     /// How many tasks, at least one.
     pub task_count: u32,
