--- a/src/controller/freshness.rs
+++ b/src/controller/freshness.rs
@@ -222,7 +222,7 @@
         let condition = self.join_condition(&key);
         if let Some(submission) = self.user_requests.submissions.get_mut(id) {
             submission.coordinated_write =
-                Some(CoordinatedWrite { key, record: next.record(), sent_at: now });
+                Some(CoordinatedWrite { key, record: next.to_record(), sent_at: now });
         }
         JoinDecision::Allow(vec![condition])
     }
@@ -534,7 +534,7 @@
         are_runs_known: bool,
     ) {
         let Some(job) = self.job_shard.jobs.get(id) else { return };
-        if verdict.may_start() && is_read_recent {
+        if verdict.can_start() && is_read_recent {
             if matches!(job.hold(), Some(Hold::Batch(_))) {
                 self.job_shard.lift_hold(id);
             }
--- a/src/controller/freshness/permits.rs
+++ b/src/controller/freshness/permits.rs
@@ -98,7 +98,7 @@
                 .and_then(|batch| batch.release_permits(|permit| self.has_permit_attempt_ended(permit))),
             _ => None,
         };
-        let cached = pruned_batch.map_or(cached, |batch| CachedRecord::Present(batch.record()));
+        let cached = pruned_batch.map_or(cached, |batch| CachedRecord::Present(batch.to_record()));
         match guard::decide_permit(&verdict, &cached, &writer, self.settings.value_bytes) {
             PermitAnswer::AlreadyHeld(permit) => {
                 let batch = merge.batch.name;
@@ -111,7 +111,7 @@
                 Some(Reply::error(409, "the attempt is being stopped"))
             }
             PermitAnswer::GrantAfterWrite(next, permit) => {
-                if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
+                if self.change_record(now, &key, next.to_record(), Vec::new(), None, out) {
                     tracing::info!(
                         job = %request.job,
                         attempt = request.attempt,
@@ -181,7 +181,7 @@
             // Keeps the record in use until its permits are released.
             self.coordination_record(now, &key);
             self.freshness.next_permit_release.insert(key.clone(), now + PERMIT_RELEASE_PERIOD);
-            if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
+            if self.change_record(now, &key, next.to_record(), Vec::new(), None, out) {
                 tracing::debug!(batch = %key.name(), held = next.permits.len(), "permits of ended attempts released");
             }
         }
--- a/src/controller/freshness/show.rs
+++ b/src/controller/freshness/show.rs
@@ -58,7 +58,7 @@
         };
         // The next round finds the stored version; if another change came first, the request is decided
         // again.
-        if self.change_record(now, &key, next.record(), Vec::new(), None, out) {
+        if self.change_record(now, &key, next.to_record(), Vec::new(), None, out) {
             tracing::info!(batch = name, version, by = "operator", "raising the version of a batch");
             self.freshness.counts.raised += 1;
         }
