--- a/crates/cluster/src/frame.rs
+++ b/crates/cluster/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: `rkyv` archives with their length (4 bytes, little-endian) in front, validated on arrival.
+//! Frames: `rkyv` archives, each preceded by its length (4 bytes, little-endian) and validated on arrival.
 
 use rkyv::api::high::{HighDeserializer, HighSerializer, HighValidator};
 use rkyv::bytecheck::CheckBytes;
@@ -8,22 +8,22 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use std::io::Read;
 
-/// Longest frame accepted, in bytes without the length in front.
-pub const FRAME_LIMIT: usize = 4 << 20;
+/// Maximum length of a frame in bytes, without the length prefix.
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// What can travel over a connection.
+/// A message that can be sent over a connection.
 pub trait Framed: Send + Sized + 'static {
-    /// The frame as bytes, with its length in front.
+    /// Encodes the message as a frame, including the length prefix; None if it cannot be encoded.
     fn encode(&self) -> Option<Vec<u8>>;
-    /// Reads the bytes behind the length; None if they are no valid frame.
+    /// Decodes a frame without its length prefix; None if it is not valid.
     fn decode(bytes: &[u8]) -> Option<Self>;
-    /// Whether a receiver of this frame has no use for an older one that still waits.
+    /// Whether this message makes an older one that is still queued useless to the receiver.
     fn replaces(&self, _older: &Self) -> bool {
         false
     }
 }
 
-/// A value as a frame, length included; None if it is too large to be one.
+/// Encodes a value as a frame, including the length prefix; None if it cannot be encoded or is too long.
 pub fn encode<T>(value: &T) -> Option<Vec<u8>>
 where
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, Error>>,
@@ -35,7 +35,7 @@
     Some(frame)
 }
 
-/// Reads the bytes behind the length; None if they are no valid value.
+/// Decodes a frame without its length prefix; None if it is not a valid value.
 pub fn decode<T>(bytes: &[u8]) -> Option<T>
 where
     T: Archive,
@@ -46,15 +46,15 @@
     rkyv::from_bytes::<T, Error>(&aligned).ok()
 }
 
-/// Reads the next frame's bytes into `buffer`. False when the connection has ended, or its next frame is longer than
-/// `FRAME_LIMIT`: what follows can't be told apart then.
+/// Reads the next frame into `buffer`. Returns false if the connection has ended, or if the frame is longer than
+/// `MAX_FRAME_BYTES`, after which the following frames can't be located.
 pub fn read_frame(connection: &mut impl Read, buffer: &mut Vec<u8>) -> bool {
     let mut length = [0u8; 4];
     if connection.read_exact(&mut length).is_err() {
         return false;
     }
     let length = u32::from_le_bytes(length) as usize;
-    if length > FRAME_LIMIT {
+    if length > MAX_FRAME_BYTES {
         tracing::error!(bytes = length, "peer frame too long; connection closed");
         return false;
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,8 +1,8 @@
-//! What controllers and log stores share and neither owns: whole microseconds, the ring by consistent hashing, and the
+//! Code that controllers and log stores share: time in whole microseconds, the consistent-hash ring, and the
 //! connections that carry frames.
 //!
-//! [`hash_ring`], [`time`] and [`frame`] are pure; [`send_queue`] blocks its reader, and [`transport`] has the threads and
-//! sockets. Each module uses only those before it.
+//! [`hash_ring`], [`time`] and [`frame`] do no I/O; [`send_queue`] blocks its receiver, and [`transport`] has the
+//! threads and sockets. Each module uses only those listed before it.
 
 pub mod frame;
 pub mod hash_ring;
--- a/crates/cluster/src/send_queue.rs
+++ b/crates/cluster/src/send_queue.rs
@@ -1,16 +1,16 @@
-//! A bounded queue of frames for one peer. What a newer frame says again takes no place in it: a peer that is slow, or just
-//! being replaced, must not lose what can't be said again for the sake of what will be.
+//! A bounded queue of frames for one peer. A newer frame replaces the queued frames that it supersedes. So when a
+//! peer is slow or being replaced, frames that are repeated anyway don't crowd out frames that are sent only once.
 
 use crate::frame::Framed;
 use std::collections::VecDeque;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
-/// Frames that wait for a slow peer; more are dropped.
+/// Maximum number of frames in the queue; further frames are dropped.
 pub(crate) const QUEUE_CAPACITY: usize = 64;
 
 struct State<F> {
-    waiting: VecDeque<F>,
-    /// The other end is gone.
+    frames: VecDeque<F>,
+    /// Whether the other end was dropped.
     is_closed: bool,
 }
 
@@ -25,28 +25,29 @@
     }
 }
 
-/// The end where frames are put.
+/// The sending end of a queue.
 pub struct SendQueue<F>(Arc<Shared<F>>);
 
-/// The end where they are taken.
+/// The receiving end of a queue.
 pub(crate) struct SendQueueReceiver<F>(Arc<Shared<F>>);
 
-/// Both ends of a new queue.
+/// Creates a queue and returns both its ends.
 pub(crate) fn channel<F>() -> (SendQueue<F>, SendQueueReceiver<F>) {
-    let state = Mutex::new(State { waiting: VecDeque::new(), is_closed: false });
+    let state = Mutex::new(State { frames: VecDeque::new(), is_closed: false });
     let shared = Arc::new(Shared { state, changed: Condvar::new() });
     (SendQueue(shared.clone()), SendQueueReceiver(shared))
 }
 
 impl<F: Framed> SendQueue<F> {
-    /// Puts a frame at the end, in place of those that it says again. False if the queue is full: the frame is dropped.
+    /// Appends a frame after removing the queued frames that it replaces. Returns false, and drops the frame, if the
+    /// queue is full.
     pub fn push(&self, frame: F) -> bool {
         let mut state = self.0.lock();
-        state.waiting.retain(|older| !frame.replaces(older));
-        if state.is_closed || state.waiting.len() >= QUEUE_CAPACITY {
+        state.frames.retain(|queued| !frame.replaces(queued));
+        if state.is_closed || state.frames.len() >= QUEUE_CAPACITY {
             return false;
         }
-        state.waiting.push_back(frame);
+        state.frames.push_back(frame);
         drop(state);
         self.0.changed.notify_one();
         true
@@ -67,11 +68,11 @@
 }
 
 impl<F> SendQueueReceiver<F> {
-    /// Waits for the next frame; None once the other end is gone and nothing waits.
+    /// Blocks until a frame can be returned; None once the sending end was dropped and the queue is empty.
     pub(crate) fn pop(&self) -> Option<F> {
         let mut state = self.0.lock();
         loop {
-            if let Some(frame) = state.waiting.pop_front() {
+            if let Some(frame) = state.frames.pop_front() {
                 return Some(frame);
             }
             if state.is_closed {
@@ -81,9 +82,9 @@
         }
     }
 
-    /// Forgets what waits.
+    /// Drops all queued frames.
     pub(crate) fn clear(&self) {
-        self.0.lock().waiting.clear();
+        self.0.lock().frames.clear();
     }
 }
 
--- a/crates/cluster/src/send_queue/tests.rs
+++ b/crates/cluster/src/send_queue/tests.rs
@@ -17,17 +17,18 @@
     }
 }
 
-/// Or hand-off batches and requests would be dropped while states wait that the next one says again.
+/// Guards against dropping hand-off batches and requests while the queue is full of states, which the next state
+/// replaces.
 #[test]
-fn what_is_said_again_never_takes_the_place_of_what_is_not() {
+fn repeated_frames_do_not_crowd_out_frames_sent_once() {
     let (queue, receiver) = channel();
     for i in 0..QUEUE_CAPACITY as u32 - 1 {
         assert!(queue.push(Enqueued::State(i)) && queue.push(Enqueued::Once(i)));
     }
-    assert!(queue.push(Enqueued::State(99)), "in the place of the last");
+    assert!(queue.push(Enqueued::State(99)), "it replaces the last state");
     assert!(!queue.push(Enqueued::Once(99)), "full");
     drop(queue);
-    let mut all: Vec<Enqueued> = std::iter::from_fn(|| receiver.pop()).collect();
-    assert_eq!(all.pop(), Some(Enqueued::State(99)));
-    assert_eq!(all, (0..QUEUE_CAPACITY as u32 - 1).map(Enqueued::Once).collect::<Vec<_>>());
+    let mut received: Vec<Enqueued> = std::iter::from_fn(|| receiver.pop()).collect();
+    assert_eq!(received.pop(), Some(Enqueued::State(99)));
+    assert_eq!(received, (0..QUEUE_CAPACITY as u32 - 1).map(Enqueued::Once).collect::<Vec<_>>());
 }
--- a/crates/cluster/src/time.rs
+++ b/crates/cluster/src/time.rs
@@ -1,45 +1,45 @@
-//! Time in whole microseconds, so that sums are exact and types are the same on every process.
+//! Time in whole microseconds, so that sums are exact and every process computes with the same type.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Spans between clocks are lengthened or shortened by one part in so many.
+/// Time spans that are compared between clocks are lengthened or shortened by one part in this many.
 const DRIFT_ALLOWANCE: u64 = 400;
 
-/// A point in time or a span, in whole microseconds. Points are on the process's own steady
-/// clock unless a name says `wall`.
+/// A point in time or a time span, in whole microseconds. Points in time are on the process's own monotonic clock
+/// unless a name contains `wall`.
 #[derive(
     Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// From seconds as the wire gives them; negative and non-finite values become zero.
+    /// Converts seconds as received on the wire; negative and non-finite values become zero.
     pub fn from_secs(seconds: f64) -> Self {
         Micros((seconds.max(0.0) * 1e6) as u64)
     }
 
-    /// From whole milliseconds.
+    /// Converts whole milliseconds.
     pub const fn from_millis(milliseconds: u64) -> Self {
         Micros(milliseconds * 1000)
     }
 
-    /// As seconds.
+    /// Converts to seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// The span since `earlier`, zero if it lies ahead.
+    /// Returns the time span since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// This span lengthened so that it covers its length on a clock that drifts by the
-    /// protocol's 0.05% against ours, on both sides, with some room.
+    /// Returns this span lengthened for clock drift: it covers the span on a clock that drifts by the protocol's 0.05%
+    /// against this one, in either direction, with some margin.
     pub fn stretched(self) -> Micros {
         Micros(self.0 + self.0 / DRIFT_ALLOWANCE)
     }
 
-    /// This span shortened by the same allowance.
+    /// Returns this span shortened for clock drift by the same allowance.
     pub fn shortened(self) -> Micros {
         Micros(self.0 - self.0 / DRIFT_ALLOWANCE)
     }
--- a/crates/coordination/src/census.rs
+++ b/crates/coordination/src/census.rs
@@ -1,11 +1,11 @@
-//! Who has joined a coordination record: found in the jobs' own records.
+//! The census finds the jobs that have joined a coordination record by reading the jobs' own records.
 //!
-//! A job names the records that it joins in its own record, which its acceptance writes on condition of the coordination
-//! record's version while that is open. So joining costs no change, and from the moment that the coordination record says
-//! *closing* none can join any more, not even by a transaction that is applied late. Then all live jobs are read and, only
-//! after the last of them, all final ones: a job that ends in between moves from the former to the latter in one
-//! transaction, so it is seen at least once. The cost is reads alone, a page for some hundred jobs, and one census serves
-//! all records that wait for one.
+//! A job names the coordination records that it joins in its own record. The transaction that accepts the job has the
+//! version of the coordination record as a precondition, and the phase must be *open*. So joining costs no extra
+//! write, and once the coordination record says *closing*, no job can join any more, not even by a transaction that
+//! is applied late. Then all live jobs' records are read and, only after the last of them, all final records. A job
+//! that ends in between moves from the former to the latter in one transaction, so it is seen at least once. The only
+//! cost is reads, one page per few hundred jobs, and one census serves all coordination records that wait for one.
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,88 +15,88 @@
 /// Key prefix of final records.
 pub const ENDS: &str = "done/";
 
-/// How a member stands. The order is that of certainty: a later state supersedes an earlier one.
+/// The state of a member. A greater state is more final: it supersedes a lesser one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CensusJobState {
-    /// It was live when it was seen.
+    /// The job was live when its record was read.
     Live,
-    /// All its tasks are done, and that is on record.
+    /// All tasks of the job are done, and that is stored.
     Done,
-    /// It was cancelled, and that is on record.
+    /// The job was cancelled, and that is stored.
     Cancelled,
 }
 
 /// A member as the census found it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// How it stands.
+    /// Its state.
     pub state: CensusJobState,
     /// What its job's record declares about the coordination record.
     pub declaration: Value,
 }
 
-/// What a job's record says of coordination records.
+/// The coordination records that a job's record names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobReading {
-    /// The coordination records that it joined, by head key, with what it declares about each.
+    /// The coordination records that the job joined, by head key, with what it declares about each.
     pub joined: Vec<(String, Value)>,
-    /// How it stands.
+    /// The job's state.
     pub state: CensusJobState,
 }
 
-/// What is to be read next.
+/// What to read next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CensusStep {
-    /// A page of records.
+    /// Read a page of records.
     ReadPage {
-        /// The keys' prefix.
+        /// The prefix of the keys.
         prefix: &'static str,
-        /// The page begins behind this key; empty: at the first.
+        /// The page begins after this key; empty for the first page.
         after: String,
     },
-    /// All is read.
+    /// All records have been read.
     Complete,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Part {
+enum Stage {
     Live,
-    Ends,
+    FinalRecords,
     Complete,
 }
 
-/// A census under way. It is thrown away with the epoch, and begun anew by whoever needs it then.
+/// A census in progress. It is discarded with the epoch; a controller that needs one then begins anew.
 #[derive(Clone, Debug)]
 pub struct Census {
-    part: Part,
+    stage: Stage,
     after: String,
     records: BTreeSet<String>,
-    found: BTreeMap<String, BTreeMap<String, Member>>,
-    /// Jobs whose records can't be read: nothing can be said of them, so nothing closes.
+    members_by_record: BTreeMap<String, BTreeMap<String, Member>>,
+    /// Jobs whose records can't be read. They may be members of any coordination record, so none can close.
     unreadable: Vec<String>,
 }
 
 impl Census {
-    /// Begins a census for these coordination records, by the keys of their heads. All of them must be stored as closing
-    /// *before* the first page is asked for.
+    /// Begins a census for these coordination records, given by the keys of their heads. All of them must be stored as
+    /// closing *before* the first page is requested.
     #[must_use]
     pub fn begin(records: BTreeSet<String>) -> Census {
         Census {
-            part: Part::Live,
+            stage: Stage::Live,
             after: String::new(),
             records,
-            found: BTreeMap::new(),
+            members_by_record: BTreeMap::new(),
             unreadable: Vec::new(),
         }
     }
 
-    /// The coordination records it is for.
+    /// Returns the coordination records that the census is for.
     #[must_use]
     pub fn records(&self) -> &BTreeSet<String> {
         &self.records
     }
 
-    /// What to read next.
+    /// Returns what to read next.
     #[must_use]
     pub fn next_step(&self) -> CensusStep {
         match self.prefix() {
@@ -106,15 +106,15 @@
     }
 
     fn prefix(&self) -> Option<&'static str> {
-        match self.part {
-            Part::Live => Some(LIVE),
-            Part::Ends => Some(ENDS),
-            Part::Complete => None,
+        match self.stage {
+            Stage::Live => Some(LIVE),
+            Stage::FinalRecords => Some(ENDS),
+            Stage::Complete => None,
         }
     }
 
-    /// Applies a page that came as the answer to the very question that [`Census::next_step`] gave. `read` says what a
-    /// job's record says; None: it can't be read.
+    /// Applies the page that [`Census::next_step`] requested. `read` parses a job's record; it returns None for an
+    /// unreadable one.
     pub fn apply_page(
         &mut self,
         rows: impl IntoIterator<Item = (String, Value)>,
@@ -125,7 +125,7 @@
         for (key, value) in rows {
             if let Some(id) = key.strip_prefix(prefix) {
                 match read(id, &value) {
-                    Some(reading) => self.add_job(id, reading),
+                    Some(memberships) => self.add_job(id, memberships),
                     None => self.unreadable.push(id.to_owned()),
                 }
             }
@@ -133,35 +133,35 @@
         }
         if !more {
             self.after.clear();
-            self.part = if self.part == Part::Live { Part::Ends } else { Part::Complete };
+            self.stage = if self.stage == Stage::Live { Stage::FinalRecords } else { Stage::Complete };
         }
     }
 
-    fn add_job(&mut self, id: &str, reading: JobReading) {
-        let JobReading { joined, state } = reading;
+    fn add_job(&mut self, id: &str, memberships: JobReading) {
+        let JobReading { joined, state } = memberships;
         for (record, declaration) in joined {
             if !self.records.contains(&record) {
                 continue;
             }
-            let members = self.found.entry(record).or_default();
-            // Seen twice: its end came in between, and is what holds.
+            let members = self.members_by_record.entry(record).or_default();
+            // A job that is seen twice ended in between, and its final state counts.
             let member = members.entry(id.to_owned()).or_insert(Member { state, declaration });
             member.state = member.state.max(state);
         }
     }
 
-    /// Jobs whose records can't be read.
+    /// Returns the jobs whose records can't be read.
     #[must_use]
     pub fn unreadable(&self) -> &[String] {
         &self.unreadable
     }
 
-    /// The members of one coordination record, once all is read and every job's record could be: None before.
+    /// Returns the members of one coordination record; None until all records have been read, or if any is unreadable.
     #[must_use]
     pub fn members(&self, record: &str) -> Option<BTreeMap<String, Member>> {
-        let is_whole =
-            self.part == Part::Complete && self.unreadable.is_empty() && self.records.contains(record);
-        is_whole.then(|| self.found.get(record).cloned().unwrap_or_default())
+        let is_conclusive =
+            self.stage == Stage::Complete && self.unreadable.is_empty() && self.records.contains(record);
+        is_conclusive.then(|| self.members_by_record.get(record).cloned().unwrap_or_default())
     }
 }
 
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,18 +1,21 @@
-//! A coordination record: key, form, version, phase, and a body that belongs to whoever builds on it.
+//! Coordination records: their keys, format, version and phase, and a body whose content the users of the record
+//! define.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// The form that this version of the program writes. A newer one is not understood and holds up what rests on it.
+/// The format version that this version of the program writes. Records of a newer format version can't be read, and
+/// decisions that depend on them wait.
 pub const FORM: u64 = 1;
-/// Key prefix of all heads of records; pages don't, so that a list of heads is short.
-pub const HEADS: &str = "pact/";
+/// Key prefix of all record heads. Pages have another prefix, so that a list of heads is short.
+pub const HEAD_PREFIX: &str = "pact/";
 /// Key prefix of all pages.
-pub const PAGES: &str = "pactpage/";
-/// Longest name, in bytes: with prefix and page number a key stays well below the service's 200.
+pub const PAGE_PREFIX: &str = "pactpage/";
+/// Maximum length of a name in bytes. With prefix and page number a key stays well below the state store's limit of
+/// 200.
 pub const MAX_NAME_BYTES: usize = 120;
 
-/// What a record is about.
+/// The kind of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// The release of a title on one night.
@@ -24,7 +27,7 @@
 }
 
 impl Kind {
-    /// Its part of a key.
+    /// Returns the code of this kind in keys.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -34,10 +37,10 @@
         }
     }
 
-    /// The beginning of all its heads' keys.
+    /// Returns the prefix of the keys of all heads of this kind.
     #[must_use]
     pub fn prefix(self) -> String {
-        format!("{HEADS}{}/", self.code())
+        format!("{HEAD_PREFIX}{}/", self.code())
     }
 }
 
@@ -46,7 +49,7 @@
 #[error("a name must have 1 to {MAX_NAME_BYTES} bytes, and neither spaces, slashes nor control characters")]
 pub struct InvalidName;
 
-/// A record's key.
+/// The key of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     kind: Kind,
@@ -54,98 +57,99 @@
 }
 
 impl Key {
-    /// The key of a record.
+    /// Creates the key of a record.
     ///
     /// # Errors
-    /// If the name can't be part of a key of the state service.
+    /// If the name can't be part of a key in the state store.
     pub fn new(kind: Kind, name: &str) -> Result<Key, InvalidName> {
         let is_valid = (1..=MAX_NAME_BYTES).contains(&name.len())
             && name.chars().all(|c| !c.is_whitespace() && !c.is_control() && c != '/');
         if is_valid { Ok(Key { kind, name: name.to_owned() }) } else { Err(InvalidName) }
     }
 
-    /// Reads the key of a head.
+    /// Parses the key of a head; None if it is not one.
     #[must_use]
     pub fn parse(text: &str) -> Option<Key> {
-        let (code, name) = text.strip_prefix(HEADS)?.split_once('/')?;
+        let (code, name) = text.strip_prefix(HEAD_PREFIX)?.split_once('/')?;
         let kind = [Kind::Release, Kind::Batch, Kind::Loan].into_iter().find(|k| k.code() == code)?;
         Key::new(kind, name).ok()
     }
 
-    /// What it is about.
+    /// Returns the kind of the record.
     #[must_use]
     pub fn kind(&self) -> Kind {
         self.kind
     }
 
-    /// The name.
+    /// Returns the name.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The head's key in the state service.
+    /// Returns the head's key in the state store.
     #[must_use]
     pub fn head(&self) -> String {
         format!("{}{}", self.kind.prefix(), self.name)
     }
 
-    /// A page's key. It names the version, so that a page that is written late never stands among those of another.
+    /// Returns a page's key. It contains the version, so that a page that is written late is never read as a page of
+    /// another version.
     #[must_use]
     pub fn page(&self, version: u64, number: usize) -> String {
-        format!("{PAGES}{}/{}/{version}/{number:05}", self.kind.code(), self.name)
+        format!("{PAGE_PREFIX}{}/{}/{version}/{number:05}", self.kind.code(), self.name)
     }
 }
 
-/// How far a record has got. It only goes forward within a version.
+/// The phase of a record. Within a version it only advances.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
     /// Members may join.
     Open,
-    /// None may join any more; those that have are being counted.
+    /// No more members may join; those that have joined are being counted.
     Closing,
-    /// All members are on record.
+    /// All members are stored.
     Closed,
 }
 
 /// The head of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinationRecord {
-    /// Grows when the record begins anew, and never goes back.
+    /// Increases when the record is opened again, and never decreases.
     pub version: u64,
-    /// How far it has got.
+    /// The phase within this version.
     pub phase: Phase,
-    /// How many pages belong to it.
+    /// Number of pages that belong to the record.
     pub pages: usize,
-    /// What it says.
+    /// The content, in a form that depends on the kind.
     pub body: Value,
 }
 
-/// Why a record can't be used. What rests on it is held, never guessed.
+/// Why a record can't be used. Decisions that depend on it wait.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unreadable {
-    /// A newer version of this program wrote it.
+    /// A newer version of this program wrote the record.
     #[error("the record has form {0}, and this controller reads forms up to {FORM}")]
     Newer(u64),
-    /// It is damaged.
+    /// The record is damaged.
     #[error("the record can't be read: {0} is missing or wrong")]
     Damaged(&'static str),
 }
 
-/// Why a record does not allow a change.
+/// Why a record can't be changed as requested.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransitionError {
-    /// Within a version a record only goes forward.
+    /// Within a version the phase only advances.
     #[error("the record is {0:?} already")]
     Phase(Phase),
-    /// A version never goes back.
+    /// The version never decreases.
     #[error("version {0} is on record already")]
     Version(u64),
 }
 
 impl CoordinationRecord {
-    /// A record that begins.
+    /// Creates an open record.
     #[must_use]
     pub fn open(version: u64, body: Value) -> CoordinationRecord {
         CoordinationRecord { version, phase: Phase::Open, pages: 0, body }
@@ -154,13 +158,13 @@
     /// Reads a head.
     ///
     /// # Errors
-    /// If it is of a newer form, or damaged.
+    /// If it has a newer format version, or is damaged.
     pub fn read(value: &Value) -> Result<CoordinationRecord, Unreadable> {
         let number =
             |key: &'static str| value.get(key).and_then(Value::as_u64).ok_or(Unreadable::Damaged(key));
-        let form = number("form")?;
-        if form > FORM {
-            return Err(Unreadable::Newer(form));
+        let format_version = number("form")?;
+        if format_version > FORM {
+            return Err(Unreadable::Newer(format_version));
         }
         let phase = value.get("phase").cloned().and_then(|phase| serde_json::from_value(phase).ok());
         Ok(CoordinationRecord {
@@ -171,17 +175,17 @@
         })
     }
 
-    /// The value to be written.
+    /// Returns the value to write.
     #[must_use]
     pub fn value(&self) -> Value {
         json!({"form": FORM, "version": self.version, "phase": self.phase, "pages": self.pages, "body": self.body})
     }
 
-    /// Whether `next` may follow on this record. To be asked before every write: it is what makes a decision that was once
-    /// read stay true.
+    /// Checks that `next` may replace this record. Call it before every write: decisions that were based on a record
+    /// stay valid because version and phase never decrease.
     ///
     /// # Errors
-    /// If it would go back.
+    /// If the version or the phase would decrease.
     pub fn allows(&self, next: &CoordinationRecord) -> Result<(), TransitionError> {
         if next.version < self.version {
             return Err(TransitionError::Version(self.version));
@@ -193,26 +197,26 @@
     }
 }
 
-/// What a page takes beside its items, in bytes, rounded up.
-const PAGE_OVERHEAD: usize = 40;
+/// Length of a page besides its items in bytes, rounded up.
+const PAGE_OVERHEAD_BYTES: usize = 40;
 
-/// Splits a list into the values of pages, none longer than `bytes`, with the number of items that fit into no page:
-/// those are left out, an error of whoever made them.
+/// Splits a list into the values of pages, each at most `max_bytes` long. Also returns the number of items that are
+/// too long for any page; these are left out, and the caller has to treat that as an error.
 #[must_use]
-pub fn pages(items: impl IntoIterator<Item = Value>, bytes: usize) -> (Vec<Value>, usize) {
+pub fn pages(items: impl IntoIterator<Item = Value>, max_bytes: usize) -> (Vec<Value>, usize) {
     let mut pages: Vec<Vec<Value>> = Vec::new();
-    let (mut free, mut left_out) = (0usize, 0);
+    let (mut free_bytes, mut left_out) = (0usize, 0);
     for item in items {
-        let length = item.to_string().len() + 1;
-        if length + PAGE_OVERHEAD > bytes {
+        let item_bytes = item.to_string().len() + 1;
+        if item_bytes + PAGE_OVERHEAD_BYTES > max_bytes {
             left_out += 1;
             continue;
         }
-        if pages.is_empty() || length > free {
+        if pages.is_empty() || item_bytes > free_bytes {
             pages.push(Vec::new());
-            free = bytes - PAGE_OVERHEAD;
+            free_bytes = max_bytes - PAGE_OVERHEAD_BYTES;
         }
-        free -= length;
+        free_bytes -= item_bytes;
         if let Some(page) = pages.last_mut() {
             page.push(item);
         }
@@ -223,10 +227,10 @@
 /// Reads a page.
 ///
 /// # Errors
-/// If it is of a newer form, or damaged.
+/// If it has a newer format version, or is damaged.
 pub fn items(page: &Value) -> Result<&[Value], Unreadable> {
     match page.get("form").and_then(Value::as_u64) {
-        Some(form) if form > FORM => return Err(Unreadable::Newer(form)),
+        Some(format_version) if format_version > FORM => return Err(Unreadable::Newer(format_version)),
         Some(_) => {}
         None => return Err(Unreadable::Damaged("form")),
     }
--- a/crates/coordination/src/record/tests.rs
+++ b/crates/coordination/src/record/tests.rs
@@ -2,48 +2,48 @@
 use proptest::prelude::*;
 
 #[test]
-fn names_that_would_break_a_key_are_refused() {
+fn names_that_cannot_be_part_of_a_key_are_rejected() {
     for bad in ["", " ", "a b", "a/b", "a\n", &"x".repeat(MAX_NAME_BYTES + 1)] {
         assert_eq!(Key::new(Kind::Batch, bad), Err(InvalidName), "{bad:?}");
     }
     let key = Key::new(Kind::Release, "Kő-és-Kard@2026-12-01").expect("valid");
     assert_eq!(Key::parse(&key.head()), Some(key.clone()));
     assert!(key.page(u64::MAX, 99_999).len() <= 200);
-    assert!(!key.page(1, 0).starts_with(HEADS), "a list of heads must not hold pages");
+    assert!(!key.page(1, 0).starts_with(HEAD_PREFIX), "a list of heads must not contain pages");
 }
 
 #[test]
-fn what_is_newer_or_damaged_is_told_apart() {
-    let v = CoordinationRecord::open(3, json!({"a": 1})).value();
-    assert_eq!(CoordinationRecord::read(&v).map(|r| r.version), Ok(3));
-    let with = |key: &str, x: Value| {
-        let mut v = v.clone();
-        v[key] = x;
-        CoordinationRecord::read(&v)
+fn newer_and_damaged_records_are_distinguished() {
+    let value = CoordinationRecord::open(3, json!({"a": 1})).value();
+    assert_eq!(CoordinationRecord::read(&value).map(|record| record.version), Ok(3));
+    let read_with = |key: &str, replacement: Value| {
+        let mut value = value.clone();
+        value[key] = replacement;
+        CoordinationRecord::read(&value)
     };
-    assert_eq!(with("form", json!(FORM + 1)), Err(Unreadable::Newer(FORM + 1)));
-    assert_eq!(with("phase", json!("ajar")), Err(Unreadable::Damaged("phase")));
-    assert_eq!(with("version", json!(-1)), Err(Unreadable::Damaged("version")));
+    assert_eq!(read_with("form", json!(FORM + 1)), Err(Unreadable::Newer(FORM + 1)));
+    assert_eq!(read_with("phase", json!("ajar")), Err(Unreadable::Damaged("phase")));
+    assert_eq!(read_with("version", json!(-1)), Err(Unreadable::Damaged("version")));
     assert_eq!(CoordinationRecord::read(&json!(7)), Err(Unreadable::Damaged("form")));
 }
 
 #[test]
-fn a_record_only_goes_forward() {
-    let at = |version, phase| CoordinationRecord { version, phase, pages: 0, body: Value::Null };
-    let closed = at(2, Phase::Closed);
-    assert_eq!(closed.allows(&at(2, Phase::Closing)), Err(TransitionError::Phase(Phase::Closed)));
-    assert_eq!(closed.allows(&at(1, Phase::Closed)), Err(TransitionError::Version(2)));
-    assert_eq!(closed.allows(&at(3, Phase::Open)), Ok(()));
+fn version_and_phase_never_decrease() {
+    let record = |version, phase| CoordinationRecord { version, phase, pages: 0, body: Value::Null };
+    let closed = record(2, Phase::Closed);
+    assert_eq!(closed.allows(&record(2, Phase::Closing)), Err(TransitionError::Phase(Phase::Closed)));
+    assert_eq!(closed.allows(&record(1, Phase::Closed)), Err(TransitionError::Version(2)));
+    assert_eq!(closed.allows(&record(3, Phase::Open)), Ok(()));
 }
 
 proptest! {
     #[test]
-    fn pages_hold_all_items_in_order_and_fit(lens in prop::collection::vec(0usize..90, 0..200), bytes in 150usize..400) {
-        let list: Vec<Value> = lens.iter().enumerate().map(|(i, n)| json!(format!("{i}{}", "x".repeat(*n)))).collect();
-        let (values, lost) = pages(list.clone(), bytes);
-        prop_assert_eq!(lost, 0);
-        prop_assert!(values.iter().all(|v| v.to_string().len() <= bytes));
-        let back: Vec<Value> = values.iter().flat_map(|v| items(v).expect("readable").to_vec()).collect();
-        prop_assert_eq!(back, list);
+    fn pages_hold_all_items_in_order_within_the_limit(lengths in prop::collection::vec(0usize..90, 0..200), max_bytes in 150usize..400) {
+        let items_before: Vec<Value> = lengths.iter().enumerate().map(|(i, length)| json!(format!("{i}{}", "x".repeat(*length)))).collect();
+        let (values, left_out) = pages(items_before.clone(), max_bytes);
+        prop_assert_eq!(left_out, 0);
+        prop_assert!(values.iter().all(|value| value.to_string().len() <= max_bytes));
+        let items_after: Vec<Value> = values.iter().flat_map(|value| items(value).expect("readable").to_vec()).collect();
+        prop_assert_eq!(items_after, items_before);
     }
 }
--- a/crates/failover/src/handoff_batch.rs
+++ b/crates/failover/src/handoff_batch.rs
@@ -1,13 +1,14 @@
-//! Hand-off batches from one controller to the next: delivered at least once, in any order, void with their epoch.
+//! Hand-off batches from one leader to the next: delivered at least once, in any order, and valid only in their epoch.
 //!
-//! A batch helps and is never needed: a controller that does not get it rebuilds from what the machines say. So it is
-//! repeated only for a while, and dropped without a word when the epoch changes or its receiver never acknowledges it.
+//! Batches are an optimization: a controller that does not receive one rebuilds the state from the machines'
+//! heartbeats. So a batch is repeated only for a limited time, and silently dropped when the epoch changes or no
+//! acknowledgement arrives.
 
 use hazelsaddle_cluster::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a batch is offered. By then its receiver has heard from the machines that live.
-const LIFE: Micros = Micros::from_millis(15_000);
+/// How long a batch is sent repeatedly. By then its receiver has received heartbeats from the machines that are alive.
+const BATCH_LIFETIME: Micros = Micros::from_millis(15_000);
 
 #[derive(Clone, Debug)]
 struct PendingBatch<B> {
@@ -30,24 +31,24 @@
 }
 
 impl<B: Clone> Outbox<B> {
-    /// A new epoch: what was packed for the last is void. Numbers go on, so that a late acknowledgement of an old batch is
-    /// never taken for one of a new.
+    /// Drops all batches at a new epoch, in which those of the last one are not valid. Numbers continue, so that a late
+    /// acknowledgement of an old batch is never taken for one of a new batch.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
 
-    /// Queues a batch for `to`.
+    /// Queues a batch for the controller `to`.
     pub fn push(&mut self, now: Micros, to: usize, batch: B) {
         self.last_number += 1;
         let pending = PendingBatch { batch, packed_at: now, last_sent_at: None };
         self.pending.insert((to, self.last_number), pending);
     }
 
-    /// The batches to send to `to` now, by number: each at once, and again every `pause` until it is acknowledged or too
-    /// old. What is returned counts as sent.
+    /// Returns the batches to send to `to` now, by number. Each is returned at once, and again after every `pause`
+    /// until it is acknowledged or too old. The returned batches count as sent.
     #[must_use]
     pub fn take_due(&mut self, now: Micros, to: usize, pause: Micros) -> Vec<(u64, B)> {
-        self.pending.retain(|_, pending| now.since(pending.packed_at) < LIFE);
+        self.pending.retain(|_, pending| now.since(pending.packed_at) < BATCH_LIFETIME);
         let mut due = Vec::new();
         for ((_, number), pending) in self.pending.range_mut((to, 0)..=(to, u64::MAX)) {
             if pending.last_sent_at.is_none_or(|at| now.since(at) >= pause) {
@@ -58,57 +59,57 @@
         due
     }
 
-    /// The receiver has these. Numbers that are not known are ignored.
+    /// Removes the batches that a receiver has acknowledged. Unknown numbers are ignored.
     pub fn acknowledge(&mut self, from: usize, numbers: &[u64]) {
         for number in numbers {
             self.pending.remove(&(from, *number));
         }
     }
 
-    /// How many have not been acknowledged.
+    /// Returns the number of unacknowledged batches.
     #[must_use]
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether all have been acknowledged.
+    /// Whether all batches have been acknowledged.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 }
 
-/// Batches that have come and can't be applied yet, and the numbers of all that came in this epoch.
+/// Batches that were received and can't be applied yet, and the numbers of all that were received in this epoch.
 #[derive(Clone, Debug)]
 pub struct Inbox<B> {
-    /// Sender, its process, and the batch's number.
-    seen: BTreeSet<(usize, u64, u64)>,
+    /// Sender, its boot ID, and the number of the batch.
+    received: BTreeSet<(usize, u64, u64)>,
     waiting: Vec<(usize, B)>,
 }
 
 impl<B> Default for Inbox<B> {
     fn default() -> Self {
-        Inbox { seen: BTreeSet::new(), waiting: Vec::new() }
+        Inbox { received: BTreeSet::new(), waiting: Vec::new() }
     }
 }
 
 impl<B> Inbox<B> {
-    /// A new epoch: what came in the last is void.
+    /// Drops all batches at a new epoch, in which those of the last one are not valid.
     pub fn clear(&mut self) {
-        self.seen.clear();
+        self.received.clear();
         self.waiting.clear();
     }
 
-    /// Accepts a batch from a process (`boot`) of a controller. Returns whether it is new; a repeated one is dropped.
+    /// Accepts a batch from a controller's process with the boot ID `boot`. Returns whether it is new; a repeated one is dropped.
     pub fn accept(&mut self, from: usize, boot: u64, number: u64, batch: B) -> bool {
-        let is_new = self.seen.insert((from, boot, number));
+        let is_new = self.received.insert((from, boot, number));
         if is_new {
             self.waiting.push((from, batch));
         }
         is_new
     }
 
-    /// All that waits to be applied, with its sender.
+    /// Returns all batches that wait to be applied, with their senders.
     #[must_use]
     pub fn take_waiting(&mut self) -> Vec<(usize, B)> {
         std::mem::take(&mut self.waiting)
--- a/crates/failover/src/handoff_batch/tests.rs
+++ b/crates/failover/src/handoff_batch/tests.rs
@@ -1,68 +1,70 @@
 use super::*;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-/// Batches and their acknowledgements are lost, doubled and overtaken, epochs pass in between: each is applied once
-/// at the most, none of an older epoch ever, and all arrive that had an epoch of quiet.
+/// Batches and their acknowledgements are lost, duplicated and reordered, and epochs change in between. Each batch
+/// must be applied at most once and none of an older epoch ever, and all must arrive once their epoch lasts without
+/// losses.
 #[test]
-fn batches_arrive_once_and_only_in_their_epoch() {
+fn batches_are_applied_once_and_only_in_their_epoch() {
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let (mut out, mut inbox) = (Outbox::default(), Inbox::default());
+        let (mut outbox, mut inbox) = (Outbox::default(), Inbox::default());
         let mut now = Micros(1_000_000);
         let mut epoch = 1u64;
-        let mut packed = 0;
-        let mut got: Vec<(u64, u32)> = Vec::new();
-        let mut road: Vec<(u64, u64, (u64, u32))> = Vec::new();
-        let mut back: Vec<u64> = Vec::new();
+        let mut pushed = 0;
+        let mut applied: Vec<(u64, u32)> = Vec::new();
+        let mut messages: Vec<(u64, u64, (u64, u32))> = Vec::new();
+        let mut acknowledgements: Vec<u64> = Vec::new();
         for step in 0..400 {
             now = now + Micros::from_millis(100);
-            let calm = step > 330;
-            if !calm && rng.random_bool(0.02) {
+            let is_lossless = step > 330;
+            if !is_lossless && rng.random_bool(0.02) {
                 epoch += 1;
-                out.clear();
+                outbox.clear();
                 inbox.clear();
-                got.clear();
-                packed = 0;
+                applied.clear();
+                pushed = 0;
             }
-            if !calm && rng.random_bool(0.1) {
-                packed += 1;
-                out.push(now, 1, (epoch, packed));
+            if !is_lossless && rng.random_bool(0.1) {
+                pushed += 1;
+                outbox.push(now, 1, (epoch, pushed));
             }
-            for (n, p) in out.take_due(now, 1, Micros::from_millis(500)) {
-                for _ in 0..if calm { 1 } else { rng.random_range(0..3) } {
-                    road.push((epoch, n, p));
+            for (number, batch) in outbox.take_due(now, 1, Micros::from_millis(500)) {
+                for _ in 0..if is_lossless { 1 } else { rng.random_range(0..3) } {
+                    messages.push((epoch, number, batch));
                 }
             }
-            while !road.is_empty() && rng.random_bool(0.7) {
-                let (e, n, p) = road.swap_remove(rng.random_range(0..road.len()));
+            while !messages.is_empty() && rng.random_bool(0.7) {
+                let (sent_in_epoch, number, batch) =
+                    messages.swap_remove(rng.random_range(0..messages.len()));
                 // Frames of another epoch are dropped on arrival.
-                if e == epoch {
-                    inbox.accept(0, 7, n, p);
-                    if calm || rng.random_bool(0.5) {
-                        back.push(n);
+                if sent_in_epoch == epoch {
+                    inbox.accept(0, 7, number, batch);
+                    if is_lossless || rng.random_bool(0.5) {
+                        acknowledgements.push(number);
                     }
                 }
             }
             if rng.random_bool(0.5) {
-                out.acknowledge(1, &std::mem::take(&mut back));
+                outbox.acknowledge(1, &std::mem::take(&mut acknowledgements));
             }
-            for (_, p) in inbox.take_waiting() {
-                assert_eq!(p.0, epoch, "seed {seed}: of an older epoch");
-                assert!(!got.contains(&p), "seed {seed}: {p:?} twice");
-                got.push(p);
+            for (_, batch) in inbox.take_waiting() {
+                assert_eq!(batch.0, epoch, "seed {seed}: a batch of an older epoch");
+                assert!(!applied.contains(&batch), "seed {seed}: {batch:?} was applied twice");
+                applied.push(batch);
             }
         }
-        assert!(got.len() as u32 <= packed && out.len() <= (packed as usize) - got.len());
-        assert_eq!(got.len() as u32, packed, "seed {seed}");
+        assert!(applied.len() as u32 <= pushed && outbox.len() <= (pushed as usize) - applied.len());
+        assert_eq!(applied.len() as u32, pushed, "seed {seed}");
     }
 }
 
 #[test]
-fn a_batch_that_nobody_acknowledges_is_given_up() {
-    let mut out = Outbox::default();
-    out.push(Micros(1), 2, "p");
-    assert_eq!(out.take_due(Micros(2), 2, Micros(10)).len(), 1);
-    assert!(out.take_due(Micros(5), 2, Micros(10)).is_empty(), "not yet again");
-    assert!(out.take_due(Micros(2), 1, Micros(10)).is_empty(), "not to others");
-    assert!(out.take_due(LIFE + Micros(1), 2, Micros(10)).is_empty() && out.is_empty());
+fn an_unacknowledged_batch_is_dropped_after_its_lifetime() {
+    let mut outbox = Outbox::default();
+    outbox.push(Micros(1), 2, "p");
+    assert_eq!(outbox.take_due(Micros(2), 2, Micros(10)).len(), 1);
+    assert!(outbox.take_due(Micros(5), 2, Micros(10)).is_empty(), "the pause has not passed");
+    assert!(outbox.take_due(Micros(2), 1, Micros(10)).is_empty(), "it is for another controller");
+    assert!(outbox.take_due(BATCH_LIFETIME + Micros(1), 2, Micros(10)).is_empty() && outbox.is_empty());
 }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,11 +1,12 @@
-//! Failover: what a controller that takes jobs and machines over must wait for, and how what the leader before it knew
-//! reaches it.
+//! Failover: what a controller that takes over jobs and machines must wait for, and how the state of their former
+//! leader reaches it.
 //!
-//! [`unresolved`] keeps, for the jobs that a controller has taken over, the machines that may hold tasks of theirs that it
-//! does not know of. [`handoff_batch`] delivers what a living controller hands to the next leader: numbered, repeated until
-//! it is acknowledged, void with the epoch that it belongs to. [`start_replica`] replicates what a controller alone knows to
-//! others before it has effect. All are pure: no clock, no sockets; times are passed in. What a batch holds is the daemon's
-//! business, and so is the argument for trusting it (`docs/takeovers.md`).
+//! [`unresolved`] keeps, for the jobs that a controller has taken over, the machines that may hold tasks of them of
+//! which it has received no information. [`handoff_batch`] delivers the batches that a controller sends to the next
+//! leader: numbered, repeated until acknowledged, and valid only in their epoch. [`start_replica`] replicates
+//! information that only one controller has to others before it takes effect. None of them reads a clock or does I/O:
+//! the current time is a parameter. The daemon defines what a batch contains; `docs/takeovers.md` explains why it can
+//! be trusted.
 
 pub mod handoff_batch;
 pub mod start_replica;
--- a/crates/failover/src/unresolved.rs
+++ b/crates/failover/src/unresolved.rs
@@ -1,16 +1,17 @@
-//! Machines that may hold tasks nobody has told us of.
+//! Machines that may hold tasks of which this controller has received no information.
 //!
-//! A job that was taken over waits for evidence from each machine that may hold tasks of it. Jobs that were taken over
-//! together wait for the same machines, so they share an [`UnresolvedSetId`]: a set that only shrinks. It outlives epochs:
-//! what a machine has shown since its job became ours stays true, because nobody else has commanded that job since.
+//! A job that was taken over waits for each machine that may hold tasks of it, until that machine has sent a
+//! heartbeat or its tasks have certainly ended. Jobs that were taken over together wait for the same machines, so
+//! they share an [`UnresolvedSetId`]: a set that only shrinks. It stays valid across epochs, because only this
+//! controller has commanded the job since it took it over.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A set of machines that some jobs wait for. No number is used twice.
+/// Identifies a set of machines that some jobs wait for. No id is used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UnresolvedSetId(u64);
 
-/// All sets that are waited for.
+/// All sets that jobs wait for.
 #[derive(Clone, Debug, Default)]
 pub struct UnresolvedSets {
     last_id: u64,
@@ -18,7 +19,7 @@
 }
 
 impl UnresolvedSets {
-    /// Jobs wait for these machines from now on. None if there are none: nothing is unresolved.
+    /// Opens a set: some jobs wait for these machines from now on. Returns None if there are no machines to wait for.
     #[must_use]
     pub fn open(&mut self, machines: BTreeSet<String>) -> Option<UnresolvedSetId> {
         if machines.is_empty() {
@@ -30,53 +31,53 @@
         Some(id)
     }
 
-    /// A machine has shown what it holds, or is certainly gone. Returns whether some set has become empty. Calling it
-    /// twice, or for a machine that nobody waits for, changes nothing.
+    /// Removes a machine whose tasks are known, or which certainly no longer exists. Returns whether some set has
+    /// become empty. The call is idempotent, and does nothing for a machine that is in no set.
     pub fn resolve(&mut self, machine: &str) -> bool {
         self.shrink(|machines| {
             machines.remove(machine);
         })
     }
 
-    /// The names on record have been read again: what is not among them was taken off as certainly gone. Returns
-    /// whether some set has become empty.
+    /// Keeps only the machines in `names`, the registered names that were read again: a machine that is not among
+    /// them was removed because it certainly no longer exists. Returns whether some set has become empty.
     pub fn retain_registered(&mut self, names: &BTreeSet<String>) -> bool {
         self.shrink(|machines| machines.retain(|machine| names.contains(machine)))
     }
 
     /// Removes machines from each set and drops the sets that have become empty. Returns whether there were any.
     fn shrink(&mut self, remove: impl Fn(&mut BTreeSet<String>)) -> bool {
-        let before = self.sets.len();
+        let count_before = self.sets.len();
         self.sets.retain(|_, machines| {
             remove(machines);
             !machines.is_empty()
         });
-        self.sets.len() < before
+        self.sets.len() < count_before
     }
 
-    /// Forgets the sets that no job waits for any more.
+    /// Drops the sets that no job waits for any more.
     pub fn retain_used(&mut self, used: &BTreeSet<UnresolvedSetId>) {
         self.sets.retain(|id, _| used.contains(id));
     }
 
-    /// Whether anything of this set is still waited for.
+    /// Whether any machine of this set is still unresolved.
     #[must_use]
     pub fn is_open(&self, id: UnresolvedSetId) -> bool {
         self.sets.contains_key(&id)
     }
 
-    /// The machines of a set that are still waited for.
+    /// Returns the machines of a set that are still unresolved.
     pub fn machines(&self, id: UnresolvedSetId) -> impl Iterator<Item = &String> {
         self.sets.get(&id).into_iter().flatten()
     }
 
-    /// How many sets are open.
+    /// Returns the number of open sets.
     #[must_use]
     pub fn len(&self) -> usize {
         self.sets.len()
     }
 
-    /// Whether nothing is waited for.
+    /// Whether there are no open sets.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.sets.is_empty()
--- a/crates/failover/src/unresolved/tests.rs
+++ b/crates/failover/src/unresolved/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-fn names(of: &[usize]) -> BTreeSet<String> {
-    of.iter().map(|i| format!("i-{i}")).collect()
+fn names(machines: &[usize]) -> BTreeSet<String> {
+    machines.iter().map(|i| format!("i-{i}")).collect()
 }
 
 #[test]
-fn no_machines_make_no_set() {
+fn no_set_is_opened_without_machines() {
     let mut unresolved = UnresolvedSets::default();
     assert_eq!(unresolved.open(BTreeSet::new()), None);
     assert!(unresolved.is_empty());
 }
 
-/// Against a plain model: a set is open exactly as long as one of its machines has neither been resolved nor been
-/// taken off the record since, whatever else is opened and forgotten meanwhile.
+/// Compared with a simple model: a set is open exactly as long as one of its machines has been neither resolved nor
+/// removed from the registry since, whatever other sets are opened and dropped meanwhile.
 #[test]
-fn a_set_closes_with_the_last_of_its_machines_and_not_before() {
+fn a_set_closes_with_its_last_machine() {
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut unresolved = UnresolvedSets::default();
@@ -23,35 +23,40 @@
         for _ in 0..120 {
             match rng.random_range(0..8) {
                 0 => {
-                    let of: Vec<usize> = (0..12).filter(|_| rng.random_bool(0.4)).collect();
-                    if let Some(n) = unresolved.open(names(&of)) {
-                        assert!(model.insert(n, names(&of)).is_none(), "a number is never used twice");
+                    let machines: Vec<usize> = (0..12).filter(|_| rng.random_bool(0.4)).collect();
+                    if let Some(id) = unresolved.open(names(&machines)) {
+                        assert!(model.insert(id, names(&machines)).is_none(), "an id is used only once");
                     }
                 }
                 1 => {
-                    let on: Vec<usize> = (0..12).filter(|_| rng.random_bool(0.9)).collect();
-                    unresolved.retain_registered(&names(&on));
-                    model.values_mut().for_each(|s| s.retain(|m| names(&on).contains(m)));
+                    let registered: Vec<usize> = (0..12).filter(|_| rng.random_bool(0.9)).collect();
+                    unresolved.retain_registered(&names(&registered));
+                    model
+                        .values_mut()
+                        .for_each(|set| set.retain(|machine| names(&registered).contains(machine)));
                 }
                 2 => {
                     let used: BTreeSet<UnresolvedSetId> =
                         model.keys().copied().filter(|_| rng.random_bool(0.8)).collect();
                     unresolved.retain_used(&used);
-                    model.retain(|n, _| used.contains(n));
+                    model.retain(|id, _| used.contains(id));
                 }
                 _ => {
-                    let m = format!("i-{}", rng.random_range(0..12));
-                    let ends = model.values().any(|s| s.len() == 1 && s.contains(&m));
-                    model.values_mut().for_each(|s| {
-                        s.remove(&m);
+                    let machine = format!("i-{}", rng.random_range(0..12));
+                    let is_last = model.values().any(|set| set.len() == 1 && set.contains(&machine));
+                    model.values_mut().for_each(|set| {
+                        set.remove(&machine);
                     });
-                    assert_eq!(unresolved.resolve(&m), ends, "seed {seed}");
+                    assert_eq!(unresolved.resolve(&machine), is_last, "seed {seed}");
                 }
             }
-            model.retain(|_, s| !s.is_empty());
+            model.retain(|_, set| !set.is_empty());
             assert_eq!(unresolved.len(), model.len(), "seed {seed}");
-            for (n, left) in &model {
-                assert!(unresolved.is_open(*n) && unresolved.machines(*n).eq(left.iter()), "seed {seed}");
+            for (id, remaining) in &model {
+                assert!(
+                    unresolved.is_open(*id) && unresolved.machines(*id).eq(remaining.iter()),
+                    "seed {seed}"
+                );
             }
         }
     }
--- a/src/machine_registry.rs
+++ b/src/machine_registry.rs
@@ -1,41 +1,41 @@
-//! The machine registry: the durable list of machines. Before anything is started on a machine its name is on record, so
-//! that after a failover it is asked for.
+//! The machine registry: the durable list of machines. A machine's name is stored before any task is started on it,
+//! so that a new leader waits for the machine after a failover.
 //!
-//! Names are kept many to a page, since the state service counts changes and not bytes: at a change a machine, hundreds
-//! of machines would take half a minute. Each controller owns pages of its own, writes no others, and says which of its
-//! names may go. A page must never be written without its version as a precondition: a write that is applied late would
-//! take away names that a newer one has added.
+//! Each page holds many names, since the state store limits the number of writes rather than their bytes: at one
+//! write per machine, hundreds of machines would take half a minute. Each controller has its own pages, writes no
+//! others, and decides which of its names can be removed. A page must always be written with its version as a
+//! precondition: otherwise a write that is applied late would remove names that a newer one has added.
 
 use crate::machine_shard::MachineRecord;
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where pages are kept.
+/// Key prefix of all pages.
 pub const PREFIX: &str = "mach/";
-/// Bytes of a page without names.
+/// Length of a page without entries, in bytes.
 const EMPTY_PAGE_BYTES: usize = 2;
-/// Bytes between an entry and the next, and between a name and what is known of its machine.
+/// Bytes between two entries, and between a name and its machine's entry.
 const SEPARATOR_BYTES: usize = 2;
-/// A page is written to take names off once one in so many of them is gone, if the write budget allows.
+/// A page is written to remove stale names once they are more than one in this many, if the write budget allows.
 const STALE_FRACTION: usize = 4;
 
-/// A page that is not of the form in which pages are written.
+/// A page that does not have the expected format.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedPage {
     /// It is not a map of machines.
     #[error("the page is not a map of machines")]
     NotAMap,
-    /// What stands at a name is no machine.
+    /// The value of a name is not a machine.
     #[error("the entry of {0} is not a machine")]
     Entry(String),
 }
 
-/// What a page waits for.
+/// The write state of a page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PageState {
     Idle,
     Writing,
-    /// A write's fate is unknown: the page's version must be read before the next.
+    /// The result of a write is unknown: the page's version must be read before the next write.
     Unknown,
     Reading,
 }
@@ -45,10 +45,10 @@
     machines: BTreeMap<String, MachineRecord>,
     bytes: usize,
     version: u64,
-    /// It differs from what the store has. Names that may go don't count: they can wait.
+    /// Whether it differs from the stored page in other ways than stale names, whose removal is not urgent.
     is_dirty: bool,
-    /// How many names the store's page has that are gone.
-    stale: usize,
+    /// Number of names on the stored page whose machines were returned to the cloud.
+    stale_names: usize,
     state: PageState,
 }
 
@@ -59,43 +59,43 @@
             bytes: EMPTY_PAGE_BYTES,
             version: 0,
             is_dirty: true,
-            stale: 0,
+            stale_names: 0,
             state: PageState::Idle,
         }
     }
 
     fn value(&self) -> Option<Value> {
         let entries: Map<String, Value> =
-            self.machines.iter().map(|(name, machine)| (name.clone(), entry(machine))).collect();
+            self.machines.iter().map(|(name, machine)| (name.clone(), entry_value(machine))).collect();
         (!entries.is_empty()).then_some(Value::Object(entries))
     }
 }
 
-/// A page to write.
+/// A page write to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PageWrite {
-    /// Which page.
+    /// The page's number.
     pub page: u32,
     /// Its key.
     pub key: String,
-    /// The version that it builds on: the precondition of the write.
+    /// The store version that the write builds on, which is its precondition.
     pub base_version: u64,
-    /// The page; None if nothing is left on it.
+    /// The page's value; None to delete the page, which has become empty.
     pub value: Option<Value>,
-    /// The names on it.
+    /// The names on the page.
     pub names: Vec<String>,
 }
 
-/// This controller's pages.
+/// The registry pages of this controller.
 pub struct MachineRegistry {
     member: String,
     value_bytes: usize,
     pages: BTreeMap<u32, Page>,
-    /// By machine, the page on which it stands.
+    /// By machine, the page that holds it.
     page_of: BTreeMap<String, u32>,
 }
 
-/// Reads a page: names and what is known of the machines.
+/// Reads a page: the names and the machines' records.
 ///
 /// # Errors
 /// If the value is not a page.
@@ -110,7 +110,7 @@
 }
 
 impl MachineRegistry {
-    /// No pages yet; a page has at most `value_bytes`.
+    /// Creates a registry without pages. A page has at most `value_bytes`.
     #[must_use]
     pub fn new(member: &str, value_bytes: usize) -> MachineRegistry {
         MachineRegistry {
@@ -121,8 +121,8 @@
         }
     }
 
-    /// The number of a page of ours, by its key.
-    fn own_page(&self, key: &str) -> Option<u32> {
+    /// Returns the number of the page with this key, if it belongs to this controller.
+    fn own_page_number(&self, key: &str) -> Option<u32> {
         let (member, number) = key.strip_prefix(PREFIX)?.rsplit_once('/')?;
         if member == self.member { number.parse().ok() } else { None }
     }
@@ -131,7 +131,7 @@
         format!("{PREFIX}{}/{number}", self.member)
     }
 
-    /// A new epoch: all pages are read again.
+    /// Adopts a new epoch, after which all pages are read again.
     pub fn begin_epoch(&mut self) {
         for page in self.pages.values_mut() {
             page.version = 0;
@@ -140,11 +140,11 @@
         }
     }
 
-    /// Takes a page and its version as the store has it, if it is ours.
+    /// Applies a stored page and its version, if it belongs to this controller.
     pub fn apply_page(&mut self, key: &str, machines: &[(String, MachineRecord)], version: u64) {
-        let Some(number) = self.own_page(key) else { return };
+        let Some(number) = self.own_page_number(key) else { return };
         for (name, machine) in machines {
-            // A name stands on one page only.
+            // Each name is on one page only.
             if !self.page_of.contains_key(name) {
                 self.insert(number, name, machine);
             }
@@ -163,63 +163,66 @@
         self.page_of.insert(name.into(), number);
     }
 
-    /// Puts a machine on record. One that is there already is written again: the caller doesn't know that it is.
+    /// Adds a machine. If it is already on a page, that page is written again, since the caller has no proof that the
+    /// name is stored.
     pub fn register(&mut self, name: &str, machine: &MachineRecord) {
-        // A page from before the limit on values fell stays as it is until enough of its names are gone: it can't be
-        // written, and what it names is on record. A name of it that must be written goes on another page as well.
+        // A page that was written under a higher limit on value size cannot be written until enough of its names are
+        // removed; the names on it are stored. If one of them must be written, it is also added to another page.
         let value_bytes = self.value_bytes;
         let page = self.page_of.get(name).and_then(|number| self.pages.get_mut(number));
         if let Some(page) = page.filter(|page| page.bytes <= value_bytes) {
             page.is_dirty = true;
             return;
         }
-        let number = self.page_for(entry_bytes(name, machine));
+        let number = self.find_page_for(entry_bytes(name, machine));
         self.insert(number, name, machine);
     }
 
-    /// The page for an entry of this length: one that is to be written anyway, else the emptiest that is half empty,
-    /// which takes those that come next as well, else a new one. Names that fill the gaps of many pages cost a change
-    /// each, and machines come by the dozen.
-    fn page_for(&self, bytes: usize) -> u32 {
+    /// Returns the page for an entry of this length: a page that will be written anyway, else the emptiest page that
+    /// has room within half the limit, which then takes the next entries as well, else a new page. Filling the gaps
+    /// of many pages would cost one write per page, and machines are added by the dozen.
+    fn find_page_for(&self, bytes: usize) -> u32 {
         let has_space = |page: &Page| {
             page.bytes + bytes <= if page.is_dirty { self.value_bytes } else { self.value_bytes / 2 }
         };
-        let fitting = self.pages.iter().filter(|(_, page)| has_space(page));
-        let best = fitting.min_by_key(|(number, page)| (!page.is_dirty, page.bytes, **number));
-        let unused = || (0..).find(|number| !self.pages.contains_key(number)).unwrap_or(0);
-        best.map_or_else(unused, |(number, _)| *number)
+        let fitting_pages = self.pages.iter().filter(|(_, page)| has_space(page));
+        let best_page = fitting_pages.min_by_key(|(number, page)| (!page.is_dirty, page.bytes, **number));
+        let find_unused_number = || (0..).find(|number| !self.pages.contains_key(number)).unwrap_or(0);
+        best_page.map_or_else(find_unused_number, |(number, _)| *number)
     }
 
-    /// Takes names off that are certainly gone. Their pages are written with the next change.
+    /// Removes the names of machines that were certainly returned to the cloud. Their pages are written with the next
+    /// change.
     pub fn remove_gone(&mut self, is_gone: impl Fn(&str) -> bool) {
         let value_bytes = self.value_bytes;
         for page in self.pages.values_mut() {
             let (names_before, bytes) = (page.machines.len(), &mut page.bytes);
             let was_too_long = *bytes > value_bytes;
             page.machines.retain(|name, machine| {
-                let stays = !is_gone(name);
-                if !stays {
+                let is_kept = !is_gone(name);
+                if !is_kept {
                     *bytes -= entry_bytes(name, machine);
                 }
-                stays
+                is_kept
             });
             let removed = names_before - page.machines.len();
-            page.stale += removed;
-            // An empty page goes at once, and one that fits again is written while it does.
+            page.stale_names += removed;
+            // A page that has become empty is deleted soon, and one that fits the limit again is written while it does.
             let fits_again = was_too_long && page.bytes <= value_bytes;
             page.is_dirty |= removed > 0 && (page.machines.is_empty() || fits_again);
         }
         self.page_of.retain(|name, _| !is_gone(name));
     }
 
-    /// The next page to write; with `has_spare_budget` also one that has become empty and may go, or many of whose names
-    /// are gone. It counts as under way until `commit_write` or `fail_write`.
+    /// Returns the next page to write. With `has_spare_budget`, that may also be an empty page to delete, or one with
+    /// many stale names. The write counts as in flight until `commit_write` or `fail_write`.
     #[must_use]
     pub fn next_write(&mut self, has_spare_budget: bool) -> Option<PageWrite> {
         let value_bytes = self.value_bytes;
-        let is_worn = |page: &Page| has_spare_budget && page.stale * STALE_FRACTION > page.machines.len();
+        let has_many_stale_names =
+            |page: &Page| has_spare_budget && page.stale_names * STALE_FRACTION > page.machines.len();
         let is_due = |page: &Page| {
-            (page.is_dirty || is_worn(page))
+            (page.is_dirty || has_many_stale_names(page))
                 && page.state == PageState::Idle
                 && page.bytes <= value_bytes
                 && (has_spare_budget || !page.machines.is_empty())
@@ -227,13 +230,14 @@
         let (&number, page) = self.pages.iter_mut().find(|(_, page)| is_due(page))?;
         page.state = PageState::Writing;
         page.is_dirty = false;
-        page.stale = 0;
+        page.stale_names = 0;
         let (base_version, value) = (page.version, page.value());
         let names = page.machines.keys().cloned().collect();
         Some(PageWrite { page: number, key: self.key(number), base_version, value, names })
     }
 
-    /// The next page whose version must be read, with its key. It counts as under way until `apply_read_back`.
+    /// Returns the next page whose version must be read, with its key. The read counts as in flight until
+    /// `apply_read_back`.
     #[must_use]
     pub fn next_read(&mut self) -> Option<(u32, String)> {
         let (&number, page) = self.pages.iter_mut().find(|(_, page)| page.state == PageState::Unknown)?;
@@ -241,7 +245,7 @@
         Some((number, self.key(number)))
     }
 
-    /// A write was applied, with the page's new version.
+    /// Records that a write was applied, with the page's new version.
     pub fn commit_write(&mut self, write: &PageWrite, version: u64) {
         let Some(page) = self.pages.get_mut(&write.page) else { return };
         page.state = PageState::Idle;
@@ -251,7 +255,7 @@
         }
     }
 
-    /// A write had no effect (`is_certain`), or nobody knows.
+    /// Records that a write had no effect (`is_certain`), or that its result is unknown.
     pub fn fail_write(&mut self, page: u32, is_certain: bool) {
         if let Some(page) = self.pages.get_mut(&page) {
             page.state = if is_certain { PageState::Idle } else { PageState::Unknown };
@@ -259,11 +263,11 @@
         }
     }
 
-    /// A page was read after a write without an answer: its version, and what stands on it; None if it could not be
-    /// read. Returns which of its names are known by that to be on record.
+    /// Applies the read of a page after a write without a response: its version and entries; None if the read failed.
+    /// Returns the names of this registry's page that are thereby known to be stored.
     ///
-    /// They are if the version has moved on: what was sent before builds on an older one and can't be carried out any
-    /// more. While it has not, a late write may yet take away what is read.
+    /// They are if the version has advanced: any write that was sent earlier builds on an older version and can no
+    /// longer be applied. While the version is unchanged, a late write may still replace what was read.
     #[must_use]
     pub fn apply_read_back(
         &mut self,
@@ -280,26 +284,26 @@
             return Vec::new();
         }
         page.version = version;
-        let same = machines.iter().filter(|(name, machine)| page.machines.get(name) == Some(machine));
-        let recorded: Vec<String> = same.map(|(name, _)| name.clone()).collect();
-        page.stale = machines.len() - recorded.len();
-        page.is_dirty = recorded.len() < page.machines.len() || page.machines.is_empty();
-        recorded
+        let unchanged = machines.iter().filter(|(name, machine)| page.machines.get(name) == Some(machine));
+        let stored: Vec<String> = unchanged.map(|(name, _)| name.clone()).collect();
+        page.stale_names = machines.len() - stored.len();
+        page.is_dirty = stored.len() < page.machines.len() || page.machines.is_empty();
+        stored
     }
 
-    /// Names on our pages.
+    /// Returns the names on this controller's pages.
     #[must_use]
     pub fn names(&self) -> BTreeSet<&str> {
         self.page_of.keys().map(String::as_str).collect()
     }
 }
 
-fn entry(machine: &MachineRecord) -> Value {
+fn entry_value(machine: &MachineRecord) -> Value {
     json!([machine.kind, machine.zone, machine.spot, machine.addr])
 }
 
 fn entry_bytes(name: &str, machine: &MachineRecord) -> usize {
-    entry(machine).to_string().len() + json!(name).to_string().len() + SEPARATOR_BYTES
+    entry_value(machine).to_string().len() + json!(name).to_string().len() + SEPARATOR_BYTES
 }
 
 #[cfg(test)]
--- a/src/machine_shard.rs
+++ b/src/machine_shard.rs
@@ -1,11 +1,13 @@
-//! The shard of machines that this controller leads: their heartbeats, incarnations and leases, the starts that are
-//! admitted on them, and the commands they are given.
+//! The machines that this controller leads: their heartbeats, incarnations and leases, the task starts that are
+//! admitted on them, and the commands that their workers receive.
 //!
-//! [`MachineShard`] owns this state alone and keeps none of it in the store but the machines' names. It must never start a
-//! task on a machine whose tasks it does not know, admit a start twice, or take a task for gone that may still run.
-//! It reads no clock and sends nothing: times are passed in, and what is to be sent is returned.
+//! [`MachineShard`] owns this state. Only the machines' records are kept in the state store. The shard must
+//! never start a task on a machine whose task list is not confirmed, admit a start twice, or treat a task as ended
+//! while it may still run. It reads no clock and does no I/O: the current time is a parameter, and what is to be sent
+//! is returned.
 //!
-//! The *owner* of a task, here and below, is the leader of its job: it alone says what is wanted of the task.
+//! The *job leader* of a task is the controller that leads its job. It alone decides whether the task is to run or to
+//! be stopped.
 
 use crate::config::settings::Settings;
 use crate::membership::Membership;
@@ -19,82 +21,84 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 mod admission;
-mod agent_lease;
 mod commands;
 mod fencing_probe;
 mod handoff;
 mod heartbeats;
+mod job_leader_liveness;
 mod machine;
-mod owner_liveness;
 mod registration;
 mod status_delta;
+mod worker_lease;
 
 pub use crate::wire::workers::{Command, Heartbeat, HeartbeatResponse, HeartbeatTask};
-pub(crate) use agent_lease::RESPONSE_TIMEOUT;
 pub use fencing_probe::FencingProbe;
 pub use heartbeats::HeartbeatOutcome;
 pub use registration::MachineRecord;
+pub(crate) use worker_lease::RESPONSE_TIMEOUT;
 
 use fencing_probe::ProbeState;
+use job_leader_liveness::{JobLeaderEvidence, JobLeaderLiveness};
 use machine::{Machine, Registration, TaskEntry};
-use owner_liveness::{OwnerBasis, OwnerLiveness};
 use status_delta::ChangeLog;
 
-/// All that a controller knows as the leader of machines.
+/// The state that a controller keeps as the leader of machines.
 pub struct MachineShard {
     worker_lease: Micros,
     machines: BTreeMap<String, Machine>,
-    /// Starts that were decided on, accepted or refused, with the leader that asked for them. A start is never decided on
-    /// twice: the job's leader may have placed the task elsewhere since.
+    /// Starts that were accepted or refused, with the job leader that requested them. No start is decided twice:
+    /// after a refusal the job leader may have placed the task on another machine.
     decided_starts: BTreeMap<TaskKey, usize>,
-    /// Number of the latest message of each jobs' leader.
-    owner_revisions: Vec<u64>,
+    /// By job leader, the revision of its latest desired state that was applied.
+    desired_revisions: Vec<u64>,
     changes: ChangeLog,
-    /// A machine that has been silent for this long may be dead.
+    /// A machine from which no heartbeat has come for this long may be down.
     silence_limit: Micros,
     next_lease_check: Micros,
-    /// Machines that the cloud has taken back, whoever leads them, the newest names. The registry pages of a controller
-    /// that is down name them on, and a new epoch must not wait for them.
+    /// Machines returned to the cloud, whichever controller leads them. If there are too many, the lowest names are
+    /// dropped: machine names grow with time. Registry pages of a controller that is down may still list these
+    /// machines, and after a new epoch nothing must wait for them.
     returned_machines: BTreeSet<String>,
-    /// What jobs' leaders want of starts on machines that have yet to list their tasks. It is said only once, and a
-    /// machine's first heartbeat in an epoch may come after it.
+    /// The desired state of starts on machines whose task list is not confirmed. A job leader sends it only once, and
+    /// it may arrive before the machine's first heartbeat in an epoch.
     pending_desired: BTreeMap<String, BTreeMap<TaskKey, DesiredTask>>,
-    /// From when on no other controller can be answering workers, by what this epoch says.
+    /// The time from which no other controller can be responding to workers, as far as this epoch shows.
     older_leaders_stopped_at: Micros,
-    owner_liveness: OwnerLiveness,
+    job_leader_liveness: JobLeaderLiveness,
     /// The adopted epoch; 0 before the first.
     epoch: u64,
 }
 
 impl MachineShard {
-    /// A shard without machines, before the first epoch.
+    /// Creates a shard without machines, before the first epoch.
     pub fn new(settings: &Settings) -> MachineShard {
         MachineShard {
             worker_lease: settings.worker_lease,
             machines: BTreeMap::new(),
             decided_starts: BTreeMap::new(),
-            owner_revisions: vec![0; settings.members.len()],
+            desired_revisions: vec![0; settings.members.len()],
             changes: ChangeLog::default(),
-            // Two heartbeats missed.
+            // Two missed heartbeats.
             silence_limit: Micros(settings.report.0 * 5 / 2 + 500_000),
             next_lease_check: Micros(0),
             returned_machines: BTreeSet::new(),
             pending_desired: BTreeMap::new(),
             older_leaders_stopped_at: Micros(0),
-            owner_liveness: OwnerLiveness::new(settings),
+            job_leader_liveness: JobLeaderLiveness::new(settings),
             epoch: 0,
         }
     }
 
-    /// Adopts a new epoch. A machine stays known only if the epoch `follows` directly on the one before and the machine was
-    /// ours before: then nobody else can have commanded it. Queued starts of jobs that changed their leader are dropped,
-    /// since the new leader hasn't asked for them; `owner_before` says who led a job in the epoch before.
+    /// Adopts a new epoch. A machine's task list stays confirmed only if the epoch directly succeeds the one before
+    /// (`is_direct_successor`) and this controller already led the machine: then no other controller can have sent it
+    /// commands. Starts that have not been sent are dropped if the leader of their job changed, since the new leader
+    /// has not requested them. `previous_job_leader` returns the leader of a job in the epoch before.
     pub fn adopt_epoch(
         &mut self,
         now: Micros,
         membership: &Membership,
-        follows: bool,
-        owner_before: impl Fn(&str) -> Option<usize>,
+        is_direct_successor: bool,
+        previous_job_leader: impl Fn(&str) -> Option<usize>,
     ) {
         self.machines.retain(|name, _| membership.machine_leader(name) == Some(membership.me));
         self.pending_desired.clear();
@@ -102,60 +106,63 @@
         self.next_lease_check = Micros(0);
         for (name, machine) in &mut self.machines {
             self.changes.record(name, &mut machine.revision);
-            if follows {
+            if is_direct_successor {
                 machine.adopt_next_epoch(self.older_leaders_stopped_at);
             } else {
                 machine.adopt_later_epoch(now, membership.epoch);
             }
-            let keeps_leader =
-                |key: &TaskKey| follows && owner_before(&key.job) == membership.job_leader(&key.job);
-            machine.tasks.retain(|key, task| task.may_be_on_machine() || keeps_leader(key));
+            let is_leader_unchanged = |key: &TaskKey| {
+                is_direct_successor && previous_job_leader(&key.job) == membership.job_leader(&key.job)
+            };
+            machine.tasks.retain(|key, task| task.can_be_on_machine() || is_leader_unchanged(key));
             for (key, task) in &mut machine.tasks {
-                let owner = membership.job_leader(&key.job);
-                task.owner_basis.adopt_epoch(&self.owner_liveness, owner, machine.revision);
+                let job_leader = membership.job_leader(&key.job);
+                task.job_leader_evidence.adopt_epoch(&self.job_leader_liveness, job_leader, machine.revision);
             }
         }
-        self.owner_liveness.adopt_epoch();
-        if !follows {
+        self.job_leader_liveness.adopt_epoch();
+        if !is_direct_successor {
             self.decided_starts.clear();
         }
         self.older_leaders_stopped_at = membership.older_leaders_stopped_at();
         self.epoch = membership.epoch;
     }
 
-    /// Where some of the machines can be reached; others each second.
+    /// Returns the addresses of up to `max_addresses` machines for direct commands. The selection rotates every second.
     #[must_use]
-    pub fn sample_addresses(&self, most: usize, now: Micros) -> Vec<String> {
+    pub fn sample_addresses(&self, max_addresses: usize, now: Micros) -> Vec<String> {
         let known: Vec<&String> = self
             .machines
             .values()
             .filter(|machine| machine.inventory != InventoryState::Gone)
             .map(|machine| &machine.record.addr)
             .collect();
-        let first = (now.0 / 1_000_000) as usize * most;
-        (0..most.min(known.len())).map(|i| known[(first + i) % known.len()].clone()).collect()
+        let start = (now.0 / 1_000_000) as usize * max_addresses;
+        (0..max_addresses.min(known.len())).map(|i| known[(start + i) % known.len()].clone()).collect()
     }
 
-    /// A message of a jobs' leader was taken; it had heard our clock at `echo`, and takes account of our state numbered
-    /// `seen`.
-    pub fn note_owner_message(&mut self, owner: usize, echo: Micros, seen: u64) {
-        self.owner_liveness.note_message(owner, echo, seen);
+    /// Records a message from a job leader. `echo` is the latest reading of this controller's clock that the job
+    /// leader had received when it sent the message; `seen_revision` is the revision of this shard's status that the
+    /// message takes into account.
+    pub fn note_owner_message(&mut self, job_leader: usize, echo: Micros, seen_revision: u64) {
+        self.job_leader_liveness.record_message(job_leader, echo, seen_revision);
     }
 
-    /// Whether any jobs' leader has said something since this was last called.
+    /// Returns whether a message from a job leader was recorded since the last call, and clears that flag.
     #[must_use]
     pub fn take_owner_news(&mut self) -> bool {
-        self.owner_liveness.take_news()
+        self.job_leader_liveness.take_new_message_flag()
     }
 
-    /// Whether a response may renew a machine's lease: not while the leader of one of its tasks may have told a user that
-    /// the job is cancelled, so long ago that the task could not be stopped in time any more.
+    /// Whether a response may renew a machine's lease. It may not if the job leader of one of its tasks may have
+    /// confirmed to a user that the job is cancelled, so long ago that the task could no longer be stopped within
+    /// `cancel_s`.
     #[must_use]
     pub fn may_renew_lease(&self, now: Micros, name: &str) -> bool {
-        self.machines.get(name).is_none_or(|machine| self.owner_liveness.covers_all(now, machine))
+        self.machines.get(name).is_none_or(|machine| self.job_leader_liveness.can_renew_lease(now, machine))
     }
 
-    /// How many machines have known tasks, and how many there are.
+    /// Returns the number of machines whose task list is complete, and the number of all machines.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         let is_known = |machine: &&Machine| machine.inventory == InventoryState::Known;
@@ -164,29 +171,30 @@
 }
 
 impl Machine {
-    /// The epoch directly follows the one before, in which the machine was ours: nobody but us can have answered it since.
-    fn adopt_next_epoch(&mut self, others_until: Micros) {
-        self.forget_requests();
+    /// Adopts the direct successor of the epoch held. No other controller can have responded to the machine since.
+    fn adopt_next_epoch(&mut self, others_stopped_at: Micros) {
+        self.reset_requests();
         if self.inventory == InventoryState::Unconfirmed {
-            self.others_answered_until = self.others_answered_until.or(Some(others_until));
+            self.others_responded_until = self.others_responded_until.or(Some(others_stopped_at));
         }
     }
 
-    /// Epochs were missed, in which others may have commanded the machine: it has to show the new token first.
+    /// Adopts an epoch after others were missed, in which other controllers may have sent the machine commands. Its
+    /// task list is confirmed again once a heartbeat carries the new fencing token.
     fn adopt_later_epoch(&mut self, now: Micros, epoch: u64) {
-        self.forget_requests();
+        self.reset_requests();
         if self.inventory == InventoryState::Known {
             self.inventory = InventoryState::Unconfirmed;
-            self.heard_at = now;
+            self.last_heartbeat_at = now;
         }
-        self.others_answered_until = None;
+        self.others_responded_until = None;
         self.led_since_epoch = epoch;
-        self.unanswered_at = None;
+        self.no_response_received_at = None;
     }
 
-    /// What was asked of it in the last epoch counts no more. What was being written for that epoch fails, and nobody is
-    /// told of it.
-    fn forget_requests(&mut self) {
+    /// Resets what was requested for the machine in the last epoch. A registration that was requested then fails
+    /// because of the new epoch, and its failure is not reported here.
+    fn reset_requests(&mut self) {
         self.probes = ProbeState::default();
         if self.registration == Registration::Requested {
             self.registration = Registration::Missing;
--- a/src/machine_shard/admission.rs
+++ b/src/machine_shard/admission.rs
@@ -1,13 +1,13 @@
-//! Admission of starts: what jobs' leaders want of the tasks on our machines.
+//! Admission of task starts: applies the job leaders' desired state to the machines that this controller leads.
 //!
-//! A start is decided on once, accepted or refused, since its job's leader may have placed the task elsewhere after a
-//! refusal. What a leader says is never acted on for a job that another leads.
+//! Each start is accepted or refused only once, since after a refusal its job leader may have placed the task on
+//! another machine. A controller's desired state is ignored for jobs that it does not lead.
 
 use super::*;
 
 impl MachineShard {
-    /// Applies what the leader `from` wants of its jobs' tasks. Returns false for a message that is out of date, or that
-    /// builds on one which never came; nothing is changed then.
+    /// Applies the desired state of the job leader `from`. Returns false, without changing anything, for a message
+    /// that is out of date or builds on one that has not arrived.
     pub fn apply_desired_state(
         &mut self,
         now: Micros,
@@ -16,14 +16,12 @@
         membership: &Membership,
         capacity: impl Fn(&str) -> Option<Resources>,
     ) -> bool {
-        if self
-            .owner_revisions
-            .get(from)
-            .is_none_or(|&held| state.revision <= held || state.base_revision > held)
-        {
+        if self.desired_revisions.get(from).is_none_or(|&held_revision| {
+            state.revision <= held_revision || state.base_revision > held_revision
+        }) {
             return false;
         }
-        self.owner_revisions[from] = state.revision;
+        self.desired_revisions[from] = state.revision;
         if state.base_revision == 0 {
             self.drop_unlisted(from, &state.list, membership);
         }
@@ -44,7 +42,7 @@
         true
     }
 
-    /// A whole state came: what it doesn't name is wanted no more.
+    /// Applies a full state: starts that it does not list are no longer desired.
     fn drop_unlisted(&mut self, from: usize, list: &[DesiredTask], membership: &Membership) {
         let listed: BTreeSet<(&str, &TaskKey)> =
             list.iter().map(|desired| (desired.machine.as_str(), &desired.key)).collect();
@@ -52,29 +50,31 @@
             let is_unlisted = |key: &TaskKey| {
                 membership.job_leader(&key.job) == Some(from) && !listed.contains(&(name.as_str(), key))
             };
-            let before = machine.tasks.len();
-            machine.tasks.retain(|key, task| task.may_be_on_machine() || !is_unlisted(key));
-            if machine.tasks.len() != before {
+            let task_count_before = machine.tasks.len();
+            machine.tasks.retain(|key, task| task.can_be_on_machine() || !is_unlisted(key));
+            if machine.tasks.len() != task_count_before {
                 self.changes.record(name, &mut machine.revision);
             }
             for (key, task) in &mut machine.tasks {
                 if is_unlisted(key) {
-                    task.owner_basis.mark_unnamed(machine.revision);
+                    task.job_leader_evidence.mark_undesired(machine.revision);
                 }
             }
         }
         for pending in self.pending_desired.values_mut() {
             pending.retain(|key, _| membership.job_leader(&key.job) != Some(from));
         }
-        let keys: BTreeSet<&TaskKey> = list.iter().map(|desired| &desired.key).collect();
-        self.decided_starts.retain(|key, &mut owner| owner != from || keys.contains(key));
+        let listed_keys: BTreeSet<&TaskKey> = list.iter().map(|desired| &desired.key).collect();
+        self.decided_starts.retain(|key, &mut job_leader| job_leader != from || listed_keys.contains(key));
     }
 
-    /// A start that has not gone out is given up; one that has can't be called back by silence.
+    /// Drops a start that has not been sent. One that was sent cannot be withdrawn by no longer listing it.
     fn drop_start(&mut self, name: &str, key: &TaskKey) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         match machine.tasks.get_mut(key) {
-            Some(task) if task.may_be_on_machine() => task.owner_basis.mark_unnamed(machine.revision),
+            Some(task) if task.can_be_on_machine() => {
+                task.job_leader_evidence.mark_undesired(machine.revision)
+            }
             Some(_) => {
                 machine.tasks.remove(key);
                 self.changes.record(name, &mut machine.revision);
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Applies what is wanted of a task that its machine has. Returns whether there is one.
+    /// Applies the desired state to a task that its machine has. Returns whether it has one.
     fn update_task(&mut self, desired: &DesiredTask) -> bool {
         let Some(machine) = self.machines.get_mut(&desired.machine) else { return false };
         let Some(task) = machine.tasks.get_mut(&desired.key) else { return false };
@@ -108,16 +108,16 @@
         if task.phase == TaskPhase::Held && desired.action == DesiredAction::Run {
             task.phase = TaskPhase::Queued;
         }
-        // A held or queued start that is to be stopped never goes out.
-        if !task.may_be_on_machine() && !matches!(desired.action, DesiredAction::Hold | DesiredAction::Run) {
+        // A held or queued start that is to be stopped is never sent.
+        if !task.can_be_on_machine() && !matches!(desired.action, DesiredAction::Hold | DesiredAction::Run) {
             machine.tasks.remove(&desired.key);
         }
         self.changes.record(&desired.machine, &mut machine.revision);
         true
     }
 
-    /// Keeps what is wanted of a task on a machine that may yet list it: it is said only once, and the machine's first
-    /// heartbeat in an epoch may come after it.
+    /// Keeps the desired state of a task on a machine that may yet list the task. The job leader sends it only once,
+    /// and it may arrive before the machine's first heartbeat in an epoch.
     fn keep_for_first_heartbeat(&mut self, desired: &DesiredTask) {
         let is_unconfirmed = |machine: &Machine| machine.inventory == InventoryState::Unconfirmed;
         if self.machines.get(&desired.machine).is_none_or(is_unconfirmed) {
@@ -126,9 +126,9 @@
         }
     }
 
-    /// Accepts or refuses a start, once. It is decided here and now, even if the machine isn't known yet: then the answer
-    /// is no. The next status may say that the start isn't there, and the job's leader places the task elsewhere, while a
-    /// repeat of this very message is still on its way.
+    /// Accepts or refuses a start, once. The decision is made immediately, even if the machine's task list is not
+    /// complete yet: then the start is refused. After the next status, which does not list the start, the job leader
+    /// may place the task on another machine while a copy of this message is still under way.
     fn decide_start(
         &mut self,
         now: Micros,
@@ -145,14 +145,14 @@
             return;
         }
         let Some(total) = capacity(&machine.record.kind) else { return };
-        let has_twin = machine.has_live_start_of(&desired.key);
+        let has_live_attempt = machine.has_live_attempt_of(&desired.key);
         let fits = machine.free(total).is_some_and(|free| free.holds(desired.room));
-        if !machine.is_schedulable(now, self.silence_limit) || !fits || has_twin {
-            tracing::debug!(machine = %desired.machine, job = %desired.key.job, task = desired.key.index, fits, has_twin, "start refused");
+        if !machine.is_schedulable(now, self.silence_limit) || !fits || has_live_attempt {
+            tracing::debug!(machine = %desired.machine, job = %desired.key.job, task = desired.key.index, fits, has_live_attempt, "start refused");
             return;
         }
         let phase = if desired.action == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
-        let mut task = TaskEntry::new(phase, OwnerBasis::new(Some(from), self.changes.revision + 1));
+        let mut task = TaskEntry::new(phase, JobLeaderEvidence::new(Some(from), self.changes.revision + 1));
         task.apply_desired(desired);
         machine.tasks.insert(desired.key.clone(), task);
         self.changes.record(&desired.machine, &mut machine.revision);
@@ -160,8 +160,8 @@
 }
 
 impl Machine {
-    /// Whether a start of the same task, of whichever attempt, has not ended. One machine never holds two.
-    fn has_live_start_of(&self, wanted: &TaskKey) -> bool {
+    /// Whether any attempt of the same task has not ended. A machine never runs two attempts of a task.
+    fn has_live_attempt_of(&self, wanted: &TaskKey) -> bool {
         self.tasks
             .iter()
             .any(|(key, task)| key.job == wanted.job && key.index == wanted.index && task.is_live())
--- a/src/machine_shard/handoff.rs
+++ b/src/machine_shard/handoff.rs
@@ -1,16 +1,16 @@
-//! Machines that change their leader: what a leader that lives hands to the next one, and what that makes of it.
+//! Hand-off of machines whose leader changes: what the old leader sends and how the new leader applies it.
 //!
-//! Why the new leader may take the task list for complete although the worker has not shown the new token: the old leader
-//! was the only one to command the machine, it packs after it has adopted the epoch and thus commands no more, and starts
-//! travel only in responses. Each start that it ever sent is listed, in doubt if need be, with the heartbeat whose response
-//! carried it.
+//! The new leader may take the task list as complete although no heartbeat has shown the new fencing token. Only the
+//! old leader could send commands to the machine. It packs the hand-off after it has adopted the epoch, and so sends
+//! no more commands, and starts are sent only in responses. Each start that it ever sent is listed, as in doubt if
+//! need be, with the heartbeat whose response carried it.
 
 use super::*;
 use crate::peer::{MachineHandoff, TaskHandoff};
 
 impl MachineShard {
-    /// The machines that have another leader in `next`, the epoch that directly follows, by that leader. To be called
-    /// before that epoch is adopted, and only by a controller that does not command any more.
+    /// Returns the machines that have another leader in `next`, the direct successor of the held epoch, by that leader.
+    /// Call it before that epoch is adopted, and only on a controller that no longer sends commands.
     #[must_use]
     pub fn pack_handoff(&self, now: Micros, next: &Membership) -> BTreeMap<usize, Vec<MachineHandoff>> {
         let mut by_leader: BTreeMap<usize, Vec<MachineHandoff>> = BTreeMap::new();
@@ -23,9 +23,9 @@
         by_leader
     }
 
-    /// Takes a machine from its leader of the epoch directly before. Does nothing to one whose tasks are known already,
-    /// or that another controller leads: the batch came late, or twice. Returns whether its tasks are known now that were
-    /// not.
+    /// Applies the hand-off of a machine from its leader of the epoch directly before. Does nothing if the machine's
+    /// task list is already complete or another controller leads it: then the batch came late or twice. Returns
+    /// whether the task list has become complete.
     pub fn apply_handoff(&mut self, now: Micros, membership: &Membership, handoff: MachineHandoff) -> bool {
         let name = handoff.name.clone();
         if membership.machine_leader(&name) != Some(membership.me) || self.returned_machines.contains(&name) {
@@ -40,18 +40,19 @@
         if handoff.on_record {
             machine.registration = Registration::Stored;
         }
-        // As of packing: by now it is longer ago, which errs on the late side.
-        let heard_at = Micros(now.0.saturating_sub(handoff.silent.shortened().0));
+        // `silent` is as of packing. By now it is longer, so this time is too late rather than too early.
+        let last_contact_at = Micros(now.0.saturating_sub(handoff.silent.shortened().0));
         if !handoff.known {
-            machine.others_answered_until =
-                Some(machine.others_answered_until.map_or(heard_at, |until| until.min(heard_at)));
+            machine.others_responded_until = Some(
+                machine.others_responded_until.map_or(last_contact_at, |until| until.min(last_contact_at)),
+            );
             return false;
         }
         let next_revision = self.changes.revision + 1;
-        machine.apply_handoff(now, heard_at, handoff, |key| {
-            OwnerBasis::new(membership.job_leader(&key.job), next_revision)
+        machine.apply_handoff(now, last_contact_at, handoff, |key| {
+            JobLeaderEvidence::new(membership.job_leader(&key.job), next_revision)
         });
-        // What jobs' leaders of this epoch have said meanwhile goes before what those of the last one did.
+        // The desired state that job leaders have sent in this epoch takes precedence over that of the last epoch.
         for (key, desired) in self.pending_desired.remove(&name).unwrap_or_default() {
             if let Some(task) = machine.tasks.get_mut(&key) {
                 task.apply_desired(&desired);
@@ -65,15 +66,16 @@
 }
 
 impl Machine {
-    /// What the next leader is told of this machine; None if there is nothing to say that it does not know: the machine is
-    /// gone, or the end of its older tasks is not yet certain.
-    fn pack_handoff(&self, now: Micros, name: &str, others_until: Micros) -> Option<MachineHandoff> {
+    /// Packs what the next leader needs of this machine. None if there is nothing to hand off: the machine was
+    /// returned to the cloud, or other controllers may still be responding to it.
+    fn pack_handoff(&self, now: Micros, name: &str, others_stopped_at: Micros) -> Option<MachineHandoff> {
         let known = self.inventory == InventoryState::Known;
-        let last_answer = if known { self.heard_at } else { self.last_answer(others_until) };
-        if self.inventory == InventoryState::Gone || (!known && last_answer > now) {
+        let last_response_at =
+            if known { self.last_heartbeat_at } else { self.last_response_at(others_stopped_at) };
+        if self.inventory == InventoryState::Gone || (!known && last_response_at > now) {
             return None;
         }
-        let tasks = self.tasks.iter().filter(|(_, task)| known && task.may_be_on_machine());
+        let tasks = self.tasks.iter().filter(|(_, task)| known && task.can_be_on_machine());
         Some(MachineHandoff {
             name: name.to_owned(),
             kind: self.record.kind.clone(),
@@ -83,7 +85,7 @@
             on_record: self.registration == Registration::Stored,
             known,
             last: self.last_heartbeat.into(),
-            silent: now.since(last_answer),
+            silent: now.since(last_response_at),
             notice: self.termination_at.map(|at| at.since(now)),
             idle: self.idle_since.map(|since| now.since(since)),
             images: self.images.clone(),
@@ -91,41 +93,47 @@
         })
     }
 
-    /// Enters what the leader before knew. A heartbeat that came here first was sent after the worker had received or
-    /// dropped every response of the old leader: what it lists is all there is. Otherwise it is what the old leader listed.
+    /// Applies what the leader before had. If the machine has already sent this controller a newer heartbeat, it sent
+    /// that after it received or dropped every response of the old leader, so the list in it is complete. Otherwise
+    /// the old leader's list applies.
     fn apply_handoff(
         &mut self,
         now: Micros,
-        heard_at: Micros,
+        last_contact_at: Micros,
         handoff: MachineHandoff,
-        owner_basis: impl Fn(&TaskKey) -> OwnerBasis,
+        job_leader_evidence: impl Fn(&TaskKey) -> JobLeaderEvidence,
     ) {
-        let has_newer_heartbeat = self.has_reported && self.last_heartbeat > HeartbeatId::from(handoff.last);
+        let has_newer_heartbeat =
+            self.has_sent_heartbeat && self.last_heartbeat > HeartbeatId::from(handoff.last);
         if !has_newer_heartbeat {
             self.tasks.clear();
             self.last_heartbeat = handoff.last.into();
             self.termination_at = handoff.notice.map(|notice| now + notice);
             self.idle_since = handoff.idle.map(|idle| Micros(now.0.saturating_sub(idle.0)));
-            self.heard_at = if self.has_reported { self.heard_at.max(heard_at) } else { heard_at };
-            self.has_reported = true;
+            self.last_heartbeat_at = if self.has_sent_heartbeat {
+                self.last_heartbeat_at.max(last_contact_at)
+            } else {
+                last_contact_at
+            };
+            self.has_sent_heartbeat = true;
         }
         self.images = handoff.images;
         for task in handoff.tasks {
-            let handed = TaskEntry {
+            let handed_over = TaskEntry {
                 resources: task.room,
                 priority: task.priority,
                 image: task.image,
                 phase: task.phase,
                 desired: task.action,
                 sent_with: task.sent_to.into(),
-                owner_basis: owner_basis(&task.key),
+                job_leader_evidence: job_leader_evidence(&task.key),
             };
             match self.tasks.get_mut(&task.key) {
                 Some(entry) if entry.resources.is_none() => {
-                    *entry = TaskEntry { phase: entry.phase, ..handed };
+                    *entry = TaskEntry { phase: entry.phase, ..handed_over };
                 }
                 None if !has_newer_heartbeat => {
-                    self.tasks.insert(task.key, handed);
+                    self.tasks.insert(task.key, handed_over);
                 }
                 _ => {}
             }
@@ -147,7 +155,7 @@
     }
 }
 
-/// Frames carry a heartbeat's number as a pair.
+/// Peer frames carry a heartbeat's identity as a pair.
 impl From<(u64, u64)> for HeartbeatId {
     fn from((incarnation, sequence): (u64, u64)) -> HeartbeatId {
         HeartbeatId { incarnation, sequence }
--- a/src/machine_shard/heartbeats.rs
+++ b/src/machine_shard/heartbeats.rs
@@ -1,23 +1,24 @@
-//! Heartbeats: which of them count, and what they show of a machine's tasks.
+//! Heartbeats: which of them are applied, and what they show about a machine's tasks.
 //!
-//! A worker keeps one heartbeat in flight, so each was sent after it received or gave up on the response to the one
-//! before. That is why a start which went out and is not listed in a later heartbeat never arrived.
+//! A worker keeps one heartbeat in flight, so it sent each one after it received the response to the one before or
+//! gave up waiting for it. Hence a start that was sent and is not listed in a later heartbeat never arrived.
 
 use super::*;
 
-/// What became of a heartbeat.
+/// The result of applying a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
     /// It is the machine's latest; [`MachineShard::issue_commands`] gives the response.
     Accepted,
-    /// The heartbeat is out of date: a newer one has been accepted, or the machine is gone.
+    /// The heartbeat is out of date: a newer one has been accepted, or the machine was returned to the cloud.
     Stale,
-    /// The worker has seen a newer fencing token than ours.
+    /// The worker has seen a newer fencing token than this controller's.
     Fenced,
 }
 
 impl MachineShard {
-    /// Applies a heartbeat of a machine of ours. A copy, or one that was overtaken, changes nothing.
+    /// Applies a heartbeat of a machine that this controller leads. A copy, or a heartbeat that was overtaken by a
+    /// newer one, changes nothing.
     pub fn apply_heartbeat(
         &mut self,
         now: Micros,
@@ -27,7 +28,7 @@
         if heartbeat.token > membership.epoch {
             return HeartbeatOutcome::Fenced;
         }
-        // What comes late of a machine that the cloud has taken back must not bring it to life once it was dropped here.
+        // A late heartbeat of a returned machine must not add the machine again after its entry was dropped here.
         if self.returned_machines.contains(&heartbeat.machine) {
             return HeartbeatOutcome::Stale;
         }
@@ -52,7 +53,7 @@
         if machine.inventory == InventoryState::Known {
             self.pending_desired.remove(&heartbeat.machine);
         }
-        changed |= machine.remember_images();
+        changed |= machine.record_images();
         let is_schedulable = machine.is_schedulable(now, self.silence_limit);
         changed |= is_schedulable != machine.was_schedulable;
         if changed {
@@ -63,22 +64,23 @@
     }
 }
 
-/// What the tasks of a heartbeat are read against.
+/// The context in which a heartbeat's task list is applied.
 struct TaskListContext<'a> {
     membership: &'a Membership,
-    /// What jobs' leaders want of starts on this machine, said before the machine listed them.
+    /// The desired state of starts on this machine that arrived before the machine listed them.
     pending: Option<&'a BTreeMap<TaskKey, DesiredTask>>,
-    /// The change that this heartbeat will be, if it brings anything new.
+    /// The revision that this heartbeat's change gets, if it changes anything.
     next_revision: u64,
     now: Micros,
     silence_limit: Micros,
 }
 
 impl TaskListContext<'_> {
-    /// The entry of a task that is listed for the first time.
+    /// Creates the entry of a task that is listed for the first time.
     fn new_entry(&self, observed: &ObservedTask) -> TaskEntry {
-        let owner = self.membership.job_leader(&observed.key.job);
-        let mut entry = TaskEntry::new(observed.phase, OwnerBasis::new(owner, self.next_revision));
+        let job_leader = self.membership.job_leader(&observed.key.job);
+        let mut entry =
+            TaskEntry::new(observed.phase, JobLeaderEvidence::new(job_leader, self.next_revision));
         if let Some(desired) = self.pending.and_then(|pending| pending.get(&observed.key)) {
             entry.apply_desired(desired);
         }
@@ -87,25 +89,25 @@
 }
 
 impl Machine {
-    /// Whether a heartbeat proves nothing. A delayed one tells nothing new, and its sender has given up on the response.
-    /// One of an incarnation that has ended proves neither that the machine lives nor what is on it, though its number
-    /// be the highest seen.
+    /// Whether a heartbeat is out of date. The sender of a delayed heartbeat has given up waiting for its response.
+    /// One of an ended incarnation shows neither that the machine is alive nor what runs on it, even if its number is
+    /// the highest seen.
     fn is_outdated(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.id() <= self.last_heartbeat
             || heartbeat.incarnation <= self.ended_incarnation
             || self.inventory == InventoryState::Gone
     }
 
-    /// Applies everything of a heartbeat but its tasks. Returns whether anything changed that other controllers see.
+    /// Applies everything of a heartbeat except its tasks. Returns whether anything changed that other controllers see.
     fn apply_header(&mut self, now: Micros, epoch: u64, heartbeat: &Heartbeat) -> bool {
-        self.note_token(now, heartbeat.token, epoch);
+        self.record_token(now, heartbeat.token, epoch);
         self.last_heartbeat = heartbeat.id();
-        self.heard_at = now;
-        self.has_reported = true;
+        self.last_heartbeat_at = now;
+        self.has_sent_heartbeat = true;
         let mut changed = self.termination_at.is_some() != heartbeat.notice_s.is_some();
         self.termination_at = heartbeat.notice_s.map(|seconds| now + Micros::from_secs(seconds));
-        // Only a heartbeat that shows our token proves that no older controller's response can still be executed, hence
-        // that the list is complete.
+        // Only a heartbeat with the current fencing token proves that no response of an earlier leader can still be
+        // executed, and hence that the task list is complete.
         if heartbeat.token == epoch && self.inventory == InventoryState::Unconfirmed {
             self.inventory = InventoryState::Known;
             changed = true;
@@ -113,28 +115,28 @@
         changed
     }
 
-    /// Applies the task list. Returns whether any task came, went or changed its phase.
+    /// Applies the task list. Returns whether any task was added or removed or changed its phase.
     fn apply_task_list(&mut self, heartbeat: &Heartbeat, context: &TaskListContext<'_>) -> bool {
         let (listed, mut changed) = self.apply_listed_tasks(heartbeat, context);
         let id = heartbeat.id();
-        let lost_start = |key: &TaskKey, task: &TaskEntry| {
+        let is_lost_start = |key: &TaskKey, task: &TaskEntry| {
             task.phase == TaskPhase::InDoubt && task.sent_with < id && !listed.contains(key)
         };
-        if self.tasks.iter().any(|(key, task)| lost_start(key, task)) {
-            self.note_lost_response(context.now, context.silence_limit);
+        if self.tasks.iter().any(|(key, task)| is_lost_start(key, task)) {
+            self.record_lost_response(context.now, context.silence_limit);
         }
-        // A start that went out with the response to an earlier heartbeat and is not listed never arrived.
-        let before = self.tasks.len();
+        // A start that was sent with the response to an earlier heartbeat and is not listed never arrived.
+        let task_count_before = self.tasks.len();
         self.tasks.retain(|key, task| {
-            !task.may_be_on_machine()
+            !task.can_be_on_machine()
                 || listed.contains(key)
                 || (task.phase == TaskPhase::InDoubt && task.sent_with >= id)
         });
-        changed |= before != self.tasks.len();
+        changed |= task_count_before != self.tasks.len();
         changed
     }
 
-    /// Enters the tasks that are listed. Returns which they are, and whether any is new or changed its phase.
+    /// Adds or updates the listed tasks. Returns their keys, and whether any task is new or changed its phase.
     fn apply_listed_tasks(
         &mut self,
         heartbeat: &Heartbeat,
--- a/src/machine_shard/machine.rs
+++ b/src/machine_shard/machine.rs
@@ -1,37 +1,37 @@
-//! One machine as its leader knows it: what it reported, which starts it holds, and whether it takes more.
+//! The state that a machine's leader keeps of it: what it reported, which starts it holds, and whether it accepts more.
 
 use super::MachineRecord;
 use super::fencing_probe::ProbeState;
-use super::owner_liveness::OwnerBasis;
+use super::job_leader_liveness::JobLeaderEvidence;
 use crate::peer::{DesiredAction, DesiredTask, InventoryState, TaskKey, TaskPhase};
 use crate::units::{Micros, Resources};
 use crate::wire::workers::HeartbeatId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Images remembered a machine.
-const IMAGES: usize = 32;
-/// A machine with so many heartbeats in a row that do not show the epoch's token receives no responses, and gets no
-/// tasks: the response to the first of them brought the token.
-const STALE_TOKEN_HEARTBEATS: u32 = 3;
+/// Maximum number of images recorded per machine.
+const MAX_IMAGES: usize = 32;
+/// After this many heartbeats in a row that do not carry the epoch's fencing token, a machine counts as not receiving
+/// responses and gets no tasks: the response to the first of these heartbeats carried the token.
+const MAX_STALE_TOKEN_HEARTBEATS: u32 = 3;
 
-/// A start on a machine.
+/// A task start on a machine.
 #[derive(Clone, Debug)]
 pub(super) struct TaskEntry {
-    /// None until the job's leader has said what the task takes.
+    /// Resources that the task needs; None until its job leader has sent them.
     pub(super) resources: Option<Resources>,
     pub(super) priority: u8,
     pub(super) image: u64,
     pub(super) phase: TaskPhase,
     pub(super) desired: Option<DesiredAction>,
-    /// The heartbeat whose response carried the start.
+    /// The heartbeat whose response carried the start command.
     pub(super) sent_with: HeartbeatId,
-    /// How long the machine may be answered on behalf of the job's leader.
-    pub(super) owner_basis: OwnerBasis,
+    /// Evidence that the job has not been cancelled, which decides how long the machine's lease may be renewed.
+    pub(super) job_leader_evidence: JobLeaderEvidence,
 }
 
 impl TaskEntry {
-    /// A start that was seen or accepted, before anything is known of what its job's leader wants.
-    pub(super) fn new(phase: TaskPhase, owner_basis: OwnerBasis) -> TaskEntry {
+    /// Creates an entry for a start that was reported or accepted, before its job leader's desired state is applied.
+    pub(super) fn new(phase: TaskPhase, job_leader_evidence: JobLeaderEvidence) -> TaskEntry {
         TaskEntry {
             resources: None,
             priority: 0,
@@ -39,21 +39,21 @@
             phase,
             desired: None,
             sent_with: HeartbeatId::default(),
-            owner_basis,
+            job_leader_evidence,
         }
     }
 
-    /// Takes over what the job's leader says of this very task.
+    /// Applies the job leader's desired state of this task.
     pub(super) fn apply_desired(&mut self, desired: &DesiredTask) {
-        self.owner_basis.mark_named();
+        self.job_leader_evidence.mark_desired();
         self.resources = Some(desired.room);
         self.priority = desired.priority;
         self.image = desired.image;
         self.desired = Some(desired.action);
     }
 
-    /// Whether the start has gone out, so that the task may be on the machine.
-    pub(super) fn may_be_on_machine(&self) -> bool {
+    /// Whether the start command was sent, so that the task may be on the machine.
+    pub(super) fn can_be_on_machine(&self) -> bool {
         !matches!(self.phase, TaskPhase::Held | TaskPhase::Queued)
     }
 
@@ -67,13 +67,14 @@
         matches!(self.desired, Some(DesiredAction::Stop(_)))
     }
 
-    /// Whether the task's image is present on its machine.
+    /// Whether the task's image is present on the machine.
     fn has_image(&self) -> bool {
         self.image != 0 && matches!(self.phase, TaskPhase::Running | TaskPhase::Waiting | TaskPhase::Saving)
     }
 }
 
-/// Whether the store has a machine's name, so that after a failover it is asked for.
+/// Whether the machine's name is stored in the state store, so that a new leader waits for the machine after a
+/// failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Registration {
     Missing,
@@ -81,64 +82,65 @@
     Stored,
 }
 
-/// All that is known of one machine.
+/// The state of one machine.
 #[derive(Clone, Debug)]
 pub(super) struct Machine {
     pub(super) record: MachineRecord,
     pub(super) registration: Registration,
     pub(super) inventory: InventoryState,
     pub(super) last_heartbeat: HeartbeatId,
-    /// When the last heartbeat came; for a machine that never sent one, when it became ours.
-    pub(super) heard_at: Micros,
-    pub(super) has_reported: bool,
-    /// While its tasks are not known: when at the latest another controller can have answered it. None: as the present
-    /// epoch says. A machine that stays ours keeps the bound of the epoch in which it became ours, or its lease would
-    /// begin anew with each epoch.
-    pub(super) others_answered_until: Option<Micros>,
+    /// When the last heartbeat arrived; for a machine that has sent none, when this controller began to lead it.
+    pub(super) last_heartbeat_at: Micros,
+    pub(super) has_sent_heartbeat: bool,
+    /// For a machine whose task list is not confirmed: the latest time at which another controller can have responded
+    /// to it. None: as the present epoch shows. A machine whose leader does not change keeps the bound of the epoch
+    /// in which that leader began to lead it; otherwise its lease would be counted anew in each epoch.
+    pub(super) others_responded_until: Option<Micros>,
     pub(super) probes: ProbeState,
-    /// Incarnations up to this one have certainly ended.
+    /// All incarnations up to this one have certainly ended.
     pub(super) ended_incarnation: u64,
-    /// The first epoch as whose leader we can have answered it since others last could.
+    /// The first epoch in which this controller can have responded to the machine, since other controllers last could.
     pub(super) led_since_epoch: u64,
-    /// When its latest heartbeat came, if that shows that it has received no response of ours.
-    pub(super) unanswered_at: Option<Micros>,
-    /// Heartbeats in a row that do not show the token of the epoch they came in.
+    /// When the latest heartbeat arrived, if that heartbeat shows that the machine has received no response from this
+    /// controller.
+    pub(super) no_response_received_at: Option<Micros>,
+    /// Number of heartbeats in a row that did not carry the fencing token of the epoch in which they arrived.
     pub(super) stale_token_heartbeats: u32,
-    /// Responses with starts that were lost in a row.
+    /// Number of responses in a row that carried starts and were lost.
     pub(super) lost_responses: u32,
-    /// Until when it gets no tasks because of lost responses.
-    pub(super) closed_until: Micros,
-    /// When the cloud takes it, if that was announced.
+    /// The machine gets no tasks until this time because responses were lost.
+    pub(super) no_starts_until: Micros,
+    /// When the cloud terminates the machine, if that was announced.
     pub(super) termination_at: Option<Micros>,
     pub(super) tasks: BTreeMap<TaskKey, TaskEntry>,
     pub(super) is_draining: bool,
     pub(super) idle_since: Option<Micros>,
-    /// Whether it took new tasks when that was last looked at.
+    /// Whether the machine accepted new tasks when that was last checked.
     pub(super) was_schedulable: bool,
     /// Images that tasks have run from, the latest last.
     pub(super) images: Vec<u64>,
-    /// The change that it was last touched by.
+    /// Revision of the latest change of this machine.
     pub(super) revision: u64,
 }
 
 impl Machine {
-    /// A machine that became ours just now; its tasks are not known.
+    /// Creates a machine that this controller began to lead just now; its task list is not confirmed.
     pub(super) fn new(now: Micros, led_since_epoch: u64, record: MachineRecord) -> Machine {
         Machine {
             record,
             registration: Registration::Missing,
             inventory: InventoryState::Unconfirmed,
             last_heartbeat: HeartbeatId::default(),
-            heard_at: now,
-            has_reported: false,
-            others_answered_until: None,
+            last_heartbeat_at: now,
+            has_sent_heartbeat: false,
+            others_responded_until: None,
             probes: ProbeState::default(),
             ended_incarnation: 0,
             led_since_epoch,
-            unanswered_at: None,
+            no_response_received_at: None,
             stale_token_heartbeats: 0,
             lost_responses: 0,
-            closed_until: Micros(0),
+            no_starts_until: Micros(0),
             termination_at: None,
             tasks: BTreeMap::new(),
             is_draining: false,
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Free resources; None while some task's needs are unknown.
+    /// Returns the free resources; None while the needs of some task are unknown.
     pub(super) fn free(&self, total: Resources) -> Option<Resources> {
         let mut free = total;
         for task in self.tasks.values().filter(|task| task.is_live()) {
@@ -158,7 +160,7 @@
         Some(free)
     }
 
-    /// Resources taken by tasks of each priority that are not being stopped.
+    /// Returns the resources used at each priority by tasks that are not being stopped.
     pub(super) fn used_by_priority(&self) -> Vec<(u8, Resources)> {
         let mut sums: BTreeMap<u8, Resources> = BTreeMap::new();
         for task in self.tasks.values().filter(|task| task.is_live() && !task.is_stopping()) {
@@ -168,29 +170,29 @@
         sums.into_iter().collect()
     }
 
-    /// How many tasks have not ended.
-    pub(super) fn live_tasks(&self) -> usize {
+    /// Returns the number of tasks that have not ended.
+    pub(super) fn count_live_tasks(&self) -> usize {
         self.tasks.values().filter(|task| task.is_live()).count()
     }
 
-    /// Whether it takes new tasks. One that has been silent for `silence_limit` may be dead.
+    /// Whether the machine accepts new tasks. One that has sent no heartbeat for `silence_limit` may be down.
     pub(super) fn is_schedulable(&self, now: Micros, silence_limit: Micros) -> bool {
-        let receives_responses =
-            self.stale_token_heartbeats < STALE_TOKEN_HEARTBEATS && now >= self.closed_until;
+        let is_receiving_responses =
+            self.stale_token_heartbeats < MAX_STALE_TOKEN_HEARTBEATS && now >= self.no_starts_until;
         !self.is_draining
             && self.termination_at.is_none()
-            && self.has_reported
-            && receives_responses
-            && now.since(self.heard_at) < silence_limit
+            && self.has_sent_heartbeat
+            && is_receiving_responses
+            && now.since(self.last_heartbeat_at) < silence_limit
     }
 
-    /// Whether its tasks are known and its name is stored: only then is anything started on it.
+    /// Whether the task list is complete and the name is stored: only then are tasks started on the machine.
     pub(super) fn is_ready_for_starts(&self) -> bool {
         self.inventory == InventoryState::Known && self.registration == Registration::Stored
     }
 
-    /// Notes the images of tasks that run. Returns whether any is new.
-    pub(super) fn remember_images(&mut self) -> bool {
+    /// Records the images of running tasks. Returns whether any of them is new.
+    pub(super) fn record_images(&mut self) -> bool {
         let present: BTreeSet<u64> =
             self.tasks.values().filter(|task| task.has_image()).map(|task| task.image).collect();
         let mut changed = false;
@@ -200,7 +202,7 @@
                 changed = true;
             }
         }
-        let surplus = self.images.len().saturating_sub(IMAGES);
+        let surplus = self.images.len().saturating_sub(MAX_IMAGES);
         self.images.drain(..surplus);
         changed
     }
--- a/src/machine_shard/status_delta.rs
+++ b/src/machine_shard/status_delta.rs
@@ -1,15 +1,15 @@
-//! What other controllers are told of our machines: the ones that changed since the state that the receiver holds.
+//! Status sent to other controllers: the machines that changed since the revision that the receiver holds.
 
 use super::*;
 
-/// Which machines changed, in order, so that a status delta costs as much as what changed since the last and not as much
-/// as the fleet.
+/// The machines that changed, in order, so that the cost of a status delta depends on the number of changes and not on
+/// the number of machines.
 #[derive(Default)]
 pub(super) struct ChangeLog {
-    /// Number of the latest change. It never goes back, not even over a restart: the epoch is its head.
+    /// Number of the latest change. It never decreases, not even after a restart: its upper 32 bits are the epoch.
     pub(super) revision: u64,
     by_revision: BTreeMap<u64, String>,
-    /// Machines whose held response is to be looked at again.
+    /// Machines whose held-back response is to be reconsidered.
     rechecks: BTreeSet<String>,
 }
 
@@ -23,55 +23,55 @@
         self.rechecks.insert(name.to_owned());
     }
 
-    /// A new epoch: whoever holds nothing of it gets all machines that are recorded from now on.
+    /// Adopts a new epoch. A receiver that holds nothing of it gets all machines that are recorded from now on.
     pub(super) fn adopt_epoch(&mut self, epoch: u64) {
         self.by_revision.clear();
         self.revision = self.revision.max(epoch << 32);
     }
 
-    /// Forgets a machine whose latest change was `revision`.
-    pub(super) fn forget(&mut self, revision: u64) {
+    /// Removes a machine whose latest change was `revision`.
+    pub(super) fn remove(&mut self, revision: u64) {
         self.by_revision.remove(&revision);
     }
 
-    /// The response held for this machine is to be looked at again.
+    /// Marks a machine whose held-back response is to be reconsidered.
     pub(super) fn recheck(&mut self, name: &str) {
         self.rechecks.insert(name.to_owned());
     }
 }
 
 impl MachineShard {
-    /// All machines count as changed: what the types can hold has become known.
+    /// Marks all machines as changed, because the capacities of the machine types have become known.
     pub fn mark_all_changed(&mut self) {
         for (name, machine) in &mut self.machines {
             self.changes.record(name, &mut machine.revision);
         }
     }
 
-    /// A start on this machine need not be held back any more: a response with it may go out.
+    /// Marks a machine whose held-back response may be sent now, since one of its starts can be sent.
     pub fn recheck_response(&mut self, name: &str) {
         self.changes.recheck(name);
     }
 
-    /// The same for all machines.
+    /// Marks all machines like [`MachineShard::recheck_response`].
     pub fn recheck_all_responses(&mut self) {
         self.changes.rechecks.extend(self.machines.keys().cloned());
     }
 
-    /// Machines that changed since this was last called: a response held for one of them may have to go out.
+    /// Returns the machines that changed since the last call. A response held back for one of them may have to be sent.
     #[must_use]
     pub fn take_rechecks(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.changes.rechecks)
     }
 
-    /// Number of the latest change.
+    /// Returns the number of the latest change.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.changes.revision
     }
 
-    /// The status delta for the controller `to`, which holds the state `acked`: the machines that changed since, with
-    /// those tasks whose jobs it leads. One that holds nothing of this epoch gets all machines.
+    /// Returns the status delta for the controller `to`, which holds the revision `acked`: the machines that changed
+    /// since, with the tasks whose jobs it leads. A controller that holds nothing of this epoch gets all machines.
     #[must_use]
     pub fn status_delta(
         &self,
@@ -81,9 +81,9 @@
         acked: u64,
         capacity: impl Fn(&str) -> Option<Resources>,
     ) -> MachineStatusDelta {
-        let holds_state = acked > membership.epoch << 32 && acked <= self.changes.revision;
-        let since = if holds_state { acked } else { 0 };
-        let is_receivers = |key: &TaskKey| membership.job_leader(&key.job) == Some(to);
+        let has_base = acked > membership.epoch << 32 && acked <= self.changes.revision;
+        let since = if has_base { acked } else { 0 };
+        let is_led_by_receiver = |key: &TaskKey| membership.job_leader(&key.job) == Some(to);
         let machines = self
             .changes
             .by_revision
@@ -91,14 +91,14 @@
             .filter_map(|(_, name)| Some((name, self.machines.get(name)?)))
             .map(|(name, machine)| {
                 let total = capacity(&machine.record.kind).unwrap_or_default();
-                self.machine_status(now, name, machine, total, is_receivers)
+                self.machine_status(now, name, machine, total, is_led_by_receiver)
             })
             .collect();
-        let rev_seen = self.owner_revisions.get(to).copied().unwrap_or(0);
+        let desired_revision_seen = self.desired_revisions.get(to).copied().unwrap_or(0);
         MachineStatusDelta {
             sequence: self.changes.revision,
             base_sequence: since,
-            revision_seen: rev_seen,
+            revision_seen: desired_revision_seen,
             machines,
         }
     }
@@ -109,13 +109,13 @@
         name: &str,
         machine: &Machine,
         total: Resources,
-        is_receivers: impl Fn(&TaskKey) -> bool,
+        is_led_by_receiver: impl Fn(&TaskKey) -> bool,
     ) -> MachineStatus {
         let free = machine.free(total);
         let open = machine.is_schedulable(now, self.silence_limit)
             && machine.inventory == InventoryState::Known
             && free.is_some();
-        let silent = now.since(machine.heard_at);
+        let silent = now.since(machine.last_heartbeat_at);
         MachineStatus {
             name: name.to_owned(),
             kind: machine.record.kind.clone(),
@@ -128,13 +128,13 @@
             total,
             by_priority: machine.used_by_priority(),
             images: machine.images.clone(),
-            busy: machine.live_tasks() as u32,
+            busy: machine.count_live_tasks() as u32,
             idle: machine.idle_since.filter(|_| machine.tasks.is_empty()).map(|since| now.since(since)),
             silent: Some(silent).filter(|&silent| silent >= self.silence_limit),
             tasks: machine
                 .tasks
                 .iter()
-                .filter(|(key, _)| is_receivers(key))
+                .filter(|(key, _)| is_led_by_receiver(key))
                 .map(|(key, task)| ObservedTask { key: key.clone(), phase: task.phase })
                 .collect(),
         }
--- a/src/machine_view.rs
+++ b/src/machine_view.rs
@@ -1,21 +1,21 @@
-//! What a job shard sees of the machines: for each machine shard, its machines as it last described them.
+//! A job shard's view of the machines: for each machine shard, its machines as its latest status described them.
 //!
-//! The view is owned by the job shard. It only ever says what a machine shard said: nothing here concludes that a task or
-//! machine is gone because time has passed.
+//! The job shard owns the view. It only repeats what machine shards have reported: nothing here concludes from
+//! elapsed time that a task or machine is gone.
 
 use crate::peer::{MachineStatus, MachineStatusDelta};
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine as its shard last described it, with the spans turned into points of our own clock.
+/// A machine as its shard last described it, with time spans converted to points on this controller's clock.
 #[derive(Clone, Debug)]
 pub struct MachineSnapshot {
     status: MachineStatus,
-    /// When the cloud takes it away.
+    /// When the cloud terminates the machine, if that was announced.
     pub notice_at: Option<Micros>,
-    /// Since when it has been without a task.
+    /// Since when it has had no task, if it has none.
     pub idle_since: Option<Micros>,
-    /// Since when it has been silent.
+    /// When its last heartbeat arrived, if it has missed heartbeats.
     pub silent_since: Option<Micros>,
 }
 
@@ -27,106 +27,107 @@
 }
 
 impl MachineSnapshot {
-    /// A machine as described just now.
+    /// Creates the snapshot of a machine from a status that arrived just now.
     #[must_use]
     pub fn new(now: Micros, status: MachineStatus) -> MachineSnapshot {
-        let ago = |span: Micros| Micros(now.0.saturating_sub(span.0));
+        let subtract_from_now = |duration: Micros| Micros(now.0.saturating_sub(duration.0));
         MachineSnapshot {
-            notice_at: status.notice.map(|span| now + span),
-            idle_since: status.idle.map(ago),
-            silent_since: status.silent.map(ago),
+            notice_at: status.notice.map(|duration| now + duration),
+            idle_since: status.idle.map(subtract_from_now),
+            silent_since: status.silent.map(subtract_from_now),
             status,
         }
     }
 
-    /// How long it has been without a task; zero if it has one.
+    /// Returns how long it has had no task; zero if it has one.
     #[must_use]
     pub fn idle_for(&self, now: Micros) -> Micros {
         self.idle_since.map_or(Micros(0), |since| now.since(since))
     }
 
-    /// How long it has been silent; zero if it missed no heartbeats.
+    /// Returns how long no heartbeat has arrived; zero if it missed none.
     #[must_use]
     pub fn silent_for(&self, now: Micros) -> Micros {
         self.silent_since.map_or(Micros(0), |since| now.since(since))
     }
 }
 
-/// What is known of one machine shard's machines in one epoch.
+/// The status of one machine shard's machines in one epoch.
 #[derive(Debug, Default)]
 pub struct MachineView {
     epoch: u64,
     sequence: u64,
     revision_seen: u64,
     machines: BTreeMap<String, MachineSnapshot>,
-    /// Machines on which starts were asked for, by the revision that did: once the machine shard has seen that revision,
-    /// what it does not name is an answer too.
-    awaiting: BTreeMap<u64, Vec<String>>,
+    /// Machines on which starts were requested, by the revision of the desired state that requested them. Once the
+    /// machine shard has seen that revision, a start that its status does not list was refused.
+    requested_starts: BTreeMap<u64, Vec<String>>,
 }
 
-/// What a delta changed.
+/// The result of applying a status delta.
 #[derive(Debug, PartialEq)]
 pub struct StatusChange {
-    /// Machines to look at.
+    /// Machines whose status is to be processed.
     pub names: BTreeSet<String>,
-    /// The whole state came: machines that it does not name are gone.
+    /// Whether the delta was a full state: machines that it does not list were returned to the cloud.
     pub is_whole: bool,
 }
 
 impl MachineView {
-    /// The sequence of the machine shard's state that is held, 0 if none of this epoch.
+    /// Returns the sequence number of the machine shard's status that is held; 0 if none of this epoch is.
     #[must_use]
     pub fn sequence(&self, epoch: u64) -> u64 {
         if self.epoch == epoch { self.sequence } else { 0 }
     }
 
-    /// The latest revision of our desired state that the machine shard had seen, 0 if none of this epoch.
+    /// Returns the latest revision of this job shard's desired state that the machine shard had seen; 0 if none of this
+    /// epoch.
     #[must_use]
     pub fn revision_seen(&self, epoch: u64) -> u64 {
         if self.epoch == epoch { self.revision_seen } else { 0 }
     }
 
-    /// The machines, if the machine shard has spoken in this epoch.
+    /// Returns the machines, if a status from the machine shard has arrived in this epoch.
     #[must_use]
     pub fn machines(&self, epoch: u64) -> Option<&BTreeMap<String, MachineSnapshot>> {
         (self.epoch == epoch).then_some(&self.machines)
     }
 
-    /// The revision that asks for starts on these machines goes out.
+    /// Records that a revision was sent that requests starts on these machines.
     pub fn await_answer(&mut self, revision: u64, machines: Vec<String>) {
         if !machines.is_empty() {
-            self.awaiting.insert(revision, machines);
+            self.requested_starts.insert(revision, machines);
         }
     }
 
-    /// A new epoch: answers to older revisions don't come any more.
+    /// Clears the requested starts at a new epoch, in which older revisions are no longer answered.
     pub fn forget_awaited(&mut self) {
-        self.awaiting.clear();
+        self.requested_starts.clear();
     }
 
-    /// Applies a delta; None if it is older than what is held, or builds on something that is not. Nothing need be done
-    /// about that: the sender hears what is held, and builds on it next time.
+    /// Applies a delta. Returns None if it is older than the held status or builds on one that is not held. This
+    /// needs no handling: the sender receives the held sequence number and builds its next delta on it.
     pub fn apply_delta(
         &mut self,
         now: Micros,
         epoch: u64,
         delta: MachineStatusDelta,
     ) -> Option<StatusChange> {
-        let is_first = self.epoch != epoch;
+        let is_first_of_epoch = self.epoch != epoch;
         let is_whole = delta.base_sequence == 0;
         let is_outdated = delta.sequence < self.sequence || delta.base_sequence > self.sequence;
-        if (is_first && !is_whole) || (!is_first && is_outdated) {
+        if (is_first_of_epoch && !is_whole) || (!is_first_of_epoch && is_outdated) {
             return None;
         }
         let mut names = BTreeSet::new();
         if is_whole {
-            let before = std::mem::take(&mut self.machines);
-            // What the machine shard of an older epoch named may have another leader now, which alone can tell whether
-            // it is gone.
-            if is_first {
+            let machines_before = std::mem::take(&mut self.machines);
+            // A machine listed by the machine shard of an older epoch may have another leader now, and only that leader
+            // can report that it was returned to the cloud.
+            if is_first_of_epoch {
                 self.revision_seen = 0;
             } else {
-                names.extend(before.into_keys());
+                names.extend(machines_before.into_keys());
             }
         }
         self.epoch = epoch;
@@ -136,14 +137,14 @@
             names.insert(status.name.clone());
             self.machines.insert(status.name.clone(), MachineSnapshot::new(now, status));
         }
-        names.extend(self.answered());
+        names.extend(self.take_answered_requests());
         Some(StatusChange { names, is_whole })
     }
 
-    /// Takes off the machines on which starts were asked for by revisions that the machine shard has seen.
-    fn answered(&mut self) -> BTreeSet<String> {
+    /// Removes and returns the machines on which starts were requested by revisions that the machine shard has seen.
+    fn take_answered_requests(&mut self) -> BTreeSet<String> {
         let mut machines = BTreeSet::new();
-        while let Some(oldest) = self.awaiting.first_entry()
+        while let Some(oldest) = self.requested_starts.first_entry()
             && *oldest.key() <= self.revision_seen
         {
             machines.extend(oldest.remove());
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,8 +1,10 @@
-//! Membership: the ring, the adopted epoch (the workers' fencing token), who leads what, and whether this controller may act.
+//! Membership: the hash ring, the adopted epoch (which is also the workers' fencing token), which controller leads
+//! what, and whether this controller may act.
 //!
-//! [`Membership`] owns what one controller knows of the others. It must never say that this controller is a leader under an
-//! epoch for which it has yielded, or on the word of some peers alone. It reads no clock and sends nothing; the controller
-//! raises epochs and renews leases. [`step_down`] says when to leave the ring without being told to.
+//! [`Membership`] holds what this controller has learned of the others. It must never report this controller as a
+//! leader under an epoch for which it has yielded, or on the confirmations of only some peers. It reads no clock and
+//! does no I/O; the controller raises epochs and renews leases. [`step_down`] decides when this controller leaves the
+//! ring by itself.
 
 mod announced_epoch;
 mod epoch_record;
@@ -19,25 +21,25 @@
 use leadership::PeerConfirmation;
 
 /// Class of the keys that place jobs on the ring.
-const JOBS: &str = "job/";
+const JOB_CLASS: &str = "job/";
 /// Class of the keys that place machines on the ring.
-const MACHINES: &str = "machine/";
+const MACHINE_CLASS: &str = "machine/";
 /// The key that places the autoscaler on the ring.
-const AUTOSCALER: &str = "fleet";
+const AUTOSCALER_KEY: &str = "fleet";
 
-/// What this controller knows of the ring and of its own leadership.
+/// What this controller has learned of the ring and of its own leadership.
 #[derive(Clone)]
 pub struct Membership {
     names: Vec<String>,
-    /// This controller's number.
+    /// This controller's index.
     pub me: usize,
-    /// This process, to tell it from earlier ones of the same name.
+    /// The boot ID, which identifies this process among all processes that have run under the same name.
     pub boot: u64,
     member_lease: Micros,
-    confirmation: Micros,
+    confirmation_lifetime: Micros,
     /// The adopted epoch; 0 before the first.
     pub epoch: u64,
-    /// Store version of the epoch record; every write carries it as a condition.
+    /// State store version of the epoch record; every write has it as a precondition.
     pub store_version: u64,
     /// Members of the adopted epoch.
     pub members: Vec<usize>,
@@ -45,24 +47,24 @@
     pub ring: Ring,
     /// When it was adopted.
     pub adopted_at: Micros,
-    /// Until when the store's word entitles this controller to act.
+    /// Until when the lease on the state store entitles this controller to act.
     store_lease_until: Micros,
-    /// What each controller has confirmed to us.
+    /// By controller, what it has confirmed to this one.
     confirmations: Vec<PeerConfirmation>,
-    /// A newer epoch, known from peers only. It says whom to ask; it gives no leadership.
+    /// A newer epoch that only peers have announced. It determines where to forward requests; it grants no leadership.
     announced: Option<AnnouncedEpoch>,
     /// The newest epoch for which this controller has given up its leadership under older ones.
     yielded_to: u64,
     /// The epoch that each controller's latest frame named.
     named_epochs: Vec<NamedEpoch>,
-    /// Since when, in this epoch, every other controller is known to have stopped acting under older ones.
-    older_stopped_at: Option<Micros>,
-    /// It has stepped down: it leaves the ring by its own decision and acts no more.
+    /// Since when, in this epoch, all other controllers are known to have stopped acting under older epochs.
+    older_leaders_stopped_since: Option<Micros>,
+    /// Whether this controller has left the ring by its own decision and must not act.
     pub has_stepped_down: bool,
 }
 
 impl Membership {
-    /// Before the first epoch.
+    /// Creates the state before the first epoch.
     pub fn new(settings: &Settings, boot: u64) -> Membership {
         let controllers = settings.members.len();
         Membership {
@@ -70,7 +72,7 @@
             me: settings.me,
             boot,
             member_lease: settings.member_lease,
-            confirmation: settings.confirmation,
+            confirmation_lifetime: settings.confirmation,
             epoch: 0,
             store_version: 0,
             members: Vec::new(),
@@ -81,58 +83,58 @@
             announced: None,
             yielded_to: 0,
             named_epochs: vec![NamedEpoch::default(); controllers],
-            older_stopped_at: None,
+            older_leaders_stopped_since: None,
             has_stepped_down: false,
         }
     }
 
-    /// Adopts a newer epoch. Returns whether it directly follows the one held, in which case nobody else can have commanded
-    /// what stays ours.
+    /// Adopts a newer epoch. Returns whether it directly succeeds the one held. In that case no other controller can
+    /// have sent commands for the jobs and machines whose leader stays this controller.
     pub fn adopt_epoch(&mut self, now: Micros, record: &EpochRecord, store_version: u64) -> bool {
-        let follows = self.epoch != 0 && record.epoch == self.epoch + 1;
-        let number = |member: &String| self.names.iter().position(|name| name == member);
-        self.members = record.members.iter().filter_map(|(member, _)| number(member)).collect();
+        let is_direct_successor = self.epoch != 0 && record.epoch == self.epoch + 1;
+        let index = |member: &String| self.names.iter().position(|name| name == member);
+        self.members = record.members.iter().filter_map(|(member, _)| index(member)).collect();
         self.epoch = record.epoch;
         self.store_version = store_version;
         self.ring = Ring::new(&self.names, &self.members);
         self.adopted_at = now;
-        self.older_stopped_at = None;
-        follows
+        self.older_leaders_stopped_since = None;
+        is_direct_successor
     }
 
-    /// Whether this process is a member by that record.
+    /// Whether this process is a member according to the record.
     #[must_use]
     pub fn is_member_of(&self, record: &EpochRecord) -> bool {
         record.members.iter().any(|(member, boot)| *member == self.names[self.me] && *boot == self.boot)
     }
 
-    /// The other members of the adopted epoch.
+    /// Returns the other members of the adopted epoch.
     pub fn others(&self) -> impl Iterator<Item = usize> {
         self.members.iter().copied().filter(|&member| member != self.me)
     }
 
-    /// The leader of a job.
+    /// Returns the leader of a job.
     #[must_use]
     pub fn job_leader(&self, id: &str) -> Option<usize> {
-        self.ring.owner_of(JOBS, id)
+        self.ring.owner_of(JOB_CLASS, id)
     }
 
-    /// The leader of a machine.
+    /// Returns the leader of a machine.
     #[must_use]
     pub fn machine_leader(&self, machine: &str) -> Option<usize> {
-        self.ring.owner_of(MACHINES, machine)
+        self.ring.owner_of(MACHINE_CLASS, machine)
     }
 
-    /// The controller that scales the fleet out and in.
+    /// Returns the controller that scales the number of machines out and in.
     #[must_use]
     pub fn autoscaler(&self) -> Option<usize> {
-        self.ring.owner(AUTOSCALER)
+        self.ring.owner(AUTOSCALER_KEY)
     }
 
-    /// A controller's name.
+    /// Returns a controller's name.
     #[must_use]
-    pub fn name(&self, number: usize) -> &str {
-        self.names.get(number).map_or("?", String::as_str)
+    pub fn name(&self, index: usize) -> &str {
+        self.names.get(index).map_or("?", String::as_str)
     }
 }
 
--- a/src/membership/epoch_record.rs
+++ b/src/membership/epoch_record.rs
@@ -1,18 +1,18 @@
-//! The epoch record: the stored truth of who is a member.
+//! The epoch record, which determines in the state store which controllers are members.
 
 use serde::{Deserialize, Serialize};
 
-/// The record under `ring/epoch`. It is changed by compare-and-swap alone.
+/// The record under the key `ring/epoch`. It is changed only by compare-and-swap.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq, Eq)]
 pub struct EpochRecord {
     /// The epoch; also the workers' fencing token.
     pub epoch: u64,
-    /// Its members and which process of each (a random number drawn at start).
+    /// Its members, each with the boot ID of its process (a random number drawn at start).
     pub members: Vec<(String, u64)>,
 }
 
 impl EpochRecord {
-    /// The record that follows this one when the controllers in `alive` are to be its members.
+    /// Returns the record of the next epoch, with the controllers in `alive` as its members.
     #[must_use]
     pub fn successor(&self, alive: &[(String, u64)]) -> EpochRecord {
         let mut members = alive.to_vec();
--- a/src/membership/leadership.rs
+++ b/src/membership/leadership.rs
@@ -1,4 +1,5 @@
-//! Leadership: whether this controller may answer and command, and from when on no other can under an older epoch.
+//! Leadership: whether this controller may respond and send commands, and from when on no other can under an older
+//! epoch.
 
 use super::Membership;
 use crate::units::Micros;
@@ -6,41 +7,43 @@
 /// What a peer has confirmed.
 #[derive(Clone, Copy, Default)]
 pub(super) struct PeerConfirmation {
-    /// The highest epoch that it said it knows.
+    /// The epoch that the peer's latest confirmation named.
     epoch: u64,
-    /// The latest reading of our own clock that it had heard when it said so; zero before the first.
+    /// The latest reading of this controller's clock that the peer had received when it confirmed that epoch; zero
+    /// before the first.
     echo: Micros,
 }
 
 impl Membership {
-    /// The store renewed our lease and showed the adopted epoch as the newest; both requests were sent no earlier than
-    /// `sent`.
+    /// Records that the state store renewed this controller's lease and returned the adopted epoch as the newest. Both
+    /// requests were sent no earlier than `sent`.
     pub fn renew_store_lease(&mut self, sent: Micros) {
         self.store_lease_until = self.store_lease_until.max(sent + self.member_lease.shortened());
     }
 
-    /// The lease is gone.
+    /// Records that the lease is lost.
     pub fn lose_store_lease(&mut self) {
         self.store_lease_until = Micros(0);
     }
 
-    /// Whether the store's word alone entitles this controller to act.
+    /// Whether the lease on the state store alone entitles this controller to act.
     #[must_use]
     pub fn has_store_lease(&self, now: Micros) -> bool {
         now < self.store_lease_until
     }
 
-    /// A peer said that it knows `epoch` and had heard our clock at `echo`.
+    /// Records that a peer confirmed `epoch` and had received the reading `echo` of this controller's clock.
     pub fn record_confirmation(&mut self, peer: usize, epoch: u64, echo: Micros) {
         let Some(confirmed) = self.confirmations.get_mut(peer) else { return };
-        // An echo under an older epoch is no confirmation of the newer one; and a peer that names an older epoch than before
-        // was restarted and knows less than it did.
+        // An echo under an older epoch does not confirm the newer one. A peer that names an older epoch than before was
+        // restarted and no longer has the newer one.
         let echo = if epoch == confirmed.epoch { confirmed.echo.max(echo) } else { echo };
         *confirmed = PeerConfirmation { epoch, echo };
     }
 
-    /// Whether this controller may answer and command: by the store's word, or, when the store is silent, by that of every
-    /// other controller. A controller can't tell an outage from a 503 of its own, hence *every* other one.
+    /// Whether this controller may respond and send commands: by its lease on the state store, or, while the state
+    /// store does not respond, by the confirmation of every other controller. It must be *every* other one, because a
+    /// controller cannot distinguish an outage of the state store from a 503 that it alone receives.
     #[must_use]
     pub fn is_leader(&self, now: Micros) -> bool {
         if self.epoch == 0 || self.has_stepped_down || self.has_yielded() || !self.members.contains(&self.me)
@@ -56,36 +59,42 @@
 
     fn is_confirmed_by(&self, confirmed: &PeerConfirmation, now: Micros) -> bool {
         confirmed.epoch == self.epoch
-            && now < confirmed.echo + self.confirmation.shortened()
+            && now < confirmed.echo + self.confirmation_lifetime.shortened()
             && confirmed.echo > Micros(0)
     }
 
-    /// Whether no other controller can still be acting under an older epoch: each has said that it knows this one, or its
-    /// leadership has run out. A member's leadership lasts a lease from when the epoch was raised at the latest; one that
-    /// is no member lost its lease before that, and lives at most on the confirmation that we gave before adopting.
+    /// Whether no other controller can still be acting under an older epoch: each has confirmed this one, or its
+    /// leadership has expired. The leadership of a member expires at most one lease after the epoch was raised. A
+    /// controller that is not a member lost its lease before that, and can act at most as long as the confirmation
+    /// lasts that this controller gave before it adopted the epoch.
     #[must_use]
     pub fn have_older_leaders_stopped(&self, now: Micros) -> bool {
         self.other_confirmations().all(|(peer, confirmed)| {
-            let wait = if self.members.contains(&peer) { self.member_lease } else { self.confirmation };
-            confirmed.epoch >= self.epoch || now >= self.adopted_at + wait.stretched()
+            let max_leadership =
+                if self.members.contains(&peer) { self.member_lease } else { self.confirmation_lifetime };
+            confirmed.epoch >= self.epoch || now >= self.adopted_at + max_leadership.stretched()
         })
     }
 
-    /// Called at every round: notes the first moment of this epoch at which [`Membership::have_older_leaders_stopped`].
+    /// Records the first time in this epoch at which [`Membership::have_older_leaders_stopped`]. Called every round.
     pub fn note_older_leaders_stopped(&mut self, now: Micros) {
-        if self.older_stopped_at.is_none() && self.epoch > 0 && self.have_older_leaders_stopped(now) {
-            self.older_stopped_at = Some(now);
+        if self.older_leaders_stopped_since.is_none()
+            && self.epoch > 0
+            && self.have_older_leaders_stopped(now)
+        {
+            self.older_leaders_stopped_since = Some(now);
         }
     }
 
-    /// From when on no older token can be answering any worker: when all others had said that they know this epoch, or had
-    /// certainly lost their leadership; before that is seen, when they will have lost it.
+    /// Returns the time from which no controller can respond to a worker with an older fencing token: when all others
+    /// had confirmed this epoch or certainly lost their leadership, or, before that is known, when they will have
+    /// lost it.
     #[must_use]
     pub fn older_leaders_stopped_at(&self) -> Micros {
-        self.older_stopped_at.unwrap_or(self.adopted_at + self.member_lease.stretched())
+        self.older_leaders_stopped_since.unwrap_or(self.adopted_at + self.member_lease.stretched())
     }
 
-    /// The other controllers, members or not, and what each has confirmed.
+    /// Returns the other controllers, members or not, and what each has confirmed.
     fn other_confirmations(&self) -> impl Iterator<Item = (usize, &PeerConfirmation)> {
         self.confirmations.iter().enumerate().filter(|(peer, _)| *peer != self.me)
     }
--- a/src/membership/misrouted_heartbeats.rs
+++ b/src/membership/misrouted_heartbeats.rs
@@ -1,42 +1,43 @@
-//! Machines of another controller whose workers turn up here: their leader is told, since it may hear no worker at all and
-//! not know that they live.
+//! Heartbeats of machines that another controller leads. Their leader is informed, since it may receive no heartbeats
+//! at all and treat the machines as unresponsive.
 
 use crate::wire::workers::HeartbeatId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines named to their leader at a time.
-const NAMED_AT_A_TIME: usize = 50;
+/// Maximum number of machines that are reported to their leader at a time.
+const MAX_REPORTED_MACHINES: usize = 50;
 
-/// How often a machine's worker came here.
+/// The heartbeats of one machine that arrived here.
 #[derive(Clone, Copy, Debug, Default)]
-struct Visits {
+struct Arrivals {
     count: u32,
     last: HeartbeatId,
 }
 
-/// The machines of one other controller that turned up here in this epoch.
+/// The machines of one other controller whose heartbeats arrived here in this epoch.
 #[derive(Clone, Debug, Default)]
 pub struct MisroutedHeartbeats {
-    visits: BTreeMap<String, Visits>,
+    arrivals: BTreeMap<String, Arrivals>,
     unreported: BTreeSet<String>,
 }
 
 impl MisroutedHeartbeats {
-    /// A machine's worker came here and was sent on to its leader. If its leader has answered it in this epoch
-    /// (`was_answered`) it should be there; otherwise it may not have known better the first time. A copy of an older
-    /// heartbeat is no visit: `id` says which of its messages this one is.
+    /// Records that a machine's heartbeat arrived here and was redirected to the machine's leader. If that leader has
+    /// responded to the machine in this epoch (`was_answered`), the heartbeat should have gone there; otherwise the
+    /// worker may not have had the leader's address the first time. `id` identifies the heartbeat: a copy of an older
+    /// one is ignored.
     pub fn record(&mut self, machine: &str, id: HeartbeatId, was_answered: bool) {
-        let visits = self.visits.entry(machine.to_owned()).or_default();
-        if id <= visits.last {
+        let arrivals = self.arrivals.entry(machine.to_owned()).or_default();
+        if id <= arrivals.last {
             return;
         }
-        *visits = Visits { count: visits.count + 1, last: id };
-        if (was_answered || visits.count > 1) && self.unreported.len() < NAMED_AT_A_TIME {
+        *arrivals = Arrivals { count: arrivals.count + 1, last: id };
+        if (was_answered || arrivals.count > 1) && self.unreported.len() < MAX_REPORTED_MACHINES {
             self.unreported.insert(machine.to_owned());
         }
     }
 
-    /// The machines to name to their leader; each is returned once a visit.
+    /// Returns the machines to report to their leader; each is returned once per recorded heartbeat.
     #[must_use]
     pub fn take_unreported(&mut self) -> Vec<String> {
         std::mem::take(&mut self.unreported).into_iter().collect()
