--- a/crates/coordination/src/census.rs
+++ b/crates/coordination/src/census.rs
@@ -11,9 +11,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Key prefix of live jobs' records.
-pub const LIVE: &str = "job/";
+pub const LIVE_JOB_PREFIX: &str = "job/";
 /// Key prefix of final records.
-pub const ENDS: &str = "done/";
+pub const FINAL_RECORD_PREFIX: &str = "done/";
 
 /// The state of a member. A greater state is more final: it supersedes a lesser one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
 
 /// The coordination records that a job's record names.
 #[derive(Clone, Debug, PartialEq)]
-pub struct JobReading {
+pub struct JobMemberships {
     /// The coordination records that the job joined, by head key, with what it declares about each.
     pub joined: Vec<(String, Value)>,
     /// The job's state.
@@ -107,8 +107,8 @@
 
     fn prefix(&self) -> Option<&'static str> {
         match self.stage {
-            Stage::Live => Some(LIVE),
-            Stage::FinalRecords => Some(ENDS),
+            Stage::Live => Some(LIVE_JOB_PREFIX),
+            Stage::FinalRecords => Some(FINAL_RECORD_PREFIX),
             Stage::Complete => None,
         }
     }
@@ -119,7 +119,7 @@
         &mut self,
         rows: impl IntoIterator<Item = (String, Value)>,
         more: bool,
-        read: impl Fn(&str, &Value) -> Option<JobReading>,
+        read: impl Fn(&str, &Value) -> Option<JobMemberships>,
     ) {
         let Some(prefix) = self.prefix() else { return };
         for (key, value) in rows {
@@ -137,8 +137,8 @@
         }
     }
 
-    fn add_job(&mut self, id: &str, memberships: JobReading) {
-        let JobReading { joined, state } = memberships;
+    fn add_job(&mut self, id: &str, memberships: JobMemberships) {
+        let JobMemberships { joined, state } = memberships;
         for (record, declaration) in joined {
             if !self.records.contains(&record) {
                 continue;
--- a/crates/coordination/src/census/tests.rs
+++ b/crates/coordination/src/census/tests.rs
@@ -2,14 +2,14 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-fn read(_: &str, value: &Value) -> Option<JobReading> {
+fn read(_: &str, value: &Value) -> Option<JobMemberships> {
     let joined = vec![(value["pact"].as_str()?.to_owned(), json!(1))];
     let state = match value["end"].as_str() {
         None => CensusJobState::Live,
         Some("done") => CensusJobState::Done,
         Some(_) => CensusJobState::Cancelled,
     };
-    Some(JobReading { joined, state })
+    Some(JobMemberships { joined, state })
 }
 
 #[test]
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -6,7 +6,7 @@
 
 /// The format version that this version of the program writes. Records of a newer format version can't be read, and
 /// decisions that depend on them wait.
-pub const FORM: u64 = 1;
+pub const FORMAT_VERSION: u64 = 1;
 /// Key prefix of all record heads. Pages have another prefix, so that a list of heads is short.
 pub const HEAD_PREFIX: &str = "pact/";
 /// Key prefix of all pages.
@@ -89,14 +89,14 @@
 
     /// Returns the head's key in the state store.
     #[must_use]
-    pub fn head(&self) -> String {
+    pub fn head_key(&self) -> String {
         format!("{}{}", self.kind.prefix(), self.name)
     }
 
     /// Returns a page's key. It contains the version, so that a page that is written late is never read as a page of
     /// another version.
     #[must_use]
-    pub fn page(&self, version: u64, number: usize) -> String {
+    pub fn page_key(&self, version: u64, number: usize) -> String {
         format!("{PAGE_PREFIX}{}/{}/{version}/{number:05}", self.kind.code(), self.name)
     }
 }
@@ -130,7 +130,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unreadable {
     /// A newer version of this program wrote the record.
-    #[error("the record has form {0}, and this controller reads forms up to {FORM}")]
+    #[error("the record has form {0}, and this controller reads forms up to {FORMAT_VERSION}")]
     Newer(u64),
     /// The record is damaged.
     #[error("the record can't be read: {0} is missing or wrong")]
@@ -163,7 +163,7 @@
         let number =
             |key: &'static str| value.get(key).and_then(Value::as_u64).ok_or(Unreadable::Damaged(key));
         let format_version = number("form")?;
-        if format_version > FORM {
+        if format_version > FORMAT_VERSION {
             return Err(Unreadable::Newer(format_version));
         }
         let phase = value.get("phase").cloned().and_then(|phase| serde_json::from_value(phase).ok());
@@ -177,8 +177,8 @@
 
     /// Returns the value to write.
     #[must_use]
-    pub fn value(&self) -> Value {
-        json!({"form": FORM, "version": self.version, "phase": self.phase, "pages": self.pages, "body": self.body})
+    pub fn to_value(&self) -> Value {
+        json!({"form": FORMAT_VERSION, "version": self.version, "phase": self.phase, "pages": self.pages, "body": self.body})
     }
 
     /// Checks that `next` may replace this record. Call it before every write: decisions that were based on a record
@@ -186,7 +186,7 @@
     ///
     /// # Errors
     /// If the version or the phase would decrease.
-    pub fn allows(&self, next: &CoordinationRecord) -> Result<(), TransitionError> {
+    pub fn check_transition(&self, next: &CoordinationRecord) -> Result<(), TransitionError> {
         if next.version < self.version {
             return Err(TransitionError::Version(self.version));
         }
@@ -203,7 +203,7 @@
 /// Splits a list into the values of pages, each at most `max_bytes` long. Also returns the number of items that are
 /// too long for any page; these are left out, and the caller has to treat that as an error.
 #[must_use]
-pub fn pages(items: impl IntoIterator<Item = Value>, max_bytes: usize) -> (Vec<Value>, usize) {
+pub fn split_into_pages(items: impl IntoIterator<Item = Value>, max_bytes: usize) -> (Vec<Value>, usize) {
     let mut pages: Vec<Vec<Value>> = Vec::new();
     let (mut free_bytes, mut left_out) = (0usize, 0);
     for item in items {
@@ -221,16 +221,18 @@
             page.push(item);
         }
     }
-    (pages.into_iter().map(|items| json!({"form": FORM, "items": items})).collect(), left_out)
+    (pages.into_iter().map(|items| json!({"form": FORMAT_VERSION, "items": items})).collect(), left_out)
 }
 
 /// Reads a page.
 ///
 /// # Errors
 /// If it has a newer format version, or is damaged.
-pub fn items(page: &Value) -> Result<&[Value], Unreadable> {
+pub fn read_page_items(page: &Value) -> Result<&[Value], Unreadable> {
     match page.get("form").and_then(Value::as_u64) {
-        Some(format_version) if format_version > FORM => return Err(Unreadable::Newer(format_version)),
+        Some(format_version) if format_version > FORMAT_VERSION => {
+            return Err(Unreadable::Newer(format_version));
+        }
         Some(_) => {}
         None => return Err(Unreadable::Damaged("form")),
     }
--- a/crates/coordination/src/record_cache.rs
+++ b/crates/coordination/src/record_cache.rs
@@ -70,15 +70,15 @@
 }
 
 impl RecordCache {
-    /// Adds a record to the cache. It is read once, and then again as [`RecordCache::due`] returns it. Does nothing
+    /// Adds a record to the cache. It is read once, and then again as [`RecordCache::due_reads`] returns it. Does nothing
     /// if the cache already has it.
-    pub fn want(&mut self, key: &Key) {
+    pub fn track(&mut self, key: &Key) {
         self.entries.entry(key.clone()).or_insert_with(Entry::new);
     }
 
     /// Requires a read that begins no earlier than `now`, as soon as possible.
-    pub fn want_since(&mut self, key: &Key, now: Micros) {
-        self.want(key);
+    pub fn require_read_since(&mut self, key: &Key, now: Micros) {
+        self.track(key);
         if let Some(entry) = self.entries.get_mut(key) {
             entry.required_since = entry.required_since.max(now);
             entry.next_read = Micros(0);
@@ -93,7 +93,7 @@
     /// Returns up to `max_keys` records to read now: those never read, those of which a newer read is required, and
     /// those whose `next_read` time has come. The records that were read longest ago come first.
     #[must_use]
-    pub fn due(&self, now: Micros, max_keys: usize) -> Vec<Key> {
+    pub fn due_reads(&self, now: Micros, max_keys: usize) -> Vec<Key> {
         let mut due: Vec<(Micros, Key)> = self
             .entries
             .iter()
--- a/crates/failover/src/start_replica.rs
+++ b/crates/failover/src/start_replication.rs
@@ -106,7 +106,7 @@
 
     /// Resets a replica that is not needed for now. What it holds may become stale, and the next delta sends it the
     /// full set. Otherwise the changes that it is not sent would accumulate.
-    pub fn forget(&mut self, peer: usize) {
+    pub fn reset_replica(&mut self, peer: usize) {
         if let Some(replica) = self.replicas.get_mut(&peer) {
             *replica = Replica::new(self.revision);
         }
--- a/crates/failover/src/start_replica/tests.rs
+++ b/crates/failover/src/start_replication/tests.rs
@@ -44,7 +44,7 @@
                             .extend(receivers[peer - 1].apply(delta).map(|revision| (peer, revision)));
                     }
                 }
-                6 if !is_lossless && rng.random_bool(0.1) => sender.forget(2),
+                6 if !is_lossless && rng.random_bool(0.1) => sender.reset_replica(2),
                 _ if !acknowledgements.is_empty() => {
                     let (peer, revision) =
                         acknowledgements.swap_remove(rng.random_range(0..acknowledgements.len()));
--- a/src/machine_shard.rs
+++ b/src/machine_shard.rs
@@ -144,13 +144,13 @@
     /// Records a message from a job leader. `echo` is the latest reading of this controller's clock that the job
     /// leader had received when it sent the message; `seen_revision` is the revision of this shard's status that the
     /// message takes into account.
-    pub fn note_owner_message(&mut self, job_leader: usize, echo: Micros, seen_revision: u64) {
+    pub fn record_job_leader_message(&mut self, job_leader: usize, echo: Micros, seen_revision: u64) {
         self.job_leader_liveness.record_message(job_leader, echo, seen_revision);
     }
 
     /// Returns whether a message from a job leader was recorded since the last call, and clears that flag.
     #[must_use]
-    pub fn take_owner_news(&mut self) -> bool {
+    pub fn take_job_leader_message_flag(&mut self) -> bool {
         self.job_leader_liveness.take_new_message_flag()
     }
 
@@ -158,13 +158,13 @@
     /// confirmed to a user that the job is cancelled, so long ago that the task could no longer be stopped within
     /// `cancel_s`.
     #[must_use]
-    pub fn may_renew_lease(&self, now: Micros, name: &str) -> bool {
+    pub fn can_renew_lease(&self, now: Micros, name: &str) -> bool {
         self.machines.get(name).is_none_or(|machine| self.job_leader_liveness.can_renew_lease(now, machine))
     }
 
     /// Returns the number of machines whose task list is complete, and the number of all machines.
     #[must_use]
-    pub fn counts(&self) -> (usize, usize) {
+    pub fn count_known_and_total(&self) -> (usize, usize) {
         let is_known = |machine: &&Machine| machine.inventory == InventoryState::Known;
         (self.machines.values().filter(is_known).count(), self.machines.len())
     }
--- a/src/machine_shard/admission.rs
+++ b/src/machine_shard/admission.rs
@@ -23,7 +23,7 @@
         }
         self.desired_revisions[from] = state.revision;
         if state.base_revision == 0 {
-            self.drop_unlisted(from, &state.list, membership);
+            self.drop_unlisted(from, &state.tasks, membership);
         }
         for (machine, key) in &state.removed {
             self.decided_starts.remove(key);
@@ -34,7 +34,7 @@
                 self.drop_start(machine, key);
             }
         }
-        for desired in &state.list {
+        for desired in &state.tasks {
             if membership.job_leader(&desired.key.job) == Some(from) {
                 self.apply_desired_task(now, from, desired, &capacity);
             }
@@ -146,7 +146,7 @@
         }
         let Some(total) = capacity(&machine.record.kind) else { return };
         let has_live_attempt = machine.has_live_attempt_of(&desired.key);
-        let fits = machine.free(total).is_some_and(|free| free.holds(desired.room));
+        let fits = machine.free(total).is_some_and(|free| free.can_hold(desired.resources));
         if !machine.is_schedulable(now, self.silence_limit) || !fits || has_live_attempt {
             tracing::debug!(machine = %desired.machine, job = %desired.key.job, task = desired.key.index, fits, has_live_attempt, "start refused");
             return;
--- a/src/machine_shard/fencing_probe/tests.rs
+++ b/src/machine_shard/fencing_probe/tests.rs
@@ -19,7 +19,7 @@
         shard.apply_probe_answer(Micros(20), &membership, &heartbeat(3, 6, &[])),
         HeartbeatOutcome::Stale
     );
-    assert_eq!(shard.counts(), (0, 1), "the response to an older token may still be executed");
+    assert_eq!(shard.count_known_and_total(), (0, 1), "the response to an older token may still be executed");
     assert_eq!(
         shard.apply_probe_answer(Micros(20), &membership, &heartbeat(4, 8, &[])),
         HeartbeatOutcome::Fenced
@@ -28,7 +28,7 @@
         shard.apply_probe_answer(Micros(20), &membership, &heartbeat(5, 7, &[("wk-1/0", 1, "running")])),
         HeartbeatOutcome::Accepted
     );
-    assert_eq!(shard.counts(), (1, 1));
+    assert_eq!(shard.count_known_and_total(), (1, 1));
     assert_eq!(
         shard.status_delta(Micros(21), &membership, 0, 0, |_| Some(CAPACITY)).machines[0].tasks.len(),
         1
--- a/src/machine_shard/job_leader_liveness/tests.rs
+++ b/src/machine_shard/job_leader_liveness/tests.rs
@@ -85,13 +85,14 @@
     ) {
         let since = self.revisions[job_leader];
         self.revisions[job_leader] += 1;
-        let state = DesiredState { revision: since + 1, base_revision: since, list, removed: Vec::new() };
+        let state =
+            DesiredState { revision: since + 1, base_revision: since, tasks: list, removed: Vec::new() };
         let membership = self.membership.clone();
         assert!(
             self.shard.apply_desired_state(now, job_leader, &state, &membership, |_| Some(CAPACITY)),
             "no message is missing"
         );
-        self.shard.note_owner_message(job_leader, echo, seen_revision);
+        self.shard.record_job_leader_message(job_leader, echo, seen_revision);
     }
 
     fn adopt(&mut self, now: Micros, epoch: u64, members: &[usize]) {
@@ -111,16 +112,16 @@
     let machine = fixture.machine();
     let task = format!("{}/0", fixture.job(1));
     fixture.heartbeat(at(2000), &machine, &[(&task, 1, "running")]);
-    assert!(!fixture.shard.may_renew_lease(at(2000), &machine), "the job leader has sent no message");
+    assert!(!fixture.shard.can_renew_lease(at(2000), &machine), "the job leader has sent no message");
     fixture.deliver(at(3000), 1, at(2900), vec![]);
     assert!(
-        fixture.shard.may_renew_lease(at(3000), &machine),
+        fixture.shard.can_renew_lease(at(3000), &machine),
         "the job leader's message takes the task into account and does not stop it"
     );
     let limit_end = at(2900) + fixture.contact_limit;
     assert!(
-        fixture.shard.may_renew_lease(Micros(limit_end.0 - 1), &machine)
-            && !fixture.shard.may_renew_lease(limit_end, &machine),
+        fixture.shard.can_renew_lease(Micros(limit_end.0 - 1), &machine)
+            && !fixture.shard.can_renew_lease(limit_end, &machine),
         "no more messages arrive"
     );
     // One direction: the job leader's messages arrive, but the echo does not advance, so they may be as old as the
@@ -128,16 +129,16 @@
     for second in 4..40 {
         fixture.deliver(at(second * 1000), 1, at(2900), vec![]);
     }
-    assert!(!fixture.shard.may_renew_lease(limit_end, &machine));
+    assert!(!fixture.shard.can_renew_lease(limit_end, &machine));
     // Late: this message was sent long ago.
     fixture.deliver(at(40_000), 1, at(20_000), vec![]);
     assert!(
-        fixture.shard.may_renew_lease(at(40_000), &machine)
-            && !fixture.shard.may_renew_lease(at(20_000) + fixture.contact_limit, &machine)
+        fixture.shard.can_renew_lease(at(40_000), &machine)
+            && !fixture.shard.can_renew_lease(at(20_000) + fixture.contact_limit, &machine)
     );
     // Messages of another controller are no evidence.
     fixture.deliver(at(50_000), 2, at(50_000), vec![]);
-    assert!(!fixture.shard.may_renew_lease(at(50_000), &machine));
+    assert!(!fixture.shard.can_renew_lease(at(50_000), &machine));
 }
 
 /// A job leader that has not learned of a task omits it from its messages whatever became of the job. So a message
@@ -150,9 +151,9 @@
     let revision_before = fixture.shard.revision();
     fixture.heartbeat(at(2000), &machine, &[(&task, 1, "running")]);
     fixture.deliver_with_seen_revision(at(3000), 1, at(2900), vec![], revision_before);
-    assert!(!fixture.shard.may_renew_lease(at(3000), &machine));
+    assert!(!fixture.shard.can_renew_lease(at(3000), &machine));
     fixture.deliver(at(4000), 1, at(3900), vec![]);
-    assert!(fixture.shard.may_renew_lease(at(4000), &machine));
+    assert!(fixture.shard.can_renew_lease(at(4000), &machine));
 }
 
 /// A response that carries the command to stop the task may renew the lease.
@@ -170,7 +171,7 @@
         ..desired_start(1, 1000)
     };
     fixture.deliver(at(3000), 1, at(2900), vec![stop]);
-    assert!(fixture.shard.may_renew_lease(at(900_000), &machine));
+    assert!(fixture.shard.can_renew_lease(at(900_000), &machine));
     let membership = fixture.membership.clone();
     let response = fixture.shard.issue_commands(&membership, &machine, |_| true).expect("known");
     assert_eq!(response.commands.iter().map(|command| command.verb()).collect::<Vec<_>>(), ["kill"]);
@@ -189,14 +190,14 @@
     for (index, members) in [[0, 2], [0, 1], [0, 2]].iter().enumerate() {
         fixture.adopt(at(10_000 + 4000 * index as u64), 8 + index as u64, members);
         assert!(
-            fixture.shard.may_renew_lease(Micros(limit_end.0 - 1), &machine)
-                && !fixture.shard.may_renew_lease(limit_end, &machine)
+            fixture.shard.can_renew_lease(Micros(limit_end.0 - 1), &machine)
+                && !fixture.shard.can_renew_lease(limit_end, &machine)
         );
     }
     let job_leader = fixture.membership.job_leader(task.split('/').next().expect("a job")).expect("a leader");
     fixture.deliver(at(22_000), job_leader, at(21_900), vec![]);
     assert!(
-        fixture.shard.may_renew_lease(limit_end, &machine),
+        fixture.shard.can_renew_lease(limit_end, &machine),
         "the new job leader has read the job's record and received the status with the task"
     );
 }
@@ -211,12 +212,12 @@
     let machine = fixture.machine();
     let task = format!("{}/0", fixture.job(1));
     fixture.heartbeat(at(3000), &machine, &[(&task, 1, "running")]);
-    assert!(!fixture.shard.may_renew_lease(at(3000), &machine));
+    assert!(!fixture.shard.can_renew_lease(at(3000), &machine));
     fixture.deliver(at(3500), 1, at(3400), vec![]);
-    assert!(fixture.shard.may_renew_lease(at(3500), &machine));
+    assert!(fixture.shard.can_renew_lease(at(3500), &machine));
     // A machine without tasks needs no evidence.
     fixture.heartbeat(at(4000), &machine, &[]);
-    assert!(fixture.shard.may_renew_lease(at(900_000), &machine));
+    assert!(fixture.shard.can_renew_lease(at(900_000), &machine));
 }
 
 /// A start is also sent in a response. If its job leader's messages no longer arrive, the job may be cancelled.
@@ -234,8 +235,8 @@
         vec![DesiredTask { key, machine: machine.clone(), ..desired_start(1, 1000) }],
     );
     assert!(
-        fixture.shard.may_renew_lease(at(3000), &machine)
-            && !fixture.shard.may_renew_lease(at(2900) + fixture.contact_limit, &machine)
+        fixture.shard.can_renew_lease(at(3000), &machine)
+            && !fixture.shard.can_renew_lease(at(2900) + fixture.contact_limit, &machine)
     );
     let membership = fixture.membership.clone();
     assert_eq!(
--- a/src/machine_shard/machine.rs
+++ b/src/machine_shard/machine.rs
@@ -46,7 +46,7 @@
     /// Applies the job leader's desired state of this task.
     pub(super) fn apply_desired(&mut self, desired: &DesiredTask) {
         self.job_leader_evidence.mark_desired();
-        self.resources = Some(desired.room);
+        self.resources = Some(desired.resources);
         self.priority = desired.priority;
         self.image = desired.image;
         self.desired = Some(desired.action);
--- a/src/machine_shard/registration.rs
+++ b/src/machine_shard/registration.rs
@@ -95,7 +95,7 @@
     /// Returns the returned machines that `to` leads in `next`. A controller that has just started has no list of
     /// them and would wait for the leases of all machines that the registry pages still list.
     #[must_use]
-    pub fn returned_machines_of(&self, to: usize, next: &Membership) -> Vec<String> {
+    pub fn returned_machines_led_by(&self, to: usize, next: &Membership) -> Vec<String> {
         self.returned_machines.iter().filter(|name| next.machine_leader(name) == Some(to)).cloned().collect()
     }
 
--- a/src/machine_shard/tests.rs
+++ b/src/machine_shard/tests.rs
@@ -29,13 +29,13 @@
     Heartbeat {
         machine: "i-1".into(),
         addr: String::new(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "z".into(),
         spot: false,
         incarnation: 1,
         sequence,
         token,
-        notice_s: None,
+        time_to_termination_s: None,
         tasks,
     }
 }
@@ -43,14 +43,14 @@
     DesiredTask {
         key: TaskKey { job: "wk-1".into(), index: 0, attempt },
         machine: "i-1".into(),
-        room: Resources { cpus, gpus: 0, memory: 0 },
+        resources: Resources { cpus, gpus: 0, memory: 0 },
         action: DesiredAction::Run,
         priority: 0,
         image: 0,
     }
 }
 pub(super) fn full_state(revision: u64, list: Vec<DesiredTask>) -> DesiredState {
-    DesiredState { revision, base_revision: 0, list, removed: Vec::new() }
+    DesiredState { revision, base_revision: 0, tasks: list, removed: Vec::new() }
 }
 pub(super) fn issue_starts(shard: &mut MachineShard, membership: &Membership) -> usize {
     let response = shard.issue_commands(membership, "i-1", |_| true).expect("known");
@@ -186,7 +186,7 @@
         shard.apply_heartbeat(Micros(30), &membership, &heartbeat(2, 7, &running));
         let status = shard.status_delta(Micros(31), &membership, 0, 0, |_| Some(CAPACITY)).machines.remove(0);
         assert!(
-            status.open && status.free.cpus == 500,
+            status.is_schedulable && status.free.cpus == 500,
             "the resources of the tasks are known too: {status:?}"
         );
     }
@@ -236,14 +236,18 @@
     shard.apply_heartbeat(Micros(20), &membership, &copy);
     shard.apply_scaling_plan(&BTreeSet::new(), &["i-1".into()]);
     shard.drop_gone(&[u64::MAX]);
-    assert_eq!(shard.counts(), (0, 0));
+    assert_eq!(shard.count_known_and_total(), (0, 0));
     assert_eq!(
         shard.apply_heartbeat(Micros(60_000_000), &membership, &heartbeat(3, 7, &[])),
         HeartbeatOutcome::Stale
     );
     assert_eq!(shard.apply_heartbeat(Micros(61_000_000), &membership, &copy), HeartbeatOutcome::Stale);
     assert_eq!(
-        (shard.counts(), shard.count_live(Micros(61_000_001)), shard.take_unregistered().len()),
+        (
+            shard.count_known_and_total(),
+            shard.count_live(Micros(61_000_001)),
+            shard.take_unregistered().len()
+        ),
         ((0, 0), 0, 0)
     );
 }
@@ -262,7 +266,10 @@
             HeartbeatOutcome::Stale
         );
         let status = shard.status_delta(later, &membership, 0, 0, |_| Some(CAPACITY)).machines.remove(0);
-        assert!(!status.open && status.tasks.is_empty() && shard.count_live(later) == 0, "{status:?}");
+        assert!(
+            !status.is_schedulable && status.tasks.is_empty() && shard.count_live(later) == 0,
+            "{status:?}"
+        );
         assert_eq!(
             shard.apply_heartbeat(later, &membership, &Heartbeat { incarnation: 2, ..heartbeat(1, 7, &[]) }),
             HeartbeatOutcome::Accepted
@@ -278,7 +285,11 @@
     let (membership, mut shard) = shard_with_registered_machine();
     let is_schedulable = |shard: &mut MachineShard, at: u64| {
         shard.expire_leases(Micros(at), &membership);
-        shard.status_delta(Micros(at), &membership, 0, 0, |_| Some(CAPACITY)).machines.remove(0).open
+        shard
+            .status_delta(Micros(at), &membership, 0, 0, |_| Some(CAPACITY))
+            .machines
+            .remove(0)
+            .is_schedulable
     };
     for lost in 1..3 {
         let at = lost * 3_000_000;
@@ -312,7 +323,8 @@
 
 fn inventory(shard: &mut MachineShard, membership: &Membership, seconds: f64) -> InventoryState {
     shard.expire_leases(Micros::from_secs(seconds), membership);
-    shard.status_delta(Micros::from_secs(seconds), membership, 0, 0, |_| Some(CAPACITY)).machines[0].standing
+    shard.status_delta(Micros::from_secs(seconds), membership, 0, 0, |_| Some(CAPACITY)).machines[0]
+        .inventory_state
 }
 
 /// Other controllers may have responded to the machine for a store lease, 6 s, and its lease with the margin ends
--- a/src/machine_shard/worker_lease.rs
+++ b/src/machine_shard/worker_lease.rs
@@ -52,7 +52,7 @@
         }
         self.next_lease_check = now + CHECK_INTERVAL;
         self.older_leaders_stopped_at = membership.older_leaders_stopped_at();
-        let lease = self.worker_lease.stretched() + Micros(self.worker_lease.0 / 40 + LEASE_MARGIN.0);
+        let lease = self.worker_lease.plus_drift() + Micros(self.worker_lease.0 / 40 + LEASE_MARGIN.0);
         for (name, machine) in &mut self.machines {
             if machine.inventory == InventoryState::Gone {
                 continue;
@@ -137,7 +137,7 @@
     /// has responded to it since the others stopped. A copy of an old heartbeat proves no less, since the worker
     /// drops the response to it.
     fn is_receiving_no_responses(&self, others_expired_at: Micros) -> bool {
-        self.no_response_received_at.is_some_and(|at| at >= others_expired_at + RESPONSE_TIMEOUT.stretched())
+        self.no_response_received_at.is_some_and(|at| at >= others_expired_at + RESPONSE_TIMEOUT.plus_drift())
     }
 
     /// Records that a heartbeat did not list starts that were sent with the response to an earlier heartbeat of the
--- a/src/machine_view.rs
+++ b/src/machine_view.rs
@@ -12,7 +12,7 @@
 pub struct MachineSnapshot {
     status: MachineStatus,
     /// When the cloud terminates the machine, if that was announced.
-    pub notice_at: Option<Micros>,
+    pub termination_at: Option<Micros>,
     /// Since when it has had no task, if it has none.
     pub idle_since: Option<Micros>,
     /// When its last heartbeat arrived, if it has missed heartbeats.
@@ -32,9 +32,9 @@
     pub fn new(now: Micros, status: MachineStatus) -> MachineSnapshot {
         let subtract_from_now = |duration: Micros| Micros(now.0.saturating_sub(duration.0));
         MachineSnapshot {
-            notice_at: status.notice.map(|duration| now + duration),
-            idle_since: status.idle.map(subtract_from_now),
-            silent_since: status.silent.map(subtract_from_now),
+            termination_at: status.time_to_termination.map(|duration| now + duration),
+            idle_since: status.idle_time.map(subtract_from_now),
+            silent_since: status.silent_time.map(subtract_from_now),
             status,
         }
     }
@@ -70,7 +70,7 @@
     /// Machines whose status is to be processed.
     pub names: BTreeSet<String>,
     /// Whether the delta was a full state: machines that it does not list were returned to the cloud.
-    pub is_whole: bool,
+    pub is_full: bool,
 }
 
 impl MachineView {
@@ -94,14 +94,14 @@
     }
 
     /// Records that a revision was sent that requests starts on these machines.
-    pub fn await_answer(&mut self, revision: u64, machines: Vec<String>) {
+    pub fn record_start_request(&mut self, revision: u64, machines: Vec<String>) {
         if !machines.is_empty() {
             self.requested_starts.insert(revision, machines);
         }
     }
 
     /// Clears the requested starts at a new epoch, in which older revisions are no longer answered.
-    pub fn forget_awaited(&mut self) {
+    pub fn clear_start_requests(&mut self) {
         self.requested_starts.clear();
     }
 
@@ -138,7 +138,7 @@
             self.machines.insert(status.name.clone(), MachineSnapshot::new(now, status));
         }
         names.extend(self.take_answered_requests());
-        Some(StatusChange { names, is_whole })
+        Some(StatusChange { names, is_full: is_whole })
     }
 
     /// Removes and returns the machines on which starts were requested by revisions that the machine shard has seen.
--- a/src/machine_view/tests.rs
+++ b/src/machine_view/tests.rs
@@ -33,13 +33,13 @@
     Heartbeat {
         machine: format!("i-{machine}"),
         addr: String::new(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "z".into(),
         spot: false,
         incarnation: 1,
         sequence,
         token: 7,
-        notice_s: None,
+        time_to_termination_s: None,
         tasks,
     }
 }
@@ -90,7 +90,7 @@
                         .map(|((machine, key), _)| DesiredTask {
                             key: key.clone(),
                             machine: machine.clone(),
-                            room: Resources { cpus: 1000, gpus: 0, memory: 0 },
+                            resources: Resources { cpus: 1000, gpus: 0, memory: 0 },
                             action: DesiredAction::Hold,
                             priority: 0,
                             image: 0,
@@ -104,7 +104,7 @@
                     state_messages.push(DesiredState {
                         revision: current_revision,
                         base_revision: since,
-                        list,
+                        tasks: list,
                         removed,
                     });
                 }
@@ -134,12 +134,15 @@
         for expected in full.machines {
             let snapshot = &held[&expected.name];
             // Time spans count from when each status was sent.
-            let without_spans =
-                |status: &MachineStatus| MachineStatus { idle: None, silent: None, ..status.clone() };
+            let without_spans = |status: &MachineStatus| MachineStatus {
+                idle_time: None,
+                silent_time: None,
+                ..status.clone()
+            };
             assert_eq!(without_spans(snapshot), without_spans(&expected), "seed {seed}");
             assert_eq!(
-                (snapshot.idle.is_some(), snapshot.silent.is_some()),
-                (expected.idle.is_some(), expected.silent.is_some())
+                (snapshot.idle_time.is_some(), snapshot.silent_time.is_some()),
+                (expected.idle_time.is_some(), expected.silent_time.is_some())
             );
             for task in expected.tasks.iter().filter(|task| task.key.index == 50) {
                 let key = (expected.name.clone(), task.key.clone());
--- a/src/membership/leadership.rs
+++ b/src/membership/leadership.rs
@@ -18,7 +18,7 @@
     /// Records that the state store renewed this controller's lease and returned the adopted epoch as the newest. Both
     /// requests were sent no earlier than `sent`.
     pub fn renew_store_lease(&mut self, sent: Micros) {
-        self.store_lease_until = self.store_lease_until.max(sent + self.member_lease.shortened());
+        self.store_lease_until = self.store_lease_until.max(sent + self.member_lease.minus_drift());
     }
 
     /// Records that the lease is lost.
@@ -59,7 +59,7 @@
 
     fn is_confirmed_by(&self, confirmed: &PeerConfirmation, now: Micros) -> bool {
         confirmed.epoch == self.epoch
-            && now < confirmed.echo + self.confirmation_lifetime.shortened()
+            && now < confirmed.echo + self.confirmation_lifetime.minus_drift()
             && confirmed.echo > Micros(0)
     }
 
@@ -72,7 +72,7 @@
         self.other_confirmations().all(|(peer, confirmed)| {
             let max_leadership =
                 if self.members.contains(&peer) { self.member_lease } else { self.confirmation_lifetime };
-            confirmed.epoch >= self.epoch || now >= self.adopted_at + max_leadership.stretched()
+            confirmed.epoch >= self.epoch || now >= self.adopted_at + max_leadership.plus_drift()
         })
     }
 
@@ -91,7 +91,7 @@
     /// lost it.
     #[must_use]
     pub fn older_leaders_stopped_at(&self) -> Micros {
-        self.older_leaders_stopped_since.unwrap_or(self.adopted_at + self.member_lease.stretched())
+        self.older_leaders_stopped_since.unwrap_or(self.adopted_at + self.member_lease.plus_drift())
     }
 
     /// Returns the other controllers, members or not, and what each has confirmed.
--- a/src/membership/step_down/tests.rs
+++ b/src/membership/step_down/tests.rs
@@ -95,7 +95,7 @@
         step_down.record_probe(false);
         step_down.record_probe(true);
         assert!(
-            !step_down.can_rejoin(left_at + MAX_ABSENCE.shortened(), &[0, 2]),
+            !step_down.can_rejoin(left_at + MAX_ABSENCE.minus_drift(), &[0, 2]),
             "one reached worker is not enough"
         );
         assert!(
