--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -230,9 +230,7 @@
 /// If it has a newer format version, or is damaged.
 pub fn read_page_items(page: &Value) -> Result<&[Value], Unreadable> {
     match page.get("form").and_then(Value::as_u64) {
-        Some(format_version) if format_version > FORMAT_VERSION => {
-            return Err(Unreadable::Newer(format_version));
-        }
+        Some(version) if version > FORMAT_VERSION => return Err(Unreadable::Newer(version)),
         Some(_) => {}
         None => return Err(Unreadable::Damaged("form")),
     }
