--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -393,7 +393,7 @@
                 adopted: false,
             };
             let attempt = assignment.attempt;
-            tracing::debug!(job = %id, task = index, machine = %machine.name, attempt, "task assigned");
+            tracing::debug!(job = %id, task = index, machine = %machine.name, attempt, "task placed");
             self.delivery.mark_changed(&machine.name, id, index, attempt);
             assigned.push((machine.name.as_str(), index));
             job.assignments.insert(index, assignment);
