--- a/src/job_shard.rs
+++ b/src/job_shard.rs
@@ -1,9 +1,13 @@
-//! The leader of a shard of jobs: their records, their starts and stops, gangs, dependencies, quota tiers, and what
-//! becomes of all that when the membership epoch changes.
+//! The job shard: the state of the live jobs that this controller leads, namely their records, the placement
+//! and termination of their tasks, gangs, dependencies and quota tiers, and the handover of all this when the
+//! membership epoch changes.
 //!
-//! `JobShard` owns the state of the live jobs that this controller leads. It sends nothing and reads no clock: the
-//! controller passes in what it hears, and asks for the next message, record or request. A task is never started while
-//! an earlier start of it may still run.
+//! Throughout this module an *attempt* is one execution of a task on one machine, identified by job, task
+//! index, attempt number and machine. Some type names call it a start.
+//!
+//! `JobShard` performs no I/O and reads no clock: the controller passes in every message and asks for the
+//! next message, record write or request. A task is never started while an earlier attempt of it may still be
+//! running.
 
 pub use dependencies::{Hold, declarations_in_record};
 pub use job::Job;
@@ -27,7 +31,7 @@
 mod outcomes;
 mod peer_reservations;
 mod placement_refusals;
-mod places;
+mod placement_targets;
 mod preemption;
 mod queue_order;
 mod quota_needs;
@@ -62,10 +66,10 @@
 use hazelsaddle_failover::unresolved::{UnresolvedSetId, UnresolvedSets};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All that a controller knows as the leader of jobs.
+/// The state that a controller keeps as the leader of jobs.
 pub struct JobShard {
     me: usize,
-    /// The most bytes that a stored value may have.
+    /// Maximum size of a stored value, in bytes.
     value_bytes: usize,
     /// Live jobs.
     pub jobs: BTreeMap<String, Job>,
@@ -73,65 +77,67 @@
     retired_starts: RetiredStarts,
     /// Tasks of live jobs that are assigned to each machine.
     assigned_by_machine: BTreeMap<String, BTreeSet<(String, u32)>>,
-    /// By member, the machines that it leads.
+    /// By member index, the machines that the member leads.
     views: Vec<MachineView>,
-    /// Machines that may run tasks that are not known, since their leader has not confirmed their list in this epoch.
+    /// Machines whose leader has not yet confirmed their task list in this epoch: they may run unknown tasks.
     unconfirmed_machines: BTreeSet<String>,
-    /// Sets of such machines that jobs wait for; a job keeps its own over epochs.
+    /// Sets of unconfirmed machines that jobs wait for. A job keeps its set across epochs.
     unresolved_sets: UnresolvedSets,
-    /// The set that jobs read in this epoch wait for.
+    /// The set that jobs loaded in this epoch wait for.
     set_of_epoch: Option<UnresolvedSetId>,
-    /// Some set has become empty: the starts of jobs may be known now.
+    /// Whether some set has become empty, so that the attempts of its jobs may now all be known.
     some_set_resolved: bool,
     start_replication: StartReplication,
-    /// Jobs whose record was written after this epoch was raised and perhaps in a newer one, and when we read it.
+    /// Jobs whose record was written after this epoch began and possibly in a newer one, with the time at
+    /// which this controller read it.
     awaiting_epoch_check: BTreeMap<String, Micros>,
     delivery: Delivery,
-    /// Records have been read in this epoch.
+    /// Whether the records have been read in this epoch.
     pub loaded: bool,
-    /// Nobody else can be answering as the leader of our jobs.
+    /// Whether no other controller can still be answering as the leader of this controller's jobs.
     pub older_leaders_stopped: bool,
-    /// Something changed that may let a task be placed.
+    /// Whether something has changed that may allow a task to be placed.
     pub replan: bool,
     end_queue: EndQueue,
     failures: FailureAttribution,
     dependents: Dependents,
-    /// Every end says its job's class: what is upstream of a merge must be known by it.
+    /// Whether every final record states the job's class. A merge needs the classes of the jobs upstream of
+    /// it.
     class_in_end_records: bool,
-    /// What found no room in the last scheduling pass.
+    /// Demand that the last scheduling pass could not place.
     demands: Vec<Demand>,
     unresolved_demand: UnresolvedDemand,
     loans: Loans,
-    /// How long a member of a gang may take to get ready.
+    /// How long a gang member may take to become ready.
     gang_wait: Micros,
-    /// How long a machine's leader answers the machine without word from us.
+    /// How long a machine's leader keeps answering the machine after the last message from the job's leader.
     leader_silence_limit: Micros,
-    /// From when on no controller of an older epoch can be answering agents.
-    older_epochs_silent_at: Micros,
+    /// Time from which no controller of an older epoch can still be answering workers.
+    older_epochs_stopped_at: Micros,
     objectives: Vec<Objective>,
-    /// The guarantees of teams that have any.
+    /// The guarantees of the teams that have one.
     guarantees: BTreeMap<String, Resources>,
-    /// Machines reserved for our waiting work.
+    /// Machines reserved for waiting work of this shard.
     reservations: Vec<Reservation>,
     peer_reservations: PeerReservations,
     autoscaler_reservations: AutoscalerReservations,
     /// When tasks were last preempted on a machine.
     last_preemption: BTreeMap<String, Micros>,
-    /// Machines on which borrowed room is being reclaimed, and since when.
+    /// Machines on which borrowed resources are being reclaimed, and since when.
     reclaim_since: BTreeMap<String, Micros>,
     preemption_requests: PreemptionRequests,
     placement_refusals: PlacementRefusals,
     /// When the first scheduling pass was due.
     loaded_at: Option<Micros>,
-    /// Shapes of jobs seen of late, and when.
+    /// Resource shapes of recently seen jobs, and when each was last seen.
     recent_shapes: Vec<(Demand, Micros)>,
-    /// The time of day at the last scheduling pass.
+    /// Wall-clock time of the last scheduling pass.
     wall_clock: Micros,
     run_times: RunTimes,
 }
 
 impl JobShard {
-    /// A shard without jobs.
+    /// Creates a shard without jobs.
     pub fn new(settings: &Settings) -> JobShard {
         let members = settings.members.len();
         JobShard {
@@ -161,7 +167,7 @@
             loans: Loans::new(settings.operators.loans.clone()),
             gang_wait: settings.gang_wait,
             leader_silence_limit: settings.reach,
-            older_epochs_silent_at: Micros(0),
+            older_epochs_stopped_at: Micros(0),
             objectives: settings.objectives.clone(),
             guarantees: settings
                 .teams
@@ -183,12 +189,13 @@
         }
     }
 
-    /// Notes the time of day, for what happens between scheduling passes.
+    /// Advances the wall-clock time between scheduling passes.
     pub fn advance_wall_clock(&mut self, wall: Micros) {
         self.wall_clock = self.wall_clock.max(wall);
     }
 
-    /// What a user sees of a live job: whether a task runs, and how many are done and run.
+    /// The status of a live job that its user sees: whether a task is running, and how many tasks are done
+    /// and running.
     pub fn user_status(&self, id: &str) -> Option<(&'static str, u32, u32)> {
         let job = self.jobs.get(id)?;
         let runs = |phase| matches!(phase, Some(TaskPhase::Running | TaskPhase::Saving));
@@ -196,29 +203,31 @@
         Some((if running > 0 { "running" } else { "pending" }, job.done.len(), running))
     }
 
-    /// Whether all that an ended job's tasks used is free again: every machine has been heard, and
-    /// no start of the job may still run.
+    /// Whether all resources that an ended job's tasks used are free again: every machine has reported in
+    /// this epoch, and no attempt of the job may still be running.
     pub fn has_released_resources(&self, id: &str) -> bool {
-        self.is_rebuilt() && !self.jobs.contains_key(id) && self.retired_starts.alive_of(id).next().is_none()
+        self.is_rebuilt()
+            && !self.jobs.contains_key(id)
+            && self.retired_starts.alive_attempts_of(id).next().is_none()
     }
 
-    /// What a job's starts take of its team's quota, those included that are not known to be gone.
+    /// What a job's attempts use of its team's quota, including attempts that are not known to be gone.
     fn resources_in_use(&self, id: &str, job: &Job) -> Resources {
-        let starts = job.assignments.len() + self.retired_starts.alive_of(id).count();
+        let starts = job.assignments.len() + self.retired_starts.alive_attempts_of(id).count();
         Resources { memory: 0, ..job.spec.resources_per_task.times(starts as i64) }
     }
 
-    /// At most so many of the machines that have not been heard since the epoch began.
+    /// Up to `most` machines that have not confirmed their task list in this epoch.
     pub fn unconfirmed_machines(&self, most: usize) -> impl Iterator<Item = &String> {
         self.unconfirmed_machines.iter().take(most)
     }
 
-    /// How many machines have not been heard since the epoch began.
+    /// The number of machines that have not confirmed their task list in this epoch.
     pub fn unconfirmed_machine_count(&self) -> usize {
         self.unconfirmed_machines.len()
     }
 
-    /// How many jobs may have starts under an earlier leader that are not known yet.
+    /// The number of jobs that may have unknown attempts started by an earlier leader.
     pub fn unresolved_job_count(&self) -> usize {
         self.jobs.values().filter(|job| !job.has_known_starts()).count()
     }
@@ -228,23 +237,23 @@
         self.me
     }
 
-    /// Whether everything that could be running is known.
+    /// Whether every attempt that may be running is known.
     pub fn is_rebuilt(&self) -> bool {
         self.loaded && self.unconfirmed_machines.is_empty()
     }
 
-    /// The machines of all leaders as last seen.
+    /// The machines of all machine leaders, as last reported.
     pub fn machines(&self, epoch: u64) -> impl Iterator<Item = &MachineSnapshot> {
         self.views.iter().filter_map(move |view| view.machines(epoch)).flat_map(BTreeMap::values)
     }
 
-    /// One machine as its leader last described it.
+    /// A machine as its leader last reported it.
     pub fn machine(&self, name: &str, membership: &Membership) -> Option<&MachineSnapshot> {
         self.views.get(membership.machine_leader(name)?)?.machines(membership.epoch)?.get(name)
     }
 
-    /// Whether a machine is certainly gone: its leader has spoken in this epoch and says so, or
-    /// doesn't name it.
+    /// Whether a machine is certainly gone: its leader has reported in this epoch, and either reports the
+    /// machine as gone or does not list it.
     pub fn is_machine_gone(&self, name: &str, membership: &Membership) -> bool {
         let leader = membership.machine_leader(name);
         let machines = leader.and_then(|leader| self.views.get(leader)?.machines(membership.epoch));
@@ -253,7 +262,7 @@
         })
     }
 
-    /// Whether all leaders of machines have spoken in this epoch.
+    /// Whether all machine leaders have reported in this epoch.
     pub fn have_all_machine_shards_reported(&self, membership: &Membership) -> bool {
         let has_spoken =
             |member: usize| self.views.get(member).is_some_and(|v| v.machines(membership.epoch).is_some());
@@ -265,7 +274,7 @@
         self.failures.quarantined(now)
     }
 
-    /// Live jobs, their assigned tasks, and their tasks that are not completed.
+    /// The number of live jobs, of their assigned tasks, and of their unfinished tasks.
     pub fn task_counts(&self) -> (usize, usize, usize) {
         let assigned = self.jobs.values().map(|job| job.assignments.len()).sum();
         let unfinished = self.jobs.values().map(|job| job.unfinished_tasks() as usize).sum();
--- a/src/job_shard/cancellation.rs
+++ b/src/job_shard/cancellation.rs
@@ -1,15 +1,18 @@
-//! What a cancelled job has on its way to machines: nothing of it may start once its user has been told.
+//! Withdraws the attempts of a cancelled job that are still in transit to machines. None of them may start
+//! once the user has been told that the job is cancelled.
 //!
-//! An end on record calls nothing back that is out: a start may wait at a machine's leader, or travel in the answer to a
-//! heartbeat. So the starts go first. Those that are not known to have arrived are withdrawn, and the end goes on record,
-//! which comes before any answer, once each of them has arrived or is gone, or can't arrive any more:
+//! Storing the final record does not recall an attempt in transit: it may be queued at a machine's leader or
+//! be contained in a heartbeat response. Therefore attempts are withdrawn first. The final record, which
+//! precedes any answer to the user, is stored once each attempt that is not known to have arrived has either
+//! arrived or is gone, or can no longer arrive:
 //!
-//! - A leader of machines that has taken account of the withdrawal sends nothing of it from then on. What it sent before,
-//!   an agent drops `RESPONSE_TIMEOUT` after it sent the heartbeat.
-//! - A leader of machines that doesn't hear us answers a machine with such a start for no longer than
-//!   `leader_silence_limit` after our last word without the withdrawal, whatever epochs do meanwhile
-//!   (`machine_shard/owner_liveness`).
-//! - Starts of an adopted job that are not known yet were sent before the older epochs fell silent.
+//! - A machine leader that has processed the withdrawal sends the attempt no more. A worker drops any earlier
+//!   response `RESPONSE_TIMEOUT` after it sent the heartbeat.
+//! - A machine leader that receives no messages from the job's leader keeps answering a machine with such an
+//!   attempt for at most `leader_silence_limit` after the last message without the withdrawal, regardless of
+//!   epoch changes (`machine_shard/owner_liveness`).
+//! - Unknown attempts of a job taken over from an earlier leader were sent before the leaders of older epochs
+//!   stopped.
 
 use super::JobShard;
 use super::assignments::MachineStart;
@@ -22,23 +25,24 @@
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far a cancelled job's starts have been withdrawn.
+/// How far the attempts of a cancelled job have been withdrawn.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Cancellation {
-    /// Since when it is to end.
+    /// Since when the job is to end.
     pub(super) since: Option<Micros>,
-    /// Since when the machines' leaders have taken account of that for all that is still on its way.
+    /// Since when the machines' leaders have processed the withdrawal of every attempt that is still in
+    /// transit.
     delivered_at: Option<Micros>,
 }
 
 impl Cancellation {
-    /// A new epoch: machines may have other leaders.
+    /// Resets the state for a new epoch, in which machines may have other leaders.
     pub(super) fn adopt_epoch(&mut self) {
         self.delivered_at = None;
     }
 }
 
-/// A job that is to end. Ordered as ends go on record: cancellations first, then by how long they wait.
+/// A job that is to end. Ordered as final records are written: cancellations first, then by waiting time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuedEnd {
     pub(super) done: bool,
@@ -52,27 +56,27 @@
     }
 }
 
-/// Jobs that are to end, so that no pass over all jobs looks for them.
+/// Jobs that are to end. The queue avoids a scan over all jobs.
 #[derive(Debug, Default)]
 pub(super) struct EndQueue {
-    /// Jobs that may have become complete, or were cancelled, since that was last noted.
+    /// Jobs that may have completed, or were cancelled, since the queue was last updated.
     changed: BTreeSet<String>,
     pub(super) queue: BTreeSet<QueuedEnd>,
 }
 
 impl EndQueue {
-    /// A job may have become complete, or was cancelled.
+    /// Marks a job that may have completed or was cancelled.
     pub(super) fn mark_changed(&mut self, id: &str) {
         self.changed.insert(id.to_owned());
     }
 
-    /// Drops what is not among the live jobs.
-    pub(super) fn keep(&mut self, jobs: &BTreeMap<String, Job>) {
+    /// Removes jobs that are no longer live.
+    pub(super) fn retain_live(&mut self, jobs: &BTreeMap<String, Job>) {
         self.changed.retain(|id| jobs.contains_key(id));
         self.queue.retain(|end| jobs.contains_key(&end.id));
     }
 
-    /// A job's end is on record.
+    /// Removes a job whose final record is stored.
     pub(super) fn remove(&mut self, id: &str, job: &Job) {
         if let (Some(outcome), Some(since)) = (job.pending_outcome, job.cancellation.since) {
             self.queue.remove(&QueuedEnd::new(outcome, since, id));
@@ -81,7 +85,7 @@
 }
 
 impl JobShard {
-    /// A live job is to end as cancelled, unless it is to end already. Returns whether that is new.
+    /// Marks a live job to end as cancelled, unless it is already ending. Returns whether the state changed.
     pub fn cancel(&mut self, id: &str) -> bool {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.pending_outcome.is_none()) else {
             return false;
@@ -91,13 +95,13 @@
         true
     }
 
-    /// Takes note of jobs that are to end, and withdraws what cancelled ones have on their way.
-    pub(super) fn note_ends(&mut self, now: Micros) {
+    /// Queues jobs that are to end, and withdraws the attempts in transit of those that are cancelled.
+    pub(super) fn collect_ends(&mut self, now: Micros) {
         for id in std::mem::take(&mut self.end_queue.changed) {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             let complete = job.spec.kind != JobKind::Service && job.done.len() == job.spec.task_count;
             if job.pending_outcome.is_none() && complete {
-                // While its record is written or read it is looked at again.
+                // The job is checked again while its record is being written or read.
                 if job.write_in_flight || job.needs_reread {
                     self.end_queue.changed.insert(id);
                     continue;
@@ -109,21 +113,22 @@
                 job.cancellation.since = Some(now);
                 self.end_queue.queue.insert(QueuedEnd::new(outcome, now, &id));
                 if outcome == JobOutcome::Cancelled {
-                    self.withdraw_starts(&id);
+                    self.withdraw_attempts(&id);
                 }
             }
         }
     }
 
-    /// The starts of a job that are not known to have arrived.
-    fn starts_on_their_way(&self, id: &str, job: &Job) -> Vec<MachineStart> {
+    /// The attempts of a job that are not known to have arrived.
+    fn attempts_in_transit(&self, id: &str, job: &Job) -> Vec<MachineStart> {
         let assigned = job.assignments.iter().filter(|(_, assignment)| !assignment.has_arrived());
         let assigned = assigned.map(|(&index, a)| MachineStart::new(&a.machine, id, index, a.attempt));
-        let retired = self.retired_starts.of_job(id).filter(|(_, start)| start.alive && !start.arrived);
+        let retired =
+            self.retired_starts.attempts_of_job(id).filter(|(_, start)| start.alive && !start.arrived);
         assigned.chain(retired.map(|(key, _)| key.on_machine())).collect()
     }
 
-    fn withdraw_starts(&mut self, id: &str) {
+    fn withdraw_attempts(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let mut any = false;
         for (&index, assignment) in &mut job.assignments {
@@ -133,28 +138,29 @@
                 any = true;
             }
         }
-        // The others of a gang's attempt must not be told to begin.
+        // The other members of the gang's attempt must not be told to start.
         if any && job.spec.kind == JobKind::Gang {
-            job.gang = Some(GangState::Ending);
+            job.gang = Some(GangState::Stopping);
         }
     }
 
-    /// Whether nothing of a job that is to end as cancelled can start any more.
+    /// Whether no attempt of a job that is to end as cancelled can start any more.
     pub(super) fn is_withdrawn(&mut self, now: Micros, id: &str) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
-        let on_their_way = self.starts_on_their_way(id, job);
-        if on_their_way.is_empty() && job.has_known_starts() {
+        let in_transit = self.attempts_in_transit(id, job);
+        if in_transit.is_empty() && job.has_known_starts() {
             return true;
         }
-        let all_delivered = on_their_way.iter().all(|start| self.delivery.is_delivered(start));
+        let all_delivered = in_transit.iter().all(|start| self.delivery.is_delivered(start));
         let Some(job) = self.jobs.get_mut(id) else { return true };
         let cancellation = &mut job.cancellation;
         let since = *cancellation.since.get_or_insert(now);
         cancellation.delivered_at = all_delivered.then(|| cancellation.delivered_at.unwrap_or(now));
-        let late = RESPONSE_TIMEOUT.plus_drift();
-        let is_dropped = |delivered_at: Micros| now >= delivered_at.max(self.older_epochs_silent_at) + late;
+        let max_response_delay = RESPONSE_TIMEOUT.plus_drift();
+        let is_dropped =
+            |delivered_at: Micros| now >= delivered_at.max(self.older_epochs_stopped_at) + max_response_delay;
         cancellation.delivered_at.is_some_and(is_dropped)
-            || now >= since + self.leader_silence_limit.plus_drift() + late
+            || now >= since + self.leader_silence_limit.plus_drift() + max_response_delay
     }
 }
 
--- a/src/job_shard/cancellation/tests.rs
+++ b/src/job_shard/cancellation/tests.rs
@@ -13,7 +13,8 @@
     Micros::from_millis(ms)
 }
 
-/// A shard whose job's starts have been named to the machine's leader, which has not yet answered, and that message.
+/// A shard whose attempts have been sent to the machine's leader, which has not yet responded, and the
+/// message that contained them.
 fn started(raw: Value) -> (Membership, QuotaLedger, JobShard, MachineStatus, DesiredState) {
     let (mut membership, quota, mut shard, machine) = shard_with_job(raw);
     membership.note_older_leaders_stopped(at(500));
@@ -46,14 +47,14 @@
 }
 
 #[test]
-fn what_runs_does_not_hold_up_the_end() {
-    let (membership, _, mut shard, machine, w) = started(raw("batch", 2, 0.0));
-    let tasks = w.tasks.iter().map(|w| running(&w.key)).collect();
+fn running_tasks_do_not_delay_the_final_record() {
+    let (membership, _, mut shard, machine, desired) = started(raw("batch", 2, 0.0));
+    let tasks = desired.tasks.iter().map(|w| running(&w.key)).collect();
     shard.apply_machine_status(
         at(1100),
         &membership,
         0,
-        whole_status(&membership, 2, w.revision, listed(&machine, tasks)),
+        whole_status(&membership, 2, desired.revision, listed(&machine, tasks)),
     );
     cancel(&mut shard);
     assert!(ends(&mut shard, at(1200)));
@@ -63,21 +64,21 @@
             .tasks
             .iter()
             .all(|w| w.action != DesiredAction::Stop(Micros(0))),
-        "not before it is on record"
+        "running tasks are not stopped before the final record is stored"
     );
 }
 
-/// It waits at its leader, and would go out with the next answer to its machine.
+/// The attempt is queued at the machine's leader, which would send it with its next response to the machine.
 #[test]
-fn a_start_that_has_not_gone_out_is_withdrawn_before_the_end() {
-    let (membership, _, mut shard, machine, w) = started(raw("batch", 2, 0.0));
+fn a_queued_attempt_is_withdrawn_before_the_final_record() {
+    let (membership, _, mut shard, machine, desired) = started(raw("batch", 2, 0.0));
     let queued =
-        w.tasks.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Queued }).collect();
+        desired.tasks.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Queued }).collect();
     shard.apply_machine_status(
         at(1100),
         &membership,
         0,
-        whole_status(&membership, 2, w.revision, listed(&machine, queued)),
+        whole_status(&membership, 2, desired.revision, listed(&machine, queued)),
     );
     cancel(&mut shard);
     assert!(!ends(&mut shard, at(1200)));
@@ -86,7 +87,7 @@
         stops.tasks.len() == 2 && stops.tasks.iter().all(|w| w.action == DesiredAction::Stop(Micros(0))),
         "{stops:?}"
     );
-    assert!(!ends(&mut shard, at(1300)), "its leader has yet to say so");
+    assert!(!ends(&mut shard, at(1300)), "the machine's leader has not acknowledged the withdrawal");
     shard.apply_machine_status(
         at(1400),
         &membership,
@@ -96,26 +97,26 @@
     assert!(ends(&mut shard, at(1400)));
 }
 
-/// It went out just before. The agent drops an answer that is four seconds late.
+/// The attempt was sent just before the cancellation. The worker drops a response that is four seconds late.
 #[test]
-fn a_start_in_doubt_holds_up_the_end_until_it_has_arrived_or_can_not_arrive() {
+fn an_attempt_in_transit_delays_the_final_record_until_it_arrives_or_cannot_arrive() {
     for arrives in [true, false] {
-        let (membership, _, mut shard, machine, w) = started(raw("batch", 1, 0.0));
-        let as_ = |phase| listed(&machine, vec![ObservedTask { key: w.tasks[0].key.clone(), phase }]);
+        let (membership, _, mut shard, machine, desired) = started(raw("batch", 1, 0.0));
+        let as_ = |phase| listed(&machine, vec![ObservedTask { key: desired.tasks[0].key.clone(), phase }]);
         shard.apply_machine_status(
             at(1100),
             &membership,
             0,
-            whole_status(&membership, 2, w.revision, as_(TaskPhase::Queued)),
+            whole_status(&membership, 2, desired.revision, as_(TaskPhase::Queued)),
         );
         cancel(&mut shard);
         assert!(!ends(&mut shard, at(1200)));
-        let rev = shard.next_desired_state(0, &membership).revision;
+        let revision = shard.next_desired_state(0, &membership).revision;
         shard.apply_machine_status(
             at(1300),
             &membership,
             0,
-            whole_status(&membership, 3, rev, as_(TaskPhase::InDoubt)),
+            whole_status(&membership, 3, revision, as_(TaskPhase::InDoubt)),
         );
         shard.next_desired_state(0, &membership);
         assert!(!ends(&mut shard, at(1300)));
@@ -124,7 +125,7 @@
                 at(1800),
                 &membership,
                 0,
-                whole_status(&membership, 4, rev, as_(TaskPhase::Fetching)),
+                whole_status(&membership, 4, revision, as_(TaskPhase::Fetching)),
             );
             assert!(ends(&mut shard, at(1800)));
         } else {
@@ -134,22 +135,23 @@
     }
 }
 
-/// While it hears nothing of us it answers the machine for no longer than `leader_silence_limit`.
+/// Without messages from the job's leader, a machine leader keeps answering its machines for at most
+/// `leader_silence_limit`.
 #[test]
-fn a_machines_leader_that_says_nothing_holds_up_the_end_for_a_bounded_time() {
+fn an_unresponsive_machine_leader_delays_the_final_record_for_a_bounded_time() {
     let (membership, _, mut shard, ..) = started(raw("batch", 1, 0.0));
     cancel(&mut shard);
     assert!(!ends(&mut shard, at(2000)));
-    for s in 3..29 {
+    for second in 3..29 {
         shard.next_desired_state(0, &membership);
-        assert!(!ends(&mut shard, at(s * 1000)), "{s}");
+        assert!(!ends(&mut shard, at(second * 1000)), "{second}");
     }
     assert!(ends(&mut shard, at(30_100)), "{:?}", shard.leader_silence_limit);
 }
 
-/// Another controller may have answered the machine under the older epoch until a moment ago.
+/// Another controller may have answered the machine in the older epoch until just now.
 #[test]
-fn starts_of_an_older_epoch_hold_up_the_end_until_they_can_not_arrive() {
+fn attempts_of_an_older_epoch_delay_the_final_record_until_they_cannot_arrive() {
     let (mut membership, _, mut shard, machine) = shard_with_job(raw("batch", 1, 0.0));
     shard.jobs.clear();
     membership.adopt_epoch(at(10_000), &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
@@ -169,7 +171,7 @@
     assert!(!ends(&mut shard, at(10_100)) && !ends(&mut shard, silent + at(3_900)));
     let mut heard = shard;
     assert!(ends(&mut heard, silent + at(4_100)));
-    // Its machine has shown this epoch's token: it takes no older answer.
+    // The machine has reported with this epoch's token, so it accepts no response of an older epoch.
     heard.fail_write(at(15_000), "wk-1", true);
     heard.jobs.get_mut("wk-1").expect("live").cancellation = Cancellation::default();
     assert!(!ends(&mut heard, at(15_600)));
@@ -177,18 +179,19 @@
     assert!(ends(&mut heard, at(15_700)));
 }
 
-/// All of a gang were accepted, and it is cancelled before they are told to start.
+/// All members of the gang were accepted, and the gang is cancelled before they are told to start.
 #[test]
-fn a_gang_that_is_cancelled_while_it_is_held_does_not_begin() {
-    let (membership, quota, mut shard, machine, w) = started(raw("group", 2, 0.0));
-    assert!(w.tasks.iter().all(|w| w.action == DesiredAction::Hold));
+fn a_gang_cancelled_while_held_does_not_start() {
+    let (membership, quota, mut shard, machine, desired) = started(raw("group", 2, 0.0));
+    assert!(desired.tasks.iter().all(|w| w.action == DesiredAction::Hold));
     cancel(&mut shard);
-    let held = w.tasks.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Held }).collect();
+    let held =
+        desired.tasks.iter().map(|w| ObservedTask { key: w.key.clone(), phase: TaskPhase::Held }).collect();
     shard.apply_machine_status(
         at(1100),
         &membership,
         0,
-        whole_status(&membership, 2, w.revision, listed(&machine, held)),
+        whole_status(&membership, 2, desired.revision, listed(&machine, held)),
     );
     shard.run_scheduling_pass(at(1200), at(1200), &membership, &quota);
     let stops = shard.next_desired_state(0, &membership);
@@ -198,33 +201,34 @@
     );
 }
 
-/// Nor do starts that are there no more because they were withdrawn count against its leader.
+/// Attempts that disappear because they were withdrawn must not count against the machine's leader.
 #[test]
-fn a_withdrawn_start_is_no_refusal() {
-    let (membership, _, mut shard, machine, w) = started(raw("batch", 1, 0.0));
-    let left_alone = |shard: &mut JobShard| shard.placement_refusals.refusing(at(1500), &membership);
+fn a_withdrawn_attempt_does_not_count_as_a_refusal() {
+    let (membership, _, mut shard, machine, desired) = started(raw("batch", 1, 0.0));
+    let left_alone = |shard: &mut JobShard| shard.placement_refusals.leaders_to_avoid(at(1500), &membership);
     cancel(&mut shard);
     assert!(!ends(&mut shard, at(1200)));
-    let rev = shard.next_desired_state(0, &membership).revision.max(w.revision);
+    let revision = shard.next_desired_state(0, &membership).revision.max(desired.revision);
     shard.apply_machine_status(
         at(1400),
         &membership,
         0,
-        whole_status(&membership, 3, rev, listed(&machine, Vec::new())),
+        whole_status(&membership, 3, revision, listed(&machine, Vec::new())),
     );
     assert!(ends(&mut shard, at(1400)) && left_alone(&mut shard).is_empty());
 }
 
-/// Found by the seeded world: with more ends than the state service takes, the same few waited for minutes.
+/// Guards against starvation, which the seeded simulation found: with more final records than the state store
+/// accepts, the same few jobs waited for minutes.
 #[test]
-fn cancellations_go_first_and_then_ends_by_age() {
+fn cancellations_are_stored_first_and_then_outcomes_by_age() {
     let (.., mut shard, _) = shard_with_job(raw("batch", 1, 0.0));
     let mut add = |id: &str| {
-        let mut r = raw("batch", 1, 0.0);
-        r["uid"] = json!(id);
+        let mut raw_spec = raw("batch", 1, 0.0);
+        raw_spec["uid"] = json!(id);
         shard.insert_job(
-            r.clone(),
-            JobSpec::from_value(&r).expect("valid"),
+            raw_spec.clone(),
+            JobSpec::from_value(&raw_spec).expect("valid"),
             Micros(1),
             TaskIndexSet::default(),
             1,
@@ -242,43 +246,48 @@
         })
     };
     assert_eq!(next(&["wk-4", "wk-3"], &["wk-4"], 1000).as_deref(), Some("wk-4"));
-    assert_eq!(next(&["wk-1"], &[], 2000).as_deref(), Some("wk-3"), "the oldest");
+    assert_eq!(next(&["wk-1"], &[], 2000).as_deref(), Some("wk-3"), "the one that has waited longest");
     assert_eq!(next(&[], &["wk-2"], 3000).as_deref(), Some("wk-2"));
     assert_eq!(next(&[], &[], 4000).as_deref(), Some("wk-1"));
     assert_eq!(next(&[], &[], 5000), None);
 }
 
-/// An end that was noted stands: a cancellation that comes later doesn't change what its user is told.
+/// An outcome that was decided is final: a later cancellation does not change what the user is told.
 #[test]
-fn a_job_that_is_to_end_as_done_is_not_cancelled_any_more() {
+fn a_job_that_ends_as_done_cannot_be_cancelled() {
     let (.., mut shard, _) = shard_with_job(raw("batch", 1, 0.0));
     shard.complete_task("wk-1", 0);
-    shard.note_ends(at(1000));
+    shard.collect_ends(at(1000));
     assert!(!shard.cancel("wk-1"));
     let next = shard.next_write(at(1000), true);
     assert!(matches!(next, Some((_, RecordWrite::End(JobOutcome::Done, _), _))));
 }
 
-/// Progress is put on record now and then only; who has ended, or is cancelled right after, doesn't wait for the next time.
+/// Progress is written only at intervals. A job that ends or is cancelled right after such a write does not
+/// wait for the next one.
 #[test]
-fn an_end_does_not_wait_for_the_pause_between_two_writes_of_progress() {
-    let (membership, _, mut shard, machine, w) = started(raw("batch", 2, 0.0));
+fn a_final_record_does_not_wait_for_the_progress_interval() {
+    let (membership, _, mut shard, machine, desired) = started(raw("batch", 2, 0.0));
     let exited = |w: &crate::peer::DesiredTask| ObservedTask {
         key: w.key.clone(),
         phase: TaskPhase::Exited(TaskExit::Done),
     };
-    let one = vec![exited(&w.tasks[0]), running(&w.tasks[1].key)];
+    let one = vec![exited(&desired.tasks[0]), running(&desired.tasks[1].key)];
     shard.apply_machine_status(
         at(1100),
         &membership,
         0,
-        whole_status(&membership, 2, w.revision, listed(&machine, one)),
+        whole_status(&membership, 2, desired.revision, listed(&machine, one)),
     );
     let (id, write, _) = shard.next_write(at(1200), false).expect("progress is due");
-    let RecordWrite::Progress(_, kept) = write else { panic!("not an end") };
-    shard.confirm_progress(at(1210), &id, kept, 9);
-    let all: MachineStatusDelta =
-        whole_status(&membership, 3, w.revision, listed(&machine, w.tasks.iter().map(exited).collect()));
+    let RecordWrite::Progress(_, recorded) = write else { panic!("expected a progress write") };
+    shard.confirm_progress(at(1210), &id, recorded, 9);
+    let all: MachineStatusDelta = whole_status(
+        &membership,
+        3,
+        desired.revision,
+        listed(&machine, desired.tasks.iter().map(exited).collect()),
+    );
     shard.apply_machine_status(at(1300), &membership, 0, all);
     assert!(matches!(shard.next_write(at(1400), true), Some((_, RecordWrite::End(JobOutcome::Done, _), _))));
 }
--- a/src/job_shard/dependencies.rs
+++ b/src/job_shard/dependencies.rs
@@ -1,9 +1,9 @@
-//! Jobs that depend on others: which job waits for which, what is known of their ends, and the
-//! priority that a job inherits from those that need it.
+//! Dependencies between jobs: which jobs wait for which, what is known of the outcomes of their dependencies,
+//! and the priority that a job inherits from its dependents.
 //!
-//! What allows a start is a prerequisite's end in the state store. An end never changes, so
-//! whoever has seen it may rely on it for ever, whatever becomes of epochs, leases and messages: a
-//! controller that is late, frozen or deposed can be slow to release a job, but not early.
+//! A job is released by the final records of its dependencies in the state store. An outcome never changes,
+//! so a controller that has read it may rely on it forever, regardless of epochs, leases and messages. A
+//! controller that is slow, paused or deposed can therefore release a job late, but never early.
 
 use super::JobShard;
 use super::job::Job;
@@ -18,29 +18,32 @@
 
 pub use stored_form::declarations_in_record;
 pub(crate) use stored_form::unpack_job_ids;
-pub(super) use stored_form::{held, released, released_at, restored, says};
+pub(super) use stored_form::{
+    declarations, decode_description, encode_released, encode_waiting, released_at,
+};
 
-/// Why nothing of a job may start, beside the jobs that it follows. Only whoever has seen that the reason is gone lifts it.
+/// Why no task of a job may start, apart from its dependencies. Only a controller that has verified that the
+/// reason is gone lifts the hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Hold {
-    /// A rotation whose release is not on record as complete; what it waits for.
+    /// A rotation whose release is not stored as complete; the text states what it waits for.
     Release(String),
-    /// A merge whose upstreams are not known to be fresh; what is old.
+    /// A merge whose upstream jobs are not known to be fresh; the text states what is stale.
     Batch(String),
 }
 
 impl Hold {
-    /// The hold that a job begins with.
+    /// The initial hold of a job.
     pub(super) fn of(spec: &JobSpec, raw: &Value) -> Option<Hold> {
         if spec.merges.is_some() {
-            // Fresh inputs must be seen anew by each leader: a newer version may have come.
+            // Each new leader must verify again that the inputs are fresh: a newer version may have arrived.
             return Some(Hold::Batch("its inputs have not been looked at yet".into()));
         }
-        // What let a rotation go is on record for ever, so a released one needs no second look.
+        // The release of a rotation is stored permanently, so a released rotation is not checked again.
         (spec.is_rotation() && released_at(raw).is_none())
             .then(|| Hold::Release("its release has not been looked at yet".into()))
     }
-    /// In words.
+    /// The reason as text.
     pub fn reason(&self) -> &str {
         match self {
             Hold::Release(why) | Hold::Batch(why) => why,
@@ -48,148 +51,154 @@
     }
 }
 
-/// Which jobs depend on which.
+/// The dependents of jobs.
 #[derive(Debug, Default)]
 pub(super) struct Dependents {
-    /// By prerequisite whose end is not known, the jobs that wait for it: an end touches only those.
-    followers: BTreeMap<String, BTreeSet<String>>,
-    /// Prerequisites whose end must be read, since no watch would tell of it.
-    unread: BTreeSet<String>,
-    /// By controller, the jobs of ours that its waiting jobs need, and the highest priority of those.
-    needed_by: BTreeMap<usize, BTreeMap<String, u8>>,
-    /// Jobs that our held rotations wait for, and the highest priority of those.
-    for_releases: BTreeMap<String, u8>,
+    /// By dependency whose outcome is unknown, the jobs that wait for it, so that an outcome only touches
+    /// those.
+    dependents_by_dependency: BTreeMap<String, BTreeSet<String>>,
+    /// Dependencies whose outcome must be read, since no watch would report it.
+    unread_dependencies: BTreeSet<String>,
+    /// By controller, the jobs led here that its waiting jobs depend on, with the highest priority of those.
+    needed_by_peers: BTreeMap<usize, BTreeMap<String, u8>>,
+    /// Jobs that held rotations of this shard wait for, with the highest priority of those.
+    needed_by_releases: BTreeMap<String, u8>,
 }
 
 impl Dependents {
-    fn add(&mut self, job: &str, prerequisites: &BTreeSet<String>) {
-        for prerequisite in prerequisites {
-            let jobs = self.followers.entry(prerequisite.clone()).or_insert_with(|| {
-                self.unread.insert(prerequisite.clone());
+    fn add(&mut self, job: &str, dependencies: &BTreeSet<String>) {
+        for dependency in dependencies {
+            let jobs = self.dependents_by_dependency.entry(dependency.clone()).or_insert_with(|| {
+                self.unread_dependencies.insert(dependency.clone());
                 BTreeSet::new()
             });
             jobs.insert(job.to_owned());
         }
     }
 
-    fn remove(&mut self, job: &str, prerequisites: &BTreeSet<String>) {
-        for prerequisite in prerequisites {
-            if let Some(jobs) = self.followers.get_mut(prerequisite) {
+    fn remove(&mut self, job: &str, dependencies: &BTreeSet<String>) {
+        for dependency in dependencies {
+            if let Some(jobs) = self.dependents_by_dependency.get_mut(dependency) {
                 jobs.remove(job);
                 if jobs.is_empty() {
-                    self.followers.remove(prerequisite);
-                    self.unread.remove(prerequisite);
+                    self.dependents_by_dependency.remove(dependency);
+                    self.unread_dependencies.remove(dependency);
                 }
             }
         }
     }
 
     fn inherited_priority(&self, job: &str) -> u8 {
-        self.needed_by.values().filter_map(|needed| needed.get(job)).copied().max().unwrap_or(0)
+        self.needed_by_peers.values().filter_map(|needed| needed.get(job)).copied().max().unwrap_or(0)
     }
 }
 
 impl Job {
-    /// Whether a job that it needs is not known to be done, or a hold is not lifted: nothing of it may start, and
-    /// it holds no place in any queue. The one place that decides this.
+    /// Whether a dependency is not known to be done, or a hold is not lifted. While this holds, no task of
+    /// the job may start and the job takes no part in any queue. All callers rely on this method for that
+    /// decision.
     pub fn is_waiting(&self) -> bool {
-        !self.prerequisites.is_empty() || self.hold.is_some()
+        !self.unfinished_dependencies.is_empty() || self.hold.is_some()
     }
-    /// What holds it beside the jobs that it follows.
+    /// The hold that applies in addition to dependencies.
     pub fn hold(&self) -> Option<&Hold> {
         self.hold.as_ref()
     }
-    /// All jobs that it followed, also those that are done: as its user named them.
+    /// All dependencies that the user declared, including those that are done.
     pub fn declared_dependencies(&self) -> Vec<String> {
         match self.spec.dependencies.is_empty() {
             false => self.spec.dependencies.clone(),
-            true => stored_form::followed(&self.raw),
+            true => stored_form::released_dependencies(&self.raw),
         }
     }
-    /// Its description as stored: with all that it says of coordination records.
+    /// The stored job description, including the coordination records it refers to.
     pub fn raw_spec(&self) -> &Value {
         &self.raw
     }
-    /// The jobs that it needs and that are not known to be done.
+    /// The dependencies that are not known to be done.
     pub fn unfinished_dependencies(&self) -> impl Iterator<Item = &str> {
-        self.prerequisites.iter().map(String::as_str)
+        self.unfinished_dependencies.iter().map(String::as_str)
     }
-    /// From when the times promised for its class count, its deadline aside.
+    /// Time from which the objectives of its class are measured. Its deadline is measured from submission.
     pub(super) fn ready_wall(&self) -> Micros {
         self.released_wall.unwrap_or(self.accepted_wall)
     }
 }
 
 impl JobShard {
-    /// A job has come: notes what it waits for, and what priority it inherits.
-    pub(super) fn note_prerequisites(&mut self, id: &str) {
+    /// Registers a new job's dependencies and computes the priority that the job inherits.
+    pub(super) fn register_dependencies(&mut self, id: &str) {
         if let Some(job) = self.jobs.get(id) {
-            self.dependents.add(id, &job.prerequisites);
+            self.dependents.add(id, &job.unfinished_dependencies);
         }
         self.inherit_priority(id);
     }
 
-    /// A job has ended, or has another leader now.
-    pub(super) fn forget_prerequisites(&mut self, id: &str, job: &Job) {
-        self.dependents.remove(id, &job.prerequisites);
+    /// Removes the dependencies of a job that has ended or has another leader now.
+    pub(super) fn unregister_dependencies(&mut self, id: &str, job: &Job) {
+        self.dependents.remove(id, &job.unfinished_dependencies);
     }
 
-    /// A new epoch: what others said of the priorities of their waiting jobs is said anew.
-    pub(super) fn keep_dependents(&mut self) {
+    /// Adopts a new epoch: peers send the inherited priorities of their waiting jobs again.
+    pub(super) fn retain_dependents(&mut self) {
         let jobs = &self.jobs;
-        self.dependents.followers.retain(|_, followers| {
-            followers.retain(|id| jobs.contains_key(id));
-            !followers.is_empty()
+        self.dependents.dependents_by_dependency.retain(|_, dependents| {
+            dependents.retain(|id| jobs.contains_key(id));
+            !dependents.is_empty()
         });
-        let followers = &self.dependents.followers;
-        self.dependents.unread.retain(|prerequisite| followers.contains_key(prerequisite));
-        let needed_by = std::mem::take(&mut self.dependents.needed_by);
-        for id in needed_by.into_values().flat_map(BTreeMap::into_keys) {
+        let dependents_by_dependency = &self.dependents.dependents_by_dependency;
+        self.dependents
+            .unread_dependencies
+            .retain(|dependency| dependents_by_dependency.contains_key(dependency));
+        let needed_by_peers = std::mem::take(&mut self.dependents.needed_by_peers);
+        for id in needed_by_peers.into_values().flat_map(BTreeMap::into_keys) {
             self.inherit_priority(&id);
         }
     }
 
-    /// Whether any job waits, so that ends must be watched.
+    /// Whether any job waits for a dependency, so that final records must be watched.
     pub fn has_awaited_dependencies(&self) -> bool {
-        !self.dependents.followers.is_empty()
+        !self.dependents.dependents_by_dependency.is_empty()
     }
-    /// Whether a job waits for this one.
-    pub fn is_awaited(&self, prerequisite: &str) -> bool {
-        self.dependents.followers.contains_key(prerequisite)
+    /// Whether a job waits for this dependency.
+    pub fn is_awaited(&self, dependency: &str) -> bool {
+        self.dependents.dependents_by_dependency.contains_key(dependency)
     }
-    /// Nobody has watched ends for a while: all that matter must be read.
+    /// Marks all awaited dependencies to be read, after a time in which final records were not watched.
     pub fn reread_dependencies(&mut self) {
-        self.dependents.unread = self.dependents.followers.keys().cloned().collect();
+        self.dependents.unread_dependencies =
+            self.dependents.dependents_by_dependency.keys().cloned().collect();
     }
-    /// The next prerequisite whose end must be read. From then on a watch that began before tells of it.
+    /// The next dependency whose outcome must be read. Later changes are reported by a watch that began
+    /// before the read.
     pub fn next_unread_dependency(&mut self) -> Option<String> {
-        self.dependents.unread.pop_first()
+        self.dependents.unread_dependencies.pop_first()
     }
-    /// A prerequisite's end could not be read: it is read again if a job still waits for it.
-    pub fn retry_dependency_read(&mut self, prerequisite: &str) {
-        if self.is_awaited(prerequisite) {
-            self.dependents.unread.insert(prerequisite.to_owned());
+    /// Handles a failed read of a dependency's outcome: it is read again if a job still waits for it.
+    pub fn retry_dependency_read(&mut self, dependency: &str) {
+        if self.is_awaited(dependency) {
+            self.dependents.unread_dependencies.insert(dependency.to_owned());
         }
     }
 
-    /// The store has the end of a job on record: those that wait for it go on, or end with it.
-    pub fn apply_dependency_outcome(&mut self, prerequisite: &str, end: JobOutcome) {
-        self.dependents.unread.remove(prerequisite);
-        for id in self.dependents.followers.remove(prerequisite).unwrap_or_default() {
+    /// Handles the stored outcome of a dependency: its dependents are released, or cancelled with it.
+    pub fn apply_dependency_outcome(&mut self, dependency: &str, end: JobOutcome) {
+        self.dependents.unread_dependencies.remove(dependency);
+        for id in self.dependents.dependents_by_dependency.remove(dependency).unwrap_or_default() {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             match end {
                 JobOutcome::Done => {
-                    job.prerequisites.remove(prerequisite);
+                    job.unfinished_dependencies.remove(dependency);
                     if !job.is_waiting() {
                         job.released_wall = Some(self.wall_clock.max(job.accepted_wall));
                         let waited = self.wall_clock.since(job.accepted_wall).as_secs();
-                        tracing::info!(job = %id, last = prerequisite, waited, "prerequisites done");
+                        tracing::info!(job = %id, last = dependency, waited, "all dependencies done");
                     }
                 }
-                // It stays a waiting job until its own end is on record.
+                // The job keeps waiting until its own final record is stored.
                 JobOutcome::Cancelled => {
                     if self.cancel(&id) {
-                        tracing::info!(job = %id, needs = prerequisite, "job cancelled: prerequisite was cancelled");
+                        tracing::info!(job = %id, needs = dependency, "job cancelled: prerequisite was cancelled");
                     }
                 }
             }
@@ -197,7 +206,8 @@
         }
     }
 
-    /// Lifts a job's hold: whoever calls this has seen that its reason is gone. Does nothing if it has none.
+    /// Lifts a job's hold. The caller has verified that its reason is gone. Does nothing if the job is not
+    /// held.
     pub fn lift_hold(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(hold) = job.hold.take() else { return };
@@ -209,14 +219,15 @@
         self.replan = true;
     }
 
-    /// Holds a job, or says anew why it is held. What of it runs goes on: whoever holds it decides about that.
+    /// Holds a job, or updates the reason of its hold. Running tasks are left alone: the caller decides about
+    /// them.
     pub fn hold_job(&mut self, id: &str, hold: Hold) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.hold = Some(hold);
         }
     }
 
-    /// Jobs that are held and not about to end.
+    /// Held jobs that are not about to end.
     pub fn held_jobs(&self) -> impl Iterator<Item = (&String, &Job, &Hold)> {
         self.jobs
             .iter()
@@ -224,41 +235,45 @@
             .filter_map(|(id, job)| job.hold.as_ref().map(|hold| (id, job, hold)))
     }
 
-    /// The jobs of one controller that our waiting jobs need, and the priority that each inherits. Priority passes on
-    /// through jobs that wait themselves. Guarantees don't pass on: they are a team's own.
+    /// The jobs led by `leader` that waiting jobs of this shard depend on, with the priority that each
+    /// inherits. Priority is passed on through jobs that are waiting themselves. Guarantees are not passed
+    /// on, since they belong to a team.
     pub fn inherited_priorities_for(&self, leader: usize, membership: &Membership) -> Vec<(String, u8)> {
-        let is_theirs = |id: &str| membership.job_leader(id) == Some(leader);
-        let rank_of = |id: &String| {
+        let is_led_by_peer = |id: &str| membership.job_leader(id) == Some(leader);
+        let base_priority_of = |id: &String| {
             let job = self.jobs.get(id).filter(|job| job.pending_outcome.is_none())?;
             Some(job.spec.priority % GUARANTEED_PRIORITY_BONUS)
         };
         let mut needed: BTreeMap<String, u8> = BTreeMap::new();
-        for (prerequisite, jobs) in self.dependents.followers.iter().filter(|(id, _)| is_theirs(id)) {
-            needed.insert(prerequisite.clone(), jobs.iter().filter_map(rank_of).max().unwrap_or(0));
+        for (dependency, jobs) in
+            self.dependents.dependents_by_dependency.iter().filter(|(id, _)| is_led_by_peer(id))
+        {
+            needed.insert(dependency.clone(), jobs.iter().filter_map(base_priority_of).max().unwrap_or(0));
         }
-        for (id, rank) in self.dependents.for_releases.iter().filter(|(id, _)| is_theirs(id)) {
+        for (id, rank) in self.dependents.needed_by_releases.iter().filter(|(id, _)| is_led_by_peer(id)) {
             let needed = needed.entry(id.clone()).or_default();
             *needed = (*needed).max(*rank);
         }
         needed.into_iter().filter(|(_, rank)| *rank > 0).collect()
     }
 
-    /// Notes when a job's release needs it, by the wall clock.
+    /// Sets the wall-clock time at which a job's release needs it.
     pub fn set_release_due(&mut self, id: &str, at: Option<Micros>) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.release_due = at;
         }
     }
 
-    /// Takes the jobs that our held rotations wait for, and the priorities of those: the whole list.
+    /// Replaces the jobs that held rotations of this shard wait for, with the priorities of the rotations.
     pub fn set_release_priorities(&mut self, list: BTreeMap<String, u8>) {
-        self.dependents.for_releases = list;
+        self.dependents.needed_by_releases = list;
     }
 
-    /// Takes the jobs of ours that another controller's waiting jobs need, and the priorities of those: the whole list.
+    /// Replaces the jobs led here that another controller's waiting jobs depend on, with the priorities of
+    /// those.
     pub fn apply_inherited_priorities(&mut self, from: usize, list: Vec<(String, u8)>) {
         let list: BTreeMap<String, u8> = list.into_iter().collect();
-        let before = self.dependents.needed_by.insert(from, list.clone()).unwrap_or_default();
+        let before = self.dependents.needed_by_peers.insert(from, list.clone()).unwrap_or_default();
         let changed = before.keys().chain(list.keys()).filter(|id| before.get(*id) != list.get(*id));
         for id in changed.cloned().collect::<BTreeSet<_>>() {
             self.inherit_priority(&id);
@@ -284,7 +299,7 @@
         }
     }
 
-    /// Jobs that wait, those that have waited for longest first. For operators.
+    /// Waiting jobs, oldest first, for operators.
     pub fn waiting_jobs(&self) -> Vec<&Job> {
         let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| job.is_waiting()).collect();
         jobs.sort_by_key(|job| job.accepted_wall);
--- a/src/job_shard/dependencies/stored_form.rs
+++ b/src/job_shard/dependencies/stored_form.rs
@@ -1,136 +1,139 @@
-//! The stored form of descriptions of jobs that wait, have waited, or have ended.
+//! The stored format of the descriptions of jobs that wait, have waited or have ended.
 //!
-//! Earlier versions of the controller read these records too: a job that waits suits no machine of theirs, and one that
-//! waits no more is a plain one. The texts and keys here are stored and never change.
+//! Earlier versions of the controller read these records too. To them a waiting job fits no machine, and a
+//! released job is an ordinary one. The texts and keys here are stored and must never change.
 
 use crate::units::Micros;
 use crate::wire::users;
 use serde_json::{Map, Value, json};
 
-/// Stands in the stored description of a job that waits, in place of the machine types it allows.
-/// A controller of the first version doesn't know of prerequisites: it takes the job for one that no
-/// machine suits, so it keeps, shows and cancels it, and starts nothing.
-const HELD: &str = "(waits for other jobs)";
-/// The same for a job that is held by a coordination record, whether it follows others or not. Versions before form 4 would start
-/// one of the other sort as soon as all that it follows is done; this one suits no machine of theirs either.
-const HELD_FOR: &str = "(held for a pact)";
-const FOLLOWS_AFTER: &str = "followsAfter";
-/// What of a stored description is ours alone, inside the description, which the first version hands
-/// on untouched when it rewrites a record.
-const TYPES: &str = "breedsOfStall";
-const TYPES_AFTER: &str = "typesAfter";
-const FOLLOWS: &str = "follows";
-const RELEASED: &str = "releasedUs";
-/// What a released job followed, packed: its end says so too.
-const FOLLOWED: &str = "followed";
+/// Replaces the allowed machine types in the stored description of a waiting job. A version 1 controller does
+/// not support dependencies: it sees a job that fits no machine type, so it keeps, shows and cancels the job
+/// but starts nothing.
+const PLACEHOLDER_WAITING: &str = "(waits for other jobs)";
+/// The same for a job that is held by a coordination record, whether it has dependencies or not. Versions
+/// before format version 4 would start a job with the other placeholder as soon as all its dependencies are
+/// done. This placeholder fits no machine type in those versions either.
+const PLACEHOLDER_HELD: &str = "(held for a pact)";
+const KEY_FOLLOWS_AFTER: &str = "followsAfter";
+/// Keys within a stored description that only newer versions use. Version 1 preserves unknown keys when it
+/// rewrites a record.
+const KEY_TYPES: &str = "breedsOfStall";
+const KEY_TYPES_AFTER: &str = "typesAfter";
+const KEY_FOLLOWS: &str = "follows";
+const KEY_RELEASED: &str = "releasedUs";
+/// The packed dependencies of a released job. Its final record contains them too.
+const KEY_FOLLOWED: &str = "followed";
 
-/// Ids without what all have in common, in one text: hundreds must fit into a value.
-fn packed(ids: &Value) -> Option<String> {
+/// Packs job ids into one text without their common prefix, since hundreds of them must fit into one value.
+fn pack_job_ids(ids: &Value) -> Option<String> {
     let numbers = ids.as_array()?.iter().map(|v| v.as_str()?.strip_prefix("wk-"));
     Some(numbers.collect::<Option<Vec<_>>>()?.join(","))
 }
 
-/// Ids again from a packed text.
+/// Unpacks job ids.
 pub(crate) fn unpack_job_ids(text: &str) -> Vec<String> {
     text.split(',').filter(|n| !n.is_empty()).map(|n| format!("wk-{n}")).collect()
 }
 
-/// What a final record says of a job beside its end: what others may have to know of it for ever. None for jobs that
-/// name no coordination record and followed nobody.
-pub(in crate::job_shard) fn says(raw: &Value) -> Option<Value> {
-    let mut says = Map::new();
+/// The declarations in a job's final record: what other jobs may need to look up about it later. None for a
+/// job that names no coordination record and had no dependencies.
+pub(in crate::job_shard) fn declarations(raw: &Value) -> Option<Value> {
+    let mut declarations = Map::new();
     for key in ["release", "batch", "merges"] {
         if let Some(v) = raw.get(key) {
-            says.insert(key.into(), v.clone());
+            declarations.insert(key.into(), v.clone());
         }
     }
-    let followed = match raw.get(FOLLOWS) {
-        Some(ids) => packed(ids),
-        None => raw.get(FOLLOWED).and_then(Value::as_str).map(str::to_owned),
+    let followed = match raw.get(KEY_FOLLOWS) {
+        Some(ids) => pack_job_ids(ids),
+        None => raw.get(KEY_FOLLOWED).and_then(Value::as_str).map(str::to_owned),
     };
     if let Some(text) = followed {
-        says.insert(FOLLOWS.into(), text.into());
+        declarations.insert(KEY_FOLLOWS.into(), text.into());
     }
-    if says.is_empty() {
+    if declarations.is_empty() {
         return None;
     }
-    says.insert(users::CLASS.into(), raw.get(users::CLASS).cloned().unwrap_or_default());
-    Some(Value::Object(says))
+    declarations.insert(users::CLASS.into(), raw.get(users::CLASS).cloned().unwrap_or_default());
+    Some(Value::Object(declarations))
 }
 
-/// What a live job's record says of coordination records, in the form of a final one's `says`; None if it says nothing.
+/// The declarations in a live job's record, in the format of the key `declarations` of a final record; None if there
+/// are none.
 pub fn declarations_in_record(record: &Value) -> Option<Value> {
     let spec = record.get("spec")?;
-    let mut plain = spec.clone();
-    // A waiting one is packed already.
-    for key in [FOLLOWS, FOLLOWS_AFTER] {
+    let mut spec_with_packed_ids = spec.clone();
+    // The dependencies of a waiting job are already packed.
+    for key in [KEY_FOLLOWS, KEY_FOLLOWS_AFTER] {
         if let Some(text) = spec.get(key).and_then(Value::as_str) {
-            let map = plain.as_object_mut()?;
+            let map = spec_with_packed_ids.as_object_mut()?;
             map.remove(key);
-            map.insert(FOLLOWED.into(), text.into());
+            map.insert(KEY_FOLLOWED.into(), text.into());
         }
     }
-    says(&plain)
+    declarations(&spec_with_packed_ids)
 }
 
-/// The description to be stored for a job that waits.
-pub(in crate::job_shard) fn held(raw: &Value, by_record: bool) -> Value {
+/// The stored description of a waiting job.
+pub(in crate::job_shard) fn encode_waiting(raw: &Value, by_hold: bool) -> Value {
     let Some(map) = raw.as_object() else { return raw.clone() };
     let mut map = map.clone();
-    if let Some(types) = map.insert(TYPES.into(), json!([if by_record { HELD_FOR } else { HELD }]))
+    if let Some(types) =
+        map.insert(KEY_TYPES.into(), json!([if by_hold { PLACEHOLDER_HELD } else { PLACEHOLDER_WAITING }]))
         && !types.is_null()
     {
-        map.insert(TYPES_AFTER.into(), types);
+        map.insert(KEY_TYPES_AFTER.into(), types);
     }
-    if let Some(text) = map.get(FOLLOWS).and_then(packed) {
-        if by_record {
-            map.remove(FOLLOWS);
+    if let Some(text) = map.get(KEY_FOLLOWS).and_then(pack_job_ids) {
+        if by_hold {
+            map.remove(KEY_FOLLOWS);
         }
-        map.insert(if by_record { FOLLOWS_AFTER } else { FOLLOWS }.into(), text.into());
+        map.insert(if by_hold { KEY_FOLLOWS_AFTER } else { KEY_FOLLOWS }.into(), text.into());
     }
     Value::Object(map)
 }
 
-/// The description to be stored for a job that waits no more: a plain one, which every version runs.
-pub(in crate::job_shard) fn released(raw: &Value, at: Micros) -> Value {
+/// The stored description of a released job: an ordinary one, which every version runs.
+pub(in crate::job_shard) fn encode_released(raw: &Value, at: Micros) -> Value {
     let Some(map) = raw.as_object() else { return raw.clone() };
     let mut map = map.clone();
-    if let Some(text) = map.remove(FOLLOWS).as_ref().and_then(packed) {
-        map.insert(FOLLOWED.into(), text.into());
+    if let Some(text) = map.remove(KEY_FOLLOWS).as_ref().and_then(pack_job_ids) {
+        map.insert(KEY_FOLLOWED.into(), text.into());
     }
-    map.insert(RELEASED.into(), at.0.into());
+    map.insert(KEY_RELEASED.into(), at.0.into());
     Value::Object(map)
 }
 
-/// The user's description again, from the stored one; None if that is of an unknown form.
-pub(in crate::job_shard) fn restored(stored: &Value) -> Option<Value> {
+/// Restores the user's description from the stored one; None if its format is unknown.
+pub(in crate::job_shard) fn decode_description(stored: &Value) -> Option<Value> {
     let map = stored.as_object()?;
-    let held = map.get(TYPES).and_then(|t| t.get(0)).and_then(Value::as_str);
-    let by_record = held == Some(HELD_FOR);
-    if !by_record && held != Some(HELD) {
+    let placeholder = map.get(KEY_TYPES).and_then(|t| t.get(0)).and_then(Value::as_str);
+    let by_hold = placeholder == Some(PLACEHOLDER_HELD);
+    if !by_hold && placeholder != Some(PLACEHOLDER_WAITING) {
         return Some(stored.clone());
     }
     let mut map: Map<String, Value> = map.clone();
-    match map.remove(TYPES_AFTER) {
-        Some(types) => map.insert(TYPES.into(), types),
-        None => map.remove(TYPES),
+    match map.remove(KEY_TYPES_AFTER) {
+        Some(types) => map.insert(KEY_TYPES.into(), types),
+        None => map.remove(KEY_TYPES),
     };
-    let ids = match by_record {
-        true => map.remove(FOLLOWS_AFTER),
-        false => Some(map.remove(FOLLOWS)?),
+    let ids = match by_hold {
+        true => map.remove(KEY_FOLLOWS_AFTER),
+        false => Some(map.remove(KEY_FOLLOWS)?),
     };
     if let Some(ids) = ids {
-        map.insert(FOLLOWS.into(), unpack_job_ids(ids.as_str()?).into());
+        map.insert(KEY_FOLLOWS.into(), unpack_job_ids(ids.as_str()?).into());
     }
     Some(Value::Object(map))
 }
 
-/// When a stored job was released, if it ever waited.
+/// When a stored job was released; None if it never waited.
 pub(in crate::job_shard) fn released_at(raw: &Value) -> Option<Micros> {
-    raw.get(RELEASED)?.as_u64().map(Micros)
+    raw.get(KEY_RELEASED)?.as_u64().map(Micros)
 }
 
-/// The jobs that a released one followed.
-pub(super) fn followed(raw: &Value) -> Vec<String> {
-    raw.get(FOLLOWED).and_then(Value::as_str).map(unpack_job_ids).unwrap_or_default()
+/// The dependencies of a released job.
+pub(super) fn released_dependencies(raw: &Value) -> Vec<String> {
+    raw.get(KEY_FOLLOWED).and_then(Value::as_str).map(unpack_job_ids).unwrap_or_default()
 }
--- a/src/job_shard/epoch_adoption.rs
+++ b/src/job_shard/epoch_adoption.rs
@@ -1,4 +1,4 @@
-//! What becomes of jobs when the membership epoch changes, and how records are loaded in the new one.
+//! Handling of jobs when the membership epoch changes, and loading of records in the new epoch.
 
 use super::JobShard;
 use super::assignments::{MachineStart, UNSENT};
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Job {
-    /// A job as its record describes it.
+    /// Creates a job from its record.
     fn from_record(
         raw: Value,
         spec: JobSpec,
@@ -39,7 +39,7 @@
             next_write: Micros(0),
             next_progress: Micros(0),
             cancellation: Cancellation::default(),
-            prerequisites: spec.dependencies.iter().cloned().collect(),
+            unfinished_dependencies: spec.dependencies.iter().cloned().collect(),
             hold: Hold::of(&spec, &raw),
             release_due: None,
             released_wall: dependencies::released_at(&raw),
@@ -51,7 +51,8 @@
         }
     }
 
-    /// A new epoch: the record may have changed, and the machines' leaders have heard nothing in it.
+    /// Prepares the job for a new epoch: its record may have changed, and the machines' leaders have not been
+    /// sent anything in this epoch.
     fn adopt_epoch(&mut self) {
         self.write_in_flight = false;
         self.needs_reread = true;
@@ -66,21 +67,22 @@
 }
 
 impl JobShard {
-    /// Adopts a new epoch. Jobs stay only if the epoch directly `follows` the one before: otherwise another controller
-    /// may have led them in between. Nothing is placed before `finish_loading`.
+    /// Adopts a new epoch. Jobs are kept only if `follows` is true, i.e. the epoch directly succeeds the
+    /// previous one; otherwise another controller may have led them in between. Nothing is placed before
+    /// `finish_loading`.
     pub fn adopt_epoch(&mut self, membership: &Membership, follows: bool) {
         self.loaded = false;
-        self.older_epochs_silent_at = membership.older_leaders_stopped_at();
-        let stays = |id: &str| follows && membership.job_leader(id) == Some(membership.me);
+        self.older_epochs_stopped_at = membership.older_leaders_stopped_at();
+        let is_kept = |id: &str| follows && membership.job_leader(id) == Some(membership.me);
         let failures = &mut self.failures;
         self.jobs.retain(|id, _| {
-            if !stays(id) {
+            if !is_kept(id) {
                 failures.forget(id);
             }
-            stays(id)
+            is_kept(id)
         });
-        self.keep_dependents();
-        self.end_queue.keep(&self.jobs);
+        self.retain_dependents();
+        self.end_queue.retain_live(&self.jobs);
         self.outcomes.clear();
         self.jobs.values_mut().for_each(Job::adopt_epoch);
         let jobs = &self.jobs;
@@ -88,8 +90,8 @@
             tasks.retain(|(id, _)| jobs.contains_key(id));
         }
         self.assigned_by_machine.retain(|_, tasks| !tasks.is_empty());
-        self.retired_starts.adopt_epoch(stays);
-        self.delivery.adopt_epoch(membership.epoch, self.all_starts());
+        self.retired_starts.adopt_epoch(is_kept);
+        self.delivery.adopt_epoch(membership.epoch, self.all_attempts());
         for view in &mut self.views {
             view.clear_start_requests();
         }
@@ -104,8 +106,8 @@
         self.peer_reservations.inherit(&std::mem::take(&mut self.reservations));
     }
 
-    /// All starts that some machine's leader may know of.
-    fn all_starts(&self) -> BTreeSet<MachineStart> {
+    /// All attempts that a machine leader may know of.
+    fn all_attempts(&self) -> BTreeSet<MachineStart> {
         let assigned = self.jobs.iter().flat_map(|(id, job)| {
             let start = |(&index, assignment): (&u32, &super::assignments::Assignment)| {
                 MachineStart::new(&assignment.machine, id, index, assignment.attempt)
@@ -124,7 +126,7 @@
         self.unresolved_sets.retain_used(&used.collect());
     }
 
-    /// All records were read: `machines` are those that may run tasks.
+    /// Completes loading after all records were read. `machines` are those that may run tasks.
     pub fn finish_loading(&mut self, machines: impl Iterator<Item = String>) {
         self.unconfirmed_machines = machines.collect();
         self.loaded = true;
@@ -140,9 +142,9 @@
         self.resolve_start_knowledge();
     }
 
-    /// Takes a job's record from the store, unless the job's end is known: an end is never taken back. `fresh` if this
-    /// process has just written it and it can't have been started before. Of a job that is known already only the
-    /// record's version is taken.
+    /// Inserts a job from its record, unless the job's outcome is known, since an outcome is final. `fresh`
+    /// means that this process has just written the record, so that the job cannot have been started before.
+    /// For a job that is already known only the version of the record is updated.
     pub fn insert_job(
         &mut self,
         raw: Value,
@@ -157,8 +159,8 @@
             spec.priority += GUARANTEED_PRIORITY_BONUS;
         }
         let id = spec.id.clone();
-        // Guards against a live record that was read, or written, before the end: its answer may come after that of the
-        // end.
+        // Guards against a live record that was read or written before the final one: its response may arrive
+        // after that of the final record.
         if self.outcomes.contains(&id) {
             return;
         }
@@ -168,19 +170,19 @@
             return;
         }
         let mut job = Job::from_record(raw, spec, accepted_wall, done, store_version);
-        job.start_knowledge = self.knowledge_of_new_job(fresh);
+        job.start_knowledge = self.initial_start_knowledge(fresh);
         if has_guarantee {
             job.quota_tier = QuotaTier::Unknown;
         }
         self.jobs.insert(id.clone(), job);
-        // All its tasks may be done on record.
+        // All its tasks may already be recorded as done.
         self.end_queue.mark_changed(&id);
         self.start_replication.jobs_changed = true;
-        self.note_prerequisites(&id);
+        self.register_dependencies(&id);
         self.replan = true;
     }
 
-    fn knowledge_of_new_job(&self, fresh: bool) -> StartKnowledge {
+    fn initial_start_knowledge(&self, fresh: bool) -> StartKnowledge {
         match (fresh, self.loaded, self.set_of_epoch) {
             (true, ..) => StartKnowledge::Complete,
             (_, false, _) => StartKnowledge::RecordsUnread,
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Jobs whose machines have all been heard have all their starts known.
+    /// Marks jobs as fully known once all their machines have reported.
     pub(super) fn resolve_start_knowledge(&mut self) {
         for job in self.jobs.values_mut() {
             let StartKnowledge::AwaitsMachines(set) = job.start_knowledge else { continue };
--- a/src/job_shard/failure_attribution.rs
+++ b/src/job_shard/failure_attribution.rs
@@ -1,27 +1,28 @@
-//! Whose fault an error is. A faulty machine fails the tasks of several jobs; a job that was submitted
-//! with a mistake fails on every machine. Taking one for the other is costly: a large mistaken array
-//! would put all machines out of use, a faulty machine would stop every job that comes near it.
+//! Attributes task failures to jobs or machines. A faulty machine fails the tasks of several jobs; a faulty
+//! job fails on every machine. Confusing the two is costly: a large faulty array would quarantine all
+//! machines, and a faulty machine would quarantine every job that runs on it.
 
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job that failed on so many machines, and completed nothing since, is quarantined.
+/// A job that failed on this many machines without a success in between is quarantined.
 const QUARANTINE_MACHINES: usize = 3;
-/// How long a job keeps away from a machine that it failed on.
-const AVOIDED_FOR: Micros = Micros::from_millis(30_000);
-/// How long a machine is out of use after the error of one job, and the base for those of several.
-const MACHINE_QUARANTINE: Micros = Micros::from_millis(5_000);
-/// The most doublings of the pause between two probes.
-const DOUBLINGS: u32 = 5;
-/// The first pause between two probes of a quarantined job.
-const PROBE_PAUSE: Micros = Micros::from_millis(2_000);
+/// How long a job avoids a machine that it failed on.
+const MACHINE_AVOIDANCE_TIME: Micros = Micros::from_millis(30_000);
+/// How long a machine is quarantined after a failure of one job; the base of the backoff for failures of
+/// several jobs.
+const MACHINE_QUARANTINE_BASE: Micros = Micros::from_millis(5_000);
+/// Maximum number of doublings of the pause between two probes.
+const MAX_DOUBLINGS: u32 = 5;
+/// Initial pause between two probes of a quarantined job.
+const FIRST_PROBE_PAUSE: Micros = Micros::from_millis(2_000);
 
 #[derive(Debug, Default)]
 struct JobFailures {
     /// Machines that it failed on, and when.
     machines: BTreeMap<String, Micros>,
     quarantined: bool,
-    /// Failed probes since.
+    /// Failed probes since it was quarantined.
     probes: u32,
     next_probe: Micros,
 }
@@ -33,7 +34,7 @@
     quarantined_until: Micros,
 }
 
-/// The errors that have not been cleared by a success since.
+/// Failures that have not been cleared by a later success.
 #[derive(Debug, Default)]
 pub(super) struct FailureAttribution {
     jobs: BTreeMap<String, JobFailures>,
@@ -41,14 +42,14 @@
 }
 
 impl FailureAttribution {
-    /// A task of a job failed on a machine.
+    /// Records the failure of a job's task on a machine.
     pub(super) fn note_error(&mut self, now: Micros, job: &str, machine: &str) {
         let failures = self.jobs.entry(job.to_owned()).or_default();
         if failures.quarantined {
-            // Many tasks may fail at once: that is one failed probe.
+            // Many tasks may fail at once, which counts as one failed probe.
             if now >= failures.next_probe {
-                failures.next_probe = now + Micros(PROBE_PAUSE.0 << failures.probes);
-                failures.probes = (failures.probes + 1).min(DOUBLINGS);
+                failures.next_probe = now + Micros(FIRST_PROBE_PAUSE.0 << failures.probes);
+                failures.probes = (failures.probes + 1).min(MAX_DOUBLINGS);
             }
             return;
         }
@@ -58,34 +59,34 @@
             tracing::info!(job, machines, "job quarantined: fails on every machine");
             failures.quarantined = true;
             failures.machines.clear();
-            failures.next_probe = now + PROBE_PAUSE;
-            self.forgive_machines(job);
+            failures.next_probe = now + FIRST_PROBE_PAUSE;
+            self.clear_machine_failures(job);
         } else {
-            self.blame_machine(now, job, machine);
+            self.attribute_to_machine(now, job, machine);
         }
     }
 
-    /// What was held against machines for a mistaken job's sake is forgiven.
-    fn forgive_machines(&mut self, job: &str) {
+    /// Clears the failures that a faulty job caused on machines.
+    fn clear_machine_failures(&mut self, job: &str) {
         self.machines.retain(|_, failures| {
             failures.jobs.remove(job);
             !failures.jobs.is_empty()
         });
     }
 
-    fn blame_machine(&mut self, now: Micros, job: &str, machine: &str) {
+    fn attribute_to_machine(&mut self, now: Micros, job: &str, machine: &str) {
         let failures = self.machines.entry(machine.to_owned()).or_default();
         failures.jobs.insert(job.to_owned());
-        let others = failures.jobs.len() as u32 - 1;
-        let until = now + Micros(MACHINE_QUARANTINE.0 << (others * 2).min(DOUBLINGS + 1));
+        let other_jobs = failures.jobs.len() as u32 - 1;
+        let until = now + Micros(MACHINE_QUARANTINE_BASE.0 << (other_jobs * 2).min(MAX_DOUBLINGS + 1));
         failures.quarantined_until = failures.quarantined_until.max(until);
-        if others > 0 {
+        if other_jobs > 0 {
             let jobs = failures.jobs.len();
             tracing::info!(machine, jobs, "machine quarantined: several jobs fail on it");
         }
     }
 
-    /// A task of a job completed on a machine.
+    /// Records the success of a job's task on a machine.
     pub(super) fn note_success(&mut self, job: &str, machine: &str) {
         if self.jobs.is_empty() && self.machines.is_empty() {
             return;
@@ -96,30 +97,30 @@
         self.machines.remove(machine);
     }
 
-    /// A job has ended, or has another leader now.
+    /// Removes a job that has ended or has another leader now.
     pub(super) fn forget(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
-    /// Whether a job is taken to be mistaken.
+    /// Whether a job is quarantined as faulty.
     pub(super) fn is_job_quarantined(&self, job: &str) -> bool {
         self.jobs.get(job).is_some_and(|failures| failures.quarantined)
     }
 
-    /// Whether a quarantined job must still wait for its next probe.
+    /// Whether a quarantined job must wait for its next probe.
     pub(super) fn awaits_probe(&self, now: Micros, job: &str) -> bool {
         self.jobs.get(job).is_some_and(|failures| failures.quarantined && now < failures.next_probe)
     }
 
-    /// Whether a machine takes no tasks for the time being.
+    /// Whether a machine is quarantined and takes no tasks.
     pub(super) fn is_machine_quarantined(&self, now: Micros, machine: &str) -> bool {
         self.machines.get(machine).is_some_and(|failures| now < failures.quarantined_until)
     }
 
-    /// Machines that a job had better not be placed on.
+    /// Machines that a job should not be placed on.
     pub(super) fn machines_avoided_by(&self, now: Micros, job: &str) -> BTreeSet<&str> {
         let failed_on = self.jobs.get(job).into_iter().flat_map(|failures| &failures.machines);
-        let recent = failed_on.filter(|(_, failed_at)| now.since(**failed_at) < AVOIDED_FOR);
+        let recent = failed_on.filter(|(_, failed_at)| now.since(**failed_at) < MACHINE_AVOIDANCE_TIME);
         recent.map(|(machine, _)| machine.as_str()).collect()
     }
 
--- a/src/job_shard/gang.rs
+++ b/src/job_shard/gang.rs
@@ -1,73 +1,73 @@
-//! Gangs: all members of an attempt start together, and end together.
+//! Gang scheduling: all members of a gang's attempt, which share its attempt number, start and end together.
 
 use super::JobShard;
 use super::job::Job;
 use crate::peer::{DesiredAction, TaskPhase};
 use crate::units::Micros;
 
-/// How long members may take to be accepted by their machines before the attempt is given up.
+/// How long the machines may take to accept all members before the attempt is abandoned.
 const ACCEPT_TIMEOUT: Micros = Micros::from_millis(4_000);
-/// Pause before the next attempt of a gang that was not accepted.
+/// Pause before the next attempt of a gang whose members were not all accepted.
 const RETRY_PAUSE: Micros = Micros::from_millis(300);
 
-/// A gang's attempt.
+/// The state of a gang's attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GangState {
-    /// Members are being accepted, since then.
-    Holding(Micros),
-    /// All were accepted and may start.
-    Going,
-    /// The attempt is over; its members are being stopped.
-    Ending,
+    /// Members are being accepted, since the given time.
+    Accepting(Micros),
+    /// All members were accepted and may start.
+    Started,
+    /// The attempt has failed; its members are being stopped.
+    Stopping,
 }
 
-/// What an attempt needs next.
+/// The next step of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum GangStep {
-    /// All members are accepted: they start.
+    /// Start all members, since all are accepted.
     Start,
-    /// Not all were accepted in time: nothing of it was started.
-    GiveUp,
-    /// A member is missing or stuck.
+    /// Abandon the attempt: not all members were accepted in time, and none has started.
+    Abandon,
+    /// Stop the attempt: a member is missing or stuck.
     Stop,
-    /// All members are gone: the next attempt may begin.
+    /// Allow the next attempt: all members are gone.
     Clear,
 }
 
 impl Job {
-    /// What its gang's attempt needs next, if anything.
+    /// The next step of its gang's attempt, if any.
     fn next_gang_step(&self, now: Micros, gang_wait: Micros) -> Option<GangStep> {
         let tasks = self.spec.task_count as usize;
         match self.gang? {
-            GangState::Holding(since) => {
+            GangState::Accepting(since) => {
                 let held = self.assignments.values().filter(|a| a.phase == Some(TaskPhase::Held)).count();
                 if held == tasks {
                     return Some(GangStep::Start);
                 }
-                (now.since(since) > ACCEPT_TIMEOUT).then_some(GangStep::GiveUp)
+                (now.since(since) > ACCEPT_TIMEOUT).then_some(GangStep::Abandon)
             }
-            GangState::Going => {
-                // A member that never gets as far as waiting holds up the rest; theirs run
-                // out by themselves after a while, ours is to notice the odd one.
-                let stuck = self.assignments.values().any(|assignment| {
+            GangState::Started => {
+                // A member that never reaches its waiting phase blocks the others. Those time out on their
+                // workers; the stuck one must be detected here.
+                let has_stuck_member = self.assignments.values().any(|assignment| {
                     matches!(assignment.phase, Some(TaskPhase::Queued | TaskPhase::InDoubt) | None)
                         && now.since(assignment.phase_since) > gang_wait
                 });
-                (self.assignments.len() < tasks || stuck).then_some(GangStep::Stop)
+                (self.assignments.len() < tasks || has_stuck_member).then_some(GangStep::Stop)
             }
-            GangState::Ending => self.assignments.is_empty().then_some(GangStep::Clear),
+            GangState::Stopping => self.assignments.is_empty().then_some(GangStep::Clear),
         }
     }
 }
 
 impl JobShard {
-    /// Moves the attempts of all gangs on.
+    /// Advances the attempts of all gangs.
     pub(super) fn advance_gangs(&mut self, now: Micros) {
         let mut ended = Vec::new();
         for (id, job) in &mut self.jobs {
             match job.next_gang_step(now, self.gang_wait) {
                 Some(GangStep::Start) => {
-                    job.gang = Some(GangState::Going);
+                    job.gang = Some(GangState::Started);
                     for (&index, assignment) in &mut job.assignments {
                         assignment.action = DesiredAction::Run;
                         self.delivery.mark_changed(&assignment.machine, id, index, assignment.attempt);
@@ -80,16 +80,18 @@
         }
         for (id, step) in ended {
             match step {
-                GangStep::GiveUp => self.give_up_gang(now, &id),
-                // A gang taken over is complete only when every machine has been heard.
+                GangStep::Abandon => self.abandon_gang_attempt(now, &id),
+                // The members of a gang taken over from another leader are all known only once every machine
+                // has reported.
                 _ if !self.jobs.get(&id).is_some_and(Job::has_known_starts) => {}
-                _ => self.end_gang(&id),
+                _ => self.end_gang_attempt(&id),
             }
         }
     }
 
-    /// Withdraws an attempt of which nothing was started: what is no longer named is dropped by the machines' leaders.
-    fn give_up_gang(&mut self, now: Micros, id: &str) {
+    /// Withdraws an attempt of which no member has started. Machine leaders drop attempts that are no longer
+    /// listed.
+    fn abandon_gang_attempt(&mut self, now: Micros, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.gang = None;
         job.not_before = now + RETRY_PAUSE;
@@ -99,9 +101,9 @@
         }
     }
 
-    /// A gang's attempt is over: its other members are stopped, and the next attempt waits until
-    /// they are gone. Does nothing if the gang has completed.
-    pub(super) fn end_gang(&mut self, id: &str) {
+    /// Ends a gang's attempt: its remaining members are stopped, and the next attempt waits until they are
+    /// gone. Does nothing if the gang has completed.
+    pub(super) fn end_gang_attempt(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.done.len() != job.spec.task_count {
             self.stop_gang(id, Micros(0));
@@ -111,9 +113,9 @@
     /// Stops all members of a gang.
     pub(super) fn stop_gang(&mut self, id: &str, grace: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.gang = if job.assignments.is_empty() { None } else { Some(GangState::Ending) };
+        job.gang = if job.assignments.is_empty() { None } else { Some(GangState::Stopping) };
         for (&index, assignment) in &mut job.assignments {
-            // One that is saving already keeps its time.
+            // A member that is already writing its checkpoint keeps its grace period.
             if !assignment.is_stopping() {
                 assignment.action = DesiredAction::Stop(grace);
                 self.delivery.mark_changed(&assignment.machine, id, index, assignment.attempt);
--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -1,6 +1,6 @@
-//! Lending of GPUs as a leader of jobs sees it: what its jobs run beyond their teams' guarantees, what its services lack,
-//! room that is kept for somebody, and tasks that are preempted, or go back, by what a ledger says. Which job is within
-//! its guarantee is decided in `quota::tier` alone.
+//! GPU lending as seen by a job leader: what its jobs run beyond their teams' guarantees, what its services
+//! lack, resources that are reserved by loans, and the preemption of tasks as the ledgers demand. Whether a
+//! job is within its guarantee is decided in `quota::tier` alone.
 
 use super::JobShard;
 use super::assignments::Assignment;
@@ -11,7 +11,7 @@
 use crate::peer::{DesiredAction, LendableJob, LendableTask, LendingReport, TaskPhase};
 use crate::quota::QuotaLedger;
 use crate::quota::tier::QuotaTier;
-use crate::scheduler::placement::Place;
+use crate::scheduler::placement::PlacementTarget;
 use crate::spec::{GUARANTEED_PRIORITY_BONUS, JobKind, JobSpec};
 use crate::units::{Micros, Resources};
 use hazelsaddle_gpu_lending::ResourceVector;
@@ -20,37 +20,40 @@
 use hazelsaddle_gpu_lending::reclaim::{Borrower, ReclaimTerms, ReplicasOnLoan, Shortfall, loans_to_reclaim};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long what a peer said holds.
-const VALID_FOR: Micros = Micros::from_millis(5_000);
-/// A ledger that was read longer ago is not followed any more: what it says may have been taken back.
-const LEDGER_VALID_FOR: Micros = Micros::from_millis(5_000);
-/// Replicas wait so long for room that comes free by itself before any is taken, and before a machine is rented.
-const TAKE_DELAY: Micros = Micros::from_millis(1_500);
-/// Priority of room that is kept for a loan: only whom it is kept for may use it.
-const KEPT: u8 = u8::MAX;
-/// The most replicas of a job that are looked at.
-const MOST_REPLICAS: i64 = 10_000;
-
-/// What is known of loans.
+/// How long a peer's lending message is valid.
+const PEER_REPORT_VALIDITY: Micros = Micros::from_millis(5_000);
+/// How long a ledger is valid after it was requested. An older one is not enforced, since its loans may have
+/// been dropped.
+const LEDGER_VALIDITY: Micros = Micros::from_millis(5_000);
+/// How long replicas wait for resources to become free by themselves before a loan is claimed. No machine is
+/// rented for them for twice that time.
+const CLAIM_DELAY: Micros = Micros::from_millis(1_500);
+/// Priority of resources reserved by a loan, which no work reaches: only the job that they are reserved for
+/// may use them.
+const LOAN_RESERVED_PRIORITY: u8 = u8::MAX;
+/// Maximum number of replicas of a job that are considered.
+const MAX_REPLICAS: i64 = 10_000;
+
+/// What the shard knows of loans.
 #[derive(Debug, Default)]
 pub(super) struct Loans {
     terms: Option<LoanTerms>,
-    /// Teams' ledgers.
+    /// The teams' ledgers.
     ledgers: BTreeMap<String, Ledger>,
-    /// When the question went out that they answer.
-    as_of: Option<Micros>,
-    /// By peer, what it said last.
+    /// When the read that returned the ledgers was sent.
+    ledgers_requested_at: Option<Micros>,
+    /// By peer, its latest lending message.
     peers: BTreeMap<usize, PeerLending>,
     /// Services that lack replicas, and since when.
     lacking: BTreeMap<String, Micros>,
-    /// Teams whose work within its guarantee lacks GPUs, by our jobs.
+    /// Teams whose work within its guarantee lacks GPUs, counting the jobs of this shard.
     short: BTreeMap<String, TeamShortfall>,
 }
 
-/// What a peer's jobs could lend, and what they lack.
+/// What a peer's jobs can lend, and what they lack.
 #[derive(Debug)]
 struct PeerLending {
-    at: Micros,
+    received_at: Micros,
     lending: LendingReport,
 }
 
@@ -61,39 +64,40 @@
     since: Micros,
 }
 
-/// Room on a place that is kept for a job, given to it while it is placed.
-pub(super) struct LentRoom {
-    pub(super) place: usize,
+/// Resources on a placement target that are reserved for a job, made available to it while it is placed.
+pub(super) struct GrantedResources {
+    pub(super) target: usize,
     room: Resources,
 }
 
-/// Room that is to be claimed.
+/// A loan that a service of this shard should claim.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoanProposal {
     /// The borrowing team.
     pub team: String,
-    /// Its job.
+    /// The borrowing job.
     pub job: String,
-    /// How many of its replicas have no place.
+    /// How many of its replicas have no machine.
     pub missing_replicas: u32,
-    /// What is claimed, machine by machine.
+    /// The claims, one for each machine.
     pub claims: Vec<Claim>,
 }
 
-fn amount(room: Resources) -> ResourceVector {
+fn to_amount(room: Resources) -> ResourceVector {
     ResourceVector { gpus: room.gpus, cpus: room.cpus, memory: room.memory }
 }
 
-/// What goes back is for the lender, and for whatever lies within its guarantee: that stands above. All else is for the
-/// loan's job.
-fn is_kept_for(loan: &Loan, id: &str, job: &Job) -> bool {
+/// Whether resources reserved by a loan are for this job. Resources being returned are for the lender's
+/// jobs, and for any job within its team's guarantee, since such work takes precedence. All others are for
+/// the borrowing job.
+fn is_reserved_for(loan: &Loan, id: &str, job: &Job) -> bool {
     match loan.state {
         LoanState::Returning => loan.lender == job.spec.team || job.quota_tier == QuotaTier::Within,
         _ => loan.job == id,
     }
 }
 
-/// Whether a job's tasks run beyond what its team is guaranteed. Of one of which that is not known nothing is lent.
+/// Whether a job's tasks run beyond its team's guarantee. A job for which this is unknown lends nothing.
 fn is_lendable(job: &Job) -> bool {
     matches!(job.quota_tier, QuotaTier::Beyond | QuotaTier::NoGuarantee)
 }
@@ -103,19 +107,19 @@
         Loans { terms, ..Loans::default() }
     }
 
-    /// A new epoch: what peers said, they said as leaders of other jobs.
+    /// Adopts a new epoch: the peers' messages concerned the jobs that they led in the previous one.
     pub(super) fn adopt_epoch(&mut self) {
         self.peers.clear();
-        self.as_of = None;
+        self.ledgers_requested_at = None;
     }
 
     fn all(&self) -> impl Iterator<Item = &Loan> {
         self.ledgers.values().flat_map(|ledger| &ledger.loans)
     }
 
-    /// Room on machines that is kept for somebody: for a borrower's replicas until they stand, and for a lender's job until
-    /// it is back. The first says whom a loan is for.
-    fn kept(&self) -> impl Iterator<Item = (&Loan, Resources)> {
+    /// Resources on machines that are reserved by loans: for a borrower's replicas until they run, and for a
+    /// lender's job until it runs again. The loan determines the job.
+    fn reserved_resources(&self) -> impl Iterator<Item = (&Loan, Resources)> {
         self.all().filter_map(|loan| match loan.state {
             LoanState::Taking => {
                 let (gpus, cpus, memory) = loan.hold;
@@ -128,66 +132,78 @@
         })
     }
 
-    /// By machine, the room that is kept by those loans that are wanted.
-    fn kept_by_machine(&self, is_wanted: impl Fn(&Loan) -> bool) -> BTreeMap<&str, Resources> {
+    /// By machine, the resources reserved by the loans that `is_wanted` selects.
+    fn reserved_by_machine(&self, is_wanted: impl Fn(&Loan) -> bool) -> BTreeMap<&str, Resources> {
         let mut by_machine: BTreeMap<&str, Resources> = BTreeMap::new();
-        for (loan, room) in self.kept().filter(|(loan, _)| is_wanted(loan)) {
+        for (loan, room) in self.reserved_resources().filter(|(loan, _)| is_wanted(loan)) {
             let sum = by_machine.entry(&loan.machine).or_default();
             *sum = *sum + room;
         }
         by_machine
     }
 
-    /// Takes what is kept for somebody off what is free.
-    pub(super) fn hold_back(&self, places: &mut [Place]) {
-        let kept = self.kept_by_machine(|_| true);
-        if kept.is_empty() {
+    /// Subtracts the resources reserved by loans from the free resources.
+    pub(super) fn withhold_reserved(&self, targets: &mut [PlacementTarget]) {
+        let reserved_resources = self.reserved_by_machine(|_| true);
+        if reserved_resources.is_empty() {
             return;
         }
-        for place in places {
-            if let Some(room) = kept.get(place.machine.name.as_str()) {
-                place.free = place.free - *room;
-                // Guards against gangs that wait: they would reserve the machine, and neither would get it.
-                place.reserved_for = Some(KEPT);
+        for target in targets {
+            if let Some(room) = reserved_resources.get(target.machine.name.as_str()) {
+                target.free = target.free - *room;
+                // Guards against waiting gangs: they would reserve the machine too, and neither would get it.
+                target.reserved_for = Some(LOAN_RESERVED_PRIORITY);
             }
         }
     }
 
-    /// Gives a job the room that is kept for it.
-    pub(super) fn lend(&self, places: &mut [Place], id: &str, job: &Job) -> Vec<LentRoom> {
-        let kept = self.kept_by_machine(|loan| is_kept_for(loan, id, job));
-        let mut lent = Vec::new();
-        if kept.is_empty() {
-            return lent;
+    /// Makes the resources that are reserved for a job available to it.
+    pub(super) fn grant_reserved(
+        &self,
+        targets: &mut [PlacementTarget],
+        id: &str,
+        job: &Job,
+    ) -> Vec<GrantedResources> {
+        let reserved_resources = self.reserved_by_machine(|loan| is_reserved_for(loan, id, job));
+        let mut granted = Vec::new();
+        if reserved_resources.is_empty() {
+            return granted;
         }
-        for (i, place) in places.iter_mut().enumerate() {
-            if let Some(&room) = kept.get(place.machine.name.as_str()) {
-                place.free = place.free + room;
-                place.reserved_for = None;
-                lent.push(LentRoom { place: i, room });
+        for (i, target) in targets.iter_mut().enumerate() {
+            if let Some(&room) = reserved_resources.get(target.machine.name.as_str()) {
+                target.free = target.free + room;
+                target.reserved_for = None;
+                granted.push(GrantedResources { target: i, room });
             }
         }
-        lent
-    }
-
-    /// Takes back what of it the job, whose tasks go to the places `used`, has not used.
-    pub(super) fn take_back(places: &mut [Place], lent: &[LentRoom], one: Resources, used: &[usize]) {
-        for LentRoom { place, room } in lent {
-            let tasks = used.iter().filter(|i| *i == place).count() as i64;
-            places[*place].free = places[*place].free - (*room - one.times(tasks).min(*room));
-            places[*place].reserved_for = Some(KEPT);
+        granted
+    }
+
+    /// Withdraws the reserved resources that the job did not use; `used` are the targets of its tasks.
+    pub(super) fn withdraw_unused(
+        targets: &mut [PlacementTarget],
+        granted: &[GrantedResources],
+        one: Resources,
+        used: &[usize],
+    ) {
+        for GrantedResources { target, room } in granted {
+            let tasks = used.iter().filter(|i| *i == target).count() as i64;
+            targets[*target].free = targets[*target].free - (*room - one.times(tasks).min(*room));
+            targets[*target].reserved_for = Some(LOAN_RESERVED_PRIORITY);
         }
     }
 
-    /// Machines that a job's replicas are leaving for a lender: it comes back to none of them meanwhile.
-    pub(super) fn machines_left_by(&self, id: &str) -> impl Iterator<Item = &str> {
+    /// Machines that a job's replicas are leaving in favour of a lender. The job is not placed there
+    /// meanwhile.
+    pub(super) fn machines_being_vacated_by(&self, id: &str) -> impl Iterator<Item = &str> {
         let is_leaving = move |loan: &&Loan| loan.job == id && loan.state == LoanState::Returning;
         self.all().filter(is_leaving).map(|loan| loan.machine.as_str())
     }
 
-    /// Replicas that are claimed for already, or that loans are being looked for: no machine is rented for them.
-    pub(super) fn covers(&self, now: Micros, id: &str) -> u32 {
-        if self.lacking.get(id).is_some_and(|since| now.since(*since) < Micros(TAKE_DELAY.0 * 2)) {
+    /// How many unplaced replicas are covered by claims; all of them while a loan is still being sought. No
+    /// machine is rented for these.
+    pub(super) fn replicas_covered_by_loans(&self, now: Micros, id: &str) -> u32 {
+        if self.lacking.get(id).is_some_and(|since| now.since(*since) < Micros(CLAIM_DELAY.0 * 2)) {
             return u32::MAX;
         }
         self.claimed_replicas(id)
@@ -197,19 +213,19 @@
         self.ledgers.values().map(|ledger| ledger.claimed_replicas(id)).sum()
     }
 
-    /// Whether a start is claimed already by a borrower.
+    /// Whether a borrower has already claimed an attempt.
     fn is_lent(&self, id: &str, index: u32, attempt: u64) -> bool {
         self.ledgers.values().any(|ledger| ledger.is_lent(id, (index, attempt)))
     }
 
     fn is_ledger_valid(&self, now: Micros) -> bool {
-        self.as_of.is_some_and(|as_of| now.since(as_of) < LEDGER_VALID_FOR)
+        self.ledgers_requested_at.is_some_and(|requested_at| now.since(requested_at) < LEDGER_VALIDITY)
     }
 }
 
 impl JobShard {
     /// Whether a job may borrow.
-    pub(super) fn may_borrow(&self, spec: &JobSpec) -> bool {
+    pub(super) fn can_borrow(&self, spec: &JobSpec) -> bool {
         let is_borrower =
             |terms: &LoanTerms| terms.borrowers.iter().any(|b| *b == spec.team || *b == spec.class);
         spec.kind == JobKind::Service
@@ -217,19 +233,19 @@
             && self.loans.terms.as_ref().is_some_and(is_borrower)
     }
 
-    /// Takes the teams' ledgers, read by a question that went out at `sent`.
+    /// Replaces the teams' ledgers by those returned for a read that was sent at `sent`.
     pub fn apply_ledgers(&mut self, sent: Micros, ledgers: BTreeMap<String, Ledger>) {
         self.loans.ledgers = ledgers;
-        self.loans.as_of = Some(sent);
+        self.loans.ledgers_requested_at = Some(sent);
         self.replan = true;
     }
 
-    /// Takes what a peer's jobs could lend and what they lack, in place of what it said before.
+    /// Replaces what a peer's jobs can lend and what they lack.
     pub fn apply_peer_lending(&mut self, now: Micros, from: usize, lending: LendingReport) {
-        self.loans.peers.insert(from, PeerLending { at: now, lending });
+        self.loans.peers.insert(from, PeerLending { received_at: now, lending });
     }
 
-    /// Sees which services lack replicas, and which teams lack GPUs within their guarantees.
+    /// Updates which services lack replicas, and which teams lack GPUs within their guarantees.
     pub fn note_gpu_shortfalls(&mut self, now: Micros) {
         let mut lacking: BTreeMap<String, Micros> = BTreeMap::new();
         let mut short: BTreeMap<String, TeamShortfall> = BTreeMap::new();
@@ -245,7 +261,7 @@
             {
                 continue;
             }
-            if self.may_borrow(spec) {
+            if self.can_borrow(spec) {
                 lacking.insert(id.clone(), self.loans.lacking.get(id).copied().unwrap_or(now));
             }
             if job.quota_tier == QuotaTier::Within && !self.failures.is_job_quarantined(id) {
@@ -258,14 +274,15 @@
         (self.loans.lacking, self.loans.short) = (lacking, short);
     }
 
-    /// What peers are told: our jobs' tasks on GPUs beyond their teams' guarantees, and what is lacking.
+    /// The message to peers: tasks of this shard on GPUs beyond their teams' guarantees, and shortfalls
+    /// within guarantees.
     pub fn lending_offer(&self, now: Micros, wall: Micros) -> LendingReport {
         let short = self.loans.short.iter();
         let lacks = short.map(|(team, short)| (team.clone(), short.room, now.since(short.since))).collect();
         let Some(terms) = &self.loans.terms else {
             return LendingReport { jobs: Vec::new(), shortfalls: lacks };
         };
-        let offers = |job: &Job| {
+        let is_offered = |job: &Job| {
             is_lendable(job)
                 && job.spec.resources_per_task.gpus > 0
                 && job.pending_outcome.is_none()
@@ -284,7 +301,7 @@
                 .collect(),
         };
         LendingReport {
-            jobs: self.jobs.iter().filter(|(_, job)| offers(job)).map(lendable).collect(),
+            jobs: self.jobs.iter().filter(|(_, job)| is_offered(job)).map(lendable).collect(),
             shortfalls: lacks,
         }
     }
@@ -300,11 +317,12 @@
     ) -> LendableTask {
         let id = &job.spec.id;
         let gang = job.spec.kind == JobKind::Gang;
-        let is_moving = !job.has_known_starts() || (gang && job.gang != Some(GangState::Going));
-        let is_there =
+        let is_in_transition = !job.has_known_starts() || (gang && job.gang != Some(GangState::Started));
+        let is_on_machine =
             matches!(assignment.phase, Some(TaskPhase::Fetching | TaskPhase::Waiting | TaskPhase::Running));
-        // A replica that was taken for is left where it is for a while, or room would swing.
-        let is_young = self.loans.all().any(|loan| {
+        // A replica that was started by a loan is not preempted for a while. Otherwise resources would
+        // oscillate between jobs.
+        let is_recent_loan = self.loans.all().any(|loan| {
             loan.job == *id
                 && loan.machine == assignment.machine
                 && loan.state == LoanState::Held
@@ -315,10 +333,10 @@
             attempt: assignment.attempt,
             machine: assignment.machine.clone(),
             lost_work_ms: self.lost_by_stopping_ms(now, job, assignment),
-            is_protected: is_moving
-                || !is_there
+            is_protected: is_in_transition
+                || !is_on_machine
                 || assignment.is_stopping()
-                || is_young
+                || is_recent_loan
                 || self.loans.is_lent(id, index, assignment.attempt),
         }
     }
@@ -333,11 +351,12 @@
             _ => 0,
         };
         let left = (self.run_times.likely(&job.spec).0 / 1000).saturating_sub(ran);
-        // What never saves and is nearly done goes last.
+        // A task that never checkpoints and is nearly done is preempted last.
         if left < ran / 4 { ran * 2 } else { ran }
     }
 
-    /// What is to be claimed for one of our services whose replicas have found no room for a moment.
+    /// The next loan to claim for a service of this shard whose replicas have found no free resources for
+    /// `CLAIM_DELAY`.
     pub fn propose_loan(
         &self,
         now: Micros,
@@ -345,31 +364,31 @@
         membership: &Membership,
         quota: &QuotaLedger,
     ) -> Option<LoanProposal> {
-        // Guards against claims on what others have claimed meanwhile.
+        // Guards against claims on tasks that others have claimed meanwhile.
         if !self.loans.is_ledger_valid(now) || self.loans.lacking.is_empty() {
             return None;
         }
-        let tasks = self.tasks_to_take(now, wall, membership);
+        let tasks = self.preemptible_tasks_for_loans(now, wall, membership);
         if tasks.is_empty() {
             return None;
         }
-        let mut places = self.places(now, membership, &self.views);
-        self.loans.hold_back(&mut places);
+        let mut targets = self.placement_targets(now, membership, &self.views);
+        self.loans.withhold_reserved(&mut targets);
         let has_waited =
-            |id: &String| self.loans.lacking.get(id).is_some_and(|since| now.since(*since) >= TAKE_DELAY);
+            |id: &String| self.loans.lacking.get(id).is_some_and(|since| now.since(*since) >= CLAIM_DELAY);
         for id in self.queue_order().iter().filter(|id| has_waited(id)) {
             let Some(job) = self.jobs.get(id) else { continue };
-            let pauses = self.failures.awaits_probe(now, id) || now < job.not_before;
-            if self.failures.is_job_quarantined(id) || pauses {
+            let is_paused = self.failures.awaits_probe(now, id) || now < job.not_before;
+            if self.failures.is_job_quarantined(id) || is_paused {
                 continue;
             }
-            let missing = self.replicas_missing(id, job, quota);
+            let missing = self.unplaced_replicas_within_quota(id, job, quota);
             let claimed = self.loans.claimed_replicas(id);
             if missing <= claimed {
                 continue;
             }
-            let need = self.loan_need(id, job, missing - claimed, &places, membership);
-            let claims = choose_preemptions(&need, &self.machines_for_loan(now, id, job, &places), &tasks);
+            let need = self.replica_demand(id, job, missing - claimed, &targets, membership);
+            let claims = choose_preemptions(&need, &self.machines_for_loan(now, id, job, &targets), &tasks);
             if !claims.is_empty() {
                 return Some(LoanProposal {
                     team: job.spec.team.clone(),
@@ -382,20 +401,20 @@
         None
     }
 
-    /// Replicas without a place that a job's quota allows.
-    fn replicas_missing(&self, id: &str, job: &Job, quota: &QuotaLedger) -> u32 {
+    /// The number of replicas without a machine that the job's quota allows.
+    fn unplaced_replicas_within_quota(&self, id: &str, job: &Job, quota: &QuotaLedger) -> u32 {
         let allowance = quota.usable(&job.spec.team, id) - self.resources_in_use(id, job);
         let allowance = Resources { memory: i64::MAX / 4, ..allowance };
-        let allowed = allowance.max_count_of(job.spec.resources_per_task).clamp(0, MOST_REPLICAS) as u32;
+        let allowed = allowance.max_count_of(job.spec.resources_per_task).clamp(0, MAX_REPLICAS) as u32;
         (job.spec.task_count - job.assignments.len() as u32).min(allowed)
     }
 
-    fn loan_need(
+    fn replica_demand(
         &self,
         id: &str,
         job: &Job,
         replicas: u32,
-        places: &[Place],
+        targets: &[PlacementTarget],
         membership: &Membership,
     ) -> ReplicaDemand {
         let spec = &job.spec;
@@ -405,7 +424,7 @@
         } else if spec.spread {
             let half = spec.task_count.div_ceil(2);
             let left = |zone: &String| half.saturating_sub(counts.get(zone).copied().unwrap_or(0));
-            let zones = places.iter().map(|place| &place.machine.zone);
+            let zones = targets.iter().map(|target| &target.machine.zone);
             Some(zones.map(|zone| (zone.clone(), left(zone))).collect())
         } else {
             None
@@ -414,14 +433,14 @@
             team: spec.team.clone(),
             base_priority: spec.priority % GUARANTEED_PRIORITY_BONUS,
             within_guarantee: job.quota_tier == QuotaTier::Within,
-            resources_per_replica: amount(spec.resources_per_task),
+            resources_per_replica: to_amount(spec.resources_per_task),
             replicas,
             zone_quota: zones,
             one_zone: spec.one_zone,
         }
     }
 
-    /// By zone, the replicas that a job has there, is being given there, or may still have there.
+    /// By zone, the replicas of a job that are assigned there, claimed there, or may still be running there.
     fn replicas_by_zone(&self, id: &str, job: &Job, membership: &Membership) -> BTreeMap<String, u32> {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for assignment in job.assignments.values() {
@@ -431,45 +450,52 @@
         for loan in self.loans.all().filter(|loan| loan.job == *id && loan.state == LoanState::Taking) {
             *counts.entry(zone_of(&loan.machine).unwrap_or_default()).or_default() += loan.replicas;
         }
-        for (_, start) in self.retired_starts.alive_of(id) {
+        for (_, start) in self.retired_starts.alive_attempts_of(id) {
             *counts.entry(start.zone.clone()).or_default() += 1;
         }
         counts.retain(|_, count| *count > 0);
         counts
     }
 
-    /// Machines where a job's replicas may go.
-    fn machines_for_loan(&self, now: Micros, id: &str, job: &Job, places: &[Place]) -> Vec<Machine> {
+    /// Machines on which a job's replicas may be placed.
+    fn machines_for_loan(
+        &self,
+        now: Micros,
+        id: &str,
+        job: &Job,
+        targets: &[PlacementTarget],
+    ) -> Vec<Machine> {
         let spec = &job.spec;
         let avoided = self.failures.machines_avoided_by(now, id);
-        let leaving: BTreeSet<&str> = self.loans.machines_left_by(id).collect();
-        let is_usable = |place: &&Place| {
-            let name = place.machine.name.as_str();
-            place.is_allowed(spec)
-                && place.reserved_for.is_none_or(|priority| priority <= spec.priority)
+        let vacating: BTreeSet<&str> = self.loans.machines_being_vacated_by(id).collect();
+        let is_usable = |target: &&PlacementTarget| {
+            let name = target.machine.name.as_str();
+            target.is_allowed(spec)
+                && target.reserved_for.is_none_or(|priority| priority <= spec.priority)
                 && !avoided.contains(name)
-                && !leaving.contains(name)
-                && self.retired_starts.open_of(id).all(|(key, _)| key.machine != name)
+                && !vacating.contains(name)
+                && self.retired_starts.blocking_attempts_of(id).all(|(key, _)| key.machine != name)
         };
-        let machine = |place: &Place| Machine {
-            name: place.machine.name.clone(),
-            zone: place.machine.zone.clone(),
-            free: amount(place.free),
-            has_image: place.machine.images.contains(&spec.image_hash),
+        let machine = |target: &PlacementTarget| Machine {
+            name: target.machine.name.clone(),
+            zone: target.machine.zone.clone(),
+            free: to_amount(target.free),
+            has_image: target.machine.images.contains(&spec.image_hash),
         };
-        places.iter().filter(is_usable).map(machine).collect()
+        targets.iter().filter(is_usable).map(machine).collect()
     }
 
-    /// Tasks, ours and peers', that may be stopped for a borrower.
-    fn tasks_to_take(&self, now: Micros, wall: Micros, membership: &Membership) -> Vec<Task> {
-        let is_valid = |(peer, said): &(&usize, &PeerLending)| {
-            now.since(said.at) < VALID_FOR && membership.members.contains(peer)
+    /// Tasks of this shard and of peers that may be preempted for a borrower.
+    fn preemptible_tasks_for_loans(&self, now: Micros, wall: Micros, membership: &Membership) -> Vec<Task> {
+        let is_valid = |(peer, report): &(&usize, &PeerLending)| {
+            now.since(report.received_at) < PEER_REPORT_VALIDITY && membership.members.contains(peer)
         };
-        let peers = self.loans.peers.iter().filter(is_valid).flat_map(|(_, said)| said.lending.jobs.clone());
+        let peers =
+            self.loans.peers.iter().filter(is_valid).flat_map(|(_, report)| report.lending.jobs.clone());
         let mut tasks = Vec::new();
         for lendable in self.lending_offer(now, wall).jobs.into_iter().chain(peers) {
             for task in lendable.tasks {
-                // What was said before the claim was made doesn't know of it.
+                // A message that was sent before the claim does not reflect it.
                 let claimed = self.loans.is_lent(&lendable.job, task.index, task.attempt);
                 tasks.push(Task {
                     job: lendable.job.clone(),
@@ -480,7 +506,7 @@
                     within_guarantee: false,
                     is_gang: lendable.is_gang,
                     machine: task.machine,
-                    resources: amount(lendable.resources_per_task),
+                    resources: to_amount(lendable.resources_per_task),
                     lost_work_ms: task.lost_work_ms,
                     protected: task.is_protected || claimed,
                 });
@@ -489,7 +515,8 @@
         tasks
     }
 
-    /// Stops what the ledgers say: our tasks that are lent, gangs whole, and our replicas whose room goes back.
+    /// Enforces the ledgers: stops lent tasks of this shard, gangs as a whole, and replicas whose resources
+    /// are being returned.
     pub fn enforce_loans(&mut self, now: Micros) {
         if !self.loans.is_ledger_valid(now) {
             return;
@@ -499,12 +526,12 @@
         for loan in open {
             match loan.state {
                 LoanState::Taking => self.stop_lent_tasks(&loan),
-                _ => self.return_replicas(&loan),
+                _ => self.stop_replicas_to_return(&loan),
             }
         }
     }
 
-    fn return_replicas(&mut self, loan: &Loan) {
+    fn stop_replicas_to_return(&mut self, loan: &Loan) {
         let Some(job) = self.jobs.get_mut(&loan.job) else { return };
         for (&index, assignment) in &mut job.assignments {
             if assignment.machine == loan.machine && !assignment.is_stopping() {
@@ -517,7 +544,7 @@
 
     fn stop_lent_tasks(&mut self, loan: &Loan) {
         let Some(job) = self.jobs.get_mut(&loan.from) else { return };
-        // Guards work that has come to lie within its guarantee since it was offered.
+        // Guards work that has come to be within its team's guarantee since it was offered.
         if !is_lendable(job) || job.pending_outcome.is_some() {
             return;
         }
@@ -527,7 +554,7 @@
         };
         if job.spec.kind == JobKind::Gang {
             let has_lent = job.assignments.iter().any(|(index, assignment)| is_lent(*index, assignment));
-            if job.gang == Some(GangState::Going) && has_lent {
+            if job.gang == Some(GangState::Started) && has_lent {
                 tracing::info!(job = %loan.from, machine = %loan.machine, borrower = %loan.job, loan = loan.id, "gang preempted for loan");
                 self.stop_gang(&loan.from, grace);
             }
@@ -542,7 +569,7 @@
         }
     }
 
-    /// How things stand with a loan, as far as we know: of our own jobs, and of machines.
+    /// The facts about a loan that this shard knows: about jobs that it leads, and about machines.
     pub fn loan_facts(&self, loan: &Loan, membership: &Membership) -> LoanFacts {
         let mut facts = LoanFacts {
             is_machine_gone: self.is_machine_gone(&loan.machine, membership),
@@ -567,7 +594,7 @@
         facts
     }
 
-    /// Whether the lender's job, or its team, lacks room; None if not all its starts are known.
+    /// Whether the lender's job or team lacks resources; None if not all attempts of the job are known.
     fn lender_lacks(&self, loan: &Loan) -> Option<bool> {
         let Some(job) = self.jobs.get(&loan.from) else { return Some(false) };
         if !job.has_known_starts() {
@@ -578,7 +605,8 @@
         Some(job.pending_outcome.is_none() && lacks)
     }
 
-    /// Loans of our services that are to be given back, since the lender is within its guarantee and short.
+    /// Loans of services of this shard that must be returned, since the lender has a shortfall within its
+    /// guarantee.
     pub fn loans_to_return(
         &self,
         now: Micros,
@@ -589,39 +617,40 @@
         quota: &QuotaLedger,
     ) -> Vec<u64> {
         let Some(terms) = &self.loans.terms else { return Vec::new() };
-        let lacks = self.lacks_of_all(now, wall);
+        let lacks = self.combined_shortfalls(now, wall);
         if lacks.is_empty() {
             return Vec::new();
         }
         let guarantee = self.guarantees.get(team).map_or(0, |guarantee| guarantee.gpus);
         let borrower =
             Borrower { used_milligpus: quota.allocated(team).gpus, guaranteed_milligpus: guarantee };
-        let is_ours = |id: &str| membership.job_leader(id) == Some(self.me);
-        let standing = |id: &str, machine: &str| match self.jobs.get(id).filter(|_| is_ours(id)) {
+        let is_led_here = |id: &str| membership.job_leader(id) == Some(self.me);
+        let standing = |id: &str, machine: &str| match self.jobs.get(id).filter(|_| is_led_here(id)) {
             Some(job) => ReplicasOnLoan {
                 replicas: replicas_on(job, machine),
                 milligpus_per_replica: job.spec.resources_per_task.gpus,
                 within_guarantee: job.quota_tier == QuotaTier::Within,
             },
-            // Another leader decides about it.
+            // The leader of that job decides about it.
             None => ReplicasOnLoan { within_guarantee: true, ..ReplicasOnLoan::default() },
         };
         let terms = ReclaimTerms { min_stay_us: terms.stay.0, min_shortfall_us: terms.burst.0 };
         loans_to_reclaim(wall.0, terms, ledger, borrower, &lacks, standing)
     }
 
-    /// By team, what work within its guarantee lacks, by our jobs and peers'.
-    fn lacks_of_all(&self, now: Micros, wall: Micros) -> BTreeMap<String, Shortfall> {
-        let valid = self.loans.peers.values().filter(|said| now.since(said.at) < VALID_FOR);
-        let peers = valid.flat_map(|said| said.lending.shortfalls.iter().cloned());
-        let ours = self.loans.short.iter();
-        let ours = ours.map(|(team, short)| (team.clone(), short.room, now.since(short.since)));
+    /// By team, the shortfall of work within its guarantee, over the jobs of this shard and of peers.
+    fn combined_shortfalls(&self, now: Micros, wall: Micros) -> BTreeMap<String, Shortfall> {
+        let valid =
+            self.loans.peers.values().filter(|report| now.since(report.received_at) < PEER_REPORT_VALIDITY);
+        let peers = valid.flat_map(|report| report.lending.shortfalls.iter().cloned());
+        let local = self.loans.short.iter();
+        let local = local.map(|(team, short)| (team.clone(), short.room, now.since(short.since)));
         let mut lacks: BTreeMap<String, Shortfall> = BTreeMap::new();
-        for (team, room, age) in ours.chain(peers) {
+        for (team, room, age) in local.chain(peers) {
             let since_us = wall.0.saturating_sub(age.0);
             let sum =
                 lacks.entry(team).or_insert(Shortfall { resources: ResourceVector::default(), since_us });
-            sum.resources = sum.resources + amount(room);
+            sum.resources = sum.resources + to_amount(room);
             sum.since_us = sum.since_us.min(since_us);
         }
         lacks
@@ -632,11 +661,11 @@
     job.assignments.values().filter(|assignment| assignment.machine == machine).count() as u32
 }
 
-/// Whether tasks that a loan names go on, since they have come to lie within their team's guarantee.
+/// Whether the tasks of a loan keep running, since they have come to be within their team's guarantee.
 fn is_refused(job: &Job, loan: &Loan) -> bool {
-    let goes_on = |(index, attempt): &(u32, u64)| {
+    let keeps_running = |(index, attempt): &(u32, u64)| {
         let assignment = job.assignments.get(index);
         assignment.is_some_and(|assignment| assignment.attempt == *attempt && !assignment.is_stopping())
     };
-    !is_lendable(job) && loan.tasks.iter().all(goes_on)
+    !is_lendable(job) && loan.tasks.iter().all(keeps_running)
 }
--- a/src/job_shard/handoff.rs
+++ b/src/job_shard/handoff.rs
@@ -1,13 +1,15 @@
-//! Jobs that change their leader: what a leader that lives hands to the next one, and what that makes of it.
+//! Hand-off of jobs between live leaders: the batches that the old leader sends, and how the new leader
+//! accepts them.
 //!
-//! Why the new leader need not ask every machine: the old one alone decided the job's starts, and packs after it has
-//! adopted the epoch and thus decides no more. Whatever it ever wanted started and has not heard to be gone is listed;
-//! starts of the leaders before it can only be on machines that it had itself not heard, and those are named.
+//! The new leader need not query every machine. Only the old leader decided about the job's attempts, and it
+//! packs the batches after it has adopted the epoch, so it decides nothing more. A batch lists every attempt
+//! that the old leader ever requested and has not seen gone. Attempts of earlier leaders can only be on
+//! machines that had not reported to the old leader, and the batch names those machines.
 
 use super::JobShard;
 use super::assignments::{Assignment, UNSENT};
 use super::job::{Job, StartKnowledge};
-use super::reconciliation::joins_gang_attempt;
+use super::reconciliation::is_compatible_with_gang_attempt;
 use super::retired_starts::Retirement;
 use crate::membership::Membership;
 use crate::peer::{DesiredAction, HandoffBatch, JobHandoff, StartHandoff, TaskKey};
@@ -19,13 +21,13 @@
 #[derive(Default)]
 struct PackedBatch {
     batch: HandoffBatch,
-    /// Where each set of unresolved machines is in the batch.
+    /// The index in the batch of each set of unresolved machines.
     sets: BTreeMap<UnresolvedSetId, u32>,
 }
 
 impl JobShard {
-    /// The jobs that have another leader in `next`, the epoch that directly follows, by that leader. To be called before
-    /// that epoch is adopted, and only by who decides no more.
+    /// The jobs that have another leader in `next`, the directly following epoch, by that leader. Must be
+    /// called before that epoch is adopted, and only by a leader that makes no more decisions.
     pub fn handoff_batches(&self, next: &Membership) -> BTreeMap<usize, HandoffBatch> {
         let mut batches: BTreeMap<usize, PackedBatch> = BTreeMap::new();
         for (id, job) in &self.jobs {
@@ -55,7 +57,7 @@
             stopping: assignment.is_stopping(),
             phase: assignment.phase,
         });
-        let retired = self.retired_starts.alive_of(id).map(|(key, start)| StartHandoff {
+        let retired = self.retired_starts.alive_attempts_of(id).map(|(key, start)| StartHandoff {
             index: key.index,
             attempt: key.attempt,
             machine: key.machine.clone(),
@@ -71,16 +73,16 @@
         });
     }
 
-    /// Takes jobs from their leader of the epoch directly before; returns how many wait for less than they did. To be
-    /// called only once the records have been read. Does nothing to a job that waits for nothing: the batch came late,
-    /// or twice.
+    /// Accepts jobs from their leader in the directly preceding epoch. Returns how many of them wait for
+    /// fewer machines than before. Must be called only once the records have been read. A job that waits for
+    /// nothing is skipped: the batch came late or twice.
     pub fn accept_handoff(
         &mut self,
         now: Micros,
         jobs: Vec<JobHandoff>,
         unresolved: &[Vec<String>],
     ) -> usize {
-        // What has been heard in this epoch was told to us, or is gone.
+        // What a machine has reported in this epoch was sent to this controller, or is gone.
         let open: Vec<Option<UnresolvedSetId>> = unresolved
             .iter()
             .map(|set| {
@@ -93,7 +95,7 @@
             let start_knowledge = match handoff.unresolved_set.map(|set| open.get(set as usize)) {
                 None => StartKnowledge::Complete,
                 Some(Some(set)) => set.map_or(StartKnowledge::Complete, StartKnowledge::AwaitsMachines),
-                // It names a set that is not there: it says nothing.
+                // The referenced set is missing, so the batch tells nothing about this job.
                 Some(None) => continue,
             };
             if self.accept_job(now, handoff, start_knowledge) {
@@ -104,7 +106,8 @@
         taken
     }
 
-    /// Takes one job from its leader of the epoch before. Returns whether it waited for anything.
+    /// Accepts one job from its leader in the preceding epoch. Returns whether the job was waiting for
+    /// anything.
     fn accept_job(&mut self, now: Micros, handoff: JobHandoff, start_knowledge: StartKnowledge) -> bool {
         let id = handoff.id.as_str();
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.has_known_starts()) else { return false };
@@ -121,30 +124,31 @@
             self.complete_task(id, index);
         }
         for start in handoff.starts.into_iter().filter(|start| start.index < tasks) {
-            self.take_start(now, id, start);
+            self.take_over_attempt(now, id, start);
         }
         true
     }
 
-    /// A start that may be on a machine: it is kept if nothing is known that speaks against it, else stopped. Until its
-    /// machine has spoken it holds its room and its place, and its task is not started elsewhere.
-    pub(super) fn take_start(&mut self, now: Micros, id: &str, handoff: StartHandoff) {
+    /// Takes over an attempt that may be on a machine. It is kept if nothing speaks against it, and stopped
+    /// otherwise. Until its machine has reported, it holds its resources and counts in its zone, and its task
+    /// is not started elsewhere.
+    pub(super) fn take_over_attempt(&mut self, now: Micros, id: &str, handoff: StartHandoff) {
         let StartHandoff { index, attempt, machine, zone, stopping, phase } = handoff;
         let Some(job) = self.jobs.get_mut(id) else { return };
         if self.retired_starts.is_on_machine(&machine, &TaskKey { job: id.to_owned(), index, attempt }) {
             return;
         }
         if let Some(assignment) = job.assignments.get_mut(&index)
-            && assignment.is_start(&machine, attempt)
+            && assignment.is_attempt(&machine, attempt)
         {
-            // Its machine was heard first.
+            // Its machine reported first.
             if stopping {
                 self.stop_task(id, index, Micros(0));
             }
             return;
         }
         let keep = !stopping
-            && joins_gang_attempt(job, attempt)
+            && is_compatible_with_gang_attempt(job, attempt)
             && !job.done.contains(index)
             && !job.assignments.contains_key(&index);
         let room = job.spec.resources_per_task;
@@ -159,9 +163,9 @@
             adopted: true,
         };
         if keep {
-            self.adopt_start(id, index, start);
+            self.adopt_attempt(id, index, start);
         } else {
-            self.retire_start(id, index, &start, Retirement::stopped(room));
+            self.retire_attempt(id, index, &start, Retirement::stopped(room));
         }
     }
 }
--- a/src/job_shard/peer_reservations.rs
+++ b/src/job_shard/peer_reservations.rs
@@ -1,85 +1,90 @@
-//! Machines that other leaders of jobs, and those of the epoch before, reserved for waiting work.
+//! Machines that other job leaders, or the leaders of the previous epoch, have reserved for waiting work.
 
 use crate::peer::Reservation;
 use crate::units::{Micros, Resources};
 use std::collections::BTreeMap;
 
-/// How long after an epoch change machines stay reserved for gangs of the epoch before. The gangs' new leader can't place
-/// them before it knows what they had running, and small work would have filled the machines by then.
-pub(super) const INHERITED_FOR: Micros = Micros::from_millis(40_000);
-/// How long what a peer said of its reservations holds.
-const VALID_FOR: Micros = Micros::from_millis(3_000);
+/// How long after an epoch change machines stay reserved for gangs of the previous epoch. The gangs' new
+/// leader cannot place them before it knows their running tasks, and by then small jobs would have filled the
+/// machines.
+pub(super) const INHERITED_RESERVATION_VALIDITY: Micros = Micros::from_millis(40_000);
+/// How long a peer's announcement of reservations is valid.
+const PEER_RESERVATION_VALIDITY: Micros = Micros::from_millis(3_000);
 
-/// What other leaders of jobs have reserved.
+/// Reservations of other job leaders.
 #[derive(Debug, Default)]
 pub(super) struct PeerReservations {
-    /// By peer, and when it said so.
+    /// By peer, its latest announcement.
     pub(super) announced: BTreeMap<usize, AnnouncedReservations>,
-    /// Of the epoch before, by machine.
+    /// By machine, the reservations of the previous epoch.
     pub(super) inherited: BTreeMap<String, InheritedReservation>,
-    /// Until when those hold; None until the first scheduling pass of the epoch.
+    /// Until when the inherited reservations are valid; None until the first scheduling pass of the epoch.
     pub(super) inherited_until: Option<Micros>,
 }
 
 /// A peer's reservations.
 #[derive(Debug)]
 pub(super) struct AnnouncedReservations {
-    pub(super) at: Micros,
+    pub(super) received_at: Micros,
     pub(super) list: Vec<Reservation>,
 }
 
-/// A machine that was reserved in the epoch before.
+/// A machine that was reserved in the previous epoch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InheritedReservation {
     pub(super) priority: u8,
-    /// Room of one task of the work that it was reserved for.
+    /// Resources of one task of the work that it was reserved for.
     pub(super) room: Resources,
 }
 
 impl PeerReservations {
-    /// Takes a peer's reservations, in place of what it said before.
-    pub(super) fn announce(&mut self, now: Micros, peer: usize, list: Vec<Reservation>) {
-        self.announced.insert(peer, AnnouncedReservations { at: now, list });
+    /// Replaces a peer's reservations.
+    pub(super) fn set_announced(&mut self, now: Micros, peer: usize, list: Vec<Reservation>) {
+        self.announced.insert(peer, AnnouncedReservations { received_at: now, list });
     }
 
-    /// What peers said of late, by peer.
+    /// Reservations that peers announced recently, by peer.
     pub(super) fn valid(&self, now: Micros) -> impl Iterator<Item = (usize, &Reservation)> {
-        let valid = self.announced.iter().filter(move |(_, announced)| now.since(announced.at) < VALID_FOR);
+        let valid = self
+            .announced
+            .iter()
+            .filter(move |(_, announced)| now.since(announced.received_at) < PEER_RESERVATION_VALIDITY);
         valid.flat_map(|(peer, announced)| announced.list.iter().map(move |reservation| (*peer, reservation)))
     }
 
-    /// A new epoch: what `ours` and the peers reserved of late stays reserved for a while, whoever leads the gangs now.
-    pub(super) fn inherit(&mut self, ours: &[Reservation]) {
-        if !self.announced.is_empty() || !ours.is_empty() {
+    /// Adopts a new epoch: recent reservations of this shard (`local`) and of peers stay in force for a while,
+    /// whichever controller leads the gangs now.
+    pub(super) fn inherit(&mut self, local: &[Reservation]) {
+        if !self.announced.is_empty() || !local.is_empty() {
             self.inherited.clear();
             self.inherited_until = None;
         }
         let announced = std::mem::take(&mut self.announced);
-        for reservation in announced.values().flat_map(|announced| &announced.list).chain(ours) {
-            // The first for a machine names the gang's own priority.
+        for reservation in announced.values().flat_map(|announced| &announced.list).chain(local) {
+            // The first reservation of a machine carries the gang's own priority.
             let inherited =
                 InheritedReservation { priority: reservation.priority, room: reservation.resources };
             self.inherited.entry(reservation.machine.clone()).or_insert(inherited);
         }
     }
 
-    /// The first scheduling pass of an epoch sets the time until which inherited reservations hold.
-    pub(super) fn start_inheritance(&mut self, now: Micros) {
+    /// Starts the validity period of inherited reservations in the first scheduling pass of an epoch.
+    pub(super) fn start_inheritance_period(&mut self, now: Micros) {
         if self.inherited_until.is_none() && !self.inherited.is_empty() {
-            self.inherited_until = Some(now + INHERITED_FOR);
+            self.inherited_until = Some(now + INHERITED_RESERVATION_VALIDITY);
         }
     }
 
-    /// Inherited reservations that hold still.
+    /// Inherited reservations that are still valid.
     pub(super) fn inherited(&self, now: Micros) -> impl Iterator<Item = (&String, &InheritedReservation)> {
         let holds = self.inherited_until.is_some_and(|until| now < until);
         self.inherited.iter().filter(move |_| holds)
     }
 
-    /// Machines that were reserved in the epoch before for tasks that need such room.
+    /// Machines that were reserved in the previous epoch for tasks that need these resources.
     pub(super) fn inherited_for(&self, now: Micros, room: Resources) -> Vec<String> {
-        let alike = self.inherited(now).filter(|(_, inherited)| inherited.room == room);
-        alike.map(|(machine, _)| machine.clone()).collect()
+        let matching = self.inherited(now).filter(|(_, inherited)| inherited.room == room);
+        matching.map(|(machine, _)| machine.clone()).collect()
     }
 }
 
--- a/src/job_shard/places.rs
+++ b/src/job_shard/placement_targets.rs
@@ -1,25 +1,25 @@
-//! The machines that take tasks, with what is known to be free on each.
+//! The machines that accept tasks, with what is known to be free on each.
 
 use super::JobShard;
 use crate::machine_view::MachineView;
 use crate::membership::Membership;
 use crate::peer::InventoryState;
-use crate::scheduler::placement::Place;
+use crate::scheduler::placement::PlacementTarget;
 use crate::units::{Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl JobShard {
-    /// The machines that take tasks, as far as we know.
-    pub(super) fn places<'a>(
+    /// The machines that accept tasks, as far as this controller knows.
+    pub(super) fn placement_targets<'a>(
         &self,
         now: Micros,
         membership: &Membership,
         views: &'a [MachineView],
-    ) -> Vec<Place<'a>> {
-        let unseen = self.room_unseen_by_leaders(membership, views);
+    ) -> Vec<PlacementTarget<'a>> {
+        let unacknowledged = self.resources_unacknowledged_by_leaders(membership, views);
         let reserved = self.priorities_reserved_by_peers(now);
         let machines = views.iter().filter_map(|view| view.machines(membership.epoch));
-        let mut places = Vec::new();
+        let mut targets = Vec::new();
         for machine in machines.flat_map(BTreeMap::values) {
             if !machine.is_schedulable
                 || machine.inventory_state != InventoryState::Known
@@ -27,11 +27,11 @@
             {
                 continue;
             }
-            let unseen = unseen.get(machine.name.as_str()).copied().unwrap_or_default();
-            places.push(Place {
+            let unacknowledged = unacknowledged.get(machine.name.as_str()).copied().unwrap_or_default();
+            targets.push(PlacementTarget {
                 machine,
-                free: machine.free - unseen,
-                unseen,
+                free: machine.free - unacknowledged,
+                unacknowledged,
                 local: membership.machine_leader(&machine.name) == Some(self.me),
                 reserved_for: self
                     .autoscaler_reservations
@@ -39,11 +39,11 @@
                     .max(reserved.get(machine.name.as_str()).copied()),
             });
         }
-        places
+        targets
     }
 
-    /// By machine, the room of starts that its leader had not seen when it described the machine.
-    fn room_unseen_by_leaders(
+    /// By machine, the resources of attempts that its leader had not seen when it reported the machine.
+    fn resources_unacknowledged_by_leaders(
         &self,
         membership: &Membership,
         views: &[MachineView],
@@ -52,31 +52,31 @@
             let leader = membership.machine_leader(machine);
             leader.map_or(0, |leader| views[leader].revision_seen(membership.epoch))
         };
-        let mut unseen: BTreeMap<&str, Resources> = BTreeMap::new();
+        let mut unacknowledged: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut counted = BTreeSet::new();
         for start in self.delivery.undelivered() {
             if let Some(job) = self.jobs.get(&start.task.job)
                 && let Some(assignment) = job.assignments.get(&start.task.index)
-                && assignment.is_start(&start.machine, start.task.attempt)
+                && assignment.is_attempt(&start.machine, start.task.attempt)
                 && assignment.first_revision > seen_by_leader_of(&start.machine)
                 && counted.insert(start)
             {
-                let sum = unseen.entry(&start.machine).or_default();
+                let sum = unacknowledged.entry(&start.machine).or_default();
                 *sum = *sum + job.spec.resources_per_task;
             }
         }
-        unseen
+        unacknowledged
     }
 
     /// By machine, the priority of the work that peers have reserved it for.
     fn priorities_reserved_by_peers(&self, now: Micros) -> BTreeMap<&str, u8> {
-        let ours: BTreeSet<&str> =
+        let local: BTreeSet<&str> =
             self.jobs.values().flat_map(|job| &job.reserved_machines).map(String::as_str).collect();
-        // Two that chose the same machine before they heard of each other: the first by name has it, or
-        // neither gang would ever get it.
-        let yields = |peer: usize, machine: &str| peer > self.me && ours.contains(machine);
+        // If two leaders chose the same machine before they received each other's announcement, the leader
+        // with the lower member index keeps it. Otherwise neither gang would ever get it.
+        let yields_to_local = |peer: usize, machine: &str| peer > self.me && local.contains(machine);
         let announced = self.peer_reservations.valid(now);
-        let announced = announced.filter(|(peer, reservation)| !yields(*peer, &reservation.machine));
+        let announced = announced.filter(|(peer, reservation)| !yields_to_local(*peer, &reservation.machine));
         let announced =
             announced.map(|(_, reservation)| (reservation.machine.as_str(), reservation.priority));
         let inherited = self.peer_reservations.inherited(now);
--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of what our jobs want with what the leaders of machines report: desired state out, machine status in,
-//! and what follows for tasks.
+//! Reconciliation of the desired state of this shard's tasks with the machine status that machine leaders
+//! report: sends the desired state, applies the reported status, and updates the tasks accordingly.
 
 use super::JobShard;
 use super::assignments::{Assignment, MachineStart, UNSENT};
@@ -17,38 +17,38 @@
 use crate::units::Micros;
 use std::collections::BTreeSet;
 
-/// Pause of a job after a task that could not be run: it must not spin.
+/// Pause of a job after a task that could not be run, which prevents a tight retry loop.
 const ERROR_PAUSE: Micros = Micros::from_millis(1_000);
-/// Pause of a job after a machine had no room for a task.
+/// Pause of a job after a worker had insufficient free resources for a task.
 const NO_ROOM_PAUSE: Micros = Micros::from_millis(500);
-/// Pause of a job after a machine's leader refused a start.
+/// Pause of a job after a machine's leader refused an attempt.
 const REFUSED_PAUSE: Micros = Micros::from_millis(200);
 
-/// One machine as its leader reports it.
+/// The status of one machine as reported by its leader.
 struct MachineReport<'a> {
     name: &'a str,
-    /// None if the leader doesn't name it.
+    /// None if the leader does not list the machine.
     snapshot: Option<&'a MachineSnapshot>,
-    /// A leader that has read the records names every machine that was ever given a task; one
-    /// that it doesn't name is gone.
+    /// A leader that has read the records lists every machine that was ever given a task, so a machine that
+    /// it does not list is gone.
     inventory: InventoryState,
     tasks: &'a [ObservedTask],
-    /// Our latest message that the leader had seen.
+    /// Revision of this shard's latest message that the leader had seen.
     seen_revision: u64,
 }
 
-/// What a report says of an assignment.
+/// The change of an assignment according to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AssignmentChange {
     Phase(TaskPhase),
     Lost(LossReason),
 }
 
-/// Why a start is certainly not on its machine.
+/// Why an attempt is certainly not on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LossReason {
     MachineGone,
-    NoLongerThere,
+    NotOnMachine,
     Refused,
 }
 
@@ -56,7 +56,7 @@
     fn text(self) -> &'static str {
         match self {
             LossReason::MachineGone => "machine gone",
-            LossReason::NoLongerThere => "no longer there",
+            LossReason::NotOnMachine => "no longer on the machine",
             LossReason::Refused => "refused",
         }
     }
@@ -74,17 +74,17 @@
         }
     }
 
-    /// The phase of a start, if the machine has it.
+    /// The phase of an attempt, if the machine has it.
     fn phase_of(&self, job: &str, index: u32, attempt: u64) -> Option<TaskPhase> {
-        let is_it = |observed: &&ObservedTask| {
+        let is_match = |observed: &&ObservedTask| {
             observed.key.index == index && observed.key.attempt == attempt && observed.key.job == job
         };
-        self.tasks.iter().find(is_it).map(|observed| observed.phase)
+        self.tasks.iter().find(is_match).map(|observed| observed.phase)
     }
 
-    /// Whether a start that the machine doesn't list is certainly not there, and never will be: `first_revision` is the
-    /// first message that named it.
-    fn excludes(&self, first_revision: u64) -> bool {
+    /// Whether an attempt that the machine does not list is certainly not there and never will be.
+    /// `first_revision` is that of the first message that contained the attempt.
+    fn rules_out(&self, first_revision: u64) -> bool {
         match self.inventory {
             InventoryState::Gone => true,
             InventoryState::Known => first_revision <= self.seen_revision,
@@ -92,49 +92,49 @@
         }
     }
 
-    /// What is new of an assignment.
+    /// How an assignment changes according to the report; None if it does not.
     fn change_of(&self, id: &str, index: u32, assignment: &Assignment) -> Option<AssignmentChange> {
         if let Some(phase) = self.phase_of(id, index, assignment.attempt) {
             return (assignment.phase != Some(phase)).then_some(AssignmentChange::Phase(phase));
         }
-        if !self.excludes(assignment.first_revision) {
+        if !self.rules_out(assignment.first_revision) {
             return None;
         }
-        let was_there = assignment.phase.is_some_and(|phase| phase != TaskPhase::Held);
-        Some(AssignmentChange::Lost(match (self.inventory, was_there) {
+        let was_on_machine = assignment.phase.is_some_and(|phase| phase != TaskPhase::Held);
+        Some(AssignmentChange::Lost(match (self.inventory, was_on_machine) {
             (InventoryState::Gone, _) => LossReason::MachineGone,
-            (_, true) => LossReason::NoLongerThere,
+            (_, true) => LossReason::NotOnMachine,
             (_, false) => LossReason::Refused,
         }))
     }
 }
 
 impl JobShard {
-    /// Whether a leader of machines is to hear something new.
+    /// Whether a machine leader must be sent something new.
     pub fn has_changes_for(&mut self, leader: usize, membership: &Membership) -> bool {
-        let own = self.delivery.sort_changes(membership, self.me);
-        self.start_replication.changed.extend(own);
+        let local = self.delivery.distribute_changes(membership, self.me);
+        self.start_replication.changed.extend(local);
         self.delivery.has_changes(leader)
     }
 
-    /// The next message to a leader of machines: all that changed since the last one that it says it has seen.
+    /// The next message to a machine leader: all changes since the last message that it has acknowledged.
     pub fn next_desired_state(&mut self, leader: usize, membership: &Membership) -> DesiredState {
         self.has_changes_for(leader, membership);
         let seen = self.views[leader].revision_seen(membership.epoch);
         let since = if seen > membership.epoch << 32 { seen } else { 0 };
         let (rev, changes) = self.delivery.next_message(leader, since);
         let mut state = DesiredState { revision: rev, base_revision: since, ..DesiredState::default() };
-        let mut newly_named = Vec::new();
-        for (start, named_in) in changes {
-            if *named_in == UNSENT {
-                *named_in = rev;
-                newly_named.push(start.machine.clone());
+        let mut newly_listed = Vec::new();
+        for (start, first_revision) in changes {
+            if *first_revision == UNSENT {
+                *first_revision = rev;
+                newly_listed.push(start.machine.clone());
             }
             let MachineStart { machine, task: key } = start;
             let retired = RetiredStartKey::new(&key.job, key.index, machine, key.attempt);
             let (room, action, priority, image) = if let Some(job) = self.jobs.get_mut(&key.job)
                 && let Some(assignment) = job.assignments.get_mut(&key.index)
-                && assignment.is_start(machine, key.attempt)
+                && assignment.is_attempt(machine, key.attempt)
             {
                 assignment.first_revision = assignment.first_revision.min(rev);
                 let priority = tier::effective_priority(job.spec.priority, job.quota_tier);
@@ -155,17 +155,17 @@
                 image,
             });
         }
-        self.views[leader].record_start_request(rev, newly_named);
+        self.views[leader].record_start_request(rev, newly_listed);
         state
     }
 
-    /// The state of a leader's machines that we hold, by its sequence number.
+    /// The sequence number of the state of a leader's machines that this shard has applied.
     pub fn applied_status_sequence(&self, leader: usize, epoch: u64) -> u64 {
         self.views.get(leader).map_or(0, |view| view.sequence(epoch))
     }
 
-    /// Takes the status of a leader's machines: the truth about our tasks there. Returns whether it brought
-    /// anything new; a late or repeated one does nothing.
+    /// Applies the status of a leader's machines, which is authoritative for the tasks on them. Returns
+    /// whether it contained anything new; a late or repeated one has no effect.
     pub fn apply_machine_status(
         &mut self,
         now: Micros,
@@ -180,14 +180,14 @@
         let Some(change) = view.apply_delta(now, membership.epoch, delta) else { return false };
         let mut names = change.names;
         if change.is_full {
-            names.extend(self.machines_with_starts_of(membership, from));
+            names.extend(self.machines_with_attempts_led_by(membership, from));
         }
         if names.is_empty() {
             return false;
         }
         let views = std::mem::take(&mut self.views);
         if let Some(view) = views.get(from) {
-            // A machine has one leader, and only that one can tell about it.
+            // A machine has one leader, and only that leader may report it.
             for name in names.iter().filter(|name| membership.machine_leader(name) == Some(from)) {
                 self.apply_machine_report(now, membership, &MachineReport::new(view, membership.epoch, name));
             }
@@ -200,8 +200,8 @@
         true
     }
 
-    /// Machines of a leader that have, or may have, starts of our jobs.
-    fn machines_with_starts_of(&self, membership: &Membership, leader: usize) -> BTreeSet<String> {
+    /// Machines of a leader that have, or may have, attempts of this shard's jobs.
+    fn machines_with_attempts_led_by(&self, membership: &Membership, leader: usize) -> BTreeSet<String> {
         let machines = self
             .assigned_by_machine
             .keys()
@@ -212,8 +212,8 @@
 
     fn apply_machine_report(&mut self, now: Micros, membership: &Membership, report: &MachineReport) {
         self.update_assignments(now, report);
-        self.update_retired_starts(report);
-        self.take_unknown_starts(now, membership, report);
+        self.update_retired_attempts(report);
+        self.handle_unknown_attempts(now, membership, report);
         if report.inventory != InventoryState::Unconfirmed {
             self.unconfirmed_machines.remove(report.name);
             self.some_set_resolved |= self.unresolved_sets.resolve(report.name);
@@ -221,7 +221,7 @@
     }
 
     fn update_assignments(&mut self, now: Micros, report: &MachineReport) {
-        // Most tasks are where they were: only the others are worth a copy of their names.
+        // Most tasks have not changed: only for the others are the names copied.
         let change_of =
             |id: &str, index: u32| report.change_of(id, index, self.jobs.get(id)?.assignments.get(&index)?);
         let assigned = self.assigned_by_machine.get(report.name).into_iter().flatten();
@@ -230,15 +230,15 @@
         for (id, index, change) in changes {
             match change {
                 AssignmentChange::Phase(phase) => self.apply_phase(now, &id, index, phase),
-                AssignmentChange::Lost(reason) => self.lose_start(now, &id, index, reason),
+                AssignmentChange::Lost(reason) => self.remove_lost_attempt(now, &id, index, reason),
             }
         }
     }
 
-    fn update_retired_starts(&mut self, report: &MachineReport) {
+    fn update_retired_attempts(&mut self, report: &MachineReport) {
         let phase_of = |task: &TaskKey| report.phase_of(&task.job, task.index, task.attempt);
         let key_of = |task: &TaskKey| RetiredStartKey::new(&task.job, task.index, report.name, task.attempt);
-        // Those that ended and are still listed wait for their record, which is no news.
+        // Ended attempts that are still listed wait for their record to be stored; they are not new.
         let changed: Vec<RetiredStartKey> = self
             .retired_starts
             .on_machine(report.name)
@@ -260,22 +260,22 @@
         }
         for key in changed {
             match report.phase_of(&key.job, key.index, key.attempt) {
-                Some(TaskPhase::Exited(exit)) => self.end_retired_start(&key, exit),
+                Some(TaskPhase::Exited(exit)) => self.end_retired_attempt(&key, exit),
                 Some(_) => {}
                 None => {
                     let first_revision = self.retired_starts.get(&key).map(|start| start.first_revision);
                     if report.inventory == InventoryState::Gone
-                        || first_revision.is_some_and(|first| report.excludes(first))
+                        || first_revision.is_some_and(|first| report.rules_out(first))
                     {
-                        self.forget_retired_start(&key);
+                        self.forget_retired_attempt(&key);
                     }
                 }
             }
         }
     }
 
-    /// A retired start is seen to have ended on its machine.
-    fn end_retired_start(&mut self, key: &RetiredStartKey, exit: TaskExit) {
+    /// Handles the end of a retired attempt on its machine.
+    fn end_retired_attempt(&mut self, key: &RetiredStartKey, exit: TaskExit) {
         let recorded = self.is_recorded(&key.job, key.index);
         let mut completed = false;
         if let Some(start) = self.retired_starts.get_mut(key) {
@@ -289,7 +289,7 @@
             let changes = start.action != action;
             start.action = action;
             if was_alive {
-                self.retired_starts.mark_ended_on_machine(key);
+                self.retired_starts.mark_ended_in_machine_index(key);
                 self.replan = true;
             }
             if changes {
@@ -297,24 +297,25 @@
             }
         }
         if completed {
-            self.retired_starts.close(key);
+            self.retired_starts.unblock_placement(key);
             self.complete_task(&key.job, key.index);
         } else {
-            self.retired_starts.mark_ended_in_job(key);
+            self.retired_starts.mark_ended_in_job_index(key);
         }
     }
 
-    /// Whether a task's completion needs no report any more: it is on record, or its job has ended.
+    /// Whether a task's completion no longer needs to be reported: it is stored, or its job has ended.
     fn is_recorded(&self, id: &str, index: u32) -> bool {
         self.jobs.get(id).is_none_or(|job| job.recorded.contains(index))
     }
 
-    /// Takes starts that we don't know of: adopted with the job, or left by one that has ended.
-    fn take_unknown_starts(&mut self, now: Micros, membership: &Membership, report: &MachineReport) {
+    /// Handles attempts that this shard does not know: those of an adopted job, or those left by a job that
+    /// has ended.
+    fn handle_unknown_attempts(&mut self, now: Micros, membership: &Membership, report: &MachineReport) {
         for observed in report.tasks {
             let key = &observed.key;
             let assignment = self.jobs.get(&key.job).and_then(|job| job.assignments.get(&key.index));
-            if assignment.is_some_and(|assignment| assignment.is_start(report.name, key.attempt))
+            if assignment.is_some_and(|assignment| assignment.is_attempt(report.name, key.attempt))
                 || self.retired_starts.is_on_machine(report.name, key)
             {
                 continue;
@@ -331,28 +332,28 @@
             };
             if self.jobs.get(&key.job).is_some_and(|job| can_adopt(job, observed)) {
                 tracing::info!(job = %key.job, task = key.index, machine = report.name, epoch = membership.epoch, "task adopted");
-                self.adopt_start(&key.job, key.index, start);
+                self.adopt_attempt(&key.job, key.index, start);
                 self.apply_phase(now, &key.job, key.index, observed.phase);
             } else {
-                self.retire_unknown_start(key, &start, observed.phase);
+                self.retire_unknown_attempt(key, &start, observed.phase);
             }
         }
     }
 
-    /// Makes a start of an earlier leader ours.
-    pub(super) fn adopt_start(&mut self, id: &str, index: u32, start: Assignment) {
+    /// Adopts an attempt that an earlier leader started.
+    pub(super) fn adopt_attempt(&mut self, id: &str, index: u32, start: Assignment) {
         self.delivery.mark_changed(&start.machine, id, index, start.attempt);
         self.index_assignment(&start.machine, id, index);
         if let Some(job) = self.jobs.get_mut(id) {
             job.assignments.insert(index, start);
             if job.spec.kind == JobKind::Gang && job.gang.is_none() {
-                job.gang = Some(GangState::Going);
+                job.gang = Some(GangState::Started);
             }
         }
     }
 
-    /// Stops a start that is not to be adopted, or has its agent forget it.
-    fn retire_unknown_start(&mut self, key: &TaskKey, start: &Assignment, phase: TaskPhase) {
+    /// Stops an attempt that is not adopted, or lets its worker forget it.
+    fn retire_unknown_attempt(&mut self, key: &TaskKey, start: &Assignment, phase: TaskPhase) {
         let room = self.jobs.get(&key.job).map(|job| job.spec.resources_per_task).unwrap_or_default();
         let exited = matches!(phase, TaskPhase::Exited(_));
         let done = phase == TaskPhase::Exited(TaskExit::Done);
@@ -361,22 +362,24 @@
             (true, true) => DesiredAction::Keep,
             (true, false) => DesiredAction::Forget,
         };
-        self.retire_start(&key.job, key.index, start, Retirement { room, action, alive: !exited, done });
+        self.retire_attempt(&key.job, key.index, start, Retirement { room, action, alive: !exited, done });
         if done {
             self.complete_task(&key.job, key.index);
         }
     }
 
-    /// An assigned task is in this phase on its machine.
+    /// Applies the reported phase of an assigned task.
     fn apply_phase(&mut self, now: Micros, id: &str, index: u32, phase: TaskPhase) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(assignment) = job.assignments.get_mut(&index) else { return };
-        let ours = !assignment.adopted;
-        if ours && assignment.phase == Some(TaskPhase::Running) && phase == TaskPhase::Exited(TaskExit::Done)
+        let started_here = !assignment.adopted;
+        if started_here
+            && assignment.phase == Some(TaskPhase::Running)
+            && phase == TaskPhase::Exited(TaskExit::Done)
         {
             self.run_times.record(&job.spec, now.since(assignment.phase_since));
         }
-        if ours && assignment.phase.is_none() {
+        if started_here && assignment.phase.is_none() {
             self.placement_refusals.note(&assignment.machine, true);
         }
         if assignment.phase != Some(phase) {
@@ -393,7 +396,7 @@
         }
     }
 
-    /// An assigned task has ended on its machine.
+    /// Handles the end of an assigned task on its machine.
     fn end_task(&mut self, now: Micros, id: &str, index: u32, exit: TaskExit) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(assignment) = job.assignments.remove(&index) else { return };
@@ -415,41 +418,41 @@
         }
         self.unindex_assignment(machine, id, index);
         let action = if done { DesiredAction::Keep } else { DesiredAction::Forget };
-        self.retire_start(id, index, &assignment, Retirement { room, action, alive: false, done });
+        self.retire_attempt(id, index, &assignment, Retirement { room, action, alive: false, done });
         if done {
             self.complete_task(id, index);
         } else if gang {
-            self.end_gang(id);
+            self.end_gang_attempt(id);
         }
         self.replan = true;
     }
 
-    /// An assigned start is certainly not on its machine, and never will be.
-    fn lose_start(&mut self, now: Micros, id: &str, index: u32, reason: LossReason) {
+    /// Removes an assigned attempt that is certainly not on its machine and never will be.
+    fn remove_lost_attempt(&mut self, now: Micros, id: &str, index: u32, reason: LossReason) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(assignment) = job.assignments.remove(&index) else { return };
         let gang = job.spec.kind == JobKind::Gang;
         let machine = assignment.machine.as_str();
-        // What was withdrawn from a machine's leader, since its job is to end, was not refused by it.
+        // An attempt that was withdrawn because its job is ending was not refused by the machine's leader.
         if job.pending_outcome.is_some() {
             tracing::debug!(job = id, task = index, machine, reason = reason.text(), "start withdrawn");
         } else if reason == LossReason::Refused {
             job.not_before = job.not_before.max(now + REFUSED_PAUSE);
             self.placement_refusals.note(machine, false);
-            tracing::debug!(job = id, task = index, machine, "start refused");
+            tracing::debug!(job = id, task = index, machine, "attempt refused by machine leader");
         } else {
             tracing::info!(job = id, task = index, machine, reason = reason.text(), "task lost");
         }
         self.unindex_assignment(machine, id, index);
         self.delivery.mark_changed(machine, id, index, assignment.attempt);
         if gang {
-            self.end_gang(id);
+            self.end_gang_attempt(id);
         }
         self.replan = true;
     }
 }
 
-/// Whether a job makes a start that it doesn't know of its own.
+/// Whether a job adopts an attempt that it does not know.
 fn can_adopt(job: &Job, observed: &ObservedTask) -> bool {
     let key = &observed.key;
     !matches!(observed.phase, TaskPhase::Exited(_) | TaskPhase::Held | TaskPhase::Queued)
@@ -457,10 +460,11 @@
         && job.pending_outcome.is_none()
         && !job.done.contains(key.index)
         && !job.assignments.contains_key(&key.index)
-        && joins_gang_attempt(job, key.attempt)
+        && is_compatible_with_gang_attempt(job, key.attempt)
 }
 
-/// Whether a start may stand beside a job's others: members of two attempts of one gang can't be told to run together.
-pub(super) fn joins_gang_attempt(job: &Job, attempt: u64) -> bool {
+/// Whether an attempt may run beside the job's others: members of two attempts of one gang must not run
+/// together.
+pub(super) fn is_compatible_with_gang_attempt(job: &Job, attempt: u64) -> bool {
     job.spec.kind != JobKind::Gang || job.assignments.values().all(|assignment| assignment.attempt == attempt)
 }
--- a/src/job_shard/records.rs
+++ b/src/job_shard/records.rs
@@ -1,4 +1,4 @@
-//! Jobs' records in the state store: their form, and the changes that are due.
+//! The records of jobs in the state store: their format, and the writes that are due.
 
 use super::JobShard;
 use super::cancellation::QueuedEnd;
@@ -11,103 +11,107 @@
 use crate::wire::users;
 use serde_json::{Value, json};
 
-/// Bytes of a record beside the description and the completed tasks, with some to spare.
+/// Size of a record in bytes, apart from the description and the completed tasks, with a margin.
 const RECORD_OVERHEAD: usize = 200;
-/// The least of those: a description that leaves less fills a value by itself.
-const LEAST_OVERHEAD: usize = 60;
-/// Pause before progress that does not fit is looked at again.
+/// Minimum of that size: a description that leaves less fills a value by itself.
+const MIN_RECORD_OVERHEAD: usize = 60;
+/// Pause before the next attempt to write progress that does not fit into a value.
 const NO_FIT_PAUSE: Micros = Micros::from_millis(5_000);
-/// The least time between two writes of a job's progress.
-const PROGRESS_EVERY: Micros = Micros::from_millis(4_000);
-/// Pause after a write that failed.
+/// Minimum time between two writes of a job's progress.
+const PROGRESS_INTERVAL: Micros = Micros::from_millis(4_000);
+/// Pause after a failed write.
 const RETRY_PAUSE: Micros = Micros::from_millis(500);
 
-/// A change of a job's record.
+/// A write of a job's record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordWrite {
-    /// Progress: the record, and the completed tasks that it names.
+    /// Progress: the record, and the completed tasks that it lists.
     Progress(Value, TaskIndexSet),
-    /// The end: the outcome, and the final record.
+    /// The end of the job: its outcome, and the final record.
     End(JobOutcome, Value),
 }
 
 impl JobShard {
-    /// Reads a job's record: its description, what that says, when it was accepted, and its completed tasks. None if it
-    /// is of an unknown form.
+    /// Decodes a job's record into its description, its specification, its acceptance time and its completed
+    /// tasks. None if the format is unknown.
     pub fn read_record(record: &Value) -> Option<(Value, JobSpec, Micros, TaskIndexSet)> {
-        let raw = dependencies::restored(record.get("spec")?)?;
+        let raw = dependencies::decode_description(record.get("spec")?)?;
         let spec = JobSpec::from_value(&raw).ok()?;
         let accepted = Micros(record.get("accepted_us")?.as_u64()?);
         let done = TaskIndexSet::decode(record.get("done")?.as_str()?, spec.task_count)?;
         Some((raw, spec, accepted, done))
     }
 
-    /// A job's record.
+    /// Builds the record of a live job.
     pub fn build_record(raw: &Value, accepted: Micros, done: &str) -> Value {
         json!({"spec": raw, "accepted_us": accepted.0, "done": done})
     }
 
-    /// The record of a job that waits for others.
+    /// Builds the record of a job that waits for its dependencies.
     pub fn build_waiting_record(raw: &Value, accepted: Micros) -> Value {
-        JobShard::build_record(&dependencies::held(raw, false), accepted, "")
+        JobShard::build_record(&dependencies::encode_waiting(raw, false), accepted, "")
     }
 
-    /// The record of a job that is new.
+    /// Builds the record of a new job.
     pub fn build_new_record(raw: &Value, spec: &JobSpec, accepted: Micros) -> Value {
         match (Hold::of(spec, raw).is_some(), spec.dependencies.is_empty()) {
-            (true, _) => JobShard::build_record(&dependencies::held(raw, true), accepted, ""),
+            (true, _) => JobShard::build_record(&dependencies::encode_waiting(raw, true), accepted, ""),
             (_, false) => JobShard::build_waiting_record(raw, accepted),
             _ => JobShard::build_record(raw, accepted, ""),
         }
     }
 
-    /// The most bytes that a job's record may come to, its progress aside, and its end's: to be looked at before it is
-    /// taken, since what an end says may not be left out later.
+    /// The maximum size in bytes that a job's records, including the final one, may have without its
+    /// progress. It is checked before the job is accepted, since the declarations of the final record cannot
+    /// be left out later.
     pub fn max_record_bytes(raw: &Value, spec: &JobSpec, accepted: Micros) -> usize {
         let bytes = |record: Value| record.to_string().len();
         let first = bytes(JobShard::build_new_record(raw, spec, accepted));
         if !spec.has_coordination_record() {
             return first;
         }
-        let later = JobShard::build_record(&dependencies::released(raw, accepted), accepted, "");
+        let later = JobShard::build_record(&dependencies::encode_released(raw, accepted), accepted, "");
         let end = JobShard::end_record(raw, JobOutcome::Cancelled, spec.task_count);
         first.max(bytes(later)).max(bytes(end))
     }
 
-    /// The record of a job's end.
+    /// Builds the final record of a job.
     fn end_record(raw: &Value, outcome: JobOutcome, done: u32) -> Value {
         let end = match outcome {
             JobOutcome::Done => "done",
             JobOutcome::Cancelled => "cancelled",
         };
         let mut record = json!({"end": end, "done": done});
-        if let Some(says) = dependencies::says(raw) {
-            record["says"] = says;
+        if let Some(declarations) = dependencies::declarations(raw) {
+            record["says"] = declarations;
         }
         record
     }
 
-    /// A live job's description as it is to be stored.
+    /// The description of a live job in its stored format.
     fn stored_raw(job: &Job) -> Value {
         match (job.is_waiting(), job.released_wall) {
-            (true, _) => dependencies::held(&job.raw, job.hold.is_some()),
-            (false, Some(at)) => dependencies::released(&job.raw, at),
+            (true, _) => dependencies::encode_waiting(&job.raw, job.hold.is_some()),
+            (false, Some(at)) => dependencies::encode_released(&job.raw, at),
             (false, None) => job.raw.clone(),
         }
     }
 
-    /// The next change of a job's record that is due, with the job and the version that it replaces: an end, or progress.
-    /// The job's record is taken to be under way until `confirm_progress`, `end_job` or `fail_write`.
+    /// The next due write of a job's record, with the job and the version that it replaces: the final record
+    /// if `ends`, or progress. The record is considered in flight until `confirm_progress`, `end_job` or
+    /// `fail_write` is called.
     pub fn next_write(&mut self, now: Micros, ends: bool) -> Option<(String, RecordWrite, u64)> {
-        self.note_ends(now);
+        self.collect_ends(now);
         if ends { self.next_end(now) } else { self.next_progress(now) }
     }
 
-    /// The next end: cancellations first, whose users wait for it, and then those that have waited for longest. In any other
-    /// order the same few would go last for as long as there are more ends than the state store takes.
+    /// The next final record: cancellations first, since their users wait for it, and then by waiting time.
+    /// In any other order the same few jobs would go last for as long as there are more final records than
+    /// the state store accepts.
     fn next_end(&mut self, now: Micros) -> Option<(String, RecordWrite, u64)> {
-        // Guards against an end that is told by who led the job before us and reads it there, while we have yet to hear that
-        // our write was carried out and still say that the job runs.
+        // Guards against contradictory answers: the job's previous leader could read the final record and
+        // report the outcome, while this controller has not yet received the response to its write and still
+        // reports the job as running.
         if !self.older_leaders_stopped {
             return None;
         }
@@ -142,8 +146,8 @@
 
     fn is_end_due(&mut self, now: Micros, end: &QueuedEnd) -> bool {
         let Some(job) = self.jobs.get(&end.id) else { return false };
-        // Guards against a start after the user was told that the job is cancelled: one that waits at a machine's leader,
-        // or is on its way to an agent.
+        // Guards against a task that starts after the user was told that the job is cancelled: its attempt
+        // may be queued at a machine's leader or be in transit to a worker.
         !job.write_in_flight
             && !job.needs_reread
             && now >= job.next_write
@@ -161,9 +165,9 @@
             let raw_bytes = raw.to_string().len();
             let text = job.done.encode(self.value_bytes.saturating_sub(raw_bytes + RECORD_OVERHEAD));
             let recorded = TaskIndexSet::decode(&text, job.spec.task_count).unwrap_or_default();
-            // A description from before the limits fell may fill a value by itself: its progress stays
-            // with the agents until its end, which is short, is on record.
-            if recorded == job.recorded || raw_bytes + LEAST_OVERHEAD > self.value_bytes {
+            // A description accepted before the limits were lowered may fill a value by itself. Its progress
+            // stays with the workers until the final record, which is short, is stored.
+            if recorded == job.recorded || raw_bytes + MIN_RECORD_OVERHEAD > self.value_bytes {
                 job.next_progress = now + NO_FIT_PAUSE;
                 continue;
             }
@@ -174,14 +178,14 @@
         None
     }
 
-    /// Progress is on record: agents may forget the tasks that it names.
+    /// Handles stored progress: workers may forget the tasks that the record lists.
     pub fn confirm_progress(&mut self, now: Micros, id: &str, recorded: TaskIndexSet, store_version: u64) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.write_in_flight = false;
         job.store_version = job.store_version.max(store_version);
-        // Its end doesn't wait for that.
-        job.next_progress = now + PROGRESS_EVERY;
-        for (key, start) in self.retired_starts.of_job_mut(id) {
+        // The final record does not wait for this time.
+        job.next_progress = now + PROGRESS_INTERVAL;
+        for (key, start) in self.retired_starts.attempts_of_job_mut(id) {
             if !start.alive && recorded.contains(key.index) && start.action != DesiredAction::Forget {
                 start.action = DesiredAction::Forget;
                 self.delivery.mark_changed(&key.machine, &key.job, key.index, key.attempt);
@@ -190,7 +194,8 @@
         job.recorded = recorded;
     }
 
-    /// A change of a record failed; unless that is `certain` it may have been applied, and its version is read first.
+    /// Handles a failed write of a record. Unless the failure is `certain`, the write may have been applied,
+    /// so the version of the record is read first.
     pub fn fail_write(&mut self, now: Micros, id: &str, certain: bool) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.write_in_flight = false;
--- a/src/job_shard/reservations.rs
+++ b/src/job_shard/reservations.rs
@@ -1,38 +1,41 @@
-//! Machines reserved for waiting gangs of our own, and those that the autoscaler reserves for urgent work.
+//! Machines reserved for waiting gangs of this shard, and machines that the autoscaler reserves for urgent
+//! work.
 //!
-//! A gang that finds no room reserves machines so that it can come together, and announces that to the other leaders of
-//! jobs. One that has waited for `OVERDUE` is not overtaken any more: see `docs/design.md`, "The largest begin".
+//! A gang that cannot be placed reserves machines until all its members fit, and announces them to the other
+//! job leaders. A gang that has waited for `OVERDUE_AFTER` is no longer overtaken: see `docs/design.md`, "The
+//! largest begin".
 
 use super::JobShard;
 use super::job::Job;
-use super::scheduling_pass::Pass;
+use super::scheduling_pass::SchedulingPass;
 use crate::peer::{MachineStatus, Reservation};
 use crate::quota::tier::{self, QuotaTier};
-use crate::scheduler::placement::Place;
+use crate::scheduler::placement::PlacementTarget;
 use crate::scheduler::reservations::{ReservationRequest, reserve_machines};
 use crate::spec::JobSpec;
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// From then on a job that waits to begin is not overtaken by work that is no more urgent.
-const OVERDUE: Micros = Micros::from_millis(45_000);
-/// How many tasks such an array gets ahead of its turn: it is to begin, not to push aside many small ones.
-pub(super) const FIRST_LOT: usize = 16;
+/// Waiting time after which a job that has not begun is no longer overtaken by work that is not more urgent.
+const OVERDUE_AFTER: Micros = Micros::from_millis(45_000);
+/// Maximum number of tasks that an overdue array starts ahead of its turn: it should begin, but not displace
+/// many small jobs.
+pub(super) const MAX_OVERDUE_ARRAY_STARTS: usize = 16;
 
-/// The autoscaler's word on which machines are left to urgent work.
+/// The autoscaler's reservations of machines for urgent work.
 #[derive(Debug, Default)]
 pub(super) struct AutoscalerReservations {
-    /// Machine types, whether spot, and the least priority that may use them.
+    /// Machine types, whether spot, and the minimum priority that may use them.
     types: Vec<(String, bool, u8)>,
-    /// Single machines, and the least priority that may use them.
+    /// Single machines, and the minimum priority that may use them.
     machines: BTreeMap<String, u8>,
-    /// Whether this process has had any. Until then nothing is placed for a while: after
-    /// a restart queued work would take the machines that urgent work needs.
+    /// Whether this process has received any. Until then nothing is placed for a while: after a restart,
+    /// queued work would take the machines that urgent work needs.
     pub(super) received: bool,
 }
 
 impl AutoscalerReservations {
-    /// The least priority of work that may use a machine.
+    /// The minimum priority of work that may use a machine.
     pub(super) fn priority_for(&self, machine: &MachineStatus) -> Option<u8> {
         let of_type = self
             .types
@@ -42,51 +45,52 @@
     }
 }
 
-/// What a scheduling pass has reserved so far.
+/// The reservations of a scheduling pass so far.
 pub(super) struct ReservationPlan {
-    /// Machines that other leaders of jobs have reserved.
+    /// Machines that other job leaders have reserved.
     taken: BTreeSet<String>,
-    /// Machines withheld from work that could have used them.
+    /// Number of machines withheld from work that could have used them.
     withheld: usize,
 }
 
 impl ReservationPlan {
     /// Whether a gang may reserve machines in this pass.
     ///
-    /// One gang at a time, and not where another leader's waits: several that each empty a few machines get
-    /// nowhere and keep all others out. On a large fleet several may, where what is in their way can be stopped,
-    /// or where they have waited for long: one after the other the last would wait for ever. Machines that
-    /// nothing less urgent may use anyway don't count.
-    fn has_room_for(&self, places: &[Place], job: &Job, overdue: bool) -> bool {
+    /// One gang may at a time, and none while another leader's gang waits: several gangs that each empty a
+    /// few machines make no progress and keep all other work out. On a large fleet several may, if the tasks
+    /// in their way can be preempted or if they have waited for long: one after the other, the last would
+    /// wait forever. Machines that are already withheld from less urgent work do not count.
+    fn can_reserve_for(&self, targets: &[PlacementTarget], job: &Job, overdue: bool) -> bool {
         if self.withheld == 0 {
             return true;
         }
         if !overdue && job.quota_tier != QuotaTier::NoGuarantee {
             return false;
         }
-        let usable = places.iter().filter(|place| place.is_allowed(&job.spec)).count();
-        let most = if overdue { usable / 8 } else { (usable / 2).min(places.len() / 6) };
+        let usable = targets.iter().filter(|target| target.is_allowed(&job.spec)).count();
+        let most = if overdue { usable / 8 } else { (usable / 2).min(targets.len() / 6) };
         self.withheld + job.spec.task_count as usize <= most
     }
 }
 
 impl JobShard {
-    /// Reservations that peers announced of late.
+    /// Reservations that peers announced recently.
     pub(super) fn announced_reservations(&self, now: Micros) -> impl Iterator<Item = &Reservation> {
         self.peer_reservations.valid(now).map(|(_, reservation)| reservation)
     }
 
-    /// Takes another leader's reservations, in place of what it said before.
+    /// Replaces the reservations of another job leader.
     pub fn apply_peer_reservations(&mut self, now: Micros, from: usize, list: Vec<Reservation>) {
-        self.peer_reservations.announce(now, from, list);
+        self.peer_reservations.set_announced(now, from, list);
     }
 
-    /// Our reservations.
+    /// The reservations of this shard.
     pub fn reservations(&self) -> &[Reservation] {
         &self.reservations
     }
 
-    /// Takes the autoscaler's word on machine types and machines left to work of at least a priority.
+    /// Replaces the autoscaler's reservations: machine types and machines that are reserved for work of at
+    /// least a priority.
     pub fn apply_autoscaler_reservations(
         &mut self,
         types: Vec<(String, bool, u8)>,
@@ -96,31 +100,32 @@
             AutoscalerReservations { types, machines: machines.into_iter().collect(), received: true };
     }
 
-    /// Whether a job should have begun by now.
+    /// Whether a job is overdue to begin.
     pub(super) fn is_overdue_to_begin(&self, job: &Job) -> bool {
         job.assignments.is_empty()
             && job.done.is_empty()
-            && self.wall_clock.since(job.ready_wall()) >= OVERDUE
+            && self.wall_clock.since(job.ready_wall()) >= OVERDUE_AFTER
     }
 
-    /// What this pass may reserve.
-    pub(super) fn begin_reservations(&mut self, now: Micros) -> ReservationPlan {
-        self.peer_reservations.start_inheritance(now);
+    /// Starts the reservations of a scheduling pass.
+    pub(super) fn begin_reservation_plan(&mut self, now: Micros) -> ReservationPlan {
+        self.peer_reservations.start_inheritance_period(now);
         let taken = self.announced_reservations(now).map(|reservation| reservation.machine.clone());
         ReservationPlan { taken: taken.collect(), withheld: 0 }
     }
 
-    /// Reserves machines for a gang that finds no room, if it may have any: returns which. The other leaders hear of it
-    /// once it has waited for a while, since what is kept empty serves nobody.
-    pub(super) fn reserve_for(
+    /// Reserves machines for a gang that could not be placed, if it may reserve any. Returns the machines and
+    /// the reservations to announce. Other leaders are informed only once the gang has waited for a while,
+    /// since machines kept empty do no work.
+    pub(super) fn reserve_machines_for(
         &self,
-        pass: &mut Pass,
+        pass: &mut SchedulingPass,
         job: &Job,
         age: Micros,
     ) -> (Vec<String>, Vec<Reservation>) {
-        let overdue = age >= OVERDUE;
-        let Pass { places, reservation_plan: plan, now, .. } = pass;
-        if !plan.has_room_for(places, job, overdue) {
+        let overdue = age >= OVERDUE_AFTER;
+        let SchedulingPass { targets, reservation_plan: plan, now, .. } = pass;
+        if !plan.can_reserve_for(targets, job, overdue) {
             return Default::default();
         }
         let inherited;
@@ -137,9 +142,9 @@
             previous,
             taken: &plan.taken,
         };
-        let reserved = reserve_machines(places, &request);
+        let reserved = reserve_machines(targets, &request);
         plan.withheld += reserved.withheld;
-        let announced = if age >= self.patience(&job.spec) {
+        let announced = if age >= self.preemption_delay(&job.spec) {
             let announce = |machine: &String| announcements(machine, &job.spec, job.quota_tier, overdue);
             reserved.names.iter().flat_map(announce).collect()
         } else {
@@ -149,7 +154,7 @@
     }
 }
 
-/// What the other leaders of jobs are told of a reserved machine.
+/// The reservations of a machine that are announced to the other job leaders.
 fn announcements(machine: &str, spec: &JobSpec, quota_tier: QuotaTier, overdue: bool) -> Vec<Reservation> {
     let preempting = tier::preempting_priority(spec.priority, quota_tier);
     let reservation = |priority, evict| Reservation {
@@ -160,7 +165,7 @@
     };
     let mut announced = vec![reservation(spec.priority, preempting == spec.priority)];
     if overdue {
-        // Work of its own rank that came later must not slip in there any more.
+        // Later work of the same base priority must no longer be placed there.
         announced.push(reservation(spec.priority + 1, false));
         if preempting < spec.priority {
             announced.push(reservation(preempting, true));
--- a/src/job_shard/retired_starts.rs
+++ b/src/job_shard/retired_starts.rs
@@ -1,7 +1,7 @@
-//! Old starts that are still stopping, or that their agents have yet to forget.
+//! Retired attempts: those that are still stopping, or that their workers have yet to forget.
 //!
-//! A task is not started again on a machine, and a zone's count and a team's quota are not freed, before its old start
-//! is known to be gone.
+//! Until an old attempt is known to be gone, its task is not started again on that machine, and it counts in
+//! its zone and towards its team's quota.
 
 use super::JobShard;
 use super::assignments::{Assignment, MachineStart, UNSENT};
@@ -9,7 +9,7 @@
 use crate::units::{Micros, Resources};
 use std::collections::BTreeMap;
 
-/// Names a retired start. Ordered by job, so that a job's are next to one another.
+/// Identifies a retired attempt. Ordered by job, so that the attempts of a job are adjacent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RetiredStartKey {
     pub(super) job: String,
@@ -23,7 +23,7 @@
         RetiredStartKey { job: job.to_owned(), index, machine: machine.to_owned(), attempt }
     }
 
-    /// The least key that a start of this job may have.
+    /// The least key that an attempt of this job can have.
     fn first_of(job: &str) -> RetiredStartKey {
         RetiredStartKey::new(job, 0, "", 0)
     }
@@ -36,69 +36,69 @@
         MachineStart { machine: self.machine.clone(), task: self.task() }
     }
 
-    fn in_job(&self) -> OpenStartKey {
-        OpenStartKey { index: self.index, machine: self.machine.clone(), attempt: self.attempt }
+    fn in_job(&self) -> BlockingStartKey {
+        BlockingStartKey { index: self.index, machine: self.machine.clone(), attempt: self.attempt }
     }
 }
 
-/// An old start that is stopping or waits to be forgotten.
+/// An old attempt that is stopping or waits to be forgotten.
 #[derive(Clone, Debug)]
 pub(super) struct RetiredStart {
     pub(super) room: Resources,
     pub(super) priority: u8,
     pub(super) action: DesiredAction,
-    /// It may still run.
+    /// Whether it may still be running.
     pub(super) alive: bool,
-    /// The agent is known to have had the command to start it.
+    /// Whether the worker is known to have received the command to start it.
     pub(super) arrived: bool,
-    /// It completed: the agent may forget it once that is on record.
+    /// Whether it completed. The worker may forget it once its completion is stored.
     pub(super) done: bool,
-    /// The first message to the machine's leader that named it; `UNSENT` before that.
+    /// Revision of the first message to the machine's leader that contained it; `UNSENT` before that.
     pub(super) first_revision: u64,
 }
 
-/// How a start retires.
+/// How an attempt retires.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Retirement {
     pub(super) room: Resources,
     pub(super) action: DesiredAction,
-    /// It may still run.
+    /// Whether it may still be running.
     pub(super) alive: bool,
-    /// It completed.
+    /// Whether it completed.
     pub(super) done: bool,
 }
 
 impl Retirement {
-    /// It is stopped without time to save.
+    /// The attempt is stopped without a grace period.
     pub(super) fn stopped(room: Resources) -> Retirement {
         Retirement { room, action: DesiredAction::Stop(Micros(0)), alive: true, done: false }
     }
 }
 
-/// Names an open start within its job.
+/// Identifies a retired attempt within its job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct OpenStartKey {
+pub(super) struct BlockingStartKey {
     pub(super) index: u32,
     pub(super) machine: String,
     pub(super) attempt: u64,
 }
 
-/// A retired start that still matters to placement.
+/// A retired attempt that still affects placement.
 #[derive(Clone, Debug)]
-pub(super) struct OpenStart {
-    /// It may still run.
+pub(super) struct BlockingStart {
+    /// Whether it may still be running.
     pub(super) alive: bool,
     pub(super) zone: String,
 }
 
-/// All retired starts of a shard, by start, by job and by machine.
+/// All retired attempts of a shard, by attempt, by job and by machine.
 #[derive(Debug, Default)]
 pub(super) struct RetiredStarts {
     starts: BTreeMap<RetiredStartKey, RetiredStart>,
-    /// By job, those that matter to placement: alive, or ended without completing. Completed ones wait in hundreds
-    /// for their record, and are passed over here.
-    open: BTreeMap<String, BTreeMap<OpenStartKey, OpenStart>>,
-    /// By machine, and whether each is alive.
+    /// By job, the attempts that affect placement: those that may be running or ended without completing.
+    /// Completed attempts, of which hundreds may wait for their record, are left out.
+    open: BTreeMap<String, BTreeMap<BlockingStartKey, BlockingStart>>,
+    /// By machine, its attempts and whether each may still be running.
     by_machine: BTreeMap<String, BTreeMap<TaskKey, bool>>,
 }
 
@@ -107,7 +107,7 @@
         let alive = start.alive;
         if alive || !start.done {
             let open = self.open.entry(key.job.clone()).or_default();
-            open.insert(key.in_job(), OpenStart { alive, zone: zone.to_owned() });
+            open.insert(key.in_job(), BlockingStart { alive, zone: zone.to_owned() });
         }
         self.by_machine.entry(key.machine.clone()).or_default().insert(key.task(), alive);
         self.starts.insert(key, start);
@@ -125,32 +125,41 @@
         self.starts.keys()
     }
 
-    /// A job's starts, by task.
-    pub(super) fn of_job(&self, id: &str) -> impl Iterator<Item = (&RetiredStartKey, &RetiredStart)> {
+    /// A job's attempts, by task.
+    pub(super) fn attempts_of_job(
+        &self,
+        id: &str,
+    ) -> impl Iterator<Item = (&RetiredStartKey, &RetiredStart)> {
         self.starts.range(RetiredStartKey::first_of(id)..).take_while(move |(key, _)| key.job == id)
     }
 
-    /// A job's starts, by task.
-    pub(super) fn of_job_mut(
+    /// A job's attempts, by task.
+    pub(super) fn attempts_of_job_mut(
         &mut self,
         id: &str,
     ) -> impl Iterator<Item = (&RetiredStartKey, &mut RetiredStart)> {
         self.starts.range_mut(RetiredStartKey::first_of(id)..).take_while(move |(key, _)| key.job == id)
     }
 
-    /// A job's starts that matter to placement.
-    pub(super) fn open_of(&self, id: &str) -> impl Iterator<Item = (&OpenStartKey, &OpenStart)> {
+    /// A job's attempts that affect placement.
+    pub(super) fn blocking_attempts_of(
+        &self,
+        id: &str,
+    ) -> impl Iterator<Item = (&BlockingStartKey, &BlockingStart)> {
         self.open.get(id).into_iter().flatten()
     }
 
-    /// A job's starts that may still run.
-    pub(super) fn alive_of(&self, id: &str) -> impl Iterator<Item = (&OpenStartKey, &OpenStart)> {
-        self.open_of(id).filter(|(_, start)| start.alive)
+    /// A job's attempts that may still be running.
+    pub(super) fn alive_attempts_of(
+        &self,
+        id: &str,
+    ) -> impl Iterator<Item = (&BlockingStartKey, &BlockingStart)> {
+        self.blocking_attempts_of(id).filter(|(_, start)| start.alive)
     }
 
-    /// The zone of a start that may still run.
-    pub(super) fn zone_if_alive(&self, start: &MachineStart) -> Option<&String> {
-        let key = OpenStartKey {
+    /// The zone of an attempt that may still be running.
+    pub(super) fn zone_of_alive_attempt(&self, start: &MachineStart) -> Option<&String> {
+        let key = BlockingStartKey {
             index: start.task.index,
             machine: start.machine.clone(),
             attempt: start.task.attempt,
@@ -159,7 +168,7 @@
         open.alive.then_some(&open.zone)
     }
 
-    /// The starts on a machine, and whether each may still run.
+    /// The attempts on a machine, and whether each may still be running.
     pub(super) fn on_machine(&self, machine: &str) -> impl Iterator<Item = (&TaskKey, bool)> {
         self.by_machine.get(machine).into_iter().flatten().map(|(task, alive)| (task, *alive))
     }
@@ -168,12 +177,12 @@
         self.by_machine.get(machine).is_some_and(|tasks| tasks.contains_key(task))
     }
 
-    /// Machines that have any.
+    /// Machines that have retired attempts.
     pub(super) fn machines(&self) -> impl Iterator<Item = &String> {
         self.by_machine.keys()
     }
 
-    /// Removes a start that is certainly gone. Returns whether there was one.
+    /// Removes an attempt that is certainly gone. Returns whether it existed.
     fn remove(&mut self, key: &RetiredStartKey) -> bool {
         if self.starts.remove(key).is_none() {
             return false;
@@ -184,12 +193,12 @@
                 self.by_machine.remove(&key.machine);
             }
         }
-        self.close(key);
+        self.unblock_placement(key);
         true
     }
 
-    /// A start matters to placement no more.
-    pub(super) fn close(&mut self, key: &RetiredStartKey) {
+    /// Marks an attempt as no longer affecting placement.
+    pub(super) fn unblock_placement(&mut self, key: &RetiredStartKey) {
         if let Some(open) = self.open.get_mut(&key.job) {
             open.remove(&key.in_job());
             if open.is_empty() {
@@ -198,15 +207,15 @@
         }
     }
 
-    /// A start on its machine has ended; it stays until its agent has forgotten it.
-    pub(super) fn mark_ended_on_machine(&mut self, key: &RetiredStartKey) {
+    /// Marks an attempt as ended in the index by machine. It is kept until its worker has forgotten it.
+    pub(super) fn mark_ended_in_machine_index(&mut self, key: &RetiredStartKey) {
         if let Some(tasks) = self.by_machine.get_mut(&key.machine) {
             tasks.insert(key.task(), false);
         }
     }
 
-    /// A start that did not complete has ended.
-    pub(super) fn mark_ended_in_job(&mut self, key: &RetiredStartKey) {
+    /// Marks an attempt that did not complete as ended in the index by job.
+    pub(super) fn mark_ended_in_job_index(&mut self, key: &RetiredStartKey) {
         if let Some(open) = self.open.get_mut(&key.job)
             && let Some(start) = open.get_mut(&key.in_job())
         {
@@ -214,10 +223,11 @@
         }
     }
 
-    /// A new epoch: only starts of jobs that `stays` names are kept, and all are named anew to the machines' leaders.
-    pub(super) fn adopt_epoch(&mut self, stays: impl Fn(&str) -> bool) {
-        self.starts.retain(|key, _| stays(&key.job));
-        self.open.retain(|id, _| stays(id));
+    /// Adopts a new epoch: only attempts of jobs that `is_kept` selects are kept, and all of them are sent to
+    /// the machines' leaders again.
+    pub(super) fn adopt_epoch(&mut self, is_kept: impl Fn(&str) -> bool) {
+        self.starts.retain(|key, _| is_kept(&key.job));
+        self.open.retain(|id, _| is_kept(id));
         self.by_machine.clear();
         for (key, start) in &mut self.starts {
             start.first_revision = UNSENT;
@@ -227,24 +237,30 @@
 }
 
 impl JobShard {
-    /// Keeps an old start in mind until it is gone from its machine.
-    pub(super) fn retire_start(&mut self, id: &str, index: u32, assignment: &Assignment, how: Retirement) {
+    /// Keeps track of an old attempt until it is gone from its machine.
+    pub(super) fn retire_attempt(
+        &mut self,
+        id: &str,
+        index: u32,
+        assignment: &Assignment,
+        retirement: Retirement,
+    ) {
         let key = RetiredStartKey::new(id, index, &assignment.machine, assignment.attempt);
         let start = RetiredStart {
-            room: how.room,
+            room: retirement.room,
             priority: self.jobs.get(id).map_or(0, |job| job.spec.priority),
-            action: how.action,
-            alive: how.alive,
+            action: retirement.action,
+            alive: retirement.alive,
             arrived: assignment.has_arrived(),
-            done: how.done,
+            done: retirement.done,
             first_revision: UNSENT,
         };
         self.retired_starts.insert(key, start, &assignment.zone);
         self.delivery.mark_changed(&assignment.machine, id, index, assignment.attempt);
     }
 
-    /// A retired start is gone from its machine.
-    pub(super) fn forget_retired_start(&mut self, key: &RetiredStartKey) {
+    /// Handles a retired attempt that is gone from its machine.
+    pub(super) fn forget_retired_attempt(&mut self, key: &RetiredStartKey) {
         if self.retired_starts.remove(key) {
             self.delivery.mark_changed(&key.machine, &key.job, key.index, key.attempt);
             self.replan = true;
