--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -1,67 +1,68 @@
-//! A scheduling pass: which waiting tasks start where, and what is done about those that find no room.
+//! A scheduling pass: places waiting tasks, and registers demand or reserves machines for those that cannot
+//! be placed.
 
 use super::JobShard;
 use super::assignments::{Assignment, UNSENT};
 use super::gang::GangState;
-use super::gpu_lending::{LentRoom, Loans};
+use super::gpu_lending::{GrantedResources, Loans};
 use super::job::Job;
 use super::preemption::{Shortfall, reclaim_delay};
-use super::reservations::{FIRST_LOT, ReservationPlan};
+use super::reservations::{MAX_OVERDUE_ARRAY_STARTS, ReservationPlan};
 use crate::machine_view::MachineView;
 use crate::membership::Membership;
 use crate::peer::{DesiredAction, MachineStatus, Reservation};
 use crate::quota::QuotaLedger;
 use crate::quota::tier::QuotaTier;
-use crate::scheduler::placement::{self, Place, ZoneCounts};
+use crate::scheduler::placement::{self, PlacementTarget, ZoneCounts};
 use crate::spec::{JobKind, JobSpec};
 use crate::units::{Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Starts in one scheduling pass, which bounds the time a pass takes.
-const STARTS_PER_PASS: usize = 400;
+/// Maximum number of starts in one scheduling pass, which bounds its duration.
+const MAX_STARTS_PER_PASS: usize = 400;
 /// How long a new leader waits for the autoscaler's reservations before it places anything.
 const AUTOSCALER_WAIT: Micros = Micros::from_millis(3_000);
 /// How long the shape of a job is remembered.
-const SHAPE_MEMORY: Micros = Micros::from_millis(300_000);
+const SHAPE_RETENTION: Micros = Micros::from_millis(300_000);
 
-/// What a pass works with, and what it has decided so far.
-pub(super) struct Pass<'a> {
+/// The inputs of a scheduling pass, and its decisions so far.
+pub(super) struct SchedulingPass<'a> {
     pub(super) now: Micros,
     pub(super) wall: Micros,
     pub(super) membership: &'a Membership,
     pub(super) quota: &'a QuotaLedger,
-    /// Machines that take tasks, and the room that is left on each.
-    pub(super) places: Vec<Place<'a>>,
-    /// All machines that are known, also those that take no tasks.
+    /// Machines that accept tasks, and the free resources of each.
+    pub(super) targets: Vec<PlacementTarget<'a>>,
+    /// Number of all known machines, including those that accept no tasks.
     pub(super) machine_count: usize,
-    /// Jobs that found no room: nothing as large is looked for again.
-    exhausted: Vec<JobSpec>,
-    starts_left: usize,
+    /// Jobs that could not be placed; tasks that are at least as demanding are not tried again.
+    unplaceable: Vec<JobSpec>,
+    remaining_starts: usize,
     shortfalls: Vec<Shortfall>,
-    /// How long work within its guarantee waits before borrowed room is reclaimed for it.
+    /// How long work within its guarantee waits before borrowed resources are reclaimed for it.
     reclaim_delay: Micros,
     pub(super) reservation_plan: ReservationPlan,
-    /// Machines on which room is being made for work within a guarantee.
-    promised: BTreeSet<String>,
-    /// Machines whose leader has refused starts of late.
-    refusing: BTreeSet<&'a str>,
+    /// Machines on which resources are being freed for work within a guarantee.
+    reclaimed_for_guarantees: BTreeSet<String>,
+    /// Machines whose leader has recently refused attempts.
+    refusing_machines: BTreeSet<&'a str>,
 }
 
-impl Pass<'_> {
-    /// Whether a gang as easy to place has found no room.
-    fn is_exhausted_for_gang(&self, spec: &JobSpec) -> bool {
-        self.exhausted.iter().any(|failed| {
+impl SchedulingPass<'_> {
+    /// Whether a gang that is no more demanding could not be placed.
+    fn is_known_unplaceable_gang(&self, spec: &JobSpec) -> bool {
+        self.unplaceable.iter().any(|failed| {
             failed.kind == JobKind::Gang
                 && failed.task_count <= spec.task_count
-                && placement::is_no_easier(spec, failed)
+                && placement::is_at_least_as_demanding(spec, failed)
         })
     }
 
-    /// Whether a task as easy to place has found no room.
-    fn is_exhausted_for_task(&self, spec: &JobSpec) -> bool {
-        self.exhausted
+    /// Whether a task that is no more demanding could not be placed.
+    fn is_known_unplaceable_task(&self, spec: &JobSpec) -> bool {
+        self.unplaceable
             .iter()
-            .any(|failed| failed.kind != JobKind::Gang && placement::is_no_easier(spec, failed))
+            .any(|failed| failed.kind != JobKind::Gang && placement::is_at_least_as_demanding(spec, failed))
     }
 }
 
@@ -73,49 +74,51 @@
     age: Micros,
     /// What its team's quota still allows it.
     allowance: Resources,
-    /// Its starts in each zone.
+    /// Its attempts in each zone.
     zone_counts: ZoneCounts,
-    /// Tasks with an old start that may still run.
-    retiring: BTreeSet<u32>,
-    /// Machines that it must not, or had better not, be placed on.
+    /// Tasks with an old attempt that may still be running.
+    tasks_with_alive_attempts: BTreeSet<u32>,
+    /// Machines that the job must not, or should not, be placed on.
     excluded: BTreeSet<&'a str>,
     quarantined: bool,
-    /// What is borrowed keeps away from machines where room is being made for a guarantee; that it finds none
-    /// says nothing about other work.
-    avoids_promised: bool,
+    /// Whether the job is kept off machines on which resources are being freed for a guarantee. This holds
+    /// for borrowing jobs. A failure to place such a job says nothing about other work.
+    avoids_reclaimed_machines: bool,
 }
 
 impl Candidate<'_> {
-    fn may_use(&self, machine: &MachineStatus, promised: &BTreeSet<String>) -> bool {
+    fn can_use(&self, machine: &MachineStatus, reclaimed_for_guarantees: &BTreeSet<String>) -> bool {
         let is_excluded = self.excluded.contains(machine.name.as_str());
-        let is_promised = self.avoids_promised && promised.contains(&machine.name);
-        !is_excluded && !is_promised
+        let is_being_reclaimed =
+            self.avoids_reclaimed_machines && reclaimed_for_guarantees.contains(&machine.name);
+        !is_excluded && !is_being_reclaimed
     }
 
-    /// Whether its finding no room means that work no easier to place finds none either.
+    /// Whether a failure to place it implies that work that is at least as demanding cannot be placed either.
     fn is_representative(&self) -> bool {
-        self.excluded.is_empty() && !self.job.spec.spread && !self.avoids_promised
+        self.excluded.is_empty() && !self.job.spec.spread && !self.avoids_reclaimed_machines
     }
 }
 
-/// A task that starts, and the place where it does.
+/// A task to start, and its placement target.
 struct PlannedStart {
     index: u32,
-    place: usize,
+    target: usize,
 }
 
-/// What a pass decides about one job.
+/// The decisions of a pass about one job.
 #[derive(Default)]
 struct JobPlan {
     starts: Vec<PlannedStart>,
-    /// Tasks that found no room.
+    /// Number of tasks that could not be placed.
     unplaced: u32,
     reserved_machines: Vec<String>,
     reservations: Vec<Reservation>,
 }
 
 impl JobShard {
-    /// Places what can be placed, moves gangs on, and notes what finds no room. Does nothing before records are loaded.
+    /// Places tasks, advances gangs, and registers the demand that could not be placed. Does nothing before
+    /// the records are loaded.
     pub fn run_scheduling_pass(
         &mut self,
         now: Micros,
@@ -127,8 +130,8 @@
             return;
         }
         self.wall_clock = wall;
-        self.older_epochs_silent_at = membership.older_leaders_stopped_at();
-        self.note_ends(now);
+        self.older_epochs_stopped_at = membership.older_leaders_stopped_at();
+        self.collect_ends(now);
         self.refresh_quota_tiers(now, quota);
         self.advance_gangs(now);
         let since = *self.loaded_at.get_or_insert(now);
@@ -141,13 +144,13 @@
             self.schedule_job(&mut pass, &id);
         }
         let shortfalls = std::mem::take(&mut pass.shortfalls);
-        self.reclaim(now, &pass.places, shortfalls);
+        self.reclaim(now, &pass.targets, shortfalls);
         self.count_unresolved_demand(&mut pass);
         drop(pass);
         self.views = views;
     }
 
-    /// Lists the places, and forgets what the last pass found.
+    /// Determines the placement targets, and clears the results of the last pass.
     fn begin_pass<'a>(
         &mut self,
         now: Micros,
@@ -155,56 +158,58 @@
         membership: &'a Membership,
         quota: &'a QuotaLedger,
         views: &'a [MachineView],
-    ) -> Pass<'a> {
-        let mut places = self.places(now, membership, views);
-        self.loans.hold_back(&mut places);
-        self.leave_headroom(&mut places);
+    ) -> SchedulingPass<'a> {
+        let mut targets = self.placement_targets(now, membership, views);
+        self.loans.withhold_reserved(&mut targets);
+        self.reserve_headroom_for_guarantees(&mut targets);
         self.demands.clear();
         self.reservations.clear();
-        let reservation_plan = self.begin_reservations(now);
-        let promised = self.promised_machines(now);
-        let refusing = self.placement_refusals.refusing(now, membership);
-        let refusing = refusing.iter().filter_map(|&leader| views[leader].machines(membership.epoch));
-        self.recent_shapes.retain(|(_, seen_at)| now.since(*seen_at) < SHAPE_MEMORY);
-        Pass {
+        let reservation_plan = self.begin_reservation_plan(now);
+        let reclaimed_for_guarantees = self.machines_reclaimed_for_guarantees(now);
+        let leaders_to_avoid = self.placement_refusals.leaders_to_avoid(now, membership);
+        let refusing_machines =
+            leaders_to_avoid.iter().filter_map(|&leader| views[leader].machines(membership.epoch));
+        self.recent_shapes.retain(|(_, seen_at)| now.since(*seen_at) < SHAPE_RETENTION);
+        SchedulingPass {
             now,
             wall,
             membership,
             quota,
-            places,
+            targets,
             machine_count: views
                 .iter()
                 .filter_map(|view| view.machines(membership.epoch))
                 .map(BTreeMap::len)
                 .sum(),
-            exhausted: Vec::new(),
-            starts_left: STARTS_PER_PASS,
+            unplaceable: Vec::new(),
+            remaining_starts: MAX_STARTS_PER_PASS,
             shortfalls: Vec::new(),
             reclaim_delay: reclaim_delay(quota),
             reservation_plan,
-            promised,
-            refusing: refusing.flat_map(BTreeMap::keys).map(String::as_str).collect(),
+            reclaimed_for_guarantees,
+            refusing_machines: refusing_machines.flat_map(BTreeMap::keys).map(String::as_str).collect(),
         }
     }
 
-    /// Places what can be placed of one job.
-    fn schedule_job(&mut self, pass: &mut Pass, id: &str) {
+    /// Places as many tasks of one job as possible.
+    fn schedule_job(&mut self, pass: &mut SchedulingPass, id: &str) {
         if !self.has_tasks_to_place(pass.now, id) {
             return;
         }
-        self.note_shape_of(pass, id);
+        self.remember_shape_of(pass, id);
         let Some(candidate) = self.candidate(pass, id) else { return };
         let plan = match candidate.job.spec.kind {
             JobKind::Gang => self.plan_gang(pass, &candidate),
             JobKind::Array | JobKind::Service => Some(self.plan_tasks(pass, &candidate)),
         };
         let Some(plan) = plan else { return };
-        // A loan is sooner than a machine that has to boot: none is rented for what is claimed, or about to be.
-        let lacking = plan.unplaced.saturating_sub(self.loans.covers(pass.now, id));
-        if lacking > 0 {
+        // A loan is available sooner than a machine that has to boot: no machine is rented for replicas that
+        // are claimed, or about to be.
+        let uncovered = plan.unplaced.saturating_sub(self.loans.replicas_covered_by_loans(pass.now, id));
+        if uncovered > 0 {
             let spec = &candidate.job.spec;
             let horizon = self.horizon(candidate.job, pass.quota.has_guarantee(&spec.team), candidate.age);
-            let demand = self.demand_of(spec, lacking, horizon);
+            let demand = self.demand_of(spec, uncovered, horizon);
             self.demands.push(demand);
         }
         self.reservations.extend(plan.reservations);
@@ -214,177 +219,188 @@
         self.start_tasks(pass, id, plan.starts);
     }
 
-    /// Whether a job may start tasks now and has any that are neither completed nor assigned.
+    /// Whether a job may start tasks now, and has tasks that are neither completed nor assigned.
     fn has_tasks_to_place(&self, now: Micros, id: &str) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
-        // Guards against a start before all that the job needs is done: whatever else may have
-        // put it in the queue, nothing of it is placed.
+        // Guards against a start before all dependencies of the job are done, however the job got into the
+        // queue.
         if job.is_waiting() {
             return false;
         }
-        // Most jobs have all their tasks placed: they cost a look.
+        // Most jobs have all their tasks assigned; this check is all that they cost.
         let placed = job.done.len() as usize + job.assignments.len();
-        let pauses = now < job.not_before || self.failures.awaits_probe(now, id);
-        job.has_known_starts() && !pauses && placed < job.spec.task_count as usize
+        let is_paused = now < job.not_before || self.failures.awaits_probe(now, id);
+        job.has_known_starts() && !is_paused && placed < job.spec.task_count as usize
     }
 
-    fn note_shape_of(&mut self, pass: &Pass, id: &str) {
+    fn remember_shape_of(&mut self, pass: &SchedulingPass, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
         let horizon = self.horizon(job, pass.quota.has_guarantee(&spec.team), Micros(0));
-        self.note_shape(pass.now, &spec, horizon);
+        self.remember_shape(pass.now, &spec, horizon);
     }
 
-    /// All that decides where a job's tasks may go.
-    fn candidate<'a>(&'a self, pass: &Pass, id: &'a str) -> Option<Candidate<'a>> {
+    /// Collects what determines where a job's tasks may be placed.
+    fn candidate<'a>(&'a self, pass: &SchedulingPass, id: &'a str) -> Option<Candidate<'a>> {
         let job = self.jobs.get(id)?;
-        let claim = pass.quota.usable(&job.spec.team, id);
+        let usable_quota = pass.quota.usable(&job.spec.team, id);
         let mut zone_counts = ZoneCounts::new();
         for assignment in job.assignments.values() {
             *zone_counts.entry(assignment.zone.clone()).or_default() += 1;
         }
-        let mut retiring = BTreeSet::new();
-        for (key, start) in self.retired_starts.alive_of(id) {
+        let mut tasks_with_alive_attempts = BTreeSet::new();
+        for (key, start) in self.retired_starts.alive_attempts_of(id) {
             *zone_counts.entry(start.zone.clone()).or_default() += 1;
-            retiring.insert(key.index);
+            tasks_with_alive_attempts.insert(key.index);
         }
-        // A machine that still has an old start of the job would refuse the task.
-        let open = self.retired_starts.open_of(id).filter(|(key, _)| !job.done.contains(key.index));
+        // A machine that still has an old attempt of the job would refuse the task.
+        let open =
+            self.retired_starts.blocking_attempts_of(id).filter(|(key, _)| !job.done.contains(key.index));
         let mut excluded: BTreeSet<&str> = open.map(|(key, _)| key.machine.as_str()).collect();
         excluded.append(&mut self.failures.machines_avoided_by(pass.now, id));
-        excluded.extend(self.loans.machines_left_by(id));
+        excluded.extend(self.loans.machines_being_vacated_by(id));
         Some(Candidate {
             id,
             job,
             age: pass.wall.since(job.ready_wall()),
-            allowance: Resources { memory: i64::MAX / 4, ..claim - self.resources_in_use(id, job) },
+            allowance: Resources { memory: i64::MAX / 4, ..usable_quota - self.resources_in_use(id, job) },
             zone_counts,
-            retiring,
+            tasks_with_alive_attempts,
             excluded,
             quarantined: self.failures.is_job_quarantined(id),
-            avoids_promised: job.quota_tier == QuotaTier::Beyond
-                && !pass.promised.is_empty()
+            avoids_reclaimed_machines: job.quota_tier == QuotaTier::Beyond
+                && !pass.reclaimed_for_guarantees.is_empty()
                 && !self.is_overdue_to_begin(job),
         })
     }
 
-    /// Places all members of a gang, or reserves machines for it. None if it is not to be looked at.
-    fn plan_gang(&self, pass: &mut Pass, candidate: &Candidate) -> Option<JobPlan> {
+    /// Places all members of a gang, or reserves machines for it. None if the gang is not to be placed now.
+    fn plan_gang(&self, pass: &mut SchedulingPass, candidate: &Candidate) -> Option<JobPlan> {
         let (job, spec) = (candidate.job, &candidate.job.spec);
-        if job.gang.is_some() || !job.assignments.is_empty() || !candidate.retiring.is_empty() {
+        if job.gang.is_some()
+            || !job.assignments.is_empty()
+            || !candidate.tasks_with_alive_attempts.is_empty()
+        {
             return None;
         }
         if candidate.allowance.max_count_of(spec.resources_per_task) < i64::from(spec.task_count) {
             return None;
         }
-        let hopeless = pass.is_exhausted_for_gang(spec);
-        let lent = self.loans.lend(&mut pass.places, candidate.id, job);
-        let found = if hopeless && lent.is_empty() {
+        let known_unplaceable = pass.is_known_unplaceable_gang(spec);
+        let granted = self.loans.grant_reserved(&mut pass.targets, candidate.id, job);
+        let found = if known_unplaceable && granted.is_empty() {
             None
         } else {
-            placement::place_gang(spec, &pass.places, &candidate.zone_counts, |machine| {
-                candidate.may_use(machine, &pass.promised)
+            placement::place_gang(spec, &pass.targets, &candidate.zone_counts, |machine| {
+                candidate.can_use(machine, &pass.reclaimed_for_guarantees)
             })
         };
-        Loans::take_back(
-            &mut pass.places,
-            &lent,
+        Loans::withdraw_unused(
+            &mut pass.targets,
+            &granted,
             spec.resources_per_task,
             found.as_deref().unwrap_or_default(),
         );
         if let Some(found) = found {
-            for &place in &found {
-                pass.places[place].take(spec.resources_per_task);
+            for &target in &found {
+                pass.targets[target].take(spec.resources_per_task);
             }
-            let starts = found.into_iter().zip(0..).map(|(place, index)| PlannedStart { index, place });
+            let starts = found.into_iter().zip(0..).map(|(target, index)| PlannedStart { index, target });
             return Some(JobPlan { starts: starts.collect(), ..JobPlan::default() });
         }
-        // A probe takes room that is there; none is made, reserved or rented for it.
+        // A probe only uses resources that are free; none are freed, reserved or rented for it.
         if candidate.quarantined {
             return None;
         }
-        if !hopeless && candidate.is_representative() {
-            pass.exhausted.push(spec.clone());
+        if !known_unplaceable && candidate.is_representative() {
+            pass.unplaceable.push(spec.clone());
         }
-        let (reserved_machines, reservations) = self.reserve_for(pass, job, candidate.age);
+        let (reserved_machines, reservations) = self.reserve_machines_for(pass, job, candidate.age);
         Some(JobPlan { starts: Vec::new(), unplaced: spec.task_count, reserved_machines, reservations })
     }
 
     /// Places as many tasks of an array or a service as its quota allows.
-    fn plan_tasks(&self, pass: &mut Pass, candidate: &Candidate) -> JobPlan {
+    fn plan_tasks(&self, pass: &mut SchedulingPass, candidate: &Candidate) -> JobPlan {
         let (job, spec) = (candidate.job, &candidate.job.spec);
         let mut allowed =
             candidate.allowance.max_count_of(spec.resources_per_task).clamp(0, i64::from(u32::MAX)) as usize;
-        // A job that fails everywhere is tried with one task at a time.
+        // A job that fails on every machine is probed with one task at a time.
         if candidate.quarantined {
             allowed = usize::from(job.assignments.is_empty() && allowed > 0);
         }
-        let lot = if self.is_overdue_to_begin(job) { allowed.min(FIRST_LOT) } else { allowed };
-        let next: Vec<u32> = job
+        let max_starts =
+            if self.is_overdue_to_begin(job) { allowed.min(MAX_OVERDUE_ARRAY_STARTS) } else { allowed };
+        let next_tasks: Vec<u32> = job
             .done
             .gaps(spec.task_count)
-            .filter(|index| !job.assignments.contains_key(index) && !candidate.retiring.contains(index))
-            .take(lot.min(pass.starts_left))
+            .filter(|index| {
+                !job.assignments.contains_key(index) && !candidate.tasks_with_alive_attempts.contains(index)
+            })
+            .take(max_starts.min(pass.remaining_starts))
             .collect();
-        let hopeless = pass.is_exhausted_for_task(spec);
-        // Room that is kept for the job goes first, or it would have been kept, or taken, in vain.
-        let lent = self.loans.lend(&mut pass.places, candidate.id, job);
-        let found = if (hopeless && lent.is_empty()) || next.is_empty() {
+        let known_unplaceable = pass.is_known_unplaceable_task(spec);
+        // Resources reserved for the job are used first, since otherwise they would have been reserved, or
+        // preempted, in vain.
+        let granted = self.loans.grant_reserved(&mut pass.targets, candidate.id, job);
+        let found = if (known_unplaceable && granted.is_empty()) || next_tasks.is_empty() {
             Vec::new()
         } else {
-            place_on_lent_first(pass, candidate, &lent, next.len())
+            place_on_granted_first(pass, candidate, &granted, next_tasks.len())
         };
-        Loans::take_back(&mut pass.places, &lent, spec.resources_per_task, &found);
+        Loans::withdraw_unused(&mut pass.targets, &granted, spec.resources_per_task, &found);
         let mut unplaced = 0;
-        if found.len() < next.len() {
-            // A task may be known to be done by another's word while its start still counts as placed.
+        if found.len() < next_tasks.len() {
+            // Another controller may have reported a task as done whose attempt here still counts as
+            // assigned.
             let left =
                 (spec.task_count as usize).saturating_sub(job.done.len() as usize + job.assignments.len());
             unplaced = left.saturating_sub(found.len()).min(allowed) as u32;
-            if !hopeless && candidate.is_representative() && !spec.one_zone {
-                pass.exhausted.push(spec.clone());
+            if !known_unplaceable && candidate.is_representative() && !spec.one_zone {
+                pass.unplaceable.push(spec.clone());
             }
         }
-        pass.starts_left -= found.len();
+        pass.remaining_starts -= found.len();
         self.note_shortfall(pass, candidate, unplaced);
-        let starts = next.into_iter().zip(found).map(|(index, place)| PlannedStart { index, place });
+        let starts = next_tasks.into_iter().zip(found).map(|(index, target)| PlannedStart { index, target });
         JobPlan { starts: starts.collect(), unplaced, ..JobPlan::default() }
     }
 
-    /// Work within its guarantee that finds no room has borrowed room reclaimed.
-    fn note_shortfall(&self, pass: &mut Pass, candidate: &Candidate, unplaced: u32) {
+    /// Registers a shortfall of work within its guarantee, for which borrowed resources are reclaimed.
+    fn note_shortfall(&self, pass: &mut SchedulingPass, candidate: &Candidate, unplaced: u32) {
         let (job, spec) = (candidate.job, &candidate.job.spec);
-        // What a borrower lacks is claimed in its team's ledger first; reclaimed here too, it would be taken twice.
+        // What a borrower lacks is claimed in its team's ledger first. If it were reclaimed here too, it
+        // would be taken twice.
         let reclaims = job.quota_tier == QuotaTier::Within
             && candidate.age >= pass.reclaim_delay
-            && !self.may_borrow(spec);
+            && !self.can_borrow(spec);
         if unplaced > 0 && !candidate.quarantined && reclaims {
             pass.shortfalls.push(Shortfall { spec: spec.clone(), count: unplaced });
         }
     }
 
-    /// Assigns tasks to their places; the machines' leaders hear of it with the next message.
-    fn start_tasks(&mut self, pass: &Pass, id: &str, starts: Vec<PlannedStart>) {
+    /// Assigns tasks to their targets. The machines' leaders receive the assignments with the next message.
+    fn start_tasks(&mut self, pass: &SchedulingPass, id: &str, starts: Vec<PlannedStart>) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        // A gang without places is not under way: it must go on asking for room.
+        // A gang without targets has not started: it must keep requesting resources.
         if starts.is_empty() {
             return;
         }
         let gang = job.spec.kind == JobKind::Gang;
         if gang {
-            job.gang = Some(GangState::Holding(pass.now));
+            job.gang = Some(GangState::Accepting(pass.now));
             job.start_count += 1;
         }
         let mut assigned = Vec::new();
-        for PlannedStart { index, place } in starts {
+        for PlannedStart { index, target } in starts {
             if !gang {
                 job.start_count += 1;
             }
-            let machine = pass.places[place].machine;
+            let machine = pass.targets[target].machine;
             let assignment = Assignment {
                 machine: machine.name.clone(),
                 zone: machine.zone.clone(),
-                // The epoch in front makes attempts unique across leaders without a counter on record.
+                // The epoch in the upper bits makes attempt numbers unique across leaders without a stored
+                // counter.
                 attempt: (pass.membership.epoch << 24) + job.start_count,
                 action: if gang { DesiredAction::Hold } else { DesiredAction::Run },
                 first_revision: UNSENT,
@@ -404,27 +420,28 @@
     }
 }
 
-/// Places up to `count` tasks, on machines with room lent to the job first.
-fn place_on_lent_first(
-    pass: &mut Pass,
+/// Places up to `count` tasks, first on machines with resources that are reserved for the job.
+fn place_on_granted_first(
+    pass: &mut SchedulingPass,
     candidate: &Candidate,
-    lent: &[LentRoom],
+    granted: &[GrantedResources],
     count: usize,
 ) -> Vec<usize> {
     let spec = &candidate.job.spec;
-    let Pass { places, promised, refusing, .. } = pass;
+    let SchedulingPass { targets, reclaimed_for_guarantees, refusing_machines, .. } = pass;
     let mut zone_counts = candidate.zone_counts.clone();
     let usable = |machine: &MachineStatus| {
-        candidate.may_use(machine, promised) && !refusing.contains(machine.name.as_str())
+        candidate.can_use(machine, reclaimed_for_guarantees)
+            && !refusing_machines.contains(machine.name.as_str())
     };
     let mut found = Vec::new();
-    if !lent.is_empty() {
-        let with_lent: BTreeSet<String> =
-            lent.iter().map(|lent| places[lent.place].machine.name.clone()).collect();
-        let first = |machine: &MachineStatus| usable(machine) && with_lent.contains(&machine.name);
-        found = placement::place_tasks(spec, places, &mut zone_counts, count, first);
+    if !granted.is_empty() {
+        let granted_machines: BTreeSet<String> =
+            granted.iter().map(|granted| targets[granted.target].machine.name.clone()).collect();
+        let first = |machine: &MachineStatus| usable(machine) && granted_machines.contains(&machine.name);
+        found = placement::place_tasks(spec, targets, &mut zone_counts, count, first);
     }
     let rest = count - found.len();
-    found.extend(placement::place_tasks(spec, places, &mut zone_counts, rest, usable));
+    found.extend(placement::place_tasks(spec, targets, &mut zone_counts, rest, usable));
     found
 }
--- a/src/job_shard/stale_inputs.rs
+++ b/src/job_shard/stale_inputs.rs
@@ -1,24 +1,25 @@
-//! Merges whose inputs turn out to be old while they run, and which of a merge's attempts still stand.
+//! Merges whose inputs become stale while they run, and the status of a merge's attempts.
 
 use super::JobShard;
 use crate::spec::JobKind;
 use crate::units::Micros;
 
-/// How an attempt stands, as far as its job's leader knows.
+/// The status of an attempt as seen by its job's leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
     /// It may run.
     Active,
     /// It is being stopped.
     Stopping,
-    /// It is over, or there never was one.
+    /// It has ended or never existed.
     Ended,
-    /// Not all machines that may run it have been heard.
+    /// Not all machines that may run it have reported.
     Unknown,
 }
 
 impl JobShard {
-    /// How an attempt of a live job stands; `task` is None for a gang, whose attempts are the job's.
+    /// The status of an attempt of a live job. `task` is None for a gang, whose attempts are those of the
+    /// job.
     pub fn attempt_status(&self, id: &str, task: Option<u32>, attempt: u64) -> AttemptStatus {
         let Some(job) = self.jobs.get(id) else { return AttemptStatus::Ended };
         let is_of = |index: u32| task.is_none_or(|task| task == index);
@@ -29,7 +30,7 @@
                 false => AttemptStatus::Active,
             };
         }
-        let mut alive = self.retired_starts.alive_of(id);
+        let mut alive = self.retired_starts.alive_attempts_of(id);
         match (alive.any(|(key, _)| is_of(key.index) && key.attempt == attempt), job.has_known_starts()) {
             (true, _) => AttemptStatus::Stopping,
             (false, true) => AttemptStatus::Ended,
@@ -37,8 +38,9 @@
         }
     }
 
-    /// Stops what runs of a merge, with no time to save: what it made of old inputs is worth nothing. Tasks that
-    /// `writes` names have begun to write and go on. Returns how many were stopped.
+    /// Stops the running tasks of a merge without a grace period, since results from stale inputs are
+    /// worthless. Tasks for which `writes` returns true have begun to write and keep running. Returns how
+    /// many were stopped.
     pub fn stop_stale_attempts(&mut self, id: &str, writes: impl Fn(Option<u32>, u64) -> bool) -> usize {
         let Some(job) = self.jobs.get(id) else { return 0 };
         let gang = job.spec.kind == JobKind::Gang;
@@ -62,7 +64,7 @@
         stale.len()
     }
 
-    /// Whether anything of a job is assigned.
+    /// Whether any task of a job is assigned.
     pub fn has_assignments(&self, id: &str) -> bool {
         self.jobs.get(id).is_some_and(|job| !job.assignments.is_empty())
     }
--- a/src/job_shard/start_replication.rs
+++ b/src/job_shard/start_replication.rs
@@ -1,8 +1,10 @@
-//! Starts of our jobs on machines of our own: what only this process knows, replicated before it takes effect, and what
-//! a new leader makes of the replicas.
+//! Replication of attempts of this controller's jobs on machines that it leads itself. Only this process
+//! knows them, so they are replicated before they take effect. A new leader rebuilds its state from the
+//! replicas.
 //!
-//! A start that another leader of machines carries out is known to two. One that its leader carries out itself would be
-//! lost with it, and its successor would have to ask every machine. See `docs/takeovers.md`.
+//! An attempt on a machine with another leader is known to two controllers. An attempt on a machine that the
+//! job's leader leads itself would be lost with that controller, and its successor would have to query every
+//! machine. See `docs/takeovers.md`.
 
 use super::JobShard;
 use super::assignments::MachineStart;
@@ -13,15 +15,15 @@
 use hazelsaddle_failover::unresolved::UnresolvedSetId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the replicas have been told.
+/// The state that has been sent to the replicas.
 pub(super) struct StartReplication {
-    /// Starts on machines of our own that may have changed.
+    /// Attempts on machines led by this controller that may have changed.
     pub(super) changed: BTreeSet<MachineStart>,
-    /// Those that were last replicated, with their zones.
+    /// Attempts that were last replicated, with their zones.
     starts: BTreeMap<MachineStart, String>,
-    /// The jobs that were last replicated as having all their starts known.
+    /// Jobs that were last replicated as having all their attempts known.
     jobs: BTreeSet<String>,
-    /// What is known of jobs has changed, or which there are.
+    /// Whether the set of jobs, or what is known of their attempts, has changed.
     pub(super) jobs_changed: bool,
 }
 
@@ -41,8 +43,8 @@
 }
 
 impl JobShard {
-    /// What has changed since this was last called, of starts on our own machines that may be alive and of jobs whose
-    /// starts are all known: each item, and whether it is there.
+    /// Changes since the last call, of attempts on machines led by this controller that may be running, and
+    /// of jobs whose attempts are all known. Each item comes with whether it exists.
     pub fn take_replication_changes(&mut self) -> Vec<(ReplicatedItem, bool)> {
         let mut changes = Vec::new();
         self.add_start_changes(&mut changes);
@@ -69,13 +71,13 @@
         }
     }
 
-    /// The zone of a start that may be alive.
+    /// The zone of an attempt that may be running.
     fn zone_of_start(&self, start: &MachineStart) -> Option<&String> {
         let assignment =
             self.jobs.get(&start.task.job).and_then(|job| job.assignments.get(&start.task.index));
-        match assignment.filter(|assignment| assignment.is_start(&start.machine, start.task.attempt)) {
+        match assignment.filter(|assignment| assignment.is_attempt(&start.machine, start.task.attempt)) {
             Some(assignment) => Some(&assignment.zone),
-            None => self.retired_starts.zone_if_alive(start),
+            None => self.retired_starts.zone_of_alive_attempt(start),
         }
     }
 
@@ -95,27 +97,28 @@
         }
     }
 
-    /// The item for a start on one of our own machines, if it was replicated.
+    /// The item for an attempt on a machine led by this controller, if it was replicated.
     pub fn replicated_start(&self, machine: &str, key: &TaskKey) -> Option<ReplicatedItem> {
         let start = MachineStart { machine: machine.to_owned(), task: key.clone() };
         Some(replicated_item(&start, self.start_replication.starts.get(&start)?))
     }
 
-    /// All replicas of a controller `of` that is gone have answered with `items`: the jobs whose starts it knew, of those
-    /// that it led by all `rings` that this rests on, need not wait for the machines that it led by all of them. Returns
-    /// how many jobs that helped.
+    /// Applies `items`, the responses of all replicas of a departed controller `departed`. It knew all attempts of
+    /// the listed jobs. Those jobs that it led by every one of the `rings` that the replicas rest on need not
+    /// wait for the machines that it also led by all of them. Returns the number of jobs that wait for fewer
+    /// machines as a result.
     pub fn apply_start_replicas(
         &mut self,
         now: Micros,
-        of: usize,
+        departed: usize,
         rings: &[Ring],
         items: &BTreeSet<ReplicatedItem>,
     ) -> usize {
         let was_led =
-            |class: &str, name: &str| rings.iter().all(|ring| ring.owner_of(class, name) == Some(of));
+            |class: &str, name: &str| rings.iter().all(|ring| ring.owner_of(class, name) == Some(departed));
         let mut starts = starts_by_job(items);
-        let mut narrowed: BTreeMap<UnresolvedSetId, StartKnowledge> = BTreeMap::new();
-        let mut helped = 0;
+        let mut narrowed_sets: BTreeMap<UnresolvedSetId, StartKnowledge> = BTreeMap::new();
+        let mut narrowed_jobs = 0;
         for item in items {
             let ReplicatedItem::Job(id) = item else { continue };
             if !was_led("job/", id) {
@@ -124,22 +127,22 @@
             let Some(job) = self.jobs.get_mut(id) else { continue };
             let StartKnowledge::AwaitsMachines(set) = job.start_knowledge else { continue };
             let sets = &mut self.unresolved_sets;
-            job.start_knowledge = *narrowed.entry(set).or_insert_with(|| {
-                let others = sets.machines(set).filter(|machine| !was_led("machine/", machine));
-                let others: BTreeSet<String> = others.cloned().collect();
-                sets.open(others).map_or(StartKnowledge::Complete, StartKnowledge::AwaitsMachines)
+            job.start_knowledge = *narrowed_sets.entry(set).or_insert_with(|| {
+                let remaining = sets.machines(set).filter(|machine| !was_led("machine/", machine));
+                let remaining: BTreeSet<String> = remaining.cloned().collect();
+                sets.open(remaining).map_or(StartKnowledge::Complete, StartKnowledge::AwaitsMachines)
             });
             self.start_replication.jobs_changed = true;
-            helped += 1;
+            narrowed_jobs += 1;
             let tasks = job.spec.task_count;
             for start in starts.remove(id.as_str()).unwrap_or_default() {
                 if start.index < tasks {
-                    self.take_start(now, id, start);
+                    self.take_over_attempt(now, id, start);
                 }
             }
         }
         self.replan = true;
-        helped
+        narrowed_jobs
     }
 }
 
--- a/src/job_shard/tests.rs
+++ b/src/job_shard/tests.rs
@@ -36,13 +36,13 @@
     }
 }
 
-/// The leader of one job, and one machine with room as its own leader describes it.
+/// A shard with one job, and a machine with free resources as reported by its leader.
 pub(super) fn shard_with_job(raw: Value) -> (Membership, QuotaLedger, JobShard, MachineStatus) {
-    let s = settings();
-    let mut membership = Membership::new(&s, 1);
+    let settings = settings();
+    let mut membership = Membership::new(&settings, 1);
     membership.adopt_epoch(Micros(1), &EpochRecord { epoch: 1, members: vec![("c0".into(), 1)] }, 1);
-    let quota = QuotaLedger::new(&s.teams);
-    let mut shard = JobShard::new(&s);
+    let quota = QuotaLedger::new(&settings.teams);
+    let mut shard = JobShard::new(&settings);
     shard.adopt_epoch(&membership, false);
     shard.finish_loading(std::iter::empty());
     shard.apply_autoscaler_reservations(Vec::new(), Vec::new());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_can_save_is_stopped_with_grace_before_its_machine_is_taken() {
+fn tasks_with_checkpoints_are_stopped_gracefully_before_machine_termination() {
     for (checkpoint, stops) in [(10.0, true), (0.0, false)] {
         let (membership, quota, mut shard, mut machine) = shard_with_job(raw("batch", 1, checkpoint));
         let now = Micros::from_millis(1000);
@@ -81,21 +81,27 @@
             whole_status(&membership, 1, 0, vec![machine.clone()]),
         );
         shard.run_scheduling_pass(now, now, &membership, &quota);
-        let DesiredState { revision: rev, tasks: wanted, .. } = shard.next_desired_state(0, &membership);
+        let DesiredState { revision, tasks: wanted, .. } = shard.next_desired_state(0, &membership);
         assert_eq!(wanted[0].action, DesiredAction::Run);
         machine.tasks = vec![ObservedTask { key: wanted[0].key.clone(), phase: TaskPhase::Running }];
         machine.time_to_termination = Some(Micros::from_millis(9000));
-        shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 2, rev, vec![machine]));
+        shard.apply_machine_status(
+            now,
+            &membership,
+            0,
+            whole_status(&membership, 2, revision, vec![machine]),
+        );
         shard.preempt_tasks(now, &membership);
-        // What stays as it was is not said again.
+        // An unchanged task is not sent again.
         let expected = stops.then_some(DesiredAction::Stop(Micros::from_millis(5000)));
         assert_eq!(shard.next_desired_state(0, &membership).tasks.first().map(|w| w.action), expected);
     }
 }
 
-/// The cost of a message to a leader of machines is that of what changed, not of all that runs there.
+/// Guards against messages to a machine leader that grow with all tasks on its machines instead of with the
+/// changes.
 #[test]
-fn desired_state_names_only_what_changed() {
+fn desired_state_contains_only_changes() {
     let (membership, quota, mut shard, machine) = shard_with_job(raw("batch", 400, 0.0));
     let now = Micros::from_millis(1000);
     let fleet: Vec<MachineStatus> =
@@ -104,7 +110,7 @@
     shard.run_scheduling_pass(now, now, &membership, &quota);
     let first = shard.next_desired_state(0, &membership);
     assert_eq!(first.tasks.len(), 400);
-    // Not seen yet, so it is named again.
+    // Not acknowledged yet, so it is sent again.
     assert_eq!(shard.next_desired_state(0, &membership).tasks.len(), 400);
     let seen = MachineStatusDelta {
         sequence: (membership.epoch << 32) + 2,
@@ -112,9 +118,9 @@
         revision_seen: first.revision + 1,
         machines: Vec::new(),
     };
-    let on = |d: &MachineStatus| {
-        let here = first.tasks.iter().filter(|w| w.machine == d.name);
-        MachineStatus { tasks: here.map(|w| running(&w.key)).collect(), ..d.clone() }
+    let on = |machine: &MachineStatus| {
+        let here = first.tasks.iter().filter(|w| w.machine == machine.name);
+        MachineStatus { tasks: here.map(|w| running(&w.key)).collect(), ..machine.clone() }
     };
     shard.apply_machine_status(
         now,
@@ -135,63 +141,74 @@
     assert_eq!(shard.next_desired_state(0, &membership).tasks.len(), 1);
 }
 
-/// Guards against first come first served, which makes most jobs late in a surge that no fleet could carry.
+/// Guards against first-come, first-served order, which makes most jobs late in a surge that exceeds any
+/// fleet.
 #[test]
-fn jobs_that_can_still_be_on_time_go_first_and_short_ones_before_long_ones() {
+fn jobs_that_can_meet_objectives_go_first_and_short_before_long() {
     let (membership, quota, mut shard, _) = shard_with_job(raw("batch", 50, 0.0));
     shard.objectives = vec![Objective { kind: "finished".into(), class: "b".into(), within_s: 40.0 }];
     let mut add = |id: &str, tasks: u32, accepted_s: u64| {
-        let mut r = raw("batch", tasks, 0.0);
-        r["uid"] = json!(id);
-        let spec = JobSpec::from_value(&r).expect("valid");
-        shard.insert_job(r, spec, Micros::from_millis(accepted_s * 1000), TaskIndexSet::default(), 1, true);
+        let mut raw_spec = raw("batch", tasks, 0.0);
+        raw_spec["uid"] = json!(id);
+        let spec = JobSpec::from_value(&raw_spec).expect("valid");
+        shard.insert_job(
+            raw_spec,
+            spec,
+            Micros::from_millis(accepted_s * 1000),
+            TaskIndexSet::default(),
+            1,
+            true,
+        );
     };
     add("wk-2", 9, 90);
     add("wk-3", 2, 58);
     let now = Micros::from_millis(100_000);
-    // The first was accepted just after the time of day began.
+    // The first job was accepted just after wall-clock time 0.
     shard.jobs.get_mut("wk-1").expect("live").accepted_wall = Micros::from_millis(80_000);
     shard.run_scheduling_pass(now, now, &membership, &quota);
-    assert_eq!(shard.queue_order(), ["wk-2", "wk-1", "wk-3"], "the third can't be on time any more");
+    assert_eq!(shard.queue_order(), ["wk-2", "wk-1", "wk-3"], "the third can no longer meet its objective");
     shard.jobs.get_mut("wk-1").expect("live").spec.task_count = 9;
-    assert_eq!(shard.queue_order(), ["wk-1", "wk-2", "wk-3"], "by age while the queue is short");
-    // Whatever is late goes behind, but what has waited for 45 s to begin is not overtaken for ever.
+    assert_eq!(shard.queue_order(), ["wk-1", "wk-2", "wk-3"], "by age while the backlog is small");
+    // Late jobs go last, but a job that has waited 45 s to begin is not overtaken forever.
     shard.advance_wall_clock(Micros::from_millis(104_000));
     assert_eq!(shard.queue_order(), ["wk-3", "wk-1", "wk-2"]);
 }
 
-/// Of a gang of 24 small tasks and one of four on GPUs must not come a shape of 24 on GPUs: all GPU machines would be
-/// reserved for it while other work waits for them.
+/// Guards against merging the shapes of a gang of 24 small tasks and of a gang of four tasks on GPUs into one
+/// of 24 tasks on GPUs: all GPU machines would be reserved for it while other work waits for them.
 #[test]
-fn two_unlike_gangs_do_not_make_a_third() {
+fn shapes_of_unlike_gangs_are_not_merged() {
     let (.., mut shard, _) = shard_with_job(raw("batch", 1, 0.0));
     let mut note = |tasks: u32, cpus: f64, gpus: f64| {
-        let mut r = raw("group", tasks, 0.0);
-        (r["vcpus"], r["cards"]) = (json!(cpus), json!(gpus));
-        shard.note_shape(Micros(1), &JobSpec::from_value(&r).expect("valid"), Micros(0));
+        let mut raw_spec = raw("group", tasks, 0.0);
+        (raw_spec["vcpus"], raw_spec["cards"]) = (json!(cpus), json!(gpus));
+        shard.remember_shape(Micros(1), &JobSpec::from_value(&raw_spec).expect("valid"), Micros(0));
         shard.demands().iter().map(|d| (d.gang_size, d.resources_per_task.cpus / 1000)).collect::<Vec<_>>()
     };
     note(24, 15.0, 0.0);
     note(4, 96.0, 8.0);
-    assert_eq!(note(12, 16.0, 0.0), [(24, 16), (4, 96)], "those that differ a little are one");
+    assert_eq!(note(12, 16.0, 0.0), [(24, 16), (4, 96)], "similar shapes are merged");
 }
 
 #[test]
 fn estimates_are_corrected_by_run_times() {
-    let s = JobSpec::from_value(&json!({"uid":"wk-1","breed":"b","herd":"t","gait":"batch","rank":"idle",
+    let spec = JobSpec::from_value(&json!({"uid":"wk-1","breed":"b","herd":"t","gait":"batch","rank":"idle",
         "strides":1,"vcpus":1.0,"cards":0,"ramGb":1.0,"tack":"i","imageGb":1,"together":false,"scatter":false,
         "borrowed":true,"rideS":40.0,"restS":0,"unsaddleS":0}))
     .expect("valid");
     let mut run_times = RunTimes::default();
-    assert_eq!(run_times.likely(&s), s.estimated_run_time);
+    assert_eq!(run_times.likely(&spec), spec.estimated_run_time);
     for _ in 0..3 {
-        run_times.record(&s, Micros::from_millis(20_000));
+        run_times.record(&spec, Micros::from_millis(20_000));
     }
-    assert!(run_times.likely(&s) > Micros::from_millis(35_000), "a few tell little");
+    assert!(
+        run_times.likely(&spec) > Micros::from_millis(35_000),
+        "a few run times change the estimate little"
+    );
     for _ in 0..500 {
-        run_times.record(&s, Micros::from_millis(20_000));
+        run_times.record(&spec, Micros::from_millis(20_000));
     }
-    assert!(run_times.likely(&s) < Micros::from_millis(21_000));
+    assert!(run_times.likely(&spec) < Micros::from_millis(21_000));
 }
 
 pub(super) fn running(key: &TaskKey) -> ObservedTask {
@@ -199,7 +216,7 @@
 }
 
 #[test]
-fn a_job_being_ended_starts_nothing() {
+fn a_cancelled_job_starts_no_tasks() {
     let (membership, quota, mut shard, machine) = shard_with_job(raw("batch", 3, 0.0));
     let now = Micros::from_millis(1000);
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 1, 0, vec![machine]));
@@ -209,34 +226,44 @@
 }
 
 #[test]
-fn a_task_waits_until_its_old_start_is_gone() {
+fn a_task_waits_until_its_old_attempt_is_gone() {
     let (membership, quota, mut shard, mut machine) = shard_with_job(raw("batch", 1, 0.0));
     let now = Micros::from_millis(1000);
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 1, 0, vec![machine.clone()]));
     shard.run_scheduling_pass(now, now, &membership, &quota);
-    let DesiredState { revision: rev, tasks: wanted, .. } = shard.next_desired_state(0, &membership);
+    let DesiredState { revision, tasks: wanted, .. } = shard.next_desired_state(0, &membership);
     let old = TaskKey { attempt: 5, ..wanted[0].key.clone() };
     machine.tasks = vec![running(&old), running(&wanted[0].key)];
-    shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 2, rev, vec![machine.clone()]));
+    shard.apply_machine_status(
+        now,
+        &membership,
+        0,
+        whole_status(&membership, 2, revision, vec![machine.clone()]),
+    );
     machine.tasks = vec![running(&old)];
     let other = MachineStatus { name: "i-2".into(), tasks: Vec::new(), ..machine.clone() };
-    shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 3, rev, vec![machine, other]));
+    shard.apply_machine_status(
+        now,
+        &membership,
+        0,
+        whole_status(&membership, 3, revision, vec![machine, other]),
+    );
     let later = Micros::from_millis(9000);
     shard.run_scheduling_pass(later, later, &membership, &quota);
     let wanted = shard.next_desired_state(0, &membership).tasks;
     assert_eq!(wanted.len(), 1);
     assert_eq!((&wanted[0].key, wanted[0].action), (&old, DesiredAction::Stop(Micros(0))));
-    // It counts towards its team's quota all the while.
+    // The old attempt counts towards its team's quota until it is gone.
     assert_eq!(shard.resources_in_use("wk-1", &shard.jobs["wk-1"]).cpus, 2000);
 }
 
 #[test]
-fn a_completed_task_is_forgotten_only_once_that_is_on_record() {
+fn a_completed_task_is_forgotten_only_once_its_completion_is_stored() {
     let (membership, quota, mut shard, mut machine) = shard_with_job(raw("batch", 2, 0.0));
     let now = Micros::from_millis(1000);
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 1, 0, vec![machine.clone()]));
     shard.run_scheduling_pass(now, now, &membership, &quota);
-    let DesiredState { revision: rev, tasks: wanted, .. } = shard.next_desired_state(0, &membership);
+    let DesiredState { revision, tasks: wanted, .. } = shard.next_desired_state(0, &membership);
     let done = ObservedTask { key: wanted[0].key.clone(), phase: TaskPhase::Exited(TaskExit::Done) };
     machine.tasks = vec![done, running(&wanted[1].key)];
     let want_of = |shard: &mut JobShard| {
@@ -248,18 +275,18 @@
             now,
             &membership,
             0,
-            whole_status(&membership, seq, rev, vec![machine.clone()]),
+            whole_status(&membership, seq, revision, vec![machine.clone()]),
         );
         assert_eq!(want_of(&mut shard), Some(DesiredAction::Keep));
     }
     let (id, write, _) = shard.next_write(now, false).expect("progress is due");
-    let RecordWrite::Progress(_, kept) = write else { panic!("not an end") };
-    shard.confirm_progress(now, &id, kept, 9);
+    let RecordWrite::Progress(_, recorded) = write else { panic!("expected a progress write") };
+    shard.confirm_progress(now, &id, recorded, 9);
     assert_eq!(want_of(&mut shard), Some(DesiredAction::Forget));
 }
 
 #[test]
-fn starts_stand_in_a_new_epoch_until_the_machines_leader_has_seen_them() {
+fn assignments_survive_a_new_epoch_until_the_machine_leader_has_seen_them() {
     let (mut membership, quota, mut shard, machine) = shard_with_job(raw("batch", 1, 0.0));
     let now = Micros::from_millis(1000);
     shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 1, 0, vec![machine.clone()]));
@@ -268,7 +295,8 @@
     membership.adopt_epoch(now, &EpochRecord { epoch: 2, members: vec![("c0".into(), 1)] }, 2);
     shard.adopt_epoch(&membership, true);
     shard.finish_loading(std::iter::empty());
-    // The leader has not yet had our desired state of this epoch; whatever it has seen is of the last.
+    // The machine leader has not yet received the desired state of this epoch; the revision that it has seen
+    // is of the previous one.
     shard.apply_machine_status(
         now,
         &membership,
@@ -276,20 +304,20 @@
         whole_status(&membership, 1, u64::MAX - 1, vec![machine.clone()]),
     );
     assert_eq!(shard.task_counts().1, 1);
-    let rev = shard.next_desired_state(0, &membership).revision;
-    shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 2, rev, vec![machine]));
-    assert_eq!(shard.task_counts().1, 0, "now its absence is an answer");
+    let revision = shard.next_desired_state(0, &membership).revision;
+    shard.apply_machine_status(now, &membership, 0, whole_status(&membership, 2, revision, vec![machine]));
+    assert_eq!(shard.task_counts().1, 0, "the leader has now seen the desired state, so the task is gone");
 }
 
-/// Guards against a gang without places that is taken for one being held: it would ask for machines
-/// only every few seconds and lose the machines reserved for it in between.
+/// Guards against taking an unplaced gang for one that is being accepted: it would request machines only
+/// every few seconds and lose its reserved machines in between.
 #[test]
-fn a_gang_without_places_asks_for_room_at_every_pass() {
+fn an_unplaced_gang_requests_resources_in_every_pass() {
     let (membership, quota, mut shard, _) = shard_with_job(raw("group", 2, 0.0));
     for i in 0..20 {
         let now = Micros::from_millis(1000 + i * 100);
         shard.run_scheduling_pass(now, now, &membership, &quota);
         let waiting: u32 = shard.demands().iter().map(|d| d.count).sum();
-        assert_eq!(waiting, 2, "at pass {i}");
+        assert_eq!(waiting, 2, "in pass {i}");
     }
 }
--- a/src/job_shard/unresolved_starts/tests.rs
+++ b/src/job_shard/unresolved_starts/tests.rs
@@ -4,20 +4,20 @@
 use crate::units::TaskIndexSet;
 use serde_json::json;
 
-/// Guards against all work waiting for a few dead machines while the autoscaler sees nothing queue.
+/// Guards against all work waiting for a few dead machines while the autoscaler sees no demand.
 #[test]
-fn what_waits_for_a_dead_machine_asks_for_room_and_what_is_likely_there_does_not() {
+fn tasks_blocked_by_a_dead_machine_create_demand_unless_likely_on_it() {
     let (membership, quota, mut shard, machine) = shard_with_job(raw("batch", 4, 0.0));
     let now = Micros::from_millis(1000);
     let fleet: Vec<MachineStatus> = (0..20)
         .map(|i| MachineStatus { name: format!("i-{i:02}"), is_schedulable: i < 2, ..machine.clone() })
         .collect();
-    // A new epoch: one machine of twenty is not heard, and 40 tasks of a job taken over run on the others.
+    // A new epoch: one machine of twenty has not reported, and 40 tasks of an adopted job run on the others.
     shard.adopt_epoch(&membership, false);
-    let mut r = raw("batch", 100, 0.0);
-    r["uid"] = json!("wk-2");
-    let spec = JobSpec::from_value(&r).expect("valid");
-    shard.insert_job(r, spec, Micros(1), TaskIndexSet::default(), 1, false);
+    let mut raw_spec = raw("batch", 100, 0.0);
+    raw_spec["uid"] = json!("wk-2");
+    let spec = JobSpec::from_value(&raw_spec).expect("valid");
+    shard.insert_job(raw_spec, spec, Micros(1), TaskIndexSet::default(), 1, false);
     shard.finish_loading(fleet.iter().map(|d| d.name.clone()));
     let mut seq = 0;
     let mut tell = |shard: &mut JobShard, unheard: usize| {
@@ -38,13 +38,14 @@
         shard.demands().iter().map(|d| d.count).sum::<u32>()
     };
     tell(&mut shard, 5);
-    assert_eq!(asked(&mut shard, 1000), 0, "too few are heard");
+    assert_eq!(asked(&mut shard, 1000), 0, "too few machines have reported");
     tell(&mut shard, 1);
-    // Less those seen, those that may well be on the unheard one, and those that fit beside two on the one open.
+    // Not counted are the tasks seen, those that are likely to be on the unreported machine, and those that
+    // fit beside two others on the one schedulable machine.
     assert_eq!(asked(&mut shard, 2000), 100 - 38 - 2 - 2);
     assert!(
         shard.next_desired_state(0, &membership).tasks.iter().all(|w| w.action != DesiredAction::Run),
-        "nothing of it is placed"
+        "none of its tasks is placed"
     );
     assert_eq!(shard.unresolved_job_count(), 1);
     tell(&mut shard, 0);
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,7 +1,7 @@
-//! Scheduling decisions that need neither a clock nor input or output.
+//! Scheduling decisions as pure functions, without a clock or I/O.
 //!
-//! Everything here is a function of what it is given: the jobs' specifications and the machines as their leaders describe
-//! them. Who asks owns the state.
+//! All results depend only on the arguments: the jobs' specifications, and the machines as their leaders
+//! report them. The callers own the state.
 
 pub mod placement;
 pub mod reservations;
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,27 +1,27 @@
-//! Where a task goes: among the machines that its job allows, the one it leaves fullest, those that the job's leader leads
-//! itself first.
+//! Placement of tasks: among the machines that a job allows, the one that the task leaves fullest is chosen,
+//! and machines that the job's leader leads itself are preferred.
 
 use crate::peer::MachineStatus;
 use crate::spec::{GUARANTEED_PRIORITY_BONUS, JobSpec};
 use crate::units::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine as a leader of jobs sees it: as its own leader describes it, less what has been asked for since.
+/// A machine as a placement target: its status as reported by its leader, less the resources requested since.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place<'a> {
+pub struct PlacementTarget<'a> {
     /// The machine.
     pub machine: &'a MachineStatus,
-    /// Free room.
+    /// Free resources.
     pub free: Resources,
-    /// What has been asked for since, which the machine's leader has not seen.
-    pub unseen: Resources,
-    /// The leader of jobs leads it itself, and sees at once what is free there.
+    /// Resources requested since the report, which the machine's leader has not seen yet.
+    pub unacknowledged: Resources,
+    /// Whether the job's leader also leads the machine and thus sees at once what is free on it.
     pub local: bool,
-    /// Reserved for work of at least this priority.
+    /// The minimum priority of work that may use the machine, if it is reserved.
     pub reserved_for: Option<u8>,
 }
 
-impl Place<'_> {
+impl PlacementTarget<'_> {
     /// Whether the job may use this machine at all.
     pub fn is_allowed(&self, spec: &JobSpec) -> bool {
         (self.machine.spot <= spec.spot_allowed)
@@ -30,40 +30,42 @@
             && self.machine.total.can_hold(spec.resources_per_task)
     }
 
-    /// Room that is left once tasks end of priorities for which `stays` is false.
-    fn free_beside(&self, stays: impl Fn(u8) -> bool) -> Resources {
+    /// Resources that are free once all tasks have ended whose priorities `stays` does not select.
+    fn free_after_ending_others(&self, stays: impl Fn(u8) -> bool) -> Resources {
         let staying = self.machine.used_by_priority.iter().filter(|(priority, _)| stays(*priority));
-        staying.fold(self.machine.total - self.unseen, |free, (_, used)| free - *used)
+        staying.fold(self.machine.total - self.unacknowledged, |free, (_, used)| free - *used)
     }
 
-    /// Takes room for a start.
+    /// Allocates resources for an attempt.
     pub fn take(&mut self, room: Resources) {
         self.free = self.free - room;
-        self.unseen = self.unseen + room;
+        self.unacknowledged = self.unacknowledged + room;
     }
 
-    /// Room there will be once tasks of lower priority than this are gone, and those that are being
-    /// stopped already: a machine that is being emptied must not look fuller than one that is not.
-    pub fn free_for(&self, priority: u8) -> Resources {
-        self.free_beside(|running| running >= priority)
+    /// Resources that are free once all tasks of lower priority, and those that are already being stopped,
+    /// are gone. A machine that is being emptied must not look fuller than one that is not.
+    pub fn free_after_preemption(&self, priority: u8) -> Resources {
+        self.free_after_ending_others(|running| running >= priority)
     }
 
-    /// Room there will be once all that is no more urgent than this rank has ended by itself, whoever is guaranteed it.
-    pub fn free_in_time(&self, rank: u8) -> Resources {
-        self.free_beside(|running| running % GUARANTEED_PRIORITY_BONUS > rank)
+    /// Resources that are free once all tasks of at most this base priority have ended by themselves, whether
+    /// guaranteed or not.
+    pub fn free_after_completion(&self, rank: u8) -> Resources {
+        self.free_after_ending_others(|running| running % GUARANTEED_PRIORITY_BONUS > rank)
     }
 
-    /// What work that borrows can have at once: it may not stop other borrowed work of its own rank or above.
-    pub fn free_for_borrowed(&self, priority: u8) -> Resources {
+    /// Resources that borrowing work can get at once: it may not preempt other borrowing work of its own base
+    /// priority or above.
+    pub fn free_after_preemption_by_borrower(&self, priority: u8) -> Resources {
         let rank = priority % GUARANTEED_PRIORITY_BONUS;
-        self.free_beside(|running| {
+        self.free_after_ending_others(|running| {
             running >= priority || (rank..GUARANTEED_PRIORITY_BONUS).contains(&running)
         })
     }
 }
 
-/// Whether a task of `spec` finds no room either once one of `failed` has found none.
-pub fn is_no_easier(spec: &JobSpec, failed: &JobSpec) -> bool {
+/// Whether a task of `spec` cannot be placed if a task of `failed` could not.
+pub fn is_at_least_as_demanding(spec: &JobSpec, failed: &JobSpec) -> bool {
     spec.resources_per_task.can_hold(failed.resources_per_task)
         && spec.spot_allowed <= failed.spot_allowed
         && spec.priority <= failed.priority
@@ -71,10 +73,10 @@
         && (failed.zone.is_none() || spec.zone == failed.zone)
 }
 
-/// How many of a job's tasks run in each zone, old attempts that are not yet gone included.
+/// The number of a job's tasks in each zone, including old attempts that are not yet gone.
 pub type ZoneCounts = BTreeMap<String, u32>;
 
-/// Whether one more task may go to this zone.
+/// Whether one more task may be placed in this zone.
 pub fn is_zone_allowed(spec: &JobSpec, counts: &ZoneCounts, zone: &str) -> bool {
     if spec.one_zone && counts.iter().any(|(other, &count)| count > 0 && other != zone) {
         return false;
@@ -82,61 +84,62 @@
     !spec.spread || counts.get(zone).copied().unwrap_or(0) < spec.task_count.div_ceil(2)
 }
 
-/// How well a task goes to a place: the least goes first.
-fn fit(spec: &JobSpec, place: &Place) -> (bool, bool, i64, bool, bool, i64, bool, i64) {
-    let left = place.free - spec.resources_per_task;
-    // Among equally full ones, the one that need not fetch the image. Where a task takes a
-    // machine for itself all are as good as equally full.
-    let fetches_image = !place.machine.images.contains(&spec.image_hash);
-    let alone = place.machine.total.max_count_of(spec.resources_per_task) == 1;
-    let risky = place.machine.spot && spec.is_urgent_without_checkpoints();
-    // Of machines about as full those that the job's leader leads itself: several leaders that each take the very
-    // fullest have half of their starts refused when much is placed.
-    let half_empty = left.cpus * 2 > place.machine.total.cpus;
+/// The cost of placing a task on a target; the lowest is preferred.
+fn placement_cost(spec: &JobSpec, target: &PlacementTarget) -> (bool, bool, i64, bool, bool, i64, bool, i64) {
+    let left = target.free - spec.resources_per_task;
+    // Among equally full machines, one that has the image already. Where each task uses a whole machine, all
+    // machines count as equally full.
+    let fetches_image = !target.machine.images.contains(&spec.image_hash);
+    let alone = target.machine.total.max_count_of(spec.resources_per_task) == 1;
+    let risky = target.machine.spot && spec.is_urgent_without_checkpoints();
+    // Machines that are about equally full are ranked by whether the job's leader leads them: if several
+    // leaders each choose the very fullest machines, half of their attempts are refused when many tasks are
+    // placed.
+    let half_empty = left.cpus * 2 > target.machine.total.cpus;
     (
         risky,
         alone && fetches_image,
         left.gpus,
         half_empty,
-        !place.local,
+        !target.local,
         left.cpus,
         fetches_image,
         left.memory,
     )
 }
 
-/// Places for up to `count` tasks, each on the machine that it leaves fullest, and takes the room. Filling
-/// the fullest machine first, then the next, comes to the same as choosing anew for each task, and
-/// looks at every machine once. Returns the index of each task's place.
+/// Finds targets for up to `count` tasks, each the machine that the task leaves fullest, and allocates the
+/// resources. Filling the fullest machine first, then the next, gives the same result as a new choice for
+/// each task, and visits every machine once. Returns the index of each task's target.
 #[must_use]
 pub fn place_tasks(
     spec: &JobSpec,
-    places: &mut [Place],
+    targets: &mut [PlacementTarget],
     counts: &mut ZoneCounts,
     count: usize,
     is_usable: impl Fn(&MachineStatus) -> bool,
 ) -> Vec<usize> {
-    let mut candidates: Vec<_> = places
+    let mut candidates: Vec<_> = targets
         .iter()
         .enumerate()
-        .filter(|(_, place)| {
-            place.free.can_hold(spec.resources_per_task)
-                && place.reserved_for.is_none_or(|priority| spec.priority >= priority)
-                && place.is_allowed(spec)
-                && is_zone_allowed(spec, counts, &place.machine.zone)
-                && is_usable(place.machine)
+        .filter(|(_, target)| {
+            target.free.can_hold(spec.resources_per_task)
+                && target.reserved_for.is_none_or(|priority| spec.priority >= priority)
+                && target.is_allowed(spec)
+                && is_zone_allowed(spec, counts, &target.machine.zone)
+                && is_usable(target.machine)
         })
-        .map(|(i, place)| (fit(spec, place), i))
+        .map(|(i, target)| (placement_cost(spec, target), i))
         .collect();
     candidates.sort_unstable();
     let mut found = Vec::new();
     for (_, i) in candidates {
-        let zone = &places[i].machine.zone;
+        let zone = &targets[i].machine.zone;
         while found.len() < count
-            && places[i].free.can_hold(spec.resources_per_task)
+            && targets[i].free.can_hold(spec.resources_per_task)
             && is_zone_allowed(spec, counts, zone)
         {
-            places[i].take(spec.resources_per_task);
+            targets[i].take(spec.resources_per_task);
             *counts.entry(zone.clone()).or_default() += 1;
             found.push(i);
         }
@@ -147,27 +150,27 @@
     found
 }
 
-/// Places for all tasks of a gang, or none; takes no room. With one zone for all, each zone is tried, the one
-/// that ends up fullest first.
+/// Finds targets for all tasks of a gang, or none, without allocating resources. If all must be in one zone,
+/// each zone is tried, and the one that ends up fullest is preferred.
 #[must_use]
 pub fn place_gang(
     spec: &JobSpec,
-    places: &[Place],
+    targets: &[PlacementTarget],
     counts: &ZoneCounts,
     is_usable: impl Fn(&MachineStatus) -> bool,
 ) -> Option<Vec<usize>> {
     let place_within = |zone: Option<&str>| {
-        let mut places = places.to_vec();
+        let mut targets = targets.to_vec();
         let is_usable =
             |machine: &MachineStatus| zone.is_none_or(|zone| machine.zone == zone) && is_usable(machine);
-        let found = place_tasks(spec, &mut places, &mut counts.clone(), spec.task_count as usize, is_usable);
-        let left: i64 = found.iter().map(|&i| places[i].free.cpus).sum();
+        let found = place_tasks(spec, &mut targets, &mut counts.clone(), spec.task_count as usize, is_usable);
+        let left: i64 = found.iter().map(|&i| targets[i].free.cpus).sum();
         (found.len() == spec.task_count as usize).then_some((left, found))
     };
     if !spec.one_zone {
         return place_within(None).map(|(_, found)| found);
     }
-    let zones: BTreeSet<&str> = places.iter().map(|place| place.machine.zone.as_str()).collect();
+    let zones: BTreeSet<&str> = targets.iter().map(|target| target.machine.zone.as_str()).collect();
     let found = zones.into_iter().filter_map(|zone| place_within(Some(zone)));
     found.min_by_key(|(left, _)| *left).map(|(_, found)| found)
 }
--- a/src/scheduler/reservations/tests.rs
+++ b/src/scheduler/reservations/tests.rs
@@ -41,23 +41,23 @@
     taken: &BTreeSet<String>,
 ) -> Vec<String> {
     let request = ReservationRequest { spec, quota_tier, overdue, previous: &[], taken };
-    reserve_machines(&mut places(machines), &request).names
+    reserve_machines(&mut targets(machines), &request).names
 }
 
-fn places(machines: &[MachineStatus]) -> Vec<Place<'_>> {
-    let place = |d| Place {
+fn targets(machines: &[MachineStatus]) -> Vec<PlacementTarget<'_>> {
+    let target = |d| PlacementTarget {
         machine: d,
         free: d.free,
-        unseen: Resources::default(),
+        unacknowledged: Resources::default(),
         local: false,
         reserved_for: None,
     };
-    machines.iter().map(place).collect()
+    machines.iter().map(target).collect()
 }
 
-/// Two large gangs that hold half of what each needs would wait for one another for ever.
+/// Guards against a deadlock of two large gangs that each hold half of the machines they need.
 #[test]
-fn a_gang_reserves_all_its_machines_or_none_and_none_of_another_leaders() {
+fn a_gang_reserves_all_its_machines_or_none_and_none_reserved_by_another_leader() {
     let machines: Vec<MachineStatus> = (0..40).map(|i| machine(i, "a", &[(0, 4000)])).collect();
     let reserved = |taken: usize| {
         let taken = (0..taken).map(|i| format!("i-{i:02}")).collect();
@@ -65,18 +65,18 @@
     };
     assert_eq!(reserved(0).len(), 24);
     assert!(reserved(16).iter().all(|n| n.as_str() >= "i-16") && reserved(16).len() == 24);
-    assert!(reserved(17).is_empty(), "23 are left");
+    assert!(reserved(17).is_empty(), "only 23 are left");
 }
 
 #[test]
-fn borrowed_gangs_do_not_count_on_what_they_may_not_stop() {
+fn borrowing_gangs_do_not_count_on_tasks_they_may_not_preempt() {
     let machines =
         [machine(0, "a", &[(1, 15_000)]), machine(1, "a", &[(0, 15_000)]), machine(2, "a", &[(10, 9000)])];
     let reserved = |tasks, quota_tier, overdue| {
         reserve(&machines, &gang(tasks, 11), quota_tier, overdue, &BTreeSet::new())
     };
     let count = |tasks, quota_tier| reserved(tasks, quota_tier, false).len();
-    assert_eq!(reserved(1, QuotaTier::Within, false), ["i-02"], "where the least is on it");
+    assert_eq!(reserved(1, QuotaTier::Within, false), ["i-02"], "the machine with the least work");
     assert_eq!(
         (count(3, QuotaTier::Within), count(3, QuotaTier::Beyond), count(2, QuotaTier::Beyond)),
         (3, 0, 2)
@@ -84,6 +84,6 @@
     assert_eq!(
         reserved(3, QuotaTier::Beyond, true).len(),
         3,
-        "what it may not stop runs out: it is not overtaken again"
+        "an overdue gang also reserves machines whose tasks it may not preempt"
     );
 }
--- a/src/scheduler/run_times.rs
+++ b/src/scheduler/run_times.rs
@@ -1,13 +1,14 @@
-//! How long tasks are likely to run: users' estimates, corrected by how long tasks of the class ran.
+//! Likely run times of tasks: users' estimates, corrected by the actual run times of earlier tasks of the
+//! class.
 
 use crate::spec::JobSpec;
 use crate::units::Micros;
 use std::collections::BTreeMap;
 
-/// Expected run time in memory from which on older tasks count for half.
-const MEMORY: Micros = Micros::from_millis(4_000_000);
+/// Sum of expected run times at which both sums are halved, so that older tasks lose weight.
+const MAX_EXPECTED_SUM: Micros = Micros::from_millis(4_000_000);
 
-/// How long completed tasks ran, by class.
+/// Actual run times of completed tasks, by class.
 #[derive(Debug, Default)]
 pub struct RunTimes(BTreeMap<String, ClassRunTime>);
 
@@ -19,24 +20,25 @@
 }
 
 impl RunTimes {
-    /// A task of a job completed after it had run for so long.
+    /// Records that a task of a job completed after running for `run`.
     pub fn record(&mut self, spec: &JobSpec, run: Micros) {
         if spec.estimated_run_time == Micros(0) {
             return;
         }
-        // It begins as if some had run as long as expected: the first to complete are the shortest.
-        let start = Micros(MEMORY.0 / 4);
+        // The sums start as if some tasks had run as long as expected, since the shortest tasks complete
+        // first.
+        let initial = Micros(MAX_EXPECTED_SUM.0 / 4);
         let sums =
-            self.0.entry(spec.class.clone()).or_insert(ClassRunTime { actual: start, expected: start });
+            self.0.entry(spec.class.clone()).or_insert(ClassRunTime { actual: initial, expected: initial });
         sums.actual = sums.actual + run;
         sums.expected = sums.expected + spec.estimated_run_time;
-        if sums.expected > MEMORY {
+        if sums.expected > MAX_EXPECTED_SUM {
             sums.actual = Micros(sums.actual.0 / 2);
             sums.expected = Micros(sums.expected.0 / 2);
         }
     }
 
-    /// How long a task of a job is likely to run.
+    /// The likely run time of a task of a job.
     #[must_use]
     pub fn likely(&self, spec: &JobSpec) -> Micros {
         let (actual, expected) =
