--- a/crates/release/src/release_record.rs
+++ b/crates/release/src/release_record.rs
@@ -114,7 +114,7 @@
     /// The reason is empty, too long or has control characters.
     #[error("a reason of 1 to {REASON_LIMIT_BYTES} bytes on one line is needed")]
     InvalidReason,
-    /// The release has [`WAIVER_LIMIT`] waivers; more might exceed the state service's value limit.
+    /// The release has `WAIVER_LIMIT` waivers; more might exceed the state service's value limit.
     #[error("{WAIVER_LIMIT} are waived already; reopen the set or send the renders anew")]
     TooManyWaivers,
     /// The record can't be decoded.
