--- a/tests/world/batches.rs
+++ b/tests/world/batches.rs
@@ -1,25 +1,28 @@
-//! Batches, merges and their writers: what the records say, worked out here once more from the state service's own
-//! keys and the users' descriptions, and the rules that no merge starts and no permit is given on an old run.
+//! Batches, merge jobs and their write permits. The expected state is computed independently from the state store's
+//! keys and the clients' job descriptions, and is used to check that no merge starts and no permit is granted on a
+//! stale run.
 
 use super::*;
 use hazelsaddle::controller::OperatorCommand;
 
-/// Classes that read inputs, as the operators' file of these days has them.
+/// Classes of jobs that read inputs, as configured in `INI`.
 pub(crate) const SOURCES: [&str; 2] = ["split", "read"];
 pub(crate) const INI: &str = "[freshness]\nsources = split, read\nmerges = merge\nrequired = split\n";
-/// How much later than a newer version a start may come that was decided before it: three seconds for the reading, what a
-/// peer that is cut off may hold back until one of the two leaves (half of `cancel_s`), and the last report's answer.
+/// Maximum delay of a start that was decided before a newer version: three seconds to read it, the time that a
+/// partitioned peer may hold a message back until one of the two leaves (half of `cancel_s`), and the response to the
+/// last heartbeat.
 const BOUND: u64 = 30 * S;
 
-/// A run that supersedes an old one is known this long after its end is on record.
+/// A run that replaces a stale one must be known this long after its outcome is stored.
 const LAG: u64 = 10 * S;
 
-/// A writer's question under way.
+/// A permit request in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Question {
     job: String,
     attempt: u64,
-    /// Whether nothing had been old for a while when it was asked, and how often the version had risen.
+    /// Whether no run had been stale for at least `LAG` when it was sent, and how often the version had been raised
+    /// by then.
     fresh: bool,
     raised: usize,
 }
@@ -31,31 +34,31 @@
     fence: u64,
     raised_at: u64,
     raised: usize,
-    /// Held permits: job, attempt, task and version by fence.
+    /// Held permits by fencing token: job, attempt, task and version.
     held: BTreeMap<u64, (String, u64, Option<u64>, u64)>,
 }
 
 #[derive(Default)]
 pub(crate) struct Batches {
-    /// Whether merges ask for permits.
+    /// Whether merges request permits.
     pub(crate) writers: bool,
     records: BTreeMap<String, Record>,
-    /// Every permit that was ever on record.
+    /// All permits ever stored: job and attempt by batch and fencing token.
     given: BTreeMap<(String, u64), (String, u64)>,
     asked: BTreeMap<(String, u32, u64), u64>,
-    /// Since when a merge was found fresh each time.
+    /// When each merge became fresh.
     fresh_from: BTreeMap<String, u64>,
-    /// Starts of merges, those that came on old runs within the bound, permits given, questions refused.
+    /// Starts of merges, those on stale runs within the bound, granted permits and refused requests.
     pub(crate) starts: usize,
     pub(crate) late: usize,
     pub(crate) permits: usize,
     pub(crate) refused: usize,
-    /// Merges that were refused, or found old when their upstreams were done.
+    /// Merges refused for stale runs, or found stale when their dependencies were done.
     pub(crate) old: BTreeSet<String>,
 }
 
 impl World {
-    /// What a merge rests on that is old, and not made up for by a newer run of its own.
+    /// The number of stale runs that a merge depends on, less the newer runs that replace them.
     pub(crate) fn old_runs(&self, id: &str) -> usize {
         let Some(of) = &self.jobs[id].spec.merges else { return 0 };
         let Some(record) = self.batches.records.get(&of.name) else { return 1 };
@@ -91,7 +94,7 @@
         left
     }
 
-    /// A task of a merge starts.
+    /// Checks the start of a merge's task.
     pub(crate) fn merge_starts(&mut self, id: &str) {
         let Some(of) = &self.jobs[id].spec.merges else { return };
         let raised_at = self.batches.records.get(&of.name).map_or(0, |r| r.raised_at);
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Looks at the records after each change of the state service.
+    /// Checks the batch records after each write to the state store.
     pub(crate) fn watch_batches(&mut self) {
         let changed: Vec<(String, Value, u64)> = self
             .store
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Whether an attempt is on a machine that may still carry it on.
+    /// Whether the attempt is on a machine with a valid lease.
     fn writes(&self, job: &str, attempt: u64, task: Option<u64>) -> bool {
         let lives = |w: &&Worker| !w.gone && !w.dead && self.now <= w.lease_from + (LEASE_S * 1e6) as u64;
         let mine = |t: &Task| {
@@ -170,7 +173,7 @@
         self.workers.iter().filter(lives).any(|w| w.tasks.iter().any(mine))
     }
 
-    /// Running merges ask whether they may write, through any controller, again and again.
+    /// Running merges repeatedly request write permits through random controllers.
     pub(crate) fn run_writers(&mut self) {
         if !self.batches.writers {
             return;
@@ -213,7 +216,7 @@
         self.batches.records.get(&of.name).map_or(0, |r| r.raised)
     }
 
-    /// A writer has its answer.
+    /// Checks the answer to a permit request.
     pub(crate) fn writer_told(&mut self, q: &Question, r: &Reply) {
         let body: Value = serde_json::from_str(&r.body).expect("JSON");
         match r.status {
@@ -238,7 +241,7 @@
         }
     }
 
-    /// An operator's request, by any controller; nobody waits for the answer.
+    /// Sends an operator's request to a controller without waiting for the answer.
     pub(crate) fn operator_asks(&mut self, n: usize, request: OperatorCommand) -> u64 {
         self.serial += 1;
         let ticket = self.serial;
@@ -247,7 +250,7 @@
         ticket
     }
 
-    /// The same, with the answer.
+    /// Sends an operator's request to a controller and waits for the answer.
     pub(crate) fn ask_operator(&mut self, n: usize, request: OperatorCommand) -> Reply {
         let ticket = self.operator_asks(n, request);
         let end = self.now + 12 * S;
@@ -261,12 +264,12 @@
         panic!("no answer within 12 s");
     }
 
-    /// The version of a batch on record.
+    /// The stored version of a batch.
     pub(crate) fn version(&self, name: &str) -> u64 {
         self.batches.records.get(name).map_or(0, |r| r.version)
     }
 
-    /// Permits of a batch that are held.
+    /// The number of held permits of a batch.
     pub(crate) fn permits_held(&self, name: &str) -> usize {
         self.batches.records.get(name).map_or(0, |r| r.held.len())
     }
--- a/tests/world/cancels.rs
+++ b/tests/world/cancels.rs
@@ -1,56 +1,57 @@
-//! Users who cancel many jobs at once, and what is noted of cancellations: how long each waits for its answer, what the
-//! record says when somebody is told, and what of a job starts or lives on afterwards.
+//! Clients that cancel many jobs at once, and checks of cancellations: the time until each is answered, whether the
+//! outcome is stored when a client is told, and which tasks of the job start or run on afterwards.
 
 use super::*;
 use rand::seq::IndexedRandom;
 
-/// Jobs that users call off at a moment have at least so long to go.
+/// Minimum remaining run time of jobs chosen for mass cancellation.
 const LONG_TO_GO: u64 = 12 * S;
-/// How many the trouble calls off.
+/// Number of jobs that a mass cancellation cancels.
 pub(crate) const CALLED_OFF: usize = 12;
-/// Most machines of cancelled jobs that hang with it.
+/// Maximum number of these jobs' machines that become unresponsive with it.
 const HANGING: usize = 8;
 
-/// A cancellation whose user has yet to be answered.
+/// A cancellation that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 struct Asking {
     since: u64,
-    /// When it is repeated.
+    /// Time of the next retry.
     next: u64,
 }
 
 #[derive(Default)]
 pub(crate) struct Cancels {
     asking: BTreeMap<String, Asking>,
-    /// When the user of each job first asked to cancel it.
+    /// When each job's client first asked to cancel it.
     pub(crate) asked: BTreeMap<String, u64>,
-    /// Cancellations that were answered, and the longest wait: of all, and without the time of troubles.
+    /// Answered cancellations, and the longest time to an answer: including and excluding times with faults.
     pub(crate) answered: usize,
     pub(crate) longest: (u64, String),
     pub(crate) longest_calm: (u64, String),
-    /// Starts of a team's tasks while a task of another job of the team, which is known to be cancelled, lives on a
-    /// machine; and on one that hangs, or hears nobody.
+    /// Task starts while the same team has a task of another job known to be cancelled on a machine; and while such a
+    /// task is on an unresponsive or unreachable machine.
     pub(crate) beside: [usize; 2],
-    /// Machines that went on after they hung, and tasks that were then still there of jobs known to be cancelled: those that
-    /// go on, and those that the worker ended first since its lease had run out.
+    /// Machines that resumed, and their remaining tasks of jobs known to be cancelled: tasks that go on, and tasks
+    /// that the worker ended first because its lease had expired.
     pub(crate) woke: usize,
     pub(crate) woke_with: [usize; 2],
-    /// Of those that it ended first, the ones that were cancelled longer ago than `cancel_s`.
+    /// Tasks ended first whose job was cancelled more than `cancel_s` ago.
     pub(crate) woke_late: usize,
-    /// When each job was put on record as new, and when its end was.
+    /// When each job's record was created, and when its final record was.
     records: BTreeMap<String, u64>,
     pub(crate) ends: BTreeMap<String, u64>,
-    /// Changes of the state service, as many as it allows at once beyond its rate, and when that was last counted.
+    /// Writes to the state store in excess of its rate limit, and when they were last counted.
     spent: (f64, u64),
-    /// The most that it had to allow beyond its rate.
+    /// The largest number of writes in excess of the rate limit.
     pub(crate) burst: f64,
-    /// Changes in all, and of each kind of key.
+    /// Writes by key prefix.
     pub(crate) changes: BTreeMap<String, usize>,
 }
 
 impl World {
-    /// Users call off that many jobs which run and have long to go, within a fifth of a second, through any controllers, and
-    /// ask again until they are answered. Up to eight machines of these jobs hang for so long. Says which jobs.
+    /// Clients cancel `count` running jobs with a long remaining run time, within 0.2 s and through any controllers,
+    /// and retry until they are answered. Up to eight machines of these jobs become unresponsive for `hang`. Returns
+    /// the job IDs.
     pub(crate) fn cancel_now(&mut self, count: usize, hang: u64) -> Vec<String> {
         let now = self.now;
         let runs = |id: &String| {
@@ -76,14 +77,14 @@
         some
     }
 
-    /// The user of a job begins to ask whichever controllers to cancel it, until that is answered.
+    /// The job's client starts to ask random controllers to cancel it, until it is answered.
     pub(crate) fn call_off(&mut self, id: &str, delay: u64) {
         let since = self.now + delay;
         self.cancels.asked.entry(id.to_owned()).or_insert(since);
         self.cancels.asking.entry(id.to_owned()).or_insert(Asking { since, next: since });
         self.jobs.get_mut(id).expect("a job").cancel_asked = true;
         if delay > 0 {
-            // Not at the next round: at its own moment.
+            // Sent at its own random time instead of the next round.
             self.later(delay, What::CallOff(id.to_owned()));
         } else {
             self.call_off_again(id);
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Users who were not answered ask again.
+    /// Retries unanswered cancellations.
     pub(crate) fn run_cancels(&mut self) {
         for (id, a) in self.cancels.asking.clone() {
             match self.jobs[&id].known {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// What leaves a controller for a user. Whoever is told that a job has ended can rely on it: the end is on record.
+    /// Checks an answer sent to a client: if it reports a job's outcome, the final record must be stored.
     pub(crate) fn vet_told(&self, by: usize, reply: &Reply) {
         let ends = ["\"stance\":\"aborted\"", "\"stance\":\"done\""];
         if reply.status != 200 || !ends.iter().any(|e| reply.body.contains(e)) {
@@ -135,7 +136,7 @@
         assert_eq!(end, Some(says.into()), "told, not on record: {id} is {stance} by {by} at {}", self.now);
     }
 
-    /// A change of the state service is carried out: a job is new on record only once.
+    /// Counts a transaction on the state store. Each job's record and final record may be created only once.
     pub(crate) fn note_change(&mut self, c: &Transaction, done: bool) {
         let n = (c.puts.len() + c.deletes.len()) as f64;
         let (left, at) = self.cancels.spent;
@@ -163,12 +164,12 @@
         }
     }
 
-    /// How many jobs were put on record as new.
+    /// The number of created job records.
     pub(crate) fn recorded(&self) -> usize {
         self.cancels.records.len()
     }
 
-    /// A worker begins a start that it was commanded.
+    /// A worker starts a task on a leader's command.
     pub(crate) fn note_start_of(&mut self, job: &str, index: u32) {
         if let Some(at) = self.jobs[job].cancelled_at {
             panic!("started after its user was told: {job}/{index} at {}, told at {at}", self.now);
@@ -188,8 +189,8 @@
         }
     }
 
-    /// A machine that hung goes on. If its lease has run out meanwhile the worker ends its tasks before all else; otherwise
-    /// they go on, and count as what they are.
+    /// An unresponsive machine resumes. If its lease has expired, the worker ends its tasks first; otherwise they go
+    /// on and are checked like any others.
     pub(crate) fn note_wake(&mut self, i: usize) {
         let w = &mut self.workers[i];
         if w.hung_until == 0 {
@@ -208,7 +209,7 @@
         }
     }
 
-    /// What a team's tasks take, as its limit counts them.
+    /// CPUs of a team's tasks as its limit counts them, in thousandths.
     pub(crate) fn team_use(&self, team: &str) -> i64 {
         let lives = |w: &&Worker| !w.gone && !w.dead && self.now <= w.lease_from + (LEASE_S * 1e6) as u64;
         let on = self.workers.iter().filter(lives).flat_map(|w| &w.tasks).filter(|t| t.on());
@@ -220,7 +221,7 @@
 }
 
 impl World {
-    /// Whoever asked to cancel a job was answered, and within so many seconds in which nothing was in trouble.
+    /// Checks that every cancellation was answered, within `most` seconds outside of faults.
     pub(crate) fn each_was_answered(&self, seed: u64, most: f64) {
         let c = &self.cancels;
         assert!(c.asking.is_empty(), "seed {seed}: {:?}", c.asking);
@@ -230,7 +231,7 @@
 }
 
 impl Cancels {
-    /// What another day came to, too.
+    /// Adds the counts of another simulated day.
     pub(crate) fn add(&mut self, other: &Cancels) {
         self.answered += other.answered;
         self.longest = self.longest.clone().max(other.longest.clone());
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -1,39 +1,40 @@
-//! Direct commands that are held up on their way, and what is noted of them: a worker may have heard a newer leader by the
-//! time at which it gets one.
+//! Fencing probes that are delayed in the network, and counters of their effects: a worker may have received a newer
+//! leader's token by the time it gets one.
 
 use super::*;
 
 #[derive(Default)]
 pub(crate) struct Commands {
-    /// Share and end.
+    /// Share of the probes and the end time.
     late: (f64, u64),
-    /// That came late to a worker that is there; of these, from a process that had ended, and after a newer epoch was raised.
+    /// Delayed probes that reached a running worker; of these, those from a process that had ended, and those after a
+    /// newer epoch was raised.
     pub(crate) late_all: usize,
     pub(crate) ended: usize,
     pub(crate) after_newer: usize,
-    /// That a worker dropped by the token of a newer leader, or since it was in another session.
+    /// Probes that a worker rejected because it had a newer token, or because of a different incarnation.
     pub(crate) by_token: usize,
     pub(crate) by_session: usize,
-    /// That were carried out; of these, in the name of an epoch that was no longer the newest.
+    /// Probes that a worker accepted; of these, those of an epoch that was no longer the newest.
     pub(crate) carried_out: usize,
     pub(crate) deposed: usize,
 }
 
 impl Commands {
-    /// When nothing of it is sent any more.
+    /// When the last delayed probe is sent.
     pub(crate) fn until(&self) -> u64 {
         self.late.1
     }
 }
 
 impl World {
-    /// That share of direct commands is held up on its way, unanswered, and carried out once, 2 to 16 s late, if token and
-    /// session still match.
+    /// For this time, this share of fencing probes arrives 2 to 16 s late and its answer is lost. A worker still
+    /// accepts one if token and incarnation match.
     pub(crate) fn late_commands(&mut self, share: f64, long: u64) {
         self.commands.late = (share, self.now + long);
     }
 
-    /// A controller sends a direct command, which takes so long if nothing holds it up.
+    /// A controller sends a fencing probe. `delay` is its normal network delay.
     pub(crate) fn send_command(&mut self, n: usize, token: u64, g: FencingProbe, delay: u64) {
         let boot = self.boots[n];
         let (share, until) = self.commands.late;
@@ -44,7 +45,7 @@
         self.later(delay, What::Greet(n, boot, token, g));
     }
 
-    /// One that was held up arrives. Nobody waits for its answer.
+    /// A delayed probe arrives; its answer is dropped.
     pub(crate) fn late_command(&mut self, n: usize, boot: u64, token: u64, g: FencingProbe) {
         let Some(i) = self.worker_that_hears(&g) else { return };
         let hung = self.workers[i].hung_until;
@@ -52,7 +53,8 @@
             return self.later(hung - self.now, What::LateCommand(n, boot, token, g));
         }
         let (newest, ended) = (self.epoch(), boot != self.boots[n]);
-        // Guards against a token that nobody may command under: a worker that had seen one would drop every answer.
+        // No controller may use a token newer than the epoch: a worker that accepted it would reject all later
+        // responses.
         assert!(token <= newest, "{n} commands under {token}, the newest epoch is {newest}");
         let w = &self.workers[i];
         let c = &mut self.commands;
--- a/tests/world/compound.rs
+++ b/tests/world/compound.rs
@@ -1,19 +1,20 @@
-//! Troubles that are meant to meet others, and what is noted of their meetings: late transactions, late copies of reports,
-//! deaf machines, a state service that refuses one controller or is slow, and ways between controllers that fail one way.
+//! Faults that are combined with others, and counters of their effects: late transactions, late copies of heartbeats,
+//! machines that receive no messages, a state store that refuses one controller or is slow, and one-way partitions
+//! between controllers.
 
 use super::*;
 use rand::seq::IndexedRandom;
 
-/// How messages fare on a way from one controller to another.
+/// What happens to messages on a faulty link between controllers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fate {
     Lost,
     Held,
-    /// So much later than usual, in their order.
+    /// Delayed by this additional time, in order.
     Late(u64),
 }
 
-/// A way that fails in one direction.
+/// A link that fails in one direction.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Way {
     pub(crate) from: End,
@@ -22,12 +23,12 @@
     pub(crate) fate: Fate,
 }
 
-/// What can befall a world, alone or beside something else.
+/// The faults that a test can inject, alone or in combination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Trouble {
     Restart,
     RestartAll,
-    /// Told to end, and back at once.
+    /// The process is asked to shut down, and restarts at once.
     Leave,
     StandsStill,
     Outage,
@@ -39,10 +40,10 @@
     CutFromPeer,
     CutOneWay,
     LatePeers,
-    /// From the state service and the peers, not from workers and users.
+    /// Partitioned from the state store and the peers, but not from workers and clients.
     CutFromStoreAndPeers,
     CutFromAll,
-    /// A zone with its workers and controller.
+    /// Partition of a zone with its workers and controller.
     ZoneCut,
     LateReports,
     MachinesDeaf,
@@ -52,16 +53,17 @@
     CloseLooks,
     CancelAtEnd,
     OddRequests,
-    /// Changes of the state service are carried out at once, and only the answers are lost.
+    /// Writes to the state store are carried out at once, but their answers are lost.
     AnswersLost,
-    /// Copies of reports that come to every controller when the next epoch begins, or once it has acted.
+    /// Copies of heartbeats arrive at every controller when the next epoch begins, or after the first task start in
+    /// it.
     ReportsForNext,
-    /// They reach no controller, while direct messages reach them.
+    /// The machines reach no controller, but fencing probes reach them.
     MachinesMute,
-    /// Jobs that run are called off within a fifth of a second; with the second, some of their machines hang.
+    /// Running jobs are cancelled within 0.2 s; with `CancelNowHang` some of their machines become unresponsive.
     CancelNow,
     CancelNowHang,
-    /// Direct commands come late, after those of a newer leader.
+    /// Fencing probes arrive late, after those of a newer leader.
     LateCommands,
 }
 
@@ -98,47 +100,48 @@
     Trouble::LateCommands,
 ];
 
-/// A user was told that a job is cancelled.
+/// A client was told that a job is cancelled.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Told {
     pub(crate) at: u64,
     pub(crate) by: usize,
-    /// Whom the state service refused just then.
+    /// The controllers that the state store refused at that time.
     pub(crate) refused: [bool; 3],
     pub(crate) outage: bool,
-    /// Tasks of it that were on machines, or being fetched.
+    /// The job's tasks on machines, including those that fetch their image.
     pub(crate) tasks: usize,
 }
 
 #[derive(Default)]
 pub(crate) struct Compound {
-    /// Share and end.
+    /// Share and end time.
     late_writes: (f64, u64),
     late_reports: (f64, u64),
     pub(crate) refused: [u64; 3],
     slow: u64,
-    /// How long answers of a slow state service take; 1 to 5 s if not said.
+    /// Range of answer delays of a slow state store; 1 to 5 s if `None`.
     slow_by: Option<std::ops::Range<u64>>,
     pub(crate) ways: Vec<Way>,
-    /// When the latest transaction of each controller was carried out.
+    /// When the latest transaction of each controller was committed.
     committed: [u64; 3],
-    /// Transactions that were carried out late: all, after newer ones of the same controller, and of these, with effect.
+    /// Late transactions: all, those after newer ones of the same controller, and of these, the committed ones.
     pub(crate) writes: [usize; 3],
-    /// Copies of reports: all, after newer ones, and older than a lease.
+    /// Late copies of heartbeats: all, those after newer ones, and those older than a lease.
     pub(crate) copies: [usize; 3],
-    /// Copies from an earlier session of their worker.
+    /// Copies from an earlier incarnation of the worker.
     pub(crate) earlier: usize,
-    /// Answers and direct commands that deaf machines lost.
+    /// Responses and fencing probes lost on the way to machines.
     pub(crate) unheard: usize,
-    /// Requests of controllers that were refused alone, and requests that a slow store carried out unanswered.
+    /// Requests of controllers that the state store refused alone, and requests that a slow store carried out after
+    /// the client's timeout.
     pub(crate) refusals: usize,
     pub(crate) slow_unknown: usize,
-    /// Jobs of which somebody was told that they are cancelled, the first time.
+    /// Jobs reported as cancelled to a client, with the first such answer.
     pub(crate) told: BTreeMap<String, Told>,
 }
 
 impl Compound {
-    /// Whether controllers, or what they need, are in trouble.
+    /// Whether controllers or services that they need are failing.
     pub(crate) fn troubles(&self, now: u64) -> bool {
         let until = [self.late_writes.1, self.slow].into_iter().chain(self.refused);
         until.chain(self.ways.iter().map(|w| w.until)).any(|t| now < t)
@@ -146,24 +149,24 @@
 }
 
 impl World {
-    /// That share of transactions gets no answer and is carried out 2 to 12 s later.
+    /// For this time, this share of transactions gets no answer and is carried out 2 to 12 s late.
     pub(crate) fn late_writes(&mut self, share: f64, long: u64) {
         self.compound.late_writes = (share, self.now + long);
     }
 
-    /// Of that share of the workers' reports a copy arrives again, from 2 s to well over a lease later.
+    /// For this time, copies of this share of the workers' heartbeats arrive again, 2 s to 1.6 leases later.
     pub(crate) fn late_reports(&mut self, share: f64, long: u64) {
         self.compound.late_reports = (share, self.now + long);
     }
 
-    /// Reports of these machines arrive; answers and direct commands to them are lost.
+    /// Heartbeats of these machines arrive, but responses and fencing probes to them are lost.
     pub(crate) fn machine_deaf(&mut self, machines: &[usize], long: u64) {
         for &i in machines {
             self.workers[i].deaf_until = self.now + long;
         }
     }
 
-    /// The state service refuses one controller: 503, also to what it waits for.
+    /// The state store refuses one controller's requests with status 503, including its open watches.
     pub(crate) fn refuse(&mut self, n: usize, long: u64) {
         self.compound.refused[n] = self.now + long;
         let (its, others) = std::mem::take(&mut self.watches).into_iter().partition(|w| w.0 == n);
@@ -177,17 +180,17 @@
         self.now < self.compound.refused[n]
     }
 
-    /// The state service answers after 1 to 5 s; its clients wait for 2 s.
+    /// The state store answers after 1 to 5 s; its clients time out after 2 s.
     pub(crate) fn slow_store(&mut self, long: u64) {
         (self.compound.slow, self.compound.slow_by) = (self.now + long, None);
     }
 
-    /// It answers after times in that range, each request for itself: in another order than it was asked.
+    /// The state store answers each request after a random time in this range, and so out of order.
     pub(crate) fn slow_store_by(&mut self, long: u64, by: std::ops::Range<u64>) {
         (self.compound.slow, self.compound.slow_by) = (self.now + long, Some(by));
     }
 
-    /// One controller loses the state service and its peers, not its workers or users.
+    /// One controller is partitioned from the state store and its peers, but not from workers and clients.
     pub(crate) fn cut_from_store_and_peers(&mut self, n: usize, long: u64, hold: bool) {
         self.cuts.push((End::Controller(n), End::Store, self.now + long, hold));
         for p in (0..3).filter(|&p| p != n) {
@@ -195,13 +198,13 @@
         }
     }
 
-    /// What is sent from one controller to another is lost, held back or late; the other way all is well.
+    /// Messages from one controller to another are lost, held back or late; the other direction works.
     pub(crate) fn one_way(&mut self, from: usize, to: usize, long: u64, fate: Fate) {
         let (from, to) = (End::Controller(from), End::Controller(to));
         self.compound.ways.push(Way { from, to, until: self.now + long, fate });
     }
 
-    /// How much longer a message takes by the ways that fail in one direction; None: it is lost.
+    /// The extra delay of a message due to one-way faults; `None` if it is lost.
     pub(crate) fn waylaid(&self, from: End, to: End) -> Option<u64> {
         let hit = |w: &&Way| w.from == from && w.to == to && self.now < w.until;
         match self.compound.ways.iter().find(hit) {
@@ -214,7 +217,7 @@
         }
     }
 
-    /// A request to the state service, other than a watch, is under way; `delay` is None if it never gets there.
+    /// Sends a request other than a watch to the state store; `delay` is `None` if it is lost.
     pub(crate) fn ask_store(&mut self, n: usize, id: u64, r: StoreRequest, delay: Option<u64>) {
         const LIMIT: u64 = 2 * S;
         let boot = self.boots[n];
@@ -241,7 +244,7 @@
             true => self.rng.random_range(self.compound.slow_by.clone().unwrap_or(S..5 * S)),
             false => 0,
         };
-        // What takes longer than the client waits is answered as unknown, and applied late.
+        // A request that takes longer than the client's timeout has an unknown outcome and is applied late.
         if delay + slow < LIMIT {
             self.later(delay + slow / 2, What::StoreApply(n, boot, id, r, Some(slow / 2)));
         } else {
@@ -251,9 +254,9 @@
         }
     }
 
-    /// A transaction whose client has given up on it is carried out, by the conditions as they are now.
+    /// Carries out a transaction after its client's timeout; its conditions are checked now.
     pub(crate) fn late_write(&mut self, n: usize, issued: u64, r: StoreRequest) {
-        // One that meets an outage is carried out after it.
+        // One that arrives during an outage is carried out afterwards.
         if self.now < self.outage_until {
             let delay = self.outage_until - self.now + S / 10;
             return self.later(delay, What::LateWrite(n, issued, r));
@@ -267,14 +270,14 @@
         }
     }
 
-    /// A controller's transaction was carried out in time.
+    /// Records the time of a controller's committed transaction.
     pub(crate) fn note_commit(&mut self, n: usize, a: &StoreAnswer) {
         if matches!(a, StoreAnswer::Committed(_)) {
             self.compound.committed[n] = self.now;
         }
     }
 
-    /// Whether a copy of a report arrives again, and when.
+    /// Schedules a late copy of a random share of the heartbeats.
     pub(crate) fn copy_report(&mut self, worker: usize, target: usize, report: &Heartbeat) {
         let (share, until) = self.compound.late_reports;
         if self.now < until && self.rng.random_bool(share) {
@@ -291,13 +294,13 @@
             *count += usize::from(is);
         }
         self.compound.earlier += usize::from(w.session > report.incarnation);
-        // Nobody waits for its answer.
+        // The response to the copy is dropped.
         self.serial += 1;
         self.drive(target, Event::Heartbeat { ticket: self.serial, heartbeat: report });
     }
 
-    /// Looks at what leaves a controller for a user: from a 200 that says that a job is cancelled on, its tasks have
-    /// `cancel_s` left, whoever asked and whether or not the answer arrives.
+    /// Checks an answer to a client. From the first 200 that reports a job as cancelled, its tasks have `cancel_s` to
+    /// end, no matter which client asked and whether the answer arrives.
     pub(crate) fn note_told(&mut self, by: usize, reply: &Reply) {
         self.vet_told(by, reply);
         if reply.status != 200 || !reply.body.contains("aborted") {
@@ -314,14 +317,14 @@
         }
     }
 
-    /// Machines that hold a task of a job which has not ended, and may carry it on.
+    /// Machines with a valid lease and an unfinished task of the job.
     pub(crate) fn alive<'a>(&'a self, id: &'a str) -> impl Iterator<Item = usize> + 'a {
         let lives = |w: &Worker| !w.gone && !w.dead && self.now <= w.lease_from + (LEASE_S * 1e6) as u64;
         let has = move |w: &Worker| w.tasks.iter().any(|t| t.job == id && t.state != "ended");
         (0..self.workers.len()).filter(move |&i| lives(&self.workers[i]) && has(&self.workers[i]))
     }
 
-    /// Some machines that are there, at most a third of them.
+    /// Random running machines, at most a third of them.
     pub(crate) fn some_machines(&mut self) -> Vec<usize> {
         let now = self.now;
         let there = |i: &usize| {
@@ -333,7 +336,7 @@
         all.sample(&mut self.rng, n).copied().collect()
     }
 
-    /// Something befalls the world for so long; `n` is the controller that it is about, if it is about one.
+    /// Injects a fault for a duration; `n` is the affected controller, if any.
     pub(crate) fn begin(&mut self, trouble: Trouble, n: usize, long: u64) {
         let now = self.now;
         self.log.push(format!("{:.1}: {trouble:?} of {n} for {:.1}", now as f64 / 1e6, long as f64 / 1e6));
@@ -429,7 +432,7 @@
         }
     }
 
-    /// Two troubles that overlap: the second begins while the first lasts, or within moments of it.
+    /// Injects two overlapping faults: the second begins during the first or shortly after it.
     pub(crate) fn pair(&mut self, first: Trouble, second: Trouble) {
         let (a, b) = (self.rng.random_range(0..3usize), self.rng.random_range(0..3usize));
         let long = self.rng.random_range(4 * S..60 * S);
@@ -450,7 +453,7 @@
         self.begin(second, b, long);
     }
 
-    /// When nothing of all this lasts any more.
+    /// The end of the last fault.
     pub(crate) fn over_at(&self) -> u64 {
         let c = &self.compound;
         let ends = [
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -1,22 +1,22 @@
-//! Users who look closely: several questions at all controllers within milliseconds, a repeated submission among them, just
-//! before and after somebody is told how a job stands; cancellations at the moment of a job's end; odd requests.
+//! Probing clients: bursts of queries and one repeated submission to all controllers within milliseconds, around the
+//! time when a client learns a job's state; cancellations at a job's end; and invalid requests.
 
 use super::*;
 
-/// What a submission says beside the job's id.
+/// How a submission differs from the client's original one with the same job ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Dress {
-    /// What the user first said.
+    /// The original submission.
     Same,
-    /// Something else that may be accepted.
+    /// A different submission that may be accepted.
     Other,
     /// A field is missing or invalid.
     Lacks,
-    /// It fits no machine, or not its team.
+    /// It exceeds every machine type or the team's quota.
     Never,
 }
 
-/// A request of a user who looks closely.
+/// A request of a probing client.
 #[derive(Clone, Debug)]
 pub(crate) struct Look {
     pub(crate) job: String,
@@ -28,22 +28,24 @@
 #[derive(Default)]
 pub(crate) struct Looks {
     close_until: u64,
-    /// Share and end.
+    /// Share of the jobs and the end time.
     at_end: (f64, u64),
     odd_until: u64,
     odd_next: u64,
-    /// Jobs that nobody may accept, with their descriptions.
+    /// Jobs that must not be accepted, with their descriptions.
     pub(crate) odd: BTreeMap<String, (Dress, String)>,
-    /// Looks after somebody was told of an acceptance, and of an end; while a submission or cancellation is under way.
+    /// Requests sent after a client learned of an acceptance and of an outcome; `around` counts those sent while a
+    /// submission or cancellation was in flight.
     pub(crate) after: [usize; 2],
     pub(crate) around: usize,
-    /// Requests sent: questions, repeats with the same body, with another, without a field or of no use, cancellations.
+    /// Requests sent: queries, repeats with the same body, with another valid body and with an invalid body,
+    /// cancellations.
     pub(crate) sent: [usize; 5],
-    /// Cancellations at the moment of a job's end: sent; answered "done", and "aborted".
+    /// Cancellations at a job's end: sent, answered "done" and answered "aborted".
     pub(crate) at_ends: [usize; 3],
-    /// Submissions of odd jobs that were turned down: for a field, for good, for now.
+    /// Rejected submissions of invalid jobs: for a field (400), permanently (422) and temporarily (503).
     pub(crate) turned_down: [usize; 3],
-    /// Cancellations of jobs that were known to have ended.
+    /// Cancellations of jobs whose outcome a client already knew.
     pub(crate) of_ended: usize,
 }
 
@@ -54,17 +56,17 @@
 }
 
 impl World {
-    /// For so long users ask at all controllers within milliseconds.
+    /// Clients send bursts to all controllers for this time.
     pub(crate) fn close_looks(&mut self, long: u64) {
         self.looks.close_until = self.now + long;
     }
 
-    /// For so long that share of the jobs that end is cancelled at that moment.
+    /// For this time, clients cancel this share of the jobs just as they end.
     pub(crate) fn cancel_at_end(&mut self, share: f64, long: u64) {
         self.looks.at_end = (share, self.now + long);
     }
 
-    /// For so long users repeat submissions of unfinished jobs, cancel jobs that are done, and send what can't be accepted.
+    /// For this time, clients repeat submissions of unfinished jobs, cancel done jobs and send invalid submissions.
     pub(crate) fn odd_requests(&mut self, long: u64) {
         self.looks.odd_until = self.now + long;
     }
@@ -74,7 +76,8 @@
         self.later(delay, What::Look(Look { job: job.to_owned(), kind, dress, node }));
     }
 
-    /// Several questions and a repeated submission, 0 to 50 ms apart, at all controllers; perhaps a cancellation among them.
+    /// Sends queries and one repeated submission, 0 to 50 ms apart, to all controllers, perhaps with one
+    /// cancellation.
     fn burst(&mut self, job: &str, cancels: f64) -> usize {
         let count = self.rng.random_range(4..9usize);
         let repeat = self.rng.random_range(0..count);
@@ -90,7 +93,7 @@
                 i if i == repeat => ('s', dress),
                 _ => ('q', Dress::Same),
             };
-            // Each controller once, and then whichever.
+            // Each controller once, then random ones.
             let node = if i < 3 { i } else { self.rng.random_range(0..3) };
             let job = job.to_owned();
             self.later(delay, What::Look(Look { job, kind, dress, node }));
@@ -98,14 +101,14 @@
         count
     }
 
-    /// A submission or cancellation of a job is under way.
+    /// Called when a submission or cancellation of a job is sent.
     pub(crate) fn look_around(&mut self, job: &str) {
         if self.now < self.looks.close_until && self.jobs.contains_key(job) {
             self.looks.around += self.burst(job, 0.1);
         }
     }
 
-    /// Somebody has just been told that a job is accepted, or has ended.
+    /// Called when a client has learned that a job is accepted or has ended.
     pub(crate) fn look_after(&mut self, job: &str, ended: bool) {
         if self.now < self.looks.close_until && self.jobs.contains_key(job) {
             let n = self.burst(job, 0.25);
@@ -113,14 +116,14 @@
         }
     }
 
-    /// The last task of these jobs has just ended.
+    /// Called when the last task of each of these jobs has ended.
     pub(crate) fn last_tasks_ended(&mut self, jobs: &[String]) {
         let (share, until) = self.looks.at_end;
         for job in jobs {
             if self.now >= until || !self.rng.random_bool(share) {
                 continue;
             }
-            // At once, or while the word of it travels and is put on record.
+            // At once, or while the outcome is reported and stored.
             let within = [5_000, 50_000, 300_000, 2 * S][self.rng.random_range(0..4usize)];
             let delay = self.rng.random_range(0..within);
             self.looks.at_ends[0] += 1;
@@ -134,13 +137,14 @@
         }
     }
 
-    /// Another description by the same id.
+    /// A description with the same job ID, changed as requested.
     fn dressed(&mut self, job: &str, dress: Dress) -> String {
         let known = self.register.knows(job).0;
         let mut b: Value = serde_json::from_str(&self.jobs[job].body).expect("JSON");
         match dress {
             Dress::Same => {}
-            // Before anybody knows of the job this may be the one that is accepted, and must have tasks that the world runs.
+            // While the job is unknown this submission may be accepted, so its tasks must be ones that the world can
+            // run.
             Dress::Other if !known => b["rideS"] = json!(self.rng.random_range(1..100)),
             Dress::Other => {
                 b["strides"] = json!(1);
@@ -154,7 +158,7 @@
         b.to_string()
     }
 
-    /// Takes a field away, or makes it invalid.
+    /// Removes a field or makes it invalid.
     fn spoil(&mut self, b: &mut Value) {
         const FIELDS: [&str; 8] = ["breed", "herd", "gait", "rank", "strides", "vcpus", "tack", "together"];
         let field = FIELDS[self.rng.random_range(0..FIELDS.len())];
@@ -165,7 +169,7 @@
         };
     }
 
-    /// Asks for what there is not.
+    /// Requests more than the cluster or the team's quota has.
     fn swell(&mut self, b: &mut Value) {
         match self.rng.random_range(0..5) {
             0 => b["vcpus"] = json!(500.0),
@@ -180,10 +184,10 @@
         }
     }
 
-    /// A look is sent.
+    /// Sends a request of a probing client.
     pub(crate) fn send_look(&mut self, look: Look) {
         let odd = self.looks.odd.get(&look.job).cloned();
-        // Nothing new is asked of an old controller.
+        // Limited controllers get no requests that use newer features.
         if self.limited[look.node] || (odd.is_none() && !self.jobs.contains_key(&look.job)) {
             return;
         }
@@ -218,7 +222,7 @@
         self.later(delay, What::Controller(node, 0, Event::User { ticket, request }));
     }
 
-    /// A look was answered; the register has been asked before.
+    /// Checks the answer to a probing client. `answered` has checked it against the register before.
     pub(crate) fn look_answer(&mut self, look: &Look, r: &Reply) {
         let odd = self.looks.odd.get(&look.job).map(|o| o.0);
         if r.status == 503 {
@@ -239,7 +243,8 @@
             }
             return;
         }
-        // Whoever comes too late for a release is refused for good; the register holds this to what was known.
+        // A submission after the release has closed is refused permanently; the register checks that the job was
+        // unknown.
         let late = r.status == 422 && self.jobs[&look.job].spec.release.is_some();
         match look.kind {
             's' => assert!(
@@ -258,7 +263,7 @@
         }
     }
 
-    /// Odd requests, some each round.
+    /// Sends invalid requests at random intervals.
     pub(crate) fn run_odd(&mut self) {
         if self.now >= self.looks.odd_until || self.now < self.looks.odd_next {
             return;
@@ -291,7 +296,7 @@
             _ => self.swell(&mut body),
         }
         self.looks.odd.insert(id.clone(), (dress, body.to_string()));
-        // Again through others, asked about and cancelled, at once and after a while.
+        // Repeats, queries and a cancellation through any controllers, soon and later.
         for kind in ['s', 's', 'q', 'w', 's'] {
             let within = if self.rng.random_bool(0.7) { 30_000 } else { 6 * S };
             let delay = delay + self.rng.random_range(0..within);
--- a/tests/world/lost.rs
+++ b/tests/world/lost.rs
@@ -1,11 +1,11 @@
-//! What is lost or late so that its sender can't tell, and what is noted of that: answers of the state service about what
-//! it was asked to change, reports that are kept for the next leader, machines that reach no controller, machines that are
-//! up at once, and rentals without an answer.
+//! Lost or late messages whose outcome the sender can't determine, and counters of their effects: lost answers to
+//! writes, heartbeats held back for the next leader, machines that reach no controller, machines that boot at once,
+//! and scale-outs without an answer.
 
 use super::*;
 use std::ops::Range;
 
-/// A kind of change of the state service.
+/// A kind of write to the state store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Write {
     Raise,
@@ -15,7 +15,7 @@
     Acceptance,
     Progress,
     End,
-    /// A team's record in which no job has less than before, and one in which some job has.
+    /// Updates of a team's record: one in which no job's claim shrinks, and one in which some job's claim does.
     Claim,
     Shrinking,
     Page,
@@ -25,18 +25,18 @@
     Loan,
 }
 
-/// Whether and when a change without an answer is carried out.
+/// Whether and when a write without an answer is carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Carried {
     Never,
     AtOnce,
     /// After 2 to 12 s.
     Late,
-    /// Once another process has written the same key.
+    /// After another process has written the same key.
     AfterSuccessor,
 }
 
-/// Whose answers are lost: of one kind or any, of one controller or any.
+/// Selects the writes whose answers are lost: by kind and controller, where `None` matches all.
 #[derive(Clone, Copy, Debug)]
 struct Loss {
     of: Option<Write>,
@@ -46,7 +46,7 @@
     carried: Carried,
 }
 
-/// A change whose sender gets no answer.
+/// A write whose sender gets no answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Unanswered {
     n: usize,
@@ -56,7 +56,7 @@
     request: StoreRequest,
 }
 
-/// One that was carried out, until its sender has read what it wrote.
+/// A write that was carried out without an answer and has not been read back by its sender yet.
 #[derive(Debug)]
 struct Unread {
     n: usize,
@@ -67,30 +67,30 @@
     until: u64,
 }
 
-/// What became of changes of one kind without an answer.
+/// Counters for writes of one kind without an answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Count {
     pub(crate) asked: usize,
-    /// Carried out, and of these, with effect.
+    /// Writes that were carried out; of these, the committed ones.
     pub(crate) applied: usize,
     pub(crate) took: usize,
-    /// Read by another controller before its sender has read it back.
+    /// Writes read by another controller before their sender.
     pub(crate) read: usize,
 }
 
-/// Copies of reports that came to the next leader.
+/// Counters for the held-back copies of heartbeats.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Copies {
     pub(crate) all: usize,
-    /// At the machine's home, whose token the machine has yet to see.
+    /// Copies that reached the machine's leader before the machine had seen its token.
     pub(crate) first: usize,
-    /// At the home, once a task that this epoch decided on was on the machine.
+    /// Copies that reached the leader after a task started in its epoch was on the machine.
     pub(crate) acted: usize,
-    /// From an earlier session.
+    /// Copies from an earlier incarnation.
     pub(crate) earlier: usize,
-    /// Of a machine that was gone by then.
+    /// Copies from a machine that no longer existed.
     pub(crate) gone: usize,
-    /// That list a task as done which the machine has forgotten since.
+    /// Copies that list a task as done which the machine has since forgotten.
     pub(crate) forgotten: usize,
 }
 
@@ -98,36 +98,36 @@
 pub(crate) struct Lost {
     losses: Vec<Loss>,
     pub(crate) counts: BTreeMap<(Write, Carried), Count>,
-    /// Those that wait for another process to write the same.
+    /// Writes that wait for another process to write the same key.
     waiting: Vec<Unanswered>,
     unread: Vec<Unread>,
-    /// Share and end of the reports that are kept; worker, when it was sent, and the report.
+    /// Share and end time for copying heartbeats, and the copies by worker.
     reports: (f64, u64),
     kept: Vec<(usize, Heartbeat)>,
-    /// Those that wait until the owners of an epoch have begun to start tasks.
+    /// Copies that wait until a task is started in the epoch: epoch, worker, heartbeat.
     held: Vec<(u64, usize, Heartbeat)>,
     epoch: u64,
     pub(crate) copies: Copies,
-    /// Reports of mute machines, and answers of theirs to direct messages.
+    /// Heartbeats lost by machines that reach no controller, and their answers to fencing probes.
     pub(crate) muted: usize,
     pub(crate) spoken: usize,
-    /// How soon rented machines are up, if it matters.
+    /// Range of the boot times of new machines; random if `None`.
     pub(crate) boots: Option<Range<u64>>,
     rentals: (f64, u64),
-    /// Rentals that were carried out without an answer.
+    /// Scale-outs carried out without an answer.
     pub(crate) rented: usize,
-    /// Until when requests on a controller's line for the ring take so much longer.
+    /// End time and extra delay of each controller's requests on its membership lane.
     ring_line: [(u64, u64); 3],
 }
 
 impl Lost {
-    /// When nothing of all this lasts any more.
+    /// The end of the last fault.
     pub(crate) fn until(&self) -> u64 {
         let ends = self.losses.iter().map(|l| l.until).chain(self.ring_line.iter().map(|l| l.0));
         ends.chain([self.reports.1, self.rentals.1]).max().unwrap_or(0)
     }
 
-    /// Whether controllers, or what they need, are in trouble.
+    /// Whether controllers or services that they need are failing.
     pub(crate) fn troubles(&self, now: u64) -> bool {
         self.losses.iter().any(|l| now < l.until) || self.ring_line.iter().any(|l| now < l.0)
     }
@@ -144,36 +144,36 @@
 }
 
 impl World {
-    /// That share of changes of a kind, or of any, gets no answer.
+    /// For this time, this share of the writes of a kind (`None`: of any kind) gets no answer.
     pub(crate) fn answers_lost(&mut self, of: Option<Write>, share: f64, long: u64, carried: Carried) {
         self.lost.losses.push(Loss { of, by: None, share, until: self.now + long, carried });
     }
 
-    /// The same for one controller.
+    /// Like `answers_lost`, for one controller.
     pub(crate) fn answers_lost_by(&mut self, n: usize, of: Write, share: f64, long: u64, carried: Carried) {
         let until = self.now + long;
         self.lost.losses.push(Loss { of: Some(of), by: Some(n), share, until, carried });
     }
 
-    /// Of that share of the workers' reports a copy is kept until the next epoch and arrives then at every controller, half of
-    /// them only after tasks were started in it.
+    /// For this time, copies of this share of the workers' heartbeats are held back until the next epoch. Then they
+    /// arrive at every controller, half of them only after a task was started in that epoch.
     pub(crate) fn reports_for_next(&mut self, share: f64, long: u64) {
         self.lost.reports = (share, self.now + long);
     }
 
-    /// These machines reach no controller, while direct messages reach them.
+    /// These machines reach no controller, but fencing probes reach them.
     pub(crate) fn machine_mute(&mut self, machines: &[usize], long: u64) {
         for &i in machines {
             self.workers[i].mute_until = self.now + long;
         }
     }
 
-    /// That share of rentals is carried out without an answer.
+    /// For this time, this share of scale-outs is carried out without an answer.
     pub(crate) fn rentals_lost(&mut self, share: f64, long: u64) {
         self.lost.rentals = (share, self.now + long);
     }
 
-    /// What a controller asks on its line for the ring takes so much longer; the rest of its requests don't.
+    /// Delays a controller's requests on its membership lane, but not its other requests.
     pub(crate) fn ring_line_slow(&mut self, n: usize, by: u64, long: u64) {
         self.lost.ring_line[n] = (self.now + long, by);
     }
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Whether some job has less in a team's record than before.
+    /// Whether the transaction reduces a job's claim in a team's record.
     fn shrinks(&self, c: &Transaction) -> bool {
         let claims = |v: &Value| -> BTreeMap<String, i64> {
             let all = v.as_object().into_iter().flatten();
@@ -228,7 +228,7 @@
         })
     }
 
-    /// Whether the answer to a request is lost; if so, what becomes of the request is settled here.
+    /// Whether the answer to a request is lost; if so, this also determines when the request is carried out.
     pub(crate) fn loses_answer(&mut self, n: usize, r: &StoreRequest, delay: u64) -> bool {
         if !self.lost.losses.iter().any(|l| self.now < l.until) {
             return false;
@@ -254,10 +254,11 @@
         true
     }
 
-    /// A change whose sender gets no answer is carried out, by the conditions as they are now.
+    /// Carries out a write whose sender gets no answer; its conditions are checked now.
     pub(crate) fn carried_out(&mut self, u: Unanswered) {
         if self.now < self.outage_until {
-            // One that is late is carried out after the outage; the others were refused, and nobody was told.
+            // A late write is carried out after the outage. The others are refused, and their senders are not
+            // informed.
             if u.carried == Carried::Late {
                 let delay = self.outage_until - self.now + S / 10;
                 self.later(delay, What::Unanswered(u));
@@ -268,7 +269,7 @@
         let a = self.store_apply_by(u.n, u.boot, u.request);
         self.run_watches();
         let took = matches!(a, StoreAnswer::Committed(_) | StoreAnswer::Granted(_) | StoreAnswer::Renewed);
-        // Its successor's word must stand, whatever still comes of its own.
+        // A newer write of another process must not be overwritten by this one.
         assert!(
             !took || u.carried != Carried::AfterSuccessor,
             "{:?} of {keys:?} by {} took effect after its successor's at {}",
@@ -292,7 +293,7 @@
         }
     }
 
-    /// A controller's request reaches the state service.
+    /// A controller's request reaches the state store.
     pub(crate) fn store_apply_by(&mut self, n: usize, boot: u64, r: StoreRequest) -> StoreAnswer {
         self.note_read(n, boot, &r);
         let keys = keys_of(&r);
@@ -309,7 +310,7 @@
         a
     }
 
-    /// Who reads what was written without an answer: its sender, or somebody else before it.
+    /// Records whether the sender or another process first reads a write without an answer.
     fn note_read(&mut self, n: usize, boot: u64, r: &StoreRequest) {
         let now = self.now;
         let covers = |key: &String| match r {
@@ -335,7 +336,7 @@
         }
     }
 
-    /// A report was sent: perhaps a copy is kept. Of each machine a few, old ones too.
+    /// Holds back a copy of a random share of the heartbeats, at most four for each machine, old ones included.
     pub(crate) fn keep_report(&mut self, i: usize, report: &Heartbeat) {
         const KEPT: usize = 4;
         let (share, until) = self.lost.reports;
@@ -351,7 +352,8 @@
         }
     }
 
-    /// Looks whether the epoch was raised: what was kept for the next leader arrives now, or once it has acted.
+    /// When the epoch was raised, delivers the copies held back for the next leader, now or after the first task
+    /// start in it.
     pub(crate) fn note_epoch(&mut self) {
         let Some(epoch) = self.store.keys.get("ring/epoch").and_then(|v| v.0["epoch"].as_u64()) else {
             return;
@@ -369,12 +371,12 @@
         }
     }
 
-    /// A worker takes a start that was decided on in this epoch.
+    /// A worker accepts a task start; delivers the copies that wait for a start in its epoch.
     pub(crate) fn note_start(&mut self, attempt: u64) {
         if self.lost.held.is_empty() {
             return;
         }
-        // The epoch is an attempt's head.
+        // The upper bits of an attempt hold its epoch.
         let epoch = attempt >> 24;
         for (_, i, report) in self.lost.held.extract_if(.., |h| h.0 <= epoch).collect::<Vec<_>>() {
             self.deliver_to_everybody(i, &report);
@@ -388,7 +390,7 @@
         }
     }
 
-    /// A copy that was kept arrives. Nobody waits for its answer.
+    /// Counts and delivers a copy that was held back. The response to it is dropped.
     pub(crate) fn kept_report(&mut self, i: usize, n: usize, report: Heartbeat) {
         let w = &self.workers[i];
         let c = &mut self.lost.copies;
@@ -411,7 +413,7 @@
         self.drive(n, Event::Heartbeat { ticket: self.serial, heartbeat: report });
     }
 
-    /// The cloud's answer to a rental may be lost although it was carried out.
+    /// Drops the answers to a random share of successful scale-outs.
     pub(crate) fn rental_answer(&mut self, r: &CloudRequest, a: CloudAnswer) -> CloudAnswer {
         let (share, until) = self.lost.rentals;
         let rented = matches!((r, &a), (CloudRequest::ScaleOut(_), CloudAnswer::ScaledOut(_)));
@@ -422,13 +424,13 @@
         CloudAnswer::Failed
     }
 
-    /// Whether a machine's name is on record.
+    /// Whether a machine is registered.
     pub(crate) fn on_record(&self, name: &str) -> bool {
         let pages = self.store.keys.range("mach/".to_owned().."mach0".to_owned());
         pages.into_iter().any(|(_, v)| v.0.get(name).is_some())
     }
 
-    /// Somebody polls a job through one controller.
+    /// A client polls a job through one controller.
     pub(crate) fn poll(&mut self, n: usize, id: &str) {
         if self.nodes[n].is_none() {
             return;
--- a/tests/world/net.rs
+++ b/tests/world/net.rs
@@ -1,4 +1,5 @@
-//! The controllers among themselves: messages that are late, held back or lost, and what they ask to be done.
+//! The network between controllers, state store and workers: delays, losses and partitions; and the execution of
+//! controllers' effects.
 
 use super::*;
 
@@ -11,7 +12,8 @@
         self.queue.insert((self.now + delay.max(1), self.serial), what);
     }
 
-    /// When a message between two ends arrives: after a short delay, held back by a cut, or never.
+    /// The delay of a message between two endpoints: short, or until the end of a partition that holds messages back.
+    /// `None` if the message is lost.
     pub(crate) fn travel(&mut self, a: End, b: End) -> Option<u64> {
         let slow = self.rng.random_bool(0.01) && !self.prompt;
         let delay = self.rng.random_range(500..4000) + if slow { 300_000 } else { 0 };
@@ -31,7 +33,7 @@
 
     pub(crate) fn drive(&mut self, n: usize, event: Event) {
         if self.now < self.hung[n] {
-            // A controller that doesn't get to run takes what arrived when it goes on.
+            // A paused controller processes the event after the pause.
             let delay = self.hung[n] - self.now;
             let boot = self.boots[n];
             return self.later(delay, What::Controller(n, boot, event));
@@ -43,7 +45,7 @@
         node.step(now, wall, event, &mut out);
         node.reconcile(now, wall, &mut out);
         if self.stalls > 0.0 && self.rng.random_bool(self.stalls) {
-            // It stands still just when all is decided, and goes on as if nothing had happened.
+            // The process pauses after the decision, and then carries out the effects without noticing the pause.
             let long = self.rng.random_range(S / 2..3 * LEASE_S as u64 * S);
             self.hung[n] = self.now + long;
             self.log.push(format!(
@@ -61,7 +63,7 @@
         for e in out {
             let vetted = self.nodes[n].as_mut().and_then(|node| node.revalidate_effect(now, e));
             if let Some(e) = vetted {
-                // A process that ends now has done what came before, and perhaps this.
+                // A process that crashes here has carried out the earlier effects, and perhaps this one.
                 let ends = self.ends_at(&e);
                 if ends != Some(false) {
                     self.effect(n, e);
@@ -127,8 +129,8 @@
                         }
                         _ => false,
                     };
-                    // What was meant for a process that has just been replaced is dropped on arrival; what the
-                    // first version doesn't know it doesn't say.
+                    // Version 1 sends none of the newer messages. One sent to a process that has just been replaced
+                    // is dropped on arrival.
                     if new && self.limited[n] {
                         return;
                     }
@@ -246,7 +248,7 @@
             What::CallOff(id) => self.call_off_again(&id),
             What::WorkerAnswer(w, seq, reply) => self.worker_answer(w, seq, &reply),
             What::UserAnswer(t, reply) => {
-                // Also an answer that its user waits for no more was given.
+                // The answer was given, even if the client no longer waits for it.
                 self.answered(t, &reply);
                 match self.tickets.remove(&t) {
                     Some(Ticket::User(id, kind)) if self.jobs.get(&id).is_none_or(|j| j.latest == t) => {
--- a/tests/world/outside.rs
+++ b/tests/world/outside.rs
@@ -1,16 +1,16 @@
-//! Stand-ins for the state service and the cloud, and what a controller of the first form reads and writes.
+//! Simulations of the state store and the cloud, and the reads and writes of a version 1 controller.
 
 use super::*;
 
 impl World {
-    /// A request as a limited controller would write it.
+    /// Reduces a request to what a limited controller would write.
     pub(crate) fn written_by(&self, n: usize, mut r: StoreRequest) -> StoreRequest {
         if let (true, StoreRequest::Transaction(c)) = (self.limited[n], &mut r) {
             for (key, value, _) in c.puts.iter_mut().filter(|p| p.0.starts_with("ring/m/")) {
                 assert!(key != "ring/m/*", "an old controller is among them");
                 value.as_object_mut().expect("a member").remove("reads");
             }
-            // It hands a description on with all that it doesn't know.
+            // Version 1 preserves the job fields that it doesn't know.
             for (key, value, _) in c.puts.iter_mut().filter(|p| p.0.starts_with("job/")) {
                 let spec = &mut value["spec"];
                 if let Some(name) = spec["breedsOfStall"][0].as_str().and_then(|t| t.strip_prefix("unknown "))
@@ -29,8 +29,8 @@
         r
     }
 
-    /// An answer as a limited controller would read it: it doesn't know of prerequisites, and takes the
-    /// machine types that hold a job back for any others.
+    /// Reduces an answer to what a limited controller would read. Version 1 has no dependencies, and treats the
+    /// reserved machine types that hold a job back as ordinary ones.
     pub(crate) fn read_by(&mut self, n: usize, mut a: StoreAnswer) -> StoreAnswer {
         if !self.limited[n] {
             return a;
@@ -60,7 +60,7 @@
         a
     }
 
-    /// Answers watches that have something to tell or have waited for long enough.
+    /// Answers watches that have changes to report or whose deadline has passed.
     pub(crate) fn run_watches(&mut self) {
         if self.now < self.outage_until {
             return;
@@ -92,8 +92,8 @@
         }
         self.store.limits = if self.now >= self.limits_fall { NEXT_LIMITS } else { LIMITS };
         if let StoreRequest::Transaction(Transaction { conditions, puts, deletes: drops }) = &r {
-            // Late or deposed writers are kept out by conditions: on the epoch for everything
-            // but the ring's own keys, on the record's version for jobs and teams.
+            // Conditions reject late or deposed writers: a condition on the epoch for all keys but the ring's, and
+            // one on the record's version for jobs, teams and coordination records.
             for key in puts.iter().map(|p| &p.0).chain(drops).filter(|k| !k.starts_with("ring/")) {
                 assert!(conditions.iter().any(|c| c.0 == "ring/epoch" && c.1 > 0), "{key} without fence");
                 let own = ["job/", "team/", "pact/"].iter().any(|p| key.starts_with(p));
@@ -137,7 +137,7 @@
                     .into(),
                     age_s: (self.now - w.rented) as f64 / 1e6,
                 };
-                // The list lags: a machine may be up and running tasks before it is named.
+                // The list lags: a machine may be up and run tasks before it is listed.
                 let old = |w: &&Worker| !w.gone && w.name > *after && w.rented + 8 * S <= self.now;
                 CloudAnswer::Page(self.workers.iter().filter(old).map(listed).collect(), false)
             }
@@ -147,7 +147,8 @@
                 }
                 let here = self.workers.iter().filter(|w| !w.gone && w.zone == r.zone).count();
                 let spots = self.workers.iter().filter(|w| !w.gone && w.zone == r.zone && w.spot).count();
-                // Capacity is by kind as well: spot machines that idle can't take all of it.
+                // Spot machines get at most two thirds of a zone's capacity, so that idle ones can't use up all of
+                // it.
                 let room = self.shape.room;
                 let left = if r.spot { (room * 2 / 3).saturating_sub(spots) } else { room };
                 let n = (r.count as usize).min(room.saturating_sub(here)).min(left);
@@ -156,7 +157,7 @@
                 }
                 let names: Vec<String> = (0..n)
                     .map(|_| {
-                        // Most boot as promised; some at once, some late, and some never.
+                        // Most machines boot within the advertised time; some at once, some late and some never.
                         let boot = match self.rng.random_range(0..20) {
                             0 => NEVER,
                             1 | 2 => 1000,
--- a/tests/world/parts.rs
+++ b/tests/world/parts.rs
@@ -1,4 +1,4 @@
-//! What a world consists of.
+//! The data types of a simulated world.
 
 use super::*;
 
@@ -14,7 +14,7 @@
 }
 
 impl Task {
-    /// Whether it counts as being on its machine.
+    /// Whether the task occupies resources on its machine.
     pub(crate) fn on(&self) -> bool {
         matches!(self.state, "waiting" | "running" | "flushing")
     }
@@ -29,11 +29,11 @@
     pub(crate) rented: u64,
     pub(crate) up_at: u64,
     pub(crate) hung_until: u64,
-    /// Until when answers and direct commands to it are lost.
+    /// Until this time, responses and fencing probes sent to the worker are lost.
     pub(crate) deaf_until: u64,
-    /// Until when it reaches no controller.
+    /// Until this time, the worker's messages reach no controller.
     pub(crate) mute_until: u64,
-    /// It was given a task once.
+    /// Whether the worker has ever accepted a task.
     pub(crate) begun: bool,
     pub(crate) gone: bool,
     pub(crate) dead: bool,
@@ -41,9 +41,9 @@
     pub(crate) session: u64,
     pub(crate) seq: u64,
     pub(crate) token: u64,
-    /// When the last answered report was sent.
+    /// Send time of the last acknowledged heartbeat.
     pub(crate) lease_from: u64,
-    /// Report in flight: its number and when it was sent.
+    /// The heartbeat in flight: its sequence number and send time.
     pub(crate) flight: Option<(u64, u64)>,
     pub(crate) next: u64,
     pub(crate) changed: bool,
@@ -54,29 +54,29 @@
 pub(crate) enum What {
     Controller(usize, u64, Event),
     Effects(usize, u64, Vec<Effect>),
-    /// A request reaches the state service; its answer takes so much longer than usual, or is not waited for.
+    /// A request reaches the state store. Its answer is delayed by this additional time, or dropped if `None`.
     StoreApply(usize, u64, u64, StoreRequest, Option<u64>),
-    /// A transaction that was sent then and whose answer nobody waits for.
+    /// A delayed transaction with its send time. The sender no longer waits for the answer.
     LateWrite(usize, u64, StoreRequest),
-    /// A copy of a worker's report that was sent then, to that controller.
+    /// A copy of a worker's heartbeat with its send time, delivered to this controller.
     LateReport(usize, usize, u64, Heartbeat),
-    /// A change of the state service whose sender gets no answer.
+    /// A write to the state store whose answer is lost.
     Unanswered(Unanswered),
-    /// A copy of a worker's report that was kept for the next leader, to that controller.
+    /// A copy of a worker's heartbeat that was held back for the next leader, delivered to this controller.
     KeptReport(usize, usize, Heartbeat),
-    /// A process that was told to leave ends, and is back at once.
+    /// A process that was asked to shut down ends, and restarts at once.
     End(usize, u64),
     Cloud(usize, u64, CloudRequest),
-    /// A direct command, its token; and one that was held up on its way.
+    /// A fencing probe with its epoch. `LateCommand` is one that was delayed in the network.
     Greet(usize, u64, u64, FencingProbe),
     LateCommand(usize, u64, u64, FencingProbe),
     WorkerAnswer(usize, u64, Reply),
     UserAnswer(u64, Reply),
-    /// A user who looks closely sends a request.
+    /// A probing client sends a request.
     Look(Look),
-    /// The user of a job asks to cancel it.
+    /// The job's client asks to cancel it.
     CallOff(String),
-    /// A controller's process starts, unless it did before.
+    /// A controller's process starts, unless it is already running.
     Back(usize),
 }
 
@@ -92,37 +92,37 @@
     pub(crate) body: String,
     pub(crate) spec: JobSpec,
     pub(crate) run: u64,
-    /// So much longer than its forerunner each task of it runs, unless they are a gang.
+    /// Additional run time of each task over the task with the next lower index. Gangs ignore it.
     pub(crate) apart: u64,
     pub(crate) known: Known,
     pub(crate) cancel_asked: bool,
-    /// Submitted with a mistake: it fails on every machine until its user cancels it.
+    /// Submitted with a mistake: its tasks fail on every machine until the client cancels the job.
     pub(crate) mistaken: bool,
     pub(crate) cancelled_at: Option<u64>,
     pub(crate) accepted_at: Option<u64>,
-    /// When its first task ran.
+    /// When the job's first task started to run.
     pub(crate) begun_at: Option<u64>,
     pub(crate) done: BTreeSet<u32>,
     pub(crate) next: u64,
     pub(crate) submitted: bool,
-    /// It was refused for good: its release had closed.
+    /// Whether the job was refused permanently because its release had closed.
     pub(crate) refused: bool,
-    /// Its latest request: a user asks anew only after giving up on the last answer.
+    /// Ticket of the latest request. The client sends the next one only after it stops waiting for this answer.
     pub(crate) latest: u64,
 }
 
 pub(crate) enum Ticket {
     Worker(usize, u64),
     User(String, char),
-    /// A merge asks whether it may write.
+    /// A merge job asks for a write permit.
     Writer(batches::Question),
-    /// A test asks.
+    /// A request of the test itself.
     Asked,
-    /// A user looks closely.
+    /// A request of a probing client.
     Look(Look),
-    /// Somebody polls a job through a controller, since when.
+    /// A client polls a job: job ID, controller and send time.
     Poll(String, usize, u64),
-    /// The load balancer asks whether a controller is ready.
+    /// The load balancer probes the readiness of a controller.
     Probe(usize),
 }
 
@@ -145,53 +145,55 @@
     pub(crate) back_at: Vec<u64>,
     pub(crate) drift: Vec<f64>,
     pub(crate) hung: Vec<u64>,
-    /// How likely it is that a controller stands still between deciding and doing.
+    /// Probability that a controller's process pauses between a decision and the resulting effects.
     pub(crate) stalls: f64,
-    /// Which controllers are limited to what the first version reads and writes. The binary of that
-    /// version is not here: these run this version's code, and what the first would not read or write is
-    /// taken out on the way. What it would do wrong in other ways only the bench can show.
+    /// Controllers limited to what version 1 reads and writes. The binary of version 1 is not part of this test:
+    /// these controllers run the current code, and fields unknown to version 1 are removed in transit. Other
+    /// differences of version 1 show only in the bench.
     pub(crate) limited: [bool; 3],
-    /// What was taken out of records before a limited controller read them.
+    /// Fields that were removed from records before a limited controller read them.
     pub(crate) hidden: BTreeMap<String, Value>,
-    /// When the state service's limits fall.
+    /// When the state store's limits fall.
     pub(crate) limits_fall: u64,
-    /// Whether a job that needs a cancelled one must end in time: not while its owner can't know.
+    /// Whether a job with a cancelled dependency must be cancelled in time. False if the job's leader can't learn of
+    /// the cancellation.
     pub(crate) tells_orphans: bool,
     pub(crate) store: State,
-    /// Open watches: controller, process, request, prefix, revision and when they time out.
+    /// Open watches: controller, boot ID, request, prefix, revision and deadline.
     pub(crate) watches: Vec<(usize, u64, u64, String, u64, u64)>,
     pub(crate) outage_until: u64,
-    /// No message takes longer than usual, but for cuts.
+    /// Messages have no random extra delay; network partitions still apply.
     pub(crate) prompt: bool,
     pub(crate) cuts: Vec<(End, End, u64, bool)>,
     pub(crate) workers: Vec<Worker>,
     pub(crate) rentals: BTreeMap<String, Vec<String>>,
     pub(crate) tickets: BTreeMap<u64, Ticket>,
-    /// What tests that asked were told.
+    /// Answers to the requests of the test itself.
     pub(crate) answers: BTreeMap<u64, Reply>,
     pub(crate) jobs: BTreeMap<String, UserJob>,
-    /// Their ids in the order in which users thought of them.
+    /// Job IDs in the order of their creation.
     pub(crate) order: Vec<String>,
     pub(crate) starts: usize,
-    /// Parcels that were sent, and how likely it is that one, or the word that it came, is lost, doubled or late.
+    /// Hand-off batches sent, and the probability that a batch or its acknowledgement is lost, duplicated or delayed.
     pub(crate) parcels: usize,
     pub(crate) unruly: f64,
-    /// A class whose starts the workers refuse, to show that the bar of half a class can fail.
+    /// A job class whose tasks the workers reject, to show that the check for at least half of each class done can
+    /// fail.
     pub(crate) starved: Option<&'static str>,
-    /// Only its jobs of at least so many tasks.
+    /// Of that class, only jobs with at least this many tasks are rejected.
     pub(crate) starved_from: u32,
-    /// Controllers' processes that end are back within half a second.
+    /// Controllers' processes restart within half a second.
     pub(crate) quick: bool,
-    /// How likely it is that a process ends while it raises an epoch, hands over, claims or writes a record.
+    /// Probability that a process crashes while it raises an epoch, hands off, claims or writes a record.
     pub(crate) brittle: f64,
     pub(crate) silence: Silence,
     pub(crate) balancer: Balancer,
-    /// What operators have set beyond the platform's file.
+    /// Operator settings in addition to the platform's configuration file.
     pub(crate) operators: Option<Operators>,
     pub(crate) batches: batches::Batches,
-    /// Gang tasks that ended because others of their gang were gone.
+    /// Gang tasks that ended because other tasks of their gang were missing.
     pub(crate) spoilt: usize,
-    /// Since when a gang's attempt has lacked tasks.
+    /// When each gang's attempt first had missing tasks.
     pub(crate) lacks: BTreeMap<(String, u64), u64>,
     pub(crate) compound: Compound,
     pub(crate) register: Register,
@@ -200,7 +202,7 @@
     pub(crate) zones: Zones,
     pub(crate) cancels: Cancels,
     pub(crate) commands: Commands,
-    /// What controllers ask for, if a test wants to compare it.
+    /// The recorded effects of the controllers, if a test compares them.
     pub(crate) trace: Option<Trace>,
     pub(crate) log: Vec<String>,
 }
@@ -226,8 +228,8 @@
             hidden: BTreeMap::new(),
             limits_fall: NEVER,
             tells_orphans: true,
-            // Few changes kept, so that watches miss some; small pages, so that much is read in several. The ring's
-            // few keys always fit into one.
+            // A short change history, so that watches miss changes; small pages, so that long lists take several
+            // reads. The few keys of the ring always fit into one page.
             store: State::sized(5, (100, 4), LIMITS),
             watches: Vec::new(),
             outage_until: 0,
--- a/tests/world/register.rs
+++ b/tests/world/register.rs
@@ -1,24 +1,24 @@
-//! A job as one linearizable register. What a user was told by any controller before a request was sent bounds what any
-//! controller may answer to it: unknown, then accepted, then cancelled or done, whichever it is, for ever. No answer, and
-//! "later", say nothing of a job.
+//! Checks each job as a linearizable register. The answers that clients received before they sent a request limit the
+//! valid answers of every controller to it: unknown, then accepted, then cancelled or done, which is final. A missing
+//! answer and "retry later" carry no information on the job.
 
 use super::*;
 use hazelsaddle::config::settings::TeamSettings;
 use hazelsaddle::server::http_api::{self, Dispatch};
 use hazelsaddle::spec::MachineTypes;
 
-/// A request under way.
+/// A request in flight.
 #[derive(Clone, Debug)]
 struct Open {
     job: String,
     kind: char,
     node: usize,
-    /// Its place in the order of all requests sent and answers had, and when that was.
+    /// Its position in the total order of requests and answers, and its send time.
     from: u64,
     at: u64,
 }
 
-/// What somebody was told, by whom, and when.
+/// A state that a client was told: by which controller, and when.
 #[derive(Clone, Debug)]
 struct Said {
     stance: String,
@@ -29,7 +29,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Cell {
-    /// Somebody has sent a submission that may be accepted; a cancellation.
+    /// Whether a client has sent a submission that may be accepted, and whether one has sent a cancellation.
     offered: bool,
     withdrawn: bool,
     accepted: Option<Said>,
@@ -42,20 +42,21 @@
     open: BTreeMap<u64, Open>,
     cells: BTreeMap<String, Cell>,
     limits: Option<(MachineTypes, Vec<TeamSettings>)>,
-    /// Answers that say how a job stands; those to requests sent when somebody knew that it is accepted; or its end.
+    /// Answers with a job's state; those to requests sent after a client knew of the acceptance, and after one knew
+    /// of the outcome.
     pub(crate) answers: usize,
     pub(crate) bound: [usize; 2],
-    /// Requests sent while the same controller had another one about the same job.
+    /// Requests sent while the same controller had another one in flight for the same job.
     pub(crate) beside: usize,
 }
 
 impl Register {
-    /// Whether a user has been told that the job is accepted; its end.
+    /// Whether a client knows that the job was accepted, and whether one knows its outcome.
     pub(crate) fn knows(&self, job: &str) -> (bool, bool) {
         self.cells.get(job).map_or((false, false), |c| (c.accepted.is_some(), c.end.is_some()))
     }
 
-    /// A test puts the end of a job on record that somebody submitted, and cancelled, before the world began.
+    /// Marks a job as submitted and cancelled before the world began; the test stores its final record.
     pub(crate) fn ended_before(&mut self, job: &str) {
         let cell = self.cells.entry(job.to_owned()).or_default();
         (cell.offered, cell.withdrawn) = (true, true);
@@ -63,7 +64,8 @@
 }
 
 impl World {
-    /// A user sends a request. One that the controller takes later since it stands still was sent before.
+    /// Records a request of a client. A request that a paused controller processes later was recorded when it was
+    /// sent.
     pub(crate) fn note_sent(&mut self, ticket: u64, node: usize, request: &UserRequest) {
         let kind = match request {
             UserRequest::Submit(..) => 's',
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Whether a description has all fields, and fits a machine and its team.
+    /// Whether a description is complete and fits a machine type and the team's quota.
     pub(crate) fn may_run(&mut self, body: &str) -> bool {
         let shape = self.shape;
         let (types, teams) = self.register.limits.get_or_insert_with(|| {
@@ -100,7 +102,7 @@
         JobSpec::parse(body).is_ok_and(|s| s.check(types, teams).is_ok())
     }
 
-    /// What comes of a request at the controller's HTTP edge: it goes on, or is answered there.
+    /// Passes a submission through the HTTP layer, which forwards it to the controller or answers it directly.
     pub(crate) fn at_edge(&mut self, n: usize, event: Event) -> Option<Event> {
         let (ticket, body) = match &event {
             Event::User { ticket, request: UserRequest::Submit(_, body) } => (*ticket, body.clone()),
@@ -118,12 +120,12 @@
         }
     }
 
-    /// A user has an answer.
+    /// Checks an answer that a client received.
     pub(crate) fn answered(&mut self, ticket: u64, reply: &Reply) {
         let Some(open) = self.register.open.remove(&ticket) else { return };
         let id = &open.job;
         let cell = self.register.cells.get(id).cloned().unwrap_or_default();
-        // What somebody knew before this request was sent.
+        // The state known to clients before this request was sent.
         let before = |s: &Option<Said>| s.clone().filter(|s| s.order < open.from);
         let (accepted, end) = (before(&cell.accepted), before(&cell.end));
         let now = self.now;
@@ -145,7 +147,7 @@
                 return;
             }
             200 | 201 => {}
-            // Nothing is said of the job.
+            // The answer carries no information on the job.
             _ => return,
         }
         self.register.answers += 1;
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Whether somebody asked to cancel a job that this one needs.
+    /// Whether a client asked to cancel any dependency of the job.
     fn follows_withdrawn(&self, id: &str) -> bool {
         let (mut seen, mut next) = (BTreeSet::new(), vec![id]);
         while let Some(id) = next.pop() {
@@ -195,7 +197,7 @@
         false
     }
 
-    /// Looks at each record of a job that was put: it must be of the description that its user submitted.
+    /// Checks each written job record against the description that the client submitted.
     pub(crate) fn vet_record(&self, key: &str) {
         let Some(id) = key.strip_prefix("job/") else { return };
         assert!(!self.looks.odd.contains_key(id), "accepted though it can't run or lacks a field: {id}");
--- a/tests/world/rules.rs
+++ b/tests/world/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, and what must be true of a whole day.
+//! The invariants checked after each step, and the checks of a whole simulated day.
 
 use super::*;
 
@@ -8,13 +8,13 @@
         let mut used: BTreeMap<&str, i64> = BTreeMap::new();
         let mut zones: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
         for w in self.workers.iter().filter(|w| !w.gone && !w.dead) {
-            // A machine whose lease ran out while it hung kills its tasks before anything else.
+            // A machine whose lease expired while it was unresponsive kills its tasks before anything else.
             if self.now > w.lease_from + (LEASE_S * 1e6) as u64 {
                 continue;
             }
             for t in w.tasks.iter().filter(|t| t.state != "ended") {
                 let j = &self.jobs[&t.job];
-                // All of a cancelled job's tasks must be gone by then, also those that have yet to start.
+                // By then all tasks of a cancelled job must have ended, including those that have not started yet.
                 if let Some(at) = j.cancelled_at {
                     assert!(self.now <= at + (CANCEL_S * 1e6) as u64, "ran_cancelled: {}", t.job);
                 }
@@ -55,20 +55,20 @@
             .collect()
     }
 
-    /// How many jobs that follow others were accepted.
+    /// Number of accepted jobs with dependencies.
     pub(crate) fn accepted_chains(&self) -> usize {
         let taken = |j: &&UserJob| !j.spec.dependencies.is_empty() && j.known != Known::Nothing;
         self.jobs.values().filter(taken).count()
     }
 
-    /// Jobs that count: their users know that they were accepted, and they are neither cancelled nor can never run.
+    /// Jobs that count as service: known to their client as accepted or done, not cancelled and able to run.
     fn counted(&self) -> impl Iterator<Item = &UserJob> {
         self.jobs
             .values()
             .filter(|j| !j.mistaken && !j.cancel_asked && matches!(j.known, Known::Accepted | Known::Done))
     }
 
-    /// Each class's largest jobs: the fifth with the most tasks, at least one.
+    /// The largest jobs of each class: the fifth with the most tasks, at least one.
     fn largest(&self) -> Vec<&UserJob> {
         let mut by: BTreeMap<&str, Vec<&UserJob>> = BTreeMap::new();
         self.counted().for_each(|j| by.entry(&j.spec.class).or_default().push(j));
@@ -76,8 +76,8 @@
         by.into_values().flat_map(|list| list[..list.len().div_ceil(5)].to_vec()).collect()
     }
 
-    /// Classes, teams and largest jobs of a class of which less than half is served: the operators count a day with one
-    /// as failed.
+    /// Classes, teams and largest jobs of a class of which less than half is done. Operators count a day with any of
+    /// them as failed.
     pub(crate) fn underserved(&self) -> Vec<String> {
         let mut by: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let keys = self.counted().flat_map(|j| [(j.spec.class.clone(), j), (j.spec.team.clone(), j)]);
@@ -93,8 +93,8 @@
             .collect()
     }
 
-    /// Largest jobs that wait for nobody and had not begun within four minutes of acceptance, or of the last trouble of a
-    /// controller.
+    /// Largest jobs without dependencies that had not started within four minutes of their acceptance, or of the last
+    /// fault of a controller if that was later.
     pub(crate) fn begun_late(&self) -> Vec<String> {
         let late = |j: &&&UserJob| {
             let since = j.accepted_at.unwrap_or(self.now).max(self.silence.calm_from);
@@ -107,7 +107,7 @@
             .collect()
     }
 
-    /// Jobs that have not ended as they should have.
+    /// Jobs that have not ended, or were cancelled without a reason.
     pub(crate) fn finished(&self) -> Vec<String> {
         self.jobs
             .iter()
@@ -125,8 +125,8 @@
 }
 
 impl World {
-    /// A rotation's task is on a machine: its set must be closed, that it rotates must be on record, and every job on record
-    /// that belongs to the set must be done there, or done without by an operator's word.
+    /// Checks a running task of a rotation: its release must be closed, the start of the rotation must be stored, and
+    /// every stored job of the release must be done or waived by an operator.
     pub(crate) fn check_rotation(&self, id: &str) {
         let says = |id: &str| {
             let live = self.store.keys.get(&format!("job/{id}")).map(|v| (&v.0["spec"]["release"], None));
--- a/tests/world/shape.rs
+++ b/tests/world/shape.rs
@@ -1,4 +1,4 @@
-//! How large a world is, and what its controllers are told.
+//! The size of a simulated world and the settings of its controllers.
 
 use super::*;
 
@@ -6,31 +6,32 @@
 pub(crate) const CANCEL_S: f64 = 43.0;
 pub(crate) const ZONES: [&str; 2] = ["a", "b"];
 
-/// How large a world is.
+/// The size and load of a simulated world.
 #[derive(Clone, Copy)]
 pub(crate) struct Shape {
     pub(crate) machines: usize,
-    /// Machines with GPUs beside them. Where there are any, teams have guarantees for GPUs, and loans are switched on.
+    /// GPU machines, in addition to `machines`. If there are any, teams have GPU quotas and loans are switched on.
     pub(crate) gpus: usize,
-    /// Machines that the cloud has in each zone.
+    /// The cloud's capacity in each zone, in machines.
     pub(crate) room: usize,
     pub(crate) teams: usize,
     pub(crate) gang: u32,
     pub(crate) array: u32,
     pub(crate) jobs: u32,
-    /// Longest pause between two jobs.
+    /// Longest pause between two submissions, in µs.
     pub(crate) pause: u64,
-    /// Longest run of a task.
+    /// Longest run time of a task, in µs.
     pub(crate) run: u64,
-    /// How likely it is that a job follows others.
+    /// Probability that a job has dependencies.
     pub(crate) chained: f64,
-    /// Whether operators have set a release calendar.
+    /// Whether the operators have configured a release calendar.
     pub(crate) calendar: bool,
-    /// Changes a second that the state service allows; from some moment on a fifth less.
+    /// Writes per second that the state store allows; when its limits fall, a fifth less.
     pub(crate) write_rps: f64,
 }
 
-/// The night of the world's first day: from its beginning, renders due after three minutes, the rotation after five.
+/// The calendar of the first simulated day: the night begins at 00:00, renders are due after three minutes and the
+/// rotation after five.
 pub(crate) const CALENDAR: &str = "[calendar shops]\ntitle = shop-*\nzone = UTC\nnight_begins = 00:00\n\
     renders_due = 00:03\nrotation_due = 00:05\nrotation = rotate\n";
 
@@ -48,10 +49,10 @@
     calendar: false,
     write_rps: 15.0,
 };
-/// Most jobs follow others: chains, diamonds and fans come of it by chance.
+/// Most jobs have dependencies. Chains, diamonds and fans arise at random.
 pub(crate) const CHAINED: Shape = Shape { chained: 0.75, pause: 6 * S, ..SMALL };
-/// The grown deployments' shape: many machines, ten teams, large gangs and arrays. Tasks are short, so that
-/// what the machines can carry is done when the day is over.
+/// The size of large deployments: many machines, ten teams, large gangs and arrays. Tasks are short, so that the
+/// machines can finish the whole load within the simulated day.
 pub(crate) const GROWN: Shape = Shape {
     machines: 240,
     gpus: 0,
@@ -75,13 +76,13 @@
     if team % 2 == 1 { 0.0 } else { 24.0 * (shape.machines / 4) as f64 / (shape.teams / 2) as f64 }
 }
 
-/// What the state service takes: bytes a value and changes a transaction.
+/// The state store's limits: bytes per value and changes per transaction.
 pub(crate) const LIMITS: (usize, usize) = (4096, 8);
-/// The same from some moment on.
+/// The state store's limits after they have fallen.
 pub(crate) const NEXT_LIMITS: (usize, usize) = (2048, 4);
 
 pub(crate) fn settings(me: usize, shape: Shape, limited: bool) -> Settings {
-    // The first version doesn't know that limits will fall.
+    // Version 1 has no setting for upcoming limits.
     let next = match limited {
         true => String::new(),
         false => {
@@ -140,5 +141,5 @@
 }
 
 pub(crate) const S: u64 = 1_000_000;
-/// Later than any day lasts.
+/// Later than the end of any simulated day.
 pub(crate) const NEVER: u64 = 1_000_000 * S;
--- a/tests/world/silence.rs
+++ b/tests/world/silence.rs
@@ -1,23 +1,24 @@
-//! Who asks about jobs of any age through every controller, how long no question about one is answered, and whether
-//! the load balancer would take a controller for well.
+//! Clients that poll all accepted jobs through every controller, the longest time without an answer about a job, and
+//! the load balancer's view of each controller's health.
 
 use super::*;
 
-/// How long questions about accepted jobs go unanswered while nothing fails.
+/// The longest times without an answer to queries about accepted jobs, not counting times with faults.
 #[derive(Default)]
 pub(crate) struct Silence {
-    /// Whether somebody polls each accepted job through each controller, for ever.
+    /// Whether clients poll each accepted job through each controller until the end.
     pub(crate) pollers: bool,
-    /// Nothing fails since then.
+    /// The end of the latest fault.
     pub(crate) calm_from: u64,
-    /// Job, and the controller asked (None: whichever): the first question since the last answer.
+    /// First unanswered query by job and controller (`None`: any controller).
     open: BTreeMap<(String, Option<usize>), u64>,
     next: BTreeMap<(String, usize), u64>,
-    /// The longest that ended: of a job, and of a job through one controller, with the moment and the job.
+    /// The longest completed time without an answer: for a job, and for a job through one controller; with the job
+    /// and the time of the answer.
     worst: [(u64, String); 2],
-    /// Jobs of which somebody was told the end, and when.
+    /// The outcome that a client was told for each job, and when.
     ended: BTreeMap<String, (u64, String)>,
-    /// Answers that were no 200, by status; 0: none came.
+    /// Answers other than 200 by status and body.
     pub(crate) refused: BTreeMap<(u16, String), usize>,
 }
 
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The longest silence about a job, and about a job through one controller.
+    /// The longest time without an answer for a job, and for a job through one controller.
     pub(crate) fn longest(&mut self, now: u64) -> [(f64, String); 2] {
         for ((job, n), since) in self.open.clone() {
             self.over(now, since, &job, n);
@@ -51,14 +52,14 @@
     }
 }
 
-/// The load balancer's view: a probe a second; two in a row that fail take a controller out.
+/// The load balancer's view: one probe per second. Two failures in a row remove a controller.
 #[derive(Default)]
 pub(crate) struct Balancer {
     next: u64,
-    /// Per controller: probes in a row that failed, and until when the last one may be answered.
+    /// Failed probes in a row for each controller, and the send time of the probe in flight.
     failed: [u32; 3],
     waits: [Option<u64>; 3],
-    /// When each was taken out.
+    /// When each controller was removed.
     pub(crate) removed: [Vec<u64>; 3],
 }
 
@@ -79,7 +80,8 @@
 }
 
 impl World {
-    /// Whether any controller, or what it needs, is in trouble. Machines don't count: they answer no user.
+    /// Whether a controller or a service that it needs is failing. Failed machines don't count, because clients don't
+    /// depend on them for answers.
     pub(crate) fn troubled(&self) -> bool {
         let now = self.now;
         (0..3).any(|n| self.nodes[n].is_none() || now < self.hung[n])
@@ -105,10 +107,10 @@
                 if self.silence.next.get(&(id.clone(), n)).is_some_and(|t| now < *t) {
                     continue;
                 }
-                // One that is answered asks again later; a refusal says when to come back.
+                // The next poll follows after a pause, whether or not this one is answered.
                 let pause = self.rng.random_range(2 * S..3 * S);
                 self.silence.next.insert((id.clone(), n), now + pause);
-                // Nobody reaches one that is not there.
+                // A controller that is not running can't be polled.
                 if self.nodes[n].is_none() {
                     self.silence.open.remove(&(id.clone(), Some(n)));
                     continue;
@@ -124,7 +126,7 @@
         if now >= self.balancer.next {
             self.balancer.next = now + S;
             for n in 0..3 {
-                // Not answered within the second, or nobody there: failed.
+                // A probe fails if it is not answered within a second or the controller is not running.
                 self.balancer.waits[n].get_or_insert(now);
                 if self.balancer.waits[n] != Some(now) {
                     self.balancer.told(now, n, false);
@@ -141,7 +143,7 @@
         }
     }
 
-    /// A poll was answered.
+    /// Checks the answer to a poll.
     pub(crate) fn polled(&mut self, id: &str, n: usize, asked: u64, r: &Reply) {
         assert_ne!(r.status, 404, "forgotten: {id} at {}", self.now);
         if r.status != 200 {
@@ -154,7 +156,8 @@
         let j = &self.jobs[id];
         assert_eq!(body["uid"], *id, "an answer to another question");
         assert!(stance != "done" || j.done.len() == j.spec.task_count as usize, "not_done: {id}");
-        // Of two questions under way at once either may be answered first; a later one may not say less.
+        // Concurrent queries may be answered in any order. One sent after a client learned the outcome must return
+        // the same outcome.
         match self.silence.ended.get(id) {
             Some((at, end)) if asked > *at => assert_eq!(stance, *end, "went_back: {id} at {}", self.now),
             Some(_) => {}
@@ -165,12 +168,13 @@
         }
     }
 
-    /// No job may go unanswered for longer, once nothing fails, through whichever controller and through each.
+    /// Checks that outside of faults no job was without an answer for more than 15 s, through all controllers
+    /// together and through each.
     pub(crate) fn nobody_forgotten(&mut self, seed: u64) {
         self.nobody_silent_for(seed, 15.0);
     }
 
-    /// The same, for longer than so many seconds.
+    /// Like `nobody_forgotten`, with a limit in seconds.
     pub(crate) fn nobody_silent_for(&mut self, seed: u64, most: f64) {
         let [(any, which), (one, through)] = self.silence.longest(self.now);
         let refused = &self.silence.refused;
--- a/tests/world/trace.rs
+++ b/tests/world/trace.rs
@@ -1,51 +1,52 @@
-//! A net for refactorings that must keep behaviour bit for bit: one line for each effect that a controller's code asks for
-//! and that is carried out, with a hash of its bytes as they go over the wire.
+//! Records the effects of the controllers, to check that a refactoring changes no behaviour: one line for each effect
+//! that a controller requests and that is carried out, with a hash of its bytes on the wire.
 //!
-//! A line is `TIME CONTROLLER KIND HASH`: simulated time in microseconds, the controller's number, the kind of effect and
-//! sixteen hexadecimal digits. Nothing in a line depends on names of types, fields or variants in the sources, so that
-//! these may change: requests are hashed as the clients of `src/store.rs`, `src/fleet.rs` and `src/api.rs` put them into HTTP.
+//! A line is `TIME CONTROLLER KIND HASH`: simulated time in microseconds, the controller's number, the kind of effect
+//! and sixteen hexadecimal digits. No line depends on the names of types, fields or variants in the sources, so these
+//! may change: requests are hashed as the clients of `src/store.rs`, `src/fleet.rs` and `src/api.rs` encode them for
+//! HTTP.
 
 use super::*;
 use hazelsaddle::autoscaler::ScaleOut;
 use std::fmt::Write as _;
 use twox_hash::XxHash64;
 
-/// What one world's controllers have asked for. A world has none unless a test switches it on.
+/// The recorded effects of a world's controllers. Recording is off unless a test switches it on.
 #[derive(Default)]
 pub(crate) struct Trace {
-    /// The lines, each with its end.
+    /// The lines, each with its newline.
     text: String,
 }
 
 impl Trace {
-    /// Notes one effect that is carried out at a simulated time.
+    /// Records one effect carried out at a simulated time.
     pub(crate) fn note(&mut self, now: u64, controller: usize, effect: &Effect) {
         let (kind, bytes) = wire(effect);
         let hash = XxHash64::oneshot(0, &bytes);
         writeln!(self.text, "{now} {controller} {kind} {hash:016x}").expect("a string takes all");
     }
 
-    /// The lines so far.
+    /// All lines recorded so far.
     pub(crate) fn text(&self) -> &str {
         &self.text
     }
 
-    /// How many of the lines are of this kind.
+    /// The number of lines with this kind.
     pub(crate) fn count(&self, kind: &str) -> usize {
         self.text.lines().filter(|line| line.split(' ').nth(2) == Some(kind)).count()
     }
 
-    /// One number for all lines.
+    /// A hash of all lines.
     pub(crate) fn digest(&self) -> u64 {
         XxHash64::oneshot(0, self.text.as_bytes())
     }
 }
 
-/// The kinds of effect, as they stand in a line.
+/// The kinds of effect as written in the lines.
 pub(crate) const KINDS: [&str; 6] = ["reply", "frame", "store", "cloud", "probe", "greet"];
 
-/// The kind of an effect, and what of it leaves the process; numbers that the controller keeps for itself (tickets,
-/// requests) stand before it.
+/// The kind of an effect and the bytes that leave the process, preceded by the controller's internal ticket or
+/// request number.
 fn wire(effect: &Effect) -> (&'static str, Vec<u8>) {
     match effect {
         Effect::Reply { ticket, reply } => {
@@ -74,12 +75,12 @@
     }
 }
 
-/// Texts with their lengths before them, so that no two lists give the same.
+/// Concatenates texts, each prefixed with its length, so that different lists give different results.
 fn joined<T: AsRef<str>>(texts: &[T]) -> String {
     texts.iter().map(|text| format!("{}:{}\n", text.as_ref().len(), text.as_ref())).collect()
 }
 
-/// A request to the state service: method, path and body as its client sends them.
+/// A request to the state store: method, path and body as its client sends them.
 fn store_request(request: &StoreRequest) -> String {
     match request {
         StoreRequest::Get(key) => format!("GET /store/{key}\n"),
@@ -91,14 +92,14 @@
         StoreRequest::Grant(ms) => format!("POST /grants\n{}", json!({ "lifeMs": ms })),
         StoreRequest::Renew(id) => format!("POST /grants/{id}/renew\n{{}}"),
         StoreRequest::Revision => "GET /store?prefix=ring/epoch&limit=1\n".into(),
-        // The client's own patience follows from the whole of the wait, the path has milliseconds only.
+        // The client's request timeout depends on the wait in µs; the path has milliseconds only.
         StoreRequest::Watch(prefix, after, wait) => {
             format!("GET /changes?prefix={prefix}&after={after}&waitMs={}\n{}", wait.0 / 1000, wait.0)
         }
     }
 }
 
-/// The body of an atomic change.
+/// The body of a transaction.
 fn commit_body(commit: &Transaction) -> String {
     let conditions: Vec<Value> = commit
         .conditions
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -1,4 +1,4 @@
-//! How a day goes on, and what fails in it.
+//! The course of a simulated day and its random faults.
 
 use super::*;
 
@@ -27,7 +27,7 @@
                 self.workers[w].tasks.clear();
             }
             8 => self.hung[n] = now + long,
-            // Silent for long, and back; or cut from its workers again and again.
+            // A long isolation from everything, and a long loss of messages to and from the workers.
             10 => {
                 self.cuts.push((End::Controller(n), End::Store, now + 3 * long, hold));
                 self.cuts.push((End::Controller(n), End::Workers, now + 3 * long, hold));
@@ -50,7 +50,7 @@
         self.crash_for(n, pause);
     }
 
-    /// A controller's process ends, and is back after so long.
+    /// A controller's process crashes and restarts after a pause from this range.
     pub(crate) fn crash_for(&mut self, n: usize, pause: std::ops::Range<u64>) {
         self.nodes[n] = None;
         self.boots[n] = 0;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether a process ends with this effect, and if so, whether it still carries it out.
+    /// Whether the process crashes at this effect, and if so, whether the effect is still carried out.
     pub(crate) fn ends_at(&mut self, e: &Effect) -> Option<bool> {
         if self.brittle == 0.0 {
             return None;
@@ -107,7 +107,7 @@
         let mut next_job = self.now;
         let mut next_trouble = self.now + 20 * S;
         while self.now < end {
-            // Leases last their full time again once an outage is over.
+            // After an outage of the state store, leases get their full duration again.
             if self.outage_until > 0 && self.now >= self.outage_until {
                 self.outage_until = 0;
                 self.store.extend_leases(self.now);
@@ -176,7 +176,7 @@
     w
 }
 
-/// The seeds to play; `WORLD_SEEDS=from..to` plays others.
+/// The seeds to run, or the range in `WORLD_SEEDS=from..to`.
 pub(crate) fn seeds() -> std::ops::Range<u64> {
     let given = std::env::var("WORLD_SEEDS").ok();
     let range = given.as_deref().and_then(|g| g.split_once(".."));
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -1,4 +1,4 @@
-//! The users: what they ask and what they hold the answers to.
+//! The clients: their requests and their checks of the answers.
 
 use super::*;
 
@@ -13,7 +13,7 @@
         let chained = self.shape.chained > 0.0 && self.rng.random_bool(self.shape.chained);
         let follows: Vec<String> = match chained {
             true => {
-                // Mostly late ones, whatever their state, but any will do; some named twice.
+                // Mostly recent jobs in any state, sometimes older ones; duplicates are possible.
                 let ids: Vec<&String> = self.order.iter().rev().collect();
                 let some = self.rng.random_range(1..4);
                 let reach = ids.len().min(if self.rng.random_bool(0.8) { 6 } else { 40 });
@@ -34,8 +34,8 @@
         (job.mistaken, job.cancel_asked) = (mistaken, cancel_asked);
     }
 
-    /// A job by its description, which may have fields of any kind; its tasks run for `run` microseconds. Users
-    /// submit it with the next step, unless a test puts `next` off.
+    /// Adds a job with the given description, which may have additional fields; its tasks run for `run` microseconds.
+    /// A client submits it with the next step, unless the test postpones `next`.
     pub(crate) fn add_given(&mut self, body: &Value, run: u64) -> &mut UserJob {
         let body = body.to_string();
         let spec = JobSpec::parse(&body).expect("a valid description");
@@ -60,7 +60,7 @@
         self.jobs.entry(id).insert_entry(job).into_mut()
     }
 
-    /// All that a job needs, directly or through others.
+    /// All direct and transitive dependencies of a job.
     pub(crate) fn needed(&self, id: &str) -> BTreeSet<&str> {
         let mut all = BTreeSet::new();
         let mut next: Vec<&str> = self.jobs[id].spec.dependencies.iter().map(String::as_str).collect();
@@ -79,12 +79,12 @@
             let pause = self.rng.random_range(2 * S..6 * S);
             let n = self.rng.random_range(0..3usize);
             let cancel = self.rng.random_bool(0.3);
-            // A user names only jobs that were accepted.
+            // A client names only accepted jobs as dependencies.
             let named = &self.jobs[&id].spec.dependencies;
             let ready = named.iter().all(|p| self.jobs[p].known != Known::Nothing);
             let Some(j) = self.jobs.get_mut(&id) else { continue };
             j.next = self.now + pause;
-            // Nothing new is asked of an old controller.
+            // Limited controllers get no requests that use newer features.
             if !ready
                 || ((!j.spec.dependencies.is_empty() || j.spec.has_coordination_record()) && self.limited[n])
             {
@@ -93,7 +93,7 @@
             let (kind, request) = match j.known {
                 Known::Nothing => ('s', UserRequest::Submit(id.clone(), j.body.clone())),
                 Known::Accepted if j.cancel_asked && cancel => ('w', UserRequest::Cancel(id.clone())),
-                // A repeated submission may come at any time, even after the end.
+                // A client may repeat a submission at any time, even after the job's end.
                 Known::Done | Known::Cancelled if cancel => {
                     ('s', UserRequest::Submit(id.clone(), j.body.clone()))
                 }
@@ -109,7 +109,7 @@
             self.tickets.insert(ticket, Ticket::User(id, kind));
             self.later(1000, What::Controller(n, 0, Event::User { ticket, request }));
         }
-        // A job that nobody has submitted must not be known to anyone.
+        // No controller may know a job that was never submitted.
         if self.rng.random_bool(0.02) {
             self.serial += 1;
             let ticket = self.serial;
@@ -136,7 +136,7 @@
         self.later(1000, What::Controller(n, 0, Event::User { ticket, request }));
     }
 
-    /// The user of a job asks a controller to cancel it.
+    /// The job's client asks a controller to cancel it.
     pub(crate) fn withdraw(&mut self, n: usize, id: &str) {
         self.serial += 1;
         let ticket = self.serial;
@@ -149,7 +149,7 @@
         );
     }
 
-    /// Asks a controller and waits for its answer.
+    /// Sends a request to a controller and waits for the answer.
     pub(crate) fn ask(&mut self, n: usize, request: UserRequest) -> Reply {
         self.serial += 1;
         let ticket = self.serial;
@@ -167,7 +167,7 @@
     }
 
     pub(crate) fn user_answer(&mut self, id: &str, kind: char, r: &Reply) {
-        // Whoever comes too late for a release is refused for good, but only while nobody knows of the job.
+        // A submission after the release has closed is refused permanently, but only while the job is unknown.
         if r.status == 422
             && let Some(j) = self.jobs.get_mut(id)
             && j.spec.release.is_some()
@@ -185,7 +185,7 @@
             return;
         }
         let body: Value = serde_json::from_str(&r.body).expect("JSON");
-        // When the last moment has come in which it may be called queued or running.
+        // The job's dependencies determine until when it may be reported as queued or running.
         let needs: Vec<&UserJob> = match self.jobs.contains_key(id) {
             true => self.needed(id).into_iter().map(|p| &self.jobs[p]).collect(),
             false => Vec::new(),
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -1,4 +1,4 @@
-//! The workers: reports, commands, leases, gangs.
+//! The workers: heartbeats, commands, leases and gangs.
 
 use super::*;
 
@@ -27,11 +27,11 @@
 }
 
 impl World {
-    /// A worker is told a token directly, and answers with its report.
+    /// A worker receives a fencing probe and answers with a heartbeat.
     pub(crate) fn greet(&mut self, n: usize, boot: u64, token: u64, g: FencingProbe) {
         let now = self.now;
         let Some(i) = self.worker_that_hears(&g) else { return };
-        // One that hangs takes it when it goes on.
+        // An unresponsive worker processes the probe when it resumes.
         let hung = self.workers[i].hung_until;
         if hung > now {
             return self.later(hung - now, What::Greet(n, boot, token, g));
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The worker that a direct command comes to, unless nobody is there or hears it.
+    /// The worker that receives a fencing probe. `None` if it is not running or the probe is lost.
     pub(crate) fn worker_that_hears(&mut self, g: &FencingProbe) -> Option<usize> {
         let now = self.now;
         let there = |w: &Worker| w.name == g.machine && !w.gone && !w.dead && now >= w.up_at;
@@ -55,7 +55,8 @@
         Some(i)
     }
 
-    /// A worker takes a direct command if token and session match, and answers with its report.
+    /// Applies a fencing probe: the worker adopts its token if the incarnation matches and the token is not older,
+    /// and answers with a heartbeat.
     pub(crate) fn commanded(&mut self, i: usize, token: u64, g: &FencingProbe) -> Heartbeat {
         let w = &mut self.workers[i];
         if w.session == g.incarnation && token >= w.token {
@@ -75,7 +76,7 @@
             self.compound.unheard += 1;
             return;
         }
-        // One that hangs reads it when it goes on, and drops it if it is too late by then.
+        // An unresponsive worker reads the response when it resumes, and drops it if it is too late by then.
         if self.now < w.hung_until {
             let delay = w.hung_until - self.now;
             return self.later(delay, What::WorkerAnswer(i, seq, reply.clone()));
@@ -152,7 +153,7 @@
                 };
                 let fetch = self.rng.random_range(S / 2..4 * S);
                 self.note_start(attempt);
-                // Guards the machine that nobody would ask after a takeover.
+                // An unregistered machine would not be probed after a failover.
                 assert!(
                     self.on_record(&self.workers[i].name),
                     "{job}/{index}: started on what is not on record"
@@ -296,7 +297,8 @@
             }
         }
         let now = self.now;
-        // Where there are GPUs a gang takes its time to notice, as the protocol has it, so that an orderly stop shows.
+        // In worlds with GPUs a gang notices missing tasks only after the protocol's timeout, so that an orderly stop
+        // can be told from a failure.
         let notices = if self.shape.gpus > 0 { 6 * S } else { 0 };
         for w in self.workers.iter_mut().filter(|w| !w.gone && !w.dead && now >= w.hung_until) {
             for t in &mut w.tasks {
--- a/tests/world/zones.rs
+++ b/tests/world/zones.rs
@@ -1,48 +1,48 @@
-//! Zones: one that is cut off goes on inside, and what a job says of zones, types and kinds of machine is held to at the
-//! start of each of its tasks.
+//! Zones: partitions that isolate a zone, and the checks of a job's zone and machine type constraints at each task
+//! start.
 
 use super::*;
 
-/// The controllers' zones. No machine stands in the last.
+/// The controllers' zones. The last one has no machines.
 pub(crate) const SEATS: [&str; 3] = ["a", "b", "c"];
 
-/// From then on the load balancer has taken a controller out that it can't reach, and has reset its connections.
+/// From this time on, the load balancer has removed an unreachable controller and reset its connections.
 const REROUTED: u64 = 5 * S;
-/// After so long a controller gives up on the cloud.
+/// The controllers' timeout for cloud requests.
 const CLOUD_PATIENCE: u64 = 4 * S;
 
-/// A zone that reaches nothing outside: not other zones, the state service, the cloud or users.
+/// A partition that isolates a zone from other zones, the state store, the cloud and the clients.
 #[derive(Clone, Copy, Debug)]
 struct ZoneCut {
     zone: &'static str,
     from: u64,
     until: u64,
-    /// Whether what crosses it is held back until it is over, or lost.
+    /// Whether messages across the partition are held back until it heals; otherwise they are lost.
     hold: bool,
 }
 
 #[derive(Default)]
 pub(crate) struct Zones {
     cuts: Vec<ZoneCut>,
-    /// Until when the cloud is out of order, for everybody.
+    /// Until this time, the cloud fails all requests.
     pub(crate) cloud_out: u64,
-    /// Reports that a controller inside a cut zone answered.
+    /// Heartbeats that a controller inside an isolated zone answered.
     pub(crate) inside: usize,
-    /// Reports of workers, requests of users and calls to the cloud that didn't get across.
+    /// Heartbeats, client requests and cloud requests that were stopped by a partition.
     pub(crate) stopped: [usize; 3],
-    /// Starts of jobs that are bound to a zone, a type or a kind of machine: all; and of those that say how their tasks
-    /// stand to one another, starts while one of these was on a machine that nobody outside could see.
+    /// Task starts of jobs with placement constraints; and, of jobs with constraints among their own tasks, starts
+    /// while another task of the job was on an unreachable machine.
     pub(crate) bound: [usize; 2],
     /// The zones in which tasks of such jobs started.
     pub(crate) places: BTreeMap<String, BTreeSet<String>>,
 }
 
 impl Zones {
-    /// Whether any zone is cut off.
+    /// Whether any zone is isolated.
     pub(crate) fn cut(&self, now: u64) -> bool {
         self.cuts.iter().any(|c| now < c.until)
     }
-    /// When none is any more.
+    /// When the last partition heals.
     pub(crate) fn until(&self) -> u64 {
         self.cuts.iter().map(|c| c.until).max().unwrap_or(0)
     }
@@ -54,13 +54,13 @@
         self.zones.cuts.push(ZoneCut { zone, from, until, hold });
     }
 
-    /// The cut between two places, if there is one; None stands for the region, which is in no zone.
+    /// The partition between two zones, if any. `None` stands for the region's services, which are in no zone.
     fn cut_between(&self, a: Option<&str>, b: Option<&str>) -> Option<ZoneCut> {
         let parts = |c: &&ZoneCut| self.now < c.until && (a == Some(c.zone)) != (b == Some(c.zone));
         self.zones.cuts.iter().find(parts).copied()
     }
 
-    /// How much longer a message takes between two places; None: it is lost.
+    /// The extra delay of a message between two zones; `None` if it is lost.
     fn across(&self, a: Option<&str>, b: Option<&str>) -> Option<u64> {
         match self.cut_between(a, b) {
             None => Some(0),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The same between two ends. Workers are in many zones: see `worker_reached_in`.
+    /// The extra delay between two endpoints. Workers are in several zones: see `worker_reached_in`.
     pub(crate) fn across_zones(&self, a: End, b: End) -> Option<u64> {
         let place = |e: End| match e {
             End::Controller(n) => Some(SEATS[n]),
@@ -77,13 +77,13 @@
         if a == End::Workers || b == End::Workers { Some(0) } else { self.across(place(a), place(b)) }
     }
 
-    /// When a controller's message to a worker arrives, if it does.
+    /// The delay of a controller's message to a worker; `None` if it is lost.
     pub(crate) fn worker_reached_in(&mut self, n: usize, i: usize) -> Option<u64> {
         let delay = self.travel(End::Controller(n), End::Workers)?;
         Some(delay + self.across(Some(SEATS[n]), Some(&self.workers[i].zone))?)
     }
 
-    /// When a worker's message to a controller arrives, if it does.
+    /// The delay of a worker's message to a controller; `None` if it is lost.
     pub(crate) fn worker_heard_in(&mut self, i: usize, n: usize) -> Option<u64> {
         let delay = self.travel(End::Workers, End::Controller(n))?;
         let more = self.across(Some(&self.workers[i].zone), Some(SEATS[n]));
@@ -91,28 +91,28 @@
         Some(delay + more?)
     }
 
-    /// Whether a controller reaches any of these machines at once.
+    /// Whether a controller can reach at least one of these machines now.
     pub(crate) fn reaches_any(&self, n: usize, names: &[String]) -> bool {
         let near = |w: &Worker| self.across(Some(SEATS[n]), Some(&w.zone)) == Some(0);
         self.workers.iter().any(|w| names.contains(&w.name) && near(w))
     }
 
-    /// A worker is answered.
+    /// Counts the responses to workers inside an isolated zone.
     pub(crate) fn note_answer(&mut self, n: usize, i: usize, reply: &Reply) {
         let cut = self.cut_between(Some(SEATS[n]), None).is_some();
         let inside = reply.status == 200 && self.workers[i].zone == SEATS[n];
         self.zones.inside += usize::from(cut && inside);
     }
 
-    /// Whether nobody outside a cut zone sees this machine, or nobody at all does.
+    /// Whether the machine is unreachable from outside an isolated zone, or from everywhere.
     pub(crate) fn unseen(&self, w: &Worker) -> bool {
         self.now < w.hung_until.max(w.deaf_until).max(w.mute_until)
             || self.cut_between(Some(&w.zone), None).is_some()
     }
 
-    /// The controller at which a request of a user arrives that was sent to this one. The load balancer sends no new
-    /// connections to one that it can't reach; until it knows they lead nowhere. `boot` is not 0 for one that is asked
-    /// by name.
+    /// The controller that receives a client's request sent to controller `n`. The load balancer opens no connections
+    /// to an unreachable controller; until it has noticed, they fail. `boot` is not 0 for a request addressed to a
+    /// particular controller.
     pub(crate) fn arrives(&mut self, n: usize, boot: u64, e: &Event) -> Option<usize> {
         if !matches!(e, Event::User { .. } | Event::Ready(_) | Event::Operator { .. }) {
             return Some(n);
@@ -124,8 +124,8 @@
         other.filter(|_| boot == 0 && self.now >= cut.from + REROUTED)
     }
 
-    /// Whether an answer to a user, or a probe, is lost with the zone of the controller that gives it. What it says of a
-    /// cancellation counts all the same.
+    /// Whether an answer to a client or a readiness probe is lost because the controller's zone is isolated. The
+    /// cancellation that such an answer reports is counted nevertheless.
     pub(crate) fn kept_from_users(&mut self, n: usize, ticket: u64, reply: &Reply) -> bool {
         let region = !matches!(self.tickets.get(&ticket), None | Some(Ticket::Worker(..)));
         let lost = region && self.cut_between(Some(SEATS[n]), None).is_some();
@@ -136,7 +136,8 @@
         lost
     }
 
-    /// A call to the cloud. One that can't get across fails for the controller; held back, it is carried out late.
+    /// Sends a request to the cloud. One stopped by a partition fails for the controller; one held back is carried
+    /// out late.
     pub(crate) fn ask_cloud(&mut self, n: usize, r: CloudRequest) {
         const NOBODY: u64 = u64::MAX;
         let boot = self.boots[n];
@@ -158,8 +159,8 @@
         }
     }
 
-    /// A task has its image and starts. What its job allows is held against the job's other tasks at this moment, also
-    /// those that nobody sees.
+    /// Checks the constraints of a task's job when the task has its image and starts, also against the job's tasks on
+    /// unreachable machines.
     pub(crate) fn check_start(&mut self, i: usize, job: &str) {
         let s = &self.jobs[job].spec;
         let w = &self.workers[i];
