--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -30,45 +30,51 @@
 impl World {
     /// For this time, this share of fencing probes arrives 2 to 16 s late and its answer is lost. A worker still
     /// accepts one if token and incarnation match.
-    pub(crate) fn late_commands(&mut self, share: f64, long: u64) {
-        self.commands.late = (share, self.now + long);
+    pub(crate) fn late_commands(&mut self, share: f64, duration: u64) {
+        self.commands.late = (share, self.now + duration);
     }
 
     /// A controller sends a fencing probe. `delay` is its normal network delay.
-    pub(crate) fn send_command(&mut self, n: usize, token: u64, g: FencingProbe, delay: u64) {
-        let boot = self.boots[n];
+    pub(crate) fn send_fencing_probe(
+        &mut self,
+        controller: usize,
+        token: u64,
+        probe: FencingProbe,
+        delay: u64,
+    ) {
+        let boot = self.boots[controller];
         let (share, until) = self.commands.late;
         if self.now < until && self.rng.random_bool(share) {
             let late = self.rng.random_range(2 * S..16 * S);
-            return self.later(delay + late, What::LateCommand(n, boot, token, g));
+            return self.later(delay + late, What::LateCommand(controller, boot, token, probe));
         }
-        self.later(delay, What::Greet(n, boot, token, g));
+        self.later(delay, What::Greet(controller, boot, token, probe));
     }
 
     /// A delayed probe arrives; its answer is dropped.
-    pub(crate) fn late_command(&mut self, n: usize, boot: u64, token: u64, g: FencingProbe) {
-        let Some(i) = self.worker_that_hears(&g) else { return };
-        let hung = self.workers[i].hung_until;
+    pub(crate) fn deliver_late_probe(&mut self, sender: usize, boot: u64, token: u64, probe: FencingProbe) {
+        let Some(worker_index) = self.probed_worker(&probe) else { return };
+        let hung = self.workers[worker_index].hung_until;
         if hung > self.now {
-            return self.later(hung - self.now, What::LateCommand(n, boot, token, g));
+            return self.later(hung - self.now, What::LateCommand(sender, boot, token, probe));
         }
-        let (newest, ended) = (self.epoch(), boot != self.boots[n]);
+        let (newest, ended) = (self.epoch(), boot != self.boots[sender]);
         // No controller may use a token newer than the epoch: a worker that accepted it would reject all later
         // responses.
-        assert!(token <= newest, "{n} commands under {token}, the newest epoch is {newest}");
-        let w = &self.workers[i];
-        let c = &mut self.commands;
-        c.late_all += 1;
-        c.ended += usize::from(ended);
-        c.after_newer += usize::from(token < newest);
-        if token < w.token {
-            c.by_token += 1;
-        } else if g.incarnation != w.session {
-            c.by_session += 1;
+        assert!(token <= newest, "controller {sender} uses token {token}, the newest epoch is {newest}");
+        let worker = &self.workers[worker_index];
+        let counts = &mut self.commands;
+        counts.late_all += 1;
+        counts.ended += usize::from(ended);
+        counts.after_newer += usize::from(token < newest);
+        if token < worker.token {
+            counts.by_token += 1;
+        } else if probe.incarnation != worker.session {
+            counts.by_session += 1;
         } else {
-            c.carried_out += 1;
-            c.deposed += usize::from(token < newest);
+            counts.carried_out += 1;
+            counts.deposed += usize::from(token < newest);
         }
-        self.commanded(i, token, &g);
+        self.apply_fencing_probe(worker_index, token, &probe);
     }
 }
--- a/tests/world/compound.rs
+++ b/tests/world/compound.rs
@@ -142,7 +142,7 @@
 
 impl Compound {
     /// Whether controllers or services that they need are failing.
-    pub(crate) fn troubles(&self, now: u64) -> bool {
+    pub(crate) fn has_fault(&self, now: u64) -> bool {
         let until = [self.late_writes.1, self.slow].into_iter().chain(self.refused);
         until.chain(self.ways.iter().map(|w| w.until)).any(|t| now < t)
     }
@@ -150,62 +150,65 @@
 
 impl World {
     /// For this time, this share of transactions gets no answer and is carried out 2 to 12 s late.
-    pub(crate) fn late_writes(&mut self, share: f64, long: u64) {
-        self.compound.late_writes = (share, self.now + long);
+    pub(crate) fn late_writes(&mut self, share: f64, duration: u64) {
+        self.compound.late_writes = (share, self.now + duration);
     }
 
     /// For this time, copies of this share of the workers' heartbeats arrive again, 2 s to 1.6 leases later.
-    pub(crate) fn late_reports(&mut self, share: f64, long: u64) {
-        self.compound.late_reports = (share, self.now + long);
+    pub(crate) fn late_reports(&mut self, share: f64, duration: u64) {
+        self.compound.late_reports = (share, self.now + duration);
     }
 
     /// Heartbeats of these machines arrive, but responses and fencing probes to them are lost.
-    pub(crate) fn machine_deaf(&mut self, machines: &[usize], long: u64) {
-        for &i in machines {
-            self.workers[i].deaf_until = self.now + long;
+    pub(crate) fn machine_deaf(&mut self, machines: &[usize], duration: u64) {
+        for &machine in machines {
+            self.workers[machine].inbound_lost_until = self.now + duration;
         }
     }
 
     /// The state store refuses one controller's requests with status 503, including its open watches.
-    pub(crate) fn refuse(&mut self, n: usize, long: u64) {
-        self.compound.refused[n] = self.now + long;
-        let (its, others) = std::mem::take(&mut self.watches).into_iter().partition(|w| w.0 == n);
+    pub(crate) fn refuse(&mut self, controller: usize, duration: u64) {
+        self.compound.refused[controller] = self.now + duration;
+        let (its, others) = std::mem::take(&mut self.watches).into_iter().partition(|w| w.0 == controller);
         self.watches = others;
-        for (n, boot, id, ..) in its {
-            self.later(1000, What::Controller(n, boot, Event::Store { id, answer: StoreAnswer::Refused }));
+        for (controller, boot, id, ..) in its {
+            self.later(
+                1000,
+                What::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Refused }),
+            );
         }
     }
 
-    pub(crate) fn is_refused(&self, n: usize) -> bool {
-        self.now < self.compound.refused[n]
+    pub(crate) fn is_refused(&self, controller: usize) -> bool {
+        self.now < self.compound.refused[controller]
     }
 
     /// The state store answers after 1 to 5 s; its clients time out after 2 s.
-    pub(crate) fn slow_store(&mut self, long: u64) {
-        (self.compound.slow, self.compound.slow_by) = (self.now + long, None);
+    pub(crate) fn slow_store(&mut self, duration: u64) {
+        (self.compound.slow, self.compound.slow_by) = (self.now + duration, None);
     }
 
     /// The state store answers each request after a random time in this range, and so out of order.
-    pub(crate) fn slow_store_by(&mut self, long: u64, by: std::ops::Range<u64>) {
-        (self.compound.slow, self.compound.slow_by) = (self.now + long, Some(by));
+    pub(crate) fn slow_store_by(&mut self, duration: u64, by: std::ops::Range<u64>) {
+        (self.compound.slow, self.compound.slow_by) = (self.now + duration, Some(by));
     }
 
     /// One controller is partitioned from the state store and its peers, but not from workers and clients.
-    pub(crate) fn cut_from_store_and_peers(&mut self, n: usize, long: u64, hold: bool) {
-        self.cuts.push((End::Controller(n), End::Store, self.now + long, hold));
-        for p in (0..3).filter(|&p| p != n) {
-            self.cuts.push((End::Controller(n), End::Controller(p), self.now + long, hold));
+    pub(crate) fn cut_from_store_and_peers(&mut self, controller: usize, duration: u64, hold: bool) {
+        self.cuts.push((End::Controller(controller), End::Store, self.now + duration, hold));
+        for peer in (0..3).filter(|&peer| peer != controller) {
+            self.cuts.push((End::Controller(controller), End::Controller(peer), self.now + duration, hold));
         }
     }
 
     /// Messages from one controller to another are lost, held back or late; the other direction works.
-    pub(crate) fn one_way(&mut self, from: usize, to: usize, long: u64, fate: Fate) {
+    pub(crate) fn one_way(&mut self, from: usize, to: usize, duration: u64, fate: Fate) {
         let (from, to) = (End::Controller(from), End::Controller(to));
-        self.compound.ways.push(Way { from, to, until: self.now + long, fate });
+        self.compound.ways.push(Way { from, to, until: self.now + duration, fate });
     }
 
     /// The extra delay of a message due to one-way faults; `None` if it is lost.
-    pub(crate) fn waylaid(&self, from: End, to: End) -> Option<u64> {
+    pub(crate) fn one_way_delay(&self, from: End, to: End) -> Option<u64> {
         let hit = |w: &&Way| w.from == from && w.to == to && self.now < w.until;
         match self.compound.ways.iter().find(hit) {
             None => Some(0),
@@ -218,26 +221,38 @@
     }
 
     /// Sends a request other than a watch to the state store; `delay` is `None` if it is lost.
-    pub(crate) fn ask_store(&mut self, n: usize, id: u64, r: StoreRequest, delay: Option<u64>) {
+    pub(crate) fn send_store_request(
+        &mut self,
+        controller: usize,
+        id: u64,
+        request: StoreRequest,
+        delay: Option<u64>,
+    ) {
         const LIMIT: u64 = 2 * S;
-        let boot = self.boots[n];
-        let unknown = |w: &mut World| {
-            w.later(LIMIT, What::Controller(n, boot, Event::Store { id, answer: StoreAnswer::Unknown }))
+        let boot = self.boots[controller];
+        let unknown = |world: &mut World| {
+            world.later(
+                LIMIT,
+                What::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
+            )
         };
         let Some(delay) = delay else { return unknown(self) };
-        if self.is_refused(n) {
+        if self.is_refused(controller) {
             self.compound.refusals += 1;
-            return self
-                .later(delay, What::Controller(n, boot, Event::Store { id, answer: StoreAnswer::Refused }));
+            return self.later(
+                delay,
+                What::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Refused }),
+            );
         }
-        if self.loses_answer(n, &r, delay) {
+        if self.is_answer_dropped(controller, &request, delay) {
             return unknown(self);
         }
         let (share, until) = self.compound.late_writes;
-        if self.now < until && matches!(r, StoreRequest::Transaction(_)) && self.rng.random_bool(share) {
+        if self.now < until && matches!(request, StoreRequest::Transaction(_)) && self.rng.random_bool(share)
+        {
             let late = self.rng.random_range(2 * S..12 * S);
             let issued = self.now;
-            self.later(late, What::LateWrite(n, issued, r));
+            self.later(late, What::LateWrite(controller, issued, request));
             return unknown(self);
         }
         let slow = match self.now < self.compound.slow {
@@ -246,39 +261,39 @@
         };
         // A request that takes longer than the client's timeout has an unknown outcome and is applied late.
         if delay + slow < LIMIT {
-            self.later(delay + slow / 2, What::StoreApply(n, boot, id, r, Some(slow / 2)));
+            self.later(delay + slow / 2, What::StoreApply(controller, boot, id, request, Some(slow / 2)));
         } else {
             self.compound.slow_unknown += usize::from(slow > 0);
-            self.later(delay + slow / 2, What::StoreApply(n, boot, id, r, None));
+            self.later(delay + slow / 2, What::StoreApply(controller, boot, id, request, None));
             unknown(self);
         }
     }
 
     /// Carries out a transaction after its client's timeout; its conditions are checked now.
-    pub(crate) fn late_write(&mut self, n: usize, issued: u64, r: StoreRequest) {
+    pub(crate) fn apply_late_write(&mut self, controller: usize, issued: u64, request: StoreRequest) {
         // One that arrives during an outage is carried out afterwards.
         if self.now < self.outage_until {
             let delay = self.outage_until - self.now + S / 10;
-            return self.later(delay, What::LateWrite(n, issued, r));
+            return self.later(delay, What::LateWrite(controller, issued, request));
         }
-        let newer = self.compound.committed[n] > issued;
-        let a = self.store_apply(r);
+        let newer = self.compound.committed[controller] > issued;
+        let answer = self.store_apply(request);
         self.run_watches();
-        let done = matches!(a, StoreAnswer::Committed(_));
+        let done = matches!(answer, StoreAnswer::Committed(_));
         for (count, is) in self.compound.writes.iter_mut().zip([true, newer, newer && done]) {
             *count += usize::from(is);
         }
     }
 
     /// Records the time of a controller's committed transaction.
-    pub(crate) fn note_commit(&mut self, n: usize, a: &StoreAnswer) {
-        if matches!(a, StoreAnswer::Committed(_)) {
-            self.compound.committed[n] = self.now;
+    pub(crate) fn record_commit(&mut self, controller: usize, answer: &StoreAnswer) {
+        if matches!(answer, StoreAnswer::Committed(_)) {
+            self.compound.committed[controller] = self.now;
         }
     }
 
     /// Schedules a late copy of a random share of the heartbeats.
-    pub(crate) fn copy_report(&mut self, worker: usize, target: usize, report: &Heartbeat) {
+    pub(crate) fn schedule_late_heartbeat(&mut self, worker: usize, target: usize, report: &Heartbeat) {
         let (share, until) = self.compound.late_reports;
         if self.now < until && self.rng.random_bool(share) {
             let late = self.rng.random_range(2 * S..(1.6 * LEASE_S * 1e6) as u64);
@@ -286,23 +301,29 @@
         }
     }
 
-    pub(crate) fn late_report(&mut self, i: usize, target: usize, sent: u64, report: Heartbeat) {
-        let w = &self.workers[i];
-        let newer = (w.session, w.seq) > (report.incarnation, report.sequence);
+    pub(crate) fn deliver_late_heartbeat(
+        &mut self,
+        worker_index: usize,
+        target: usize,
+        sent: u64,
+        report: Heartbeat,
+    ) {
+        let worker = &self.workers[worker_index];
+        let newer = (worker.session, worker.seq) > (report.incarnation, report.sequence);
         let old = self.now > sent + (LEASE_S * 1e6) as u64;
         for (count, is) in self.compound.copies.iter_mut().zip([true, newer, old]) {
             *count += usize::from(is);
         }
-        self.compound.earlier += usize::from(w.session > report.incarnation);
+        self.compound.earlier += usize::from(worker.session > report.incarnation);
         // The response to the copy is dropped.
         self.serial += 1;
-        self.drive(target, Event::Heartbeat { ticket: self.serial, heartbeat: report });
+        self.step_controller(target, Event::Heartbeat { ticket: self.serial, heartbeat: report });
     }
 
     /// Checks an answer to a client. From the first 200 that reports a job as cancelled, its tasks have `cancel_s` to
     /// end, no matter which client asked and whether the answer arrives.
-    pub(crate) fn note_told(&mut self, by: usize, reply: &Reply) {
-        self.vet_told(by, reply);
+    pub(crate) fn check_sent_answer(&mut self, by: usize, reply: &Reply) {
+        self.check_outcome_stored(by, reply);
         if reply.status != 200 || !reply.body.contains("aborted") {
             return;
         }
@@ -312,131 +333,149 @@
         let refused = [0, 1, 2].map(|n| self.is_refused(n));
         let told = Told { at: self.now, by, refused, outage: self.now < self.outage_until, tasks };
         self.compound.told.entry(id.to_owned()).or_insert(told);
-        if let Some(j) = self.jobs.get_mut(id) {
-            j.cancelled_at.get_or_insert(told.at);
+        if let Some(user_job) = self.jobs.get_mut(id) {
+            user_job.cancelled_at.get_or_insert(told.at);
         }
     }
 
     /// Machines with a valid lease and an unfinished task of the job.
     pub(crate) fn alive<'a>(&'a self, id: &'a str) -> impl Iterator<Item = usize> + 'a {
-        let lives = |w: &Worker| !w.gone && !w.dead && self.now <= w.lease_from + (LEASE_S * 1e6) as u64;
+        let has_lease = |w: &Worker| !w.gone && !w.dead && self.now <= w.lease_from + (LEASE_S * 1e6) as u64;
         let has = move |w: &Worker| w.tasks.iter().any(|t| t.job == id && t.state != "ended");
-        (0..self.workers.len()).filter(move |&i| lives(&self.workers[i]) && has(&self.workers[i]))
+        (0..self.workers.len()).filter(move |&i| has_lease(&self.workers[i]) && has(&self.workers[i]))
     }
 
     /// Random running machines, at most a third of them.
     pub(crate) fn some_machines(&mut self) -> Vec<usize> {
         let now = self.now;
-        let there = |i: &usize| {
-            let w = &self.workers[*i];
-            !w.gone && !w.dead && now >= w.up_at
+        let is_running = |i: &usize| {
+            let worker = &self.workers[*i];
+            !worker.gone && !worker.dead && now >= worker.up_at
         };
-        let all: Vec<usize> = (0..self.workers.len()).filter(there).collect();
-        let n = self.rng.random_range(1..=(all.len() / 3).max(1));
-        all.sample(&mut self.rng, n).copied().collect()
+        let all: Vec<usize> = (0..self.workers.len()).filter(is_running).collect();
+        let count = self.rng.random_range(1..=(all.len() / 3).max(1));
+        all.sample(&mut self.rng, count).copied().collect()
     }
 
     /// Injects a fault for a duration; `n` is the affected controller, if any.
-    pub(crate) fn begin(&mut self, trouble: Trouble, n: usize, long: u64) {
+    pub(crate) fn begin(&mut self, trouble: Trouble, controller: usize, duration: u64) {
         let now = self.now;
-        self.log.push(format!("{:.1}: {trouble:?} of {n} for {:.1}", now as f64 / 1e6, long as f64 / 1e6));
+        self.log.push(format!(
+            "{:.1}: {trouble:?} of {controller} for {:.1}",
+            now as f64 / 1e6,
+            duration as f64 / 1e6
+        ));
         let hold = self.rng.random_bool(0.5);
-        let (p, q) = ((n + 1) % 3, (n + 2) % 3);
+        let (next_peer, other_peer) = ((controller + 1) % 3, (controller + 2) % 3);
         match trouble {
-            Trouble::Restart => self.crash_for(n, S / 20..S / 10),
-            Trouble::RestartAll => (0..3).for_each(|n| self.crash_for(n, S / 20..S / 10)),
+            Trouble::Restart => self.crash_for(controller, S / 20..S / 10),
+            Trouble::RestartAll => (0..3).for_each(|controller| self.crash_for(controller, S / 20..S / 10)),
             Trouble::Leave => {
-                self.later(1, What::Controller(n, self.boots[n], Event::Leave));
-                self.later(5 * S, What::End(n, self.boots[n]));
+                self.later(1, What::Controller(controller, self.boots[controller], Event::Leave));
+                self.later(5 * S, What::End(controller, self.boots[controller]));
             }
-            Trouble::StandsStill => self.hung[n] = now + long,
-            Trouble::Outage => self.outage_until = now + long,
-            Trouble::Refused => self.refuse(n, long),
-            Trouble::SlowStore => self.slow_store(long),
+            Trouble::StandsStill => self.hung[controller] = now + duration,
+            Trouble::Outage => self.outage_until = now + duration,
+            Trouble::Refused => self.refuse(controller, duration),
+            Trouble::SlowStore => self.slow_store(duration),
             Trouble::LateWrites => {
                 let share = self.rng.random_range(0.05..0.6);
-                self.late_writes(share, long);
+                self.late_writes(share, duration);
             }
-            Trouble::CutFromStore => self.cuts.push((End::Controller(n), End::Store, now + long, hold)),
-            Trouble::CutFromWorkers => self.cuts.push((End::Controller(n), End::Workers, now + long, hold)),
-            Trouble::CutFromPeer => {
-                self.cuts.push((End::Controller(n), End::Controller(p), now + long, hold))
+            Trouble::CutFromStore => {
+                self.cuts.push((End::Controller(controller), End::Store, now + duration, hold))
             }
+            Trouble::CutFromWorkers => {
+                self.cuts.push((End::Controller(controller), End::Workers, now + duration, hold))
+            }
+            Trouble::CutFromPeer => self.cuts.push((
+                End::Controller(controller),
+                End::Controller(next_peer),
+                now + duration,
+                hold,
+            )),
             Trouble::CutOneWay => {
-                let (a, b) = if self.rng.random_bool(0.5) { (n, p) } else { (p, n) };
-                self.one_way(a, b, long, if hold { Fate::Held } else { Fate::Lost });
+                let (a, b) =
+                    if self.rng.random_bool(0.5) { (controller, next_peer) } else { (next_peer, controller) };
+                self.one_way(a, b, duration, if hold { Fate::Held } else { Fate::Lost });
             }
             Trouble::LatePeers => {
                 let by = self.rng.random_range(S / 2..8 * S);
-                for (a, b) in [(n, p), (p, n), (n, q), (q, n)] {
-                    self.one_way(a, b, long, Fate::Late(by));
+                for (a, b) in [
+                    (controller, next_peer),
+                    (next_peer, controller),
+                    (controller, other_peer),
+                    (other_peer, controller),
+                ] {
+                    self.one_way(a, b, duration, Fate::Late(by));
                 }
             }
-            Trouble::CutFromStoreAndPeers => self.cut_from_store_and_peers(n, long, hold),
+            Trouble::CutFromStoreAndPeers => self.cut_from_store_and_peers(controller, duration, hold),
             Trouble::CutFromAll => {
-                self.cut_from_store_and_peers(n, long, hold);
-                self.cuts.push((End::Controller(n), End::Workers, now + long, hold));
+                self.cut_from_store_and_peers(controller, duration, hold);
+                self.cuts.push((End::Controller(controller), End::Workers, now + duration, hold));
             }
-            Trouble::ZoneCut => self.zone_cut(ZONES[n % 2], long, hold),
+            Trouble::ZoneCut => self.zone_cut(ZONES[controller % 2], duration, hold),
             Trouble::LateReports => {
                 let share = self.rng.random_range(0.1..0.9);
-                self.late_reports(share, long);
+                self.late_reports(share, duration);
             }
             Trouble::AnswersLost => {
                 let share = self.rng.random_range(0.05..0.6);
-                self.answers_lost(None, share, long, Carried::AtOnce);
+                self.answers_lost(None, share, duration, Carried::AtOnce);
             }
             Trouble::ReportsForNext => {
                 let share = self.rng.random_range(0.1..0.9);
-                self.reports_for_next(share, long);
+                self.reports_for_next(share, duration);
             }
             Trouble::MachinesMute => {
-                let some = self.some_machines();
-                self.machine_mute(&some, long);
+                let machines = self.some_machines();
+                self.machine_mute(&machines, duration);
             }
             Trouble::MachinesDeaf => {
-                let some = self.some_machines();
-                self.machine_deaf(&some, long);
+                let machines = self.some_machines();
+                self.machine_deaf(&machines, duration);
             }
             Trouble::MachinesHang => {
-                for i in self.some_machines() {
-                    self.workers[i].hung_until = now + long;
+                for machine in self.some_machines() {
+                    self.workers[machine].hung_until = now + duration;
                 }
             }
             Trouble::MachinesDie => {
-                let Some(&i) = self.some_machines().first() else { return };
-                self.workers[i].dead = true;
-                self.workers[i].tasks.clear();
+                let Some(&machine) = self.some_machines().first() else { return };
+                self.workers[machine].dead = true;
+                self.workers[machine].tasks.clear();
             }
             Trouble::MachinesTakenBack => {
-                let Some(&i) = self.some_machines().first() else { return };
-                self.workers[i].gone = true;
-                self.workers[i].tasks.clear();
+                let Some(&machine) = self.some_machines().first() else { return };
+                self.workers[machine].gone = true;
+                self.workers[machine].tasks.clear();
             }
-            Trouble::CloseLooks => self.close_looks(long),
+            Trouble::CloseLooks => self.close_looks(duration),
             Trouble::CancelAtEnd => {
                 let share = self.rng.random_range(0.2..0.8);
-                self.cancel_at_end(share, long);
+                self.cancel_at_end(share, duration);
             }
-            Trouble::OddRequests => self.odd_requests(long),
+            Trouble::OddRequests => self.odd_requests(duration),
             Trouble::CancelNow => {
                 self.cancel_now(CALLED_OFF, 0);
             }
             Trouble::CancelNowHang => {
-                self.cancel_now(CALLED_OFF, long);
+                self.cancel_now(CALLED_OFF, duration);
             }
             Trouble::LateCommands => {
                 let share = self.rng.random_range(0.2..1.0);
-                self.late_commands(share, long);
+                self.late_commands(share, duration);
             }
         }
     }
 
     /// Injects two overlapping faults: the second begins during the first or shortly after it.
     pub(crate) fn pair(&mut self, first: Trouble, second: Trouble) {
-        let (a, b) = (self.rng.random_range(0..3usize), self.rng.random_range(0..3usize));
-        let long = self.rng.random_range(4 * S..60 * S);
-        self.begin(first, a, long);
+        let (first_target, second_target) =
+            (self.rng.random_range(0..3usize), self.rng.random_range(0..3usize));
+        let duration = self.rng.random_range(4 * S..60 * S);
+        self.begin(first, first_target, duration);
         let brief = matches!(
             first,
             Trouble::Restart | Trouble::RestartAll | Trouble::MachinesDie | Trouble::MachinesTakenBack
@@ -444,31 +483,31 @@
         let gap = match self.rng.random_range(0..3) {
             0 => self.rng.random_range(0..S),
             _ if brief => self.rng.random_range(0..6 * S),
-            1 => self.rng.random_range(0..(6 * S).min(long)),
-            _ => self.rng.random_range(0..long),
+            1 => self.rng.random_range(0..(6 * S).min(duration)),
+            _ => self.rng.random_range(0..duration),
         };
         let until = self.now + gap;
         self.run(0, until);
-        let long = self.rng.random_range(4 * S..70 * S);
-        self.begin(second, b, long);
+        let duration = self.rng.random_range(4 * S..70 * S);
+        self.begin(second, second_target, duration);
     }
 
     /// The end of the last fault.
     pub(crate) fn over_at(&self) -> u64 {
-        let c = &self.compound;
+        let compound = &self.compound;
         let ends = [
             self.outage_until,
-            c.late_writes.1,
-            c.late_reports.1,
-            c.slow,
+            compound.late_writes.1,
+            compound.late_reports.1,
+            compound.slow,
             self.looks.over_at(),
             self.lost.until(),
             self.zones.until(),
             self.commands.until(),
         ];
-        let ends = ends.into_iter().chain(c.refused).chain(self.hung.iter().copied());
-        let ends = ends.chain(c.ways.iter().map(|w| w.until)).chain(self.cuts.iter().map(|c| c.2));
-        ends.chain(self.workers.iter().flat_map(|w| [w.deaf_until, w.mute_until]))
+        let ends = ends.into_iter().chain(compound.refused).chain(self.hung.iter().copied());
+        let ends = ends.chain(compound.ways.iter().map(|w| w.until)).chain(self.cuts.iter().map(|cut| cut.2));
+        ends.chain(self.workers.iter().flat_map(|w| [w.inbound_lost_until, w.outbound_lost_until]))
             .filter(|&t| t < NEVER)
             .max()
             .unwrap_or(0)
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -5,35 +5,35 @@
 
 /// How a submission differs from the client's original one with the same job ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Dress {
+pub(crate) enum SubmissionVariant {
     /// The original submission.
-    Same,
+    Original,
     /// A different submission that may be accepted.
-    Other,
+    Different,
     /// A field is missing or invalid.
-    Lacks,
+    Invalid,
     /// It exceeds every machine type or the team's quota.
-    Never,
+    Unschedulable,
 }
 
 /// A request of a probing client.
 #[derive(Clone, Debug)]
-pub(crate) struct Look {
+pub(crate) struct ClientProbe {
     pub(crate) job: String,
     pub(crate) kind: char,
-    pub(crate) dress: Dress,
+    pub(crate) variant: SubmissionVariant,
     pub(crate) node: usize,
 }
 
 #[derive(Default)]
-pub(crate) struct Looks {
+pub(crate) struct ClientProbes {
     close_until: u64,
     /// Share of the jobs and the end time.
     at_end: (f64, u64),
     odd_until: u64,
     odd_next: u64,
     /// Jobs that must not be accepted, with their descriptions.
-    pub(crate) odd: BTreeMap<String, (Dress, String)>,
+    pub(crate) odd: BTreeMap<String, (SubmissionVariant, String)>,
     /// Requests sent after a client learned of an acceptance and of an outcome; `around` counts those sent while a
     /// submission or cancellation was in flight.
     pub(crate) after: [usize; 2],
@@ -49,7 +49,7 @@
     pub(crate) of_ended: usize,
 }
 
-impl Looks {
+impl ClientProbes {
     pub(crate) fn over_at(&self) -> u64 {
         self.close_until.max(self.at_end.1).max(self.odd_until)
     }
@@ -57,28 +57,28 @@
 
 impl World {
     /// Clients send bursts to all controllers for this time.
-    pub(crate) fn close_looks(&mut self, long: u64) {
-        self.looks.close_until = self.now + long;
+    pub(crate) fn close_looks(&mut self, duration: u64) {
+        self.looks.close_until = self.now + duration;
     }
 
     /// For this time, clients cancel this share of the jobs just as they end.
-    pub(crate) fn cancel_at_end(&mut self, share: f64, long: u64) {
-        self.looks.at_end = (share, self.now + long);
+    pub(crate) fn cancel_at_end(&mut self, share: f64, duration: u64) {
+        self.looks.at_end = (share, self.now + duration);
     }
 
     /// For this time, clients repeat submissions of unfinished jobs, cancel done jobs and send invalid submissions.
-    pub(crate) fn odd_requests(&mut self, long: u64) {
-        self.looks.odd_until = self.now + long;
+    pub(crate) fn odd_requests(&mut self, duration: u64) {
+        self.looks.odd_until = self.now + duration;
     }
 
-    fn look(&mut self, delay: u64, job: &str, kind: char, dress: Dress) {
+    fn schedule_probe(&mut self, delay: u64, job: &str, kind: char, variant: SubmissionVariant) {
         let node = self.rng.random_range(0..3);
-        self.later(delay, What::Look(Look { job: job.to_owned(), kind, dress, node }));
+        self.later(delay, What::ClientProbe(ClientProbe { job: job.to_owned(), kind, variant, node }));
     }
 
     /// Sends queries and one repeated submission, 0 to 50 ms apart, to all controllers, perhaps with one
     /// cancellation.
-    fn burst(&mut self, job: &str, cancels: f64) -> usize {
+    fn send_burst(&mut self, job: &str, cancels: f64) -> usize {
         let count = self.rng.random_range(4..9usize);
         let repeat = self.rng.random_range(0..count);
         let cancel = self.rng.random_bool(cancels).then(|| self.rng.random_range(0..count));
@@ -86,33 +86,37 @@
         let mut delay = 0;
         for i in 0..count {
             delay += self.rng.random_range(0..if tight { 4_000 } else { 50_000 });
-            let dress =
-                [Dress::Same, Dress::Other, Dress::Lacks, Dress::Never][self.rng.random_range(0..4usize)];
-            let (kind, dress) = match i {
-                i if cancel == Some(i) => ('w', Dress::Same),
-                i if i == repeat => ('s', dress),
-                _ => ('q', Dress::Same),
+            let variant = [
+                SubmissionVariant::Original,
+                SubmissionVariant::Different,
+                SubmissionVariant::Invalid,
+                SubmissionVariant::Unschedulable,
+            ][self.rng.random_range(0..4usize)];
+            let (kind, variant) = match i {
+                i if cancel == Some(i) => ('w', SubmissionVariant::Original),
+                i if i == repeat => ('s', variant),
+                _ => ('q', SubmissionVariant::Original),
             };
             // Each controller once, then random ones.
             let node = if i < 3 { i } else { self.rng.random_range(0..3) };
             let job = job.to_owned();
-            self.later(delay, What::Look(Look { job, kind, dress, node }));
+            self.later(delay, What::ClientProbe(ClientProbe { job, kind, variant, node }));
         }
         count
     }
 
     /// Called when a submission or cancellation of a job is sent.
-    pub(crate) fn look_around(&mut self, job: &str) {
+    pub(crate) fn probe_during_request(&mut self, job: &str) {
         if self.now < self.looks.close_until && self.jobs.contains_key(job) {
-            self.looks.around += self.burst(job, 0.1);
+            self.looks.around += self.send_burst(job, 0.1);
         }
     }
 
     /// Called when a client has learned that a job is accepted or has ended.
-    pub(crate) fn look_after(&mut self, job: &str, ended: bool) {
+    pub(crate) fn probe_after_answer(&mut self, job: &str, ended: bool) {
         if self.now < self.looks.close_until && self.jobs.contains_key(job) {
-            let n = self.burst(job, 0.25);
-            self.looks.after[usize::from(ended)] += n;
+            let sent = self.send_burst(job, 0.25);
+            self.looks.after[usize::from(ended)] += sent;
         }
     }
 
@@ -127,42 +131,44 @@
             let within = [5_000, 50_000, 300_000, 2 * S][self.rng.random_range(0..4usize)];
             let delay = self.rng.random_range(0..within);
             self.looks.at_ends[0] += 1;
-            self.look(delay, job, 'w', Dress::Same);
+            self.schedule_probe(delay, job, 'w', SubmissionVariant::Original);
             for kind in ['q', 's', 'q', 'w'] {
                 if self.rng.random_bool(0.4) {
                     let near = delay + self.rng.random_range(0..20_000);
-                    self.look(near, job, kind, Dress::Same);
+                    self.schedule_probe(near, job, kind, SubmissionVariant::Original);
                 }
             }
         }
     }
 
     /// A description with the same job ID, changed as requested.
-    fn dressed(&mut self, job: &str, dress: Dress) -> String {
+    fn varied_description(&mut self, job: &str, variant: SubmissionVariant) -> String {
         let known = self.register.knows(job).0;
-        let mut b: Value = serde_json::from_str(&self.jobs[job].body).expect("JSON");
-        match dress {
-            Dress::Same => {}
+        let mut description: Value = serde_json::from_str(&self.jobs[job].body).expect("JSON");
+        match variant {
+            SubmissionVariant::Original => {}
             // While the job is unknown this submission may be accepted, so its tasks must be ones that the world can
             // run.
-            Dress::Other if !known => b["rideS"] = json!(self.rng.random_range(1..100)),
-            Dress::Other => {
-                b["strides"] = json!(1);
-                b["gait"] = json!("batch");
-                b["rank"] = json!("idle");
-                b["vcpus"] = json!(0.5);
+            SubmissionVariant::Different if !known => {
+                description["rideS"] = json!(self.rng.random_range(1..100))
             }
-            Dress::Lacks => self.spoil(&mut b),
-            Dress::Never => self.swell(&mut b),
+            SubmissionVariant::Different => {
+                description["strides"] = json!(1);
+                description["gait"] = json!("batch");
+                description["rank"] = json!("idle");
+                description["vcpus"] = json!(0.5);
+            }
+            SubmissionVariant::Invalid => self.make_invalid(&mut description),
+            SubmissionVariant::Unschedulable => self.make_unschedulable(&mut description),
         }
-        b.to_string()
+        description.to_string()
     }
 
     /// Removes a field or makes it invalid.
-    fn spoil(&mut self, b: &mut Value) {
+    fn make_invalid(&mut self, description: &mut Value) {
         const FIELDS: [&str; 8] = ["breed", "herd", "gait", "rank", "strides", "vcpus", "tack", "together"];
         let field = FIELDS[self.rng.random_range(0..FIELDS.len())];
-        let fields = b.as_object_mut().expect("an object");
+        let fields = description.as_object_mut().expect("an object");
         match self.rng.random_range(0..3) {
             0 => fields.insert(field.into(), json!([7])),
             _ => fields.remove(field),
@@ -170,91 +176,91 @@
     }
 
     /// Requests more than the cluster or the team's quota has.
-    fn swell(&mut self, b: &mut Value) {
+    fn make_unschedulable(&mut self, description: &mut Value) {
         match self.rng.random_range(0..5) {
-            0 => b["vcpus"] = json!(500.0),
-            1 => b["breedsOfStall"] = json!(["none"]),
-            2 => b["paddock"] = json!("z"),
-            3 => b["herd"] = json!("nobody"),
+            0 => description["vcpus"] = json!(500.0),
+            1 => description["breedsOfStall"] = json!(["none"]),
+            2 => description["paddock"] = json!("z"),
+            3 => description["herd"] = json!("nobody"),
             // More than its team's limit at once.
             _ => {
-                (b["gait"], b["herd"]) = (json!("group"), json!("t0"));
-                (b["strides"], b["vcpus"]) = (json!(1000), json!(4.0));
+                (description["gait"], description["herd"]) = (json!("group"), json!("t0"));
+                (description["strides"], description["vcpus"]) = (json!(1000), json!(4.0));
             }
         }
     }
 
     /// Sends a request of a probing client.
-    pub(crate) fn send_look(&mut self, look: Look) {
-        let odd = self.looks.odd.get(&look.job).cloned();
+    pub(crate) fn send_client_probe(&mut self, probe: ClientProbe) {
+        let odd = self.looks.odd.get(&probe.job).cloned();
         // Limited controllers get no requests that use newer features.
-        if self.limited[look.node] || (odd.is_none() && !self.jobs.contains_key(&look.job)) {
+        if self.limited[probe.node] || (odd.is_none() && !self.jobs.contains_key(&probe.job)) {
             return;
         }
-        let id = look.job.clone();
-        let request = match (look.kind, odd) {
+        let id = probe.job.clone();
+        let request = match (probe.kind, odd) {
             ('s', Some((_, body))) => UserRequest::Submit(id, body),
-            ('s', None) => UserRequest::Submit(id, self.dressed(&look.job, look.dress)),
+            ('s', None) => UserRequest::Submit(id, self.varied_description(&probe.job, probe.variant)),
             ('w', _) => {
-                if let Some(j) = self.jobs.get_mut(&id) {
-                    j.cancel_asked = true;
+                if let Some(user_job) = self.jobs.get_mut(&id) {
+                    user_job.cancel_asked = true;
                 }
                 self.looks.of_ended += usize::from(self.register.knows(&id).1);
                 UserRequest::Cancel(id)
             }
             _ => UserRequest::Query(id),
         };
-        let sort = match (look.kind, look.dress) {
+        let sort = match (probe.kind, probe.variant) {
             ('q', _) => 0,
-            ('s', Dress::Same) => 1,
-            ('s', Dress::Other) => 2,
+            ('s', SubmissionVariant::Original) => 1,
+            ('s', SubmissionVariant::Different) => 2,
             ('s', _) => 3,
             _ => 4,
         };
         self.looks.sent[sort] += 1;
-        if let (true, Some(j)) = (look.kind == 's', self.jobs.get_mut(&look.job)) {
-            j.submitted = true;
+        if let (true, Some(user_job)) = (probe.kind == 's', self.jobs.get_mut(&probe.job)) {
+            user_job.submitted = true;
         }
         self.serial += 1;
-        let (ticket, node) = (self.serial, look.node);
-        self.tickets.insert(ticket, Ticket::Look(look));
+        let (ticket, node) = (self.serial, probe.node);
+        self.tickets.insert(ticket, Ticket::ClientProbe(probe));
         let delay = self.rng.random_range(100..3000);
         self.later(delay, What::Controller(node, 0, Event::User { ticket, request }));
     }
 
     /// Checks the answer to a probing client. `answered` has checked it against the register before.
-    pub(crate) fn look_answer(&mut self, look: &Look, r: &Reply) {
-        let odd = self.looks.odd.get(&look.job).map(|o| o.0);
-        if r.status == 503 {
-            assert!(r.retry_after.is_some(), "a refusal says when to come back");
-            self.looks.turned_down[2] += usize::from(odd.is_some() && look.kind == 's');
+    pub(crate) fn check_probe_answer(&mut self, probe: &ClientProbe, reply: &Reply) {
+        let odd = self.looks.odd.get(&probe.job).map(|o| o.0);
+        if reply.status == 503 {
+            assert!(reply.retry_after.is_some(), "a 503 has a Retry-After");
+            self.looks.turned_down[2] += usize::from(odd.is_some() && probe.kind == 's');
             return;
         }
-        let told = |dress: Dress| match dress {
-            Dress::Lacks => 400,
-            Dress::Never => 422,
+        let expected_status = |variant: SubmissionVariant| match variant {
+            SubmissionVariant::Invalid => 400,
+            SubmissionVariant::Unschedulable => 422,
             _ => 0,
         };
-        if let Some(dress) = odd {
-            let due = if look.kind == 's' { told(dress) } else { 404 };
-            assert_eq!(r.status, due, "an odd job, {look:?}: {r:?}");
-            if look.kind == 's' {
-                self.looks.turned_down[usize::from(dress == Dress::Never)] += 1;
+        if let Some(variant) = odd {
+            let expected = if probe.kind == 's' { expected_status(variant) } else { 404 };
+            assert_eq!(reply.status, expected, "an invalid job, {probe:?}: {reply:?}");
+            if probe.kind == 's' {
+                self.looks.turned_down[usize::from(variant == SubmissionVariant::Unschedulable)] += 1;
             }
             return;
         }
         // A submission after the release has closed is refused permanently; the register checks that the job was
         // unknown.
-        let late = r.status == 422 && self.jobs[&look.job].spec.release.is_some();
-        match look.kind {
+        let late = reply.status == 422 && self.jobs[&probe.job].spec.release.is_some();
+        match probe.kind {
             's' => assert!(
-                matches!(r.status, 200 | 201) || r.status == told(look.dress) || late,
-                "{look:?}: {r:?}"
+                matches!(reply.status, 200 | 201) || reply.status == expected_status(probe.variant) || late,
+                "{probe:?}: {reply:?}"
             ),
-            _ => assert!(matches!(r.status, 200 | 404), "{look:?}: {r:?}"),
+            _ => assert!(matches!(reply.status, 200 | 404), "{probe:?}: {reply:?}"),
         }
-        if look.kind == 'w' && self.now < self.looks.at_end.1 + 10 * S {
-            let body: Value = serde_json::from_str(&r.body).expect("JSON");
+        if probe.kind == 'w' && self.now < self.looks.at_end.1 + 10 * S {
+            let body: Value = serde_json::from_str(&reply.body).expect("JSON");
             match body["stance"].as_str() {
                 Some("done") => self.looks.at_ends[1] += 1,
                 Some(_) => self.looks.at_ends[2] += 1,
@@ -264,7 +270,7 @@
     }
 
     /// Sends invalid requests at random intervals.
-    pub(crate) fn run_odd(&mut self) {
+    pub(crate) fn send_invalid_requests(&mut self) {
         if self.now >= self.looks.odd_until || self.now < self.looks.odd_next {
             return;
         }
@@ -274,33 +280,37 @@
         };
         let live = known(&|j| j.known == Known::Accepted);
         let done = known(&|j| j.known == Known::Done);
-        let pick = |w: &mut World, of: &[String]| match of.len() {
+        let pick = |world: &mut World, of: &[String]| match of.len() {
             0 => None,
-            n => Some(of[w.rng.random_range(0..n)].clone()),
+            n => Some(of[world.rng.random_range(0..n)].clone()),
         };
         let delay = self.rng.random_range(0..S / 10);
         if let Some(id) = pick(self, &live) {
-            self.look(delay, &id, 's', Dress::Same);
+            self.schedule_probe(delay, &id, 's', SubmissionVariant::Original);
         }
         if let Some(id) = pick(self, &done) {
-            self.look(delay, &id, 'w', Dress::Same);
+            self.schedule_probe(delay, &id, 'w', SubmissionVariant::Original);
         }
         let id = format!("wk-{}", 80_000_000 + self.looks.odd.len());
         let mut body = json!({"uid": id, "breed": "odd", "herd": "t1", "gait": "batch", "rank": "normal",
             "strides": 1, "vcpus": 1.0, "cards": 0, "ramGb": 1.0, "tack": "img", "imageGb": 1.0,
             "together": false, "scatter": false, "borrowed": false, "rideS": 10.0, "restS": 0.0,
             "unsaddleS": 0.0, "dueS": null, "follows": []});
-        let dress = if self.rng.random_bool(0.5) { Dress::Lacks } else { Dress::Never };
-        match dress {
-            Dress::Lacks => self.spoil(&mut body),
-            _ => self.swell(&mut body),
+        let variant = if self.rng.random_bool(0.5) {
+            SubmissionVariant::Invalid
+        } else {
+            SubmissionVariant::Unschedulable
+        };
+        match variant {
+            SubmissionVariant::Invalid => self.make_invalid(&mut body),
+            _ => self.make_unschedulable(&mut body),
         }
-        self.looks.odd.insert(id.clone(), (dress, body.to_string()));
+        self.looks.odd.insert(id.clone(), (variant, body.to_string()));
         // Repeats, queries and a cancellation through any controllers, soon and later.
         for kind in ['s', 's', 'q', 'w', 's'] {
             let within = if self.rng.random_bool(0.7) { 30_000 } else { 6 * S };
             let delay = delay + self.rng.random_range(0..within);
-            self.look(delay, &id, kind, dress);
+            self.schedule_probe(delay, &id, kind, variant);
         }
     }
 }
--- a/tests/world/lost.rs
+++ b/tests/world/lost.rs
@@ -38,7 +38,7 @@
 
 /// Selects the writes whose answers are lost: by kind and controller, where `None` matches all.
 #[derive(Clone, Copy, Debug)]
-struct Loss {
+struct AnswerLoss {
     of: Option<Write>,
     by: Option<usize>,
     share: f64,
@@ -48,8 +48,8 @@
 
 /// A write whose sender gets no answer.
 #[derive(Clone, Debug)]
-pub(crate) struct Unanswered {
-    n: usize,
+pub(crate) struct UnansweredWrite {
+    controller: usize,
     boot: u64,
     kind: Write,
     carried: Carried,
@@ -58,8 +58,8 @@
 
 /// A write that was carried out without an answer and has not been read back by its sender yet.
 #[derive(Debug)]
-struct Unread {
-    n: usize,
+struct UnreadWrite {
+    controller: usize,
     boot: u64,
     kind: Write,
     carried: Carried,
@@ -96,16 +96,16 @@
 
 #[derive(Default)]
 pub(crate) struct Lost {
-    losses: Vec<Loss>,
+    losses: Vec<AnswerLoss>,
     pub(crate) counts: BTreeMap<(Write, Carried), Count>,
     /// Writes that wait for another process to write the same key.
-    waiting: Vec<Unanswered>,
-    unread: Vec<Unread>,
+    waiting: Vec<UnansweredWrite>,
+    unread: Vec<UnreadWrite>,
     /// Share and end time for copying heartbeats, and the copies by worker.
     reports: (f64, u64),
-    kept: Vec<(usize, Heartbeat)>,
+    held_back: Vec<(usize, Heartbeat)>,
     /// Copies that wait until a task is started in the epoch: epoch, worker, heartbeat.
-    held: Vec<(u64, usize, Heartbeat)>,
+    awaiting_start: Vec<(u64, usize, Heartbeat)>,
     epoch: u64,
     pub(crate) copies: Copies,
     /// Heartbeats lost by machines that reach no controller, and their answers to fencing probes.
@@ -117,19 +117,19 @@
     /// Scale-outs carried out without an answer.
     pub(crate) rented: usize,
     /// End time and extra delay of each controller's requests on its membership lane.
-    ring_line: [(u64, u64); 3],
+    membership_delay: [(u64, u64); 3],
 }
 
 impl Lost {
     /// The end of the last fault.
     pub(crate) fn until(&self) -> u64 {
-        let ends = self.losses.iter().map(|l| l.until).chain(self.ring_line.iter().map(|l| l.0));
+        let ends = self.losses.iter().map(|l| l.until).chain(self.membership_delay.iter().map(|l| l.0));
         ends.chain([self.reports.1, self.rentals.1]).max().unwrap_or(0)
     }
 
     /// Whether controllers or services that they need are failing.
-    pub(crate) fn troubles(&self, now: u64) -> bool {
-        self.losses.iter().any(|l| now < l.until) || self.ring_line.iter().any(|l| now < l.0)
+    pub(crate) fn has_fault(&self, now: u64) -> bool {
+        self.losses.iter().any(|l| now < l.until) || self.membership_delay.iter().any(|l| now < l.0)
     }
 
     pub(crate) fn count(&self, kind: Write, carried: Carried) -> Count {
@@ -138,62 +138,73 @@
 }
 
 /// The keys that a transaction writes or deletes.
-fn keys_of(r: &StoreRequest) -> Vec<String> {
-    let StoreRequest::Transaction(c) = r else { return Vec::new() };
-    c.puts.iter().map(|p| &p.0).chain(&c.deletes).cloned().collect()
+fn keys_of(request: &StoreRequest) -> Vec<String> {
+    let StoreRequest::Transaction(transaction) = request else { return Vec::new() };
+    transaction.puts.iter().map(|p| &p.0).chain(&transaction.deletes).cloned().collect()
 }
 
 impl World {
     /// For this time, this share of the writes of a kind (`None`: of any kind) gets no answer.
-    pub(crate) fn answers_lost(&mut self, of: Option<Write>, share: f64, long: u64, carried: Carried) {
-        self.lost.losses.push(Loss { of, by: None, share, until: self.now + long, carried });
+    pub(crate) fn answers_lost(&mut self, of: Option<Write>, share: f64, duration: u64, carried: Carried) {
+        self.lost.losses.push(AnswerLoss { of, by: None, share, until: self.now + duration, carried });
     }
 
     /// Like `answers_lost`, for one controller.
-    pub(crate) fn answers_lost_by(&mut self, n: usize, of: Write, share: f64, long: u64, carried: Carried) {
-        let until = self.now + long;
-        self.lost.losses.push(Loss { of: Some(of), by: Some(n), share, until, carried });
+    pub(crate) fn answers_lost_by(
+        &mut self,
+        controller: usize,
+        of: Write,
+        share: f64,
+        duration: u64,
+        carried: Carried,
+    ) {
+        let until = self.now + duration;
+        self.lost.losses.push(AnswerLoss { of: Some(of), by: Some(controller), share, until, carried });
     }
 
     /// For this time, copies of this share of the workers' heartbeats are held back until the next epoch. Then they
     /// arrive at every controller, half of them only after a task was started in that epoch.
-    pub(crate) fn reports_for_next(&mut self, share: f64, long: u64) {
-        self.lost.reports = (share, self.now + long);
+    pub(crate) fn reports_for_next(&mut self, share: f64, duration: u64) {
+        self.lost.reports = (share, self.now + duration);
     }
 
     /// These machines reach no controller, but fencing probes reach them.
-    pub(crate) fn machine_mute(&mut self, machines: &[usize], long: u64) {
-        for &i in machines {
-            self.workers[i].mute_until = self.now + long;
+    pub(crate) fn machine_mute(&mut self, machines: &[usize], duration: u64) {
+        for &machine in machines {
+            self.workers[machine].outbound_lost_until = self.now + duration;
         }
     }
 
     /// For this time, this share of scale-outs is carried out without an answer.
-    pub(crate) fn rentals_lost(&mut self, share: f64, long: u64) {
-        self.lost.rentals = (share, self.now + long);
+    pub(crate) fn rentals_lost(&mut self, share: f64, duration: u64) {
+        self.lost.rentals = (share, self.now + duration);
     }
 
     /// Delays a controller's requests on its membership lane, but not its other requests.
-    pub(crate) fn ring_line_slow(&mut self, n: usize, by: u64, long: u64) {
-        self.lost.ring_line[n] = (self.now + long, by);
+    pub(crate) fn ring_line_slow(&mut self, controller: usize, by: u64, duration: u64) {
+        self.lost.membership_delay[controller] = (self.now + duration, by);
     }
 
-    pub(crate) fn ring_line(&self, n: usize, ring: bool) -> u64 {
-        let (until, by) = self.lost.ring_line[n];
+    pub(crate) fn membership_delay(&self, controller: usize, ring: bool) -> u64 {
+        let (until, by) = self.lost.membership_delay[controller];
         if ring && self.now < until { by } else { 0 }
     }
 
-    fn kind_of(&self, r: &StoreRequest) -> Option<Write> {
-        let c = match r {
+    fn kind_of(&self, request: &StoreRequest) -> Option<Write> {
+        let transaction = match request {
             StoreRequest::Grant(_) => return Some(Write::Grant),
             StoreRequest::Renew(_) => return Some(Write::Renewal),
-            StoreRequest::Transaction(c) => c,
+            StoreRequest::Transaction(transaction) => transaction,
             _ => return None,
         };
-        let keys = keys_of(r);
+        let keys = keys_of(request);
         let has = |prefix: &str| keys.iter().any(|k| k.starts_with(prefix));
-        let new =
-            || c.conditions.iter().any(|(k, store_version)| k.starts_with("job/") && *store_version == 0);
+        let new = || {
+            transaction
+                .conditions
+                .iter()
+                .any(|(k, store_version)| k.starts_with("job/") && *store_version == 0)
+        };
         const PLAIN: [(&str, Write); 8] = [
             ("ring/epoch", Write::Raise),
             ("ring/m/", Write::Member),
@@ -209,84 +220,101 @@
         }
         match () {
             _ if has("job/") => Some(if new() { Write::Acceptance } else { Write::Progress }),
-            _ if has("team/") => Some(if self.shrinks(c) { Write::Shrinking } else { Write::Claim }),
+            _ if has("team/") => {
+                Some(if self.reduces_claim(transaction) { Write::Shrinking } else { Write::Claim })
+            }
             _ if has("pact/b/") => Some(Write::Batch),
             _ => None,
         }
     }
 
     /// Whether the transaction reduces a job's claim in a team's record.
-    fn shrinks(&self, c: &Transaction) -> bool {
+    fn reduces_claim(&self, transaction: &Transaction) -> bool {
         let claims = |v: &Value| -> BTreeMap<String, i64> {
             let all = v.as_object().into_iter().flatten();
-            all.map(|(job, c)| (job.clone(), c[0].as_i64().unwrap_or(0))).collect()
+            all.map(|(job, claim)| (job.clone(), claim[0].as_i64().unwrap_or(0))).collect()
         };
-        c.puts.iter().any(|(key, value, _)| {
+        transaction.puts.iter().any(|(key, value, _)| {
             let before = self.store.keys.get(key).map(|v| claims(&v.0)).unwrap_or_default();
             let after = claims(value);
-            before.iter().any(|(job, c)| after.get(job).copied().unwrap_or(0) < *c)
+            before.iter().any(|(job, claim)| after.get(job).copied().unwrap_or(0) < *claim)
         })
     }
 
     /// Whether the answer to a request is lost; if so, this also determines when the request is carried out.
-    pub(crate) fn loses_answer(&mut self, n: usize, r: &StoreRequest, delay: u64) -> bool {
-        if !self.lost.losses.iter().any(|l| self.now < l.until) {
+    pub(crate) fn is_answer_dropped(
+        &mut self,
+        controller: usize,
+        request: &StoreRequest,
+        delay: u64,
+    ) -> bool {
+        if !self.lost.losses.iter().any(|loss| self.now < loss.until) {
             return false;
         }
-        let Some(kind) = self.kind_of(r) else { return false };
-        let hit =
-            |l: &&Loss| self.now < l.until && l.of.is_none_or(|k| k == kind) && l.by.is_none_or(|p| p == n);
-        let Some(l) = self.lost.losses.iter().find(hit).copied() else { return false };
-        if !self.rng.random_bool(l.share) {
+        let Some(kind) = self.kind_of(request) else { return false };
+        let hit = |loss: &&AnswerLoss| {
+            self.now < loss.until
+                && loss.of.is_none_or(|k| k == kind)
+                && loss.by.is_none_or(|p| p == controller)
+        };
+        let Some(loss) = self.lost.losses.iter().find(hit).copied() else { return false };
+        if !self.rng.random_bool(loss.share) {
             return false;
         }
-        self.lost.counts.entry((kind, l.carried)).or_default().asked += 1;
-        let u = Unanswered { n, boot: self.boots[n], kind, carried: l.carried, request: r.clone() };
-        match l.carried {
+        self.lost.counts.entry((kind, loss.carried)).or_default().asked += 1;
+        let write = UnansweredWrite {
+            controller,
+            boot: self.boots[controller],
+            kind,
+            carried: loss.carried,
+            request: request.clone(),
+        };
+        match loss.carried {
             Carried::Never => {}
-            Carried::AtOnce => self.later(delay, What::Unanswered(u)),
+            Carried::AtOnce => self.later(delay, What::Unanswered(write)),
             Carried::Late => {
                 let late = self.rng.random_range(2 * S..12 * S);
-                self.later(late, What::Unanswered(u));
+                self.later(late, What::Unanswered(write));
             }
-            Carried::AfterSuccessor => self.lost.waiting.push(u),
+            Carried::AfterSuccessor => self.lost.waiting.push(write),
         }
         true
     }
 
     /// Carries out a write whose sender gets no answer; its conditions are checked now.
-    pub(crate) fn carried_out(&mut self, u: Unanswered) {
+    pub(crate) fn apply_unanswered(&mut self, write: UnansweredWrite) {
         if self.now < self.outage_until {
             // A late write is carried out after the outage. The others are refused, and their senders are not
             // informed.
-            if u.carried == Carried::Late {
+            if write.carried == Carried::Late {
                 let delay = self.outage_until - self.now + S / 10;
-                self.later(delay, What::Unanswered(u));
+                self.later(delay, What::Unanswered(write));
             }
             return;
         }
-        let keys = keys_of(&u.request);
-        let a = self.store_apply_by(u.n, u.boot, u.request);
+        let keys = keys_of(&write.request);
+        let answer = self.store_apply_by(write.controller, write.boot, write.request);
         self.run_watches();
-        let took = matches!(a, StoreAnswer::Committed(_) | StoreAnswer::Granted(_) | StoreAnswer::Renewed);
+        let took =
+            matches!(answer, StoreAnswer::Committed(_) | StoreAnswer::Granted(_) | StoreAnswer::Renewed);
         // A newer write of another process must not be overwritten by this one.
         assert!(
-            !took || u.carried != Carried::AfterSuccessor,
-            "{:?} of {keys:?} by {} took effect after its successor's at {}",
-            u.kind,
-            u.n,
+            !took || write.carried != Carried::AfterSuccessor,
+            "{:?} of {keys:?} by {} was committed after another process's write at {}",
+            write.kind,
+            write.controller,
             self.now
         );
-        let count = self.lost.counts.entry((u.kind, u.carried)).or_default();
+        let count = self.lost.counts.entry((write.kind, write.carried)).or_default();
         count.applied += 1;
         count.took += usize::from(took);
         if took && !keys.is_empty() {
             let until = self.now + 10 * S;
-            self.lost.unread.push(Unread {
-                n: u.n,
-                boot: u.boot,
-                kind: u.kind,
-                carried: u.carried,
+            self.lost.unread.push(UnreadWrite {
+                controller: write.controller,
+                boot: write.boot,
+                kind: write.kind,
+                carried: write.carried,
                 keys,
                 until,
             });
@@ -294,40 +322,46 @@
     }
 
     /// A controller's request reaches the state store.
-    pub(crate) fn store_apply_by(&mut self, n: usize, boot: u64, r: StoreRequest) -> StoreAnswer {
-        self.note_read(n, boot, &r);
-        let keys = keys_of(&r);
-        let a = self.store_apply(r);
-        if matches!(a, StoreAnswer::Committed(_)) && !self.lost.waiting.is_empty() {
-            let follows = |u: &mut Unanswered| {
-                (u.n, u.boot) != (n, boot) && keys_of(&u.request).iter().any(|k| keys.contains(k))
+    pub(crate) fn store_apply_by(
+        &mut self,
+        controller: usize,
+        boot: u64,
+        request: StoreRequest,
+    ) -> StoreAnswer {
+        self.record_read(controller, boot, &request);
+        let keys = keys_of(&request);
+        let answer = self.store_apply(request);
+        if matches!(answer, StoreAnswer::Committed(_)) && !self.lost.waiting.is_empty() {
+            let writes_same_key = |write: &mut UnansweredWrite| {
+                (write.controller, write.boot) != (controller, boot)
+                    && keys_of(&write.request).iter().any(|k| keys.contains(k))
             };
-            for u in self.lost.waiting.extract_if(.., follows).collect::<Vec<_>>() {
+            for write in self.lost.waiting.extract_if(.., writes_same_key).collect::<Vec<_>>() {
                 let soon = self.rng.random_range(1..3 * S / 10);
-                self.later(soon, What::Unanswered(u));
+                self.later(soon, What::Unanswered(write));
             }
         }
-        a
+        answer
     }
 
     /// Records whether the sender or another process first reads a write without an answer.
-    fn note_read(&mut self, n: usize, boot: u64, r: &StoreRequest) {
+    fn record_read(&mut self, controller: usize, boot: u64, request: &StoreRequest) {
         let now = self.now;
-        let covers = |key: &String| match r {
+        let covers = |key: &String| match request {
             StoreRequest::Get(k) => k == key,
             StoreRequest::List(prefix, after) => key.starts_with(prefix) && key > after,
             _ => false,
         };
         let mut read: Vec<(Write, Carried)> = Vec::new();
-        self.lost.unread.retain(|u| {
-            if now >= u.until {
+        self.lost.unread.retain(|write| {
+            if now >= write.until {
                 return false;
             }
-            if !u.keys.iter().any(covers) {
+            if !write.keys.iter().any(covers) {
                 return true;
             }
-            if (u.n, u.boot) != (n, boot) {
-                read.push((u.kind, u.carried));
+            if (write.controller, write.boot) != (controller, boot) {
+                read.push((write.kind, write.carried));
             }
             false
         });
@@ -337,24 +371,26 @@
     }
 
     /// Holds back a copy of a random share of the heartbeats, at most four for each machine, old ones included.
-    pub(crate) fn keep_report(&mut self, i: usize, report: &Heartbeat) {
+    pub(crate) fn hold_back_heartbeat(&mut self, worker_index: usize, report: &Heartbeat) {
         const KEPT: usize = 4;
         let (share, until) = self.lost.reports;
         if self.now >= until || !self.rng.random_bool(share) {
             return;
         }
-        let mine: Vec<usize> = (0..self.lost.kept.len()).filter(|k| self.lost.kept[*k].0 == i).collect();
-        if mine.len() < KEPT {
-            self.lost.kept.push((i, report.clone()));
+        let from_worker: Vec<usize> = (0..self.lost.held_back.len())
+            .filter(|slot| self.lost.held_back[*slot].0 == worker_index)
+            .collect();
+        if from_worker.len() < KEPT {
+            self.lost.held_back.push((worker_index, report.clone()));
         } else {
-            let k = mine[self.rng.random_range(0..KEPT)];
-            self.lost.kept[k].1 = report.clone();
+            let slot = from_worker[self.rng.random_range(0..KEPT)];
+            self.lost.held_back[slot].1 = report.clone();
         }
     }
 
     /// When the epoch was raised, delivers the copies held back for the next leader, now or after the first task
     /// start in it.
-    pub(crate) fn note_epoch(&mut self) {
+    pub(crate) fn observe_epoch(&mut self) {
         let Some(epoch) = self.store.keys.get("ring/epoch").and_then(|v| v.0["epoch"].as_u64()) else {
             return;
         };
@@ -362,63 +398,69 @@
             return;
         }
         self.lost.epoch = epoch;
-        for (i, report) in std::mem::take(&mut self.lost.kept) {
+        for (worker_index, report) in std::mem::take(&mut self.lost.held_back) {
             if self.rng.random_bool(0.5) {
-                self.deliver_to_everybody(i, &report);
+                self.deliver_to_all(worker_index, &report);
             } else {
-                self.lost.held.push((epoch, i, report));
+                self.lost.awaiting_start.push((epoch, worker_index, report));
             }
         }
     }
 
     /// A worker accepts a task start; delivers the copies that wait for a start in its epoch.
-    pub(crate) fn note_start(&mut self, attempt: u64) {
-        if self.lost.held.is_empty() {
+    pub(crate) fn observe_start(&mut self, attempt: u64) {
+        if self.lost.awaiting_start.is_empty() {
             return;
         }
         // The upper bits of an attempt hold its epoch.
         let epoch = attempt >> 24;
-        for (_, i, report) in self.lost.held.extract_if(.., |h| h.0 <= epoch).collect::<Vec<_>>() {
-            self.deliver_to_everybody(i, &report);
+        for (_, worker_index, report) in
+            self.lost.awaiting_start.extract_if(.., |h| h.0 <= epoch).collect::<Vec<_>>()
+        {
+            self.deliver_to_all(worker_index, &report);
         }
     }
 
-    fn deliver_to_everybody(&mut self, i: usize, report: &Heartbeat) {
-        for n in 0..3 {
+    fn deliver_to_all(&mut self, worker_index: usize, report: &Heartbeat) {
+        for controller in 0..3 {
             let soon = self.rng.random_range(1..3 * S / 10);
-            self.later(soon, What::KeptReport(i, n, report.clone()));
+            self.later(soon, What::KeptReport(worker_index, controller, report.clone()));
         }
     }
 
     /// Counts and delivers a copy that was held back. The response to it is dropped.
-    pub(crate) fn kept_report(&mut self, i: usize, n: usize, report: Heartbeat) {
-        let w = &self.workers[i];
-        let c = &mut self.lost.copies;
-        c.all += 1;
-        if let Some(node) = &self.nodes[n]
-            && node.membership.machine_leader(&w.name) == Some(n)
+    pub(crate) fn deliver_held_back(&mut self, worker_index: usize, controller: usize, report: Heartbeat) {
+        let worker = &self.workers[worker_index];
+        let copies = &mut self.lost.copies;
+        copies.all += 1;
+        if let Some(node) = &self.nodes[controller]
+            && node.membership.machine_leader(&worker.name) == Some(controller)
         {
             let epoch = node.membership.epoch;
-            c.first += usize::from(w.token < epoch);
-            c.acted += usize::from(w.tasks.iter().any(|t| t.attempt >> 24 >= epoch));
+            copies.first += usize::from(worker.token < epoch);
+            copies.acted += usize::from(worker.tasks.iter().any(|t| t.attempt >> 24 >= epoch));
         }
-        c.earlier += usize::from(w.session > report.incarnation);
-        c.gone += usize::from(w.gone || w.dead);
+        copies.earlier += usize::from(worker.session > report.incarnation);
+        copies.gone += usize::from(worker.gone || worker.dead);
         let lists = |r: &HeartbeatTask| {
-            w.tasks.iter().any(|t| t.attempt == r.attempt && r.task == format!("{}/{}", t.job, t.index))
+            worker.tasks.iter().any(|t| t.attempt == r.attempt && r.task == format!("{}/{}", t.job, t.index))
         };
-        c.forgotten +=
+        copies.forgotten +=
             usize::from(report.tasks.iter().any(|r| r.cause.as_deref() == Some("done") && !lists(r)));
         self.serial += 1;
-        self.drive(n, Event::Heartbeat { ticket: self.serial, heartbeat: report });
+        self.step_controller(controller, Event::Heartbeat { ticket: self.serial, heartbeat: report });
     }
 
     /// Drops the answers to a random share of successful scale-outs.
-    pub(crate) fn rental_answer(&mut self, r: &CloudRequest, a: CloudAnswer) -> CloudAnswer {
+    pub(crate) fn filter_rental_answer(
+        &mut self,
+        request: &CloudRequest,
+        answer: CloudAnswer,
+    ) -> CloudAnswer {
         let (share, until) = self.lost.rentals;
-        let rented = matches!((r, &a), (CloudRequest::ScaleOut(_), CloudAnswer::ScaledOut(_)));
+        let rented = matches!((request, &answer), (CloudRequest::ScaleOut(_), CloudAnswer::ScaledOut(_)));
         if !rented || self.now >= until || !self.rng.random_bool(share) {
-            return a;
+            return answer;
         }
         self.lost.rented += 1;
         CloudAnswer::Failed
@@ -431,13 +473,13 @@
     }
 
     /// A client polls a job through one controller.
-    pub(crate) fn poll(&mut self, n: usize, id: &str) {
-        if self.nodes[n].is_none() {
+    pub(crate) fn poll(&mut self, controller: usize, id: &str) {
+        if self.nodes[controller].is_none() {
             return;
         }
         self.serial += 1;
-        self.tickets.insert(self.serial, Ticket::Poll(id.to_owned(), n, self.now));
-        let ask = Event::User { ticket: self.serial, request: UserRequest::Query(id.to_owned()) };
-        self.later(1, What::Controller(n, self.boots[n], ask));
+        self.tickets.insert(self.serial, Ticket::Poll(id.to_owned(), controller, self.now));
+        let query = Event::User { ticket: self.serial, request: UserRequest::Query(id.to_owned()) };
+        self.later(1, What::Controller(controller, self.boots[controller], query));
     }
 }
--- a/tests/world/outside.rs
+++ b/tests/world/outside.rs
@@ -4,14 +4,14 @@
 
 impl World {
     /// Reduces a request to what a limited controller would write.
-    pub(crate) fn written_by(&self, n: usize, mut r: StoreRequest) -> StoreRequest {
-        if let (true, StoreRequest::Transaction(c)) = (self.limited[n], &mut r) {
-            for (key, value, _) in c.puts.iter_mut().filter(|p| p.0.starts_with("ring/m/")) {
-                assert!(key != "ring/m/*", "an old controller is among them");
+    pub(crate) fn write_as_limited(&self, controller: usize, mut request: StoreRequest) -> StoreRequest {
+        if let (true, StoreRequest::Transaction(transaction)) = (self.limited[controller], &mut request) {
+            for (key, value, _) in transaction.puts.iter_mut().filter(|p| p.0.starts_with("ring/m/")) {
+                assert!(key != "ring/m/*", "ring/m/* is written while a limited controller is a member");
                 value.as_object_mut().expect("a member").remove("reads");
             }
             // Version 1 preserves the job fields that it doesn't know.
-            for (key, value, _) in c.puts.iter_mut().filter(|p| p.0.starts_with("job/")) {
+            for (key, value, _) in transaction.puts.iter_mut().filter(|p| p.0.starts_with("job/")) {
                 let spec = &mut value["spec"];
                 if let Some(name) = spec["breedsOfStall"][0].as_str().and_then(|t| t.strip_prefix("unknown "))
                 {
@@ -22,20 +22,20 @@
                     spec[member] = hidden.clone();
                 }
             }
-            for (_, value, _) in c.puts.iter_mut().filter(|p| p.0.starts_with("done/")) {
-                value.as_object_mut().expect("an end").remove("says");
+            for (_, value, _) in transaction.puts.iter_mut().filter(|p| p.0.starts_with("done/")) {
+                value.as_object_mut().expect("a final record").remove("says");
             }
         }
-        r
+        request
     }
 
     /// Reduces an answer to what a limited controller would read. Version 1 has no dependencies, and treats the
     /// reserved machine types that hold a job back as ordinary ones.
-    pub(crate) fn read_by(&mut self, n: usize, mut a: StoreAnswer) -> StoreAnswer {
-        if !self.limited[n] {
-            return a;
+    pub(crate) fn read_as_limited(&mut self, controller: usize, mut answer: StoreAnswer) -> StoreAnswer {
+        if !self.limited[controller] {
+            return answer;
         }
-        let rows = match &mut a {
+        let rows = match &mut answer {
             StoreAnswer::Got(row) => row.as_mut_slice(),
             StoreAnswer::Page(rows, _) => rows.as_mut_slice(),
             _ => &mut [],
@@ -57,7 +57,7 @@
                 assert!(types.len() == 1 && !["small", "large"].iter().any(|t| types[0] == *t));
             }
         }
-        a
+        answer
     }
 
     /// Answers watches that have changes to report or whose deadline has passed.
@@ -65,97 +65,111 @@
         if self.now < self.outage_until {
             return;
         }
-        for (n, boot, id, prefix, after, until) in std::mem::take(&mut self.watches) {
-            let a = match self.store.news(&prefix, after) {
+        for (controller, boot, id, prefix, after, until) in std::mem::take(&mut self.watches) {
+            let answer = match self.store.news(&prefix, after) {
                 None if self.now < until => {
-                    self.watches.push((n, boot, id, prefix, after, until));
+                    self.watches.push((controller, boot, id, prefix, after, until));
                     continue;
                 }
                 None => StoreAnswer::Changes(self.store.revision, Vec::new()),
                 Some(news) => news,
             };
-            match self.travel(End::Store, End::Controller(n)) {
-                Some(d) if d < 2 * S => {
-                    self.later(d, What::Controller(n, boot, Event::Store { id, answer: a }))
+            match self.message_delay(End::Store, End::Controller(controller)) {
+                Some(travel_time) if travel_time < 2 * S => {
+                    self.later(travel_time, What::Controller(controller, boot, Event::Store { id, answer }))
                 }
                 _ => self.later(
                     4 * S,
-                    What::Controller(n, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
+                    What::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
                 ),
             }
         }
     }
 
-    pub(crate) fn store_apply(&mut self, r: StoreRequest) -> StoreAnswer {
+    pub(crate) fn store_apply(&mut self, request: StoreRequest) -> StoreAnswer {
         if self.now < self.outage_until {
             return StoreAnswer::Refused;
         }
         self.store.limits = if self.now >= self.limits_fall { NEXT_LIMITS } else { LIMITS };
-        if let StoreRequest::Transaction(Transaction { conditions, puts, deletes: drops }) = &r {
+        if let StoreRequest::Transaction(Transaction { conditions, puts, deletes: drops }) = &request {
             // Conditions reject late or deposed writers: a condition on the epoch for all keys but the ring's, and
             // one on the record's version for jobs, teams and coordination records.
             for key in puts.iter().map(|p| &p.0).chain(drops).filter(|k| !k.starts_with("ring/")) {
-                assert!(conditions.iter().any(|c| c.0 == "ring/epoch" && c.1 > 0), "{key} without fence");
+                assert!(
+                    conditions.iter().any(|condition| condition.0 == "ring/epoch" && condition.1 > 0),
+                    "{key}: no condition on the epoch"
+                );
                 let own = ["job/", "team/", "pact/"].iter().any(|p| key.starts_with(p));
-                assert!(!own || conditions.iter().any(|c| c.0 == *key), "{key} without version");
+                assert!(
+                    !own || conditions.iter().any(|condition| condition.0 == *key),
+                    "{key}: no condition on its version"
+                );
             }
         }
-        assert!(
-            !matches!(r, StoreRequest::Watch(..)),
-            "watches are answered when there is something to tell"
-        );
-        let change = if let StoreRequest::Transaction(c) = &r { Some(c.clone()) } else { None };
-        let a = self.store.apply(self.now, r);
-        if let Some(c) = change {
-            let done = matches!(a, StoreAnswer::Committed(_));
+        assert!(!matches!(request, StoreRequest::Watch(..)), "watches are answered by run_watches");
+        let change = if let StoreRequest::Transaction(transaction) = &request {
+            Some(transaction.clone())
+        } else {
+            None
+        };
+        let answer = self.store.apply(self.now, request);
+        if let Some(transaction) = change {
+            let done = matches!(answer, StoreAnswer::Committed(_));
             if done {
-                c.puts.iter().for_each(|(key, ..)| self.vet_record(key));
+                transaction.puts.iter().for_each(|(key, ..)| self.check_job_record(key));
             }
-            self.note_change(&c, done);
+            self.record_transaction(&transaction, done);
         }
-        self.watch_batches();
-        self.note_epoch();
-        a
+        self.check_batches();
+        self.observe_epoch();
+        answer
     }
 
-    pub(crate) fn cloud(&mut self, r: &CloudRequest) -> CloudAnswer {
-        match r {
+    pub(crate) fn cloud(&mut self, request: &CloudRequest) -> CloudAnswer {
+        match request {
             CloudRequest::MachineTypes => CloudAnswer::MachineTypes(types(self.shape)),
             CloudRequest::List(after) => {
-                let listed = |w: &Worker| CloudMachine {
-                    name: w.name.clone(),
-                    machine_type: w.kind.clone(),
-                    zone: w.zone.clone(),
-                    spot: w.spot,
-                    state: if w.dead {
+                let listed = |worker: &Worker| CloudMachine {
+                    name: worker.name.clone(),
+                    machine_type: worker.kind.clone(),
+                    zone: worker.zone.clone(),
+                    spot: worker.spot,
+                    state: if worker.dead {
                         "failed"
-                    } else if w.up_at > self.now {
+                    } else if worker.up_at > self.now {
                         "booting"
                     } else {
                         "running"
                     }
                     .into(),
-                    age_s: (self.now - w.rented) as f64 / 1e6,
+                    age_s: (self.now - worker.rented) as f64 / 1e6,
                 };
                 // The list lags: a machine may be up and run tasks before it is listed.
-                let old = |w: &&Worker| !w.gone && w.name > *after && w.rented + 8 * S <= self.now;
-                CloudAnswer::Page(self.workers.iter().filter(old).map(listed).collect(), false)
+                let is_listed = |worker: &&Worker| {
+                    !worker.gone && worker.name > *after && worker.rented + 8 * S <= self.now
+                };
+                CloudAnswer::Page(self.workers.iter().filter(is_listed).map(listed).collect(), false)
             }
-            CloudRequest::ScaleOut(r) => {
-                if let Some(names) = self.rentals.get(&r.name) {
+            CloudRequest::ScaleOut(request) => {
+                if let Some(names) = self.rentals.get(&request.name) {
                     return CloudAnswer::ScaledOut(names.clone());
                 }
-                let here = self.workers.iter().filter(|w| !w.gone && w.zone == r.zone).count();
-                let spots = self.workers.iter().filter(|w| !w.gone && w.zone == r.zone && w.spot).count();
+                let in_zone =
+                    self.workers.iter().filter(|worker| !worker.gone && worker.zone == request.zone).count();
+                let spots = self
+                    .workers
+                    .iter()
+                    .filter(|worker| !worker.gone && worker.zone == request.zone && worker.spot)
+                    .count();
                 // Spot machines get at most two thirds of a zone's capacity, so that idle ones can't use up all of
                 // it.
                 let room = self.shape.room;
-                let left = if r.spot { (room * 2 / 3).saturating_sub(spots) } else { room };
-                let n = (r.count as usize).min(room.saturating_sub(here)).min(left);
-                if n == 0 {
+                let left = if request.spot { (room * 2 / 3).saturating_sub(spots) } else { room };
+                let granted_count = (request.count as usize).min(room.saturating_sub(in_zone)).min(left);
+                if granted_count == 0 {
                     return CloudAnswer::NoCapacity;
                 }
-                let names: Vec<String> = (0..n)
+                let names: Vec<String> = (0..granted_count)
                     .map(|_| {
                         // Most machines boot within the advertised time; some at once, some late and some never.
                         let boot = match self.rng.random_range(0..20) {
@@ -165,16 +179,21 @@
                             _ => self.rng.random_range(3 * S..20 * S),
                         };
                         let soon = self.lost.boots.clone().map(|b| self.rng.random_range(b));
-                        self.add_worker(&r.machine_type, &r.zone, r.spot, soon.unwrap_or(boot))
+                        self.add_worker(
+                            &request.machine_type,
+                            &request.zone,
+                            request.spot,
+                            soon.unwrap_or(boot),
+                        )
                     })
                     .collect();
-                self.rentals.insert(r.name.clone(), names.clone());
+                self.rentals.insert(request.name.clone(), names.clone());
                 CloudAnswer::ScaledOut(names)
             }
             CloudRequest::ScaleIn(names) => {
-                for w in self.workers.iter_mut().filter(|w| names.contains(&w.name)) {
-                    w.gone = true;
-                    w.tasks.clear();
+                for worker in self.workers.iter_mut().filter(|worker| names.contains(&worker.name)) {
+                    worker.gone = true;
+                    worker.tasks.clear();
                 }
                 CloudAnswer::ScaledIn
             }
--- a/tests/world/parts.rs
+++ b/tests/world/parts.rs
@@ -8,7 +8,7 @@
     pub(crate) index: u32,
     pub(crate) attempt: u64,
     pub(crate) state: &'static str,
-    pub(crate) why: Option<&'static str>,
+    pub(crate) cause: Option<&'static str>,
     pub(crate) saved: bool,
     pub(crate) until: u64,
 }
@@ -30,9 +30,9 @@
     pub(crate) up_at: u64,
     pub(crate) hung_until: u64,
     /// Until this time, responses and fencing probes sent to the worker are lost.
-    pub(crate) deaf_until: u64,
+    pub(crate) inbound_lost_until: u64,
     /// Until this time, the worker's messages reach no controller.
-    pub(crate) mute_until: u64,
+    pub(crate) outbound_lost_until: u64,
     /// Whether the worker has ever accepted a task.
     pub(crate) begun: bool,
     pub(crate) gone: bool,
@@ -44,7 +44,7 @@
     /// Send time of the last acknowledged heartbeat.
     pub(crate) lease_from: u64,
     /// The heartbeat in flight: its sequence number and send time.
-    pub(crate) flight: Option<(u64, u64)>,
+    pub(crate) in_flight: Option<(u64, u64)>,
     pub(crate) next: u64,
     pub(crate) changed: bool,
     pub(crate) tasks: Vec<Task>,
@@ -61,7 +61,7 @@
     /// A copy of a worker's heartbeat with its send time, delivered to this controller.
     LateReport(usize, usize, u64, Heartbeat),
     /// A write to the state store whose answer is lost.
-    Unanswered(Unanswered),
+    Unanswered(UnansweredWrite),
     /// A copy of a worker's heartbeat that was held back for the next leader, delivered to this controller.
     KeptReport(usize, usize, Heartbeat),
     /// A process that was asked to shut down ends, and restarts at once.
@@ -73,7 +73,7 @@
     WorkerAnswer(usize, u64, Reply),
     UserAnswer(u64, Reply),
     /// A probing client sends a request.
-    Look(Look),
+    ClientProbe(ClientProbe),
     /// The job's client asks to cancel it.
     CallOff(String),
     /// A controller's process starts, unless it is already running.
@@ -115,11 +115,11 @@
     Worker(usize, u64),
     User(String, char),
     /// A merge job asks for a write permit.
-    Writer(batches::Question),
+    Writer(batches::PermitRequest),
     /// A request of the test itself.
     Asked,
     /// A request of a probing client.
-    Look(Look),
+    ClientProbe(ClientProbe),
     /// A client polls a job: job ID, controller and send time.
     Poll(String, usize, u64),
     /// The load balancer probes the readiness of a controller.
@@ -197,7 +197,7 @@
     pub(crate) lacks: BTreeMap<(String, u64), u64>,
     pub(crate) compound: Compound,
     pub(crate) register: Register,
-    pub(crate) looks: Looks,
+    pub(crate) looks: ClientProbes,
     pub(crate) lost: Lost,
     pub(crate) zones: Zones,
     pub(crate) cancels: Cancels,
@@ -211,7 +211,7 @@
     pub(crate) fn new(seed: u64, shape: Shape) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
         let drift = (0..3).map(|_| 1.0 + rng.random_range(-0.0005..0.0005)).collect();
-        let mut w = World {
+        let mut world = World {
             shape,
             rng,
             now: S,
@@ -256,7 +256,7 @@
             lacks: BTreeMap::new(),
             compound: Compound::default(),
             register: Register::default(),
-            looks: Looks::default(),
+            looks: ClientProbes::default(),
             lost: Lost::default(),
             zones: Zones::default(),
             cancels: Cancels::default(),
@@ -265,12 +265,12 @@
             log: Vec::new(),
         };
         for i in 0..shape.machines {
-            w.add_worker("large", ZONES[i % 2], false, 0);
+            world.add_worker("large", ZONES[i % 2], false, 0);
         }
         for i in 0..shape.gpus {
-            w.add_worker("gpu", ZONES[i % 2], false, 0);
+            world.add_worker("gpu", ZONES[i % 2], false, 0);
         }
-        w
+        world
     }
 
     pub(crate) fn add_worker(&mut self, kind: &str, zone: &str, spot: bool, boot: u64) -> String {
@@ -284,8 +284,8 @@
             rented: self.now,
             up_at,
             hung_until: 0,
-            deaf_until: 0,
-            mute_until: 0,
+            inbound_lost_until: 0,
+            outbound_lost_until: 0,
             begun: false,
             gone: false,
             dead: false,
@@ -294,7 +294,7 @@
             seq: 0,
             token: 0,
             lease_from: up_at,
-            flight: None,
+            in_flight: None,
             next: up_at,
             changed: false,
             tasks: Vec::new(),
--- a/tests/world/register.rs
+++ b/tests/world/register.rs
@@ -9,7 +9,7 @@
 
 /// A request in flight.
 #[derive(Clone, Debug)]
-struct Open {
+struct InFlight {
     job: String,
     kind: char,
     node: usize,
@@ -20,7 +20,7 @@
 
 /// A state that a client was told: by which controller, and when.
 #[derive(Clone, Debug)]
-struct Said {
+struct Observation {
     stance: String,
     by: usize,
     order: u64,
@@ -28,19 +28,19 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Cell {
+struct JobHistory {
     /// Whether a client has sent a submission that may be accepted, and whether one has sent a cancellation.
-    offered: bool,
-    withdrawn: bool,
-    accepted: Option<Said>,
-    end: Option<Said>,
+    submitted: bool,
+    cancel_requested: bool,
+    accepted: Option<Observation>,
+    end: Option<Observation>,
 }
 
 #[derive(Default)]
 pub(crate) struct Register {
     order: u64,
-    open: BTreeMap<u64, Open>,
-    cells: BTreeMap<String, Cell>,
+    in_flight: BTreeMap<u64, InFlight>,
+    histories: BTreeMap<String, JobHistory>,
     limits: Option<(MachineTypes, Vec<TeamSettings>)>,
     /// Answers with a job's state; those to requests sent after a client knew of the acceptance, and after one knew
     /// of the outcome.
@@ -53,13 +53,13 @@
 impl Register {
     /// Whether a client knows that the job was accepted, and whether one knows its outcome.
     pub(crate) fn knows(&self, job: &str) -> (bool, bool) {
-        self.cells.get(job).map_or((false, false), |c| (c.accepted.is_some(), c.end.is_some()))
+        self.histories.get(job).map_or((false, false), |c| (c.accepted.is_some(), c.end.is_some()))
     }
 
     /// Marks a job as submitted and cancelled before the world began; the test stores its final record.
     pub(crate) fn ended_before(&mut self, job: &str) {
-        let cell = self.cells.entry(job.to_owned()).or_default();
-        (cell.offered, cell.withdrawn) = (true, true);
+        let history = self.histories.entry(job.to_owned()).or_default();
+        (history.submitted, history.cancel_requested) = (true, true);
     }
 }
 
@@ -73,27 +73,27 @@
             UserRequest::Cancel(_) => 'w',
             UserRequest::Why(_) | UserRequest::Permit(..) => return,
         };
-        if self.register.open.contains_key(&ticket) {
+        if self.register.in_flight.contains_key(&ticket) {
             return;
         }
         let job = request.job().to_owned();
-        let sound = matches!(request, UserRequest::Submit(_, body) if self.may_run(body));
-        let r = &mut self.register;
-        r.order += 1;
-        let (from, at) = (r.order, self.now);
-        let waits = |o: &Open| o.node == node && o.job == job && at < o.at + 5 * S;
-        r.beside += usize::from(r.open.values().any(waits));
-        let cell = r.cells.entry(job.clone()).or_default();
-        cell.offered |= sound;
-        cell.withdrawn |= kind == 'w';
-        r.open.insert(ticket, Open { job: job.clone(), kind, node, from, at });
-        if kind != 'q' && !matches!(self.tickets.get(&ticket), Some(Ticket::Look(_))) {
-            self.look_around(&job);
+        let can_be_valid = matches!(request, UserRequest::Submit(_, body) if self.can_be_accepted(body));
+        let register = &mut self.register;
+        register.order += 1;
+        let (from, at) = (register.order, self.now);
+        let is_concurrent = |o: &InFlight| o.node == node && o.job == job && at < o.at + 5 * S;
+        register.beside += usize::from(register.in_flight.values().any(is_concurrent));
+        let history = register.histories.entry(job.clone()).or_default();
+        history.submitted |= can_be_valid;
+        history.cancel_requested |= kind == 'w';
+        register.in_flight.insert(ticket, InFlight { job: job.clone(), kind, node, from, at });
+        if kind != 'q' && !matches!(self.tickets.get(&ticket), Some(Ticket::ClientProbe(_))) {
+            self.probe_during_request(&job);
         }
     }
 
     /// Whether a description is complete and fits a machine type and the team's quota.
-    pub(crate) fn may_run(&mut self, body: &str) -> bool {
+    pub(crate) fn can_be_accepted(&mut self, body: &str) -> bool {
         let shape = self.shape;
         let (types, teams) = self.register.limits.get_or_insert_with(|| {
             let types = types(shape).into_iter().map(|t| (t.name.clone(), t)).collect();
@@ -103,18 +103,18 @@
     }
 
     /// Passes a submission through the HTTP layer, which forwards it to the controller or answers it directly.
-    pub(crate) fn at_edge(&mut self, n: usize, event: Event) -> Option<Event> {
+    pub(crate) fn dispatch_http(&mut self, controller: usize, event: Event) -> Option<Event> {
         let (ticket, body) = match &event {
             Event::User { ticket, request: UserRequest::Submit(_, body) } => (*ticket, body.clone()),
             _ => return Some(event),
         };
-        if self.nodes[n].is_none() || self.now < self.hung[n] {
+        if self.nodes[controller].is_none() || self.now < self.hung[controller] {
             return Some(event);
         }
         match http_api::dispatch(ticket, "POST", "/v1/jobs", |_| Ok(body)) {
             Dispatch::Event(e) => Some(e),
             Dispatch::Reply(reply) => {
-                self.effect(n, Effect::Reply { ticket, reply });
+                self.effect(controller, Effect::Reply { ticket, reply });
                 None
             }
         }
@@ -122,19 +122,19 @@
 
     /// Checks an answer that a client received.
     pub(crate) fn answered(&mut self, ticket: u64, reply: &Reply) {
-        let Some(open) = self.register.open.remove(&ticket) else { return };
-        let id = &open.job;
-        let cell = self.register.cells.get(id).cloned().unwrap_or_default();
+        let Some(in_flight) = self.register.in_flight.remove(&ticket) else { return };
+        let id = &in_flight.job;
+        let history = self.register.histories.get(id).cloned().unwrap_or_default();
         // The state known to clients before this request was sent.
-        let before = |s: &Option<Said>| s.clone().filter(|s| s.order < open.from);
-        let (accepted, end) = (before(&cell.accepted), before(&cell.end));
+        let before = |s: &Option<Observation>| s.clone().filter(|s| s.order < in_flight.from);
+        let (accepted, end) = (before(&history.accepted), before(&history.end));
         let now = self.now;
-        let Open { kind, node, at, .. } = &open;
-        let said =
+        let InFlight { kind, node, at, .. } = &in_flight;
+        let observed =
             [&accepted, &end].into_iter().flatten().map(|s| format!("{} by {} at {}", s.stance, s.by, s.at));
-        let said: Vec<String> = said.collect();
+        let observed: Vec<String> = observed.collect();
         let context = format!(
-            "at {now}: {} {}, to {kind} sent to {node} at {at}; told before: {said:?}",
+            "at {now}: {} {}, to {kind} sent to {node} at {at}; known before: {observed:?}",
             reply.status, reply.body
         );
         for (count, known) in self.register.bound.iter_mut().zip([&accepted, &end]) {
@@ -151,42 +151,45 @@
             _ => return,
         }
         self.register.answers += 1;
-        assert!(cell.offered, "invented: {id} {context}");
+        assert!(history.submitted, "invented: {id} {context}");
         let body: Value = serde_json::from_str(&reply.body).expect("JSON");
-        assert_eq!(body["uid"], **id, "an answer to another question {context}");
+        assert_eq!(body["uid"], **id, "an answer for another job {context}");
         let stance = body["stance"].as_str().expect("a stance").to_owned();
         let ends = stance == "done" || stance == "aborted";
-        assert!(ends || open.kind != 'w', "a withdrawal is answered with the end {context}");
+        assert!(ends || in_flight.kind != 'w', "a cancellation is answered with the outcome {context}");
         assert!(ends || stance == "pending" || stance == "running", "a stance {context}");
         assert!(end.is_none_or(|e| e.stance == stance), "went_back: {id} {context}");
         if ends {
-            let other = cell.end.as_ref().filter(|e| e.stance != stance);
+            let other = history.end.as_ref().filter(|e| e.stance != stance);
             assert!(other.is_none(), "went_back: {id} has two ends, {other:?} {context}");
-            let whole = self.jobs.get(id).is_none_or(|j| j.done.len() == j.spec.task_count as usize);
-            assert!(stance != "done" || whole, "not_done: {id} {context}");
-            let called_off = cell.withdrawn || self.follows_withdrawn(id);
-            assert!(stance != "aborted" || called_off, "went_back: {id} cancelled by nobody {context}");
+            let all_done = self.jobs.get(id).is_none_or(|j| j.done.len() == j.spec.task_count as usize);
+            assert!(stance != "done" || all_done, "not_done: {id} {context}");
+            let has_cancel_request = history.cancel_requested || self.has_cancelled_dependency(id);
+            assert!(
+                stance != "aborted" || has_cancel_request,
+                "went_back: {id} cancelled by nobody {context}"
+            );
         }
-        let r = &mut self.register;
-        r.order += 1;
-        let said = Said { stance, by: open.node, order: r.order, at: now };
-        let cell = r.cells.entry(id.clone()).or_default();
-        let news = cell.accepted.is_none() || (ends && cell.end.is_none());
+        let register = &mut self.register;
+        register.order += 1;
+        let observed = Observation { stance, by: in_flight.node, order: register.order, at: now };
+        let history = register.histories.entry(id.clone()).or_default();
+        let is_new = history.accepted.is_none() || (ends && history.end.is_none());
         if ends {
-            cell.end.get_or_insert(said.clone());
+            history.end.get_or_insert(observed.clone());
         }
-        cell.accepted.get_or_insert(said);
-        if news {
-            self.look_after(&open.job, ends);
+        history.accepted.get_or_insert(observed);
+        if is_new {
+            self.probe_after_answer(&in_flight.job, ends);
         }
     }
 
     /// Whether a client asked to cancel any dependency of the job.
-    fn follows_withdrawn(&self, id: &str) -> bool {
+    fn has_cancelled_dependency(&self, id: &str) -> bool {
         let (mut seen, mut next) = (BTreeSet::new(), vec![id]);
         while let Some(id) = next.pop() {
             for p in self.jobs.get(id).into_iter().flat_map(|j| &j.spec.dependencies) {
-                if self.register.cells.get(p).is_some_and(|c| c.withdrawn) {
+                if self.register.histories.get(p).is_some_and(|c| c.cancel_requested) {
                     return true;
                 }
                 if seen.insert(p) {
@@ -198,12 +201,12 @@
     }
 
     /// Checks each written job record against the description that the client submitted.
-    pub(crate) fn vet_record(&self, key: &str) {
+    pub(crate) fn check_job_record(&self, key: &str) {
         let Some(id) = key.strip_prefix("job/") else { return };
-        assert!(!self.looks.odd.contains_key(id), "accepted though it can't run or lacks a field: {id}");
-        let Some(j) = self.jobs.get(id) else { return };
+        assert!(!self.looks.odd.contains_key(id), "invalid job accepted: {id}");
+        let Some(user_job) = self.jobs.get(id) else { return };
         let kept = &self.store.keys[key].0["spec"];
-        let wants: Value = serde_json::from_str(&j.body).expect("JSON");
+        let wants: Value = serde_json::from_str(&user_job.body).expect("JSON");
         for field in ["strides", "vcpus", "herd", "gait"] {
             assert_eq!(kept[field], wants[field], "{field} of {id} is of another submission");
         }
--- a/tests/world/rules.rs
+++ b/tests/world/rules.rs
@@ -4,41 +4,51 @@
 
 impl World {
     pub(crate) fn check(&self) {
-        let mut on: BTreeMap<(&str, u32), &str> = BTreeMap::new();
+        let mut placements: BTreeMap<(&str, u32), &str> = BTreeMap::new();
         let mut used: BTreeMap<&str, i64> = BTreeMap::new();
         let mut zones: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
-        for w in self.workers.iter().filter(|w| !w.gone && !w.dead) {
+        for worker in self.workers.iter().filter(|worker| !worker.gone && !worker.dead) {
             // A machine whose lease expired while it was unresponsive kills its tasks before anything else.
-            if self.now > w.lease_from + (LEASE_S * 1e6) as u64 {
+            if self.now > worker.lease_from + (LEASE_S * 1e6) as u64 {
                 continue;
             }
-            for t in w.tasks.iter().filter(|t| t.state != "ended") {
-                let j = &self.jobs[&t.job];
+            for task in worker.tasks.iter().filter(|task| task.state != "ended") {
+                let user_job = &self.jobs[&task.job];
                 // By then all tasks of a cancelled job must have ended, including those that have not started yet.
-                if let Some(at) = j.cancelled_at {
-                    assert!(self.now <= at + (CANCEL_S * 1e6) as u64, "ran_cancelled: {}", t.job);
+                if let Some(at) = user_job.cancelled_at {
+                    assert!(self.now <= at + (CANCEL_S * 1e6) as u64, "ran_cancelled: {}", task.job);
                 }
-                if !t.on() {
+                if !task.on() {
                     continue;
                 }
-                if j.spec.is_rotation() {
-                    self.check_rotation(&t.job);
+                if user_job.spec.is_rotation() {
+                    self.check_rotation(&task.job);
                 }
-                if let Some(other) = on.insert((&t.job, t.index), &w.name) {
-                    panic!("ran_twice: {}/{} on {other} and {} at {}", t.job, t.index, w.name, self.now);
+                if let Some(other) = placements.insert((&task.job, task.index), &worker.name) {
+                    panic!(
+                        "ran_twice: {}/{} on {other} and {} at {}",
+                        task.job, task.index, worker.name, self.now
+                    );
                 }
-                *used.entry(&j.spec.team).or_default() += j.spec.resources_per_task.cpus;
-                assert!(w.spot <= j.spec.spot_allowed, "wrong_place: {} on a spot machine", t.job);
-                zones.entry(&t.job).or_default().insert(&w.zone);
+                *used.entry(&user_job.spec.team).or_default() += user_job.spec.resources_per_task.cpus;
+                assert!(
+                    worker.spot <= user_job.spec.spot_allowed,
+                    "wrong_place: {} on a spot machine",
+                    task.job
+                );
+                zones.entry(&task.job).or_default().insert(&worker.zone);
             }
         }
-        for t in (0..self.shape.teams).step_by(2) {
-            let most = (limit(t, self.shape) * 1000.0) as i64;
-            let of = used.get(format!("t{t}").as_str()).copied().unwrap_or(0);
-            assert!(of <= most, "quota: t{t} uses {of} at {}", self.now);
+        for team in (0..self.shape.teams).step_by(2) {
+            let maximum = (limit(team, self.shape) * 1000.0) as i64;
+            let of = used.get(format!("t{team}").as_str()).copied().unwrap_or(0);
+            assert!(of <= maximum, "quota: t{team} uses {of} at {}", self.now);
         }
-        for (job, z) in zones {
-            assert!(!self.jobs[job].spec.one_zone || z.len() <= 1, "wrong_place: {job} in {z:?}");
+        for (job, job_zones) in zones {
+            assert!(
+                !self.jobs[job].spec.one_zone || job_zones.len() <= 1,
+                "wrong_place: {job} in {job_zones:?}"
+            );
         }
     }
 
@@ -70,24 +80,25 @@
 
     /// The largest jobs of each class: the fifth with the most tasks, at least one.
     fn largest(&self) -> Vec<&UserJob> {
-        let mut by: BTreeMap<&str, Vec<&UserJob>> = BTreeMap::new();
-        self.counted().for_each(|j| by.entry(&j.spec.class).or_default().push(j));
-        by.values_mut().for_each(|list| list.sort_by_key(|j| std::cmp::Reverse(j.spec.task_count)));
-        by.into_values().flat_map(|list| list[..list.len().div_ceil(5)].to_vec()).collect()
+        let mut by_class: BTreeMap<&str, Vec<&UserJob>> = BTreeMap::new();
+        self.counted().for_each(|j| by_class.entry(&j.spec.class).or_default().push(j));
+        by_class.values_mut().for_each(|list| list.sort_by_key(|j| std::cmp::Reverse(j.spec.task_count)));
+        by_class.into_values().flat_map(|list| list[..list.len().div_ceil(5)].to_vec()).collect()
     }
 
     /// Classes, teams and largest jobs of a class of which less than half is done. Operators count a day with any of
     /// them as failed.
     pub(crate) fn underserved(&self) -> Vec<String> {
-        let mut by: BTreeMap<String, (usize, usize)> = BTreeMap::new();
+        let mut by_key: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let keys = self.counted().flat_map(|j| [(j.spec.class.clone(), j), (j.spec.team.clone(), j)]);
         let largest = self.largest();
         for (key, j) in keys.chain(largest.iter().map(|j| (format!("largest of {}", j.spec.class), *j))) {
-            let (served, of) = by.entry(key).or_default();
+            let (served, of) = by_key.entry(key).or_default();
             *served += usize::from(j.known == Known::Done);
             *of += 1;
         }
-        by.into_iter()
+        by_key
+            .into_iter()
             .filter(|(_, (served, of))| served * 2 < *of)
             .map(|(key, (served, of))| format!("{key}: {served} of {of}"))
             .collect()
@@ -133,7 +144,7 @@
             let end = self.store.keys.get(&format!("done/{id}"));
             live.or(end.map(|v| (&v.0["says"]["release"], Some(&v.0["end"]))))
         };
-        let (own, _) = says(id).expect("it is on record");
+        let (own, _) = says(id).expect("the rotation is stored");
         let text = |v: &Value, key: &str| v[key].as_str().expect("text").to_owned();
         let head = format!("pact/r/{}@{}", text(own, "title"), text(own, "night"));
         let (record, ..) = self.store.keys.get(&head).expect("a rotation's record");
--- a/tests/world/shape.rs
+++ b/tests/world/shape.rs
@@ -81,7 +81,7 @@
 /// The state store's limits after they have fallen.
 pub(crate) const NEXT_LIMITS: (usize, usize) = (2048, 4);
 
-pub(crate) fn settings(me: usize, shape: Shape, limited: bool) -> Settings {
+pub(crate) fn settings(controller: usize, shape: Shape, limited: bool) -> Settings {
     // Version 1 has no setting for upcoming limits.
     let next = match limited {
         true => String::new(),
@@ -91,39 +91,42 @@
         }
     };
     let rate = shape.write_rps;
-    let seed = |i: usize| {
-        format!("[[seeds]]\nmember = \"c{i}\"\nlocation = \"a\"\naddr = \"10.0.0.{}:8081\"\n", i + 1)
+    let seed = |index: usize| {
+        format!("[[seeds]]\nmember = \"c{index}\"\nlocation = \"a\"\naddr = \"10.0.0.{}:8081\"\n", index + 1)
     };
-    let seeds: String = (0..3).filter(|&i| i != me).map(seed).collect();
-    let team = |i: usize| {
-        let max = limit(i, shape);
+    let seeds: String = (0..3).filter(|&index| index != controller).map(seed).collect();
+    let team = |index: usize| {
+        let max = limit(index, shape);
         let gpus = if shape.gpus > 0 { "gpus = 8.0\ngpus_max = 64.0\n" } else { "" };
-        format!("[[settings.teams]]\nname = \"t{i}\"\ncpus = {:.1}\ncpus_max = {max:.1}\n{gpus}", max / 3.0)
+        format!(
+            "[[settings.teams]]\nname = \"t{index}\"\ncpus = {:.1}\ncpus_max = {max:.1}\n{gpus}",
+            max / 3.0
+        )
     };
     let teams: String = (0..shape.teams).map(team).collect();
     let text = format!(
-        "member = \"c{me}\"\nlocation = \"a\"\napi_addr = \"10.0.0.{}:8080\"\nback = \"10.0.0.{}:8081\"\n{seeds}
+        "member = \"c{controller}\"\nlocation = \"a\"\napi_addr = \"10.0.0.{}:8080\"\nback = \"10.0.0.{}:8081\"\n{seeds}
         [outside]\ncloud = \"10.2.0.2:1\"\nstate = \"10.2.0.1:1\"\n[settings]\n
         {teams}
         [settings.workers]\nreport_s = 3.0\nlease_s = {LEASE_S}\ngang_wait_s = 30.0\ngang_peer_s = 6.0\ncancel_s = {CANCEL_S}\n
         [settings.state]\nrps = 120.0\nwrite_rps = {rate:.1}\nvalue_kb = 4.0\ntxn_ops = 8\n{next}
         [settings.cloud]\nrps = 5.0\nlist_lag_s = 8.0\n",
-        me + 1,
-        me + 1
+        controller + 1,
+        controller + 1
     );
-    let mut s = Settings::parse("test", &text).expect("the settings are valid");
+    let mut settings = Settings::parse("test", &text).expect("the settings are valid");
     if shape.calendar && !limited {
-        s.operators = Operators::parse("test.ini", CALENDAR).expect("a valid calendar");
+        settings.operators = Operators::parse("test.ini", CALENDAR).expect("a valid calendar");
     }
     if shape.gpus > 0 {
         let text = "[loans]\nborrowers = serve\nstay_s = 30\nburst_s = 5\n";
-        s.operators = Operators::parse("test.ini", text).expect("valid");
+        settings.operators = Operators::parse("test.ini", text).expect("valid");
     }
-    s
+    settings
 }
 
 pub(crate) fn types(shape: Shape) -> Vec<MachineType> {
-    let t = |name: &str, cpus: f64, gpus: f64| MachineType {
+    let machine_type = |name: &str, cpus: f64, gpus: f64| MachineType {
         name: name.into(),
         cpus,
         gpus,
@@ -133,9 +136,9 @@
         boot_s: 10.0,
         zones: ZONES.iter().map(|z| z.to_string()).collect(),
     };
-    let mut all = vec![t("small", 4.0, 0.0), t("large", 8.0, 0.0)];
+    let mut all = vec![machine_type("small", 4.0, 0.0), machine_type("large", 8.0, 0.0)];
     if shape.gpus > 0 {
-        all.push(t("gpu", 8.0, 4.0));
+        all.push(machine_type("gpu", 8.0, 4.0));
     }
     all
 }
--- a/tests/world/silence.rs
+++ b/tests/world/silence.rs
@@ -11,7 +11,7 @@
     /// The end of the latest fault.
     pub(crate) calm_from: u64,
     /// First unanswered query by job and controller (`None`: any controller).
-    open: BTreeMap<(String, Option<usize>), u64>,
+    unanswered: BTreeMap<(String, Option<usize>), u64>,
     next: BTreeMap<(String, usize), u64>,
     /// The longest completed time without an answer: for a job, and for a job through one controller; with the job
     /// and the time of the answer.
@@ -24,31 +24,31 @@
 
 impl Silence {
     pub(crate) fn asked(&mut self, now: u64, job: &str, n: Option<usize>) {
-        self.open.entry((job.to_owned(), n)).or_insert(now);
+        self.unanswered.entry((job.to_owned(), n)).or_insert(now);
     }
 
     pub(crate) fn answered(&mut self, now: u64, job: &str, n: Option<usize>) {
         for who in [None, n] {
-            if let Some(since) = self.open.remove(&(job.to_owned(), who)) {
-                self.over(now, since, job, who);
+            if let Some(since) = self.unanswered.remove(&(job.to_owned(), who)) {
+                self.record_gap(now, since, job, who);
             }
         }
     }
 
-    fn over(&mut self, now: u64, since: u64, job: &str, n: Option<usize>) {
-        let long = now.saturating_sub(since.max(self.calm_from));
+    fn record_gap(&mut self, now: u64, since: u64, job: &str, n: Option<usize>) {
+        let duration = now.saturating_sub(since.max(self.calm_from));
         let worst = &mut self.worst[usize::from(n.is_some())];
-        if long > worst.0 {
-            *worst = (long, format!("{job} through {n:?} at {:.1}", now as f64 / 1e6));
+        if duration > worst.0 {
+            *worst = (duration, format!("{job} through {n:?} at {:.1}", now as f64 / 1e6));
         }
     }
 
     /// The longest time without an answer for a job, and for a job through one controller.
     pub(crate) fn longest(&mut self, now: u64) -> [(f64, String); 2] {
-        for ((job, n), since) in self.open.clone() {
-            self.over(now, since, &job, n);
+        for ((job, n), since) in self.unanswered.clone() {
+            self.record_gap(now, since, &job, n);
         }
-        self.worst.clone().map(|(long, which)| (long as f64 / 1e6, which))
+        self.worst.clone().map(|(duration, which)| (duration as f64 / 1e6, which))
     }
 }
 
@@ -58,42 +58,42 @@
     next: u64,
     /// Failed probes in a row for each controller, and the send time of the probe in flight.
     failed: [u32; 3],
-    waits: [Option<u64>; 3],
+    in_flight: [Option<u64>; 3],
     /// When each controller was removed.
     pub(crate) removed: [Vec<u64>; 3],
 }
 
 impl Balancer {
-    pub(crate) fn told(&mut self, now: u64, n: usize, ready: bool) {
-        if self.waits[n].take().is_none() {
+    pub(crate) fn record_probe(&mut self, now: u64, controller: usize, ready: bool) {
+        if self.in_flight[controller].take().is_none() {
             return;
         }
-        self.failed[n] = if ready { 0 } else { self.failed[n] + 1 };
-        if self.failed[n] == 2 {
-            self.removed[n].push(now);
+        self.failed[controller] = if ready { 0 } else { self.failed[controller] + 1 };
+        if self.failed[controller] == 2 {
+            self.removed[controller].push(now);
         }
     }
     /// Whether the last probe succeeded.
-    pub(crate) fn ready(&self, n: usize) -> bool {
-        self.failed[n] == 0
+    pub(crate) fn ready(&self, controller: usize) -> bool {
+        self.failed[controller] == 0
     }
 }
 
 impl World {
     /// Whether a controller or a service that it needs is failing. Failed machines don't count, because clients don't
     /// depend on them for answers.
-    pub(crate) fn troubled(&self) -> bool {
+    pub(crate) fn has_fault(&self) -> bool {
         let now = self.now;
         (0..3).any(|n| self.nodes[n].is_none() || now < self.hung[n])
             || now < self.outage_until
             || self.cuts.iter().any(|c| now < c.2)
-            || self.compound.troubles(now)
-            || self.lost.troubles(now)
+            || self.compound.has_fault(now)
+            || self.lost.has_fault(now)
             || self.zones.cut(now)
     }
 
     pub(crate) fn run_pollers(&mut self) {
-        if self.troubled() {
+        if self.has_fault() {
             self.silence.calm_from = self.now;
         }
         if !self.silence.pollers {
@@ -103,59 +103,65 @@
         let accepted: Vec<String> =
             self.jobs.iter().filter(|(_, j)| j.known != Known::Nothing).map(|(id, _)| id.clone()).collect();
         for id in accepted {
-            for n in 0..3 {
-                if self.silence.next.get(&(id.clone(), n)).is_some_and(|t| now < *t) {
+            for controller in 0..3 {
+                if self.silence.next.get(&(id.clone(), controller)).is_some_and(|t| now < *t) {
                     continue;
                 }
                 // The next poll follows after a pause, whether or not this one is answered.
                 let pause = self.rng.random_range(2 * S..3 * S);
-                self.silence.next.insert((id.clone(), n), now + pause);
+                self.silence.next.insert((id.clone(), controller), now + pause);
                 // A controller that is not running can't be polled.
-                if self.nodes[n].is_none() {
-                    self.silence.open.remove(&(id.clone(), Some(n)));
+                if self.nodes[controller].is_none() {
+                    self.silence.unanswered.remove(&(id.clone(), Some(controller)));
                     continue;
                 }
-                self.silence.asked(now, &id, Some(n));
+                self.silence.asked(now, &id, Some(controller));
                 self.silence.asked(now, &id, None);
                 self.serial += 1;
-                self.tickets.insert(self.serial, Ticket::Poll(id.clone(), n, now));
-                let ask = Event::User { ticket: self.serial, request: UserRequest::Query(id.clone()) };
-                self.later(1000, What::Controller(n, self.boots[n], ask));
+                self.tickets.insert(self.serial, Ticket::Poll(id.clone(), controller, now));
+                let query = Event::User { ticket: self.serial, request: UserRequest::Query(id.clone()) };
+                self.later(1000, What::Controller(controller, self.boots[controller], query));
             }
         }
         if now >= self.balancer.next {
             self.balancer.next = now + S;
-            for n in 0..3 {
+            for controller in 0..3 {
                 // A probe fails if it is not answered within a second or the controller is not running.
-                self.balancer.waits[n].get_or_insert(now);
-                if self.balancer.waits[n] != Some(now) {
-                    self.balancer.told(now, n, false);
-                    self.balancer.waits[n] = Some(now);
+                self.balancer.in_flight[controller].get_or_insert(now);
+                if self.balancer.in_flight[controller] != Some(now) {
+                    self.balancer.record_probe(now, controller, false);
+                    self.balancer.in_flight[controller] = Some(now);
                 }
-                if self.nodes[n].is_none() {
-                    self.balancer.told(now, n, false);
+                if self.nodes[controller].is_none() {
+                    self.balancer.record_probe(now, controller, false);
                     continue;
                 }
                 self.serial += 1;
-                self.tickets.insert(self.serial, Ticket::Probe(n));
-                self.later(1000, What::Controller(n, self.boots[n], Event::Ready(self.serial)));
+                self.tickets.insert(self.serial, Ticket::Probe(controller));
+                self.later(
+                    1000,
+                    What::Controller(controller, self.boots[controller], Event::Ready(self.serial)),
+                );
             }
         }
     }
 
     /// Checks the answer to a poll.
-    pub(crate) fn polled(&mut self, id: &str, n: usize, asked: u64, r: &Reply) {
-        assert_ne!(r.status, 404, "forgotten: {id} at {}", self.now);
-        if r.status != 200 {
-            *self.silence.refused.entry((r.status, r.body.clone())).or_default() += 1;
+    pub(crate) fn polled(&mut self, id: &str, controller: usize, asked: u64, reply: &Reply) {
+        assert_ne!(reply.status, 404, "forgotten: {id} at {}", self.now);
+        if reply.status != 200 {
+            *self.silence.refused.entry((reply.status, reply.body.clone())).or_default() += 1;
             return;
         }
-        self.silence.answered(self.now, id, Some(n));
-        let body: Value = serde_json::from_str(&r.body).expect("JSON");
+        self.silence.answered(self.now, id, Some(controller));
+        let body: Value = serde_json::from_str(&reply.body).expect("JSON");
         let stance = body["stance"].as_str().expect("a stance").to_owned();
-        let j = &self.jobs[id];
-        assert_eq!(body["uid"], *id, "an answer to another question");
-        assert!(stance != "done" || j.done.len() == j.spec.task_count as usize, "not_done: {id}");
+        let user_job = &self.jobs[id];
+        assert_eq!(body["uid"], *id, "an answer for another job");
+        assert!(
+            stance != "done" || user_job.done.len() == user_job.spec.task_count as usize,
+            "not_done: {id}"
+        );
         // Concurrent queries may be answered in any order. One sent after a client learned the outcome must return
         // the same outcome.
         match self.silence.ended.get(id) {
@@ -175,11 +181,11 @@
     }
 
     /// Like `nobody_forgotten`, with a limit in seconds.
-    pub(crate) fn nobody_silent_for(&mut self, seed: u64, most: f64) {
+    pub(crate) fn nobody_silent_for(&mut self, seed: u64, maximum: f64) {
         let [(any, which), (one, through)] = self.silence.longest(self.now);
         let refused = &self.silence.refused;
-        assert!(any <= most, "seed {seed}: {any:.1} s, {which}: {refused:?}");
-        assert!(one <= most, "seed {seed}: {one:.1} s, {through}: {refused:?}");
+        assert!(any <= maximum, "seed {seed}: {any:.1} s, {which}: {refused:?}");
+        assert!(one <= maximum, "seed {seed}: {one:.1} s, {through}: {refused:?}");
         if std::env::var("WORLD_SEEDS").is_ok() {
             eprintln!(
                 "seed {seed}: longest silence of a job {any:.1} s, through one controller {one:.1} s, {which}, {through}"
--- a/tests/world/trace.rs
+++ b/tests/world/trace.rs
@@ -23,7 +23,8 @@
     pub(crate) fn note(&mut self, now: u64, controller: usize, effect: &Effect) {
         let (kind, bytes) = wire(effect);
         let hash = XxHash64::oneshot(0, &bytes);
-        writeln!(self.text, "{now} {controller} {kind} {hash:016x}").expect("a string takes all");
+        writeln!(self.text, "{now} {controller} {kind} {hash:016x}")
+            .expect("writing to a string cannot fail");
     }
 
     /// All lines recorded so far.
@@ -66,9 +67,9 @@
         Effect::Cloud(request) => (KINDS[3], cloud_request(request).into_bytes()),
         Effect::Probe(addresses) => (KINDS[4], joined(addresses).into_bytes()),
         Effect::FencingProbe { epoch: token, probes: list } => {
-            let one = |g: &FencingProbe| {
-                let body = json!({"rein": token, "ride": g.incarnation, "calls": []});
-                joined(&[g.machine.clone(), format!("POST http://{}/do\n{body}", g.addr)])
+            let one = |probe: &FencingProbe| {
+                let body = json!({"rein": token, "ride": probe.incarnation, "calls": []});
+                joined(&[probe.machine.clone(), format!("POST http://{}/do\n{body}", probe.addr)])
             };
             (KINDS[5], list.iter().map(one).collect::<String>().into_bytes())
         }
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -5,70 +5,89 @@
 impl World {
     pub(crate) fn trouble(&mut self) {
         let now = self.now;
-        let n = self.rng.random_range(0..3usize);
-        let long = self.rng.random_range(3 * S..35 * S);
+        let controller = self.rng.random_range(0..3usize);
+        let duration = self.rng.random_range(3 * S..35 * S);
         let hold = self.rng.random_bool(0.5);
         let kind = self.rng.random_range(0..12);
-        self.log.push(format!("{:.1}: trouble {kind} for {:.1} on {n}", now as f64 / 1e6, long as f64 / 1e6));
+        self.log.push(format!(
+            "{:.1}: fault {kind} for {:.1} on {controller}",
+            now as f64 / 1e6,
+            duration as f64 / 1e6
+        ));
         match kind {
-            0 => self.crash(n),
-            1 => (0..3).for_each(|n| self.crash(n)),
-            2 => self.outage_until = now + long,
-            3 => self.cuts.push((End::Controller(n), End::Store, now + long, hold)),
-            4 => self.cuts.push((End::Controller(n), End::Workers, now + long, hold)),
-            5 => self.cuts.push((End::Controller(n), End::Controller((n + 1) % 3), now + long, hold)),
+            0 => self.crash(controller),
+            1 => (0..3).for_each(|controller| self.crash(controller)),
+            2 => self.outage_until = now + duration,
+            3 => self.cuts.push((End::Controller(controller), End::Store, now + duration, hold)),
+            4 => self.cuts.push((End::Controller(controller), End::Workers, now + duration, hold)),
+            5 => self.cuts.push((
+                End::Controller(controller),
+                End::Controller((controller + 1) % 3),
+                now + duration,
+                hold,
+            )),
             6 => {
-                let w = self.rng.random_range(0..self.workers.len());
-                self.workers[w].hung_until = now + long;
+                let worker_index = self.rng.random_range(0..self.workers.len());
+                self.workers[worker_index].hung_until = now + duration;
             }
             7 => {
-                let w = self.rng.random_range(0..self.workers.len());
-                self.workers[w].dead = true;
-                self.workers[w].tasks.clear();
+                let worker_index = self.rng.random_range(0..self.workers.len());
+                self.workers[worker_index].dead = true;
+                self.workers[worker_index].tasks.clear();
             }
-            8 => self.hung[n] = now + long,
+            8 => self.hung[controller] = now + duration,
             // A long isolation from everything, and a long loss of messages to and from the workers.
             10 => {
-                self.cuts.push((End::Controller(n), End::Store, now + 3 * long, hold));
-                self.cuts.push((End::Controller(n), End::Workers, now + 3 * long, hold));
-                for p in (0..3).filter(|&p| p != n) {
-                    self.cuts.push((End::Controller(n), End::Controller(p), now + 3 * long, hold));
+                self.cuts.push((End::Controller(controller), End::Store, now + 3 * duration, hold));
+                self.cuts.push((End::Controller(controller), End::Workers, now + 3 * duration, hold));
+                for peer in (0..3).filter(|&peer| peer != controller) {
+                    self.cuts.push((
+                        End::Controller(controller),
+                        End::Controller(peer),
+                        now + 3 * duration,
+                        hold,
+                    ));
                 }
             }
-            11 => self.cuts.push((End::Controller(n), End::Workers, now + 2 * long, false)),
+            11 => self.cuts.push((End::Controller(controller), End::Workers, now + 2 * duration, false)),
             _ => {
-                self.cuts.push((End::Controller(n), End::Store, now + long, hold));
-                for p in (0..3).filter(|&p| p != n) {
-                    self.cuts.push((End::Controller(n), End::Controller(p), now + long, hold));
+                self.cuts.push((End::Controller(controller), End::Store, now + duration, hold));
+                for peer in (0..3).filter(|&peer| peer != controller) {
+                    self.cuts.push((
+                        End::Controller(controller),
+                        End::Controller(peer),
+                        now + duration,
+                        hold,
+                    ));
                 }
             }
         }
     }
 
-    pub(crate) fn crash(&mut self, n: usize) {
+    pub(crate) fn crash(&mut self, controller: usize) {
         let pause = if self.quick { S / 20..S / 2 } else { 3 * S..9 * S };
-        self.crash_for(n, pause);
+        self.crash_for(controller, pause);
     }
 
     /// A controller's process crashes and restarts after a pause from this range.
-    pub(crate) fn crash_for(&mut self, n: usize, pause: std::ops::Range<u64>) {
-        self.nodes[n] = None;
-        self.boots[n] = 0;
+    pub(crate) fn crash_for(&mut self, controller: usize, pause: std::ops::Range<u64>) {
+        self.nodes[controller] = None;
+        self.boots[controller] = 0;
         let pause = self.rng.random_range(pause);
-        self.back_at[n] = self.now + pause;
+        self.back_at[controller] = self.now + pause;
         if pause < S {
-            self.later(pause, What::Back(n));
+            self.later(pause, What::Back(controller));
         }
     }
 
     /// Whether the process crashes at this effect, and if so, whether the effect is still carried out.
-    pub(crate) fn ends_at(&mut self, e: &Effect) -> Option<bool> {
+    pub(crate) fn crashes_at(&mut self, effect: &Effect) -> Option<bool> {
         if self.brittle == 0.0 {
             return None;
         }
-        let weight = match e {
-            Effect::Store { request: StoreRequest::Transaction(c), .. } => {
-                let first = c.puts.first().map_or("", |p| p.0.as_str());
+        let weight = match effect {
+            Effect::Store { request: StoreRequest::Transaction(transaction), .. } => {
+                let first = transaction.puts.first().map_or("", |p| p.0.as_str());
                 match first.split('/').next().unwrap_or("") {
                     "ring" => 10.0,
                     "team" => 2.0,
@@ -85,17 +104,17 @@
         self.rng.random_bool((self.brittle * weight).min(1.0)).then(|| self.rng.random_bool(0.5))
     }
 
-    pub(crate) fn start(&mut self, n: usize) {
-        if self.nodes[n].is_none() && self.now >= self.back_at[n] {
+    pub(crate) fn start(&mut self, controller: usize) {
+        if self.nodes[controller].is_none() && self.now >= self.back_at[controller] {
             self.serial += 1;
-            self.boots[n] = self.serial;
-            self.started[n] = self.now;
-            self.hung[n] = 0;
-            let mut settings = settings(n, self.shape, self.limited[n]);
-            if let Some(o) = &self.operators {
-                settings.operators = o.clone();
+            self.boots[controller] = self.serial;
+            self.started[controller] = self.now;
+            self.hung[controller] = 0;
+            let mut settings = settings(controller, self.shape, self.limited[controller]);
+            if let Some(operators) = &self.operators {
+                settings.operators = operators.clone();
             }
-            self.nodes[n] = Some(Controller::new(settings, self.serial));
+            self.nodes[controller] = Some(Controller::new(settings, self.serial));
         }
     }
 
@@ -112,9 +131,9 @@
                 self.outage_until = 0;
                 self.store.extend_leases(self.now);
             }
-            for n in 0..3 {
-                self.start(n);
-                self.drive_if_awake(n);
+            for controller in 0..3 {
+                self.start(controller);
+                self.tick_if_running(controller);
             }
             self.run_pollers();
             if self.now >= next_job && self.jobs.len() < self.shape.jobs as usize {
@@ -126,17 +145,17 @@
                 self.trouble();
             }
             self.run_users();
-            self.run_odd();
+            self.send_invalid_requests();
             self.run_cancels();
             self.run_writers();
             let until = self.now + 100_000;
-            while let Some((&(t, s), _)) = self.queue.first_key_value() {
-                if t > until {
+            while let Some((&(time, serial), _)) = self.queue.first_key_value() {
+                if time > until {
                     break;
                 }
-                let what = self.queue.remove(&(t, s)).expect("it is there");
-                self.now = self.now.max(t);
-                self.happen(what);
+                let what = self.queue.remove(&(time, serial)).expect("the queue is not empty");
+                self.now = self.now.max(time);
+                self.process(what);
                 self.check();
             }
             self.now = until;
@@ -146,9 +165,9 @@
         }
     }
 
-    pub(crate) fn drive_if_awake(&mut self, n: usize) {
-        if self.now >= self.hung[n] {
-            self.drive(n, Event::Tick);
+    pub(crate) fn tick_if_running(&mut self, controller: usize) {
+        if self.now >= self.hung[controller] {
+            self.step_controller(controller, Event::Tick);
         }
     }
 }
@@ -157,23 +176,23 @@
     play(seed, World::new(seed, shape), troubles_until, troubles_until, end)
 }
 
-pub(crate) fn play_until(w: &mut World, end: u64) {
-    w.run(0, end);
+pub(crate) fn play_until(world: &mut World, end: u64) {
+    world.run(0, end);
 }
 
-pub(crate) fn play(seed: u64, mut w: World, troubles_until: u64, stalls_until: u64, end: u64) -> World {
-    let r = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-        w.run(troubles_until, stalls_until);
-        w.stalls = 0.0;
-        w.run(troubles_until, end);
-        assert!(w.underserved().is_empty(), "less than half served: {:?}", w.underserved());
-        assert!(w.begun_late().is_empty(), "not begun in time: {:?}", w.begun_late());
+pub(crate) fn play(seed: u64, mut world: World, troubles_until: u64, stalls_until: u64, end: u64) -> World {
+    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+        world.run(troubles_until, stalls_until);
+        world.stalls = 0.0;
+        world.run(troubles_until, end);
+        assert!(world.underserved().is_empty(), "less than half done: {:?}", world.underserved());
+        assert!(world.begun_late().is_empty(), "not started in time: {:?}", world.begun_late());
     }));
-    if let Err(e) = r {
-        eprintln!("seed {seed}, at {:.3} s: {:#?}", w.now as f64 / 1e6, w.log);
+    if let Err(e) = result {
+        eprintln!("seed {seed}, at {:.3} s: {:#?}", world.now as f64 / 1e6, world.log);
         std::panic::resume_unwind(e);
     }
-    w
+    world
 }
 
 /// The seeds to run, or the range in `WORLD_SEEDS=from..to`.
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 impl World {
-    pub(crate) fn add_job(&mut self, n: u32) {
+    pub(crate) fn add_job(&mut self, number: u32) {
         let kind = ["batch", "batch", "group"][self.rng.random_range(0..3usize)];
-        let most = if kind == "group" { self.shape.gang } else { self.shape.array };
-        let tasks = self.rng.random_range(1..most);
-        let id = format!("wk-{:06}", n * 7919 % 1_000_000);
+        let max_tasks = if kind == "group" { self.shape.gang } else { self.shape.array };
+        let tasks = self.rng.random_range(1..max_tasks);
+        let id = format!("wk-{:06}", number * 7919 % 1_000_000);
         let team = format!("t{}", self.rng.random_range(0..self.shape.teams));
         let rank = ["idle", "normal"][self.rng.random_range(0..2usize)];
         let chained = self.shape.chained > 0.0 && self.rng.random_bool(self.shape.chained);
@@ -73,52 +73,57 @@
     }
 
     pub(crate) fn run_users(&mut self) {
-        let due: Vec<String> =
-            self.jobs.iter().filter(|(_, j)| self.now >= j.next).map(|(id, _)| id.clone()).collect();
+        let due: Vec<String> = self
+            .jobs
+            .iter()
+            .filter(|(_, user_job)| self.now >= user_job.next)
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in due {
             let pause = self.rng.random_range(2 * S..6 * S);
-            let n = self.rng.random_range(0..3usize);
+            let controller = self.rng.random_range(0..3usize);
             let cancel = self.rng.random_bool(0.3);
             // A client names only accepted jobs as dependencies.
             let named = &self.jobs[&id].spec.dependencies;
             let ready = named.iter().all(|p| self.jobs[p].known != Known::Nothing);
-            let Some(j) = self.jobs.get_mut(&id) else { continue };
-            j.next = self.now + pause;
+            let Some(user_job) = self.jobs.get_mut(&id) else { continue };
+            user_job.next = self.now + pause;
             // Limited controllers get no requests that use newer features.
             if !ready
-                || ((!j.spec.dependencies.is_empty() || j.spec.has_coordination_record()) && self.limited[n])
+                || ((!user_job.spec.dependencies.is_empty() || user_job.spec.has_coordination_record())
+                    && self.limited[controller])
             {
                 continue;
             }
-            let (kind, request) = match j.known {
-                Known::Nothing => ('s', UserRequest::Submit(id.clone(), j.body.clone())),
-                Known::Accepted if j.cancel_asked && cancel => ('w', UserRequest::Cancel(id.clone())),
+            let (kind, request) = match user_job.known {
+                Known::Nothing => ('s', UserRequest::Submit(id.clone(), user_job.body.clone())),
+                Known::Accepted if user_job.cancel_asked && cancel => ('w', UserRequest::Cancel(id.clone())),
                 // A client may repeat a submission at any time, even after the job's end.
                 Known::Done | Known::Cancelled if cancel => {
-                    ('s', UserRequest::Submit(id.clone(), j.body.clone()))
+                    ('s', UserRequest::Submit(id.clone(), user_job.body.clone()))
                 }
                 _ => ('q', UserRequest::Query(id.clone())),
             };
-            j.submitted |= kind == 's';
-            if kind == 'q' && j.known != Known::Nothing {
+            user_job.submitted |= kind == 's';
+            if kind == 'q' && user_job.known != Known::Nothing {
                 self.silence.asked(self.now, &id, None);
             }
             self.serial += 1;
             let ticket = self.serial;
-            j.latest = ticket;
+            user_job.latest = ticket;
             self.tickets.insert(ticket, Ticket::User(id, kind));
-            self.later(1000, What::Controller(n, 0, Event::User { ticket, request }));
+            self.later(1000, What::Controller(controller, 0, Event::User { ticket, request }));
         }
         // No controller may know a job that was never submitted.
         if self.rng.random_bool(0.02) {
             self.serial += 1;
             let ticket = self.serial;
             self.tickets.insert(ticket, Ticket::User("wk-999999".into(), 'q'));
-            let n = self.rng.random_range(0..3usize);
+            let controller = self.rng.random_range(0..3usize);
             self.later(
                 1000,
                 What::Controller(
-                    n,
+                    controller,
                     0,
                     Event::User { ticket, request: UserRequest::Query("wk-999999".into()) },
                 ),
@@ -126,35 +131,35 @@
         }
     }
 
-    pub(crate) fn submit_to(&mut self, n: usize, id: &str) {
+    pub(crate) fn submit_to(&mut self, controller: usize, id: &str) {
         self.serial += 1;
         let ticket = self.serial;
-        let j = self.jobs.get_mut(id).expect("a job");
-        (j.latest, j.submitted) = (ticket, true);
-        let request = UserRequest::Submit(id.into(), j.body.clone());
+        let user_job = self.jobs.get_mut(id).expect("a job");
+        (user_job.latest, user_job.submitted) = (ticket, true);
+        let request = UserRequest::Submit(id.into(), user_job.body.clone());
         self.tickets.insert(ticket, Ticket::User(id.into(), 's'));
-        self.later(1000, What::Controller(n, 0, Event::User { ticket, request }));
+        self.later(1000, What::Controller(controller, 0, Event::User { ticket, request }));
     }
 
     /// The job's client asks a controller to cancel it.
-    pub(crate) fn withdraw(&mut self, n: usize, id: &str) {
+    pub(crate) fn withdraw(&mut self, controller: usize, id: &str) {
         self.serial += 1;
         let ticket = self.serial;
-        let j = self.jobs.get_mut(id).expect("a job");
-        (j.latest, j.cancel_asked) = (ticket, true);
+        let user_job = self.jobs.get_mut(id).expect("a job");
+        (user_job.latest, user_job.cancel_asked) = (ticket, true);
         self.tickets.insert(ticket, Ticket::User(id.into(), 'w'));
         self.later(
             1000,
-            What::Controller(n, 0, Event::User { ticket, request: UserRequest::Cancel(id.into()) }),
+            What::Controller(controller, 0, Event::User { ticket, request: UserRequest::Cancel(id.into()) }),
         );
     }
 
     /// Sends a request to a controller and waits for the answer.
-    pub(crate) fn ask(&mut self, n: usize, request: UserRequest) -> Reply {
+    pub(crate) fn ask(&mut self, controller: usize, request: UserRequest) -> Reply {
         self.serial += 1;
         let ticket = self.serial;
         self.tickets.insert(ticket, Ticket::Asked);
-        self.later(1, What::Controller(n, 0, Event::User { ticket, request }));
+        self.later(1, What::Controller(controller, 0, Event::User { ticket, request }));
         let end = self.now + 5 * S;
         while self.now < end {
             let next = self.now + S / 10;
@@ -166,25 +171,25 @@
         panic!("no answer within 5 s");
     }
 
-    pub(crate) fn user_answer(&mut self, id: &str, kind: char, r: &Reply) {
+    pub(crate) fn user_answer(&mut self, id: &str, kind: char, reply: &Reply) {
         // A submission after the release has closed is refused permanently, but only while the job is unknown.
-        if r.status == 422
-            && let Some(j) = self.jobs.get_mut(id)
-            && j.spec.release.is_some()
-            && j.known == Known::Nothing
+        if reply.status == 422
+            && let Some(user_job) = self.jobs.get_mut(id)
+            && user_job.spec.release.is_some()
+            && user_job.known == Known::Nothing
         {
-            (j.refused, j.next) = (true, NEVER);
+            (user_job.refused, user_job.next) = (true, NEVER);
             return;
         }
-        if r.status == 200 && kind == 'q' {
+        if reply.status == 200 && kind == 'q' {
             self.silence.answered(self.now, id, None);
         }
-        assert!(r.status != 400 && r.status != 422 && r.status != 409, "{id}: {r:?}");
-        if r.status == 503 {
-            assert!(r.retry_after.is_some(), "a refusal says when to come back");
+        assert!(reply.status != 400 && reply.status != 422 && reply.status != 409, "{id}: {reply:?}");
+        if reply.status == 503 {
+            assert!(reply.retry_after.is_some(), "a 503 has a Retry-After");
             return;
         }
-        let body: Value = serde_json::from_str(&r.body).expect("JSON");
+        let body: Value = serde_json::from_str(&reply.body).expect("JSON");
         // The job's dependencies determine until when it may be reported as queued or running.
         let needs: Vec<&UserJob> = match self.jobs.contains_key(id) {
             true => self.needed(id).into_iter().map(|p| &self.jobs[p]).collect(),
@@ -193,36 +198,36 @@
         let orphaned_at = needs.iter().filter_map(|p| p.cancelled_at).min();
         let may_be_cancelled = needs.iter().any(|p| p.cancel_asked && p.known != Known::Done);
         let (now, tells) = (self.now, self.tells_orphans);
-        let Some(j) = self.jobs.get_mut(id) else {
-            assert_ne!(r.status, 200, "invented: {body}");
+        let Some(user_job) = self.jobs.get_mut(id) else {
+            assert_ne!(reply.status, 200, "invented: {body}");
             return;
         };
-        if r.status == 404 {
-            assert_eq!(j.known, Known::Nothing, "forgotten: {id} at {}", self.now);
+        if reply.status == 404 {
+            assert_eq!(user_job.known, Known::Nothing, "forgotten: {id} at {}", self.now);
             return;
         }
         let stance = body["stance"].as_str().expect("a stance");
         match stance {
             "done" => {
-                assert_eq!(j.done.len(), j.spec.task_count as usize, "not_done: {id}");
-                assert_ne!(j.known, Known::Cancelled, "went_back: {id}");
-                j.known = Known::Done;
+                assert_eq!(user_job.done.len(), user_job.spec.task_count as usize, "not_done: {id}");
+                assert_ne!(user_job.known, Known::Cancelled, "went_back: {id}");
+                user_job.known = Known::Done;
             }
             "aborted" => {
-                assert!(j.cancel_asked || may_be_cancelled, "went_back: {id} cancelled by nobody");
-                assert_ne!(j.known, Known::Done, "went_back: {id}");
-                j.known = Known::Cancelled;
-                j.cancelled_at.get_or_insert(self.now);
+                assert!(user_job.cancel_asked || may_be_cancelled, "went_back: {id} cancelled by nobody");
+                assert_ne!(user_job.known, Known::Done, "went_back: {id}");
+                user_job.known = Known::Cancelled;
+                user_job.cancelled_at.get_or_insert(self.now);
             }
             _ => {
-                assert!(kind != 'w', "a withdrawal is answered with the end: {body}");
+                assert!(kind != 'w', "a cancellation is answered with the outcome: {body}");
                 assert!(
-                    j.known == Known::Nothing || j.known == Known::Accepted,
+                    user_job.known == Known::Nothing || user_job.known == Known::Accepted,
                     "went_back: {id} was {:?}, is {stance}",
-                    j.known
+                    user_job.known
                 );
-                j.known = Known::Accepted;
-                let since = *j.accepted_at.get_or_insert(now);
+                user_job.known = Known::Accepted;
+                let since = *user_job.accepted_at.get_or_insert(now);
                 if let Some(at) = orphaned_at {
                     let late = now > at.max(since) + (CANCEL_S * 1e6) as u64;
                     assert!(!late || !tells, "orphaned: {id} is {stance} at {now}");
