--- a/tests/world/batches.rs
+++ b/tests/world/batches.rs
@@ -5,9 +5,10 @@
 use super::*;
 use hazelsaddle::controller::OperatorCommand;
 
-/// Classes of jobs that read inputs, as configured in `INI`.
+/// Classes of jobs that read inputs, as configured in `FRESHNESS_CONFIG`.
 pub(crate) const SOURCES: [&str; 2] = ["split", "read"];
-pub(crate) const INI: &str = "[freshness]\nsources = split, read\nmerges = merge\nrequired = split\n";
+pub(crate) const FRESHNESS_CONFIG: &str =
+    "[freshness]\nsources = split, read\nmerges = merge\nrequired = split\n";
 /// Maximum delay of a start that was decided before a newer version: three seconds to read it, the time that a
 /// partitioned peer may hold a message back until one of the two leaves (half of `cancel_s`), and the response to the
 /// last heartbeat.
@@ -21,7 +22,7 @@
 pub(crate) struct PermitRequest {
     job: String,
     attempt: u64,
-    /// Whether no run had been stale for at least `LAG` when it was sent, and how often the version had been raised
+    /// Whether no run had been stale for at least `MAX_REPLACEMENT_LAG` when it was sent, and how often the version had been raised
     /// by then.
     fresh: bool,
     version_raises: usize,
@@ -174,7 +175,10 @@
     fn has_live_attempt(&self, job: &str, attempt: u64, task: Option<u64>) -> bool {
         let has_lease = |w: &&Worker| !w.gone && !w.dead && self.now <= w.lease_from + (LEASE_S * 1e6) as u64;
         let matches_attempt = |t: &Task| {
-            t.on() && t.job == job && t.attempt == attempt && task.is_none_or(|i| i == u64::from(t.index))
+            t.is_placed()
+                && t.job == job
+                && t.attempt == attempt
+                && task.is_none_or(|i| i == u64::from(t.index))
         };
         self.workers.iter().filter(has_lease).any(|w| w.tasks.iter().any(matches_attempt))
     }
@@ -187,7 +191,7 @@
         let running: Vec<(String, u32, u64)> = self
             .workers
             .iter()
-            .filter(|w| !w.gone && !w.dead && self.now >= w.hung_until)
+            .filter(|w| !w.gone && !w.dead && self.now >= w.unresponsive_until)
             .flat_map(|w| &w.tasks)
             .filter(|t| t.state == "running" && self.jobs[&t.job].spec.merges.is_some())
             .map(|t| (t.job.clone(), t.index, t.attempt))
@@ -214,7 +218,7 @@
             self.tickets
                 .insert(ticket, Ticket::Writer(PermitRequest { job, attempt, fresh, version_raises }));
             let controller = self.rng.random_range(0..3usize);
-            self.later(1000, What::Controller(controller, 0, Event::User { ticket, request }));
+            self.later(1000, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
         }
     }
 
@@ -255,17 +259,17 @@
     }
 
     /// Sends an operator's request to a controller without waiting for the answer.
-    pub(crate) fn operator_asks(&mut self, controller: usize, request: OperatorCommand) -> u64 {
+    pub(crate) fn send_operator_command(&mut self, controller: usize, request: OperatorCommand) -> u64 {
         self.serial += 1;
         let ticket = self.serial;
         self.tickets.insert(ticket, Ticket::Asked);
-        self.later(1, What::Controller(controller, 0, Event::Operator { ticket, request }));
+        self.later(1, SimEvent::Controller(controller, 0, Event::Operator { ticket, request }));
         ticket
     }
 
     /// Sends an operator's request to a controller and waits for the answer.
     pub(crate) fn ask_operator(&mut self, controller: usize, request: OperatorCommand) -> Reply {
-        let ticket = self.operator_asks(controller, request);
+        let ticket = self.send_operator_command(controller, request);
         let end = self.now + 12 * S;
         while self.now < end {
             let next = self.now + S / 10;
--- a/tests/world/cancels.rs
+++ b/tests/world/cancels.rs
@@ -7,7 +7,7 @@
 /// Minimum remaining run time of jobs chosen for mass cancellation.
 const MIN_REMAINING: u64 = 12 * S;
 /// Number of jobs that a mass cancellation cancels.
-pub(crate) const CALLED_OFF: usize = 12;
+pub(crate) const MASS_CANCEL_JOBS: usize = 12;
 /// Maximum number of these jobs' machines that become unresponsive with it.
 const MAX_UNRESPONSIVE: usize = 8;
 
@@ -30,11 +30,11 @@
     pub(crate) longest_calm: (u64, String),
     /// Task starts while the same team has a task of another job known to be cancelled on a machine; and while such a
     /// task is on an unresponsive or unreachable machine.
-    pub(crate) beside: [usize; 2],
+    pub(crate) concurrent: [usize; 2],
     /// Machines that resumed, and their remaining tasks of jobs known to be cancelled: tasks that go on, and tasks
     /// that the worker ended first because its lease had expired.
     pub(crate) resumed: usize,
-    pub(crate) woke_with: [usize; 2],
+    pub(crate) resumed_tasks: [usize; 2],
     /// Tasks ended first whose job was cancelled more than `cancel_s` ago.
     pub(crate) resumed_late: usize,
     /// When each job's record was created, and when its final record was.
@@ -52,7 +52,7 @@
     /// Clients cancel `count` running jobs with a long remaining run time, within 0.2 s and through any controllers,
     /// and retry until they are answered. Up to eight machines of these jobs become unresponsive for `hang`. Returns
     /// the job IDs.
-    pub(crate) fn cancel_now(&mut self, count: usize, hang: u64) -> Vec<String> {
+    pub(crate) fn mass_cancel(&mut self, count: usize, hang: u64) -> Vec<String> {
         let now = self.now;
         let is_running = |id: &String| {
             let running = self.workers.iter().filter(|w| !w.gone && !w.dead);
@@ -60,33 +60,34 @@
                 |t: &Task| t.job == *id && t.state == "running" && t.until >= now + MIN_REMAINING;
             running.flat_map(|w| &w.tasks).any(has_long_task)
         };
-        let open = |j: &UserJob| j.known == Known::Accepted && !j.cancel_asked;
+        let open = |j: &UserJob| j.known == KnownState::Accepted && !j.cancel_asked;
         let all: Vec<String> =
             self.jobs.iter().filter(|(id, j)| open(j) && is_running(id)).map(|(id, _)| id.clone()).collect();
         let some: Vec<String> = all.sample(&mut self.rng, count).cloned().collect();
         for id in &some {
             let delay = self.rng.random_range(0..S / 5);
-            self.call_off(id, delay);
+            self.start_cancelling(id, delay);
         }
         if hang > 0 {
             let machines: BTreeSet<usize> = some.iter().flat_map(|id| self.alive(id)).collect();
             let machines: Vec<usize> = machines.into_iter().collect();
             for &worker_index in machines.sample(&mut self.rng, MAX_UNRESPONSIVE).collect::<Vec<_>>() {
-                self.workers[worker_index].hung_until = self.workers[worker_index].hung_until.max(now + hang);
+                self.workers[worker_index].unresponsive_until =
+                    self.workers[worker_index].unresponsive_until.max(now + hang);
             }
         }
         some
     }
 
     /// The job's client starts to ask random controllers to cancel it, until it is answered.
-    pub(crate) fn call_off(&mut self, id: &str, delay: u64) {
+    pub(crate) fn start_cancelling(&mut self, id: &str, delay: u64) {
         let since = self.now + delay;
         self.cancels.asked.entry(id.to_owned()).or_insert(since);
         self.cancels.pending_cancels.entry(id.to_owned()).or_insert(PendingCancel { since, next: since });
         self.jobs.get_mut(id).expect("a job").cancel_asked = true;
         if delay > 0 {
             // Sent at its own random time instead of the next round.
-            self.later(delay, What::CallOff(id.to_owned()));
+            self.later(delay, SimEvent::RetryCancel(id.to_owned()));
         } else {
             self.retry_cancel(id);
         }
@@ -97,7 +98,7 @@
         if let Some(pending) = self.cancels.pending_cancels.get_mut(id) {
             pending.next = self.now + pause;
             let controller = self.rng.random_range(0..3);
-            self.withdraw(controller, id);
+            self.cancel_job(controller, id);
         }
     }
 
@@ -105,13 +106,13 @@
     pub(crate) fn run_cancels(&mut self) {
         for (id, pending) in self.cancels.pending_cancels.clone() {
             match self.jobs[&id].known {
-                Known::Accepted if self.now >= pending.next + S / 5 => self.retry_cancel(&id),
-                Known::Accepted | Known::Nothing => {}
-                Known::Done | Known::Cancelled => {
+                KnownState::Accepted if self.now >= pending.next + S / 5 => self.retry_cancel(&id),
+                KnownState::Accepted | KnownState::Unknown => {}
+                KnownState::Done | KnownState::Cancelled => {
                     self.cancels.pending_cancels.remove(&id);
                     self.cancels.answered += 1;
-                    let told = self.compound.told.get(&id).map_or(self.now, |t| t.at);
-                    let calm = told.saturating_sub(pending.since.max(self.silence.calm_from));
+                    let told = self.compound.cancel_answers.get(&id).map_or(self.now, |t| t.at);
+                    let calm = told.saturating_sub(pending.since.max(self.answer_gaps.fault_free_from));
                     let counts = &mut self.cancels;
                     let all = (told.saturating_sub(pending.since), id.clone());
                     counts.longest = counts.longest.clone().max(all);
@@ -171,7 +172,7 @@
     }
 
     /// The number of created job records.
-    pub(crate) fn recorded(&self) -> usize {
+    pub(crate) fn created_jobs(&self) -> usize {
         self.cancels.records.len()
     }
 
@@ -186,7 +187,7 @@
         let team = &self.jobs[job].spec.team;
         let is_cancelled_teammate = |t: &Task| {
             let user_job = &self.jobs[&t.job];
-            t.on() && user_job.spec.team == *team && user_job.cancelled_at.is_some()
+            t.is_placed() && user_job.spec.team == *team && user_job.cancelled_at.is_some()
         };
         let has_lease = |w: &&Worker| !w.gone && !w.dead && self.now <= w.lease_from + (LEASE_S * 1e6) as u64;
         let machines: Vec<&Worker> = self
@@ -196,9 +197,9 @@
             .filter(|w| w.tasks.iter().any(is_cancelled_teammate))
             .collect();
         let is_unresponsive =
-            machines.iter().any(|w| self.now < w.hung_until || self.now < w.inbound_lost_until);
+            machines.iter().any(|w| self.now < w.unresponsive_until || self.now < w.inbound_lost_until);
         let counts = [!machines.is_empty(), is_unresponsive];
-        for (count, is) in self.cancels.beside.iter_mut().zip(counts) {
+        for (count, is) in self.cancels.concurrent.iter_mut().zip(counts) {
             *count += usize::from(is);
         }
     }
@@ -207,10 +208,10 @@
     /// on and are checked like any others.
     pub(crate) fn check_resumed(&mut self, worker_index: usize) {
         let worker = &mut self.workers[worker_index];
-        if worker.hung_until == 0 {
+        if worker.unresponsive_until == 0 {
             return;
         }
-        worker.hung_until = 0;
+        worker.unresponsive_until = 0;
         let over = self.now > worker.lease_from + (LEASE_S * 1e6) as u64;
         let counts = &mut self.cancels;
         counts.resumed += 1;
@@ -218,7 +219,7 @@
             let Some(at) = self.jobs[&task.job].cancelled_at else { continue };
             let late = self.now > at + (CANCEL_S * 1e6) as u64;
             assert!(over || !late, "ran_cancelled: {} continues after its machine resumed", task.job);
-            counts.woke_with[usize::from(over)] += 1;
+            counts.resumed_tasks[usize::from(over)] += 1;
             counts.resumed_late += usize::from(over && late);
         }
     }
@@ -226,7 +227,7 @@
     /// CPUs of a team's tasks as its limit counts them, in thousandths.
     pub(crate) fn team_use(&self, team: &str) -> i64 {
         let has_lease = |w: &&Worker| !w.gone && !w.dead && self.now <= w.lease_from + (LEASE_S * 1e6) as u64;
-        let on = self.workers.iter().filter(has_lease).flat_map(|w| &w.tasks).filter(|t| t.on());
+        let on = self.workers.iter().filter(has_lease).flat_map(|w| &w.tasks).filter(|t| t.is_placed());
         on.map(|t| &self.jobs[&t.job].spec)
             .filter(|s| s.team == team)
             .map(|s| s.resources_per_task.cpus)
@@ -236,7 +237,7 @@
 
 impl World {
     /// Checks that every cancellation was answered, within `most` seconds outside of faults.
-    pub(crate) fn each_was_answered(&self, seed: u64, maximum: f64) {
+    pub(crate) fn assert_cancels_answered(&self, seed: u64, maximum: f64) {
         let counts = &self.cancels;
         assert!(counts.pending_cancels.is_empty(), "seed {seed}: {:?}", counts.pending_cancels);
         let (duration, id) = &counts.longest_calm;
@@ -252,7 +253,9 @@
         self.longest_calm = self.longest_calm.clone().max(other.longest_calm.clone());
         self.resumed += other.resumed;
         self.resumed_late += other.resumed_late;
-        for (sum, count) in [(&mut self.beside, &other.beside), (&mut self.woke_with, &other.woke_with)] {
+        for (sum, count) in
+            [(&mut self.concurrent, &other.concurrent), (&mut self.resumed_tasks, &other.resumed_tasks)]
+        {
             sum.iter_mut().zip(count).for_each(|(a, b)| *a += b);
         }
         self.burst = self.burst.max(other.burst);
@@ -270,8 +273,8 @@
             .field("answered", &self.answered)
             .field("longest", &format_longest(&self.longest))
             .field("longest_calm", &format_longest(&self.longest_calm))
-            .field("beside", &self.beside)
-            .field("resumed", &(self.resumed, self.woke_with, self.resumed_late))
+            .field("concurrent", &self.concurrent)
+            .field("resumed", &(self.resumed, self.resumed_tasks, self.resumed_late))
             .field("burst", &self.burst)
             .field("changes", &self.changes)
             .finish()
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -14,7 +14,7 @@
     pub(crate) after_newer: usize,
     /// Probes that a worker rejected because it had a newer token, or because of a different incarnation.
     pub(crate) by_token: usize,
-    pub(crate) by_session: usize,
+    pub(crate) by_incarnation: usize,
     /// Probes that a worker accepted; of these, those of an epoch that was no longer the newest.
     pub(crate) carried_out: usize,
     pub(crate) deposed: usize,
@@ -46,17 +46,17 @@
         let (share, until) = self.commands.late;
         if self.now < until && self.rng.random_bool(share) {
             let late = self.rng.random_range(2 * S..16 * S);
-            return self.later(delay + late, What::LateCommand(controller, boot, token, probe));
+            return self.later(delay + late, SimEvent::DeliverLateProbe(controller, boot, token, probe));
         }
-        self.later(delay, What::Greet(controller, boot, token, probe));
+        self.later(delay, SimEvent::DeliverProbe(controller, boot, token, probe));
     }
 
     /// A delayed probe arrives; its answer is dropped.
     pub(crate) fn deliver_late_probe(&mut self, sender: usize, boot: u64, token: u64, probe: FencingProbe) {
         let Some(worker_index) = self.probed_worker(&probe) else { return };
-        let hung = self.workers[worker_index].hung_until;
+        let hung = self.workers[worker_index].unresponsive_until;
         if hung > self.now {
-            return self.later(hung - self.now, What::LateCommand(sender, boot, token, probe));
+            return self.later(hung - self.now, SimEvent::DeliverLateProbe(sender, boot, token, probe));
         }
         let (newest, ended) = (self.epoch(), boot != self.boots[sender]);
         // No controller may use a token newer than the epoch: a worker that accepted it would reject all later
@@ -69,8 +69,8 @@
         counts.after_newer += usize::from(token < newest);
         if token < worker.token {
             counts.by_token += 1;
-        } else if probe.incarnation != worker.session {
-            counts.by_session += 1;
+        } else if probe.incarnation != worker.incarnation {
+            counts.by_incarnation += 1;
         } else {
             counts.carried_out += 1;
             counts.deposed += usize::from(token < newest);
--- a/tests/world/compound.rs
+++ b/tests/world/compound.rs
@@ -7,7 +7,7 @@
 
 /// What happens to messages on a faulty link between controllers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Fate {
+pub(crate) enum LinkFault {
     Lost,
     Held,
     /// Delayed by this additional time, in order.
@@ -16,93 +16,93 @@
 
 /// A link that fails in one direction.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Way {
-    pub(crate) from: End,
-    pub(crate) to: End,
+pub(crate) struct FaultyLink {
+    pub(crate) from: Endpoint,
+    pub(crate) to: Endpoint,
     pub(crate) until: u64,
-    pub(crate) fate: Fate,
+    pub(crate) fate: LinkFault,
 }
 
 /// The faults that a test can inject, alone or in combination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trouble {
+pub(crate) enum Fault {
     Restart,
     RestartAll,
     /// The process is asked to shut down, and restarts at once.
     Leave,
-    StandsStill,
+    ProcessPaused,
     Outage,
-    Refused,
+    StoreRefuses,
     SlowStore,
     LateWrites,
-    CutFromStore,
-    CutFromWorkers,
-    CutFromPeer,
-    CutOneWay,
+    PartitionFromStore,
+    PartitionFromWorkers,
+    PartitionFromPeer,
+    OneWayPartition,
     LatePeers,
     /// Partitioned from the state store and the peers, but not from workers and clients.
-    CutFromStoreAndPeers,
-    CutFromAll,
+    PartitionFromStoreAndPeers,
+    PartitionFromAll,
     /// Partition of a zone with its workers and controller.
-    ZoneCut,
-    LateReports,
-    MachinesDeaf,
-    MachinesHang,
-    MachinesDie,
-    MachinesTakenBack,
-    CloseLooks,
+    ZonePartition,
+    LateHeartbeats,
+    MachinesInboundLost,
+    MachinesUnresponsive,
+    MachinesFail,
+    MachinesReturned,
+    ProbeBursts,
     CancelAtEnd,
-    OddRequests,
+    InvalidRequests,
     /// Writes to the state store are carried out at once, but their answers are lost.
     AnswersLost,
     /// Copies of heartbeats arrive at every controller when the next epoch begins, or after the first task start in
     /// it.
-    ReportsForNext,
+    HeldBackHeartbeats,
     /// The machines reach no controller, but fencing probes reach them.
-    MachinesMute,
-    /// Running jobs are cancelled within 0.2 s; with `CancelNowHang` some of their machines become unresponsive.
-    CancelNow,
-    CancelNowHang,
+    MachinesOutboundLost,
+    /// Running jobs are cancelled within 0.2 s; with `MassCancelUnresponsive` some of their machines become unresponsive.
+    MassCancel,
+    MassCancelUnresponsive,
     /// Fencing probes arrive late, after those of a newer leader.
-    LateCommands,
+    LateFencingProbes,
 }
 
-pub(crate) const TROUBLES: [Trouble; 30] = [
-    Trouble::Restart,
-    Trouble::RestartAll,
-    Trouble::Leave,
-    Trouble::StandsStill,
-    Trouble::Outage,
-    Trouble::Refused,
-    Trouble::SlowStore,
-    Trouble::LateWrites,
-    Trouble::CutFromStore,
-    Trouble::CutFromWorkers,
-    Trouble::CutFromPeer,
-    Trouble::CutOneWay,
-    Trouble::LatePeers,
-    Trouble::CutFromStoreAndPeers,
-    Trouble::CutFromAll,
-    Trouble::ZoneCut,
-    Trouble::LateReports,
-    Trouble::MachinesDeaf,
-    Trouble::MachinesHang,
-    Trouble::MachinesDie,
-    Trouble::MachinesTakenBack,
-    Trouble::CloseLooks,
-    Trouble::CancelAtEnd,
-    Trouble::OddRequests,
-    Trouble::AnswersLost,
-    Trouble::ReportsForNext,
-    Trouble::MachinesMute,
-    Trouble::CancelNow,
-    Trouble::CancelNowHang,
-    Trouble::LateCommands,
+pub(crate) const FAULTS: [Fault; 30] = [
+    Fault::Restart,
+    Fault::RestartAll,
+    Fault::Leave,
+    Fault::ProcessPaused,
+    Fault::Outage,
+    Fault::StoreRefuses,
+    Fault::SlowStore,
+    Fault::LateWrites,
+    Fault::PartitionFromStore,
+    Fault::PartitionFromWorkers,
+    Fault::PartitionFromPeer,
+    Fault::OneWayPartition,
+    Fault::LatePeers,
+    Fault::PartitionFromStoreAndPeers,
+    Fault::PartitionFromAll,
+    Fault::ZonePartition,
+    Fault::LateHeartbeats,
+    Fault::MachinesInboundLost,
+    Fault::MachinesUnresponsive,
+    Fault::MachinesFail,
+    Fault::MachinesReturned,
+    Fault::ProbeBursts,
+    Fault::CancelAtEnd,
+    Fault::InvalidRequests,
+    Fault::AnswersLost,
+    Fault::HeldBackHeartbeats,
+    Fault::MachinesOutboundLost,
+    Fault::MassCancel,
+    Fault::MassCancelUnresponsive,
+    Fault::LateFencingProbes,
 ];
 
 /// A client was told that a job is cancelled.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Told {
+pub(crate) struct CancelAnswer {
     pub(crate) at: u64,
     pub(crate) by: usize,
     /// The controllers that the state store refused at that time.
@@ -121,7 +121,7 @@
     slow: u64,
     /// Range of answer delays of a slow state store; 1 to 5 s if `None`.
     slow_by: Option<std::ops::Range<u64>>,
-    pub(crate) ways: Vec<Way>,
+    pub(crate) faulty_links: Vec<FaultyLink>,
     /// When the latest transaction of each controller was committed.
     committed: [u64; 3],
     /// Late transactions: all, those after newer ones of the same controller, and of these, the committed ones.
@@ -137,14 +137,14 @@
     pub(crate) refusals: usize,
     pub(crate) slow_unknown: usize,
     /// Jobs reported as cancelled to a client, with the first such answer.
-    pub(crate) told: BTreeMap<String, Told>,
+    pub(crate) cancel_answers: BTreeMap<String, CancelAnswer>,
 }
 
 impl Compound {
     /// Whether controllers or services that they need are failing.
     pub(crate) fn has_fault(&self, now: u64) -> bool {
         let until = [self.late_writes.1, self.slow].into_iter().chain(self.refused);
-        until.chain(self.ways.iter().map(|w| w.until)).any(|t| now < t)
+        until.chain(self.faulty_links.iter().map(|w| w.until)).any(|t| now < t)
     }
 }
 
@@ -160,7 +160,7 @@
     }
 
     /// Heartbeats of these machines arrive, but responses and fencing probes to them are lost.
-    pub(crate) fn machine_deaf(&mut self, machines: &[usize], duration: u64) {
+    pub(crate) fn lose_inbound_messages(&mut self, machines: &[usize], duration: u64) {
         for &machine in machines {
             self.workers[machine].inbound_lost_until = self.now + duration;
         }
@@ -174,7 +174,7 @@
         for (controller, boot, id, ..) in its {
             self.later(
                 1000,
-                What::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Refused }),
+                SimEvent::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Refused }),
             );
         }
     }
@@ -195,27 +195,32 @@
 
     /// One controller is partitioned from the state store and its peers, but not from workers and clients.
     pub(crate) fn cut_from_store_and_peers(&mut self, controller: usize, duration: u64, hold: bool) {
-        self.cuts.push((End::Controller(controller), End::Store, self.now + duration, hold));
+        self.partitions.push((Endpoint::Controller(controller), Endpoint::Store, self.now + duration, hold));
         for peer in (0..3).filter(|&peer| peer != controller) {
-            self.cuts.push((End::Controller(controller), End::Controller(peer), self.now + duration, hold));
+            self.partitions.push((
+                Endpoint::Controller(controller),
+                Endpoint::Controller(peer),
+                self.now + duration,
+                hold,
+            ));
         }
     }
 
     /// Messages from one controller to another are lost, held back or late; the other direction works.
-    pub(crate) fn one_way(&mut self, from: usize, to: usize, duration: u64, fate: Fate) {
-        let (from, to) = (End::Controller(from), End::Controller(to));
-        self.compound.ways.push(Way { from, to, until: self.now + duration, fate });
+    pub(crate) fn fail_one_way(&mut self, from: usize, to: usize, duration: u64, fate: LinkFault) {
+        let (from, to) = (Endpoint::Controller(from), Endpoint::Controller(to));
+        self.compound.faulty_links.push(FaultyLink { from, to, until: self.now + duration, fate });
     }
 
     /// The extra delay of a message due to one-way faults; `None` if it is lost.
-    pub(crate) fn one_way_delay(&self, from: End, to: End) -> Option<u64> {
-        let hit = |w: &&Way| w.from == from && w.to == to && self.now < w.until;
-        match self.compound.ways.iter().find(hit) {
+    pub(crate) fn one_way_delay(&self, from: Endpoint, to: Endpoint) -> Option<u64> {
+        let hit = |w: &&FaultyLink| w.from == from && w.to == to && self.now < w.until;
+        match self.compound.faulty_links.iter().find(hit) {
             None => Some(0),
             Some(w) => match w.fate {
-                Fate::Lost => None,
-                Fate::Held => Some(w.until - self.now),
-                Fate::Late(by) => Some(by),
+                LinkFault::Lost => None,
+                LinkFault::Held => Some(w.until - self.now),
+                LinkFault::Late(by) => Some(by),
             },
         }
     }
@@ -233,7 +238,7 @@
         let unknown = |world: &mut World| {
             world.later(
                 LIMIT,
-                What::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
+                SimEvent::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
             )
         };
         let Some(delay) = delay else { return unknown(self) };
@@ -241,7 +246,7 @@
             self.compound.refusals += 1;
             return self.later(
                 delay,
-                What::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Refused }),
+                SimEvent::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Refused }),
             );
         }
         if self.is_answer_dropped(controller, &request, delay) {
@@ -252,7 +257,7 @@
         {
             let late = self.rng.random_range(2 * S..12 * S);
             let issued = self.now;
-            self.later(late, What::LateWrite(controller, issued, request));
+            self.later(late, SimEvent::LateWrite(controller, issued, request));
             return unknown(self);
         }
         let slow = match self.now < self.compound.slow {
@@ -261,10 +266,10 @@
         };
         // A request that takes longer than the client's timeout has an unknown outcome and is applied late.
         if delay + slow < LIMIT {
-            self.later(delay + slow / 2, What::StoreApply(controller, boot, id, request, Some(slow / 2)));
+            self.later(delay + slow / 2, SimEvent::StoreApply(controller, boot, id, request, Some(slow / 2)));
         } else {
             self.compound.slow_unknown += usize::from(slow > 0);
-            self.later(delay + slow / 2, What::StoreApply(controller, boot, id, request, None));
+            self.later(delay + slow / 2, SimEvent::StoreApply(controller, boot, id, request, None));
             unknown(self);
         }
     }
@@ -274,7 +279,7 @@
         // One that arrives during an outage is carried out afterwards.
         if self.now < self.outage_until {
             let delay = self.outage_until - self.now + S / 10;
-            return self.later(delay, What::LateWrite(controller, issued, request));
+            return self.later(delay, SimEvent::LateWrite(controller, issued, request));
         }
         let newer = self.compound.committed[controller] > issued;
         let answer = self.store_apply(request);
@@ -297,7 +302,7 @@
         let (share, until) = self.compound.late_reports;
         if self.now < until && self.rng.random_bool(share) {
             let late = self.rng.random_range(2 * S..(1.6 * LEASE_S * 1e6) as u64);
-            self.later(late, What::LateReport(worker, target, self.now, report.clone()));
+            self.later(late, SimEvent::LateHeartbeat(worker, target, self.now, report.clone()));
         }
     }
 
@@ -309,12 +314,12 @@
         report: Heartbeat,
     ) {
         let worker = &self.workers[worker_index];
-        let newer = (worker.session, worker.seq) > (report.incarnation, report.sequence);
+        let newer = (worker.incarnation, worker.seq) > (report.incarnation, report.sequence);
         let old = self.now > sent + (LEASE_S * 1e6) as u64;
         for (count, is) in self.compound.copies.iter_mut().zip([true, newer, old]) {
             *count += usize::from(is);
         }
-        self.compound.earlier += usize::from(worker.session > report.incarnation);
+        self.compound.earlier += usize::from(worker.incarnation > report.incarnation);
         // The response to the copy is dropped.
         self.serial += 1;
         self.step_controller(target, Event::Heartbeat { ticket: self.serial, heartbeat: report });
@@ -331,8 +336,8 @@
         let (Some("aborted"), Some(id)) = (body["stance"].as_str(), body["uid"].as_str()) else { return };
         let tasks = self.alive(id).count();
         let refused = [0, 1, 2].map(|n| self.is_refused(n));
-        let told = Told { at: self.now, by, refused, outage: self.now < self.outage_until, tasks };
-        self.compound.told.entry(id.to_owned()).or_insert(told);
+        let told = CancelAnswer { at: self.now, by, refused, outage: self.now < self.outage_until, tasks };
+        self.compound.cancel_answers.entry(id.to_owned()).or_insert(told);
         if let Some(user_job) = self.jobs.get_mut(id) {
             user_job.cancelled_at.get_or_insert(told.at);
         }
@@ -358,7 +363,7 @@
     }
 
     /// Injects a fault for a duration; `n` is the affected controller, if any.
-    pub(crate) fn begin(&mut self, trouble: Trouble, controller: usize, duration: u64) {
+    pub(crate) fn inject_fault(&mut self, trouble: Fault, controller: usize, duration: u64) {
         let now = self.now;
         self.log.push(format!(
             "{:.1}: {trouble:?} of {controller} for {:.1}",
@@ -368,38 +373,44 @@
         let hold = self.rng.random_bool(0.5);
         let (next_peer, other_peer) = ((controller + 1) % 3, (controller + 2) % 3);
         match trouble {
-            Trouble::Restart => self.crash_for(controller, S / 20..S / 10),
-            Trouble::RestartAll => (0..3).for_each(|controller| self.crash_for(controller, S / 20..S / 10)),
-            Trouble::Leave => {
-                self.later(1, What::Controller(controller, self.boots[controller], Event::Leave));
-                self.later(5 * S, What::End(controller, self.boots[controller]));
+            Fault::Restart => self.crash_for(controller, S / 20..S / 10),
+            Fault::RestartAll => (0..3).for_each(|controller| self.crash_for(controller, S / 20..S / 10)),
+            Fault::Leave => {
+                self.later(1, SimEvent::Controller(controller, self.boots[controller], Event::Leave));
+                self.later(5 * S, SimEvent::Exit(controller, self.boots[controller]));
             }
-            Trouble::StandsStill => self.hung[controller] = now + duration,
-            Trouble::Outage => self.outage_until = now + duration,
-            Trouble::Refused => self.refuse(controller, duration),
-            Trouble::SlowStore => self.slow_store(duration),
-            Trouble::LateWrites => {
+            Fault::ProcessPaused => self.paused_until[controller] = now + duration,
+            Fault::Outage => self.outage_until = now + duration,
+            Fault::StoreRefuses => self.refuse(controller, duration),
+            Fault::SlowStore => self.slow_store(duration),
+            Fault::LateWrites => {
                 let share = self.rng.random_range(0.05..0.6);
                 self.late_writes(share, duration);
             }
-            Trouble::CutFromStore => {
-                self.cuts.push((End::Controller(controller), End::Store, now + duration, hold))
-            }
-            Trouble::CutFromWorkers => {
-                self.cuts.push((End::Controller(controller), End::Workers, now + duration, hold))
-            }
-            Trouble::CutFromPeer => self.cuts.push((
-                End::Controller(controller),
-                End::Controller(next_peer),
+            Fault::PartitionFromStore => self.partitions.push((
+                Endpoint::Controller(controller),
+                Endpoint::Store,
+                now + duration,
+                hold,
+            )),
+            Fault::PartitionFromWorkers => self.partitions.push((
+                Endpoint::Controller(controller),
+                Endpoint::Workers,
+                now + duration,
+                hold,
+            )),
+            Fault::PartitionFromPeer => self.partitions.push((
+                Endpoint::Controller(controller),
+                Endpoint::Controller(next_peer),
                 now + duration,
                 hold,
             )),
-            Trouble::CutOneWay => {
+            Fault::OneWayPartition => {
                 let (a, b) =
                     if self.rng.random_bool(0.5) { (controller, next_peer) } else { (next_peer, controller) };
-                self.one_way(a, b, duration, if hold { Fate::Held } else { Fate::Lost });
+                self.fail_one_way(a, b, duration, if hold { LinkFault::Held } else { LinkFault::Lost });
             }
-            Trouble::LatePeers => {
+            Fault::LatePeers => {
                 let by = self.rng.random_range(S / 2..8 * S);
                 for (a, b) in [
                     (controller, next_peer),
@@ -407,63 +418,68 @@
                     (controller, other_peer),
                     (other_peer, controller),
                 ] {
-                    self.one_way(a, b, duration, Fate::Late(by));
+                    self.fail_one_way(a, b, duration, LinkFault::Late(by));
                 }
             }
-            Trouble::CutFromStoreAndPeers => self.cut_from_store_and_peers(controller, duration, hold),
-            Trouble::CutFromAll => {
+            Fault::PartitionFromStoreAndPeers => self.cut_from_store_and_peers(controller, duration, hold),
+            Fault::PartitionFromAll => {
                 self.cut_from_store_and_peers(controller, duration, hold);
-                self.cuts.push((End::Controller(controller), End::Workers, now + duration, hold));
+                self.partitions.push((
+                    Endpoint::Controller(controller),
+                    Endpoint::Workers,
+                    now + duration,
+                    hold,
+                ));
             }
-            Trouble::ZoneCut => self.zone_cut(ZONES[controller % 2], duration, hold),
-            Trouble::LateReports => {
+            Fault::ZonePartition => self.zone_cut(ZONES[controller % 2], duration, hold),
+            Fault::LateHeartbeats => {
                 let share = self.rng.random_range(0.1..0.9);
                 self.late_reports(share, duration);
             }
-            Trouble::AnswersLost => {
+            Fault::AnswersLost => {
                 let share = self.rng.random_range(0.05..0.6);
-                self.answers_lost(None, share, duration, Carried::AtOnce);
+                self.lose_answers(None, share, duration, Execution::AtOnce);
             }
-            Trouble::ReportsForNext => {
+            Fault::HeldBackHeartbeats => {
                 let share = self.rng.random_range(0.1..0.9);
-                self.reports_for_next(share, duration);
+                self.hold_back_heartbeats(share, duration);
             }
-            Trouble::MachinesMute => {
+            Fault::MachinesOutboundLost => {
                 let machines = self.some_machines();
-                self.machine_mute(&machines, duration);
+                self.lose_outbound_messages(&machines, duration);
             }
-            Trouble::MachinesDeaf => {
+            Fault::MachinesInboundLost => {
                 let machines = self.some_machines();
-                self.machine_deaf(&machines, duration);
+                self.lose_inbound_messages(&machines, duration);
             }
-            Trouble::MachinesHang => {
+            Fault::MachinesUnresponsive => {
                 for machine in self.some_machines() {
-                    self.workers[machine].hung_until = now + duration;
+                    self.workers[machine].unresponsive_until = now + duration;
                 }
             }
-            Trouble::MachinesDie => {
+            Fault::MachinesFail => {
                 let Some(&machine) = self.some_machines().first() else { return };
                 self.workers[machine].dead = true;
                 self.workers[machine].tasks.clear();
             }
-            Trouble::MachinesTakenBack => {
+            Fault::MachinesReturned => {
                 let Some(&machine) = self.some_machines().first() else { return };
                 self.workers[machine].gone = true;
                 self.workers[machine].tasks.clear();
             }
-            Trouble::CloseLooks => self.close_looks(duration),
-            Trouble::CancelAtEnd => {
+            Fault::ProbeBursts => self.enable_probe_bursts(duration),
+            Fault::CancelAtEnd => {
                 let share = self.rng.random_range(0.2..0.8);
                 self.cancel_at_end(share, duration);
             }
-            Trouble::OddRequests => self.odd_requests(duration),
-            Trouble::CancelNow => {
-                self.cancel_now(CALLED_OFF, 0);
+            Fault::InvalidRequests => self.enable_invalid_requests(duration),
+            Fault::MassCancel => {
+                self.mass_cancel(MASS_CANCEL_JOBS, 0);
             }
-            Trouble::CancelNowHang => {
-                self.cancel_now(CALLED_OFF, duration);
+            Fault::MassCancelUnresponsive => {
+                self.mass_cancel(MASS_CANCEL_JOBS, duration);
             }
-            Trouble::LateCommands => {
+            Fault::LateFencingProbes => {
                 let share = self.rng.random_range(0.2..1.0);
                 self.late_commands(share, duration);
             }
@@ -471,14 +487,14 @@
     }
 
     /// Injects two overlapping faults: the second begins during the first or shortly after it.
-    pub(crate) fn pair(&mut self, first: Trouble, second: Trouble) {
+    pub(crate) fn pair(&mut self, first: Fault, second: Fault) {
         let (first_target, second_target) =
             (self.rng.random_range(0..3usize), self.rng.random_range(0..3usize));
         let duration = self.rng.random_range(4 * S..60 * S);
-        self.begin(first, first_target, duration);
+        self.inject_fault(first, first_target, duration);
         let brief = matches!(
             first,
-            Trouble::Restart | Trouble::RestartAll | Trouble::MachinesDie | Trouble::MachinesTakenBack
+            Fault::Restart | Fault::RestartAll | Fault::MachinesFail | Fault::MachinesReturned
         );
         let gap = match self.rng.random_range(0..3) {
             0 => self.rng.random_range(0..S),
@@ -489,24 +505,26 @@
         let until = self.now + gap;
         self.run(0, until);
         let duration = self.rng.random_range(4 * S..70 * S);
-        self.begin(second, second_target, duration);
+        self.inject_fault(second, second_target, duration);
     }
 
     /// The end of the last fault.
-    pub(crate) fn over_at(&self) -> u64 {
+    pub(crate) fn last_fault_end(&self) -> u64 {
         let compound = &self.compound;
         let ends = [
             self.outage_until,
             compound.late_writes.1,
             compound.late_reports.1,
             compound.slow,
-            self.looks.over_at(),
+            self.client_probes.last_fault_end(),
             self.lost.until(),
             self.zones.until(),
             self.commands.until(),
         ];
-        let ends = ends.into_iter().chain(compound.refused).chain(self.hung.iter().copied());
-        let ends = ends.chain(compound.ways.iter().map(|w| w.until)).chain(self.cuts.iter().map(|cut| cut.2));
+        let ends = ends.into_iter().chain(compound.refused).chain(self.paused_until.iter().copied());
+        let ends = ends
+            .chain(compound.faulty_links.iter().map(|w| w.until))
+            .chain(self.partitions.iter().map(|cut| cut.2));
         ends.chain(self.workers.iter().flat_map(|w| [w.inbound_lost_until, w.outbound_lost_until]))
             .filter(|&t| t < NEVER)
             .max()
--- a/tests/world/days/batches.rs
+++ b/tests/world/days/batches.rs
@@ -1,12 +1,12 @@
 //! Merges that start and write only on runs of their batch's version.
 
-use crate::batches::INI;
+use crate::batches::FRESHNESS_CONFIG;
 use crate::*;
 use hazelsaddle::controller::OperatorCommand;
 
 pub(super) fn world(seed: u64, shape: Shape) -> World {
     let mut w = World::new(seed, shape);
-    w.operators = Some(Operators::parse("test", INI).expect("valid"));
+    w.operators = Some(Operators::parse("test", FRESHNESS_CONFIG).expect("valid"));
     w
 }
 
@@ -28,7 +28,7 @@
         b["batch"] = of(name, v);
     }
     let long = w.rng.random_range(3 * S..9 * S);
-    w.add_given(&b, long);
+    w.add_described_job(&b, long);
     id
 }
 
@@ -49,14 +49,14 @@
     let read: Vec<&str> = read.iter().map(String::as_str).collect();
     let check = format!("wk-7{:05}", w.jobs.len());
     let b = body(&check, "check", "batch", 2, &read);
-    w.add_given(&b, 4 * S);
+    w.add_described_job(&b, 4 * S);
     let merge = format!("wk-7{:05}", w.jobs.len());
     let kind = ["batch", "group"][w.rng.random_range(0..2usize)];
     let tasks = w.rng.random_range(1..4);
     let mut b = body(&merge, "merge", kind, tasks, &[&check]);
     b["merges"] = of(name, version);
     let long = w.rng.random_range(8 * S..25 * S);
-    w.add_given(&b, long);
+    w.add_described_job(&b, long);
     merge
 }
 
@@ -75,7 +75,7 @@
     replaced_in(w, seed, quick)
 }
 
-pub(super) const REPLACED: Shape = Shape { jobs: 12, machines: 6, room: 8, ..SMALL };
+pub(super) const REPLACED: Shape = Shape { jobs: 12, machines: 6, zone_capacity: 8, ..SMALL };
 
 pub(super) fn replaced_in(mut w: World, seed: u64, quick: bool) -> World {
     w.batches.writers = true;
@@ -95,7 +95,7 @@
                 }
                 2..4 => {
                     let (n, up) = (w.rng.random_range(0..3usize), w.rng.random_range(0..3));
-                    w.operator_asks(
+                    w.send_operator_command(
                         n,
                         OperatorCommand::PutBatch { name: name.into(), version: version + up },
                     );
@@ -141,7 +141,12 @@
         let quick = seed % 4 == 0;
         let mut w = replaced(seed, quick);
         let states = w.states();
-        assert!(w.finished().is_empty(), "seed {seed}: {:?} {:#?} {states:#?}", w.finished(), w.log);
+        assert!(
+            w.unfinished_jobs().is_empty(),
+            "seed {seed}: {:?} {:#?} {states:#?}",
+            w.unfinished_jobs(),
+            w.log
+        );
         for name in ["b0", "b1", "b2"] {
             assert_eq!(w.permits_held(name), 0, "seed {seed}: {name} {states:#?}");
         }
@@ -164,7 +169,7 @@
 #[test]
 fn a_batch_is_put_and_shown_and_a_repeat_changes_nothing() {
     let mut w = world(950, Shape { jobs: 0, ..SMALL });
-    play_until(&mut w, 30 * S);
+    run_until(&mut w, 30 * S);
     let put = |w: &mut World, n: usize, name: &str, version: u64| {
         w.ask_operator(n, OperatorCommand::PutBatch { name: name.into(), version })
     };
@@ -179,7 +184,7 @@
         let mut b = body(id, class, "batch", 1, &[]);
         b[key] = of("b", version);
         if !w.jobs.contains_key(id) {
-            w.add_given(&b, 5 * S).next = NEVER;
+            w.add_described_job(&b, 5 * S).next = NEVER;
         }
         w.ask(n, UserRequest::Submit(id.into(), b.to_string()))
     };
@@ -191,11 +196,11 @@
         assert_eq!(submit(&mut w, n, "wk-800002", "split", "batch", 9).status, 200);
     }
     let done = w.now + 60 * S;
-    play_until(&mut w, done);
+    run_until(&mut w, done);
     // Nobody remembers it then: only its record tells that it was accepted.
     (0..3).for_each(|n| w.crash(n));
     let back = w.now + 45 * S;
-    play_until(&mut w, back);
+    run_until(&mut w, back);
     for n in 0..3 {
         assert_eq!(submit(&mut w, n, "wk-800002", "split", "batch", 9).status, 200, "after its end");
     }
@@ -214,12 +219,12 @@
 #[test]
 fn a_newer_version_waits_for_no_writer_and_the_next_merge_for_a_new_run() {
     let mut w = world(951, Shape { jobs: 0, ..SMALL });
-    play_until(&mut w, 30 * S);
+    run_until(&mut w, 30 * S);
     let split = run(&mut w, "split", "b", Some(7), &[]);
     let merge = |w: &mut World, id: &str| {
         let mut b = body(id, "merge", "batch", 1, &[&split]);
         b["merges"] = of("b", 7);
-        w.add_given(&b, 40 * S);
+        w.add_described_job(&b, 40 * S);
     };
     merge(&mut w, "wk-800001");
     let running = |w: &World, id: &str| {
@@ -229,7 +234,7 @@
     let attempt = loop {
         let next = w.now + S / 2;
         assert!(next < 120 * S, "it does not start");
-        play_until(&mut w, next);
+        run_until(&mut w, next);
         if let Some(a) = running(&w, "wk-800001") {
             break a;
         }
@@ -245,15 +250,15 @@
     assert!(shown.body.contains("\"after_fence\":1"), "{}", shown.body);
     merge(&mut w, "wk-800002");
     let then = w.now + 15 * S;
-    play_until(&mut w, then);
+    run_until(&mut w, then);
     assert_eq!(running(&w, "wk-800001"), Some(attempt), "a write under way is not stopped");
     assert_eq!(running(&w, "wk-800002"), None);
     let why = w.ask(1, UserRequest::Why("wk-800002".into()));
     assert!(why.body.contains(&format!("{split} (split) read version 7 of b")), "{}", why.body);
     run(&mut w, "split", "b", Some(8), &[]);
     let then = w.now + 150 * S;
-    play_until(&mut w, then);
-    assert!(w.finished().is_empty(), "{:?}", w.finished());
+    run_until(&mut w, then);
+    assert!(w.unfinished_jobs().is_empty(), "{:?}", w.unfinished_jobs());
     assert_eq!(w.permits_held("b"), 0, "it ends with its attempt");
 }
 
@@ -262,26 +267,26 @@
 fn a_running_merge_that_has_become_stale_is_stopped_and_held() {
     for (seed, kind) in [(952, "batch"), (953, "group")] {
         let mut w = world(seed, Shape { jobs: 0, ..SMALL });
-        play_until(&mut w, 30 * S);
+        run_until(&mut w, 30 * S);
         let split = run(&mut w, "split", "b", Some(7), &[]);
         let mut b = body("wk-800001", "merge", kind, 2, &[&split]);
         b["merges"] = of("b", 7);
-        w.add_given(&b, 60 * S);
-        let on = |w: &World| w.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.on()).count();
+        w.add_described_job(&b, 60 * S);
+        let on = |w: &World| w.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.is_placed()).count();
         while on(&w) < 2 {
             let next = w.now + S / 2;
             assert!(next < 120 * S, "it does not start");
-            play_until(&mut w, next);
+            run_until(&mut w, next);
         }
         assert_eq!(w.ask_operator(1, OperatorCommand::PutBatch { name: "b".into(), version: 8 }).status, 200);
         let then = w.now + 12 * S;
-        play_until(&mut w, then);
+        run_until(&mut w, then);
         assert_eq!(on(&w), 0, "{kind}: what is old runs on");
         let asked = w.ask(0, UserRequest::Query("wk-800001".into()));
         assert!(asked.body.contains("pending"), "{}", asked.body);
         run(&mut w, "split", "b", Some(8), &[]);
         let then = w.now + 200 * S;
-        play_until(&mut w, then);
-        assert!(w.finished().is_empty(), "{kind}: {:?}", w.finished());
+        run_until(&mut w, then);
+        assert!(w.unfinished_jobs().is_empty(), "{kind}: {:?}", w.unfinished_jobs());
     }
 }
--- a/tests/world/days/cancels.rs
+++ b/tests/world/days/cancels.rs
@@ -17,20 +17,20 @@
         "rank": "normal", "strides": tasks, "vcpus": cpus, "cards": 0, "ramGb": 1.0, "tack": "img", "imageGb": 1.0,
         "together": false, "scatter": false, "borrowed": false, "rideS": run as f64 / 1e6, "restS": 0.0,
         "unsaddleS": 0.0, "dueS": null, "follows": []});
-    w.add_given(&body, run);
+    w.add_described_job(&body, run);
     id
 }
 
 /// Plays a day of cancellations on so many machines, while users ask, and holds it to what must hold.
 fn played(seed: u64, machines: usize, sum: &mut Cancels, day: impl FnOnce(&mut World)) {
-    let mut w = World::new(seed, Shape { machines, room: machines, teams: 4, jobs: 0, ..SMALL });
-    w.silence.pollers = true;
+    let mut w = World::new(seed, Shape { machines, zone_capacity: machines, teams: 4, jobs: 0, ..SMALL });
+    w.answer_gaps.pollers = true;
     guarded(seed, &mut w, |w| {
         day(w);
         settle(w, 520 * S);
     });
     ended(&mut w, seed);
-    w.each_was_answered(seed, 15.0);
+    w.assert_cancels_answered(seed, 15.0);
     sum.add(&w.cancels);
 }
 
@@ -55,15 +55,17 @@
         let now = w.now;
         w.log.push(format!("{:.1}: {self:?}, {at:?}", now as f64 / 1e6));
         match self {
-            Machines::Hang(long) => at.iter().for_each(|&i| w.workers[i].hung_until = now + long),
-            Machines::Deaf(long) => w.machine_deaf(at, long),
+            Machines::Hang(long) => at.iter().for_each(|&i| w.workers[i].unresponsive_until = now + long),
+            Machines::Deaf(long) => w.lose_inbound_messages(at, long),
             Machines::Cut(long) => {
-                (0..3).for_each(|n| w.cuts.push((End::Controller(n), End::Workers, now + long, n == 0)));
+                (0..3).for_each(|n| {
+                    w.partitions.push((Endpoint::Controller(n), Endpoint::Workers, now + long, n == 0))
+                });
             }
             Machines::CutFromHome(long) => {
                 let n = at.first().and_then(|&i| machine_leader(w, i)).unwrap_or(0);
                 let hold = w.rng.random_bool(0.5);
-                w.cuts.push((End::Controller(n), End::Workers, now + long, hold));
+                w.partitions.push((Endpoint::Controller(n), Endpoint::Workers, now + long, hold));
             }
         }
     }
@@ -95,10 +97,10 @@
         match self {
             Leader::BackAtOnce => w.crash_for(n, S / 20..S / 10),
             Leader::Lost => w.crash_for(n, 8 * S..14 * S),
-            Leader::Leaves => w.begin(Trouble::Leave, n, 0),
-            Leader::CutFromStoreAndPeers => w.begin(Trouble::CutFromStoreAndPeers, n, 20 * S),
-            Leader::Refused => w.begin(Trouble::Refused, n, 15 * S),
-            Leader::AllBackAtOnce => w.begin(Trouble::RestartAll, n, 0),
+            Leader::Leaves => w.inject_fault(Fault::Leave, n, 0),
+            Leader::CutFromStoreAndPeers => w.inject_fault(Fault::PartitionFromStoreAndPeers, n, 20 * S),
+            Leader::Refused => w.inject_fault(Fault::StoreRefuses, n, 15 * S),
+            Leader::AllBackAtOnce => w.inject_fault(Fault::RestartAll, n, 0),
         }
     }
 }
@@ -138,7 +140,7 @@
                     let until = w.now + w.rng.random_range(0..3 * S);
                     w.run(0, until);
                 }
-                let some = w.cancel_now(6, 0);
+                let some = w.mass_cancel(6, 0);
                 let at: BTreeSet<usize> = some.iter().flat_map(|id| w.alive(id)).collect();
                 let at: Vec<usize> = at.into_iter().take(8).collect();
                 machines[seed as usize % machines.len()].befall(w, &at);
@@ -161,9 +163,9 @@
     let hang = [12 * S, (LEASE_S * 1e6) as u64 + 6 * S, (CANCEL_S * 1e6) as u64 + 8 * S].map(Machines::Hang);
     for (base, changes_first) in [(24_000, true), (24_100, false)] {
         let sum = at_their_limits(base, hang, changes_first);
-        assert!(sum.answered >= 60 && sum.beside[1] > 15, "{sum:?}");
+        assert!(sum.answered >= 60 && sum.concurrent[1] > 15, "{sum:?}");
         // Of those that went on some had tasks of cancelled jobs that went on as well, and some were to end them first.
-        assert!(sum.woke_with.iter().all(|n| *n > 20), "{sum:?}");
+        assert!(sum.resumed_tasks.iter().all(|n| *n > 20), "{sum:?}");
     }
 }
 
@@ -173,7 +175,7 @@
     let cut = [Machines::Deaf(30 * S), Machines::Cut(25 * S), Machines::CutFromHome(16 * S)];
     for (base, changes_first) in [(24_200, true), (24_300, false)] {
         let sum = at_their_limits(base, cut, changes_first);
-        assert!(sum.answered >= 60 && sum.beside[0] > 25, "{sum:?}");
+        assert!(sum.answered >= 60 && sum.concurrent[0] > 25, "{sum:?}");
     }
 }
 
@@ -196,7 +198,7 @@
         if !left.is_empty() && w.rng.random_bool(often) {
             let id = left.swap_remove(w.rng.random_range(0..left.len()));
             let delay = w.rng.random_range(0..S / 10);
-            w.call_off(&id, delay);
+            w.start_cancelling(&id, delay);
         }
         let until = w.now + S / 10;
         w.run(0, until);
@@ -209,7 +211,7 @@
     let (mut sum, mut moved) = (Cancels::default(), 0);
     for seed in few(6, base) {
         played(seed, 10, &mut sum, |w| {
-            w.unruly = 0.1;
+            w.handoff_fault_rate = 0.1;
             w.log.push(format!("{hands:?}"));
             w.run(0, 15 * S);
             for round in 0..3 {
@@ -227,16 +229,18 @@
                 let until = w.now + w.rng.random_range(S / 2..3 * S);
                 w.run(0, until);
                 let n = (seed as usize + round) % 3;
-                ids.retain(|id| w.jobs[id].known == Known::Accepted);
+                ids.retain(|id| w.jobs[id].known == KnownState::Accepted);
                 let epoch = w.epoch();
                 let before: Vec<(String, Option<usize>)> =
                     ids.iter().map(|id| (id.clone(), owner(w, id))).collect();
                 match hands {
-                    Hands::Leaves | Hands::MachineRegistry => w.begin(Trouble::Leave, n, 0),
+                    Hands::Leaves | Hands::MachineRegistry => w.inject_fault(Fault::Leave, n, 0),
                     Hands::Lost => w.crash_for(n, 8 * S..14 * S),
                     Hands::BackAtOnce => w.crash_for(n, S / 20..S / 10),
-                    Hands::CutFromStoreAndPeers => w.begin(Trouble::CutFromStoreAndPeers, n, 12 * S),
-                    Hands::CutFromWorkers => w.begin(Trouble::CutFromWorkers, n, 14 * S),
+                    Hands::CutFromStoreAndPeers => {
+                        w.inject_fault(Fault::PartitionFromStoreAndPeers, n, 12 * S)
+                    }
+                    Hands::CutFromWorkers => w.inject_fault(Fault::PartitionFromWorkers, n, 14 * S),
                 }
                 let end = w.now + 25 * S;
                 while w.now < end && w.epoch() == epoch {
@@ -249,7 +253,7 @@
                 moved += before.iter().filter(other).count();
                 if matches!(hands, Hands::MachineRegistry) {
                     for p in [(n + 1) % 3, (n + 2) % 3] {
-                        w.begin(Trouble::Leave, p, 0);
+                        w.inject_fault(Fault::Leave, p, 0);
                         call_some_off(w, &mut ids, 0.15, 5 * S);
                     }
                 }
@@ -324,14 +328,14 @@
         }
         let due = |w: &World, (id, at_once): &(String, bool)| {
             let j = &w.jobs[id];
-            j.known != Known::Nothing && (*at_once || j.begun_at.is_some())
+            j.known != KnownState::Unknown && (*at_once || j.started_at.is_some())
         };
         let due: Vec<(String, bool)> = to_cancel.extract_if(.., |c| due(w, c)).collect();
         for (id, at_once) in due {
-            if w.jobs[&id].known == Known::Accepted {
+            if w.jobs[&id].known == KnownState::Accepted {
                 out.cancelled[usize::from(!at_once)] += 1;
                 let delay = w.rng.random_range(0..S / 10);
-                w.call_off(&id, delay);
+                w.start_cancelling(&id, delay);
             }
         }
         let until = w.now + S / 10;
@@ -343,7 +347,7 @@
         let j = &w.jobs[id];
         let since = |from: u64, to: u64| to.saturating_sub(from) as f64 / 1e6;
         out.accepted = out.accepted.max(since(*at, j.accepted_at.expect("accepted")));
-        if let (Known::Done, Some(begun), Some(end)) = (&j.known, j.begun_at, w.cancels.ends.get(id)) {
+        if let (KnownState::Done, Some(begun), Some(end)) = (&j.known, j.started_at, w.cancels.ends.get(id)) {
             out.ended = out.ended.max(since(begun + j.run, *end));
         }
     }
@@ -360,12 +364,12 @@
 
 /// Plays a stream and holds it to what must hold at any rate.
 fn stream_day(seed: u64, write_rps: f64, befalls: impl FnOnce(&mut World)) -> (World, Stream) {
-    let shape = Shape { machines: 14, room: 10, jobs: 0, teams: 4, write_rps, ..SMALL };
+    let shape = Shape { machines: 14, zone_capacity: 10, jobs: 0, teams: 4, write_rps, ..SMALL };
     let mut w = World::new(seed, shape);
     let mut out = Stream::default();
     guarded(seed, &mut w, |w| {
         out = stream(w, 130, befalls);
-        assert_eq!(w.recorded(), out.jobs, "each was put on record, once");
+        assert_eq!(w.created_jobs(), out.jobs, "each was put on record, once");
         assert!(out.cancelled[0] > 30 && out.cancelled[1] > 30, "{out:?}");
         // Nothing of what ended is left: not as live, nor on a machine.
         let until = w.now + 15 * S;
@@ -377,7 +381,7 @@
         // Whoever asks later is told what became of it, by whichever controller.
         let some: Vec<String> = w.jobs.keys().step_by(17).cloned().collect();
         for id in some {
-            let says = if w.jobs[&id].known == Known::Done { "\"done\"" } else { "\"aborted\"" };
+            let says = if w.jobs[&id].known == KnownState::Done { "\"done\"" } else { "\"aborted\"" };
             for n in 0..3 {
                 let r = w.ask(n, UserRequest::Query(id.clone()));
                 assert!(r.status == 200 && r.body.contains(says), "{id}: {r:?}");
@@ -394,10 +398,10 @@
     for seed in few(3, 24_800) {
         let (w, out) = stream_day(seed, 25.0, |_| {});
         assert!(sustained(&w, &out) > 4.0, "seed {seed}: {:.1} a second", sustained(&w, &out));
-        w.each_was_answered(seed, 6.0);
+        w.assert_cancels_answered(seed, 6.0);
         assert!(out.accepted <= 5.0 && out.ended <= 10.0, "seed {seed}: {out:?}");
         let (w, out) = stream_day(seed + 100, 25.0, |w| w.crash_for(seed as usize % 3, 3 * S..9 * S));
-        w.each_was_answered(seed, 20.0);
+        w.assert_cancels_answered(seed, 20.0);
         assert!(out.accepted <= 20.0, "seed {seed}: {out:?}");
     }
 }
@@ -408,7 +412,7 @@
     for seed in few(2, 24_900) {
         let (w, out) = stream_day(seed, 15.0, |_| {});
         assert!(sustained(&w, &out) < 4.0, "seed {seed}: {:.1} a second", sustained(&w, &out));
-        w.each_was_answered(seed, 10.0);
+        w.assert_cancels_answered(seed, 10.0);
     }
 }
 
@@ -417,7 +421,7 @@
 fn ends_that_are_kept_in_memory_no_more_are_read_from_the_record() {
     const KEPT: usize = 2000;
     let mut w = World::new(25_000, Shape { jobs: 0, ..SMALL });
-    play_until(&mut w, 20 * S);
+    run_until(&mut w, 20 * S);
     let m = w.nodes[0].as_ref().expect("it lives").membership.clone();
     let ids: Vec<String> = (0..)
         .map(|i| format!("wk-{i:06}"))
@@ -427,7 +431,7 @@
     let end = |i: usize| if i.is_multiple_of(4) { "cancelled" } else { "done" };
     for (i, id) in ids.iter().enumerate() {
         w.store.keys.insert(format!("done/{id}"), (json!({"end": end(i), "done": 1}), 1, None));
-        w.register.ended_before(id);
+        w.register.mark_ended(id);
     }
     let asked = |w: &mut World, i: usize| {
         let r = w.ask(i % 3, UserRequest::Query(ids[i].clone()));
--- a/tests/world/days/chains.rs
+++ b/tests/world/days/chains.rs
@@ -12,8 +12,13 @@
         w.limits_fall = (30 + seed % 200) * S;
         let mut w = play(seed, w, 250 * S, 250 * S, 600 * S);
         let states = w.states();
-        assert!(w.finished().is_empty(), "seed {seed}: {:?} {:#?} {states:#?}", w.finished(), w.log);
-        cascades += w.jobs.values().filter(|j| j.known == Known::Cancelled && !j.cancel_asked).count();
+        assert!(
+            w.unfinished_jobs().is_empty(),
+            "seed {seed}: {:?} {:#?} {states:#?}",
+            w.unfinished_jobs(),
+            w.log
+        );
+        cascades += w.jobs.values().filter(|j| j.known == KnownState::Cancelled && !j.cancel_asked).count();
     }
     assert!(cascades > 100, "{cascades} jobs ended with one that they needed");
 }
@@ -23,7 +28,7 @@
 #[test]
 fn a_submission_that_names_what_it_can_not_follow_is_told_why() {
     let mut w = World::new(900, Shape { jobs: 0, ..SMALL });
-    play_until(&mut w, 30 * S);
+    run_until(&mut w, 30 * S);
     let body = |id: &str, kind: &str, follows: Value| {
         json!({"uid": id, "breed": "x", "herd": "t1", "gait": kind, "rank": "idle", "strides": 1, "vcpus": 1.0,
             "cards": 0, "ramGb": 1.0, "tack": "img", "imageGb": 1.0, "together": false, "scatter": false,
@@ -31,7 +36,7 @@
     };
     // Workers look jobs up by their ids, as they would with their users' upload.
     let known = |w: &mut World, id: &str, kind: &str, follows: Value| {
-        w.add_given(&body(id, kind, follows), 5 * S).next = u64::MAX;
+        w.add_described_job(&body(id, kind, follows), 5 * S).next = u64::MAX;
     };
     let submit = |w: &mut World, n: usize, id: &str, kind: &str, follows: Value| {
         w.ask(n, UserRequest::Submit(id.into(), body(id, kind, follows).to_string()))
@@ -57,7 +62,7 @@
     w.outage_until = w.now + 3 * S;
     let away = submit(&mut w, 1, "wk-000014", "batch", json!(["wk-777777"]));
     assert!(away.status == 503 && away.retry_after.is_some(), "{}", away.body);
-    play_until(&mut w, 60 * S);
+    run_until(&mut w, 60 * S);
     // A job that is over long since will do; naming it twice counts once.
     let done = w.ask(0, UserRequest::Query("wk-000001".into()));
     assert!(done.body.contains("done"), "{}", done.body);
@@ -65,7 +70,7 @@
     let twice = submit(&mut w, 2, "wk-000015", "batch", json!(["wk-000001", "wk-000001"]));
     assert_eq!(twice.status, 201, "{}", twice.body);
     // A retry gets the state as it is, also when the list can't be looked up any more.
-    play_until(&mut w, 90 * S);
+    run_until(&mut w, 90 * S);
     w.outage_until = w.now + 3 * S;
     let again = submit(&mut w, 2, "wk-000015", "batch", json!(["wk-000001", "wk-777777"]));
     assert_eq!(again.status, 200, "{}", again.body);
@@ -75,7 +80,7 @@
 #[test]
 fn a_long_list_of_prerequisites_is_looked_up_over_some_retries() {
     let mut w = World::new(901, Shape { jobs: 0, ..SMALL });
-    play_until(&mut w, 30 * S);
+    run_until(&mut w, 30 * S);
     let ids: Vec<String> = (0..200).map(|i| format!("wk-5{i:05}")).collect();
     for id in &ids {
         w.store.keys.insert(format!("done/{id}"), (json!({"end": "done", "done": 1}), 1, None));
@@ -94,7 +99,7 @@
         assert!(r.status == 503 && r.retry_after == Some(1), "{}", r.body);
         refused += 1;
         let then = w.now + S;
-        play_until(&mut w, then);
+        run_until(&mut w, then);
     }
     assert!((2..20).contains(&refused), "{refused} refusals");
 }
--- a/tests/world/days/commands.rs
+++ b/tests/world/days/commands.rs
@@ -9,8 +9,8 @@
     let rounds = if std::env::var("WORLD_SEEDS").is_ok() { seeds() } else { 0..8 };
     let (mut met, mut confirmed) = ([0; 7], 0);
     for seed in rounds.map(|r| base + r) {
-        let mut w = World::new(seed, Shape { machines: 12, room: 10, jobs: 30, ..SMALL });
-        (w.silence.pollers, w.shape.run) = (true, 40 * S);
+        let mut w = World::new(seed, Shape { machines: 12, zone_capacity: 10, jobs: 30, ..SMALL });
+        (w.answer_gaps.pollers, w.shape.run) = (true, 40 * S);
         guarded(seed, &mut w, |w| {
             w.run(0, 20 * S);
             let ids = long_jobs(w, 12, 110 * S);
@@ -27,18 +27,18 @@
                 let until = w.now + w.rng.random_range(4 * S..16 * S);
                 w.run(0, until);
             }
-            confirmed += w.compound.told.values().filter(|t| t.tasks > 0).count();
+            confirmed += w.compound.cancel_answers.values().filter(|t| t.tasks > 0).count();
             settle(w, 520 * S);
         });
         ended(&mut w, seed);
         let c = &w.commands;
-        let of = [c.late_all, c.ended, c.after_newer, c.by_token, c.by_session, c.carried_out, c.deposed];
+        let of = [c.late_all, c.ended, c.after_newer, c.by_token, c.by_incarnation, c.carried_out, c.deposed];
         met.iter_mut().zip(of).for_each(|(a, b)| *a += b);
     }
-    let [all, ended, newer, by_token, by_session, carried, deposed] = met;
+    let [all, ended, newer, by_token, by_incarnation, carried, deposed] = met;
     eprintln!(
         "{all} late, {ended} of ended processes, {newer} after a newer epoch, dropped: {by_token} by token, \
-        {by_session} by session; {carried} carried out, {deposed} of deposed leaders; {confirmed} cancellations"
+        {by_incarnation} by session; {carried} carried out, {deposed} of deposed leaders; {confirmed} cancellations"
     );
     assert!(
         newer > 40 && by_token > 20 && carried > 40 && deposed > 0 && confirmed > 20,
@@ -55,7 +55,7 @@
 #[test]
 fn commands_of_a_leader_that_stood_still_come_after_the_next_ones() {
     late_commands(31_200, |w, n| {
-        w.hung[n] = w.now + w.rng.random_range(7 * S..16 * S);
+        w.paused_until[n] = w.now + w.rng.random_range(7 * S..16 * S);
     });
 }
 
--- a/tests/world/days/compound.rs
+++ b/tests/world/days/compound.rs
@@ -14,13 +14,18 @@
 /// again: the bound is longer than on other days, and far below the 75 s after which a job counts as forgotten.
 pub(super) fn ended(w: &mut World, seed: u64) {
     let states = w.states();
-    assert!(w.finished().is_empty(), "seed {seed}: {:?} {:#?} {states:#?}", w.finished(), w.log);
-    w.nobody_silent_for(seed, 30.0);
+    assert!(
+        w.unfinished_jobs().is_empty(),
+        "seed {seed}: {:?} {:#?} {states:#?}",
+        w.unfinished_jobs(),
+        w.log
+    );
+    w.assert_answer_gaps_below(seed, 30.0);
 }
 
 /// Plays until all jobs have ended as they should, at most until then.
 pub(super) fn settle(w: &mut World, end: u64) {
-    while w.now < end && !w.finished().is_empty() {
+    while w.now < end && !w.unfinished_jobs().is_empty() {
         let until = w.now + 5 * S;
         w.run(0, until);
     }
@@ -37,15 +42,15 @@
                 "rank": "normal", "strides": tasks, "vcpus": 1.0, "cards": 0, "ramGb": 1.0, "tack": "img",
                 "imageGb": 1.0, "together": false, "scatter": false, "borrowed": false, "rideS": run as f64 / 1e6,
                 "restS": 0.0, "unsaddleS": 0.0, "dueS": null, "follows": []});
-            w.add_given(&body, run);
+            w.add_described_job(&body, run);
             id
         })
         .collect()
 }
 
 fn world(seed: u64, jobs: u32) -> World {
-    let mut w = World::new(seed, Shape { machines: 10, room: 10, jobs, ..SMALL });
-    w.silence.pollers = true;
+    let mut w = World::new(seed, Shape { machines: 10, zone_capacity: 10, jobs, ..SMALL });
+    w.answer_gaps.pollers = true;
     w
 }
 
@@ -64,11 +69,11 @@
 /// Users ask any controller to cancel these until they are told that they are cancelled, or so long.
 pub(super) fn cancel_all(w: &mut World, ids: &[String], long: u64) {
     let end = w.now + long;
-    while w.now < end && ids.iter().any(|id| w.jobs[id].known == Known::Accepted) {
+    while w.now < end && ids.iter().any(|id| w.jobs[id].known == KnownState::Accepted) {
         for id in ids {
-            if w.jobs[id].known == Known::Accepted {
+            if w.jobs[id].known == KnownState::Accepted {
                 let n = w.rng.random_range(0..3);
-                w.withdraw(n, id);
+                w.cancel_job(n, id);
             }
         }
         let until = w.now + 2 * S;
@@ -89,12 +94,12 @@
             for i in 0..5 {
                 // A lease that runs out while a machine hangs begins a new session.
                 for m in w.some_machines() {
-                    w.workers[m].hung_until = w.now + (LEASE_S * 1e6) as u64 + 3 * S;
+                    w.workers[m].unresponsive_until = w.now + (LEASE_S * 1e6) as u64 + 3 * S;
                 }
                 let n = (seed as usize + i) % 3;
                 match i % 2 {
                     0 => w.crash_for(n, S / 20..S / 10),
-                    _ => w.cuts.push((End::Controller(n), End::Store, w.now + 12 * S, true)),
+                    _ => w.partitions.push((Endpoint::Controller(n), Endpoint::Store, w.now + 12 * S, true)),
                 }
                 let until = w.now + 25 * S;
                 w.run(0, until);
@@ -122,9 +127,9 @@
             let n = seed as usize % 3;
             let of: Vec<usize> = (0..w.workers.len()).filter(|&i| machine_leader(w, i) == Some(n)).collect();
             let long = w.rng.random_range(8 * S..60 * S);
-            w.machine_deaf(&of[..of.len().div_ceil(2)], long);
+            w.lose_inbound_messages(&of[..of.len().div_ceil(2)], long);
             for &i in &of[of.len().div_ceil(2)..] {
-                w.workers[i].hung_until = w.now + w.rng.random_range(4 * S..long);
+                w.workers[i].unresponsive_until = w.now + w.rng.random_range(4 * S..long);
             }
             let until = w.now + w.rng.random_range(0..5 * S);
             w.run(0, until);
@@ -139,7 +144,7 @@
         });
         ended(&mut w, seed);
         unheard += w.compound.unheard;
-        confirmed += w.compound.told.values().filter(|t| t.tasks > 0).count();
+        confirmed += w.compound.cancel_answers.values().filter(|t| t.tasks > 0).count();
     }
     assert!(unheard > 50 && confirmed > 20, "{unheard} answers, {confirmed} cancellations with tasks alive");
 }
@@ -154,7 +159,7 @@
         guarded(seed, &mut w, |w| {
             w.run(0, 20 * S);
             let ids = long_jobs(w, 15, 14 * S);
-            ids.iter().for_each(|id| w.jobs.get_mut(id).expect("a job").apart = 22 * S);
+            ids.iter().for_each(|id| w.jobs.get_mut(id).expect("a job").extra_run_per_index = 22 * S);
             w.run(0, 30 * S);
             for i in 0..4 {
                 // One moves on just as tasks end, or before anybody has heard of it.
@@ -166,17 +171,17 @@
                 match (seed + i as u64) % 4 {
                     0 => w.crash_for(n, S / 20..S / 10),
                     1 => w.crash_for(n, 8 * S..12 * S),
-                    2 => w.begin(Trouble::Leave, n, 0),
-                    _ => w.begin(Trouble::CutFromStoreAndPeers, n, 14 * S),
+                    2 => w.inject_fault(Fault::Leave, n, 0),
+                    _ => w.inject_fault(Fault::PartitionFromStoreAndPeers, n, 14 * S),
                 }
                 if i == 1 {
-                    w.begin(Trouble::MachinesDie, n, 0);
+                    w.inject_fault(Fault::MachinesFail, n, 0);
                 }
             }
             settle(w, 520 * S);
         });
         ended(&mut w, seed);
-        let all = |j: &UserJob| j.known == Known::Done && j.done.len() == j.spec.task_count as usize;
+        let all = |j: &UserJob| j.known == KnownState::Done && j.done.len() == j.spec.task_count as usize;
         assert!(w.jobs.values().all(all), "seed {seed}: nobody cancelled anything");
     }
     assert!(split > 40, "{split} jobs with some tasks done over a change");
@@ -189,17 +194,17 @@
     let mut parcels = 0;
     for seed in seeds().take(8).map(|s| s + 21_300) {
         let mut w = world(seed, 30);
-        (w.unruly, w.shape.run) = (0.3, 40 * S);
+        (w.handoff_fault_rate, w.shape.run) = (0.3, 40 * S);
         guarded(seed, &mut w, |w| {
             w.run(0, 40 * S);
             for i in 0..4 {
                 let n = (seed as usize + i) % 3;
                 let (p, q) = ((n + 1) % 3, (n + 2) % 3);
-                w.later(1, What::Controller(n, 0, Event::Leave));
+                w.later(1, SimEvent::Controller(n, 0, Event::Leave));
                 let until = w.now + w.rng.random_range(S / 10..S / 2);
                 w.run(0, until);
                 w.crash_for(n, S / 20..S / 10);
-                w.later(1, What::Controller(p, 0, Event::Leave));
+                w.later(1, SimEvent::Controller(p, 0, Event::Leave));
                 let until = w.now + w.rng.random_range(S / 10..S / 2);
                 w.run(0, until);
                 w.crash_for(n, S / 20..S / 10);
@@ -210,7 +215,7 @@
             settle(w, 520 * S);
         });
         ended(&mut w, seed);
-        parcels += w.parcels;
+        parcels += w.handoff_batches;
     }
     assert!(parcels > 20, "{parcels} parcels");
 }
@@ -227,12 +232,17 @@
             for i in 0..6 {
                 let n = (seed as usize + i) % 3;
                 let (by, long) = (w.rng.random_range(S..4 * S), w.rng.random_range(8 * S..20 * S));
-                let (from, until) = (End::Controller(n), w.now + long);
-                w.compound.ways.push(Way { from, to: End::Workers, until, fate: Fate::Late(by) });
+                let (from, until) = (Endpoint::Controller(n), w.now + long);
+                w.compound.faulty_links.push(FaultyLink {
+                    from,
+                    to: Endpoint::Workers,
+                    until,
+                    fate: LinkFault::Late(by),
+                });
                 let until = w.now + w.rng.random_range(S..5 * S);
                 w.run(0, until);
                 let long = w.rng.random_range(3 * S..16 * S);
-                w.begin(Trouble::MachinesHang, n, long);
+                w.inject_fault(Fault::MachinesUnresponsive, n, long);
                 if i % 2 == 0 {
                     let m = w.rng.random_range(0..3);
                     w.crash_for(m, S / 20..S / 10);
@@ -263,8 +273,8 @@
             let (from, long) = (w.now, [10, 30, 70][seed as usize % 3] * S);
             w.cut_from_store_and_peers(n, long, seed % 2 == 0);
             cancel_all(w, &ids[..9], long + 20 * S);
-            let new = |(id, t): (&String, &Told)| its.contains(id) && t.by != n && t.at < from + long;
-            confirmed += w.compound.told.iter().filter(|(id, t)| new((id, t))).count();
+            let new = |(id, t): (&String, &CancelAnswer)| its.contains(id) && t.by != n && t.at < from + long;
+            confirmed += w.compound.cancel_answers.iter().filter(|(id, t)| new((id, t))).count();
             settle(w, 520 * S);
         });
         ended(&mut w, seed);
@@ -287,7 +297,7 @@
             let long = [6, 15, 40][seed as usize % 3] * S;
             w.slow_store(long);
             cancel_all(w, &ids[..8], long);
-            confirmed += w.compound.told.values().filter(|t| t.at >= from && t.tasks > 0).count();
+            confirmed += w.compound.cancel_answers.values().filter(|t| t.at >= from && t.tasks > 0).count();
             if seed % 2 == 0 {
                 w.outage_until = w.now + 50 * S;
                 let until = w.now + 50 * S;
@@ -320,7 +330,7 @@
                 match i % 3 {
                     0 => w.crash_for(n, S / 20..S / 10),
                     1 => w.outage_until = w.now + 8 * S,
-                    _ => w.begin(Trouble::Leave, n, 0),
+                    _ => w.inject_fault(Fault::Leave, n, 0),
                 }
             }
             settle(w, 520 * S);
@@ -346,12 +356,12 @@
             let its: Vec<String> = ids.into_iter().filter(|id| owner(w, id) == Some(n)).collect();
             w.late_writes(1.0, 20 * S);
             for p in (0..3).filter(|&p| p != n) {
-                w.one_way(n, p, 20 * S, Fate::Lost);
+                w.fail_one_way(n, p, 20 * S, LinkFault::Lost);
             }
-            its.iter().for_each(|id| w.withdraw(n, id));
+            its.iter().for_each(|id| w.cancel_job(n, id));
             let until = w.now + 20 * S;
             w.run(0, until);
-            told += w.compound.told.values().filter(|t| t.by != n && t.at < until).count();
+            told += w.compound.cancel_answers.values().filter(|t| t.by != n && t.at < until).count();
             settle(w, 420 * S);
         });
         ended(&mut w, seed);
--- a/tests/world/days/gap.rs
+++ b/tests/world/days/gap.rs
@@ -51,8 +51,8 @@
 }
 
 fn gap_day(seed: u64, role: Role, hearing: Hearing, gap: u64) -> Outcome {
-    let mut w = World::new(seed, Shape { machines: 12, jobs: 0, room: 12, ..SMALL });
-    w.silence.pollers = true;
+    let mut w = World::new(seed, Shape { machines: 12, jobs: 0, zone_capacity: 12, ..SMALL });
+    w.answer_gaps.pollers = true;
     let mut out = Outcome { confirmed: [0; 3] };
     guarded(seed, &mut w, |w| {
         w.log.push(format!("{role:?}, {hearing:?}, outage after {gap} s"));
@@ -90,14 +90,14 @@
         for p in (0..3).filter(|&p| p != n) {
             match hearing {
                 Hearing::BothWays => {}
-                Hearing::Unheard => w.one_way(n, p, long, Fate::Lost),
-                Hearing::Hearsless => w.one_way(p, n, long, Fate::Lost),
+                Hearing::Unheard => w.fail_one_way(n, p, long, LinkFault::Lost),
+                Hearing::Hearsless => w.fail_one_way(p, n, long, LinkFault::Lost),
                 Hearing::NotAtAll => {
-                    w.cuts.push((End::Controller(n), End::Controller(p), w.now + long, false))
+                    w.partitions.push((Endpoint::Controller(n), Endpoint::Controller(p), w.now + long, false))
                 }
                 Hearing::Late(by) => {
-                    w.one_way(n, p, long, Fate::Late(by));
-                    w.one_way(p, n, long, Fate::Late(by));
+                    w.fail_one_way(n, p, long, LinkFault::Late(by));
+                    w.fail_one_way(p, n, long, LinkFault::Late(by));
                 }
             }
         }
@@ -110,16 +110,16 @@
             }
             // Users ask any controller, and again until they are answered.
             for id in &cancelled {
-                if w.jobs[id].known == Known::Accepted {
+                if w.jobs[id].known == KnownState::Accepted {
                     let p = w.rng.random_range(0..3);
-                    w.withdraw(p, id);
+                    w.cancel_job(p, id);
                 }
             }
             let until = (w.now + S).min(if down { over } else { outage_at });
             w.run(0, until);
         }
         for id in &cancelled {
-            let Some(told) = w.compound.told.get(id) else { continue };
+            let Some(told) = w.compound.cancel_answers.get(id) else { continue };
             if told.refused[n] && !told.outage {
                 let shows = match role {
                     Role::JobShard => owned.contains(id),
--- a/tests/world/days/loans.rs
+++ b/tests/world/days/loans.rs
@@ -4,7 +4,7 @@
 use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, LoanState as LoanStanding};
 
 /// Two machines without GPUs and eight of four; each zone is full, so that nothing can be rented.
-pub(super) const GPUS: Shape = Shape { machines: 2, gpus: 8, room: 5, teams: 4, jobs: 0, ..SMALL };
+pub(super) const GPUS: Shape = Shape { machines: 2, gpus: 8, zone_capacity: 5, teams: 4, jobs: 0, ..SMALL };
 
 /// What a day has seen of loans.
 #[derive(Default)]
@@ -42,7 +42,7 @@
         "vcpus": f64::from(a.gpus), "cards": f64::from(a.gpus), "ramGb": 1.0, "tack": "img", "imageGb": 1.0,
         "together": false, "scatter": false, "borrowed": false, "rideS": if a.gait == "service" { 0.0 } else { 60.0 },
         "restS": if a.gait == "group" { 10.0 } else { 0.0 }, "unsaddleS": 2.0, "dueS": null});
-    w.add_given(&body, a.run);
+    w.add_described_job(&body, a.run);
     id
 }
 
@@ -122,7 +122,7 @@
     let served = serving(&w, &service);
     look(&mut w, &mut seen, troubles, 250 * S);
     w.jobs.get_mut(&service).expect("added").cancel_asked = true;
-    let on = |w: &World| w.workers.iter().flat_map(|x| &x.tasks).any(|t| t.job == service && t.on());
+    let on = |w: &World| w.workers.iter().flat_map(|x| &x.tasks).any(|t| t.job == service && t.is_placed());
     let mut free = None;
     while w.now < 300 * S {
         let next = w.now + S;
@@ -130,8 +130,11 @@
         if !on(&w) {
             let since = *free.get_or_insert(w.now);
             // Every machine is in use again, by those that lent. A gang waits for more than one machine.
-            let idle =
-                w.workers.iter().filter(|x| x.kind == "gpu" && x.tasks.iter().all(|t| !t.on())).count();
+            let idle = w
+                .workers
+                .iter()
+                .filter(|x| x.kind == "gpu" && x.tasks.iter().all(|t| !t.is_placed()))
+                .count();
             if troubles == 0 && !gang && idle > 0 {
                 assert!(w.now <= since + 30 * S, "seed {seed}: {idle} machines idle {:#?}", seen.story);
             } else {
@@ -155,7 +158,7 @@
         assert!(l.loans.is_empty(), "seed {seed}: lent for ever by {team}: {:#?} {:#?}", l.loans, w.log);
     }
     assert!(seen.ended > 0 || !seen.lent(), "seed {seed}: what was lent never ended");
-    assert!(w.finished().is_empty(), "seed {seed}: {:?} {:#?}", w.finished(), w.log);
+    assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?} {:#?}", w.unfinished_jobs(), w.log);
 }
 
 /// Without troubles replicas stand within 40 s, arrays give what is needed and no more, and all is given back.
@@ -176,7 +179,7 @@
         let (w, seen, served) = gpu_day(seed, true, 0);
         holds(seed, &w, &seen);
         assert_eq!(served, 2, "seed {seed}: {:#?}", seen.story);
-        assert_eq!(w.spoilt, 0, "seed {seed}: gang tasks that ended for want of their peers");
+        assert_eq!(w.peer_failures, 0, "seed {seed}: gang tasks that ended for want of their peers");
     }
 }
 
--- a/tests/world/days/looks.rs
+++ b/tests/world/days/looks.rs
@@ -6,9 +6,9 @@
 
 /// Many short jobs: something is accepted, ends or is cancelled each second.
 fn world(seed: u64) -> World {
-    let shape = Shape { machines: 10, room: 10, jobs: 60, pause: 2 * S, run: 8 * S, ..SMALL };
+    let shape = Shape { machines: 10, zone_capacity: 10, jobs: 60, pause: 2 * S, run: 8 * S, ..SMALL };
     let mut w = World::new(seed, Shape { array: 5, gang: 3, ..shape });
-    w.silence.pollers = true;
+    w.answer_gaps.pollers = true;
     w
 }
 
@@ -19,7 +19,7 @@
     around: usize,
     sent: [usize; 5],
     bound: [usize; 2],
-    beside: usize,
+    concurrent: usize,
     /// Requests that a slow store carried out unanswered, late transactions, and refusals of one controller alone.
     unknown: usize,
     late: usize,
@@ -30,11 +30,11 @@
 
 impl Seen {
     fn add(&mut self, w: &World) {
-        self.after.iter_mut().zip(w.looks.after).for_each(|(a, b)| *a += b);
-        self.around += w.looks.around;
-        self.sent.iter_mut().zip(w.looks.sent).for_each(|(a, b)| *a += b);
+        self.after.iter_mut().zip(w.client_probes.after).for_each(|(a, b)| *a += b);
+        self.around += w.client_probes.around;
+        self.sent.iter_mut().zip(w.client_probes.sent).for_each(|(a, b)| *a += b);
         self.bound.iter_mut().zip(w.register.bound).for_each(|(a, b)| *a += b);
-        self.beside += w.register.beside;
+        self.concurrent += w.register.concurrent;
         self.unknown += w.compound.slow_unknown;
         self.late += w.compound.writes[0];
         self.refusals += w.compound.refusals;
@@ -51,14 +51,14 @@
         let mut w = world(seed);
         guarded(seed, &mut w, |w| {
             w.run(0, 10 * S);
-            w.close_looks(130 * S);
+            w.enable_probe_bursts(130 * S);
             meanwhile(seed, w);
             all_come_and_end(w);
         });
         ended(&mut w, seed);
         seen.add(&w);
     }
-    let counts = [seen.after[0], seen.after[1], seen.around, seen.sent[0], seen.beside];
+    let counts = [seen.after[0], seen.after[1], seen.around, seen.sent[0], seen.concurrent];
     assert!(counts.iter().all(|n| *n >= 100 * days), "{seen:?}");
     assert!(seen.sent[1..].iter().all(|n| *n >= 10 * days), "{seen:?}");
     assert!(seen.bound.iter().all(|n| *n >= 500 * days), "{seen:?}");
@@ -124,10 +124,10 @@
             pass(w, S, 18 * S);
             let n = (seed as usize + i) % 3;
             match (seed as usize + i) % 4 {
-                0 => w.begin(Trouble::Leave, n, 0),
+                0 => w.inject_fault(Fault::Leave, n, 0),
                 1 => w.crash_for(n, S / 20..S / 10),
                 2 => w.crash_for(n, 5 * S..12 * S),
-                _ => w.begin(Trouble::RestartAll, n, 0),
+                _ => w.inject_fault(Fault::RestartAll, n, 0),
             }
         }
     });
@@ -158,13 +158,13 @@
             let n = (seed as usize + i) % 3;
             let long = w.rng.random_range(S..12 * S);
             let of = [
-                Trouble::LatePeers,
-                Trouble::CutOneWay,
-                Trouble::StandsStill,
-                Trouble::CutFromStoreAndPeers,
-                Trouble::CutFromPeer,
+                Fault::LatePeers,
+                Fault::OneWayPartition,
+                Fault::ProcessPaused,
+                Fault::PartitionFromStoreAndPeers,
+                Fault::PartitionFromPeer,
             ];
-            w.begin(of[(seed as usize + i) % of.len()], n, long);
+            w.inject_fault(of[(seed as usize + i) % of.len()], n, long);
             let until = w.now + long;
             w.run(0, until);
         }
@@ -183,7 +183,7 @@
             all_come_and_end(w);
         });
         ended(&mut w, seed);
-        at_ends.iter_mut().zip(w.looks.at_ends).for_each(|(a, b)| *a += b);
+        at_ends.iter_mut().zip(w.client_probes.at_ends).for_each(|(a, b)| *a += b);
     }
     assert!(at_ends[0] > 100 && at_ends[1] > 50 && at_ends[2] > 10, "sent, done, aborted: {at_ends:?}");
 }
@@ -202,31 +202,34 @@
 }
 
 fn odd_days(base: u64, restarts: bool) {
-    let (mut down, mut of_ended, mut repeats) = ([0; 3], 0, 0);
+    let (mut down, mut cancels_after_end, mut repeats) = ([0; 3], 0, 0);
     for seed in seeds().take(8).map(|s| s + base) {
         let mut w = world(seed);
         guarded(seed, &mut w, |w| {
-            w.odd_requests(130 * S);
+            w.enable_invalid_requests(130 * S);
             for i in 0..12 {
                 pass(w, S, 18 * S);
                 match (restarts, (seed + i) % 3) {
                     (false, _) => {}
                     (true, 0) => w.crash_for(i as usize % 3, S / 20..S / 10),
-                    (true, _) => w.begin(Trouble::RestartAll, 0, 0),
+                    (true, _) => w.inject_fault(Fault::RestartAll, 0, 0),
                 }
             }
             all_come_and_end(w);
         });
         ended(&mut w, seed);
-        down.iter_mut().zip(w.looks.turned_down).for_each(|(a, b)| *a += b);
-        of_ended += w.looks.of_ended;
-        repeats += w.looks.sent[1];
-        for id in w.looks.odd.keys() {
+        down.iter_mut().zip(w.client_probes.rejected).for_each(|(a, b)| *a += b);
+        cancels_after_end += w.client_probes.cancels_after_end;
+        repeats += w.client_probes.sent[1];
+        for id in w.client_probes.invalid.keys() {
             let kept = ["job", "done"].iter().any(|p| w.store.keys.contains_key(&format!("{p}/{id}")));
             assert!(!kept, "seed {seed}: {id} is on record");
         }
     }
     assert!(down[0] > 500 && down[1] > 500, "400, 422, 503: {down:?}");
     assert!(!restarts || down[2] > 50, "400, 422, 503: {down:?}");
-    assert!(of_ended > 200 && repeats > 200, "{of_ended} cancellations of ended jobs, {repeats} repeats");
+    assert!(
+        cancels_after_end > 200 && repeats > 200,
+        "{cancels_after_end} cancellations of ended jobs, {repeats} repeats"
+    );
 }
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -5,7 +5,7 @@
 use super::{batches, loans, releases};
 use crate::*;
 
-const ALL: [Carried; 4] = [Carried::Never, Carried::AtOnce, Carried::Late, Carried::AfterSuccessor];
+const ALL: [Execution; 4] = [Execution::Never, Execution::AtOnce, Execution::Late, Execution::AfterSuccessor];
 
 /// So many rounds of a day; `WORLD_SEEDS` plays others.
 fn rounds(n: u64) -> std::ops::Range<u64> {
@@ -13,8 +13,8 @@
 }
 
 fn world(seed: u64, jobs: u32) -> World {
-    let mut w = World::new(seed, Shape { machines: 8, room: 9, jobs, run: 30 * S, ..SMALL });
-    w.silence.pollers = true;
+    let mut w = World::new(seed, Shape { machines: 8, zone_capacity: 9, jobs, run: 30 * S, ..SMALL });
+    w.answer_gaps.pollers = true;
     w
 }
 
@@ -24,7 +24,7 @@
     let body = json!({"uid": id, "breed": "batch-normal", "herd": "t1", "gait": "batch", "rank": "normal", "strides": 1,
         "vcpus": 1.0, "cards": 0, "ramGb": 1.0, "tack": "img", "imageGb": 1.0, "together": false, "scatter": false,
         "borrowed": false, "rideS": run as f64 / 1e6, "restS": 0.0, "unsaddleS": 0.0, "dueS": null, "follows": []});
-    w.add_given(&body, run).next = w.now + 4 * S;
+    w.add_described_job(&body, run).next = w.now + 4 * S;
     id
 }
 
@@ -34,14 +34,18 @@
     match how % 4 {
         0 => w.crash_for(n, S / 20..S / 10),
         1 => w.crash_for(n, 8 * S..14 * S),
-        2 => w.begin(Trouble::Leave, n, 0),
-        _ => w.begin(Trouble::CutFromStoreAndPeers, n, 12 * S),
+        2 => w.inject_fault(Fault::Leave, n, 0),
+        _ => w.inject_fault(Fault::PartitionFromStoreAndPeers, n, 12 * S),
     }
 }
 
 /// One kind of change gets no answer, in two days for each way in which it may be carried out; controllers end in turns.
 /// Returns what became of those changes.
-fn without_answer(kind: Write, base: u64, mut day: impl FnMut(u64, &mut World)) -> BTreeMap<Carried, Count> {
+fn without_answer(
+    kind: Write,
+    base: u64,
+    mut day: impl FnMut(u64, &mut World),
+) -> BTreeMap<Execution, Count> {
     let mut all = BTreeMap::new();
     for (round, (k, carried)) in rounds(2).flat_map(|r| ALL.into_iter().enumerate().map(move |c| (r, c))) {
         let seed = base + 4 * round + k as u64;
@@ -49,7 +53,7 @@
         guarded(seed, &mut w, |w| {
             w.log.push(format!("{kind:?}, {carried:?}"));
             w.run(0, 12 * S);
-            w.answers_lost(Some(kind), 0.5, 100 * S, carried);
+            w.lose_answers(Some(kind), 0.5, 100 * S, carried);
             for i in 0..6 {
                 let until = w.now + w.rng.random_range(9 * S..17 * S);
                 w.run(0, until);
@@ -57,7 +61,7 @@
                 let n = (seed + i) as usize % 3;
                 change_leader(w, seed / 4 + i, n);
             }
-            let until = w.over_at().max(w.now) + 380 * S;
+            let until = w.last_fault_end().max(w.now) + 380 * S;
             settle(w, until);
         });
         ended(&mut w, seed);
@@ -66,25 +70,25 @@
     all
 }
 
-fn add_up(all: &mut BTreeMap<Carried, Count>, w: &World, kind: Write, carried: Carried) {
+fn add_up(all: &mut BTreeMap<Execution, Count>, w: &World, kind: Write, carried: Execution) {
     let (c, sum) = (w.lost.count(kind, carried), all.entry(carried).or_default());
     sum.asked += c.asked;
     sum.applied += c.applied;
-    sum.took += c.took;
+    sum.committed += c.committed;
     sum.read += c.read;
 }
 
 /// So many were asked for in each way, took effect at once and late, met their successor's; and so many were read by others
 /// before their sender had read them back.
-fn met(kind: Write, all: &BTreeMap<Carried, Count>, [asked, at_once, late, after, read]: [usize; 5]) {
+fn met(kind: Write, all: &BTreeMap<Execution, Count>, [asked, at_once, late, after, read]: [usize; 5]) {
     eprintln!("{kind:?}: {all:?}");
     for carried in ALL {
         assert!(all[&carried].asked >= asked, "{kind:?}, {carried:?}: {all:?}");
     }
-    assert!(all[&Carried::AtOnce].took >= at_once, "{kind:?}: {all:?}");
-    assert!(all[&Carried::Late].applied >= late, "{kind:?}: {all:?}");
-    assert!(all[&Carried::AfterSuccessor].applied >= after, "{kind:?}: {all:?}");
-    assert!(all[&Carried::AtOnce].read >= read, "{kind:?}: {all:?}");
+    assert!(all[&Execution::AtOnce].committed >= at_once, "{kind:?}: {all:?}");
+    assert!(all[&Execution::Late].applied >= late, "{kind:?}: {all:?}");
+    assert!(all[&Execution::AfterSuccessor].applied >= after, "{kind:?}: {all:?}");
+    assert!(all[&Execution::AtOnce].read >= read, "{kind:?}: {all:?}");
 }
 
 /// Whoever raised it goes on in the epoch before by its lease while others take up the next.
@@ -152,7 +156,7 @@
         if i % 2 == 0 {
             let n = i as usize / 2 % 3;
             for p in (0..3).filter(|&p| p != n) {
-                w.one_way(p, n, 8 * S, Fate::Lost);
+                w.fail_one_way(p, n, 8 * S, LinkFault::Lost);
             }
             let until = w.now + 6 * S;
             w.run(0, until);
@@ -168,13 +172,13 @@
     most: u64,
     day: impl Fn(u64, World) -> World,
     world: impl Fn(u64) -> World,
-) -> BTreeMap<Carried, Count> {
+) -> BTreeMap<Execution, Count> {
     let mut all = BTreeMap::new();
     for (round, (k, carried)) in rounds(most).flat_map(|r| ALL.into_iter().enumerate().map(move |c| (r, c))) {
         let seed = base + 4 * round + k as u64;
         let mut w = world(seed);
         w.log.push(format!("{kind:?}, {carried:?}"));
-        w.answers_lost(Some(kind), 0.5, 250 * S, carried);
+        w.lose_answers(Some(kind), 0.5, 250 * S, carried);
         let w = day(seed, w);
         add_up(&mut all, &w, kind, carried);
     }
@@ -193,7 +197,7 @@
 fn a_batch_is_raised_and_permits_are_given_and_who_wrote_that_is_not_told() {
     let day = |seed, w| {
         let mut w = batches::replaced_in(w, seed, seed % 2 == 0);
-        assert!(w.finished().is_empty(), "seed {seed}: {:?} {:#?}", w.finished(), w.log);
+        assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?} {:#?}", w.unfinished_jobs(), w.log);
         assert!(["b0", "b1", "b2"].iter().all(|b| w.permits_held(b) == 0), "seed {seed}: {:#?}", w.states());
         w
     };
@@ -237,19 +241,19 @@
 }
 
 /// Machines are up within 2 s while pages of the roll have no answer, work waits for them, and leaders end.
-fn new_machines(seed: u64, ends: Ends, carried: Carried, share: f64) -> (World, Begun) {
-    let mut w = World::new(seed, Shape { machines: 2, room: 12, jobs: 0, ..SMALL });
-    w.silence.pollers = true;
+fn new_machines(seed: u64, ends: Ends, carried: Execution, share: f64) -> (World, Begun) {
+    let mut w = World::new(seed, Shape { machines: 2, zone_capacity: 12, jobs: 0, ..SMALL });
+    w.answer_gaps.pollers = true;
     w.lost.boots = Some(1000..2 * S);
     let mut begun = Begun::default();
     guarded(seed, &mut w, |w| {
         w.log.push(format!("{ends:?}, {carried:?} {share}"));
         w.run(0, 20 * S);
-        w.answers_lost(Some(Write::Page), share, 75 * S, carried);
-        w.rentals_lost(0.3, 75 * S);
+        w.lose_answers(Some(Write::Page), share, 75 * S, carried);
+        w.lose_scale_out_answers(0.3, 75 * S);
         for round in 0..4 {
             let before = w.workers.len();
-            let (lost, run) = (w.lost.rented, w.rng.random_range(15 * S..40 * S));
+            let (lost, run) = (w.lost.lost_scale_outs, w.rng.random_range(15 * S..40 * S));
             long_jobs(w, 8, run);
             let patience = w.now + 15 * S;
             // Half of the ends come as early as they can, the others once something has begun there.
@@ -259,7 +263,7 @@
                 w.run(0, until);
                 let new = w.workers.iter().enumerate().skip(before).find(|(_, x)| match first {
                     true => x.tasks.iter().any(|t| t.state == "pulling"),
-                    false => x.token > 0 && !w.on_record(&x.name),
+                    false => x.token > 0 && !w.is_registered(&x.name),
                 });
                 if let Some((i, _)) = new {
                     break Some(i);
@@ -268,7 +272,7 @@
                     break None;
                 }
             };
-            begun.rented += usize::from(w.lost.rented > lost);
+            begun.rented += usize::from(w.lost.lost_scale_outs > lost);
             let Some(i) = met else { continue };
             if first {
                 begun.first += 1;
@@ -291,7 +295,7 @@
             w.run(0, until);
         }
         begun.machines = w.workers.iter().skip(2).filter(|x| x.begun).count();
-        let until = w.over_at().max(w.now) + 300 * S;
+        let until = w.last_fault_end().max(w.now) + 300 * S;
         settle(w, until);
     });
     ended(&mut w, seed);
@@ -304,7 +308,7 @@
     let (mut sum, mut pages) = (Begun::default(), [Count::default(); 2]);
     for round in rounds(6) {
         let which = round as usize % 2;
-        let carried = [Carried::Late, Carried::AtOnce][which];
+        let carried = [Execution::Late, Execution::AtOnce][which];
         let (w, b) = new_machines(base + round, ends, carried, 0.7);
         sum.machines += b.machines;
         sum.unrecorded += b.unrecorded;
@@ -312,12 +316,12 @@
         sum.rented += b.rented;
         let c = w.lost.count(Write::Page, carried);
         pages[which].asked += c.asked;
-        pages[which].took += c.took;
+        pages[which].committed += c.committed;
         pages[which].read += c.read;
     }
     eprintln!("{ends:?}: {sum:?}, pages late and at once: {pages:?}");
     assert!(sum.machines >= 12 && sum.unrecorded >= 4 && sum.first >= 3, "{ends:?}: {sum:?}");
-    assert!(pages[0].asked >= 6 && pages[1].took >= 6 && pages[1].read >= 1, "{ends:?}: {pages:?}");
+    assert!(pages[0].asked >= 6 && pages[1].committed >= 6 && pages[1].read >= 1, "{ends:?}: {pages:?}");
 }
 
 #[test]
@@ -349,23 +353,23 @@
         let mut w = world(seed, 40);
         guarded(seed, &mut w, |w| {
             w.run(0, 15 * S);
-            w.reports_for_next(0.7, 150 * S);
+            w.hold_back_heartbeats(0.7, 150 * S);
             for i in 0..6 {
                 let until = w.now + w.rng.random_range(8 * S..18 * S);
                 w.run(0, until);
-                let machines = [Trouble::MachinesTakenBack, Trouble::MachinesHang, Trouble::MachinesDie];
-                w.begin(machines[i as usize % 3], 0, (LEASE_S * 1e6) as u64 + 4 * S);
+                let machines = [Fault::MachinesReturned, Fault::MachinesUnresponsive, Fault::MachinesFail];
+                w.inject_fault(machines[i as usize % 3], 0, (LEASE_S * 1e6) as u64 + 4 * S);
                 // One that hung is in its next session when it goes on.
                 let hung = if i % 3 == 1 { (LEASE_S * 1e6) as u64 + 5 * S } else { 0 };
                 let until = w.now + hung + w.rng.random_range(0..3 * S);
                 w.run(0, until);
                 if i == 4 {
-                    w.begin(Trouble::RestartAll, 0, 0);
+                    w.inject_fault(Fault::RestartAll, 0, 0);
                 } else {
                     change_leader(w, seed + i, (seed + i) as usize % 3);
                 }
             }
-            let until = w.over_at().max(w.now) + 350 * S;
+            let until = w.last_fault_end().max(w.now) + 350 * S;
             settle(w, until);
         });
         ended(&mut w, seed);
@@ -390,10 +394,12 @@
         w.run(0, 15 * S);
         let ids = long_jobs(w, 10, 100 * S);
         w.run(0, 45 * S);
-        let some: Vec<usize> =
-            (0..w.workers.len()).filter(|&i| w.workers[i].tasks.iter().any(Task::on)).take(3).collect();
-        let before: Vec<u64> = some.iter().map(|&i| w.workers[i].session).collect();
-        w.machine_mute(&some, long);
+        let some: Vec<usize> = (0..w.workers.len())
+            .filter(|&i| w.workers[i].tasks.iter().any(Task::is_placed))
+            .take(3)
+            .collect();
+        let before: Vec<u64> = some.iter().map(|&i| w.workers[i].incarnation).collect();
+        w.lose_outbound_messages(&some, long);
         let until = w.now + w.rng.random_range(0..6 * S);
         w.run(0, until);
         if ends {
@@ -409,10 +415,10 @@
             }
         }
         cancel_all(w, &ids[..5], 40 * S);
-        let until = w.over_at().max(w.now);
+        let until = w.last_fault_end().max(w.now);
         w.run(0, until);
         for (&i, before) in some.iter().zip(before) {
-            let ran_out = w.workers[i].session > before;
+            let ran_out = w.workers[i].incarnation > before;
             let lease = (LEASE_S * 1e6) as u64;
             assert!(ran_out || long <= lease + S, "direct messages have renewed the lease of machine {i}");
             assert!(!ran_out || ends || long * 2 > lease, "machine {i} lost its lease within {long}");
@@ -428,8 +434,8 @@
     let (mut muted, mut confirmed) = (0, 0);
     for seed in rounds(6).map(|r| r + 30_420) {
         let w = mute_day(seed, [7, 16, 40][seed as usize % 3] * S, false);
-        muted += w.lost.muted;
-        confirmed += w.compound.told.values().filter(|t| t.tasks > 0).count();
+        muted += w.lost.lost_heartbeats;
+        confirmed += w.compound.cancel_answers.values().filter(|t| t.tasks > 0).count();
     }
     assert!(muted > 30 && confirmed > 12, "{muted} reports, {confirmed} cancellations with tasks alive");
 }
@@ -439,9 +445,9 @@
     let (mut muted, mut spoken, mut confirmed) = (0, 0, 0);
     for seed in rounds(8).map(|r| r + 30_440) {
         let w = mute_day(seed, [9, 17, 45][seed as usize % 3] * S, true);
-        muted += w.lost.muted;
-        spoken += w.lost.spoken;
-        confirmed += w.compound.told.values().filter(|t| t.tasks > 0).count();
+        muted += w.lost.lost_heartbeats;
+        spoken += w.lost.fencing_answers;
+        confirmed += w.compound.cancel_answers.values().filter(|t| t.tasks > 0).count();
     }
     assert!(
         muted > 40 && spoken >= 8 && confirmed > 12,
@@ -459,7 +465,7 @@
         w.shape.run = 20 * S;
         guarded(seed, &mut w, |w| {
             w.run(0, 15 * S);
-            w.reports_for_next(1.0, 10 * S);
+            w.hold_back_heartbeats(1.0, 10 * S);
             w.run(0, 25 * S);
             let some: Vec<usize> = (0..3).map(|k| (seed as usize + 2 * k) % 8).collect();
             for &i in &some {
@@ -468,14 +474,14 @@
             }
             let names: Vec<String> = some.iter().map(|&i| w.workers[i].name.clone()).collect();
             // Silent for two leases, it is returned; its page is written with the next change.
-            while names.iter().any(|name| w.on_record(name)) && w.now < 110 * S {
+            while names.iter().any(|name| w.is_registered(name)) && w.now < 110 * S {
                 let until = w.now + S;
                 w.run(0, until);
             }
             // A page that nothing else is changed on keeps its names.
-            let off = !names.iter().any(|name| w.on_record(name));
+            let off = !names.iter().any(|name| w.is_registered(name));
             days += usize::from(off);
-            w.begin(Trouble::RestartAll, 0, 0);
+            w.inject_fault(Fault::RestartAll, 0, 0);
             let until = w.now + 25 * S / 10;
             while w.now < until {
                 let next = w.now + S / 10;
@@ -512,14 +518,14 @@
 fn copies_do_not_keep_a_controller_on_the_ring_that_its_workers_can_not_reach() {
     let mut copies = 0;
     for seed in rounds(8).map(|r| r + 30_470) {
-        let mut w = World::new(seed, Shape { machines: 24, room: 16, ..SMALL });
+        let mut w = World::new(seed, Shape { machines: 24, zone_capacity: 16, ..SMALL });
         guarded(seed, &mut w, |w| {
             w.run(0, 50 * S);
-            w.reports_for_next(1.0, 14 * S);
+            w.hold_back_heartbeats(1.0, 14 * S);
             w.run(0, 60 * S);
             let n = seed as usize % 3;
             let p = (n + 1 + seed as usize / 3 % 2) % 3;
-            w.cuts.push((End::Controller(n), End::Workers, 110 * S, seed % 2 == 0));
+            w.partitions.push((Endpoint::Controller(n), Endpoint::Workers, 110 * S, seed % 2 == 0));
             let until = w.now + w.rng.random_range(S..3 * S);
             w.run(0, until);
             w.crash_for(p, S / 20..S / 10);
@@ -555,18 +561,18 @@
             }
             // They all end within moments, more than their owner can put on record at once, and the next epoch comes.
             w.run(0, back - 5 * S / 2);
-            w.answers_lost_by(n, Write::End, 1.0, 3 * S, Carried::Never);
+            w.lose_answers_of(n, Write::End, 1.0, 3 * S, Execution::Never);
             let now = w.now;
             for t in w.workers.iter_mut().flat_map(|x| &mut x.tasks).filter(|t| t.state == "running") {
                 t.until = now + u64::from(t.attempt as u32 % 10) * S / 20;
             }
             w.run(0, back);
             let by = w.rng.random_range(3 * S / 10..S);
-            w.ring_line_slow(n, by, 8 * S);
+            w.slow_membership_lane(n, by, 8 * S);
             for p in (0..3).filter(|&p| p != n) {
-                w.one_way(p, n, 8 * S, Fate::Lost);
+                w.fail_one_way(p, n, 8 * S, LinkFault::Lost);
             }
-            w.answers_lost_by(q, Write::End, 1.0, 6 * S, Carried::AtOnce);
+            w.lose_answers_of(q, Write::End, 1.0, 6 * S, Execution::AtOnce);
             while w.now < back + 9 * S {
                 // Two that act as the owner of a job whose task has ended, and its user has not been told.
                 let acts = |x: usize, id: &str| {
@@ -574,7 +580,7 @@
                     node.is_some_and(|node| node.membership.job_leader(id) == Some(x))
                 };
                 let over = |(id, j): (&String, &UserJob)| {
-                    (j.known == Known::Accepted && !j.done.is_empty()).then(|| id.clone())
+                    (j.known == KnownState::Accepted && !j.done.is_empty()).then(|| id.clone())
                 };
                 let open: Vec<String> = w.jobs.iter().filter_map(over).collect();
                 met += open.iter().filter(|id| acts(n, id) && acts(q, id)).count();
@@ -590,8 +596,8 @@
             settle(w, 420 * S);
         });
         ended(&mut w, seed);
-        lost +=
-            w.lost.count(Write::End, Carried::Never).asked + w.lost.count(Write::End, Carried::AtOnce).took;
+        lost += w.lost.count(Write::End, Execution::Never).asked
+            + w.lost.count(Write::End, Execution::AtOnce).committed;
     }
     eprintln!("{met} moments, {lost} ends without an answer");
     assert!(met > 100 && lost > 40, "{met} moments, {lost} ends without an answer");
@@ -609,13 +615,13 @@
             let (q, n) = (seed as usize % 3, (seed as usize + 1) % 3);
             let back = w.now + 20 * S;
             // It stands still for longer than its lease, and joins anew.
-            w.hung[q] = back;
+            w.paused_until[q] = back;
             w.run(0, back);
             // Its home and its witness is in the older epoch too.
             for p in (0..3).filter(|&p| p != q) {
                 let by = w.rng.random_range(3 * S / 10..S);
-                w.ring_line_slow(p, by, 8 * S);
-                w.one_way(q, p, 8 * S, Fate::Lost);
+                w.slow_membership_lane(p, by, 8 * S);
+                w.fail_one_way(q, p, 8 * S, LinkFault::Lost);
             }
             let epoch = w.epoch();
             while w.epoch() == epoch {
@@ -631,7 +637,8 @@
                     let node = w.nodes[x].as_ref().filter(|node| node.membership.is_leader(w.clock(x)));
                     node.is_some_and(|node| node.membership.job_leader(id) == Some(x))
                 };
-                let both = |id: &&String| w.jobs[*id].known == Known::Accepted && acts(n, id) && acts(q, id);
+                let both =
+                    |id: &&String| w.jobs[*id].known == KnownState::Accepted && acts(n, id) && acts(q, id);
                 let ids: Vec<String> = ids.iter().filter(both).cloned().collect();
                 met += ids.len();
                 ids.iter().for_each(|id| w.poll(n, id));
@@ -655,7 +662,7 @@
             w.run(0, 20 * S);
             let n = seed as usize % 3;
             let epoch = w.epoch();
-            w.answers_lost_by(n, Write::Member, 1.0, 60 * S, Carried::AtOnce);
+            w.lose_answers_of(n, Write::Member, 1.0, 60 * S, Execution::AtOnce);
             w.crash_for(n, S / 20..S / 10);
             let until = w.now + 8 * S;
             w.run(0, until);
@@ -667,7 +674,7 @@
             settle(w, 420 * S);
         });
         ended(&mut w, seed);
-        took += w.lost.count(Write::Member, Carried::AtOnce).took;
+        took += w.lost.count(Write::Member, Execution::AtOnce).committed;
     }
     assert!(took >= 6, "{took} keys written without an answer");
 }
--- a/tests/world/days/pairs.rs
+++ b/tests/world/days/pairs.rs
@@ -5,12 +5,12 @@
 use crate::*;
 
 /// One small day for each trouble: long jobs run, the moment comes, and the trouble with it.
-fn each(base: u64, moment: impl Fn(&mut World, &[String], Trouble, usize)) {
+fn each(base: u64, moment: impl Fn(&mut World, &[String], Fault, usize)) {
     let rounds = if std::env::var("WORLD_SEEDS").is_ok() { seeds() } else { 0..1 };
-    for (round, (k, trouble)) in rounds.flat_map(|r| TROUBLES.into_iter().enumerate().map(move |t| (r, t))) {
+    for (round, (k, trouble)) in rounds.flat_map(|r| FAULTS.into_iter().enumerate().map(move |t| (r, t))) {
         let seed = base + 100 * round + k as u64;
-        let mut w = World::new(seed, Shape { machines: 10, room: 10, jobs: 0, ..SMALL });
-        w.silence.pollers = true;
+        let mut w = World::new(seed, Shape { machines: 10, zone_capacity: 10, jobs: 0, ..SMALL });
+        w.answer_gaps.pollers = true;
         guarded(seed, &mut w, |w| {
             w.run(0, 15 * S);
             let ids = long_jobs(w, 9, 45 * S);
@@ -37,14 +37,14 @@
 fn each_trouble_beside_a_restart_within_a_tenth_of_a_second() {
     each(22_000, |w, ids, trouble, n| {
         let long = long(w);
-        w.begin(trouble, n, long);
+        w.inject_fault(trouble, n, long);
         pass(w, 0, 8 * S);
         for _ in 0..3 {
             let p = w.rng.random_range(0..3);
             w.crash_for(p, S / 20..S / 10);
             pass(w, S / 10, 3 * S);
         }
-        w.withdraw(n, &ids[0]);
+        w.cancel_job(n, &ids[0]);
     });
 }
 
@@ -60,8 +60,8 @@
             w.run(0, until);
         }
         pass(w, 0, 3 * S / 2);
-        w.begin(trouble, n, long);
-        w.withdraw(n, &ids[0]);
+        w.inject_fault(trouble, n, long);
+        w.cancel_job(n, &ids[0]);
     });
 }
 
@@ -77,16 +77,16 @@
             _ => n,
         };
         let until = w.now + 30 * S;
-        while !w.compound.told.contains_key(id) && w.now < until {
+        while !w.compound.cancel_answers.contains_key(id) && w.now < until {
             let p = w.rng.random_range(0..3);
-            w.withdraw(p, id);
+            w.cancel_job(p, id);
             let until = w.now + S / 10;
             w.run(0, until);
         }
-        let told = w.compound.told[id];
+        let told = w.compound.cancel_answers[id];
         assert!(told.tasks > 0 && w.now <= told.at + S / 5, "its tasks are alive: {told:?}");
         let long = long(w).max(50 * S);
-        w.begin(trouble, n, long);
+        w.inject_fault(trouble, n, long);
         let until = w.now + 50 * S;
         w.run(0, until);
     });
@@ -102,16 +102,16 @@
             w.run(0, until);
         }
         let id = ids.iter().find(|id| whole(w, id)).expect("one has ended");
-        assert_eq!(w.jobs[id].known, Known::Accepted, "nobody has been told");
+        assert_eq!(w.jobs[id].known, KnownState::Accepted, "nobody has been told");
         let n = match w.rng.random_range(0..2) {
             0 => owner(w, id).unwrap_or(n),
             _ => n,
         };
         let long = long(w);
-        w.begin(trouble, n, long);
+        w.inject_fault(trouble, n, long);
         pass(w, S, 6 * S);
         // The user who asked to cancel is told what it came to.
-        w.withdraw(n, id);
+        w.cancel_job(n, id);
     });
 }
 
@@ -122,18 +122,18 @@
     for seed in seeds().take(if std::env::var("WORLD_SEEDS").is_ok() { usize::MAX } else { 12 }) {
         let seed = seed + 23_000;
         let mut w = World::new(seed, Shape { machines: 8, run: 45 * S, ..SMALL });
-        w.silence.pollers = true;
-        w.unruly = 0.1;
+        w.answer_gaps.pollers = true;
+        w.handoff_fault_rate = 0.1;
         guarded(seed, &mut w, |w| {
             w.run(0, 20 * S);
             while w.now < 220 * S {
-                let (a, b) = (w.rng.random_range(0..TROUBLES.len()), w.rng.random_range(0..TROUBLES.len()));
-                *met.entry(format!("{:?}+{:?}", TROUBLES[a.min(b)], TROUBLES[a.max(b)])).or_default() += 1;
-                w.pair(TROUBLES[a], TROUBLES[b]);
+                let (a, b) = (w.rng.random_range(0..FAULTS.len()), w.rng.random_range(0..FAULTS.len()));
+                *met.entry(format!("{:?}+{:?}", FAULTS[a.min(b)], FAULTS[a.max(b)])).or_default() += 1;
+                w.pair(FAULTS[a], FAULTS[b]);
                 let until = w.now + w.rng.random_range(S..35 * S);
                 w.run(0, until);
             }
-            let until = w.over_at().max(w.now) + 320 * S;
+            let until = w.last_fault_end().max(w.now) + 320 * S;
             settle(w, until);
         });
         ended(&mut w, seed);
--- a/tests/world/days/refused.rs
+++ b/tests/world/days/refused.rs
@@ -91,7 +91,7 @@
         for n in 0..3 {
             let ids = odd(2000).into_iter().enumerate().filter(|(_, (id, ..))| owner(&w, id) == Some(n));
             for (_, (id, body, status)) in ids.collect::<Vec<_>>() {
-                w.hung[n] = w.now + 3 * S;
+                w.paused_until[n] = w.now + 3 * S;
                 let r = w.ask((n + 1) % 3, UserRequest::Submit(id.clone(), body));
                 assert!(r.status == status || r.status == 503, "seed {seed}: {id}: {r:?}");
                 assert!(!w.store.keys.contains_key(&format!("job/{id}")), "seed {seed}: {id}");
@@ -100,12 +100,12 @@
                 w.run(0, until);
             }
             let (id, body) = (3000..).map(|i| job(i, &[])).find(|j| owner(&w, &j.0) == Some(n)).expect("one");
-            w.add_given(&body, 5 * S).next = NEVER;
-            w.hung[n] = w.now + 4 * S;
+            w.add_described_job(&body, 5 * S).next = NEVER;
+            w.paused_until[n] = w.now + 4 * S;
             w.submit_to((n + 1) % 3, &id);
             let until = w.now + S;
             w.run(0, until);
-            assert_eq!(w.jobs[&id].known, Known::Accepted, "seed {seed}: within a second");
+            assert_eq!(w.jobs[&id].known, KnownState::Accepted, "seed {seed}: within a second");
             w.jobs.get_mut(&id).expect("a job").next = w.now;
             let until = w.now + 15 * S;
             w.run(0, until);
@@ -118,6 +118,6 @@
             refused(&mut w, 4000 + 20 * i as u32, n);
         }
         w.run(0, 320 * S);
-        assert!(w.finished().is_empty(), "seed {seed}: {:?}", w.finished());
+        assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?}", w.unfinished_jobs());
     }
 }
--- a/tests/world/days/register.rs
+++ b/tests/world/days/register.rs
@@ -26,15 +26,15 @@
                 "strides": 1, "vcpus": 1.0, "cards": 0, "ramGb": 1.0, "tack": "img", "imageGb": 1.0,
                 "together": false, "scatter": false, "borrowed": false, "rideS": 1.0, "restS": 0.0,
                 "unsaddleS": 0.0});
-            w.note_sent(1, 0, &UserRequest::Submit("wk-000001".into(), body.to_string()));
-            w.note_sent(2, 1, &UserRequest::Cancel("wk-000001".into()));
+            w.record_request(1, 0, &UserRequest::Submit("wk-000001".into(), body.to_string()));
+            w.record_request(2, 1, &UserRequest::Cancel("wk-000001".into()));
             if late {
-                w.note_sent(4, 2, &query());
+                w.record_request(4, 2, &query());
             }
-            w.note_sent(3, 1, &query());
+            w.record_request(3, 1, &query());
             w.answered(3, &known);
             if !late {
-                w.note_sent(4, 2, &query());
+                w.record_request(4, 2, &query());
             }
             let said = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| w.answered(4, &then)));
             match said {
@@ -56,9 +56,9 @@
     let body = json!({"uid": "wk-000001", "breed": "x", "herd": "t1", "gait": "batch", "rank": "idle",
         "strides": 1, "vcpus": 1.0, "cards": 0, "ramGb": 1.0, "tack": "img", "imageGb": 1.0, "together": false,
         "scatter": false, "borrowed": false, "rideS": 1.0, "restS": 0.0, "unsaddleS": 0.0});
-    w.note_sent(1, 0, &UserRequest::Submit("wk-000001".into(), body.to_string()));
-    w.note_sent(2, 1, &UserRequest::Cancel("wk-000001".into()));
-    w.note_sent(3, 2, &UserRequest::Query("wk-000001".into()));
+    w.record_request(1, 0, &UserRequest::Submit("wk-000001".into(), body.to_string()));
+    w.record_request(2, 1, &UserRequest::Cancel("wk-000001".into()));
+    w.record_request(3, 2, &UserRequest::Query("wk-000001".into()));
     w.answered(2, &Reply::json(200, &json!({"uid": "wk-000001", "stance": "aborted"})));
     w.answered(3, &Reply::json(200, &json!({"uid": "wk-000001", "stance": "done", "done": 1, "running": 0})));
 }
--- a/tests/world/days/releases.rs
+++ b/tests/world/days/releases.rs
@@ -22,7 +22,7 @@
             self.serial += 1;
             let ticket = self.serial;
             self.tickets.insert(ticket, Ticket::Asked);
-            self.later(1, What::Controller(n, 0, Event::Operator { ticket, request: request.clone() }));
+            self.later(1, SimEvent::Controller(n, 0, Event::Operator { ticket, request: request.clone() }));
             let end = self.now + 12 * S;
             while self.now < end && !self.answers.contains_key(&ticket) {
                 let next = self.now + S / 10;
@@ -69,7 +69,7 @@
             };
             let run = w.rng.random_range(3 * S..40 * S);
             let cancel = stage == "render" && w.rng.random_bool(0.1);
-            let job = w.add_given(&b, run);
+            let job = w.add_described_job(&b, run);
             (job.next, job.cancel_asked) = (at * S, cancel);
         }
     }
@@ -86,7 +86,7 @@
                 w.crash(n);
                 w.back_at[n] = w.now + w.rng.random_range(S / 10..S / 2);
             }
-            false => w.trouble(),
+            false => w.inject_random_fault(),
         }
     }
 }
@@ -132,7 +132,7 @@
                 refused += 1;
                 continue;
             }
-            let over = j.known == Known::Done || (j.known == Known::Cancelled && j.cancel_asked);
+            let over = j.known == KnownState::Done || (j.known == KnownState::Cancelled && j.cancel_asked);
             assert!(over, "{id} is {:?}: {live:?}", j.known);
             last += usize::from(j.spec.release.is_some());
         }
@@ -163,14 +163,14 @@
 #[test]
 fn a_release_is_closed_shown_and_rotated_on_a_quiet_night() {
     let mut w = World::new(910, Shape { jobs: 0, calendar: true, ..SMALL });
-    play_until(&mut w, 30 * S);
+    run_until(&mut w, 30 * S);
     let release = |stage: &str| json!({"title": "shop-a", "stage": stage});
     let submit = |w: &mut World, n: usize, b: &Value| {
         let id = b["uid"].as_str().expect("an id").to_owned();
         w.ask(n, UserRequest::Submit(id, b.to_string()))
     };
     let known = |w: &mut World, n: usize, b: &Value| {
-        w.add_given(b, 40 * S).next = NEVER;
+        w.add_described_job(b, 40 * S).next = NEVER;
         let r = submit(w, n, b);
         assert_eq!(r.status, 201, "{}", r.body);
     };
@@ -196,7 +196,7 @@
     let again = submit(&mut w, 0, &body("wk-000002", "render", 1, release("render")));
     assert_eq!(again.status, 200, "a repeat gets the state as it is: {}", again.body);
     let next = w.now + 10 * S;
-    play_until(&mut w, next);
+    run_until(&mut w, next);
     let mut shown = BTreeSet::new();
     for n in 0..3 {
         let r = w.operate(n, &OperatorCommand::ShowRelease(selector(title, night.clone())));
@@ -228,19 +228,19 @@
     let done = |w: &World| renders.iter().all(|key| w.record(key).is_some());
     while !done(&w) {
         let next = w.now + S / 10;
-        play_until(&mut w, next);
+        run_until(&mut w, next);
         assert!(w.now < 200 * S, "renders take too long: {:#?}", w.states());
     }
     let last = w.now;
     let runs = |w: &World| w.workers.iter().any(|k| k.tasks.iter().any(|t| t.job == "wk-000003"));
     while !runs(&w) {
         let next = w.now + S / 10;
-        play_until(&mut w, next);
+        run_until(&mut w, next);
         assert!(w.now <= last + 5 * S, "the rotation is late");
     }
     let reopen = w.operate(0, &OperatorCommand::ReopenRelease(selector(title, night)));
     assert!(reopen.status == 409 && reopen.body.contains("has started"), "{}", reopen.body);
-    play_until(&mut w, 200 * S);
+    run_until(&mut w, 200 * S);
     let end = w.ask(2, UserRequest::Query("wk-000003".into()));
     assert!(end.body.contains("done"), "{}", end.body);
 }
@@ -249,7 +249,7 @@
 #[test]
 fn a_release_is_refused_where_no_calendar_is_set() {
     let mut w = World::new(911, Shape { jobs: 0, ..SMALL });
-    play_until(&mut w, 30 * S);
+    run_until(&mut w, 30 * S);
     let b = body("wk-000001", "render", 1, json!({"title": "shop-a", "stage": "render"}));
     for n in 0..3 {
         let r = w.ask(n, UserRequest::Submit("wk-000001".into(), b.to_string()));
@@ -270,7 +270,7 @@
             plan(&mut w);
             w.run(0, 20 * S);
             let named = |w: &World| {
-                w.jobs.values().filter(|j| j.spec.release.is_some() && j.known != Known::Nothing).count()
+                w.jobs.values().filter(|j| j.spec.release.is_some() && j.known != KnownState::Unknown).count()
             };
             for i in 0..3 {
                 assert_eq!(named(&w), 0, "taken while an old controller is there");
@@ -290,7 +290,8 @@
             w.crash(n);
             w.run(0, 560 * S);
             for (id, j) in w.jobs.iter().filter(|(_, j)| !j.spec.is_rotation() && !j.refused) {
-                let over = j.known == Known::Done || (j.known == Known::Cancelled && j.cancel_asked);
+                let over =
+                    j.known == KnownState::Done || (j.known == KnownState::Cancelled && j.cancel_asked);
                 assert!(over, "{id} is {:?}", j.known);
             }
         }));
--- a/tests/world/days/restarts.rs
+++ b/tests/world/days/restarts.rs
@@ -5,8 +5,13 @@
 fn ended(w: &mut World, seed: u64) {
     assert!(w.underserved().is_empty(), "seed {seed}: {:?}", w.underserved());
     let states = w.states();
-    assert!(w.finished().is_empty(), "seed {seed}: {:?} {:#?} {states:#?}", w.finished(), w.log);
-    w.nobody_forgotten(seed);
+    assert!(
+        w.unfinished_jobs().is_empty(),
+        "seed {seed}: {:?} {:#?} {states:#?}",
+        w.unfinished_jobs(),
+        w.log
+    );
+    w.assert_no_answer_gap(seed);
 }
 
 fn guarded(seed: u64, w: &mut World, day: impl FnOnce(&mut World)) {
@@ -24,10 +29,10 @@
     let mut ends = 0;
     for seed in seeds().map(|s| s + 4000) {
         let mut w = World::new(seed, SMALL);
-        (w.quick, w.brittle, w.silence.pollers) = (true, 0.03, true);
+        (w.quick_restarts, w.crash_rate, w.answer_gaps.pollers) = (true, 0.03, true);
         guarded(seed, &mut w, |w| {
             w.run(200 * S, 240 * S);
-            w.brittle = 0.0;
+            w.crash_rate = 0.0;
             w.run(0, 460 * S);
         });
         ended(&mut w, seed);
@@ -42,8 +47,9 @@
 fn the_others_serve_while_one_process_ends_again_and_again() {
     let (mut not_taken, mut days) = (0, 0);
     for seed in seeds().map(|s| s + 4200).step_by(3) {
-        let mut w = World::new(seed, Shape { machines: 12, room: 10, jobs: 120, pause: 2 * S, ..SMALL });
-        (w.quick, w.silence.pollers) = (true, true);
+        let mut w =
+            World::new(seed, Shape { machines: 12, zone_capacity: 10, jobs: 120, pause: 2 * S, ..SMALL });
+        (w.quick_restarts, w.answer_gaps.pollers) = (true, true);
         let n = seed as usize % 3;
         guarded(seed, &mut w, |w| {
             w.run(0, 40 * S);
@@ -60,7 +66,7 @@
             }
             // Without holding it back there are 30 to 42.
             assert!(w.epoch() <= epoch + 8, "{} epochs", w.epoch() - epoch);
-            let late = |j: &&UserJob| j.submitted && j.known == Known::Nothing;
+            let late = |j: &&UserJob| j.submitted && j.known == KnownState::Unknown;
             let waiting = w.jobs.values().filter(late).count();
             assert!(waiting <= 4, "{waiting} submissions not taken");
             not_taken += waiting;
@@ -70,16 +76,16 @@
             }
             w.run(0, 103 * S);
             assert!(w.balancer.ready(n), "it passes on and says so");
-            let known = |j: &&UserJob| j.known != Known::Nothing;
+            let known = |j: &&UserJob| j.known != KnownState::Unknown;
             let some: Vec<String> =
                 w.jobs.values().filter(known).map(|j| j.spec.id.clone()).take(9).collect();
             // A question and an answer that both take 0.3 s are given up after 0.6 s: that is the network's doing.
-            w.prompt = true;
+            w.no_slow_messages = true;
             for id in some {
                 let r = w.ask(n, UserRequest::Query(id));
                 assert_eq!(r.status, 200, "{}", r.body);
             }
-            w.prompt = false;
+            w.no_slow_messages = false;
             w.run(0, 190 * S);
             let at = w.clock(n);
             assert!(w.nodes[n].as_ref().is_some_and(|x| x.membership.is_leader(at)), "held back for ever");
@@ -97,7 +103,7 @@
 fn a_single_restart_costs_no_time() {
     for seed in 4600..4620 {
         let mut w = World::new(seed, SMALL);
-        (w.quick, w.silence.pollers) = (true, true);
+        (w.quick_restarts, w.answer_gaps.pollers) = (true, true);
         guarded(seed, &mut w, |w| {
             w.run(0, 40 * S);
             for i in 0..2 {
@@ -121,7 +127,7 @@
 fn nobody_is_forgotten_when_all_processes_end_again_and_again() {
     for seed in seeds().map(|s| s + 4400).step_by(3) {
         let mut w = World::new(seed, SMALL);
-        (w.quick, w.silence.pollers) = (true, true);
+        (w.quick_restarts, w.answer_gaps.pollers) = (true, true);
         guarded(seed, &mut w, |w| {
             w.run(0, 40 * S);
             while w.now < 110 * S {
--- a/tests/world/days/rough.rs
+++ b/tests/world/days/rough.rs
@@ -24,8 +24,10 @@
 #[test]
 fn nobody_waits_for_machines_that_the_cloud_has_taken_back() {
     for seed in 7600..7606u64 {
-        let mut w =
-            World::new(seed, Shape { machines: 24, room: 16, jobs: 50, run: 40 * S, pause: 2 * S, ..SMALL });
+        let mut w = World::new(
+            seed,
+            Shape { machines: 24, zone_capacity: 16, jobs: 50, run: 40 * S, pause: 2 * S, ..SMALL },
+        );
         w.run(0, 60 * S);
         let over = w.now + 12 * S;
         w.outage_until = over;
@@ -55,7 +57,7 @@
             assert_eq!(unresolved_sets(&mut w, n), (0, 0), "seed {seed}, {n}: after one more restart");
         }
         w.run(0, 420 * S);
-        assert!(w.finished().is_empty(), "seed {seed}: {:?}", w.finished());
+        assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?}", w.unfinished_jobs());
     }
 }
 
@@ -63,8 +65,10 @@
 #[test]
 fn machines_that_live_are_known_a_second_after_all_controllers_are_back() {
     for seed in 7610..7616u64 {
-        let mut w =
-            World::new(seed, Shape { machines: 24, room: 16, jobs: 50, run: 40 * S, pause: 2 * S, ..SMALL });
+        let mut w = World::new(
+            seed,
+            Shape { machines: 24, zone_capacity: 16, jobs: 50, run: 40 * S, pause: 2 * S, ..SMALL },
+        );
         w.run(0, 60 * S);
         restart_all(&mut w);
         let until = w.now + 2 * S;
@@ -73,7 +77,7 @@
             assert_eq!(unresolved_sets(&mut w, n), (0, 0), "seed {seed}, {n}");
         }
         w.run(0, 420 * S);
-        assert!(w.finished().is_empty(), "seed {seed}: {:?}", w.finished());
+        assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?}", w.unfinished_jobs());
     }
 }
 
@@ -82,8 +86,8 @@
 #[test]
 fn the_rules_hold_while_controllers_are_back_at_once() {
     for seed in seeds().map(|s| s + 7700) {
-        let mut w = World::new(seed, Shape { machines: 12, room: 10, ..SMALL });
-        w.unruly = 0.2;
+        let mut w = World::new(seed, Shape { machines: 12, zone_capacity: 10, ..SMALL });
+        w.handoff_fault_rate = 0.2;
         let r = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             w.run(0, 20 * S);
             while w.now < 200 * S {
@@ -95,15 +99,15 @@
                 let (n, long) = (w.rng.random_range(0..3usize), w.rng.random_range(S..25 * S));
                 match w.rng.random_range(0..5) {
                     0 => w.outage_until = w.now + long,
-                    1 => w.cuts.push((End::Controller(n), End::Store, w.now + long, true)),
-                    2 => w.cuts.push((End::Controller(n), End::Workers, w.now + long, true)),
-                    3 => w.hung[n] = w.now + long,
+                    1 => w.partitions.push((Endpoint::Controller(n), Endpoint::Store, w.now + long, true)),
+                    2 => w.partitions.push((Endpoint::Controller(n), Endpoint::Workers, w.now + long, true)),
+                    3 => w.paused_until[n] = w.now + long,
                     _ => {}
                 }
                 let i = w.rng.random_range(0..w.workers.len());
                 let x = &mut w.workers[i];
                 match i % 4 {
-                    0 => x.hung_until = w.now + long,
+                    0 => x.unresponsive_until = w.now + long,
                     1 if w.now > 60 * S => {
                         x.gone = true;
                         x.tasks.clear();
@@ -123,6 +127,6 @@
             eprintln!("seed {seed}, at {:.3} s: {:#?}", w.now as f64 / 1e6, w.log);
             std::panic::resume_unwind(e);
         }
-        assert!(w.finished().is_empty(), "seed {seed}: {:?} {:#?}", w.finished(), w.log);
+        assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?} {:#?}", w.unfinished_jobs(), w.log);
     }
 }
--- a/tests/world/days/takeovers.rs
+++ b/tests/world/days/takeovers.rs
@@ -8,8 +8,8 @@
 fn the_rules_hold_while_takeovers_follow_one_another() {
     let mut parcels = 0;
     for seed in seeds().map(|s| s + 7000) {
-        let mut w = World::new(seed, Shape { machines: 12, room: 10, ..SMALL });
-        w.unruly = 0.3;
+        let mut w = World::new(seed, Shape { machines: 12, zone_capacity: 10, ..SMALL });
+        w.handoff_fault_rate = 0.3;
         let r = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             w.run(0, 20 * S);
             while w.now < 200 * S {
@@ -18,19 +18,29 @@
                 w.log.push(format!("{:.1}: {n}, {:.1}", w.now as f64 / 1e6, long as f64 / 1e6));
                 match w.rng.random_range(0..8) {
                     0..4 => w.crash(n),
-                    4 => w.hung[n] = w.now + long,
-                    5 => w.cuts.push((End::Controller(n), End::Store, w.now + long, seed % 2 == 0)),
-                    6 => w.cuts.push((End::Controller(n), End::Workers, w.now + long, seed % 2 == 0)),
-                    _ => w.cuts.push((
-                        End::Controller(n),
-                        End::Controller((n + 1) % 3),
+                    4 => w.paused_until[n] = w.now + long,
+                    5 => w.partitions.push((
+                        Endpoint::Controller(n),
+                        Endpoint::Store,
+                        w.now + long,
+                        seed % 2 == 0,
+                    )),
+                    6 => w.partitions.push((
+                        Endpoint::Controller(n),
+                        Endpoint::Workers,
+                        w.now + long,
+                        seed % 2 == 0,
+                    )),
+                    _ => w.partitions.push((
+                        Endpoint::Controller(n),
+                        Endpoint::Controller((n + 1) % 3),
                         w.now + long,
                         seed % 2 == 0,
                     )),
                 }
                 let i = w.rng.random_range(0..w.workers.len());
                 match w.rng.random_range(0..3) {
-                    0 => w.workers[i].hung_until = w.now + long,
+                    0 => w.workers[i].unresponsive_until = w.now + long,
                     1 if i % 3 == 0 => {
                         w.workers[i].dead = true;
                         w.workers[i].tasks.clear();
@@ -48,8 +58,13 @@
         }
         assert!(w.underserved().is_empty(), "seed {seed}: {:?}", w.underserved());
         let states = w.states();
-        assert!(w.finished().is_empty(), "seed {seed}: {:?} {:#?} {states:#?}", w.finished(), w.log);
-        parcels += w.parcels;
+        assert!(
+            w.unfinished_jobs().is_empty(),
+            "seed {seed}: {:?} {:#?} {states:#?}",
+            w.unfinished_jobs(),
+            w.log
+        );
+        parcels += w.handoff_batches;
     }
     assert!(parcels > 500, "{parcels} parcels");
 }
@@ -59,11 +74,13 @@
 #[test]
 fn a_dead_machine_is_waited_for_once_however_many_epochs_pass() {
     for seed in 7300..7306 {
-        let mut w =
-            World::new(seed, Shape { machines: 12, room: 16, jobs: 30, run: 60 * S, pause: 2 * S, ..SMALL });
+        let mut w = World::new(
+            seed,
+            Shape { machines: 12, zone_capacity: 16, jobs: 30, run: 60 * S, pause: 2 * S, ..SMALL },
+        );
         w.run(0, 40 * S);
         // The cloud's list takes it for well.
-        w.workers[0].hung_until = NEVER;
+        w.workers[0].unresponsive_until = NEVER;
         let first = w.now;
         // What its home knows is lost with its home; any other controller's crash must not touch it.
         let home = w.nodes[0].as_ref().and_then(|n| n.membership.machine_leader("i-000000")).expect("a home");
@@ -91,12 +108,13 @@
 #[test]
 fn a_controller_that_is_told_to_end_hands_on_what_it_knows() {
     for seed in 7400..7412u64 {
-        let mut w = World::new(seed, Shape { machines: 24, room: 16, jobs: 50, run: 40 * S, ..SMALL });
+        let mut w =
+            World::new(seed, Shape { machines: 24, zone_capacity: 16, jobs: 50, run: 40 * S, ..SMALL });
         w.run(0, 60 * S);
         let epoch = w.epoch();
         for i in 0..3 {
             let n = (seed as usize + i) % 3;
-            w.later(1, What::Controller(n, 0, Event::Leave));
+            w.later(1, SimEvent::Controller(n, 0, Event::Leave));
             let told = w.now;
             while !w.nodes[n].as_ref().is_some_and(|node| node.can_exit(w.clock(n))) {
                 let until = w.now + S / 10;
@@ -123,7 +141,7 @@
             assert_eq!(w.epoch(), epoch + 2 * (i as u64 + 1), "seed {seed}: epochs of a roll");
         }
         w.run(0, 420 * S);
-        assert!(w.finished().is_empty(), "seed {seed}: {:?}", w.finished());
+        assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?}", w.unfinished_jobs());
     }
 }
 
@@ -133,8 +151,10 @@
 fn jobs_of_a_crashed_controller_do_not_wait_for_its_dead_machines() {
     let mut helped = 0;
     for seed in 7500..7510u64 {
-        let mut w =
-            World::new(seed, Shape { machines: 24, room: 16, jobs: 50, run: 40 * S, pause: 2 * S, ..SMALL });
+        let mut w = World::new(
+            seed,
+            Shape { machines: 24, zone_capacity: 16, jobs: 50, run: 40 * S, pause: 2 * S, ..SMALL },
+        );
         w.run(0, 40 * S);
         let n = seed as usize % 3;
         let homes: Vec<Option<usize>> = {
@@ -143,7 +163,7 @@
         };
         for (i, home) in homes.into_iter().enumerate() {
             if home == Some(n) && i % 3 == 0 {
-                w.workers[i].hung_until = NEVER;
+                w.workers[i].unresponsive_until = NEVER;
             }
         }
         w.crash(n);
@@ -162,7 +182,7 @@
         assert!(unresolved_sets <= recent as u64, "seed {seed}: {status:#}");
         helped += takeover["jobs_witnessed"].as_u64().expect("a number");
         w.run(0, 420 * S);
-        assert!(w.finished().is_empty(), "seed {seed}: {:?}", w.finished());
+        assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?}", w.unfinished_jobs());
     }
     assert!(helped > 20, "{helped} jobs");
 }
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -23,7 +23,7 @@
 const ALL: [Kind; 19] = [
     Kind { name: "plain", world: small, day: |_, w| w.run(110 * S, 130 * S) },
     Kind { name: "stalls", world: small, day: stalls },
-    Kind { name: "grown", world: |seed| World::new(seed, GROWN), day: |_, w| w.run(30 * S, 40 * S) },
+    Kind { name: "grown", world: |seed| World::new(seed, LARGE), day: |_, w| w.run(30 * S, 40 * S) },
     Kind { name: "chained", world: |seed| World::new(seed, CHAINED), day: |_, w| w.run(100 * S, 130 * S) },
     Kind { name: "releases", world: with_calendar, day: rotations },
     Kind { name: "loans", world: |seed| World::new(seed, loans::GPUS), day: lending },
@@ -44,13 +44,13 @@
 
 fn small(seed: u64) -> World {
     let mut w = World::new(seed, SMALL);
-    w.silence.pollers = true;
+    w.answer_gaps.pollers = true;
     w
 }
 
 fn medium(seed: u64) -> World {
-    let mut w = World::new(seed, Shape { machines: 10, room: 10, jobs: 30, pause: 4 * S, ..SMALL });
-    w.silence.pollers = true;
+    let mut w = World::new(seed, Shape { machines: 10, zone_capacity: 10, jobs: 30, pause: 4 * S, ..SMALL });
+    w.answer_gaps.pollers = true;
     w
 }
 
@@ -66,9 +66,9 @@
 
 /// Controllers stand still between deciding and doing, among all troubles.
 fn stalls(_: u64, w: &mut World) {
-    w.stalls = 0.001;
+    w.pause_rate = 0.001;
     w.run(90 * S, 100 * S);
-    w.stalls = 0.0;
+    w.pause_rate = 0.0;
     w.run(0, 120 * S);
 }
 
@@ -106,7 +106,7 @@
 /// Batches are put and replaced while their merges wait, start, run and ask whether they may write.
 fn merges(round: u64, w: &mut World) {
     w.batches.writers = true;
-    w.quick = !round.is_multiple_of(2);
+    w.quick_restarts = !round.is_multiple_of(2);
     w.run(0, 15 * S);
     for i in 0..5 {
         let name = ["b0", "b1"][w.rng.random_range(0..2usize)];
@@ -114,10 +114,10 @@
         batches::pipeline(w, name, version);
         pass(w, S, 12 * S);
         let (n, up) = (w.rng.random_range(0..3usize), w.rng.random_range(0..3));
-        w.operator_asks(n, OperatorCommand::PutBatch { name: name.into(), version: version + up });
+        w.send_operator_command(n, OperatorCommand::PutBatch { name: name.into(), version: version + up });
         batches::runs_again(w, name, version + up);
         if !round.is_multiple_of(3) && i % 2 == 1 {
-            w.trouble();
+            w.inject_random_fault();
         }
         pass(w, S, 12 * S);
     }
@@ -128,12 +128,12 @@
 fn upgrade(round: u64, w: &mut World) {
     w.limited = [true; 3];
     // An old one that turns up later tells nobody what became of a job's forerunners.
-    w.tells_orphans = false;
+    w.checks_orphans = false;
     w.run(0, 20 * S);
     for i in 0..3 {
         let n = (round as usize + i) % 3;
         if w.rng.random_bool(0.4) {
-            w.trouble();
+            w.inject_random_fault();
         }
         w.limited[n] = false;
         w.crash(n);
@@ -154,7 +154,7 @@
 
 /// Epochs a few seconds apart, and what is handed over is lost, doubled and late.
 fn takeovers(round: u64, w: &mut World) {
-    w.unruly = 0.3;
+    w.handoff_fault_rate = 0.3;
     w.run(0, 20 * S);
     while w.now < 90 * S {
         let n = w.rng.random_range(0..3usize);
@@ -162,13 +162,18 @@
         let hold = round.is_multiple_of(2);
         match w.rng.random_range(0..8) {
             0..4 => w.crash(n),
-            4 => w.hung[n] = w.now + long,
-            5 => w.cuts.push((End::Controller(n), End::Store, w.now + long, hold)),
-            6 => w.cuts.push((End::Controller(n), End::Workers, w.now + long, hold)),
-            _ => w.cuts.push((End::Controller(n), End::Controller((n + 1) % 3), w.now + long, hold)),
+            4 => w.paused_until[n] = w.now + long,
+            5 => w.partitions.push((Endpoint::Controller(n), Endpoint::Store, w.now + long, hold)),
+            6 => w.partitions.push((Endpoint::Controller(n), Endpoint::Workers, w.now + long, hold)),
+            _ => w.partitions.push((
+                Endpoint::Controller(n),
+                Endpoint::Controller((n + 1) % 3),
+                w.now + long,
+                hold,
+            )),
         }
         let i = w.rng.random_range(0..w.workers.len());
-        w.workers[i].hung_until = w.now + long;
+        w.workers[i].unresponsive_until = w.now + long;
         pass(w, 2 * S, 12 * S);
     }
     w.run(0, 120 * S);
@@ -176,11 +181,11 @@
 
 /// One controller after the other is told to end, hands on what it knows and is back.
 fn leaving(round: u64, w: &mut World) {
-    w.unruly = if round % 2 == 1 { 0.3 } else { 0.0 };
+    w.handoff_fault_rate = if round % 2 == 1 { 0.3 } else { 0.0 };
     w.run(0, 30 * S);
     for i in 0..3 {
         let n = (round as usize + i) % 3;
-        w.later(1, What::Controller(n, 0, Event::Leave));
+        w.later(1, SimEvent::Controller(n, 0, Event::Leave));
         let end = w.now + 4 * S;
         while w.now < end && !w.nodes[n].as_ref().is_some_and(|node| node.can_exit(w.clock(n))) {
             let until = w.now + S / 10;
@@ -194,19 +199,19 @@
 
 /// Processes end at any moment, also in the middle of a hand-over or a record, and are back at once.
 fn restarts(_: u64, w: &mut World) {
-    (w.quick, w.brittle) = (true, 0.03);
+    (w.quick_restarts, w.crash_rate) = (true, 0.03);
     w.run(90 * S, 100 * S);
-    w.brittle = 0.0;
+    w.crash_rate = 0.0;
     w.run(0, 120 * S);
 }
 
 /// Pairs of all troubles that overlap.
 fn pairs(_: u64, w: &mut World) {
-    w.unruly = 0.1;
+    w.handoff_fault_rate = 0.1;
     w.run(0, 20 * S);
     while w.now < 100 * S {
-        let (a, b) = (w.rng.random_range(0..TROUBLES.len()), w.rng.random_range(0..TROUBLES.len()));
-        w.pair(TROUBLES[a], TROUBLES[b]);
+        let (a, b) = (w.rng.random_range(0..FAULTS.len()), w.rng.random_range(0..FAULTS.len()));
+        w.pair(FAULTS[a], FAULTS[b]);
         pass(w, S, 25 * S);
     }
     w.run(0, 120 * S);
@@ -225,8 +230,8 @@
         }
         pass(w, S, 10 * S);
         let long = w.rng.random_range(4 * S..25 * S);
-        w.begin(TROUBLES[(3 * round as usize + i) % TROUBLES.len()], n, long);
-        w.withdraw(n, &ids[i]);
+        w.inject_fault(FAULTS[(3 * round as usize + i) % FAULTS.len()], n, long);
+        w.cancel_job(n, &ids[i]);
         pass(w, 10 * S, 25 * S);
     }
     w.run(0, 125 * S);
@@ -235,9 +240,9 @@
 /// Users look closely, cancel at the end of a job's last task and send what can't run, while records are slow or late.
 fn looks(round: u64, w: &mut World) {
     w.run(0, 10 * S);
-    w.close_looks(80 * S);
+    w.enable_probe_bursts(80 * S);
     w.cancel_at_end(0.3, 80 * S);
-    w.odd_requests(80 * S);
+    w.enable_invalid_requests(80 * S);
     match round % 3 {
         0 => w.slow_store(20 * S),
         1 => w.slow_store_by(60 * S, S / 20..9 * S / 10),
@@ -250,22 +255,23 @@
 
 /// Answers of the state service and of rentals are lost, reports are kept for the next leader, machines are mute.
 fn lost(round: u64, w: &mut World) {
-    const WAYS: [Carried; 4] = [Carried::Never, Carried::AtOnce, Carried::Late, Carried::AfterSuccessor];
+    const WAYS: [Execution; 4] =
+        [Execution::Never, Execution::AtOnce, Execution::Late, Execution::AfterSuccessor];
     w.run(0, 12 * S);
-    w.answers_lost(None, 0.3, 70 * S, WAYS[round as usize % 4]);
-    w.reports_for_next(0.5, 70 * S);
-    w.rentals_lost(0.5, 60 * S);
+    w.lose_answers(None, 0.3, 70 * S, WAYS[round as usize % 4]);
+    w.hold_back_heartbeats(0.5, 70 * S);
+    w.lose_scale_out_answers(0.5, 60 * S);
     w.late_reports(0.3, 70 * S);
     for i in 0..3 {
         pass(w, 8 * S, 16 * S);
         let machines = w.some_machines();
-        w.machine_mute(&machines, 20 * S);
+        w.lose_outbound_messages(&machines, 20 * S);
         let n = (round + i) as usize % 3;
-        w.ring_line_slow(n, S / 2, 8 * S);
+        w.slow_membership_lane(n, S / 2, 8 * S);
         match i {
             0 => w.crash_for(n, S / 20..S / 10),
             1 => w.crash_for(n, 8 * S..12 * S),
-            _ => w.begin(Trouble::CutFromStoreAndPeers, n, 12 * S),
+            _ => w.inject_fault(Fault::PartitionFromStoreAndPeers, n, 12 * S),
         }
     }
     w.run(0, 120 * S);
@@ -291,9 +297,9 @@
     for i in 0..3 {
         pass(w, 10 * S, 16 * S);
         let hang = if i == 1 { 20 * S } else { 0 };
-        w.cancel_now(3, hang);
+        w.mass_cancel(3, hang);
         let machines = w.some_machines();
-        w.machine_deaf(&machines, 15 * S);
+        w.lose_inbound_messages(&machines, 15 * S);
         let n = (round + i) as usize % 3;
         match round % 2 {
             0 => w.crash_for(n, S / 20..S / 10),
@@ -315,7 +321,7 @@
         pass(w, S / 2, 4 * S);
         match round % 3 {
             0 => w.crash_for(n, 8 * S..14 * S),
-            1 => w.hung[n] = w.now + 12 * S,
+            1 => w.paused_until[n] = w.now + 12 * S,
             _ => w.cut_from_store_and_peers(n, 12 * S, i % 2 == 0),
         }
         cancel_all(w, some, 8 * S);
@@ -334,9 +340,9 @@
     for p in (0..3).filter(|&p| p != n) {
         match round % 4 {
             0 => {}
-            1 => w.one_way(n, p, 50 * S, Fate::Lost),
-            2 => w.one_way(p, n, 50 * S, Fate::Late(2 * S)),
-            _ => w.cuts.push((End::Controller(n), End::Controller(p), w.now + 50 * S, true)),
+            1 => w.fail_one_way(n, p, 50 * S, LinkFault::Lost),
+            2 => w.fail_one_way(p, n, 50 * S, LinkFault::Late(2 * S)),
+            _ => w.partitions.push((Endpoint::Controller(n), Endpoint::Controller(p), w.now + 50 * S, true)),
         }
     }
     cancel_all(w, &ids[..5], 8 * S);
--- a/tests/world/days/upgrade.rs
+++ b/tests/world/days/upgrade.rs
@@ -15,9 +15,9 @@
             w.run(0, 30 * S);
             let every = w.rng.random_range(4..30u64) * S;
             for n in ORDERS[seed as usize % 6] {
-                assert!(w.accepted_chains() == 0, "taken while an old controller is there");
+                assert!(w.accepted_with_dependencies() == 0, "taken while an old controller is there");
                 if w.rng.random_bool(0.4) {
-                    w.trouble();
+                    w.inject_random_fault();
                 }
                 w.limited[n] = false;
                 w.crash(n);
@@ -33,10 +33,15 @@
             eprintln!("seed {seed}, at {:.3} s: {:#?}", w.now as f64 / 1e6, w.log);
             std::panic::resume_unwind(e);
         }
-        assert!(w.accepted_chains() > 5, "seed {seed}");
+        assert!(w.accepted_with_dependencies() > 5, "seed {seed}");
         assert!(w.underserved().is_empty(), "seed {seed}: {:?}", w.underserved());
         let states = w.states();
-        assert!(w.finished().is_empty(), "seed {seed}: {:?} {:#?} {states:#?}", w.finished(), w.log);
+        assert!(
+            w.unfinished_jobs().is_empty(),
+            "seed {seed}: {:?} {:#?} {states:#?}",
+            w.unfinished_jobs(),
+            w.log
+        );
     }
 }
 
@@ -46,9 +51,9 @@
 fn an_old_controller_that_turns_up_later_starts_nothing_that_waits() {
     for seed in 3100..3115u64 {
         let mut w = World::new(seed, Shape { jobs: 50, ..CHAINED });
-        w.tells_orphans = false;
+        w.checks_orphans = false;
         w.run(0, 120 * S);
-        assert!(w.accepted_chains() > 0, "seed {seed}");
+        assert!(w.accepted_with_dependencies() > 0, "seed {seed}");
         let n = seed as usize % 3;
         w.limited[n] = true;
         w.crash(n);
@@ -58,6 +63,11 @@
         w.run(0, 560 * S);
         assert!(w.underserved().is_empty(), "seed {seed}: {:?}", w.underserved());
         let states = w.states();
-        assert!(w.finished().is_empty(), "seed {seed}: {:?} {:#?} {states:#?}", w.finished(), w.log);
+        assert!(
+            w.unfinished_jobs().is_empty(),
+            "seed {seed}: {:?} {:#?} {states:#?}",
+            w.unfinished_jobs(),
+            w.log
+        );
     }
 }
--- a/tests/world/days/zones.rs
+++ b/tests/world/days/zones.rs
@@ -6,8 +6,8 @@
 const LEASE: u64 = (LEASE_S * 1e6) as u64;
 
 fn world(seed: u64, jobs: u32) -> World {
-    let mut w = World::new(seed, Shape { machines: 12, room: 12, jobs, ..SMALL });
-    w.silence.pollers = true;
+    let mut w = World::new(seed, Shape { machines: 12, zone_capacity: 12, jobs, ..SMALL });
+    w.answer_gaps.pollers = true;
     w
 }
 
@@ -50,7 +50,7 @@
                 "imageGb": 1.0, "breedsOfStall": b.kinds.map(|k| vec![k]), "paddock": b.zone,
                 "together": b.together, "scatter": b.scatter, "borrowed": b.spot, "rideS": run as f64 / 1e6,
                 "restS": 0.0, "unsaddleS": 0.0, "dueS": null});
-            w.add_given(&body, run);
+            w.add_described_job(&body, run);
             id
         })
         .collect()
@@ -90,8 +90,8 @@
             let its: Vec<String> = ids.iter().filter(|id| holds(w, id)).cloned().collect();
             left += its.len();
             cancel_all(w, &its[..its.len() * 2 / 3], long + 10 * S);
-            let new = |t: &&Told| t.at > from + S && t.at < from + long && t.tasks > 0;
-            confirmed += w.compound.told.values().filter(new).count();
+            let new = |t: &&CancelAnswer| t.at > from + S && t.at < from + long && t.tasks > 0;
+            confirmed += w.compound.cancel_answers.values().filter(new).count();
             settle(w, 560 * S);
         });
         ended(&mut w, seed);
@@ -113,7 +113,7 @@
     let (mut calm, mut within, mut confirmed) = (Vec::new(), 0, 0);
     for seed in seeds().take(8).map(|s| s + 25_100) {
         let mut w = world(seed, 30);
-        w.unruly = 0.2;
+        w.handoff_fault_rate = 0.2;
         guarded(seed, &mut w, |w| {
             w.run(0, 20 * S);
             let ids = long_jobs(w, 10, 110 * S);
@@ -127,20 +127,25 @@
                 let n = (seed as usize + i) % 3;
                 match (seed as usize / 2 + i) % 4 {
                     0 => w.crash_for(n, S / 20..S / 10),
-                    1 => w.begin(Trouble::Leave, n, 0),
+                    1 => w.inject_fault(Fault::Leave, n, 0),
                     2 => w.crash_for(n, 7 * S..9 * S),
-                    _ => w.cuts.push((End::Controller(n), End::Store, w.now + 9 * S, i % 2 == 0)),
+                    _ => w.partitions.push((
+                        Endpoint::Controller(n),
+                        Endpoint::Store,
+                        w.now + 9 * S,
+                        i % 2 == 0,
+                    )),
                 }
                 pass(w, 0, 2 * S);
                 let p = w.rng.random_range(0..3);
-                w.withdraw(p, id);
+                w.cancel_job(p, id);
                 let until = 40 * S + (i as u64 + 1) * 12 * S;
                 w.run(0, until);
             }
             if seed % 2 == 0 {
                 calm.push(w.epoch() - epoch);
             }
-            confirmed += w.compound.told.values().filter(|t| t.tasks > 0).count();
+            confirmed += w.compound.cancel_answers.values().filter(|t| t.tasks > 0).count();
             settle(w, 560 * S);
         });
         ended(&mut w, seed);
@@ -170,8 +175,8 @@
                         w.workers[m].dead = true;
                         w.workers[m].tasks.clear();
                     }),
-                    1 => of[..some].iter().for_each(|&m| w.workers[m].hung_until = w.now + long),
-                    2 => w.machine_deaf(&of[..some], long),
+                    1 => of[..some].iter().for_each(|&m| w.workers[m].unresponsive_until = w.now + long),
+                    2 => w.lose_inbound_messages(&of[..some], long),
                     _ => w.zone_cut(zone, long, i % 2 == 0),
                 }
                 if i % 2 == 1 {
@@ -207,11 +212,11 @@
             let ids = long_jobs(w, 12, 60 * S);
             bound_jobs(w, 5, 40 * S);
             w.run(0, 45 * S);
-            ids[..5].iter().for_each(|id| w.withdraw(seed as usize % 3, id));
+            ids[..5].iter().for_each(|id| w.cancel_job(seed as usize % 3, id));
             pass(w, 0, 2 * S);
-            told += w.compound.told.len();
-            alive += w.workers.iter().flat_map(|x| &x.tasks).filter(|t| t.on()).count();
-            let sessions = |w: &World| w.workers.iter().map(|x| x.session - 1).sum::<u64>();
+            told += w.compound.cancel_answers.len();
+            alive += w.workers.iter().flat_map(|x| &x.tasks).filter(|t| t.is_placed()).count();
+            let sessions = |w: &World| w.workers.iter().map(|x| x.incarnation - 1).sum::<u64>();
             let before = sessions(w);
             let first = w.rng.random_range(LEASE + 4 * S..LEASE + 20 * S);
             for i in 0..3 {
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -33,7 +33,7 @@
     odd_until: u64,
     odd_next: u64,
     /// Jobs that must not be accepted, with their descriptions.
-    pub(crate) odd: BTreeMap<String, (SubmissionVariant, String)>,
+    pub(crate) invalid: BTreeMap<String, (SubmissionVariant, String)>,
     /// Requests sent after a client learned of an acceptance and of an outcome; `around` counts those sent while a
     /// submission or cancellation was in flight.
     pub(crate) after: [usize; 2],
@@ -44,36 +44,36 @@
     /// Cancellations at a job's end: sent, answered "done" and answered "aborted".
     pub(crate) at_ends: [usize; 3],
     /// Rejected submissions of invalid jobs: for a field (400), permanently (422) and temporarily (503).
-    pub(crate) turned_down: [usize; 3],
+    pub(crate) rejected: [usize; 3],
     /// Cancellations of jobs whose outcome a client already knew.
-    pub(crate) of_ended: usize,
+    pub(crate) cancels_after_end: usize,
 }
 
 impl ClientProbes {
-    pub(crate) fn over_at(&self) -> u64 {
+    pub(crate) fn last_fault_end(&self) -> u64 {
         self.close_until.max(self.at_end.1).max(self.odd_until)
     }
 }
 
 impl World {
     /// Clients send bursts to all controllers for this time.
-    pub(crate) fn close_looks(&mut self, duration: u64) {
-        self.looks.close_until = self.now + duration;
+    pub(crate) fn enable_probe_bursts(&mut self, duration: u64) {
+        self.client_probes.close_until = self.now + duration;
     }
 
     /// For this time, clients cancel this share of the jobs just as they end.
     pub(crate) fn cancel_at_end(&mut self, share: f64, duration: u64) {
-        self.looks.at_end = (share, self.now + duration);
+        self.client_probes.at_end = (share, self.now + duration);
     }
 
     /// For this time, clients repeat submissions of unfinished jobs, cancel done jobs and send invalid submissions.
-    pub(crate) fn odd_requests(&mut self, duration: u64) {
-        self.looks.odd_until = self.now + duration;
+    pub(crate) fn enable_invalid_requests(&mut self, duration: u64) {
+        self.client_probes.odd_until = self.now + duration;
     }
 
     fn schedule_probe(&mut self, delay: u64, job: &str, kind: char, variant: SubmissionVariant) {
         let node = self.rng.random_range(0..3);
-        self.later(delay, What::ClientProbe(ClientProbe { job: job.to_owned(), kind, variant, node }));
+        self.later(delay, SimEvent::ClientProbe(ClientProbe { job: job.to_owned(), kind, variant, node }));
     }
 
     /// Sends queries and one repeated submission, 0 to 50 ms apart, to all controllers, perhaps with one
@@ -100,29 +100,29 @@
             // Each controller once, then random ones.
             let node = if i < 3 { i } else { self.rng.random_range(0..3) };
             let job = job.to_owned();
-            self.later(delay, What::ClientProbe(ClientProbe { job, kind, variant, node }));
+            self.later(delay, SimEvent::ClientProbe(ClientProbe { job, kind, variant, node }));
         }
         count
     }
 
     /// Called when a submission or cancellation of a job is sent.
     pub(crate) fn probe_during_request(&mut self, job: &str) {
-        if self.now < self.looks.close_until && self.jobs.contains_key(job) {
-            self.looks.around += self.send_burst(job, 0.1);
+        if self.now < self.client_probes.close_until && self.jobs.contains_key(job) {
+            self.client_probes.around += self.send_burst(job, 0.1);
         }
     }
 
     /// Called when a client has learned that a job is accepted or has ended.
     pub(crate) fn probe_after_answer(&mut self, job: &str, ended: bool) {
-        if self.now < self.looks.close_until && self.jobs.contains_key(job) {
+        if self.now < self.client_probes.close_until && self.jobs.contains_key(job) {
             let sent = self.send_burst(job, 0.25);
-            self.looks.after[usize::from(ended)] += sent;
+            self.client_probes.after[usize::from(ended)] += sent;
         }
     }
 
     /// Called when the last task of each of these jobs has ended.
     pub(crate) fn last_tasks_ended(&mut self, jobs: &[String]) {
-        let (share, until) = self.looks.at_end;
+        let (share, until) = self.client_probes.at_end;
         for job in jobs {
             if self.now >= until || !self.rng.random_bool(share) {
                 continue;
@@ -130,7 +130,7 @@
             // At once, or while the outcome is reported and stored.
             let within = [5_000, 50_000, 300_000, 2 * S][self.rng.random_range(0..4usize)];
             let delay = self.rng.random_range(0..within);
-            self.looks.at_ends[0] += 1;
+            self.client_probes.at_ends[0] += 1;
             self.schedule_probe(delay, job, 'w', SubmissionVariant::Original);
             for kind in ['q', 's', 'q', 'w'] {
                 if self.rng.random_bool(0.4) {
@@ -192,7 +192,7 @@
 
     /// Sends a request of a probing client.
     pub(crate) fn send_client_probe(&mut self, probe: ClientProbe) {
-        let odd = self.looks.odd.get(&probe.job).cloned();
+        let odd = self.client_probes.invalid.get(&probe.job).cloned();
         // Limited controllers get no requests that use newer features.
         if self.limited[probe.node] || (odd.is_none() && !self.jobs.contains_key(&probe.job)) {
             return;
@@ -205,7 +205,7 @@
                 if let Some(user_job) = self.jobs.get_mut(&id) {
                     user_job.cancel_asked = true;
                 }
-                self.looks.of_ended += usize::from(self.register.knows(&id).1);
+                self.client_probes.cancels_after_end += usize::from(self.register.knows(&id).1);
                 UserRequest::Cancel(id)
             }
             _ => UserRequest::Query(id),
@@ -217,7 +217,7 @@
             ('s', _) => 3,
             _ => 4,
         };
-        self.looks.sent[sort] += 1;
+        self.client_probes.sent[sort] += 1;
         if let (true, Some(user_job)) = (probe.kind == 's', self.jobs.get_mut(&probe.job)) {
             user_job.submitted = true;
         }
@@ -225,15 +225,15 @@
         let (ticket, node) = (self.serial, probe.node);
         self.tickets.insert(ticket, Ticket::ClientProbe(probe));
         let delay = self.rng.random_range(100..3000);
-        self.later(delay, What::Controller(node, 0, Event::User { ticket, request }));
+        self.later(delay, SimEvent::Controller(node, 0, Event::User { ticket, request }));
     }
 
     /// Checks the answer to a probing client. `answered` has checked it against the register before.
     pub(crate) fn check_probe_answer(&mut self, probe: &ClientProbe, reply: &Reply) {
-        let odd = self.looks.odd.get(&probe.job).map(|o| o.0);
+        let odd = self.client_probes.invalid.get(&probe.job).map(|o| o.0);
         if reply.status == 503 {
             assert!(reply.retry_after.is_some(), "a 503 has a Retry-After");
-            self.looks.turned_down[2] += usize::from(odd.is_some() && probe.kind == 's');
+            self.client_probes.rejected[2] += usize::from(odd.is_some() && probe.kind == 's');
             return;
         }
         let expected_status = |variant: SubmissionVariant| match variant {
@@ -245,7 +245,7 @@
             let expected = if probe.kind == 's' { expected_status(variant) } else { 404 };
             assert_eq!(reply.status, expected, "an invalid job, {probe:?}: {reply:?}");
             if probe.kind == 's' {
-                self.looks.turned_down[usize::from(variant == SubmissionVariant::Unschedulable)] += 1;
+                self.client_probes.rejected[usize::from(variant == SubmissionVariant::Unschedulable)] += 1;
             }
             return;
         }
@@ -259,11 +259,11 @@
             ),
             _ => assert!(matches!(reply.status, 200 | 404), "{probe:?}: {reply:?}"),
         }
-        if probe.kind == 'w' && self.now < self.looks.at_end.1 + 10 * S {
+        if probe.kind == 'w' && self.now < self.client_probes.at_end.1 + 10 * S {
             let body: Value = serde_json::from_str(&reply.body).expect("JSON");
             match body["stance"].as_str() {
-                Some("done") => self.looks.at_ends[1] += 1,
-                Some(_) => self.looks.at_ends[2] += 1,
+                Some("done") => self.client_probes.at_ends[1] += 1,
+                Some(_) => self.client_probes.at_ends[2] += 1,
                 None => {}
             }
         }
@@ -271,15 +271,15 @@
 
     /// Sends invalid requests at random intervals.
     pub(crate) fn send_invalid_requests(&mut self) {
-        if self.now >= self.looks.odd_until || self.now < self.looks.odd_next {
+        if self.now >= self.client_probes.odd_until || self.now < self.client_probes.odd_next {
             return;
         }
-        self.looks.odd_next = self.now + self.rng.random_range(S / 10..S / 2);
+        self.client_probes.odd_next = self.now + self.rng.random_range(S / 10..S / 2);
         let known = |f: &dyn Fn(&UserJob) -> bool| -> Vec<String> {
             self.jobs.iter().filter(|(_, j)| f(j)).map(|(id, _)| id.clone()).collect()
         };
-        let live = known(&|j| j.known == Known::Accepted);
-        let done = known(&|j| j.known == Known::Done);
+        let live = known(&|j| j.known == KnownState::Accepted);
+        let done = known(&|j| j.known == KnownState::Done);
         let pick = |world: &mut World, of: &[String]| match of.len() {
             0 => None,
             n => Some(of[world.rng.random_range(0..n)].clone()),
@@ -291,7 +291,7 @@
         if let Some(id) = pick(self, &done) {
             self.schedule_probe(delay, &id, 'w', SubmissionVariant::Original);
         }
-        let id = format!("wk-{}", 80_000_000 + self.looks.odd.len());
+        let id = format!("wk-{}", 80_000_000 + self.client_probes.invalid.len());
         let mut body = json!({"uid": id, "breed": "odd", "herd": "t1", "gait": "batch", "rank": "normal",
             "strides": 1, "vcpus": 1.0, "cards": 0, "ramGb": 1.0, "tack": "img", "imageGb": 1.0,
             "together": false, "scatter": false, "borrowed": false, "rideS": 10.0, "restS": 0.0,
@@ -305,7 +305,7 @@
             SubmissionVariant::Invalid => self.make_invalid(&mut body),
             _ => self.make_unschedulable(&mut body),
         }
-        self.looks.odd.insert(id.clone(), (variant, body.to_string()));
+        self.client_probes.invalid.insert(id.clone(), (variant, body.to_string()));
         // Repeats, queries and a cancellation through any controllers, soon and later.
         for kind in ['s', 's', 'q', 'w', 's'] {
             let within = if self.rng.random_bool(0.7) { 30_000 } else { 6 * S };
--- a/tests/world/lost.rs
+++ b/tests/world/lost.rs
@@ -27,7 +27,7 @@
 
 /// Whether and when a write without an answer is carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Carried {
+pub(crate) enum Execution {
     Never,
     AtOnce,
     /// After 2 to 12 s.
@@ -43,7 +43,7 @@
     by: Option<usize>,
     share: f64,
     until: u64,
-    carried: Carried,
+    execution: Execution,
 }
 
 /// A write whose sender gets no answer.
@@ -52,7 +52,7 @@
     controller: usize,
     boot: u64,
     kind: Write,
-    carried: Carried,
+    execution: Execution,
     request: StoreRequest,
 }
 
@@ -62,7 +62,7 @@
     controller: usize,
     boot: u64,
     kind: Write,
-    carried: Carried,
+    execution: Execution,
     keys: Vec<String>,
     until: u64,
 }
@@ -73,7 +73,7 @@
     pub(crate) asked: usize,
     /// Writes that were carried out; of these, the committed ones.
     pub(crate) applied: usize,
-    pub(crate) took: usize,
+    pub(crate) committed: usize,
     /// Writes read by another controller before their sender.
     pub(crate) read: usize,
 }
@@ -97,7 +97,7 @@
 #[derive(Default)]
 pub(crate) struct Lost {
     losses: Vec<AnswerLoss>,
-    pub(crate) counts: BTreeMap<(Write, Carried), Count>,
+    pub(crate) counts: BTreeMap<(Write, Execution), Count>,
     /// Writes that wait for another process to write the same key.
     waiting: Vec<UnansweredWrite>,
     unread: Vec<UnreadWrite>,
@@ -109,13 +109,13 @@
     epoch: u64,
     pub(crate) copies: Copies,
     /// Heartbeats lost by machines that reach no controller, and their answers to fencing probes.
-    pub(crate) muted: usize,
-    pub(crate) spoken: usize,
+    pub(crate) lost_heartbeats: usize,
+    pub(crate) fencing_answers: usize,
     /// Range of the boot times of new machines; random if `None`.
     pub(crate) boots: Option<Range<u64>>,
     rentals: (f64, u64),
     /// Scale-outs carried out without an answer.
-    pub(crate) rented: usize,
+    pub(crate) lost_scale_outs: usize,
     /// End time and extra delay of each controller's requests on its membership lane.
     membership_delay: [(u64, u64); 3],
 }
@@ -132,8 +132,8 @@
         self.losses.iter().any(|l| now < l.until) || self.membership_delay.iter().any(|l| now < l.0)
     }
 
-    pub(crate) fn count(&self, kind: Write, carried: Carried) -> Count {
-        self.counts.get(&(kind, carried)).copied().unwrap_or_default()
+    pub(crate) fn count(&self, kind: Write, execution: Execution) -> Count {
+        self.counts.get(&(kind, execution)).copied().unwrap_or_default()
     }
 }
 
@@ -145,43 +145,49 @@
 
 impl World {
     /// For this time, this share of the writes of a kind (`None`: of any kind) gets no answer.
-    pub(crate) fn answers_lost(&mut self, of: Option<Write>, share: f64, duration: u64, carried: Carried) {
-        self.lost.losses.push(AnswerLoss { of, by: None, share, until: self.now + duration, carried });
+    pub(crate) fn lose_answers(
+        &mut self,
+        of: Option<Write>,
+        share: f64,
+        duration: u64,
+        execution: Execution,
+    ) {
+        self.lost.losses.push(AnswerLoss { of, by: None, share, until: self.now + duration, execution });
     }
 
-    /// Like `answers_lost`, for one controller.
-    pub(crate) fn answers_lost_by(
+    /// Like `lose_answers`, for one controller.
+    pub(crate) fn lose_answers_of(
         &mut self,
         controller: usize,
         of: Write,
         share: f64,
         duration: u64,
-        carried: Carried,
+        execution: Execution,
     ) {
         let until = self.now + duration;
-        self.lost.losses.push(AnswerLoss { of: Some(of), by: Some(controller), share, until, carried });
+        self.lost.losses.push(AnswerLoss { of: Some(of), by: Some(controller), share, until, execution });
     }
 
     /// For this time, copies of this share of the workers' heartbeats are held back until the next epoch. Then they
     /// arrive at every controller, half of them only after a task was started in that epoch.
-    pub(crate) fn reports_for_next(&mut self, share: f64, duration: u64) {
+    pub(crate) fn hold_back_heartbeats(&mut self, share: f64, duration: u64) {
         self.lost.reports = (share, self.now + duration);
     }
 
     /// These machines reach no controller, but fencing probes reach them.
-    pub(crate) fn machine_mute(&mut self, machines: &[usize], duration: u64) {
+    pub(crate) fn lose_outbound_messages(&mut self, machines: &[usize], duration: u64) {
         for &machine in machines {
             self.workers[machine].outbound_lost_until = self.now + duration;
         }
     }
 
     /// For this time, this share of scale-outs is carried out without an answer.
-    pub(crate) fn rentals_lost(&mut self, share: f64, duration: u64) {
+    pub(crate) fn lose_scale_out_answers(&mut self, share: f64, duration: u64) {
         self.lost.rentals = (share, self.now + duration);
     }
 
     /// Delays a controller's requests on its membership lane, but not its other requests.
-    pub(crate) fn ring_line_slow(&mut self, controller: usize, by: u64, duration: u64) {
+    pub(crate) fn slow_membership_lane(&mut self, controller: usize, by: u64, duration: u64) {
         self.lost.membership_delay[controller] = (self.now + duration, by);
     }
 
@@ -261,22 +267,22 @@
         if !self.rng.random_bool(loss.share) {
             return false;
         }
-        self.lost.counts.entry((kind, loss.carried)).or_default().asked += 1;
+        self.lost.counts.entry((kind, loss.execution)).or_default().asked += 1;
         let write = UnansweredWrite {
             controller,
             boot: self.boots[controller],
             kind,
-            carried: loss.carried,
+            execution: loss.execution,
             request: request.clone(),
         };
-        match loss.carried {
-            Carried::Never => {}
-            Carried::AtOnce => self.later(delay, What::Unanswered(write)),
-            Carried::Late => {
+        match loss.execution {
+            Execution::Never => {}
+            Execution::AtOnce => self.later(delay, SimEvent::Unanswered(write)),
+            Execution::Late => {
                 let late = self.rng.random_range(2 * S..12 * S);
-                self.later(late, What::Unanswered(write));
+                self.later(late, SimEvent::Unanswered(write));
             }
-            Carried::AfterSuccessor => self.lost.waiting.push(write),
+            Execution::AfterSuccessor => self.lost.waiting.push(write),
         }
         true
     }
@@ -286,9 +292,9 @@
         if self.now < self.outage_until {
             // A late write is carried out after the outage. The others are refused, and their senders are not
             // informed.
-            if write.carried == Carried::Late {
+            if write.execution == Execution::Late {
                 let delay = self.outage_until - self.now + S / 10;
-                self.later(delay, What::Unanswered(write));
+                self.later(delay, SimEvent::Unanswered(write));
             }
             return;
         }
@@ -299,22 +305,22 @@
             matches!(answer, StoreAnswer::Committed(_) | StoreAnswer::Granted(_) | StoreAnswer::Renewed);
         // A newer write of another process must not be overwritten by this one.
         assert!(
-            !took || write.carried != Carried::AfterSuccessor,
+            !took || write.execution != Execution::AfterSuccessor,
             "{:?} of {keys:?} by {} was committed after another process's write at {}",
             write.kind,
             write.controller,
             self.now
         );
-        let count = self.lost.counts.entry((write.kind, write.carried)).or_default();
+        let count = self.lost.counts.entry((write.kind, write.execution)).or_default();
         count.applied += 1;
-        count.took += usize::from(took);
+        count.committed += usize::from(took);
         if took && !keys.is_empty() {
             let until = self.now + 10 * S;
             self.lost.unread.push(UnreadWrite {
                 controller: write.controller,
                 boot: write.boot,
                 kind: write.kind,
-                carried: write.carried,
+                execution: write.execution,
                 keys,
                 until,
             });
@@ -338,7 +344,7 @@
             };
             for write in self.lost.waiting.extract_if(.., writes_same_key).collect::<Vec<_>>() {
                 let soon = self.rng.random_range(1..3 * S / 10);
-                self.later(soon, What::Unanswered(write));
+                self.later(soon, SimEvent::Unanswered(write));
             }
         }
         answer
@@ -352,7 +358,7 @@
             StoreRequest::List(prefix, after) => key.starts_with(prefix) && key > after,
             _ => false,
         };
-        let mut read: Vec<(Write, Carried)> = Vec::new();
+        let mut read: Vec<(Write, Execution)> = Vec::new();
         self.lost.unread.retain(|write| {
             if now >= write.until {
                 return false;
@@ -361,7 +367,7 @@
                 return true;
             }
             if (write.controller, write.boot) != (controller, boot) {
-                read.push((write.kind, write.carried));
+                read.push((write.kind, write.execution));
             }
             false
         });
@@ -424,7 +430,7 @@
     fn deliver_to_all(&mut self, worker_index: usize, report: &Heartbeat) {
         for controller in 0..3 {
             let soon = self.rng.random_range(1..3 * S / 10);
-            self.later(soon, What::KeptReport(worker_index, controller, report.clone()));
+            self.later(soon, SimEvent::HeldBackHeartbeat(worker_index, controller, report.clone()));
         }
     }
 
@@ -440,7 +446,7 @@
             copies.first += usize::from(worker.token < epoch);
             copies.acted += usize::from(worker.tasks.iter().any(|t| t.attempt >> 24 >= epoch));
         }
-        copies.earlier += usize::from(worker.session > report.incarnation);
+        copies.earlier += usize::from(worker.incarnation > report.incarnation);
         copies.gone += usize::from(worker.gone || worker.dead);
         let lists = |r: &HeartbeatTask| {
             worker.tasks.iter().any(|t| t.attempt == r.attempt && r.task == format!("{}/{}", t.job, t.index))
@@ -462,12 +468,12 @@
         if !rented || self.now >= until || !self.rng.random_bool(share) {
             return answer;
         }
-        self.lost.rented += 1;
+        self.lost.lost_scale_outs += 1;
         CloudAnswer::Failed
     }
 
     /// Whether a machine is registered.
-    pub(crate) fn on_record(&self, name: &str) -> bool {
+    pub(crate) fn is_registered(&self, name: &str) -> bool {
         let pages = self.store.keys.range("mach/".to_owned().."mach0".to_owned());
         pages.into_iter().any(|(_, v)| v.0.get(name).is_some())
     }
@@ -480,6 +486,6 @@
         self.serial += 1;
         self.tickets.insert(self.serial, Ticket::Poll(id.to_owned(), controller, self.now));
         let query = Event::User { ticket: self.serial, request: UserRequest::Query(id.to_owned()) };
-        self.later(1, What::Controller(controller, self.boots[controller], query));
+        self.later(1, SimEvent::Controller(controller, self.boots[controller], query));
     }
 }
--- a/tests/world/net.rs
+++ b/tests/world/net.rs
@@ -4,9 +4,9 @@
 use super::*;
 
 impl World {
-    pub(crate) fn later(&mut self, delay: u64, what: What) {
-        if let What::Controller(n, _, Event::User { ticket, request }) = &what {
-            self.note_sent(*ticket, *n, request);
+    pub(crate) fn later(&mut self, delay: u64, what: SimEvent) {
+        if let SimEvent::Controller(n, _, Event::User { ticket, request }) = &what {
+            self.record_request(*ticket, *n, request);
         }
         self.serial += 1;
         self.queue.insert((self.now + delay.max(1), self.serial), what);
@@ -14,11 +14,11 @@
 
     /// The delay of a message between two endpoints: short, or until the end of a partition that holds messages back.
     /// `None` if the message is lost.
-    pub(crate) fn message_delay(&mut self, a: End, b: End) -> Option<u64> {
-        let slow = self.rng.random_bool(0.01) && !self.prompt;
+    pub(crate) fn message_delay(&mut self, a: Endpoint, b: Endpoint) -> Option<u64> {
+        let slow = self.rng.random_bool(0.01) && !self.no_slow_messages;
         let delay = self.rng.random_range(500..4000) + if slow { 300_000 } else { 0 };
-        let hit = |x: End, y: End| (x == a && y == b) || (x == b && y == a);
-        let cut = self.cuts.iter().find(|&&(x, y, until, _)| hit(x, y) && self.now < until).copied();
+        let hit = |x: Endpoint, y: Endpoint| (x == a && y == b) || (x == b && y == a);
+        let cut = self.partitions.iter().find(|&&(x, y, until, _)| hit(x, y) && self.now < until).copied();
         let delay = delay + self.one_way_delay(a, b)? + self.endpoint_delay(a, b)?;
         match cut {
             None => Some(delay),
@@ -32,11 +32,11 @@
     }
 
     pub(crate) fn step_controller(&mut self, controller: usize, event: Event) {
-        if self.now < self.hung[controller] {
+        if self.now < self.paused_until[controller] {
             // A paused controller processes the event after the pause.
-            let delay = self.hung[controller] - self.now;
+            let delay = self.paused_until[controller] - self.now;
             let boot = self.boots[controller];
-            return self.later(delay, What::Controller(controller, boot, event));
+            return self.later(delay, SimEvent::Controller(controller, boot, event));
         }
         let (now, wall) = (self.clock(controller), Micros(self.now + 100_000 * controller as u64));
         let boot = self.boots[controller];
@@ -44,16 +44,16 @@
         let mut out = Vec::new();
         node.step(now, wall, event, &mut out);
         node.reconcile(now, wall, &mut out);
-        if self.stalls > 0.0 && self.rng.random_bool(self.stalls) {
+        if self.pause_rate > 0.0 && self.rng.random_bool(self.pause_rate) {
             // The process pauses after the decision, and then carries out the effects without noticing the pause.
             let duration = self.rng.random_range(S / 2..3 * LEASE_S as u64 * S);
-            self.hung[controller] = self.now + duration;
+            self.paused_until[controller] = self.now + duration;
             self.log.push(format!(
                 "{:.1}: {controller} pauses for {:.1}",
                 self.now as f64 / 1e6,
                 duration as f64 / 1e6
             ));
-            return self.later(duration, What::Effects(controller, boot, out));
+            return self.later(duration, SimEvent::Effects(controller, boot, out));
         }
         self.effects(controller, out);
     }
@@ -89,18 +89,18 @@
                 Some(ticket @ Ticket::ClientProbe(_)) => {
                     self.check_sent_answer(controller, &reply);
                     self.tickets.insert(reply_ticket, ticket);
-                    self.later(1000, What::UserAnswer(reply_ticket, reply));
+                    self.later(1000, SimEvent::UserAnswer(reply_ticket, reply));
                 }
                 Some(Ticket::Worker(worker_index, seq)) => {
                     self.count_isolated_answer(controller, worker_index, &reply);
                     if let Some(travel_time) = self.delay_to_worker(controller, worker_index) {
-                        self.later(travel_time, What::WorkerAnswer(worker_index, seq, reply));
+                        self.later(travel_time, SimEvent::WorkerAnswer(worker_index, seq, reply));
                     }
                 }
                 Some(ticket @ Ticket::User(..)) => {
                     self.check_sent_answer(controller, &reply);
                     self.tickets.insert(reply_ticket, ticket);
-                    self.later(1000, What::UserAnswer(reply_ticket, reply));
+                    self.later(1000, SimEvent::UserAnswer(reply_ticket, reply));
                 }
                 Some(Ticket::Writer(permit_request)) => self.check_permit_answer(&permit_request, &reply),
                 Some(Ticket::Asked) => {
@@ -147,19 +147,22 @@
                 let bytes = frame.encode().expect("frames can be encoded");
                 let decoded = hazelsaddle::peer::Frame::decode(&bytes[4..]).expect("and read again");
                 let is_handoff = matches!(frame.body, Message::Handoff { .. } | Message::HandoffAck(_));
-                self.parcels += usize::from(matches!(frame.body, Message::Handoff { .. }));
-                let copies = match is_handoff && self.unruly > 0.0 && self.rng.random_bool(self.unruly) {
+                self.handoff_batches += usize::from(matches!(frame.body, Message::Handoff { .. }));
+                let copies = match is_handoff
+                    && self.handoff_fault_rate > 0.0
+                    && self.rng.random_bool(self.handoff_fault_rate)
+                {
                     true => self.rng.random_range(0..3),
                     false => 1,
                 };
                 for _ in 0..copies {
                     let late = if copies == 1 { 0 } else { self.rng.random_range(0..12 * S) };
                     if let Some(travel_time) =
-                        self.message_delay(End::Controller(controller), End::Controller(peer))
+                        self.message_delay(Endpoint::Controller(controller), Endpoint::Controller(peer))
                     {
                         self.later(
                             travel_time + late,
-                            What::Controller(peer, 0, Event::Frame(Box::new(decoded.clone()))),
+                            SimEvent::Controller(peer, 0, Event::Frame(Box::new(decoded.clone()))),
                         );
                     }
                 }
@@ -170,24 +173,32 @@
                     self.compound.refusals += 1;
                     return self.later(
                         1000,
-                        What::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Refused }),
+                        SimEvent::Controller(
+                            controller,
+                            boot,
+                            Event::Store { id, answer: StoreAnswer::Refused },
+                        ),
                     );
                 }
                 if self.now >= self.outage_until
-                    && self.message_delay(End::Controller(controller), End::Store).is_some()
+                    && self.message_delay(Endpoint::Controller(controller), Endpoint::Store).is_some()
                 {
                     self.watches.push((controller, boot, id, prefix, after, until));
                 } else {
                     self.later(
                         2 * S,
-                        What::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
+                        SimEvent::Controller(
+                            controller,
+                            boot,
+                            Event::Store { id, answer: StoreAnswer::Unknown },
+                        ),
                     );
                 }
             }
             Effect::Store { id, request, lane } => {
                 let line = self.membership_delay(controller, lane == StoreLane::Membership);
                 let delay = self
-                    .message_delay(End::Controller(controller), End::Store)
+                    .message_delay(Endpoint::Controller(controller), Endpoint::Store)
                     .map(|travel_time| travel_time + line);
                 let request = self.write_as_limited(controller, request);
                 self.send_store_request(controller, id, request, delay);
@@ -195,11 +206,11 @@
             Effect::Cloud(request) => self.send_cloud_request(controller, request),
             Effect::Probe(names) => {
                 let is_reachable = matches!(
-                    self.message_delay(End::Controller(controller), End::Workers),
+                    self.message_delay(Endpoint::Controller(controller), Endpoint::Workers),
                     Some(travel_time) if travel_time < S
                 );
                 let is_reachable = is_reachable && self.can_reach_any(controller, &names);
-                self.later(S, What::Controller(controller, boot, Event::Probed(is_reachable)));
+                self.later(S, SimEvent::Controller(controller, boot, Event::Probed(is_reachable)));
             }
             Effect::FencingProbe { epoch: token, probes: list } => {
                 for g in list {
@@ -212,9 +223,9 @@
         }
     }
 
-    pub(crate) fn process(&mut self, what: What) {
+    pub(crate) fn process(&mut self, what: SimEvent) {
         match what {
-            What::Controller(controller, boot, event) => {
+            SimEvent::Controller(controller, boot, event) => {
                 let Some(controller) = self.receiving_controller(controller, boot, &event) else { return };
                 if (boot == 0 || boot == self.boots[controller])
                     && let Some(event) = self.dispatch_http(controller, event)
@@ -222,20 +233,20 @@
                     self.step_controller(controller, event);
                 }
             }
-            What::StoreApply(controller, boot, id, request, wait) => {
+            SimEvent::StoreApply(controller, boot, id, request, wait) => {
                 let answer = self.store_apply_by(controller, boot, request);
                 self.record_commit(controller, &answer);
                 let answer = self.read_as_limited(controller, answer);
                 self.run_watches();
                 if let Some(wait) = wait {
-                    match self.message_delay(End::Store, End::Controller(controller)) {
+                    match self.message_delay(Endpoint::Store, Endpoint::Controller(controller)) {
                         Some(travel_time) if travel_time < 2 * S => self.later(
                             travel_time + wait,
-                            What::Controller(controller, boot, Event::Store { id, answer }),
+                            SimEvent::Controller(controller, boot, Event::Store { id, answer }),
                         ),
                         _ => self.later(
                             2 * S,
-                            What::Controller(
+                            SimEvent::Controller(
                                 controller,
                                 boot,
                                 Event::Store { id, answer: StoreAnswer::Unknown },
@@ -244,39 +255,41 @@
                     }
                 }
             }
-            What::LateWrite(controller, issued, request) => {
+            SimEvent::LateWrite(controller, issued, request) => {
                 self.apply_late_write(controller, issued, request)
             }
-            What::LateReport(worker_index, target, sent, report) => {
+            SimEvent::LateHeartbeat(worker_index, target, sent, report) => {
                 self.deliver_late_heartbeat(worker_index, target, sent, report)
             }
-            What::Unanswered(write) => self.apply_unanswered(write),
-            What::KeptReport(worker_index, controller, report) => {
+            SimEvent::Unanswered(write) => self.apply_unanswered(write),
+            SimEvent::HeldBackHeartbeat(worker_index, controller, report) => {
                 self.deliver_held_back(worker_index, controller, report)
             }
-            What::End(controller, boot) => {
+            SimEvent::Exit(controller, boot) => {
                 if boot == self.boots[controller] {
                     self.crash_for(controller, S / 20..S / 10);
                 }
             }
-            What::Cloud(controller, boot, request) => {
+            SimEvent::Cloud(controller, boot, request) => {
                 let answer = self.cloud(&request);
                 let answer = self.filter_rental_answer(&request, answer);
-                self.later(80_000, What::Controller(controller, boot, Event::Cloud { request, answer }));
+                self.later(80_000, SimEvent::Controller(controller, boot, Event::Cloud { request, answer }));
             }
-            What::Effects(controller, boot, out) => {
+            SimEvent::Effects(controller, boot, out) => {
                 if boot == self.boots[controller] {
                     self.effects(controller, out);
                 }
             }
-            What::Greet(controller, boot, token, probe) => self.greet(controller, boot, token, probe),
-            What::LateCommand(controller, boot, token, probe) => {
+            SimEvent::DeliverProbe(controller, boot, token, probe) => {
+                self.handle_fencing_probe(controller, boot, token, probe)
+            }
+            SimEvent::DeliverLateProbe(controller, boot, token, probe) => {
                 self.deliver_late_probe(controller, boot, token, probe)
             }
-            What::Back(controller) => self.start(controller),
-            What::CallOff(id) => self.retry_cancel(&id),
-            What::WorkerAnswer(worker_index, seq, reply) => self.worker_answer(worker_index, seq, &reply),
-            What::UserAnswer(ticket, reply) => {
+            SimEvent::Restart(controller) => self.start(controller),
+            SimEvent::RetryCancel(id) => self.retry_cancel(&id),
+            SimEvent::WorkerAnswer(worker_index, seq, reply) => self.worker_answer(worker_index, seq, &reply),
+            SimEvent::UserAnswer(ticket, reply) => {
                 // The answer was given, even if the client no longer waits for it.
                 self.answered(ticket, &reply);
                 match self.tickets.remove(&ticket) {
@@ -287,7 +300,7 @@
                     _ => {}
                 }
             }
-            What::ClientProbe(client_probe) => self.send_client_probe(client_probe),
+            SimEvent::ClientProbe(client_probe) => self.send_client_probe(client_probe),
         }
     }
 }
--- a/tests/world/outside.rs
+++ b/tests/world/outside.rs
@@ -17,7 +17,8 @@
                 {
                     spec["breedsOfStall"] = json!([name]);
                 }
-                for (member, hidden) in self.hidden.get(key).and_then(Value::as_object).into_iter().flatten()
+                for (member, hidden) in
+                    self.removed_fields.get(key).and_then(Value::as_object).into_iter().flatten()
                 {
                     spec[member] = hidden.clone();
                 }
@@ -49,7 +50,7 @@
             let types = spec.get("breedsOfStall").and_then(|t| t.get(0)).and_then(Value::as_str);
             let held = types.is_some_and(|t| t.starts_with('('));
             if !hidden.is_empty() {
-                self.hidden.insert(row.key.clone(), hidden.into());
+                self.removed_fields.insert(row.key.clone(), hidden.into());
             }
             if held {
                 let types = spec["breedsOfStall"].as_array_mut().expect("types");
@@ -74,13 +75,12 @@
                 None => StoreAnswer::Changes(self.store.revision, Vec::new()),
                 Some(news) => news,
             };
-            match self.message_delay(End::Store, End::Controller(controller)) {
-                Some(travel_time) if travel_time < 2 * S => {
-                    self.later(travel_time, What::Controller(controller, boot, Event::Store { id, answer }))
-                }
+            match self.message_delay(Endpoint::Store, Endpoint::Controller(controller)) {
+                Some(travel_time) if travel_time < 2 * S => self
+                    .later(travel_time, SimEvent::Controller(controller, boot, Event::Store { id, answer })),
                 _ => self.later(
                     4 * S,
-                    What::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
+                    SimEvent::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
                 ),
             }
         }
@@ -142,11 +142,11 @@
                         "running"
                     }
                     .into(),
-                    age_s: (self.now - worker.rented) as f64 / 1e6,
+                    age_s: (self.now - worker.created_at) as f64 / 1e6,
                 };
                 // The list lags: a machine may be up and run tasks before it is listed.
                 let is_listed = |worker: &&Worker| {
-                    !worker.gone && worker.name > *after && worker.rented + 8 * S <= self.now
+                    !worker.gone && worker.name > *after && worker.created_at + 8 * S <= self.now
                 };
                 CloudAnswer::Page(self.workers.iter().filter(is_listed).map(listed).collect(), false)
             }
@@ -163,7 +163,7 @@
                     .count();
                 // Spot machines get at most two thirds of a zone's capacity, so that idle ones can't use up all of
                 // it.
-                let room = self.shape.room;
+                let room = self.shape.zone_capacity;
                 let left = if request.spot { (room * 2 / 3).saturating_sub(spots) } else { room };
                 let granted_count = (request.count as usize).min(room.saturating_sub(in_zone)).min(left);
                 if granted_count == 0 {
