--- a/tests/world/parts.rs
+++ b/tests/world/parts.rs
@@ -15,7 +15,7 @@
 
 impl Task {
     /// Whether the task occupies resources on its machine.
-    pub(crate) fn on(&self) -> bool {
+    pub(crate) fn is_placed(&self) -> bool {
         matches!(self.state, "waiting" | "running" | "flushing")
     }
 }
@@ -26,9 +26,9 @@
     pub(crate) kind: String,
     pub(crate) zone: String,
     pub(crate) spot: bool,
-    pub(crate) rented: u64,
+    pub(crate) created_at: u64,
     pub(crate) up_at: u64,
-    pub(crate) hung_until: u64,
+    pub(crate) unresponsive_until: u64,
     /// Until this time, responses and fencing probes sent to the worker are lost.
     pub(crate) inbound_lost_until: u64,
     /// Until this time, the worker's messages reach no controller.
@@ -38,7 +38,7 @@
     pub(crate) gone: bool,
     pub(crate) dead: bool,
     pub(crate) target: usize,
-    pub(crate) session: u64,
+    pub(crate) incarnation: u64,
     pub(crate) seq: u64,
     pub(crate) token: u64,
     /// Send time of the last acknowledged heartbeat.
@@ -51,7 +51,7 @@
 }
 
 #[derive(Debug)]
-pub(crate) enum What {
+pub(crate) enum SimEvent {
     Controller(usize, u64, Event),
     Effects(usize, u64, Vec<Effect>),
     /// A request reaches the state store. Its answer is delayed by this additional time, or dropped if `None`.
@@ -59,30 +59,30 @@
     /// A delayed transaction with its send time. The sender no longer waits for the answer.
     LateWrite(usize, u64, StoreRequest),
     /// A copy of a worker's heartbeat with its send time, delivered to this controller.
-    LateReport(usize, usize, u64, Heartbeat),
+    LateHeartbeat(usize, usize, u64, Heartbeat),
     /// A write to the state store whose answer is lost.
     Unanswered(UnansweredWrite),
     /// A copy of a worker's heartbeat that was held back for the next leader, delivered to this controller.
-    KeptReport(usize, usize, Heartbeat),
+    HeldBackHeartbeat(usize, usize, Heartbeat),
     /// A process that was asked to shut down ends, and restarts at once.
-    End(usize, u64),
+    Exit(usize, u64),
     Cloud(usize, u64, CloudRequest),
-    /// A fencing probe with its epoch. `LateCommand` is one that was delayed in the network.
-    Greet(usize, u64, u64, FencingProbe),
-    LateCommand(usize, u64, u64, FencingProbe),
+    /// A fencing probe with its epoch. `DeliverLateProbe` is one that was delayed in the network.
+    DeliverProbe(usize, u64, u64, FencingProbe),
+    DeliverLateProbe(usize, u64, u64, FencingProbe),
     WorkerAnswer(usize, u64, Reply),
     UserAnswer(u64, Reply),
     /// A probing client sends a request.
     ClientProbe(ClientProbe),
     /// The job's client asks to cancel it.
-    CallOff(String),
+    RetryCancel(String),
     /// A controller's process starts, unless it is already running.
-    Back(usize),
+    Restart(usize),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Known {
-    Nothing,
+pub(crate) enum KnownState {
+    Unknown,
     Accepted,
     Done,
     Cancelled,
@@ -93,15 +93,15 @@
     pub(crate) spec: JobSpec,
     pub(crate) run: u64,
     /// Additional run time of each task over the task with the next lower index. Gangs ignore it.
-    pub(crate) apart: u64,
-    pub(crate) known: Known,
+    pub(crate) extra_run_per_index: u64,
+    pub(crate) known: KnownState,
     pub(crate) cancel_asked: bool,
     /// Submitted with a mistake: its tasks fail on every machine until the client cancels the job.
-    pub(crate) mistaken: bool,
+    pub(crate) always_fails: bool,
     pub(crate) cancelled_at: Option<u64>,
     pub(crate) accepted_at: Option<u64>,
     /// When the job's first task started to run.
-    pub(crate) begun_at: Option<u64>,
+    pub(crate) started_at: Option<u64>,
     pub(crate) done: BTreeSet<u32>,
     pub(crate) next: u64,
     pub(crate) submitted: bool,
@@ -127,7 +127,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum End {
+pub(crate) enum Endpoint {
     Controller(usize),
     Store,
     Workers,
@@ -138,33 +138,33 @@
     pub(crate) rng: StdRng,
     pub(crate) now: u64,
     pub(crate) serial: u64,
-    pub(crate) queue: BTreeMap<(u64, u64), What>,
+    pub(crate) queue: BTreeMap<(u64, u64), SimEvent>,
     pub(crate) nodes: Vec<Option<Controller>>,
     pub(crate) boots: Vec<u64>,
     pub(crate) started: Vec<u64>,
     pub(crate) back_at: Vec<u64>,
     pub(crate) drift: Vec<f64>,
-    pub(crate) hung: Vec<u64>,
+    pub(crate) paused_until: Vec<u64>,
     /// Probability that a controller's process pauses between a decision and the resulting effects.
-    pub(crate) stalls: f64,
+    pub(crate) pause_rate: f64,
     /// Controllers limited to what version 1 reads and writes. The binary of version 1 is not part of this test:
     /// these controllers run the current code, and fields unknown to version 1 are removed in transit. Other
     /// differences of version 1 show only in the bench.
     pub(crate) limited: [bool; 3],
     /// Fields that were removed from records before a limited controller read them.
-    pub(crate) hidden: BTreeMap<String, Value>,
+    pub(crate) removed_fields: BTreeMap<String, Value>,
     /// When the state store's limits fall.
     pub(crate) limits_fall: u64,
     /// Whether a job with a cancelled dependency must be cancelled in time. False if the job's leader can't learn of
     /// the cancellation.
-    pub(crate) tells_orphans: bool,
+    pub(crate) checks_orphans: bool,
     pub(crate) store: State,
     /// Open watches: controller, boot ID, request, prefix, revision and deadline.
     pub(crate) watches: Vec<(usize, u64, u64, String, u64, u64)>,
     pub(crate) outage_until: u64,
     /// Messages have no random extra delay; network partitions still apply.
-    pub(crate) prompt: bool,
-    pub(crate) cuts: Vec<(End, End, u64, bool)>,
+    pub(crate) no_slow_messages: bool,
+    pub(crate) partitions: Vec<(Endpoint, Endpoint, u64, bool)>,
     pub(crate) workers: Vec<Worker>,
     pub(crate) rentals: BTreeMap<String, Vec<String>>,
     pub(crate) tickets: BTreeMap<u64, Ticket>,
@@ -175,29 +175,29 @@
     pub(crate) order: Vec<String>,
     pub(crate) starts: usize,
     /// Hand-off batches sent, and the probability that a batch or its acknowledgement is lost, duplicated or delayed.
-    pub(crate) parcels: usize,
-    pub(crate) unruly: f64,
+    pub(crate) handoff_batches: usize,
+    pub(crate) handoff_fault_rate: f64,
     /// A job class whose tasks the workers reject, to show that the check for at least half of each class done can
     /// fail.
-    pub(crate) starved: Option<&'static str>,
+    pub(crate) rejected_class: Option<&'static str>,
     /// Of that class, only jobs with at least this many tasks are rejected.
-    pub(crate) starved_from: u32,
+    pub(crate) rejected_min_tasks: u32,
     /// Controllers' processes restart within half a second.
-    pub(crate) quick: bool,
+    pub(crate) quick_restarts: bool,
     /// Probability that a process crashes while it raises an epoch, hands off, claims or writes a record.
-    pub(crate) brittle: f64,
-    pub(crate) silence: Silence,
+    pub(crate) crash_rate: f64,
+    pub(crate) answer_gaps: AnswerGaps,
     pub(crate) balancer: Balancer,
     /// Operator settings in addition to the platform's configuration file.
     pub(crate) operators: Option<Operators>,
     pub(crate) batches: batches::Batches,
     /// Gang tasks that ended because other tasks of their gang were missing.
-    pub(crate) spoilt: usize,
+    pub(crate) peer_failures: usize,
     /// When each gang's attempt first had missing tasks.
-    pub(crate) lacks: BTreeMap<(String, u64), u64>,
+    pub(crate) incomplete_since: BTreeMap<(String, u64), u64>,
     pub(crate) compound: Compound,
     pub(crate) register: Register,
-    pub(crate) looks: ClientProbes,
+    pub(crate) client_probes: ClientProbes,
     pub(crate) lost: Lost,
     pub(crate) zones: Zones,
     pub(crate) cancels: Cancels,
@@ -222,19 +222,19 @@
             started: vec![0; 3],
             back_at: vec![0; 3],
             drift,
-            hung: vec![0; 3],
-            stalls: 0.0,
+            paused_until: vec![0; 3],
+            pause_rate: 0.0,
             limited: [false; 3],
-            hidden: BTreeMap::new(),
+            removed_fields: BTreeMap::new(),
             limits_fall: NEVER,
-            tells_orphans: true,
+            checks_orphans: true,
             // A short change history, so that watches miss changes; small pages, so that long lists take several
             // reads. The few keys of the ring always fit into one page.
             store: State::sized(5, (100, 4), LIMITS),
             watches: Vec::new(),
             outage_until: 0,
-            prompt: false,
-            cuts: Vec::new(),
+            no_slow_messages: false,
+            partitions: Vec::new(),
             workers: Vec::new(),
             rentals: BTreeMap::new(),
             tickets: BTreeMap::new(),
@@ -242,21 +242,21 @@
             jobs: BTreeMap::new(),
             order: Vec::new(),
             starts: 0,
-            parcels: 0,
-            unruly: 0.0,
-            starved: None,
-            starved_from: 0,
-            quick: false,
-            brittle: 0.0,
-            silence: Silence::default(),
+            handoff_batches: 0,
+            handoff_fault_rate: 0.0,
+            rejected_class: None,
+            rejected_min_tasks: 0,
+            quick_restarts: false,
+            crash_rate: 0.0,
+            answer_gaps: AnswerGaps::default(),
             balancer: Balancer::default(),
             operators: None,
             batches: batches::Batches::default(),
-            spoilt: 0,
-            lacks: BTreeMap::new(),
+            peer_failures: 0,
+            incomplete_since: BTreeMap::new(),
             compound: Compound::default(),
             register: Register::default(),
-            looks: ClientProbes::default(),
+            client_probes: ClientProbes::default(),
             lost: Lost::default(),
             zones: Zones::default(),
             cancels: Cancels::default(),
@@ -281,16 +281,16 @@
             kind: kind.into(),
             zone: zone.into(),
             spot,
-            rented: self.now,
+            created_at: self.now,
             up_at,
-            hung_until: 0,
+            unresponsive_until: 0,
             inbound_lost_until: 0,
             outbound_lost_until: 0,
             begun: false,
             gone: false,
             dead: false,
             target: self.rng.random_range(0..3),
-            session: 1,
+            incarnation: 1,
             seq: 0,
             token: 0,
             lease_from: up_at,
--- a/tests/world/register.rs
+++ b/tests/world/register.rs
@@ -47,7 +47,7 @@
     pub(crate) answers: usize,
     pub(crate) bound: [usize; 2],
     /// Requests sent while the same controller had another one in flight for the same job.
-    pub(crate) beside: usize,
+    pub(crate) concurrent: usize,
 }
 
 impl Register {
@@ -57,7 +57,7 @@
     }
 
     /// Marks a job as submitted and cancelled before the world began; the test stores its final record.
-    pub(crate) fn ended_before(&mut self, job: &str) {
+    pub(crate) fn mark_ended(&mut self, job: &str) {
         let history = self.histories.entry(job.to_owned()).or_default();
         (history.submitted, history.cancel_requested) = (true, true);
     }
@@ -66,7 +66,7 @@
 impl World {
     /// Records a request of a client. A request that a paused controller processes later was recorded when it was
     /// sent.
-    pub(crate) fn note_sent(&mut self, ticket: u64, node: usize, request: &UserRequest) {
+    pub(crate) fn record_request(&mut self, ticket: u64, node: usize, request: &UserRequest) {
         let kind = match request {
             UserRequest::Submit(..) => 's',
             UserRequest::Query(_) => 'q',
@@ -82,7 +82,7 @@
         register.order += 1;
         let (from, at) = (register.order, self.now);
         let is_concurrent = |o: &InFlight| o.node == node && o.job == job && at < o.at + 5 * S;
-        register.beside += usize::from(register.in_flight.values().any(is_concurrent));
+        register.concurrent += usize::from(register.in_flight.values().any(is_concurrent));
         let history = register.histories.entry(job.clone()).or_default();
         history.submitted |= can_be_valid;
         history.cancel_requested |= kind == 'w';
@@ -108,7 +108,7 @@
             Event::User { ticket, request: UserRequest::Submit(_, body) } => (*ticket, body.clone()),
             _ => return Some(event),
         };
-        if self.nodes[controller].is_none() || self.now < self.hung[controller] {
+        if self.nodes[controller].is_none() || self.now < self.paused_until[controller] {
             return Some(event);
         }
         match http_api::dispatch(ticket, "POST", "/v1/jobs", |_| Ok(body)) {
@@ -203,7 +203,7 @@
     /// Checks each written job record against the description that the client submitted.
     pub(crate) fn check_job_record(&self, key: &str) {
         let Some(id) = key.strip_prefix("job/") else { return };
-        assert!(!self.looks.odd.contains_key(id), "invalid job accepted: {id}");
+        assert!(!self.client_probes.invalid.contains_key(id), "invalid job accepted: {id}");
         let Some(user_job) = self.jobs.get(id) else { return };
         let kept = &self.store.keys[key].0["spec"];
         let wants: Value = serde_json::from_str(&user_job.body).expect("JSON");
--- a/tests/world/rules.rs
+++ b/tests/world/rules.rs
@@ -18,7 +18,7 @@
                 if let Some(at) = user_job.cancelled_at {
                     assert!(self.now <= at + (CANCEL_S * 1e6) as u64, "ran_cancelled: {}", task.job);
                 }
-                if !task.on() {
+                if !task.is_placed() {
                     continue;
                 }
                 if user_job.spec.is_rotation() {
@@ -66,16 +66,16 @@
     }
 
     /// Number of accepted jobs with dependencies.
-    pub(crate) fn accepted_chains(&self) -> usize {
-        let taken = |j: &&UserJob| !j.spec.dependencies.is_empty() && j.known != Known::Nothing;
+    pub(crate) fn accepted_with_dependencies(&self) -> usize {
+        let taken = |j: &&UserJob| !j.spec.dependencies.is_empty() && j.known != KnownState::Unknown;
         self.jobs.values().filter(taken).count()
     }
 
     /// Jobs that count as service: known to their client as accepted or done, not cancelled and able to run.
     fn counted(&self) -> impl Iterator<Item = &UserJob> {
-        self.jobs
-            .values()
-            .filter(|j| !j.mistaken && !j.cancel_asked && matches!(j.known, Known::Accepted | Known::Done))
+        self.jobs.values().filter(|j| {
+            !j.always_fails && !j.cancel_asked && matches!(j.known, KnownState::Accepted | KnownState::Done)
+        })
     }
 
     /// The largest jobs of each class: the fifth with the most tasks, at least one.
@@ -94,7 +94,7 @@
         let largest = self.largest();
         for (key, j) in keys.chain(largest.iter().map(|j| (format!("largest of {}", j.spec.class), *j))) {
             let (served, of) = by_key.entry(key).or_default();
-            *served += usize::from(j.known == Known::Done);
+            *served += usize::from(j.known == KnownState::Done);
             *of += 1;
         }
         by_key
@@ -106,10 +106,10 @@
 
     /// Largest jobs without dependencies that had not started within four minutes of their acceptance, or of the last
     /// fault of a controller if that was later.
-    pub(crate) fn begun_late(&self) -> Vec<String> {
+    pub(crate) fn started_late(&self) -> Vec<String> {
         let late = |j: &&&UserJob| {
-            let since = j.accepted_at.unwrap_or(self.now).max(self.silence.calm_from);
-            j.spec.dependencies.is_empty() && j.begun_at.unwrap_or(self.now) > since + 240 * S
+            let since = j.accepted_at.unwrap_or(self.now).max(self.answer_gaps.fault_free_from);
+            j.spec.dependencies.is_empty() && j.started_at.unwrap_or(self.now) > since + 240 * S
         };
         self.largest()
             .iter()
@@ -119,14 +119,14 @@
     }
 
     /// Jobs that have not ended, or were cancelled without a reason.
-    pub(crate) fn finished(&self) -> Vec<String> {
+    pub(crate) fn unfinished_jobs(&self) -> Vec<String> {
         self.jobs
             .iter()
             .filter(|(id, j)| match j.known {
-                Known::Done => false,
-                Known::Cancelled => {
+                KnownState::Done => false,
+                KnownState::Cancelled => {
                     let needs = self.needed(id);
-                    !j.cancel_asked && !needs.iter().any(|p| self.jobs[*p].known == Known::Cancelled)
+                    !j.cancel_asked && !needs.iter().any(|p| self.jobs[*p].known == KnownState::Cancelled)
                 }
                 _ => true,
             })
--- a/tests/world/shape.rs
+++ b/tests/world/shape.rs
@@ -13,7 +13,7 @@
     /// GPU machines, in addition to `machines`. If there are any, teams have GPU quotas and loans are switched on.
     pub(crate) gpus: usize,
     /// The cloud's capacity in each zone, in machines.
-    pub(crate) room: usize,
+    pub(crate) zone_capacity: usize,
     pub(crate) teams: usize,
     pub(crate) gang: u32,
     pub(crate) array: u32,
@@ -38,7 +38,7 @@
 pub(crate) const SMALL: Shape = Shape {
     machines: 4,
     gpus: 0,
-    room: 6,
+    zone_capacity: 6,
     teams: 2,
     gang: 4,
     array: 12,
@@ -53,10 +53,10 @@
 pub(crate) const CHAINED: Shape = Shape { chained: 0.75, pause: 6 * S, ..SMALL };
 /// The size of large deployments: many machines, ten teams, large gangs and arrays. Tasks are short, so that the
 /// machines can finish the whole load within the simulated day.
-pub(crate) const GROWN: Shape = Shape {
+pub(crate) const LARGE: Shape = Shape {
     machines: 240,
     gpus: 0,
-    room: 150,
+    zone_capacity: 150,
     teams: 10,
     gang: 25,
     array: 1000,
--- a/tests/world/silence.rs
+++ b/tests/world/silence.rs
@@ -5,11 +5,11 @@
 
 /// The longest times without an answer to queries about accepted jobs, not counting times with faults.
 #[derive(Default)]
-pub(crate) struct Silence {
+pub(crate) struct AnswerGaps {
     /// Whether clients poll each accepted job through each controller until the end.
     pub(crate) pollers: bool,
     /// The end of the latest fault.
-    pub(crate) calm_from: u64,
+    pub(crate) fault_free_from: u64,
     /// First unanswered query by job and controller (`None`: any controller).
     unanswered: BTreeMap<(String, Option<usize>), u64>,
     next: BTreeMap<(String, usize), u64>,
@@ -22,7 +22,7 @@
     pub(crate) refused: BTreeMap<(u16, String), usize>,
 }
 
-impl Silence {
+impl AnswerGaps {
     pub(crate) fn asked(&mut self, now: u64, job: &str, n: Option<usize>) {
         self.unanswered.entry((job.to_owned(), n)).or_insert(now);
     }
@@ -36,7 +36,7 @@
     }
 
     fn record_gap(&mut self, now: u64, since: u64, job: &str, n: Option<usize>) {
-        let duration = now.saturating_sub(since.max(self.calm_from));
+        let duration = now.saturating_sub(since.max(self.fault_free_from));
         let worst = &mut self.worst[usize::from(n.is_some())];
         if duration > worst.0 {
             *worst = (duration, format!("{job} through {n:?} at {:.1}", now as f64 / 1e6));
@@ -84,9 +84,9 @@
     /// depend on them for answers.
     pub(crate) fn has_fault(&self) -> bool {
         let now = self.now;
-        (0..3).any(|n| self.nodes[n].is_none() || now < self.hung[n])
+        (0..3).any(|n| self.nodes[n].is_none() || now < self.paused_until[n])
             || now < self.outage_until
-            || self.cuts.iter().any(|c| now < c.2)
+            || self.partitions.iter().any(|c| now < c.2)
             || self.compound.has_fault(now)
             || self.lost.has_fault(now)
             || self.zones.cut(now)
@@ -94,33 +94,37 @@
 
     pub(crate) fn run_pollers(&mut self) {
         if self.has_fault() {
-            self.silence.calm_from = self.now;
+            self.answer_gaps.fault_free_from = self.now;
         }
-        if !self.silence.pollers {
+        if !self.answer_gaps.pollers {
             return;
         }
         let now = self.now;
-        let accepted: Vec<String> =
-            self.jobs.iter().filter(|(_, j)| j.known != Known::Nothing).map(|(id, _)| id.clone()).collect();
+        let accepted: Vec<String> = self
+            .jobs
+            .iter()
+            .filter(|(_, j)| j.known != KnownState::Unknown)
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in accepted {
             for controller in 0..3 {
-                if self.silence.next.get(&(id.clone(), controller)).is_some_and(|t| now < *t) {
+                if self.answer_gaps.next.get(&(id.clone(), controller)).is_some_and(|t| now < *t) {
                     continue;
                 }
                 // The next poll follows after a pause, whether or not this one is answered.
                 let pause = self.rng.random_range(2 * S..3 * S);
-                self.silence.next.insert((id.clone(), controller), now + pause);
+                self.answer_gaps.next.insert((id.clone(), controller), now + pause);
                 // A controller that is not running can't be polled.
                 if self.nodes[controller].is_none() {
-                    self.silence.unanswered.remove(&(id.clone(), Some(controller)));
+                    self.answer_gaps.unanswered.remove(&(id.clone(), Some(controller)));
                     continue;
                 }
-                self.silence.asked(now, &id, Some(controller));
-                self.silence.asked(now, &id, None);
+                self.answer_gaps.asked(now, &id, Some(controller));
+                self.answer_gaps.asked(now, &id, None);
                 self.serial += 1;
                 self.tickets.insert(self.serial, Ticket::Poll(id.clone(), controller, now));
                 let query = Event::User { ticket: self.serial, request: UserRequest::Query(id.clone()) };
-                self.later(1000, What::Controller(controller, self.boots[controller], query));
+                self.later(1000, SimEvent::Controller(controller, self.boots[controller], query));
             }
         }
         if now >= self.balancer.next {
@@ -140,7 +144,7 @@
                 self.tickets.insert(self.serial, Ticket::Probe(controller));
                 self.later(
                     1000,
-                    What::Controller(controller, self.boots[controller], Event::Ready(self.serial)),
+                    SimEvent::Controller(controller, self.boots[controller], Event::Ready(self.serial)),
                 );
             }
         }
@@ -150,10 +154,10 @@
     pub(crate) fn polled(&mut self, id: &str, controller: usize, asked: u64, reply: &Reply) {
         assert_ne!(reply.status, 404, "forgotten: {id} at {}", self.now);
         if reply.status != 200 {
-            *self.silence.refused.entry((reply.status, reply.body.clone())).or_default() += 1;
+            *self.answer_gaps.refused.entry((reply.status, reply.body.clone())).or_default() += 1;
             return;
         }
-        self.silence.answered(self.now, id, Some(controller));
+        self.answer_gaps.answered(self.now, id, Some(controller));
         let body: Value = serde_json::from_str(&reply.body).expect("JSON");
         let stance = body["stance"].as_str().expect("a stance").to_owned();
         let user_job = &self.jobs[id];
@@ -164,11 +168,11 @@
         );
         // Concurrent queries may be answered in any order. One sent after a client learned the outcome must return
         // the same outcome.
-        match self.silence.ended.get(id) {
+        match self.answer_gaps.ended.get(id) {
             Some((at, end)) if asked > *at => assert_eq!(stance, *end, "went_back: {id} at {}", self.now),
             Some(_) => {}
             None if stance == "done" || stance == "aborted" => {
-                self.silence.ended.insert(id.to_owned(), (self.now, stance));
+                self.answer_gaps.ended.insert(id.to_owned(), (self.now, stance));
             }
             None => {}
         }
@@ -176,14 +180,14 @@
 
     /// Checks that outside of faults no job was without an answer for more than 15 s, through all controllers
     /// together and through each.
-    pub(crate) fn nobody_forgotten(&mut self, seed: u64) {
-        self.nobody_silent_for(seed, 15.0);
+    pub(crate) fn assert_no_answer_gap(&mut self, seed: u64) {
+        self.assert_answer_gaps_below(seed, 15.0);
     }
 
-    /// Like `nobody_forgotten`, with a limit in seconds.
-    pub(crate) fn nobody_silent_for(&mut self, seed: u64, maximum: f64) {
-        let [(any, which), (one, through)] = self.silence.longest(self.now);
-        let refused = &self.silence.refused;
+    /// Like `assert_no_answer_gap`, with a limit in seconds.
+    pub(crate) fn assert_answer_gaps_below(&mut self, seed: u64, maximum: f64) {
+        let [(any, which), (one, through)] = self.answer_gaps.longest(self.now);
+        let refused = &self.answer_gaps.refused;
         assert!(any <= maximum, "seed {seed}: {any:.1} s, {which}: {refused:?}");
         assert!(one <= maximum, "seed {seed}: {one:.1} s, {through}: {refused:?}");
         if std::env::var("WORLD_SEEDS").is_ok() {
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    pub(crate) fn trouble(&mut self) {
+    pub(crate) fn inject_random_fault(&mut self) {
         let now = self.now;
         let controller = self.rng.random_range(0..3usize);
         let duration = self.rng.random_range(3 * S..35 * S);
@@ -18,44 +18,74 @@
             0 => self.crash(controller),
             1 => (0..3).for_each(|controller| self.crash(controller)),
             2 => self.outage_until = now + duration,
-            3 => self.cuts.push((End::Controller(controller), End::Store, now + duration, hold)),
-            4 => self.cuts.push((End::Controller(controller), End::Workers, now + duration, hold)),
-            5 => self.cuts.push((
-                End::Controller(controller),
-                End::Controller((controller + 1) % 3),
+            3 => self.partitions.push((
+                Endpoint::Controller(controller),
+                Endpoint::Store,
+                now + duration,
+                hold,
+            )),
+            4 => self.partitions.push((
+                Endpoint::Controller(controller),
+                Endpoint::Workers,
+                now + duration,
+                hold,
+            )),
+            5 => self.partitions.push((
+                Endpoint::Controller(controller),
+                Endpoint::Controller((controller + 1) % 3),
                 now + duration,
                 hold,
             )),
             6 => {
                 let worker_index = self.rng.random_range(0..self.workers.len());
-                self.workers[worker_index].hung_until = now + duration;
+                self.workers[worker_index].unresponsive_until = now + duration;
             }
             7 => {
                 let worker_index = self.rng.random_range(0..self.workers.len());
                 self.workers[worker_index].dead = true;
                 self.workers[worker_index].tasks.clear();
             }
-            8 => self.hung[controller] = now + duration,
+            8 => self.paused_until[controller] = now + duration,
             // A long isolation from everything, and a long loss of messages to and from the workers.
             10 => {
-                self.cuts.push((End::Controller(controller), End::Store, now + 3 * duration, hold));
-                self.cuts.push((End::Controller(controller), End::Workers, now + 3 * duration, hold));
+                self.partitions.push((
+                    Endpoint::Controller(controller),
+                    Endpoint::Store,
+                    now + 3 * duration,
+                    hold,
+                ));
+                self.partitions.push((
+                    Endpoint::Controller(controller),
+                    Endpoint::Workers,
+                    now + 3 * duration,
+                    hold,
+                ));
                 for peer in (0..3).filter(|&peer| peer != controller) {
-                    self.cuts.push((
-                        End::Controller(controller),
-                        End::Controller(peer),
+                    self.partitions.push((
+                        Endpoint::Controller(controller),
+                        Endpoint::Controller(peer),
                         now + 3 * duration,
                         hold,
                     ));
                 }
             }
-            11 => self.cuts.push((End::Controller(controller), End::Workers, now + 2 * duration, false)),
+            11 => self.partitions.push((
+                Endpoint::Controller(controller),
+                Endpoint::Workers,
+                now + 2 * duration,
+                false,
+            )),
             _ => {
-                self.cuts.push((End::Controller(controller), End::Store, now + duration, hold));
+                self.partitions.push((
+                    Endpoint::Controller(controller),
+                    Endpoint::Store,
+                    now + duration,
+                    hold,
+                ));
                 for peer in (0..3).filter(|&peer| peer != controller) {
-                    self.cuts.push((
-                        End::Controller(controller),
-                        End::Controller(peer),
+                    self.partitions.push((
+                        Endpoint::Controller(controller),
+                        Endpoint::Controller(peer),
                         now + duration,
                         hold,
                     ));
@@ -65,7 +95,7 @@
     }
 
     pub(crate) fn crash(&mut self, controller: usize) {
-        let pause = if self.quick { S / 20..S / 2 } else { 3 * S..9 * S };
+        let pause = if self.quick_restarts { S / 20..S / 2 } else { 3 * S..9 * S };
         self.crash_for(controller, pause);
     }
 
@@ -76,13 +106,13 @@
         let pause = self.rng.random_range(pause);
         self.back_at[controller] = self.now + pause;
         if pause < S {
-            self.later(pause, What::Back(controller));
+            self.later(pause, SimEvent::Restart(controller));
         }
     }
 
     /// Whether the process crashes at this effect, and if so, whether the effect is still carried out.
     pub(crate) fn crashes_at(&mut self, effect: &Effect) -> Option<bool> {
-        if self.brittle == 0.0 {
+        if self.crash_rate == 0.0 {
             return None;
         }
         let weight = match effect {
@@ -101,7 +131,7 @@
             }
             _ => return None,
         };
-        self.rng.random_bool((self.brittle * weight).min(1.0)).then(|| self.rng.random_bool(0.5))
+        self.rng.random_bool((self.crash_rate * weight).min(1.0)).then(|| self.rng.random_bool(0.5))
     }
 
     pub(crate) fn start(&mut self, controller: usize) {
@@ -109,7 +139,7 @@
             self.serial += 1;
             self.boots[controller] = self.serial;
             self.started[controller] = self.now;
-            self.hung[controller] = 0;
+            self.paused_until[controller] = 0;
             let mut settings = settings(controller, self.shape, self.limited[controller]);
             if let Some(operators) = &self.operators {
                 settings.operators = operators.clone();
@@ -142,7 +172,7 @@
             }
             if self.now >= next_trouble && self.now < troubles_until {
                 next_trouble = self.now + self.rng.random_range(5 * S..40 * S);
-                self.trouble();
+                self.inject_random_fault();
             }
             self.run_users();
             self.send_invalid_requests();
@@ -166,7 +196,7 @@
     }
 
     pub(crate) fn tick_if_running(&mut self, controller: usize) {
-        if self.now >= self.hung[controller] {
+        if self.now >= self.paused_until[controller] {
             self.step_controller(controller, Event::Tick);
         }
     }
@@ -176,17 +206,17 @@
     play(seed, World::new(seed, shape), troubles_until, troubles_until, end)
 }
 
-pub(crate) fn play_until(world: &mut World, end: u64) {
+pub(crate) fn run_until(world: &mut World, end: u64) {
     world.run(0, end);
 }
 
-pub(crate) fn play(seed: u64, mut world: World, troubles_until: u64, stalls_until: u64, end: u64) -> World {
+pub(crate) fn play(seed: u64, mut world: World, troubles_until: u64, pauses_until: u64, end: u64) -> World {
     let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-        world.run(troubles_until, stalls_until);
-        world.stalls = 0.0;
+        world.run(troubles_until, pauses_until);
+        world.pause_rate = 0.0;
         world.run(troubles_until, end);
         assert!(world.underserved().is_empty(), "less than half done: {:?}", world.underserved());
-        assert!(world.begun_late().is_empty(), "not started in time: {:?}", world.begun_late());
+        assert!(world.started_late().is_empty(), "not started in time: {:?}", world.started_late());
     }));
     if let Err(e) = result {
         eprintln!("seed {seed}, at {:.3} s: {:#?}", world.now as f64 / 1e6, world.log);
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -28,29 +28,29 @@
             "together": self.rng.random_bool(0.3), "scatter": false, "borrowed": self.rng.random_bool(0.5),
             "rideS": 10.0, "restS": 0.0, "unsaddleS": 0.0, "dueS": null, "follows": follows});
         let run = self.rng.random_range(3 * S..self.shape.run);
-        let mistaken = self.rng.random_bool(0.07);
-        let cancel_asked = mistaken || self.rng.random_bool(0.15);
-        let job = self.add_given(&body, run);
-        (job.mistaken, job.cancel_asked) = (mistaken, cancel_asked);
+        let always_fails = self.rng.random_bool(0.07);
+        let cancel_asked = always_fails || self.rng.random_bool(0.15);
+        let job = self.add_described_job(&body, run);
+        (job.always_fails, job.cancel_asked) = (always_fails, cancel_asked);
     }
 
     /// Adds a job with the given description, which may have additional fields; its tasks run for `run` microseconds.
     /// A client submits it with the next step, unless the test postpones `next`.
-    pub(crate) fn add_given(&mut self, body: &Value, run: u64) -> &mut UserJob {
+    pub(crate) fn add_described_job(&mut self, body: &Value, run: u64) -> &mut UserJob {
         let body = body.to_string();
         let spec = JobSpec::parse(&body).expect("a valid description");
         let id = spec.id.clone();
         let job = UserJob {
-            mistaken: false,
+            always_fails: false,
             body,
             spec,
             run,
-            apart: 0,
-            known: Known::Nothing,
+            extra_run_per_index: 0,
+            known: KnownState::Unknown,
             cancel_asked: false,
             cancelled_at: None,
             accepted_at: None,
-            begun_at: None,
+            started_at: None,
             done: BTreeSet::new(),
             next: self.now,
             submitted: false,
@@ -85,7 +85,7 @@
             let cancel = self.rng.random_bool(0.3);
             // A client names only accepted jobs as dependencies.
             let named = &self.jobs[&id].spec.dependencies;
-            let ready = named.iter().all(|p| self.jobs[p].known != Known::Nothing);
+            let ready = named.iter().all(|p| self.jobs[p].known != KnownState::Unknown);
             let Some(user_job) = self.jobs.get_mut(&id) else { continue };
             user_job.next = self.now + pause;
             // Limited controllers get no requests that use newer features.
@@ -96,23 +96,25 @@
                 continue;
             }
             let (kind, request) = match user_job.known {
-                Known::Nothing => ('s', UserRequest::Submit(id.clone(), user_job.body.clone())),
-                Known::Accepted if user_job.cancel_asked && cancel => ('w', UserRequest::Cancel(id.clone())),
+                KnownState::Unknown => ('s', UserRequest::Submit(id.clone(), user_job.body.clone())),
+                KnownState::Accepted if user_job.cancel_asked && cancel => {
+                    ('w', UserRequest::Cancel(id.clone()))
+                }
                 // A client may repeat a submission at any time, even after the job's end.
-                Known::Done | Known::Cancelled if cancel => {
+                KnownState::Done | KnownState::Cancelled if cancel => {
                     ('s', UserRequest::Submit(id.clone(), user_job.body.clone()))
                 }
                 _ => ('q', UserRequest::Query(id.clone())),
             };
             user_job.submitted |= kind == 's';
-            if kind == 'q' && user_job.known != Known::Nothing {
-                self.silence.asked(self.now, &id, None);
+            if kind == 'q' && user_job.known != KnownState::Unknown {
+                self.answer_gaps.asked(self.now, &id, None);
             }
             self.serial += 1;
             let ticket = self.serial;
             user_job.latest = ticket;
             self.tickets.insert(ticket, Ticket::User(id, kind));
-            self.later(1000, What::Controller(controller, 0, Event::User { ticket, request }));
+            self.later(1000, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
         }
         // No controller may know a job that was never submitted.
         if self.rng.random_bool(0.02) {
@@ -122,7 +124,7 @@
             let controller = self.rng.random_range(0..3usize);
             self.later(
                 1000,
-                What::Controller(
+                SimEvent::Controller(
                     controller,
                     0,
                     Event::User { ticket, request: UserRequest::Query("wk-999999".into()) },
@@ -138,11 +140,11 @@
         (user_job.latest, user_job.submitted) = (ticket, true);
         let request = UserRequest::Submit(id.into(), user_job.body.clone());
         self.tickets.insert(ticket, Ticket::User(id.into(), 's'));
-        self.later(1000, What::Controller(controller, 0, Event::User { ticket, request }));
+        self.later(1000, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
     }
 
     /// The job's client asks a controller to cancel it.
-    pub(crate) fn withdraw(&mut self, controller: usize, id: &str) {
+    pub(crate) fn cancel_job(&mut self, controller: usize, id: &str) {
         self.serial += 1;
         let ticket = self.serial;
         let user_job = self.jobs.get_mut(id).expect("a job");
@@ -150,7 +152,11 @@
         self.tickets.insert(ticket, Ticket::User(id.into(), 'w'));
         self.later(
             1000,
-            What::Controller(controller, 0, Event::User { ticket, request: UserRequest::Cancel(id.into()) }),
+            SimEvent::Controller(
+                controller,
+                0,
+                Event::User { ticket, request: UserRequest::Cancel(id.into()) },
+            ),
         );
     }
 
@@ -159,7 +165,7 @@
         self.serial += 1;
         let ticket = self.serial;
         self.tickets.insert(ticket, Ticket::Asked);
-        self.later(1, What::Controller(controller, 0, Event::User { ticket, request }));
+        self.later(1, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
         let end = self.now + 5 * S;
         while self.now < end {
             let next = self.now + S / 10;
@@ -176,13 +182,13 @@
         if reply.status == 422
             && let Some(user_job) = self.jobs.get_mut(id)
             && user_job.spec.release.is_some()
-            && user_job.known == Known::Nothing
+            && user_job.known == KnownState::Unknown
         {
             (user_job.refused, user_job.next) = (true, NEVER);
             return;
         }
         if reply.status == 200 && kind == 'q' {
-            self.silence.answered(self.now, id, None);
+            self.answer_gaps.answered(self.now, id, None);
         }
         assert!(reply.status != 400 && reply.status != 422 && reply.status != 409, "{id}: {reply:?}");
         if reply.status == 503 {
@@ -196,37 +202,37 @@
             false => Vec::new(),
         };
         let orphaned_at = needs.iter().filter_map(|p| p.cancelled_at).min();
-        let may_be_cancelled = needs.iter().any(|p| p.cancel_asked && p.known != Known::Done);
-        let (now, tells) = (self.now, self.tells_orphans);
+        let may_be_cancelled = needs.iter().any(|p| p.cancel_asked && p.known != KnownState::Done);
+        let (now, tells) = (self.now, self.checks_orphans);
         let Some(user_job) = self.jobs.get_mut(id) else {
             assert_ne!(reply.status, 200, "invented: {body}");
             return;
         };
         if reply.status == 404 {
-            assert_eq!(user_job.known, Known::Nothing, "forgotten: {id} at {}", self.now);
+            assert_eq!(user_job.known, KnownState::Unknown, "forgotten: {id} at {}", self.now);
             return;
         }
         let stance = body["stance"].as_str().expect("a stance");
         match stance {
             "done" => {
                 assert_eq!(user_job.done.len(), user_job.spec.task_count as usize, "not_done: {id}");
-                assert_ne!(user_job.known, Known::Cancelled, "went_back: {id}");
-                user_job.known = Known::Done;
+                assert_ne!(user_job.known, KnownState::Cancelled, "went_back: {id}");
+                user_job.known = KnownState::Done;
             }
             "aborted" => {
                 assert!(user_job.cancel_asked || may_be_cancelled, "went_back: {id} cancelled by nobody");
-                assert_ne!(user_job.known, Known::Done, "went_back: {id}");
-                user_job.known = Known::Cancelled;
+                assert_ne!(user_job.known, KnownState::Done, "went_back: {id}");
+                user_job.known = KnownState::Cancelled;
                 user_job.cancelled_at.get_or_insert(self.now);
             }
             _ => {
                 assert!(kind != 'w', "a cancellation is answered with the outcome: {body}");
                 assert!(
-                    user_job.known == Known::Nothing || user_job.known == Known::Accepted,
+                    user_job.known == KnownState::Unknown || user_job.known == KnownState::Accepted,
                     "went_back: {id} was {:?}, is {stance}",
                     user_job.known
                 );
-                user_job.known = Known::Accepted;
+                user_job.known = KnownState::Accepted;
                 let since = *user_job.accepted_at.get_or_insert(now);
                 if let Some(at) = orphaned_at {
                     let late = now > at.max(since) + (CANCEL_S * 1e6) as u64;
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -17,7 +17,7 @@
             machine_type: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            incarnation: self.session,
+            incarnation: self.incarnation,
             sequence: self.seq,
             token: self.token,
             time_to_termination_s: None,
@@ -28,18 +28,24 @@
 
 impl World {
     /// A worker receives a fencing probe and answers with a heartbeat.
-    pub(crate) fn greet(&mut self, controller: usize, boot: u64, token: u64, probe: FencingProbe) {
+    pub(crate) fn handle_fencing_probe(
+        &mut self,
+        controller: usize,
+        boot: u64,
+        token: u64,
+        probe: FencingProbe,
+    ) {
         let now = self.now;
         let Some(worker_index) = self.probed_worker(&probe) else { return };
         // An unresponsive worker processes the probe when it resumes.
-        let hung = self.workers[worker_index].hung_until;
+        let hung = self.workers[worker_index].unresponsive_until;
         if hung > now {
-            return self.later(hung - now, What::Greet(controller, boot, token, probe));
+            return self.later(hung - now, SimEvent::DeliverProbe(controller, boot, token, probe));
         }
         let report = self.apply_fencing_probe(worker_index, token, &probe);
-        self.lost.spoken += usize::from(now < self.workers[worker_index].outbound_lost_until);
+        self.lost.fencing_answers += usize::from(now < self.workers[worker_index].outbound_lost_until);
         if let Some(delay) = self.delay_from_worker(worker_index, controller) {
-            self.later(delay, What::Controller(controller, boot, Event::FencingProbeAnswered(report)));
+            self.later(delay, SimEvent::Controller(controller, boot, Event::FencingProbeAnswered(report)));
         }
     }
 
@@ -64,7 +70,7 @@
         probe: &FencingProbe,
     ) -> Heartbeat {
         let worker = &mut self.workers[worker_index];
-        if worker.session == probe.incarnation && token >= worker.token {
+        if worker.incarnation == probe.incarnation && token >= worker.token {
             worker.changed |= token > worker.token;
             worker.token = token;
         }
@@ -82,9 +88,9 @@
             return;
         }
         // An unresponsive worker reads the response when it resumes, and drops it if it is too late by then.
-        if self.now < worker.hung_until {
-            let delay = worker.hung_until - self.now;
-            return self.later(delay, What::WorkerAnswer(worker_index, seq, reply.clone()));
+        if self.now < worker.unresponsive_until {
+            let delay = worker.unresponsive_until - self.now;
+            return self.later(delay, SimEvent::WorkerAnswer(worker_index, seq, reply.clone()));
         }
         if self.now > worker.lease_from + (LEASE_S * 1e6) as u64 {
             return;
@@ -150,7 +156,8 @@
                     Some("busy")
                 } else if used_cpus + spec.resources_per_task.cpus > cpu_capacity
                     || used_gpus + spec.resources_per_task.gpus > gpu_capacity
-                    || (self.starved == Some(spec.class.as_str()) && spec.task_count >= self.starved_from)
+                    || (self.rejected_class == Some(spec.class.as_str())
+                        && spec.task_count >= self.rejected_min_tasks)
                 {
                     Some("no_room")
                 } else {
@@ -160,7 +167,7 @@
                 self.observe_start(attempt);
                 // An unregistered machine would not be probed after a failover.
                 assert!(
-                    self.on_record(&self.workers[worker_index].name),
+                    self.is_registered(&self.workers[worker_index].name),
                     "{job}/{index}: started on an unregistered machine"
                 );
                 self.workers[worker_index].tasks.push(Task {
@@ -207,14 +214,14 @@
         let mut finished_jobs = Vec::new();
         for worker_index in 0..self.workers.len() {
             let worker = &mut self.workers[worker_index];
-            if worker.gone || worker.dead || now < worker.up_at || now < worker.hung_until {
+            if worker.gone || worker.dead || now < worker.up_at || now < worker.unresponsive_until {
                 continue;
             }
             self.check_resumed(worker_index);
             let worker = &mut self.workers[worker_index];
             if now > worker.lease_from + (LEASE_S * 1e6) as u64 {
                 worker.tasks.clear();
-                worker.session += 1;
+                worker.incarnation += 1;
                 worker.lease_from = now;
                 worker.in_flight = None;
                 worker.changed = true;
@@ -227,10 +234,12 @@
                 let job = &self.jobs[&task.job];
                 let gang = job.spec.kind == hazelsaddle::spec::JobKind::Gang;
                 let (state, until, cause) = match task.state {
-                    "pulling" if job.mistaken => ("ended", 0, Some("error")),
+                    "pulling" if job.always_fails => ("ended", 0, Some("error")),
                     "pulling" if job.done.contains(&task.index) => ("ended", 0, Some("done")),
                     "pulling" if gang => ("waiting", now + 30 * S, None),
-                    "pulling" => ("running", now + job.run + job.apart * u64::from(task.index), None),
+                    "pulling" => {
+                        ("running", now + job.run + job.extra_run_per_index * u64::from(task.index), None)
+                    }
                     "waiting" => ("ended", 0, Some("alone")),
                     "running" => ("ended", 0, Some("done")),
                     _ => continue,
@@ -249,7 +258,7 @@
                     }
                 }
                 if state == "running" {
-                    self.jobs.get_mut(&task.job).expect("known").begun_at.get_or_insert(now);
+                    self.jobs.get_mut(&task.job).expect("known").started_at.get_or_insert(now);
                 }
                 let worker = &mut self.workers[worker_index];
                 worker.tasks[task_index].state = state;
@@ -274,7 +283,7 @@
                 worker.in_flight = Some((worker.seq, now));
                 worker.next = now + 3 * S;
                 if now < worker.outbound_lost_until {
-                    self.lost.muted += 1;
+                    self.lost.lost_heartbeats += 1;
                     continue;
                 }
                 let report = worker.report();
@@ -287,7 +296,7 @@
                 if let Some(delay) = self.delay_from_worker(worker_index, target) {
                     self.later(
                         delay,
-                        What::Controller(target, 0, Event::Heartbeat { ticket, heartbeat: report }),
+                        SimEvent::Controller(target, 0, Event::Heartbeat { ticket, heartbeat: report }),
                     );
                 }
             }
@@ -299,8 +308,10 @@
     pub(crate) fn run_gangs(&mut self) {
         let mut waiting: BTreeMap<(String, u64), BTreeSet<u32>> = BTreeMap::new();
         let mut running: BTreeMap<(String, u64), BTreeSet<u32>> = BTreeMap::new();
-        for worker in
-            self.workers.iter().filter(|worker| !worker.gone && !worker.dead && self.now >= worker.hung_until)
+        for worker in self
+            .workers
+            .iter()
+            .filter(|worker| !worker.gone && !worker.dead && self.now >= worker.unresponsive_until)
         {
             for task in &worker.tasks {
                 let set = match task.state {
@@ -315,8 +326,10 @@
         // In worlds with GPUs a gang notices missing tasks only after the protocol's timeout, so that an orderly stop
         // can be told from a failure.
         let peer_timeout = if self.shape.gpus > 0 { 6 * S } else { 0 };
-        for worker in
-            self.workers.iter_mut().filter(|worker| !worker.gone && !worker.dead && now >= worker.hung_until)
+        for worker in self
+            .workers
+            .iter_mut()
+            .filter(|worker| !worker.gone && !worker.dead && now >= worker.unresponsive_until)
         {
             for task in &mut worker.tasks {
                 let Some(user_job) = self.jobs.get_mut(&task.job) else { continue };
@@ -328,17 +341,17 @@
                 if task.state == "waiting" && waiting.get(&key).is_some_and(|s| s.len() == all) {
                     task.state = "running";
                     task.until = now + user_job.run;
-                    user_job.begun_at.get_or_insert(now);
+                    user_job.started_at.get_or_insert(now);
                     worker.changed = true;
                 } else if task.state == "running"
                     && running.get(&key).is_none_or(|s| s.len() < all)
                     && !waiting.contains_key(&key)
                     && user_job.done.is_empty()
-                    && now >= *self.lacks.entry(key).or_insert(now) + peer_timeout
+                    && now >= *self.incomplete_since.entry(key).or_insert(now) + peer_timeout
                 {
                     task.state = "ended";
                     task.cause = Some("peers");
-                    self.spoilt += 1;
+                    self.peer_failures += 1;
                     worker.changed = true;
                 }
             }
--- a/tests/world/zones.rs
+++ b/tests/world/zones.rs
@@ -13,7 +13,7 @@
 
 /// A partition that isolates a zone from other zones, the state store, the cloud and the clients.
 #[derive(Clone, Copy, Debug)]
-struct ZoneCut {
+struct ZonePartition {
     zone: &'static str,
     from: u64,
     until: u64,
@@ -23,7 +23,7 @@
 
 #[derive(Default)]
 pub(crate) struct Zones {
-    cuts: Vec<ZoneCut>,
+    partitions: Vec<ZonePartition>,
     /// Until this time, the cloud fails all requests.
     pub(crate) cloud_out: u64,
     /// Heartbeats that a controller inside an isolated zone answered.
@@ -40,24 +40,24 @@
 impl Zones {
     /// Whether any zone is isolated.
     pub(crate) fn cut(&self, now: u64) -> bool {
-        self.cuts.iter().any(|c| now < c.until)
+        self.partitions.iter().any(|c| now < c.until)
     }
     /// When the last partition heals.
     pub(crate) fn until(&self) -> u64 {
-        self.cuts.iter().map(|c| c.until).max().unwrap_or(0)
+        self.partitions.iter().map(|c| c.until).max().unwrap_or(0)
     }
 }
 
 impl World {
     pub(crate) fn zone_cut(&mut self, zone: &'static str, duration: u64, hold: bool) {
         let (from, until) = (self.now, self.now + duration);
-        self.zones.cuts.push(ZoneCut { zone, from, until, hold });
+        self.zones.partitions.push(ZonePartition { zone, from, until, hold });
     }
 
     /// The partition between two zones, if any. `None` stands for the region's services, which are in no zone.
-    fn cut_between(&self, a: Option<&str>, b: Option<&str>) -> Option<ZoneCut> {
-        let crosses = |c: &&ZoneCut| self.now < c.until && (a == Some(c.zone)) != (b == Some(c.zone));
-        self.zones.cuts.iter().find(crosses).copied()
+    fn cut_between(&self, a: Option<&str>, b: Option<&str>) -> Option<ZonePartition> {
+        let crosses = |c: &&ZonePartition| self.now < c.until && (a == Some(c.zone)) != (b == Some(c.zone));
+        self.zones.partitions.iter().find(crosses).copied()
     }
 
     /// The extra delay of a message between two zones; `None` if it is lost.
@@ -68,18 +68,22 @@
         }
     }
 
-    /// The extra delay between two endpoints. Workers are in several zones: see `worker_reached_in`.
-    pub(crate) fn endpoint_delay(&self, a: End, b: End) -> Option<u64> {
-        let place = |e: End| match e {
-            End::Controller(n) => Some(CONTROLLER_ZONES[n]),
-            End::Store | End::Workers => None,
+    /// The extra delay between two endpoints. Workers are in several zones: see `delay_to_worker`.
+    pub(crate) fn endpoint_delay(&self, a: Endpoint, b: Endpoint) -> Option<u64> {
+        let place = |e: Endpoint| match e {
+            Endpoint::Controller(n) => Some(CONTROLLER_ZONES[n]),
+            Endpoint::Store | Endpoint::Workers => None,
         };
-        if a == End::Workers || b == End::Workers { Some(0) } else { self.zone_delay(place(a), place(b)) }
+        if a == Endpoint::Workers || b == Endpoint::Workers {
+            Some(0)
+        } else {
+            self.zone_delay(place(a), place(b))
+        }
     }
 
     /// The delay of a controller's message to a worker; `None` if it is lost.
     pub(crate) fn delay_to_worker(&mut self, controller: usize, worker_index: usize) -> Option<u64> {
-        let delay = self.message_delay(End::Controller(controller), End::Workers)?;
+        let delay = self.message_delay(Endpoint::Controller(controller), Endpoint::Workers)?;
         Some(
             delay
                 + self
@@ -89,7 +93,7 @@
 
     /// The delay of a worker's message to a controller; `None` if it is lost.
     pub(crate) fn delay_from_worker(&mut self, worker_index: usize, controller: usize) -> Option<u64> {
-        let delay = self.message_delay(End::Workers, End::Controller(controller))?;
+        let delay = self.message_delay(Endpoint::Workers, Endpoint::Controller(controller))?;
         let more =
             self.zone_delay(Some(&self.workers[worker_index].zone), Some(CONTROLLER_ZONES[controller]));
         self.zones.stopped[0] += usize::from(more != Some(0));
@@ -111,7 +115,7 @@
 
     /// Whether the machine is unreachable from outside an isolated zone, or from everywhere.
     pub(crate) fn is_unreachable(&self, w: &Worker) -> bool {
-        self.now < w.hung_until.max(w.inbound_lost_until).max(w.outbound_lost_until)
+        self.now < w.unresponsive_until.max(w.inbound_lost_until).max(w.outbound_lost_until)
             || self.cut_between(Some(&w.zone), None).is_some()
     }
 
@@ -149,18 +153,18 @@
         if self.now < self.zones.cloud_out {
             return self.later(
                 80_000,
-                What::Controller(controller, boot, Event::Cloud { request, answer: CloudAnswer::Failed }),
+                SimEvent::Controller(controller, boot, Event::Cloud { request, answer: CloudAnswer::Failed }),
             );
         }
         let more = self.zone_delay(Some(CONTROLLER_ZONES[controller]), None);
         if more == Some(0) {
-            return self.later(80_000, What::Cloud(controller, boot, request));
+            return self.later(80_000, SimEvent::Cloud(controller, boot, request));
         }
         self.zones.stopped[2] += 1;
         let failed = Event::Cloud { request: request.clone(), answer: CloudAnswer::Failed };
-        self.later(CLOUD_TIMEOUT, What::Controller(controller, boot, failed));
+        self.later(CLOUD_TIMEOUT, SimEvent::Controller(controller, boot, failed));
         if let Some(more) = more {
-            self.later(more + 80_000, What::Cloud(controller, NO_PROCESS, request));
+            self.later(more + 80_000, SimEvent::Cloud(controller, NO_PROCESS, request));
         }
     }
 
@@ -181,7 +185,7 @@
         assert!(spec.spot_allowed || !worker.spot, "wrong_place: {job} on {name} at {now}");
         let has_lease = |x: &&Worker| !x.gone && !x.dead && now <= x.lease_from + (LEASE_S * 1e6) as u64;
         let placed: Vec<(&Worker, usize)> = (self.workers.iter().filter(has_lease))
-            .map(|x| (x, x.tasks.iter().filter(|t| t.job == job && t.on()).count()))
+            .map(|x| (x, x.tasks.iter().filter(|t| t.job == job && t.is_placed()).count()))
             .filter(|(_, n)| *n > 0)
             .collect();
         let in_zone: usize = placed.iter().filter(|(x, _)| x.zone == worker.zone).map(|(_, n)| n).sum();
