--- a/tests/world/batches.rs
+++ b/tests/world/batches.rs
@@ -55,7 +55,7 @@
     pub(crate) permits: usize,
     pub(crate) refused: usize,
     /// Merges refused for stale runs, or found stale when their dependencies were done.
-    pub(crate) old: BTreeSet<String>,
+    pub(crate) stale_merges: BTreeSet<String>,
 }
 
 impl World {
@@ -66,7 +66,7 @@
         if record.version < of.version {
             return 1;
         }
-        let needs = self.needed(id);
+        let needs = self.all_dependencies(id);
         let mut stale_by_class: BTreeMap<&str, usize> = BTreeMap::new();
         for dependency in &needs {
             let spec = &self.jobs[*dependency].spec;
@@ -218,7 +218,7 @@
             self.tickets
                 .insert(ticket, Ticket::Writer(PermitRequest { job, attempt, fresh, version_raises }));
             let controller = self.rng.random_range(0..3usize);
-            self.later(1000, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
+            self.schedule(1000, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
         }
     }
 
@@ -246,7 +246,7 @@
             409 => {
                 if body["old"].is_array() {
                     self.batches.refused += 1;
-                    self.batches.old.insert(permit_request.job.clone());
+                    self.batches.stale_merges.insert(permit_request.job.clone());
                     let fresh = permit_request.fresh
                         && self.count_stale_runs(&permit_request.job) == 0
                         && self.version_raises(&permit_request.job) == permit_request.version_raises;
@@ -262,8 +262,8 @@
     pub(crate) fn send_operator_command(&mut self, controller: usize, request: OperatorCommand) -> u64 {
         self.serial += 1;
         let ticket = self.serial;
-        self.tickets.insert(ticket, Ticket::Asked);
-        self.later(1, SimEvent::Controller(controller, 0, Event::Operator { ticket, request }));
+        self.tickets.insert(ticket, Ticket::TestRequest);
+        self.schedule(1, SimEvent::Controller(controller, 0, Event::Operator { ticket, request }));
         ticket
     }
 
--- a/tests/world/cancels.rs
+++ b/tests/world/cancels.rs
@@ -69,7 +69,8 @@
             self.start_cancelling(id, delay);
         }
         if hang > 0 {
-            let machines: BTreeSet<usize> = some.iter().flat_map(|id| self.alive(id)).collect();
+            let machines: BTreeSet<usize> =
+                some.iter().flat_map(|id| self.machines_with_live_tasks(id)).collect();
             let machines: Vec<usize> = machines.into_iter().collect();
             for &worker_index in machines.sample(&mut self.rng, MAX_UNRESPONSIVE).collect::<Vec<_>>() {
                 self.workers[worker_index].unresponsive_until =
@@ -87,7 +88,7 @@
         self.jobs.get_mut(id).expect("a job").cancel_asked = true;
         if delay > 0 {
             // Sent at its own random time instead of the next round.
-            self.later(delay, SimEvent::RetryCancel(id.to_owned()));
+            self.schedule(delay, SimEvent::RetryCancel(id.to_owned()));
         } else {
             self.retry_cancel(id);
         }
@@ -111,10 +112,11 @@
                 KnownState::Done | KnownState::Cancelled => {
                     self.cancels.pending_cancels.remove(&id);
                     self.cancels.answered += 1;
-                    let told = self.compound.cancel_answers.get(&id).map_or(self.now, |t| t.at);
-                    let calm = told.saturating_sub(pending.since.max(self.answer_gaps.fault_free_from));
+                    let answered_at = self.compound.cancel_answers.get(&id).map_or(self.now, |t| t.at);
+                    let calm =
+                        answered_at.saturating_sub(pending.since.max(self.answer_gaps.fault_free_from));
                     let counts = &mut self.cancels;
-                    let all = (told.saturating_sub(pending.since), id.clone());
+                    let all = (answered_at.saturating_sub(pending.since), id.clone());
                     counts.longest = counts.longest.clone().max(all);
                     counts.longest_calm = counts.longest_calm.clone().max((calm, id));
                 }
@@ -199,8 +201,8 @@
         let is_unresponsive =
             machines.iter().any(|w| self.now < w.unresponsive_until || self.now < w.inbound_lost_until);
         let counts = [!machines.is_empty(), is_unresponsive];
-        for (count, is) in self.cancels.concurrent.iter_mut().zip(counts) {
-            *count += usize::from(is);
+        for (count, applies) in self.cancels.concurrent.iter_mut().zip(counts) {
+            *count += usize::from(applies);
         }
     }
 
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -28,9 +28,9 @@
 }
 
 impl World {
-    /// For this time, this share of fencing probes arrives 2 to 16 s late and its answer is lost. A worker still
+    /// For `duration`, this share of fencing probes arrives 2 to 16 s late and its answer is lost. A worker still
     /// accepts one if token and incarnation match.
-    pub(crate) fn late_commands(&mut self, share: f64, duration: u64) {
+    pub(crate) fn delay_fencing_probes(&mut self, share: f64, duration: u64) {
         self.commands.late = (share, self.now + duration);
     }
 
@@ -42,23 +42,26 @@
         probe: FencingProbe,
         delay: u64,
     ) {
-        let boot = self.boots[controller];
+        let boot = self.boot_ids[controller];
         let (share, until) = self.commands.late;
         if self.now < until && self.rng.random_bool(share) {
             let late = self.rng.random_range(2 * S..16 * S);
-            return self.later(delay + late, SimEvent::DeliverLateProbe(controller, boot, token, probe));
+            return self.schedule(delay + late, SimEvent::DeliverLateProbe(controller, boot, token, probe));
         }
-        self.later(delay, SimEvent::DeliverProbe(controller, boot, token, probe));
+        self.schedule(delay, SimEvent::DeliverProbe(controller, boot, token, probe));
     }
 
     /// A delayed probe arrives; its answer is dropped.
     pub(crate) fn deliver_late_probe(&mut self, sender: usize, boot: u64, token: u64, probe: FencingProbe) {
         let Some(worker_index) = self.probed_worker(&probe) else { return };
-        let hung = self.workers[worker_index].unresponsive_until;
-        if hung > self.now {
-            return self.later(hung - self.now, SimEvent::DeliverLateProbe(sender, boot, token, probe));
+        let unresponsive_until = self.workers[worker_index].unresponsive_until;
+        if unresponsive_until > self.now {
+            return self.schedule(
+                unresponsive_until - self.now,
+                SimEvent::DeliverLateProbe(sender, boot, token, probe),
+            );
         }
-        let (newest, ended) = (self.epoch(), boot != self.boots[sender]);
+        let (newest, ended) = (self.epoch(), boot != self.boot_ids[sender]);
         // No controller may use a token newer than the epoch: a worker that accepted it would reject all later
         // responses.
         assert!(token <= newest, "controller {sender} uses token {token}, the newest epoch is {newest}");
--- a/tests/world/compound.rs
+++ b/tests/world/compound.rs
@@ -118,9 +118,9 @@
     late_writes: (f64, u64),
     late_reports: (f64, u64),
     pub(crate) refused: [u64; 3],
-    slow: u64,
+    slow_until: u64,
     /// Range of answer delays of a slow state store; 1 to 5 s if `None`.
-    slow_by: Option<std::ops::Range<u64>>,
+    slow_delays: Option<std::ops::Range<u64>>,
     pub(crate) faulty_links: Vec<FaultyLink>,
     /// When the latest transaction of each controller was committed.
     committed: [u64; 3],
@@ -131,7 +131,7 @@
     /// Copies from an earlier incarnation of the worker.
     pub(crate) earlier: usize,
     /// Responses and fencing probes lost on the way to machines.
-    pub(crate) unheard: usize,
+    pub(crate) lost_to_workers: usize,
     /// Requests of controllers that the state store refused alone, and requests that a slow store carried out after
     /// the client's timeout.
     pub(crate) refusals: usize,
@@ -143,19 +143,19 @@
 impl Compound {
     /// Whether controllers or services that they need are failing.
     pub(crate) fn has_fault(&self, now: u64) -> bool {
-        let until = [self.late_writes.1, self.slow].into_iter().chain(self.refused);
+        let until = [self.late_writes.1, self.slow_until].into_iter().chain(self.refused);
         until.chain(self.faulty_links.iter().map(|w| w.until)).any(|t| now < t)
     }
 }
 
 impl World {
-    /// For this time, this share of transactions gets no answer and is carried out 2 to 12 s late.
-    pub(crate) fn late_writes(&mut self, share: f64, duration: u64) {
+    /// For `duration`, this share of transactions gets no answer and is carried out 2 to 12 s late.
+    pub(crate) fn delay_writes(&mut self, share: f64, duration: u64) {
         self.compound.late_writes = (share, self.now + duration);
     }
 
-    /// For this time, copies of this share of the workers' heartbeats arrive again, 2 s to 1.6 leases later.
-    pub(crate) fn late_reports(&mut self, share: f64, duration: u64) {
+    /// For `duration`, copies of this share of the workers' heartbeats arrive again, 2 s to 1.6 leases later.
+    pub(crate) fn delay_heartbeats(&mut self, share: f64, duration: u64) {
         self.compound.late_reports = (share, self.now + duration);
     }
 
@@ -172,7 +172,7 @@
         let (its, others) = std::mem::take(&mut self.watches).into_iter().partition(|w| w.0 == controller);
         self.watches = others;
         for (controller, boot, id, ..) in its {
-            self.later(
+            self.schedule(
                 1000,
                 SimEvent::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Refused }),
             );
@@ -185,12 +185,12 @@
 
     /// The state store answers after 1 to 5 s; its clients time out after 2 s.
     pub(crate) fn slow_store(&mut self, duration: u64) {
-        (self.compound.slow, self.compound.slow_by) = (self.now + duration, None);
+        (self.compound.slow_until, self.compound.slow_delays) = (self.now + duration, None);
     }
 
     /// The state store answers each request after a random time in this range, and so out of order.
     pub(crate) fn slow_store_by(&mut self, duration: u64, by: std::ops::Range<u64>) {
-        (self.compound.slow, self.compound.slow_by) = (self.now + duration, Some(by));
+        (self.compound.slow_until, self.compound.slow_delays) = (self.now + duration, Some(by));
     }
 
     /// One controller is partitioned from the state store and its peers, but not from workers and clients.
@@ -214,12 +214,12 @@
 
     /// The extra delay of a message due to one-way faults; `None` if it is lost.
     pub(crate) fn one_way_delay(&self, from: Endpoint, to: Endpoint) -> Option<u64> {
-        let hit = |w: &&FaultyLink| w.from == from && w.to == to && self.now < w.until;
-        match self.compound.faulty_links.iter().find(hit) {
+        let matches_link = |link: &&FaultyLink| link.from == from && link.to == to && self.now < link.until;
+        match self.compound.faulty_links.iter().find(matches_link) {
             None => Some(0),
-            Some(w) => match w.fate {
+            Some(link) => match link.fate {
                 LinkFault::Lost => None,
-                LinkFault::Held => Some(w.until - self.now),
+                LinkFault::Held => Some(link.until - self.now),
                 LinkFault::Late(by) => Some(by),
             },
         }
@@ -234,9 +234,9 @@
         delay: Option<u64>,
     ) {
         const LIMIT: u64 = 2 * S;
-        let boot = self.boots[controller];
+        let boot = self.boot_ids[controller];
         let unknown = |world: &mut World| {
-            world.later(
+            world.schedule(
                 LIMIT,
                 SimEvent::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
             )
@@ -244,7 +244,7 @@
         let Some(delay) = delay else { return unknown(self) };
         if self.is_refused(controller) {
             self.compound.refusals += 1;
-            return self.later(
+            return self.schedule(
                 delay,
                 SimEvent::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Refused }),
             );
@@ -257,19 +257,22 @@
         {
             let late = self.rng.random_range(2 * S..12 * S);
             let issued = self.now;
-            self.later(late, SimEvent::LateWrite(controller, issued, request));
+            self.schedule(late, SimEvent::LateWrite(controller, issued, request));
             return unknown(self);
         }
-        let slow = match self.now < self.compound.slow {
-            true => self.rng.random_range(self.compound.slow_by.clone().unwrap_or(S..5 * S)),
+        let slow = match self.now < self.compound.slow_until {
+            true => self.rng.random_range(self.compound.slow_delays.clone().unwrap_or(S..5 * S)),
             false => 0,
         };
         // A request that takes longer than the client's timeout has an unknown outcome and is applied late.
         if delay + slow < LIMIT {
-            self.later(delay + slow / 2, SimEvent::StoreApply(controller, boot, id, request, Some(slow / 2)));
+            self.schedule(
+                delay + slow / 2,
+                SimEvent::StoreApply(controller, boot, id, request, Some(slow / 2)),
+            );
         } else {
             self.compound.slow_unknown += usize::from(slow > 0);
-            self.later(delay + slow / 2, SimEvent::StoreApply(controller, boot, id, request, None));
+            self.schedule(delay + slow / 2, SimEvent::StoreApply(controller, boot, id, request, None));
             unknown(self);
         }
     }
@@ -279,14 +282,14 @@
         // One that arrives during an outage is carried out afterwards.
         if self.now < self.outage_until {
             let delay = self.outage_until - self.now + S / 10;
-            return self.later(delay, SimEvent::LateWrite(controller, issued, request));
+            return self.schedule(delay, SimEvent::LateWrite(controller, issued, request));
         }
         let newer = self.compound.committed[controller] > issued;
         let answer = self.store_apply(request);
         self.run_watches();
         let done = matches!(answer, StoreAnswer::Committed(_));
-        for (count, is) in self.compound.writes.iter_mut().zip([true, newer, newer && done]) {
-            *count += usize::from(is);
+        for (count, applies) in self.compound.writes.iter_mut().zip([true, newer, newer && done]) {
+            *count += usize::from(applies);
         }
     }
 
@@ -298,11 +301,11 @@
     }
 
     /// Schedules a late copy of a random share of the heartbeats.
-    pub(crate) fn schedule_late_heartbeat(&mut self, worker: usize, target: usize, report: &Heartbeat) {
+    pub(crate) fn schedule_late_heartbeat(&mut self, worker: usize, target: usize, heartbeat: &Heartbeat) {
         let (share, until) = self.compound.late_reports;
         if self.now < until && self.rng.random_bool(share) {
             let late = self.rng.random_range(2 * S..(1.6 * LEASE_S * 1e6) as u64);
-            self.later(late, SimEvent::LateHeartbeat(worker, target, self.now, report.clone()));
+            self.schedule(late, SimEvent::LateHeartbeat(worker, target, self.now, heartbeat.clone()));
         }
     }
 
@@ -311,18 +314,18 @@
         worker_index: usize,
         target: usize,
         sent: u64,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
     ) {
         let worker = &self.workers[worker_index];
-        let newer = (worker.incarnation, worker.seq) > (report.incarnation, report.sequence);
+        let newer = (worker.incarnation, worker.seq) > (heartbeat.incarnation, heartbeat.sequence);
         let old = self.now > sent + (LEASE_S * 1e6) as u64;
-        for (count, is) in self.compound.copies.iter_mut().zip([true, newer, old]) {
-            *count += usize::from(is);
+        for (count, applies) in self.compound.copies.iter_mut().zip([true, newer, old]) {
+            *count += usize::from(applies);
         }
-        self.compound.earlier += usize::from(worker.incarnation > report.incarnation);
+        self.compound.earlier += usize::from(worker.incarnation > heartbeat.incarnation);
         // The response to the copy is dropped.
         self.serial += 1;
-        self.step_controller(target, Event::Heartbeat { ticket: self.serial, heartbeat: report });
+        self.step_controller(target, Event::Heartbeat { ticket: self.serial, heartbeat });
     }
 
     /// Checks an answer to a client. From the first 200 that reports a job as cancelled, its tasks have `cancel_s` to
@@ -334,17 +337,18 @@
         }
         let body: Value = serde_json::from_str(&reply.body).expect("JSON");
         let (Some("aborted"), Some(id)) = (body["stance"].as_str(), body["uid"].as_str()) else { return };
-        let tasks = self.alive(id).count();
+        let tasks = self.machines_with_live_tasks(id).count();
         let refused = [0, 1, 2].map(|n| self.is_refused(n));
-        let told = CancelAnswer { at: self.now, by, refused, outage: self.now < self.outage_until, tasks };
-        self.compound.cancel_answers.entry(id.to_owned()).or_insert(told);
+        let cancel_answer =
+            CancelAnswer { at: self.now, by, refused, outage: self.now < self.outage_until, tasks };
+        self.compound.cancel_answers.entry(id.to_owned()).or_insert(cancel_answer);
         if let Some(user_job) = self.jobs.get_mut(id) {
-            user_job.cancelled_at.get_or_insert(told.at);
+            user_job.cancelled_at.get_or_insert(cancel_answer.at);
         }
     }
 
     /// Machines with a valid lease and an unfinished task of the job.
-    pub(crate) fn alive<'a>(&'a self, id: &'a str) -> impl Iterator<Item = usize> + 'a {
+    pub(crate) fn machines_with_live_tasks<'a>(&'a self, id: &'a str) -> impl Iterator<Item = usize> + 'a {
         let has_lease = |w: &Worker| !w.gone && !w.dead && self.now <= w.lease_from + (LEASE_S * 1e6) as u64;
         let has = move |w: &Worker| w.tasks.iter().any(|t| t.job == id && t.state != "ended");
         (0..self.workers.len()).filter(move |&i| has_lease(&self.workers[i]) && has(&self.workers[i]))
@@ -363,21 +367,21 @@
     }
 
     /// Injects a fault for a duration; `n` is the affected controller, if any.
-    pub(crate) fn inject_fault(&mut self, trouble: Fault, controller: usize, duration: u64) {
+    pub(crate) fn inject_fault(&mut self, fault: Fault, controller: usize, duration: u64) {
         let now = self.now;
         self.log.push(format!(
-            "{:.1}: {trouble:?} of {controller} for {:.1}",
+            "{:.1}: {fault:?} of {controller} for {:.1}",
             now as f64 / 1e6,
             duration as f64 / 1e6
         ));
         let hold = self.rng.random_bool(0.5);
         let (next_peer, other_peer) = ((controller + 1) % 3, (controller + 2) % 3);
-        match trouble {
+        match fault {
             Fault::Restart => self.crash_for(controller, S / 20..S / 10),
             Fault::RestartAll => (0..3).for_each(|controller| self.crash_for(controller, S / 20..S / 10)),
             Fault::Leave => {
-                self.later(1, SimEvent::Controller(controller, self.boots[controller], Event::Leave));
-                self.later(5 * S, SimEvent::Exit(controller, self.boots[controller]));
+                self.schedule(1, SimEvent::Controller(controller, self.boot_ids[controller], Event::Leave));
+                self.schedule(5 * S, SimEvent::Exit(controller, self.boot_ids[controller]));
             }
             Fault::ProcessPaused => self.paused_until[controller] = now + duration,
             Fault::Outage => self.outage_until = now + duration,
@@ -385,7 +389,7 @@
             Fault::SlowStore => self.slow_store(duration),
             Fault::LateWrites => {
                 let share = self.rng.random_range(0.05..0.6);
-                self.late_writes(share, duration);
+                self.delay_writes(share, duration);
             }
             Fault::PartitionFromStore => self.partitions.push((
                 Endpoint::Controller(controller),
@@ -431,10 +435,10 @@
                     hold,
                 ));
             }
-            Fault::ZonePartition => self.zone_cut(ZONES[controller % 2], duration, hold),
+            Fault::ZonePartition => self.partition_zone(ZONES[controller % 2], duration, hold),
             Fault::LateHeartbeats => {
                 let share = self.rng.random_range(0.1..0.9);
-                self.late_reports(share, duration);
+                self.delay_heartbeats(share, duration);
             }
             Fault::AnswersLost => {
                 let share = self.rng.random_range(0.05..0.6);
@@ -481,7 +485,7 @@
             }
             Fault::LateFencingProbes => {
                 let share = self.rng.random_range(0.2..1.0);
-                self.late_commands(share, duration);
+                self.delay_fencing_probes(share, duration);
             }
         }
     }
@@ -515,7 +519,7 @@
             self.outage_until,
             compound.late_writes.1,
             compound.late_reports.1,
-            compound.slow,
+            compound.slow_until,
             self.client_probes.last_fault_end(),
             self.lost.until(),
             self.zones.until(),
--- a/tests/world/days/batches.rs
+++ b/tests/world/days/batches.rs
@@ -116,7 +116,7 @@
             if quick && w.rng.random_bool(0.5) {
                 let n = w.rng.random_range(0..3usize);
                 w.crash(n);
-                w.back_at[n] = w.now + w.rng.random_range(S / 10..S / 2);
+                w.restart_at[n] = w.now + w.rng.random_range(S / 10..S / 2);
             }
         }
         w.run(0, 300 * S);
--- a/tests/world/days/cancels.rs
+++ b/tests/world/days/cancels.rs
@@ -141,7 +141,7 @@
                     w.run(0, until);
                 }
                 let some = w.mass_cancel(6, 0);
-                let at: BTreeSet<usize> = some.iter().flat_map(|id| w.alive(id)).collect();
+                let at: BTreeSet<usize> = some.iter().flat_map(|id| w.machines_with_live_tasks(id)).collect();
                 let at: Vec<usize> = at.into_iter().take(8).collect();
                 machines[seed as usize % machines.len()].befall(w, &at);
                 if !changes_first {
--- a/tests/world/days/commands.rs
+++ b/tests/world/days/commands.rs
@@ -15,7 +15,7 @@
             w.run(0, 20 * S);
             let ids = long_jobs(w, 12, 110 * S);
             w.run(0, 40 * S);
-            w.late_commands([0.5, 1.0][seed as usize % 2], 110 * S);
+            w.delay_fencing_probes([0.5, 1.0][seed as usize % 2], 110 * S);
             for (i, some) in ids[..8].chunks(2).enumerate() {
                 let n = (seed as usize + i) % 3;
                 // Somebody is back: machines change their home, and are asked under a new epoch.
--- a/tests/world/days/compound.rs
+++ b/tests/world/days/compound.rs
@@ -90,7 +90,7 @@
         w.shape.run = 40 * S;
         guarded(seed, &mut w, |w| {
             w.run(0, 20 * S);
-            w.late_reports(0.5, 130 * S);
+            w.delay_heartbeats(0.5, 130 * S);
             for i in 0..5 {
                 // A lease that runs out while a machine hangs begins a new session.
                 for m in w.some_machines() {
@@ -143,7 +143,7 @@
             settle(w, 520 * S);
         });
         ended(&mut w, seed);
-        unheard += w.compound.unheard;
+        unheard += w.compound.lost_to_workers;
         confirmed += w.compound.cancel_answers.values().filter(|t| t.tasks > 0).count();
     }
     assert!(unheard > 50 && confirmed > 20, "{unheard} answers, {confirmed} cancellations with tasks alive");
@@ -200,11 +200,11 @@
             for i in 0..4 {
                 let n = (seed as usize + i) % 3;
                 let (p, q) = ((n + 1) % 3, (n + 2) % 3);
-                w.later(1, SimEvent::Controller(n, 0, Event::Leave));
+                w.schedule(1, SimEvent::Controller(n, 0, Event::Leave));
                 let until = w.now + w.rng.random_range(S / 10..S / 2);
                 w.run(0, until);
                 w.crash_for(n, S / 20..S / 10);
-                w.later(1, SimEvent::Controller(p, 0, Event::Leave));
+                w.schedule(1, SimEvent::Controller(p, 0, Event::Leave));
                 let until = w.now + w.rng.random_range(S / 10..S / 2);
                 w.run(0, until);
                 w.crash_for(n, S / 20..S / 10);
@@ -322,7 +322,7 @@
         guarded(seed, &mut w, |w| {
             w.run(0, 10 * S);
             let share = [0.1, 0.3, 0.6][seed as usize % 3];
-            w.late_writes(share, 110 * S);
+            w.delay_writes(share, 110 * S);
             for i in 0..5 {
                 let until = w.now + 22 * S;
                 w.run(0, until);
@@ -354,7 +354,7 @@
             w.run(0, 35 * S);
             let n = seed as usize % 3;
             let its: Vec<String> = ids.into_iter().filter(|id| owner(w, id) == Some(n)).collect();
-            w.late_writes(1.0, 20 * S);
+            w.delay_writes(1.0, 20 * S);
             for p in (0..3).filter(|&p| p != n) {
                 w.fail_one_way(n, p, 20 * S, LinkFault::Lost);
             }
--- a/tests/world/days/gap.rs
+++ b/tests/world/days/gap.rs
@@ -73,7 +73,7 @@
         let owned: BTreeSet<&String> = ids.iter().filter(|id| m.job_leader(id) == Some(n)).collect();
         let at_home = |w: &World, id: &str| {
             let m = &w.nodes[n].as_ref().expect("it lives").membership;
-            w.alive(id).any(|i| m.machine_leader(&w.workers[i].name) == Some(n))
+            w.machines_with_live_tasks(id).any(|i| m.machine_leader(&w.workers[i].name) == Some(n))
         };
         let homed: BTreeSet<&String> = ids.iter().filter(|id| at_home(w, id)).collect();
         let cancelled: Vec<String> = ids
--- a/tests/world/days/looks.rs
+++ b/tests/world/days/looks.rs
@@ -31,7 +31,7 @@
 impl Seen {
     fn add(&mut self, w: &World) {
         self.after.iter_mut().zip(w.client_probes.after).for_each(|(a, b)| *a += b);
-        self.around += w.client_probes.around;
+        self.around += w.client_probes.during_request;
         self.sent.iter_mut().zip(w.client_probes.sent).for_each(|(a, b)| *a += b);
         self.bound.iter_mut().zip(w.register.bound).for_each(|(a, b)| *a += b);
         self.concurrent += w.register.concurrent;
@@ -111,7 +111,7 @@
 fn users_look_closely_while_transactions_are_carried_out_late() {
     let seen = looks_beside(24_300, |seed, w| {
         let share = [0.1, 0.3, 0.6][seed as usize % 3];
-        w.late_writes(share, 100 * S);
+        w.delay_writes(share, 100 * S);
     });
     assert!(seen.late > 200, "{seen:?}");
 }
@@ -183,7 +183,7 @@
             all_come_and_end(w);
         });
         ended(&mut w, seed);
-        at_ends.iter_mut().zip(w.client_probes.at_ends).for_each(|(a, b)| *a += b);
+        at_ends.iter_mut().zip(w.client_probes.cancels_at_end).for_each(|(a, b)| *a += b);
     }
     assert!(at_ends[0] > 100 && at_ends[1] > 50 && at_ends[2] > 10, "sent, done, aborted: {at_ends:?}");
 }
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -244,7 +244,7 @@
 fn new_machines(seed: u64, ends: Ends, carried: Execution, share: f64) -> (World, Begun) {
     let mut w = World::new(seed, Shape { machines: 2, zone_capacity: 12, jobs: 0, ..SMALL });
     w.answer_gaps.pollers = true;
-    w.lost.boots = Some(1000..2 * S);
+    w.lost.boot_times = Some(1000..2 * S);
     let mut begun = Begun::default();
     guarded(seed, &mut w, |w| {
         w.log.push(format!("{ends:?}, {carried:?} {share}"));
@@ -294,7 +294,7 @@
             let until = w.now + w.rng.random_range(4 * S..10 * S);
             w.run(0, until);
         }
-        begun.machines = w.workers.iter().skip(2).filter(|x| x.begun).count();
+        begun.machines = w.workers.iter().skip(2).filter(|x| x.has_run_tasks).count();
         let until = w.last_fault_end().max(w.now) + 300 * S;
         settle(w, until);
     });
--- a/tests/world/days/pairs.rs
+++ b/tests/world/days/pairs.rs
@@ -70,10 +70,10 @@
 fn each_trouble_just_after_a_cancellation_was_confirmed() {
     each(22_400, |w, ids, trouble, n| {
         // Some gang may be between two attempts.
-        let id = ids.iter().max_by_key(|id| w.alive(id).count()).expect("jobs");
+        let id = ids.iter().max_by_key(|id| w.machines_with_live_tasks(id).count()).expect("jobs");
         let n = match w.rng.random_range(0..3) {
             0 => owner(w, id).unwrap_or(n),
-            1 => w.alive(id).next().and_then(|m| machine_leader(w, m)).unwrap_or(n),
+            1 => w.machines_with_live_tasks(id).next().and_then(|m| machine_leader(w, m)).unwrap_or(n),
             _ => n,
         };
         let until = w.now + 30 * S;
--- a/tests/world/days/plain.rs
+++ b/tests/world/days/plain.rs
@@ -81,9 +81,9 @@
     w.submit_to(0, &id);
     run_until(&mut w, 31 * S);
     assert_eq!(w.jobs[&id].known, KnownState::Accepted, "within a second");
-    let boots = w.boots.clone();
+    let boots = w.boot_ids.clone();
     run_until(&mut w, 150 * S);
-    assert_eq!((w.boots, w.jobs[&id].done.len()), (boots, w.jobs[&id].spec.task_count as usize));
+    assert_eq!((w.boot_ids, w.jobs[&id].done.len()), (boots, w.jobs[&id].spec.task_count as usize));
 }
 
 /// The bar that `play` holds every day to can fail: workers refuse all starts of one class, and it is named.
--- a/tests/world/days/refused.rs
+++ b/tests/world/days/refused.rs
@@ -71,7 +71,7 @@
     for seed in 25_500..25_503 {
         let mut w = World::new(seed, Shape { jobs: 0, ..SMALL });
         // Nobody knows the machine types yet, and the ring stands.
-        w.zones.cloud_out = 60 * S;
+        w.zones.cloud_outage_until = 60 * S;
         w.run(0, 15 * S);
         let mut counts = [0; 2];
         for n in 0..3 {
--- a/tests/world/days/register.rs
+++ b/tests/world/days/register.rs
@@ -32,11 +32,11 @@
                 w.record_request(4, 2, &query());
             }
             w.record_request(3, 1, &query());
-            w.answered(3, &known);
+            w.check_answer(3, &known);
             if !late {
                 w.record_request(4, 2, &query());
             }
-            let said = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| w.answered(4, &then)));
+            let said = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| w.check_answer(4, &then)));
             match said {
                 Ok(()) => assert!(late, "{known:?}, then {then:?}"),
                 Err(e) => {
@@ -59,6 +59,9 @@
     w.record_request(1, 0, &UserRequest::Submit("wk-000001".into(), body.to_string()));
     w.record_request(2, 1, &UserRequest::Cancel("wk-000001".into()));
     w.record_request(3, 2, &UserRequest::Query("wk-000001".into()));
-    w.answered(2, &Reply::json(200, &json!({"uid": "wk-000001", "stance": "aborted"})));
-    w.answered(3, &Reply::json(200, &json!({"uid": "wk-000001", "stance": "done", "done": 1, "running": 0})));
+    w.check_answer(2, &Reply::json(200, &json!({"uid": "wk-000001", "stance": "aborted"})));
+    w.check_answer(
+        3,
+        &Reply::json(200, &json!({"uid": "wk-000001", "stance": "done", "done": 1, "running": 0})),
+    );
 }
--- a/tests/world/days/releases.rs
+++ b/tests/world/days/releases.rs
@@ -21,8 +21,11 @@
         for _ in 0..20 {
             self.serial += 1;
             let ticket = self.serial;
-            self.tickets.insert(ticket, Ticket::Asked);
-            self.later(1, SimEvent::Controller(n, 0, Event::Operator { ticket, request: request.clone() }));
+            self.tickets.insert(ticket, Ticket::TestRequest);
+            self.schedule(
+                1,
+                SimEvent::Controller(n, 0, Event::Operator { ticket, request: request.clone() }),
+            );
             let end = self.now + 12 * S;
             while self.now < end && !self.answers.contains_key(&ticket) {
                 let next = self.now + S / 10;
@@ -84,7 +87,7 @@
             true => {
                 let n = w.rng.random_range(0..3usize);
                 w.crash(n);
-                w.back_at[n] = w.now + w.rng.random_range(S / 10..S / 2);
+                w.restart_at[n] = w.now + w.rng.random_range(S / 10..S / 2);
             }
             false => w.inject_random_fault(),
         }
--- a/tests/world/days/restarts.rs
+++ b/tests/world/days/restarts.rs
@@ -75,7 +75,7 @@
                 assert!(w.balancer.removed[p].is_empty(), "{p} taken out: {:?}", w.balancer.removed);
             }
             w.run(0, 103 * S);
-            assert!(w.balancer.ready(n), "it passes on and says so");
+            assert!(w.balancer.is_ready(n), "it passes on and says so");
             let known = |j: &&UserJob| j.known != KnownState::Unknown;
             let some: Vec<String> =
                 w.jobs.values().filter(known).map(|j| j.spec.id.clone()).take(9).collect();
@@ -109,7 +109,7 @@
             for i in 0..2 {
                 let n = seed as usize % 3;
                 w.crash(n);
-                let until = w.back_at[n] + S;
+                let until = w.restart_at[n] + S;
                 w.run(0, until);
                 let at = w.clock(n);
                 let acts = w.nodes[n].as_ref().is_some_and(|x| x.membership.is_leader(at));
--- a/tests/world/days/rough.rs
+++ b/tests/world/days/rough.rs
@@ -15,7 +15,7 @@
 fn restart_all(w: &mut World) {
     for n in 0..3 {
         w.crash(n);
-        w.back_at[n] = w.now + S / 5;
+        w.restart_at[n] = w.now + S / 5;
     }
 }
 
@@ -50,7 +50,7 @@
             assert_eq!(unresolved_sets(&mut w, n), (0, 0), "seed {seed}, {n}");
         }
         w.crash(seed as usize % 3);
-        w.back_at[seed as usize % 3] = w.now + S / 5;
+        w.restart_at[seed as usize % 3] = w.now + S / 5;
         let until = w.now + 4 * S;
         w.run(0, until);
         for n in 0..3 {
@@ -94,7 +94,7 @@
                 for _ in 0..w.rng.random_range(1..4) {
                     let n = w.rng.random_range(0..3usize);
                     w.crash(n);
-                    w.back_at[n] = w.now + w.rng.random_range(S / 20..S / 2);
+                    w.restart_at[n] = w.now + w.rng.random_range(S / 20..S / 2);
                 }
                 let (n, long) = (w.rng.random_range(0..3usize), w.rng.random_range(S..25 * S));
                 match w.rng.random_range(0..5) {
--- a/tests/world/days/takeovers.rs
+++ b/tests/world/days/takeovers.rs
@@ -114,7 +114,7 @@
         let epoch = w.epoch();
         for i in 0..3 {
             let n = (seed as usize + i) % 3;
-            w.later(1, SimEvent::Controller(n, 0, Event::Leave));
+            w.schedule(1, SimEvent::Controller(n, 0, Event::Leave));
             let told = w.now;
             while !w.nodes[n].as_ref().is_some_and(|node| node.can_exit(w.clock(n))) {
                 let until = w.now + S / 10;
@@ -126,7 +126,7 @@
             }
             assert!(w.now < told + 2 * S, "seed {seed}: {n} took {} s", (w.now - told) as f64 / 1e6);
             w.crash(n);
-            w.back_at[n] = w.now + 8 * S;
+            w.restart_at[n] = w.now + 8 * S;
             // A machine that has just come up reports twice before its tasks count as known.
             let until = w.now + 4 * S;
             w.run(0, until);
@@ -167,7 +167,7 @@
             }
         }
         w.crash(n);
-        w.back_at[n] = w.now + 4 * S;
+        w.restart_at[n] = w.now + 4 * S;
         let until = w.now + 7 * S;
         w.run(0, until);
         let now = w.clock(n);
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -185,7 +185,7 @@
     w.run(0, 30 * S);
     for i in 0..3 {
         let n = (round as usize + i) % 3;
-        w.later(1, SimEvent::Controller(n, 0, Event::Leave));
+        w.schedule(1, SimEvent::Controller(n, 0, Event::Leave));
         let end = w.now + 4 * S;
         while w.now < end && !w.nodes[n].as_ref().is_some_and(|node| node.can_exit(w.clock(n))) {
             let until = w.now + S / 10;
@@ -246,7 +246,7 @@
     match round % 3 {
         0 => w.slow_store(20 * S),
         1 => w.slow_store_by(60 * S, S / 20..9 * S / 10),
-        _ => w.late_writes(0.3, 60 * S),
+        _ => w.delay_writes(0.3, 60 * S),
     }
     pass(w, 10 * S, 30 * S);
     w.refuse(round as usize % 3, 8 * S);
@@ -261,7 +261,7 @@
     w.lose_answers(None, 0.3, 70 * S, WAYS[round as usize % 4]);
     w.hold_back_heartbeats(0.5, 70 * S);
     w.lose_scale_out_answers(0.5, 60 * S);
-    w.late_reports(0.3, 70 * S);
+    w.delay_heartbeats(0.3, 70 * S);
     for i in 0..3 {
         pass(w, 8 * S, 16 * S);
         let machines = w.some_machines();
@@ -279,12 +279,16 @@
 
 /// A zone with its workers and its controller is cut off, the cloud is away, and jobs are bound to zones.
 fn cut_zones(round: u64, w: &mut World) {
-    w.zones.cloud_out = w.rng.random_range(5 * S..30 * S);
+    w.zones.cloud_outage_until = w.rng.random_range(5 * S..30 * S);
     w.run(0, 20 * S);
     let mut ids = zones::bound_jobs(w, 8, 40 * S);
     ids.extend(long_jobs(w, 3, 60 * S));
     w.run(0, 45 * S);
-    w.zone_cut(ZONES[round as usize % 2], [12, 30][round as usize / 2 % 2] * S, round.is_multiple_of(3));
+    w.partition_zone(
+        ZONES[round as usize % 2],
+        [12, 30][round as usize / 2 % 2] * S,
+        round.is_multiple_of(3),
+    );
     pass(w, 2 * S, 9 * S);
     cancel_all(w, &ids[..5], 20 * S);
     w.run(0, 120 * S);
@@ -314,7 +318,7 @@
     w.run(0, 20 * S);
     let ids = long_jobs(w, 9, 60 * S);
     w.run(0, 30 * S);
-    w.late_commands([0.5, 1.0][round as usize % 2], 70 * S);
+    w.delay_fencing_probes([0.5, 1.0][round as usize % 2], 70 * S);
     for (i, some) in ids[..6].chunks(2).enumerate() {
         let n = (round as usize + i) % 3;
         w.crash_for((n + 1) % 3, S / 20..S / 10);
--- a/tests/world/days/zones.rs
+++ b/tests/world/days/zones.rs
@@ -82,11 +82,12 @@
             let zone = ZONES[seed as usize % 2];
             let long = [20, 30, 50, 80][seed as usize / 2 % 4] * S;
             let (epoch, from) = (w.epoch(), w.now);
-            w.zone_cut(zone, long, seed % 4 < 2);
+            w.partition_zone(zone, long, seed % 4 < 2);
             // By now the others have raised the epoch.
             w.run(0, from + 9 * S);
             assert!(w.epoch() > epoch, "seed {seed}: the others go on without the controller inside");
-            let holds = |w: &World, id: &str| w.alive(id).any(|i| w.workers[i].zone == zone);
+            let holds =
+                |w: &World, id: &str| w.machines_with_live_tasks(id).any(|i| w.workers[i].zone == zone);
             let its: Vec<String> = ids.iter().filter(|id| holds(w, id)).cloned().collect();
             left += its.len();
             cancel_all(w, &its[..its.len() * 2 / 3], long + 10 * S);
@@ -177,7 +178,7 @@
                     }),
                     1 => of[..some].iter().for_each(|&m| w.workers[m].unresponsive_until = w.now + long),
                     2 => w.lose_inbound_messages(&of[..some], long),
-                    _ => w.zone_cut(zone, long, i % 2 == 0),
+                    _ => w.partition_zone(zone, long, i % 2 == 0),
                 }
                 if i % 2 == 1 {
                     let n = w.rng.random_range(0..3);
@@ -190,7 +191,7 @@
             settle(w, 560 * S);
         });
         ended(&mut w, seed);
-        bound.iter_mut().zip(w.zones.bound).for_each(|(a, b)| *a += b);
+        bound.iter_mut().zip(w.zones.constrained_starts).for_each(|(a, b)| *a += b);
         let one = |id: &&String| w.jobs[*id].spec.one_zone && w.jobs[*id].spec.zone.is_none();
         moved += w.zones.places.iter().filter(|(id, z)| one(id) && z.len() > 1).count();
         let scattered = |id: &&String| w.jobs[*id].spec.spread && !w.jobs[*id].spec.one_zone;
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -27,22 +27,22 @@
 
 #[derive(Default)]
 pub(crate) struct ClientProbes {
-    close_until: u64,
+    bursts_until: u64,
     /// Share of the jobs and the end time.
     at_end: (f64, u64),
-    odd_until: u64,
-    odd_next: u64,
+    invalid_until: u64,
+    invalid_next: u64,
     /// Jobs that must not be accepted, with their descriptions.
     pub(crate) invalid: BTreeMap<String, (SubmissionVariant, String)>,
-    /// Requests sent after a client learned of an acceptance and of an outcome; `around` counts those sent while a
+    /// Requests sent after a client learned of an acceptance and of an outcome; `during_request` counts those sent while a
     /// submission or cancellation was in flight.
     pub(crate) after: [usize; 2],
-    pub(crate) around: usize,
+    pub(crate) during_request: usize,
     /// Requests sent: queries, repeats with the same body, with another valid body and with an invalid body,
     /// cancellations.
     pub(crate) sent: [usize; 5],
     /// Cancellations at a job's end: sent, answered "done" and answered "aborted".
-    pub(crate) at_ends: [usize; 3],
+    pub(crate) cancels_at_end: [usize; 3],
     /// Rejected submissions of invalid jobs: for a field (400), permanently (422) and temporarily (503).
     pub(crate) rejected: [usize; 3],
     /// Cancellations of jobs whose outcome a client already knew.
@@ -51,29 +51,29 @@
 
 impl ClientProbes {
     pub(crate) fn last_fault_end(&self) -> u64 {
-        self.close_until.max(self.at_end.1).max(self.odd_until)
+        self.bursts_until.max(self.at_end.1).max(self.invalid_until)
     }
 }
 
 impl World {
-    /// Clients send bursts to all controllers for this time.
+    /// Clients send bursts to all controllers for `duration`.
     pub(crate) fn enable_probe_bursts(&mut self, duration: u64) {
-        self.client_probes.close_until = self.now + duration;
+        self.client_probes.bursts_until = self.now + duration;
     }
 
-    /// For this time, clients cancel this share of the jobs just as they end.
+    /// For `duration`, clients cancel this share of the jobs just as they end.
     pub(crate) fn cancel_at_end(&mut self, share: f64, duration: u64) {
         self.client_probes.at_end = (share, self.now + duration);
     }
 
-    /// For this time, clients repeat submissions of unfinished jobs, cancel done jobs and send invalid submissions.
+    /// For `duration`, clients repeat submissions of unfinished jobs, cancel done jobs and send invalid submissions.
     pub(crate) fn enable_invalid_requests(&mut self, duration: u64) {
-        self.client_probes.odd_until = self.now + duration;
+        self.client_probes.invalid_until = self.now + duration;
     }
 
     fn schedule_probe(&mut self, delay: u64, job: &str, kind: char, variant: SubmissionVariant) {
         let node = self.rng.random_range(0..3);
-        self.later(delay, SimEvent::ClientProbe(ClientProbe { job: job.to_owned(), kind, variant, node }));
+        self.schedule(delay, SimEvent::ClientProbe(ClientProbe { job: job.to_owned(), kind, variant, node }));
     }
 
     /// Sends queries and one repeated submission, 0 to 50 ms apart, to all controllers, perhaps with one
@@ -100,28 +100,28 @@
             // Each controller once, then random ones.
             let node = if i < 3 { i } else { self.rng.random_range(0..3) };
             let job = job.to_owned();
-            self.later(delay, SimEvent::ClientProbe(ClientProbe { job, kind, variant, node }));
+            self.schedule(delay, SimEvent::ClientProbe(ClientProbe { job, kind, variant, node }));
         }
         count
     }
 
     /// Called when a submission or cancellation of a job is sent.
     pub(crate) fn probe_during_request(&mut self, job: &str) {
-        if self.now < self.client_probes.close_until && self.jobs.contains_key(job) {
-            self.client_probes.around += self.send_burst(job, 0.1);
+        if self.now < self.client_probes.bursts_until && self.jobs.contains_key(job) {
+            self.client_probes.during_request += self.send_burst(job, 0.1);
         }
     }
 
     /// Called when a client has learned that a job is accepted or has ended.
     pub(crate) fn probe_after_answer(&mut self, job: &str, ended: bool) {
-        if self.now < self.client_probes.close_until && self.jobs.contains_key(job) {
+        if self.now < self.client_probes.bursts_until && self.jobs.contains_key(job) {
             let sent = self.send_burst(job, 0.25);
             self.client_probes.after[usize::from(ended)] += sent;
         }
     }
 
     /// Called when the last task of each of these jobs has ended.
-    pub(crate) fn last_tasks_ended(&mut self, jobs: &[String]) {
+    pub(crate) fn cancel_ended_jobs(&mut self, jobs: &[String]) {
         let (share, until) = self.client_probes.at_end;
         for job in jobs {
             if self.now >= until || !self.rng.random_bool(share) {
@@ -130,7 +130,7 @@
             // At once, or while the outcome is reported and stored.
             let within = [5_000, 50_000, 300_000, 2 * S][self.rng.random_range(0..4usize)];
             let delay = self.rng.random_range(0..within);
-            self.client_probes.at_ends[0] += 1;
+            self.client_probes.cancels_at_end[0] += 1;
             self.schedule_probe(delay, job, 'w', SubmissionVariant::Original);
             for kind in ['q', 's', 'q', 'w'] {
                 if self.rng.random_bool(0.4) {
@@ -192,13 +192,13 @@
 
     /// Sends a request of a probing client.
     pub(crate) fn send_client_probe(&mut self, probe: ClientProbe) {
-        let odd = self.client_probes.invalid.get(&probe.job).cloned();
+        let invalid = self.client_probes.invalid.get(&probe.job).cloned();
         // Limited controllers get no requests that use newer features.
-        if self.limited[probe.node] || (odd.is_none() && !self.jobs.contains_key(&probe.job)) {
+        if self.limited[probe.node] || (invalid.is_none() && !self.jobs.contains_key(&probe.job)) {
             return;
         }
         let id = probe.job.clone();
-        let request = match (probe.kind, odd) {
+        let request = match (probe.kind, invalid) {
             ('s', Some((_, body))) => UserRequest::Submit(id, body),
             ('s', None) => UserRequest::Submit(id, self.varied_description(&probe.job, probe.variant)),
             ('w', _) => {
@@ -210,14 +210,14 @@
             }
             _ => UserRequest::Query(id),
         };
-        let sort = match (probe.kind, probe.variant) {
+        let counter = match (probe.kind, probe.variant) {
             ('q', _) => 0,
             ('s', SubmissionVariant::Original) => 1,
             ('s', SubmissionVariant::Different) => 2,
             ('s', _) => 3,
             _ => 4,
         };
-        self.client_probes.sent[sort] += 1;
+        self.client_probes.sent[counter] += 1;
         if let (true, Some(user_job)) = (probe.kind == 's', self.jobs.get_mut(&probe.job)) {
             user_job.submitted = true;
         }
@@ -225,15 +225,15 @@
         let (ticket, node) = (self.serial, probe.node);
         self.tickets.insert(ticket, Ticket::ClientProbe(probe));
         let delay = self.rng.random_range(100..3000);
-        self.later(delay, SimEvent::Controller(node, 0, Event::User { ticket, request }));
+        self.schedule(delay, SimEvent::Controller(node, 0, Event::User { ticket, request }));
     }
 
     /// Checks the answer to a probing client. `answered` has checked it against the register before.
     pub(crate) fn check_probe_answer(&mut self, probe: &ClientProbe, reply: &Reply) {
-        let odd = self.client_probes.invalid.get(&probe.job).map(|o| o.0);
+        let invalid = self.client_probes.invalid.get(&probe.job).map(|o| o.0);
         if reply.status == 503 {
             assert!(reply.retry_after.is_some(), "a 503 has a Retry-After");
-            self.client_probes.rejected[2] += usize::from(odd.is_some() && probe.kind == 's');
+            self.client_probes.rejected[2] += usize::from(invalid.is_some() && probe.kind == 's');
             return;
         }
         let expected_status = |variant: SubmissionVariant| match variant {
@@ -241,7 +241,7 @@
             SubmissionVariant::Unschedulable => 422,
             _ => 0,
         };
-        if let Some(variant) = odd {
+        if let Some(variant) = invalid {
             let expected = if probe.kind == 's' { expected_status(variant) } else { 404 };
             assert_eq!(reply.status, expected, "an invalid job, {probe:?}: {reply:?}");
             if probe.kind == 's' {
@@ -262,8 +262,8 @@
         if probe.kind == 'w' && self.now < self.client_probes.at_end.1 + 10 * S {
             let body: Value = serde_json::from_str(&reply.body).expect("JSON");
             match body["stance"].as_str() {
-                Some("done") => self.client_probes.at_ends[1] += 1,
-                Some(_) => self.client_probes.at_ends[2] += 1,
+                Some("done") => self.client_probes.cancels_at_end[1] += 1,
+                Some(_) => self.client_probes.cancels_at_end[2] += 1,
                 None => {}
             }
         }
@@ -271,15 +271,15 @@
 
     /// Sends invalid requests at random intervals.
     pub(crate) fn send_invalid_requests(&mut self) {
-        if self.now >= self.client_probes.odd_until || self.now < self.client_probes.odd_next {
+        if self.now >= self.client_probes.invalid_until || self.now < self.client_probes.invalid_next {
             return;
         }
-        self.client_probes.odd_next = self.now + self.rng.random_range(S / 10..S / 2);
-        let known = |f: &dyn Fn(&UserJob) -> bool| -> Vec<String> {
+        self.client_probes.invalid_next = self.now + self.rng.random_range(S / 10..S / 2);
+        let job_ids = |f: &dyn Fn(&UserJob) -> bool| -> Vec<String> {
             self.jobs.iter().filter(|(_, j)| f(j)).map(|(id, _)| id.clone()).collect()
         };
-        let live = known(&|j| j.known == KnownState::Accepted);
-        let done = known(&|j| j.known == KnownState::Done);
+        let live = job_ids(&|j| j.known == KnownState::Accepted);
+        let done = job_ids(&|j| j.known == KnownState::Done);
         let pick = |world: &mut World, of: &[String]| match of.len() {
             0 => None,
             n => Some(of[world.rng.random_range(0..n)].clone()),
--- a/tests/world/lost.rs
+++ b/tests/world/lost.rs
@@ -112,8 +112,8 @@
     pub(crate) lost_heartbeats: usize,
     pub(crate) fencing_answers: usize,
     /// Range of the boot times of new machines; random if `None`.
-    pub(crate) boots: Option<Range<u64>>,
-    rentals: (f64, u64),
+    pub(crate) boot_times: Option<Range<u64>>,
+    scale_outs: (f64, u64),
     /// Scale-outs carried out without an answer.
     pub(crate) lost_scale_outs: usize,
     /// End time and extra delay of each controller's requests on its membership lane.
@@ -124,7 +124,7 @@
     /// The end of the last fault.
     pub(crate) fn until(&self) -> u64 {
         let ends = self.losses.iter().map(|l| l.until).chain(self.membership_delay.iter().map(|l| l.0));
-        ends.chain([self.reports.1, self.rentals.1]).max().unwrap_or(0)
+        ends.chain([self.reports.1, self.scale_outs.1]).max().unwrap_or(0)
     }
 
     /// Whether controllers or services that they need are failing.
@@ -144,7 +144,7 @@
 }
 
 impl World {
-    /// For this time, this share of the writes of a kind (`None`: of any kind) gets no answer.
+    /// For `duration`, this share of the writes of a kind (`None`: of any kind) gets no answer.
     pub(crate) fn lose_answers(
         &mut self,
         of: Option<Write>,
@@ -168,7 +168,7 @@
         self.lost.losses.push(AnswerLoss { of: Some(of), by: Some(controller), share, until, execution });
     }
 
-    /// For this time, copies of this share of the workers' heartbeats are held back until the next epoch. Then they
+    /// For `duration`, copies of this share of the workers' heartbeats are held back until the next epoch. Then they
     /// arrive at every controller, half of them only after a task was started in that epoch.
     pub(crate) fn hold_back_heartbeats(&mut self, share: f64, duration: u64) {
         self.lost.reports = (share, self.now + duration);
@@ -181,9 +181,9 @@
         }
     }
 
-    /// For this time, this share of scale-outs is carried out without an answer.
+    /// For `duration`, this share of scale-outs is carried out without an answer.
     pub(crate) fn lose_scale_out_answers(&mut self, share: f64, duration: u64) {
-        self.lost.rentals = (share, self.now + duration);
+        self.lost.scale_outs = (share, self.now + duration);
     }
 
     /// Delays a controller's requests on its membership lane, but not its other requests.
@@ -270,17 +270,17 @@
         self.lost.counts.entry((kind, loss.execution)).or_default().asked += 1;
         let write = UnansweredWrite {
             controller,
-            boot: self.boots[controller],
+            boot: self.boot_ids[controller],
             kind,
             execution: loss.execution,
             request: request.clone(),
         };
         match loss.execution {
             Execution::Never => {}
-            Execution::AtOnce => self.later(delay, SimEvent::Unanswered(write)),
+            Execution::AtOnce => self.schedule(delay, SimEvent::Unanswered(write)),
             Execution::Late => {
                 let late = self.rng.random_range(2 * S..12 * S);
-                self.later(late, SimEvent::Unanswered(write));
+                self.schedule(late, SimEvent::Unanswered(write));
             }
             Execution::AfterSuccessor => self.lost.waiting.push(write),
         }
@@ -294,7 +294,7 @@
             // informed.
             if write.execution == Execution::Late {
                 let delay = self.outage_until - self.now + S / 10;
-                self.later(delay, SimEvent::Unanswered(write));
+                self.schedule(delay, SimEvent::Unanswered(write));
             }
             return;
         }
@@ -344,7 +344,7 @@
             };
             for write in self.lost.waiting.extract_if(.., writes_same_key).collect::<Vec<_>>() {
                 let soon = self.rng.random_range(1..3 * S / 10);
-                self.later(soon, SimEvent::Unanswered(write));
+                self.schedule(soon, SimEvent::Unanswered(write));
             }
         }
         answer
@@ -377,7 +377,7 @@
     }
 
     /// Holds back a copy of a random share of the heartbeats, at most four for each machine, old ones included.
-    pub(crate) fn hold_back_heartbeat(&mut self, worker_index: usize, report: &Heartbeat) {
+    pub(crate) fn hold_back_heartbeat(&mut self, worker_index: usize, heartbeat: &Heartbeat) {
         const KEPT: usize = 4;
         let (share, until) = self.lost.reports;
         if self.now >= until || !self.rng.random_bool(share) {
@@ -387,10 +387,10 @@
             .filter(|slot| self.lost.held_back[*slot].0 == worker_index)
             .collect();
         if from_worker.len() < KEPT {
-            self.lost.held_back.push((worker_index, report.clone()));
+            self.lost.held_back.push((worker_index, heartbeat.clone()));
         } else {
             let slot = from_worker[self.rng.random_range(0..KEPT)];
-            self.lost.held_back[slot].1 = report.clone();
+            self.lost.held_back[slot].1 = heartbeat.clone();
         }
     }
 
@@ -404,11 +404,11 @@
             return;
         }
         self.lost.epoch = epoch;
-        for (worker_index, report) in std::mem::take(&mut self.lost.held_back) {
+        for (worker_index, heartbeat) in std::mem::take(&mut self.lost.held_back) {
             if self.rng.random_bool(0.5) {
-                self.deliver_to_all(worker_index, &report);
+                self.deliver_to_all(worker_index, &heartbeat);
             } else {
-                self.lost.awaiting_start.push((epoch, worker_index, report));
+                self.lost.awaiting_start.push((epoch, worker_index, heartbeat));
             }
         }
     }
@@ -420,22 +420,22 @@
         }
         // The upper bits of an attempt hold its epoch.
         let epoch = attempt >> 24;
-        for (_, worker_index, report) in
+        for (_, worker_index, heartbeat) in
             self.lost.awaiting_start.extract_if(.., |h| h.0 <= epoch).collect::<Vec<_>>()
         {
-            self.deliver_to_all(worker_index, &report);
+            self.deliver_to_all(worker_index, &heartbeat);
         }
     }
 
-    fn deliver_to_all(&mut self, worker_index: usize, report: &Heartbeat) {
+    fn deliver_to_all(&mut self, worker_index: usize, heartbeat: &Heartbeat) {
         for controller in 0..3 {
             let soon = self.rng.random_range(1..3 * S / 10);
-            self.later(soon, SimEvent::HeldBackHeartbeat(worker_index, controller, report.clone()));
+            self.schedule(soon, SimEvent::HeldBackHeartbeat(worker_index, controller, heartbeat.clone()));
         }
     }
 
     /// Counts and delivers a copy that was held back. The response to it is dropped.
-    pub(crate) fn deliver_held_back(&mut self, worker_index: usize, controller: usize, report: Heartbeat) {
+    pub(crate) fn deliver_held_back(&mut self, worker_index: usize, controller: usize, heartbeat: Heartbeat) {
         let worker = &self.workers[worker_index];
         let copies = &mut self.lost.copies;
         copies.all += 1;
@@ -446,15 +446,15 @@
             copies.first += usize::from(worker.token < epoch);
             copies.acted += usize::from(worker.tasks.iter().any(|t| t.attempt >> 24 >= epoch));
         }
-        copies.earlier += usize::from(worker.incarnation > report.incarnation);
+        copies.earlier += usize::from(worker.incarnation > heartbeat.incarnation);
         copies.gone += usize::from(worker.gone || worker.dead);
         let lists = |r: &HeartbeatTask| {
             worker.tasks.iter().any(|t| t.attempt == r.attempt && r.task == format!("{}/{}", t.job, t.index))
         };
         copies.forgotten +=
-            usize::from(report.tasks.iter().any(|r| r.cause.as_deref() == Some("done") && !lists(r)));
+            usize::from(heartbeat.tasks.iter().any(|r| r.cause.as_deref() == Some("done") && !lists(r)));
         self.serial += 1;
-        self.step_controller(controller, Event::Heartbeat { ticket: self.serial, heartbeat: report });
+        self.step_controller(controller, Event::Heartbeat { ticket: self.serial, heartbeat });
     }
 
     /// Drops the answers to a random share of successful scale-outs.
@@ -463,7 +463,7 @@
         request: &CloudRequest,
         answer: CloudAnswer,
     ) -> CloudAnswer {
-        let (share, until) = self.lost.rentals;
+        let (share, until) = self.lost.scale_outs;
         let rented = matches!((request, &answer), (CloudRequest::ScaleOut(_), CloudAnswer::ScaledOut(_)));
         if !rented || self.now >= until || !self.rng.random_bool(share) {
             return answer;
@@ -486,6 +486,6 @@
         self.serial += 1;
         self.tickets.insert(self.serial, Ticket::Poll(id.to_owned(), controller, self.now));
         let query = Event::User { ticket: self.serial, request: UserRequest::Query(id.to_owned()) };
-        self.later(1, SimEvent::Controller(controller, self.boots[controller], query));
+        self.schedule(1, SimEvent::Controller(controller, self.boot_ids[controller], query));
     }
 }
--- a/tests/world/net.rs
+++ b/tests/world/net.rs
@@ -4,23 +4,24 @@
 use super::*;
 
 impl World {
-    pub(crate) fn later(&mut self, delay: u64, what: SimEvent) {
-        if let SimEvent::Controller(n, _, Event::User { ticket, request }) = &what {
-            self.record_request(*ticket, *n, request);
+    pub(crate) fn schedule(&mut self, delay: u64, sim_event: SimEvent) {
+        if let SimEvent::Controller(controller, _, Event::User { ticket, request }) = &sim_event {
+            self.record_request(*ticket, *controller, request);
         }
         self.serial += 1;
-        self.queue.insert((self.now + delay.max(1), self.serial), what);
+        self.queue.insert((self.now + delay.max(1), self.serial), sim_event);
     }
 
     /// The delay of a message between two endpoints: short, or until the end of a partition that holds messages back.
     /// `None` if the message is lost.
-    pub(crate) fn message_delay(&mut self, a: Endpoint, b: Endpoint) -> Option<u64> {
+    pub(crate) fn message_delay(&mut self, from: Endpoint, to: Endpoint) -> Option<u64> {
         let slow = self.rng.random_bool(0.01) && !self.no_slow_messages;
         let delay = self.rng.random_range(500..4000) + if slow { 300_000 } else { 0 };
-        let hit = |x: Endpoint, y: Endpoint| (x == a && y == b) || (x == b && y == a);
-        let cut = self.partitions.iter().find(|&&(x, y, until, _)| hit(x, y) && self.now < until).copied();
-        let delay = delay + self.one_way_delay(a, b)? + self.endpoint_delay(a, b)?;
-        match cut {
+        let matches_link = |x: Endpoint, y: Endpoint| (x == from && y == to) || (x == to && y == from);
+        let partition =
+            self.partitions.iter().find(|&&(x, y, until, _)| matches_link(x, y) && self.now < until).copied();
+        let delay = delay + self.one_way_delay(from, to)? + self.endpoint_delay(from, to)?;
+        match partition {
             None => Some(delay),
             Some((_, _, until, true)) => Some(until - self.now + delay),
             Some(_) => None,
@@ -35,11 +36,11 @@
         if self.now < self.paused_until[controller] {
             // A paused controller processes the event after the pause.
             let delay = self.paused_until[controller] - self.now;
-            let boot = self.boots[controller];
-            return self.later(delay, SimEvent::Controller(controller, boot, event));
+            let boot = self.boot_ids[controller];
+            return self.schedule(delay, SimEvent::Controller(controller, boot, event));
         }
         let (now, wall) = (self.clock(controller), Micros(self.now + 100_000 * controller as u64));
-        let boot = self.boots[controller];
+        let boot = self.boot_ids[controller];
         let Some(node) = self.nodes[controller].as_mut() else { return };
         let mut out = Vec::new();
         node.step(now, wall, event, &mut out);
@@ -53,12 +54,12 @@
                 self.now as f64 / 1e6,
                 duration as f64 / 1e6
             ));
-            return self.later(duration, SimEvent::Effects(controller, boot, out));
+            return self.schedule(duration, SimEvent::Effects(controller, boot, out));
         }
-        self.effects(controller, out);
+        self.run_effects(controller, out);
     }
 
-    pub(crate) fn effects(&mut self, controller: usize, out: Vec<Effect>) {
+    pub(crate) fn run_effects(&mut self, controller: usize, out: Vec<Effect>) {
         let now = self.clock(controller);
         for effect in out {
             let valid_effect =
@@ -67,7 +68,7 @@
                 // A process that crashes here has carried out the earlier effects, and perhaps this one.
                 let ends = self.crashes_at(&effect);
                 if ends != Some(false) {
-                    self.effect(controller, effect);
+                    self.run_effect(controller, effect);
                 }
                 if ends.is_some() {
                     self.log.push(format!("{:.1}: {controller} crashes", self.now as f64 / 1e6));
@@ -77,11 +78,11 @@
         }
     }
 
-    pub(crate) fn effect(&mut self, controller: usize, effect: Effect) {
+    pub(crate) fn run_effect(&mut self, controller: usize, effect: Effect) {
         if let Some(trace) = &mut self.trace {
             trace.note(self.now, controller, &effect);
         }
-        let boot = self.boots[controller];
+        let boot = self.boot_ids[controller];
         match effect {
             Effect::Reply { ticket: reply_ticket, reply }
                 if self.is_answer_lost(controller, reply_ticket, &reply) => {}
@@ -89,29 +90,29 @@
                 Some(ticket @ Ticket::ClientProbe(_)) => {
                     self.check_sent_answer(controller, &reply);
                     self.tickets.insert(reply_ticket, ticket);
-                    self.later(1000, SimEvent::UserAnswer(reply_ticket, reply));
+                    self.schedule(1000, SimEvent::UserAnswer(reply_ticket, reply));
                 }
                 Some(Ticket::Worker(worker_index, seq)) => {
                     self.count_isolated_answer(controller, worker_index, &reply);
                     if let Some(travel_time) = self.delay_to_worker(controller, worker_index) {
-                        self.later(travel_time, SimEvent::WorkerAnswer(worker_index, seq, reply));
+                        self.schedule(travel_time, SimEvent::WorkerAnswer(worker_index, seq, reply));
                     }
                 }
                 Some(ticket @ Ticket::User(..)) => {
                     self.check_sent_answer(controller, &reply);
                     self.tickets.insert(reply_ticket, ticket);
-                    self.later(1000, SimEvent::UserAnswer(reply_ticket, reply));
+                    self.schedule(1000, SimEvent::UserAnswer(reply_ticket, reply));
                 }
                 Some(Ticket::Writer(permit_request)) => self.check_permit_answer(&permit_request, &reply),
-                Some(Ticket::Asked) => {
+                Some(Ticket::TestRequest) => {
                     self.check_sent_answer(controller, &reply);
-                    self.answered(reply_ticket, &reply);
+                    self.check_answer(reply_ticket, &reply);
                     self.answers.insert(reply_ticket, reply);
                 }
                 Some(Ticket::Poll(id, controller, asked)) => {
                     self.check_sent_answer(controller, &reply);
-                    self.answered(reply_ticket, &reply);
-                    self.polled(&id, controller, asked, &reply);
+                    self.check_answer(reply_ticket, &reply);
+                    self.check_poll_answer(&id, controller, asked, &reply);
                 }
                 Some(Ticket::Probe(controller)) => {
                     self.balancer.record_probe(self.now, controller, reply.status == 200)
@@ -140,12 +141,12 @@
                     }
                     if is_new {
                         let to = frame.echo_boot;
-                        assert!(to != self.boots[peer], "{peer} can't read {:?}", frame.body);
+                        assert!(to != self.boot_ids[peer], "{peer} can't read {:?}", frame.body);
                         return;
                     }
                 }
                 let bytes = frame.encode().expect("frames can be encoded");
-                let decoded = hazelsaddle::peer::Frame::decode(&bytes[4..]).expect("and read again");
+                let decoded = hazelsaddle::peer::Frame::decode(&bytes[4..]).expect("frames can be decoded");
                 let is_handoff = matches!(frame.body, Message::Handoff { .. } | Message::HandoffAck(_));
                 self.handoff_batches += usize::from(matches!(frame.body, Message::Handoff { .. }));
                 let copies = match is_handoff
@@ -160,7 +161,7 @@
                     if let Some(travel_time) =
                         self.message_delay(Endpoint::Controller(controller), Endpoint::Controller(peer))
                     {
-                        self.later(
+                        self.schedule(
                             travel_time + late,
                             SimEvent::Controller(peer, 0, Event::Frame(Box::new(decoded.clone()))),
                         );
@@ -171,7 +172,7 @@
                 let until = self.now + wait.0;
                 if self.is_refused(controller) {
                     self.compound.refusals += 1;
-                    return self.later(
+                    return self.schedule(
                         1000,
                         SimEvent::Controller(
                             controller,
@@ -185,7 +186,7 @@
                 {
                     self.watches.push((controller, boot, id, prefix, after, until));
                 } else {
-                    self.later(
+                    self.schedule(
                         2 * S,
                         SimEvent::Controller(
                             controller,
@@ -196,10 +197,10 @@
                 }
             }
             Effect::Store { id, request, lane } => {
-                let line = self.membership_delay(controller, lane == StoreLane::Membership);
+                let lane_delay = self.membership_delay(controller, lane == StoreLane::Membership);
                 let delay = self
                     .message_delay(Endpoint::Controller(controller), Endpoint::Store)
-                    .map(|travel_time| travel_time + line);
+                    .map(|travel_time| travel_time + lane_delay);
                 let request = self.write_as_limited(controller, request);
                 self.send_store_request(controller, id, request, delay);
             }
@@ -210,7 +211,7 @@
                     Some(travel_time) if travel_time < S
                 );
                 let is_reachable = is_reachable && self.can_reach_any(controller, &names);
-                self.later(S, SimEvent::Controller(controller, boot, Event::Probed(is_reachable)));
+                self.schedule(S, SimEvent::Controller(controller, boot, Event::Probed(is_reachable)));
             }
             Effect::FencingProbe { epoch: token, probes: list } => {
                 for g in list {
@@ -223,11 +224,11 @@
         }
     }
 
-    pub(crate) fn process(&mut self, what: SimEvent) {
-        match what {
+    pub(crate) fn process(&mut self, sim_event: SimEvent) {
+        match sim_event {
             SimEvent::Controller(controller, boot, event) => {
                 let Some(controller) = self.receiving_controller(controller, boot, &event) else { return };
-                if (boot == 0 || boot == self.boots[controller])
+                if (boot == 0 || boot == self.boot_ids[controller])
                     && let Some(event) = self.dispatch_http(controller, event)
                 {
                     self.step_controller(controller, event);
@@ -240,11 +241,11 @@
                 self.run_watches();
                 if let Some(wait) = wait {
                     match self.message_delay(Endpoint::Store, Endpoint::Controller(controller)) {
-                        Some(travel_time) if travel_time < 2 * S => self.later(
+                        Some(travel_time) if travel_time < 2 * S => self.schedule(
                             travel_time + wait,
                             SimEvent::Controller(controller, boot, Event::Store { id, answer }),
                         ),
-                        _ => self.later(
+                        _ => self.schedule(
                             2 * S,
                             SimEvent::Controller(
                                 controller,
@@ -258,26 +259,29 @@
             SimEvent::LateWrite(controller, issued, request) => {
                 self.apply_late_write(controller, issued, request)
             }
-            SimEvent::LateHeartbeat(worker_index, target, sent, report) => {
-                self.deliver_late_heartbeat(worker_index, target, sent, report)
+            SimEvent::LateHeartbeat(worker_index, target, sent, heartbeat) => {
+                self.deliver_late_heartbeat(worker_index, target, sent, heartbeat)
             }
             SimEvent::Unanswered(write) => self.apply_unanswered(write),
-            SimEvent::HeldBackHeartbeat(worker_index, controller, report) => {
-                self.deliver_held_back(worker_index, controller, report)
+            SimEvent::HeldBackHeartbeat(worker_index, controller, heartbeat) => {
+                self.deliver_held_back(worker_index, controller, heartbeat)
             }
             SimEvent::Exit(controller, boot) => {
-                if boot == self.boots[controller] {
+                if boot == self.boot_ids[controller] {
                     self.crash_for(controller, S / 20..S / 10);
                 }
             }
             SimEvent::Cloud(controller, boot, request) => {
                 let answer = self.cloud(&request);
                 let answer = self.filter_rental_answer(&request, answer);
-                self.later(80_000, SimEvent::Controller(controller, boot, Event::Cloud { request, answer }));
+                self.schedule(
+                    80_000,
+                    SimEvent::Controller(controller, boot, Event::Cloud { request, answer }),
+                );
             }
             SimEvent::Effects(controller, boot, out) => {
-                if boot == self.boots[controller] {
-                    self.effects(controller, out);
+                if boot == self.boot_ids[controller] {
+                    self.run_effects(controller, out);
                 }
             }
             SimEvent::DeliverProbe(controller, boot, token, probe) => {
@@ -288,13 +292,15 @@
             }
             SimEvent::Restart(controller) => self.start(controller),
             SimEvent::RetryCancel(id) => self.retry_cancel(&id),
-            SimEvent::WorkerAnswer(worker_index, seq, reply) => self.worker_answer(worker_index, seq, &reply),
+            SimEvent::WorkerAnswer(worker_index, seq, reply) => {
+                self.handle_worker_answer(worker_index, seq, &reply)
+            }
             SimEvent::UserAnswer(ticket, reply) => {
                 // The answer was given, even if the client no longer waits for it.
-                self.answered(ticket, &reply);
+                self.check_answer(ticket, &reply);
                 match self.tickets.remove(&ticket) {
                     Some(Ticket::User(id, kind)) if self.jobs.get(&id).is_none_or(|j| j.latest == ticket) => {
-                        self.user_answer(&id, kind, &reply);
+                        self.check_user_answer(&id, kind, &reply);
                     }
                     Some(Ticket::ClientProbe(client_probe)) => self.check_probe_answer(&client_probe, &reply),
                     _ => {}
--- a/tests/world/outside.rs
+++ b/tests/world/outside.rs
@@ -76,9 +76,11 @@
                 Some(news) => news,
             };
             match self.message_delay(Endpoint::Store, Endpoint::Controller(controller)) {
-                Some(travel_time) if travel_time < 2 * S => self
-                    .later(travel_time, SimEvent::Controller(controller, boot, Event::Store { id, answer })),
-                _ => self.later(
+                Some(travel_time) if travel_time < 2 * S => self.schedule(
+                    travel_time,
+                    SimEvent::Controller(controller, boot, Event::Store { id, answer }),
+                ),
+                _ => self.schedule(
                     4 * S,
                     SimEvent::Controller(controller, boot, Event::Store { id, answer: StoreAnswer::Unknown }),
                 ),
@@ -151,7 +153,7 @@
                 CloudAnswer::Page(self.workers.iter().filter(is_listed).map(listed).collect(), false)
             }
             CloudRequest::ScaleOut(request) => {
-                if let Some(names) = self.rentals.get(&request.name) {
+                if let Some(names) = self.scale_outs.get(&request.name) {
                     return CloudAnswer::ScaledOut(names.clone());
                 }
                 let in_zone =
@@ -178,7 +180,7 @@
                             3 | 4 => self.rng.random_range(40 * S..90 * S),
                             _ => self.rng.random_range(3 * S..20 * S),
                         };
-                        let soon = self.lost.boots.clone().map(|b| self.rng.random_range(b));
+                        let soon = self.lost.boot_times.clone().map(|b| self.rng.random_range(b));
                         self.add_worker(
                             &request.machine_type,
                             &request.zone,
@@ -187,7 +189,7 @@
                         )
                     })
                     .collect();
-                self.rentals.insert(request.name.clone(), names.clone());
+                self.scale_outs.insert(request.name.clone(), names.clone());
                 CloudAnswer::ScaledOut(names)
             }
             CloudRequest::ScaleIn(names) => {
--- a/tests/world/parts.rs
+++ b/tests/world/parts.rs
@@ -34,8 +34,10 @@
     /// Until this time, the worker's messages reach no controller.
     pub(crate) outbound_lost_until: u64,
     /// Whether the worker has ever accepted a task.
-    pub(crate) begun: bool,
+    pub(crate) has_run_tasks: bool,
+    /// Returned to the cloud.
     pub(crate) gone: bool,
+    /// The machine has failed.
     pub(crate) dead: bool,
     pub(crate) target: usize,
     pub(crate) incarnation: u64,
@@ -113,11 +115,12 @@
 
 pub(crate) enum Ticket {
     Worker(usize, u64),
+    /// A client's request: job ID and kind, 's' for a submission, 'q' for a query and 'w' for a cancellation.
     User(String, char),
     /// A merge job asks for a write permit.
     Writer(batches::PermitRequest),
     /// A request of the test itself.
-    Asked,
+    TestRequest,
     /// A request of a probing client.
     ClientProbe(ClientProbe),
     /// A client polls a job: job ID, controller and send time.
@@ -140,9 +143,9 @@
     pub(crate) serial: u64,
     pub(crate) queue: BTreeMap<(u64, u64), SimEvent>,
     pub(crate) nodes: Vec<Option<Controller>>,
-    pub(crate) boots: Vec<u64>,
+    pub(crate) boot_ids: Vec<u64>,
     pub(crate) started: Vec<u64>,
-    pub(crate) back_at: Vec<u64>,
+    pub(crate) restart_at: Vec<u64>,
     pub(crate) drift: Vec<f64>,
     pub(crate) paused_until: Vec<u64>,
     /// Probability that a controller's process pauses between a decision and the resulting effects.
@@ -166,7 +169,7 @@
     pub(crate) no_slow_messages: bool,
     pub(crate) partitions: Vec<(Endpoint, Endpoint, u64, bool)>,
     pub(crate) workers: Vec<Worker>,
-    pub(crate) rentals: BTreeMap<String, Vec<String>>,
+    pub(crate) scale_outs: BTreeMap<String, Vec<String>>,
     pub(crate) tickets: BTreeMap<u64, Ticket>,
     /// Answers to the requests of the test itself.
     pub(crate) answers: BTreeMap<u64, Reply>,
@@ -218,9 +221,9 @@
             serial: 0,
             queue: BTreeMap::new(),
             nodes: vec![None, None, None],
-            boots: vec![0; 3],
+            boot_ids: vec![0; 3],
             started: vec![0; 3],
-            back_at: vec![0; 3],
+            restart_at: vec![0; 3],
             drift,
             paused_until: vec![0; 3],
             pause_rate: 0.0,
@@ -236,7 +239,7 @@
             no_slow_messages: false,
             partitions: Vec::new(),
             workers: Vec::new(),
-            rentals: BTreeMap::new(),
+            scale_outs: BTreeMap::new(),
             tickets: BTreeMap::new(),
             answers: BTreeMap::new(),
             jobs: BTreeMap::new(),
@@ -286,7 +289,7 @@
             unresponsive_until: 0,
             inbound_lost_until: 0,
             outbound_lost_until: 0,
-            begun: false,
+            has_run_tasks: false,
             gone: false,
             dead: false,
             target: self.rng.random_range(0..3),
--- a/tests/world/register.rs
+++ b/tests/world/register.rs
@@ -114,14 +114,14 @@
         match http_api::dispatch(ticket, "POST", "/v1/jobs", |_| Ok(body)) {
             Dispatch::Event(e) => Some(e),
             Dispatch::Reply(reply) => {
-                self.effect(controller, Effect::Reply { ticket, reply });
+                self.run_effect(controller, Effect::Reply { ticket, reply });
                 None
             }
         }
     }
 
     /// Checks an answer that a client received.
-    pub(crate) fn answered(&mut self, ticket: u64, reply: &Reply) {
+    pub(crate) fn check_answer(&mut self, ticket: u64, reply: &Reply) {
         let Some(in_flight) = self.register.in_flight.remove(&ticket) else { return };
         let id = &in_flight.job;
         let history = self.register.histories.get(id).cloned().unwrap_or_default();
--- a/tests/world/rules.rs
+++ b/tests/world/rules.rs
@@ -54,9 +54,9 @@
 
     pub(crate) fn states(&mut self) -> Vec<String> {
         (0..3)
-            .filter_map(|n| {
-                let now = self.clock(n);
-                self.nodes[n].as_mut().map(|node| {
+            .filter_map(|controller| {
+                let now = self.clock(controller);
+                self.nodes[controller].as_mut().map(|node| {
                     let status = node.status(now);
                     let machines: Vec<_> = node.job_shard.machines(node.membership.epoch).collect();
                     format!("{status} {machines:?}")
@@ -67,8 +67,8 @@
 
     /// Number of accepted jobs with dependencies.
     pub(crate) fn accepted_with_dependencies(&self) -> usize {
-        let taken = |j: &&UserJob| !j.spec.dependencies.is_empty() && j.known != KnownState::Unknown;
-        self.jobs.values().filter(taken).count()
+        let is_accepted = |j: &&UserJob| !j.spec.dependencies.is_empty() && j.known != KnownState::Unknown;
+        self.jobs.values().filter(is_accepted).count()
     }
 
     /// Jobs that count as service: known to their client as accepted or done, not cancelled and able to run.
@@ -125,7 +125,7 @@
             .filter(|(id, j)| match j.known {
                 KnownState::Done => false,
                 KnownState::Cancelled => {
-                    let needs = self.needed(id);
+                    let needs = self.all_dependencies(id);
                     !j.cancel_asked && !needs.iter().any(|p| self.jobs[*p].known == KnownState::Cancelled)
                 }
                 _ => true,
@@ -139,19 +139,22 @@
     /// Checks a running task of a rotation: its release must be closed, the start of the rotation must be stored, and
     /// every stored job of the release must be done or waived by an operator.
     pub(crate) fn check_rotation(&self, id: &str) {
-        let says = |id: &str| {
+        let release_and_outcome = |id: &str| {
             let live = self.store.keys.get(&format!("job/{id}")).map(|v| (&v.0["spec"]["release"], None));
             let end = self.store.keys.get(&format!("done/{id}"));
             live.or(end.map(|v| (&v.0["says"]["release"], Some(&v.0["end"]))))
         };
-        let (own, _) = says(id).expect("the rotation is stored");
+        let (own, _) = release_and_outcome(id).expect("the rotation is stored");
         let text = |v: &Value, key: &str| v[key].as_str().expect("text").to_owned();
         let head = format!("pact/r/{}@{}", text(own, "title"), text(own, "night"));
         let (record, ..) = self.store.keys.get(&head).expect("a rotation's record");
         assert!(record["phase"] == "closed" && record["body"]["rotated"] == true, "early: {id} of {record}");
         for key in self.store.keys.keys().filter_map(|k| k.strip_prefix("job/").or(k.strip_prefix("done/"))) {
-            let Some((of, end)) = says(key) else { continue };
-            if of["title"] != own["title"] || of["night"] != own["night"] || of["stage"] == "rotation" {
+            let Some((release, end)) = release_and_outcome(key) else { continue };
+            if release["title"] != own["title"]
+                || release["night"] != own["night"]
+                || release["stage"] == "rotation"
+            {
                 continue;
             }
             let waived = record["body"]["waived"].get(key).is_some();
--- a/tests/world/shape.rs
+++ b/tests/world/shape.rs
@@ -143,6 +143,7 @@
     all
 }
 
+/// One second in µs.
 pub(crate) const S: u64 = 1_000_000;
 /// Later than the end of any simulated day.
 pub(crate) const NEVER: u64 = 1_000_000 * S;
--- a/tests/world/silence.rs
+++ b/tests/world/silence.rs
@@ -15,7 +15,7 @@
     next: BTreeMap<(String, usize), u64>,
     /// The longest completed time without an answer: for a job, and for a job through one controller; with the job
     /// and the time of the answer.
-    worst: [(u64, String); 2],
+    longest_gaps: [(u64, String); 2],
     /// The outcome that a client was told for each job, and when.
     ended: BTreeMap<String, (u64, String)>,
     /// Answers other than 200 by status and body.
@@ -23,32 +23,32 @@
 }
 
 impl AnswerGaps {
-    pub(crate) fn asked(&mut self, now: u64, job: &str, n: Option<usize>) {
-        self.unanswered.entry((job.to_owned(), n)).or_insert(now);
+    pub(crate) fn record_query(&mut self, now: u64, job: &str, controller: Option<usize>) {
+        self.unanswered.entry((job.to_owned(), controller)).or_insert(now);
     }
 
-    pub(crate) fn answered(&mut self, now: u64, job: &str, n: Option<usize>) {
-        for who in [None, n] {
+    pub(crate) fn record_answer(&mut self, now: u64, job: &str, controller: Option<usize>) {
+        for who in [None, controller] {
             if let Some(since) = self.unanswered.remove(&(job.to_owned(), who)) {
                 self.record_gap(now, since, job, who);
             }
         }
     }
 
-    fn record_gap(&mut self, now: u64, since: u64, job: &str, n: Option<usize>) {
+    fn record_gap(&mut self, now: u64, since: u64, job: &str, controller: Option<usize>) {
         let duration = now.saturating_sub(since.max(self.fault_free_from));
-        let worst = &mut self.worst[usize::from(n.is_some())];
-        if duration > worst.0 {
-            *worst = (duration, format!("{job} through {n:?} at {:.1}", now as f64 / 1e6));
+        let longest_gap = &mut self.longest_gaps[usize::from(controller.is_some())];
+        if duration > longest_gap.0 {
+            *longest_gap = (duration, format!("{job} through {controller:?} at {:.1}", now as f64 / 1e6));
         }
     }
 
     /// The longest time without an answer for a job, and for a job through one controller.
     pub(crate) fn longest(&mut self, now: u64) -> [(f64, String); 2] {
-        for ((job, n), since) in self.unanswered.clone() {
-            self.record_gap(now, since, &job, n);
+        for ((job, controller), since) in self.unanswered.clone() {
+            self.record_gap(now, since, &job, controller);
         }
-        self.worst.clone().map(|(duration, which)| (duration as f64 / 1e6, which))
+        self.longest_gaps.clone().map(|(duration, which)| (duration as f64 / 1e6, which))
     }
 }
 
@@ -74,7 +74,7 @@
         }
     }
     /// Whether the last probe succeeded.
-    pub(crate) fn ready(&self, controller: usize) -> bool {
+    pub(crate) fn is_ready(&self, controller: usize) -> bool {
         self.failed[controller] == 0
     }
 }
@@ -84,12 +84,12 @@
     /// depend on them for answers.
     pub(crate) fn has_fault(&self) -> bool {
         let now = self.now;
-        (0..3).any(|n| self.nodes[n].is_none() || now < self.paused_until[n])
+        (0..3).any(|controller| self.nodes[controller].is_none() || now < self.paused_until[controller])
             || now < self.outage_until
             || self.partitions.iter().any(|c| now < c.2)
             || self.compound.has_fault(now)
             || self.lost.has_fault(now)
-            || self.zones.cut(now)
+            || self.zones.is_partitioned(now)
     }
 
     pub(crate) fn run_pollers(&mut self) {
@@ -119,12 +119,12 @@
                     self.answer_gaps.unanswered.remove(&(id.clone(), Some(controller)));
                     continue;
                 }
-                self.answer_gaps.asked(now, &id, Some(controller));
-                self.answer_gaps.asked(now, &id, None);
+                self.answer_gaps.record_query(now, &id, Some(controller));
+                self.answer_gaps.record_query(now, &id, None);
                 self.serial += 1;
                 self.tickets.insert(self.serial, Ticket::Poll(id.clone(), controller, now));
                 let query = Event::User { ticket: self.serial, request: UserRequest::Query(id.clone()) };
-                self.later(1000, SimEvent::Controller(controller, self.boots[controller], query));
+                self.schedule(1000, SimEvent::Controller(controller, self.boot_ids[controller], query));
             }
         }
         if now >= self.balancer.next {
@@ -142,22 +142,22 @@
                 }
                 self.serial += 1;
                 self.tickets.insert(self.serial, Ticket::Probe(controller));
-                self.later(
+                self.schedule(
                     1000,
-                    SimEvent::Controller(controller, self.boots[controller], Event::Ready(self.serial)),
+                    SimEvent::Controller(controller, self.boot_ids[controller], Event::Ready(self.serial)),
                 );
             }
         }
     }
 
     /// Checks the answer to a poll.
-    pub(crate) fn polled(&mut self, id: &str, controller: usize, asked: u64, reply: &Reply) {
+    pub(crate) fn check_poll_answer(&mut self, id: &str, controller: usize, asked: u64, reply: &Reply) {
         assert_ne!(reply.status, 404, "forgotten: {id} at {}", self.now);
         if reply.status != 200 {
             *self.answer_gaps.refused.entry((reply.status, reply.body.clone())).or_default() += 1;
             return;
         }
-        self.answer_gaps.answered(self.now, id, Some(controller));
+        self.answer_gaps.record_answer(self.now, id, Some(controller));
         let body: Value = serde_json::from_str(&reply.body).expect("JSON");
         let stance = body["stance"].as_str().expect("a stance").to_owned();
         let user_job = &self.jobs[id];
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -102,11 +102,11 @@
     /// A controller's process crashes and restarts after a pause from this range.
     pub(crate) fn crash_for(&mut self, controller: usize, pause: std::ops::Range<u64>) {
         self.nodes[controller] = None;
-        self.boots[controller] = 0;
+        self.boot_ids[controller] = 0;
         let pause = self.rng.random_range(pause);
-        self.back_at[controller] = self.now + pause;
+        self.restart_at[controller] = self.now + pause;
         if pause < S {
-            self.later(pause, SimEvent::Restart(controller));
+            self.schedule(pause, SimEvent::Restart(controller));
         }
     }
 
@@ -135,9 +135,9 @@
     }
 
     pub(crate) fn start(&mut self, controller: usize) {
-        if self.nodes[controller].is_none() && self.now >= self.back_at[controller] {
+        if self.nodes[controller].is_none() && self.now >= self.restart_at[controller] {
             self.serial += 1;
-            self.boots[controller] = self.serial;
+            self.boot_ids[controller] = self.serial;
             self.started[controller] = self.now;
             self.paused_until[controller] = 0;
             let mut settings = settings(controller, self.shape, self.limited[controller]);
@@ -152,9 +152,9 @@
         self.store.keys["ring/epoch"].0["epoch"].as_u64().expect("a number")
     }
 
-    pub(crate) fn run(&mut self, troubles_until: u64, end: u64) {
+    pub(crate) fn run(&mut self, faults_until: u64, end: u64) {
         let mut next_job = self.now;
-        let mut next_trouble = self.now + 20 * S;
+        let mut next_fault = self.now + 20 * S;
         while self.now < end {
             // After an outage of the state store, leases get their full duration again.
             if self.outage_until > 0 && self.now >= self.outage_until {
@@ -170,8 +170,8 @@
                 self.add_job(self.jobs.len() as u32 + 1);
                 next_job = self.now + self.rng.random_range(S..self.shape.pause);
             }
-            if self.now >= next_trouble && self.now < troubles_until {
-                next_trouble = self.now + self.rng.random_range(5 * S..40 * S);
+            if self.now >= next_fault && self.now < faults_until {
+                next_fault = self.now + self.rng.random_range(5 * S..40 * S);
                 self.inject_random_fault();
             }
             self.run_users();
@@ -183,9 +183,9 @@
                 if time > until {
                     break;
                 }
-                let what = self.queue.remove(&(time, serial)).expect("the queue is not empty");
+                let sim_event = self.queue.remove(&(time, serial)).expect("the queue is not empty");
                 self.now = self.now.max(time);
-                self.process(what);
+                self.process(sim_event);
                 self.check();
             }
             self.now = until;
@@ -202,19 +202,19 @@
     }
 }
 
-pub(crate) fn day(seed: u64, shape: Shape, troubles_until: u64, end: u64) -> World {
-    play(seed, World::new(seed, shape), troubles_until, troubles_until, end)
+pub(crate) fn day(seed: u64, shape: Shape, faults_until: u64, end: u64) -> World {
+    play(seed, World::new(seed, shape), faults_until, faults_until, end)
 }
 
 pub(crate) fn run_until(world: &mut World, end: u64) {
     world.run(0, end);
 }
 
-pub(crate) fn play(seed: u64, mut world: World, troubles_until: u64, pauses_until: u64, end: u64) -> World {
+pub(crate) fn play(seed: u64, mut world: World, faults_until: u64, pauses_until: u64, end: u64) -> World {
     let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-        world.run(troubles_until, pauses_until);
+        world.run(faults_until, pauses_until);
         world.pause_rate = 0.0;
-        world.run(troubles_until, end);
+        world.run(faults_until, end);
         assert!(world.underserved().is_empty(), "less than half done: {:?}", world.underserved());
         assert!(world.started_late().is_empty(), "not started in time: {:?}", world.started_late());
     }));
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -61,7 +61,7 @@
     }
 
     /// All direct and transitive dependencies of a job.
-    pub(crate) fn needed(&self, id: &str) -> BTreeSet<&str> {
+    pub(crate) fn all_dependencies(&self, id: &str) -> BTreeSet<&str> {
         let mut all = BTreeSet::new();
         let mut next: Vec<&str> = self.jobs[id].spec.dependencies.iter().map(String::as_str).collect();
         while let Some(p) = next.pop() {
@@ -108,13 +108,13 @@
             };
             user_job.submitted |= kind == 's';
             if kind == 'q' && user_job.known != KnownState::Unknown {
-                self.answer_gaps.asked(self.now, &id, None);
+                self.answer_gaps.record_query(self.now, &id, None);
             }
             self.serial += 1;
             let ticket = self.serial;
             user_job.latest = ticket;
             self.tickets.insert(ticket, Ticket::User(id, kind));
-            self.later(1000, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
+            self.schedule(1000, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
         }
         // No controller may know a job that was never submitted.
         if self.rng.random_bool(0.02) {
@@ -122,7 +122,7 @@
             let ticket = self.serial;
             self.tickets.insert(ticket, Ticket::User("wk-999999".into(), 'q'));
             let controller = self.rng.random_range(0..3usize);
-            self.later(
+            self.schedule(
                 1000,
                 SimEvent::Controller(
                     controller,
@@ -140,7 +140,7 @@
         (user_job.latest, user_job.submitted) = (ticket, true);
         let request = UserRequest::Submit(id.into(), user_job.body.clone());
         self.tickets.insert(ticket, Ticket::User(id.into(), 's'));
-        self.later(1000, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
+        self.schedule(1000, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
     }
 
     /// The job's client asks a controller to cancel it.
@@ -150,7 +150,7 @@
         let user_job = self.jobs.get_mut(id).expect("a job");
         (user_job.latest, user_job.cancel_asked) = (ticket, true);
         self.tickets.insert(ticket, Ticket::User(id.into(), 'w'));
-        self.later(
+        self.schedule(
             1000,
             SimEvent::Controller(
                 controller,
@@ -164,8 +164,8 @@
     pub(crate) fn ask(&mut self, controller: usize, request: UserRequest) -> Reply {
         self.serial += 1;
         let ticket = self.serial;
-        self.tickets.insert(ticket, Ticket::Asked);
-        self.later(1, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
+        self.tickets.insert(ticket, Ticket::TestRequest);
+        self.schedule(1, SimEvent::Controller(controller, 0, Event::User { ticket, request }));
         let end = self.now + 5 * S;
         while self.now < end {
             let next = self.now + S / 10;
@@ -177,7 +177,7 @@
         panic!("no answer within 5 s");
     }
 
-    pub(crate) fn user_answer(&mut self, id: &str, kind: char, reply: &Reply) {
+    pub(crate) fn check_user_answer(&mut self, id: &str, kind: char, reply: &Reply) {
         // A submission after the release has closed is refused permanently, but only while the job is unknown.
         if reply.status == 422
             && let Some(user_job) = self.jobs.get_mut(id)
@@ -188,7 +188,7 @@
             return;
         }
         if reply.status == 200 && kind == 'q' {
-            self.answer_gaps.answered(self.now, id, None);
+            self.answer_gaps.record_answer(self.now, id, None);
         }
         assert!(reply.status != 400 && reply.status != 422 && reply.status != 409, "{id}: {reply:?}");
         if reply.status == 503 {
@@ -198,12 +198,12 @@
         let body: Value = serde_json::from_str(&reply.body).expect("JSON");
         // The job's dependencies determine until when it may be reported as queued or running.
         let needs: Vec<&UserJob> = match self.jobs.contains_key(id) {
-            true => self.needed(id).into_iter().map(|p| &self.jobs[p]).collect(),
+            true => self.all_dependencies(id).into_iter().map(|p| &self.jobs[p]).collect(),
             false => Vec::new(),
         };
         let orphaned_at = needs.iter().filter_map(|p| p.cancelled_at).min();
         let may_be_cancelled = needs.iter().any(|p| p.cancel_asked && p.known != KnownState::Done);
-        let (now, tells) = (self.now, self.checks_orphans);
+        let (now, checks_orphans) = (self.now, self.checks_orphans);
         let Some(user_job) = self.jobs.get_mut(id) else {
             assert_ne!(reply.status, 200, "invented: {body}");
             return;
@@ -236,7 +236,7 @@
                 let since = *user_job.accepted_at.get_or_insert(now);
                 if let Some(at) = orphaned_at {
                     let late = now > at.max(since) + (CANCEL_S * 1e6) as u64;
-                    assert!(!late || !tells, "orphaned: {id} is {stance} at {now}");
+                    assert!(!late || !checks_orphans, "orphaned: {id} is {stance} at {now}");
                 }
             }
         }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Worker {
-    fn report(&self) -> Heartbeat {
+    fn heartbeat(&self) -> Heartbeat {
         let task = |task: &Task| HeartbeatTask {
             task: format!("{}/{}", task.job, task.index),
             attempt: task.attempt,
@@ -38,14 +38,18 @@
         let now = self.now;
         let Some(worker_index) = self.probed_worker(&probe) else { return };
         // An unresponsive worker processes the probe when it resumes.
-        let hung = self.workers[worker_index].unresponsive_until;
-        if hung > now {
-            return self.later(hung - now, SimEvent::DeliverProbe(controller, boot, token, probe));
+        let unresponsive_until = self.workers[worker_index].unresponsive_until;
+        if unresponsive_until > now {
+            return self
+                .schedule(unresponsive_until - now, SimEvent::DeliverProbe(controller, boot, token, probe));
         }
-        let report = self.apply_fencing_probe(worker_index, token, &probe);
+        let heartbeat = self.apply_fencing_probe(worker_index, token, &probe);
         self.lost.fencing_answers += usize::from(now < self.workers[worker_index].outbound_lost_until);
         if let Some(delay) = self.delay_from_worker(worker_index, controller) {
-            self.later(delay, SimEvent::Controller(controller, boot, Event::FencingProbeAnswered(report)));
+            self.schedule(
+                delay,
+                SimEvent::Controller(controller, boot, Event::FencingProbeAnswered(heartbeat)),
+            );
         }
     }
 
@@ -55,7 +59,7 @@
         let is_running = |w: &Worker| w.name == probe.machine && !w.gone && !w.dead && now >= w.up_at;
         let worker_index = self.workers.iter().position(is_running)?;
         if now < self.workers[worker_index].inbound_lost_until {
-            self.compound.unheard += 1;
+            self.compound.lost_to_workers += 1;
             return None;
         }
         Some(worker_index)
@@ -75,22 +79,22 @@
             worker.token = token;
         }
         worker.seq += 1;
-        worker.report()
+        worker.heartbeat()
     }
 
-    pub(crate) fn worker_answer(&mut self, worker_index: usize, seq: u64, reply: &Reply) {
+    pub(crate) fn handle_worker_answer(&mut self, worker_index: usize, seq: u64, reply: &Reply) {
         let worker = &mut self.workers[worker_index];
         if worker.gone || worker.dead {
             return;
         }
         if self.now < worker.inbound_lost_until {
-            self.compound.unheard += 1;
+            self.compound.lost_to_workers += 1;
             return;
         }
         // An unresponsive worker reads the response when it resumes, and drops it if it is too late by then.
         if self.now < worker.unresponsive_until {
             let delay = worker.unresponsive_until - self.now;
-            return self.later(delay, SimEvent::WorkerAnswer(worker_index, seq, reply.clone()));
+            return self.schedule(delay, SimEvent::WorkerAnswer(worker_index, seq, reply.clone()));
         }
         if self.now > worker.lease_from + (LEASE_S * 1e6) as u64 {
             return;
@@ -112,7 +116,7 @@
                 worker.lease_from = sent;
                 let calls = body["calls"].as_array().expect("commands").clone();
                 for call in calls {
-                    self.command(worker_index, &call);
+                    self.handle_command(worker_index, &call);
                 }
             }
             421 => {
@@ -128,7 +132,7 @@
         }
     }
 
-    pub(crate) fn command(&mut self, worker_index: usize, command: &Value) {
+    pub(crate) fn handle_command(&mut self, worker_index: usize, command: &Value) {
         let (job, index) = command["stride"].as_str().and_then(|t| t.rsplit_once('/')).expect("a task");
         let index: u32 = index.parse().expect("a number");
         let attempt = command["mount"].as_u64().expect("an attempt");
@@ -181,7 +185,7 @@
                 });
                 if cause.is_none() {
                     self.starts += 1;
-                    self.workers[worker_index].begun = true;
+                    self.workers[worker_index].has_run_tasks = true;
                     self.check_task_start(job, index);
                     self.check_merge_start(job);
                     for dependency in &self.jobs[job].spec.dependencies {
@@ -286,22 +290,22 @@
                     self.lost.lost_heartbeats += 1;
                     continue;
                 }
-                let report = worker.report();
+                let heartbeat = worker.heartbeat();
                 let (target, seq) = (worker.target, worker.seq);
                 self.serial += 1;
                 let ticket = self.serial;
                 self.tickets.insert(ticket, Ticket::Worker(worker_index, seq));
-                self.schedule_late_heartbeat(worker_index, target, &report);
-                self.hold_back_heartbeat(worker_index, &report);
+                self.schedule_late_heartbeat(worker_index, target, &heartbeat);
+                self.hold_back_heartbeat(worker_index, &heartbeat);
                 if let Some(delay) = self.delay_from_worker(worker_index, target) {
-                    self.later(
+                    self.schedule(
                         delay,
-                        SimEvent::Controller(target, 0, Event::Heartbeat { ticket, heartbeat: report }),
+                        SimEvent::Controller(target, 0, Event::Heartbeat { ticket, heartbeat }),
                     );
                 }
             }
         }
-        self.last_tasks_ended(&finished_jobs);
+        self.cancel_ended_jobs(&finished_jobs);
         self.run_gangs();
     }
 
--- a/tests/world/zones.rs
+++ b/tests/world/zones.rs
@@ -6,7 +6,7 @@
 /// The controllers' zones. The last one has no machines.
 pub(crate) const CONTROLLER_ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// From this time on, the load balancer has removed an unreachable controller and reset its connections.
+/// After this time, the load balancer has removed an unreachable controller and reset its connections.
 const REROUTE_DELAY: u64 = 5 * S;
 /// The controllers' timeout for cloud requests.
 const CLOUD_TIMEOUT: u64 = 4 * S;
@@ -25,21 +25,21 @@
 pub(crate) struct Zones {
     partitions: Vec<ZonePartition>,
     /// Until this time, the cloud fails all requests.
-    pub(crate) cloud_out: u64,
+    pub(crate) cloud_outage_until: u64,
     /// Heartbeats that a controller inside an isolated zone answered.
     pub(crate) inside: usize,
     /// Heartbeats, client requests and cloud requests that were stopped by a partition.
     pub(crate) stopped: [usize; 3],
     /// Task starts of jobs with placement constraints; and, of jobs with constraints among their own tasks, starts
     /// while another task of the job was on an unreachable machine.
-    pub(crate) bound: [usize; 2],
+    pub(crate) constrained_starts: [usize; 2],
     /// The zones in which tasks of such jobs started.
     pub(crate) places: BTreeMap<String, BTreeSet<String>>,
 }
 
 impl Zones {
     /// Whether any zone is isolated.
-    pub(crate) fn cut(&self, now: u64) -> bool {
+    pub(crate) fn is_partitioned(&self, now: u64) -> bool {
         self.partitions.iter().any(|c| now < c.until)
     }
     /// When the last partition heals.
@@ -49,35 +49,36 @@
 }
 
 impl World {
-    pub(crate) fn zone_cut(&mut self, zone: &'static str, duration: u64, hold: bool) {
+    pub(crate) fn partition_zone(&mut self, zone: &'static str, duration: u64, hold: bool) {
         let (from, until) = (self.now, self.now + duration);
         self.zones.partitions.push(ZonePartition { zone, from, until, hold });
     }
 
     /// The partition between two zones, if any. `None` stands for the region's services, which are in no zone.
-    fn cut_between(&self, a: Option<&str>, b: Option<&str>) -> Option<ZonePartition> {
-        let crosses = |c: &&ZonePartition| self.now < c.until && (a == Some(c.zone)) != (b == Some(c.zone));
+    fn partition_between(&self, from: Option<&str>, to: Option<&str>) -> Option<ZonePartition> {
+        let crosses =
+            |c: &&ZonePartition| self.now < c.until && (from == Some(c.zone)) != (to == Some(c.zone));
         self.zones.partitions.iter().find(crosses).copied()
     }
 
     /// The extra delay of a message between two zones; `None` if it is lost.
-    fn zone_delay(&self, a: Option<&str>, b: Option<&str>) -> Option<u64> {
-        match self.cut_between(a, b) {
+    fn zone_delay(&self, from: Option<&str>, to: Option<&str>) -> Option<u64> {
+        match self.partition_between(from, to) {
             None => Some(0),
-            Some(cut) => cut.hold.then(|| cut.until - self.now),
+            Some(partition) => partition.hold.then(|| partition.until - self.now),
         }
     }
 
     /// The extra delay between two endpoints. Workers are in several zones: see `delay_to_worker`.
-    pub(crate) fn endpoint_delay(&self, a: Endpoint, b: Endpoint) -> Option<u64> {
-        let place = |e: Endpoint| match e {
+    pub(crate) fn endpoint_delay(&self, from: Endpoint, to: Endpoint) -> Option<u64> {
+        let zone_of = |e: Endpoint| match e {
             Endpoint::Controller(n) => Some(CONTROLLER_ZONES[n]),
             Endpoint::Store | Endpoint::Workers => None,
         };
-        if a == Endpoint::Workers || b == Endpoint::Workers {
+        if from == Endpoint::Workers || to == Endpoint::Workers {
             Some(0)
         } else {
-            self.zone_delay(place(a), place(b))
+            self.zone_delay(zone_of(from), zone_of(to))
         }
     }
 
@@ -94,10 +95,10 @@
     /// The delay of a worker's message to a controller; `None` if it is lost.
     pub(crate) fn delay_from_worker(&mut self, worker_index: usize, controller: usize) -> Option<u64> {
         let delay = self.message_delay(Endpoint::Workers, Endpoint::Controller(controller))?;
-        let more =
+        let extra_delay =
             self.zone_delay(Some(&self.workers[worker_index].zone), Some(CONTROLLER_ZONES[controller]));
-        self.zones.stopped[0] += usize::from(more != Some(0));
-        Some(delay + more?)
+        self.zones.stopped[0] += usize::from(extra_delay != Some(0));
+        Some(delay + extra_delay?)
     }
 
     /// Whether a controller can reach at least one of these machines now.
@@ -108,27 +109,27 @@
 
     /// Counts the responses to workers inside an isolated zone.
     pub(crate) fn count_isolated_answer(&mut self, controller: usize, worker_index: usize, reply: &Reply) {
-        let cut = self.cut_between(Some(CONTROLLER_ZONES[controller]), None).is_some();
+        let partition = self.partition_between(Some(CONTROLLER_ZONES[controller]), None).is_some();
         let inside = reply.status == 200 && self.workers[worker_index].zone == CONTROLLER_ZONES[controller];
-        self.zones.inside += usize::from(cut && inside);
+        self.zones.inside += usize::from(partition && inside);
     }
 
     /// Whether the machine is unreachable from outside an isolated zone, or from everywhere.
-    pub(crate) fn is_unreachable(&self, w: &Worker) -> bool {
-        self.now < w.unresponsive_until.max(w.inbound_lost_until).max(w.outbound_lost_until)
-            || self.cut_between(Some(&w.zone), None).is_some()
+    pub(crate) fn is_unreachable(&self, worker: &Worker) -> bool {
+        self.now < worker.unresponsive_until.max(worker.inbound_lost_until).max(worker.outbound_lost_until)
+            || self.partition_between(Some(&worker.zone), None).is_some()
     }
 
-    /// The controller that receives a client's request sent to controller `n`. The load balancer opens no connections
+    /// The controller that receives a client's request sent to controller `node`. The load balancer opens no connections
     /// to an unreachable controller; until it has noticed, they fail. `boot` is not 0 for a request addressed to a
     /// particular controller.
     pub(crate) fn receiving_controller(&mut self, node: usize, boot: u64, event: &Event) -> Option<usize> {
         if !matches!(event, Event::User { .. } | Event::Ready(_) | Event::Operator { .. }) {
             return Some(node);
         }
-        let Some(cut) = self.cut_between(Some(CONTROLLER_ZONES[node]), None) else { return Some(node) };
+        let Some(cut) = self.partition_between(Some(CONTROLLER_ZONES[node]), None) else { return Some(node) };
         self.zones.stopped[1] += 1;
-        let is_reachable = |p: &usize| self.cut_between(Some(CONTROLLER_ZONES[*p]), None).is_none();
+        let is_reachable = |p: &usize| self.partition_between(Some(CONTROLLER_ZONES[*p]), None).is_none();
         let other = [(node + 1) % 3, (node + 2) % 3].into_iter().find(is_reachable);
         other.filter(|_| boot == 0 && self.now >= cut.from + REROUTE_DELAY)
     }
@@ -137,7 +138,7 @@
     /// cancellation that such an answer reports is counted nevertheless.
     pub(crate) fn is_answer_lost(&mut self, controller: usize, ticket: u64, reply: &Reply) -> bool {
         let region = !matches!(self.tickets.get(&ticket), None | Some(Ticket::Worker(..)));
-        let lost = region && self.cut_between(Some(CONTROLLER_ZONES[controller]), None).is_some();
+        let lost = region && self.partition_between(Some(CONTROLLER_ZONES[controller]), None).is_some();
         if lost {
             self.tickets.remove(&ticket);
             self.check_sent_answer(controller, reply);
@@ -149,22 +150,22 @@
     /// out late.
     pub(crate) fn send_cloud_request(&mut self, controller: usize, request: CloudRequest) {
         const NO_PROCESS: u64 = u64::MAX;
-        let boot = self.boots[controller];
-        if self.now < self.zones.cloud_out {
-            return self.later(
+        let boot = self.boot_ids[controller];
+        if self.now < self.zones.cloud_outage_until {
+            return self.schedule(
                 80_000,
                 SimEvent::Controller(controller, boot, Event::Cloud { request, answer: CloudAnswer::Failed }),
             );
         }
-        let more = self.zone_delay(Some(CONTROLLER_ZONES[controller]), None);
-        if more == Some(0) {
-            return self.later(80_000, SimEvent::Cloud(controller, boot, request));
+        let extra_delay = self.zone_delay(Some(CONTROLLER_ZONES[controller]), None);
+        if extra_delay == Some(0) {
+            return self.schedule(80_000, SimEvent::Cloud(controller, boot, request));
         }
         self.zones.stopped[2] += 1;
         let failed = Event::Cloud { request: request.clone(), answer: CloudAnswer::Failed };
-        self.later(CLOUD_TIMEOUT, SimEvent::Controller(controller, boot, failed));
-        if let Some(more) = more {
-            self.later(more + 80_000, SimEvent::Cloud(controller, NO_PROCESS, request));
+        self.schedule(CLOUD_TIMEOUT, SimEvent::Controller(controller, boot, failed));
+        if let Some(extra_delay) = extra_delay {
+            self.schedule(extra_delay + 80_000, SimEvent::Cloud(controller, NO_PROCESS, request));
         }
     }
 
@@ -201,8 +202,8 @@
         let hidden = placed.iter().any(|(x, _)| x.name != *name && self.is_unreachable(x));
         let hidden = (spec.one_zone || spec.spread) && hidden;
         let zone = worker.zone.clone();
-        for (count, is) in self.zones.bound.iter_mut().zip([bound, hidden]) {
-            *count += usize::from(is);
+        for (count, applies) in self.zones.constrained_starts.iter_mut().zip([bound, hidden]) {
+            *count += usize::from(applies);
         }
         if bound {
             self.zones.places.entry(job.to_owned()).or_default().insert(zone);
