--- a/tests/world/batches.rs
+++ b/tests/world/batches.rs
@@ -22,8 +22,8 @@
 pub(crate) struct PermitRequest {
     job: String,
     attempt: u64,
-    /// Whether no run had been stale for at least `MAX_REPLACEMENT_LAG` when it was sent, and how often the version had been raised
-    /// by then.
+    /// Whether no run had been stale for at least `MAX_REPLACEMENT_LAG` when it was sent, and how often the version
+    /// had been raised by then.
     fresh: bool,
     version_raises: usize,
 }
--- a/tests/world/cancels.rs
+++ b/tests/world/cancels.rs
@@ -238,7 +238,7 @@
 }
 
 impl World {
-    /// Checks that every cancellation was answered, within `most` seconds outside of faults.
+    /// Checks that every cancellation was answered, within `maximum` seconds outside of faults.
     pub(crate) fn assert_cancels_answered(&self, seed: u64, maximum: f64) {
         let counts = &self.cancels;
         assert!(counts.pending_cancels.is_empty(), "seed {seed}: {:?}", counts.pending_cancels);
--- a/tests/world/compound.rs
+++ b/tests/world/compound.rs
@@ -60,7 +60,8 @@
     HeldBackHeartbeats,
     /// The machines reach no controller, but fencing probes reach them.
     MachinesOutboundLost,
-    /// Running jobs are cancelled within 0.2 s; with `MassCancelUnresponsive` some of their machines become unresponsive.
+    /// Running jobs are cancelled within 0.2 s; with `MassCancelUnresponsive` some of their machines become
+    /// unresponsive.
     MassCancel,
     MassCancelUnresponsive,
     /// Fencing probes arrive late, after those of a newer leader.
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -1,5 +1,5 @@
-//! A simulated world (store, cloud, workers, users, a network that loses, delays and holds back)
-//! that drives the controllers' own code with seeded troubles and checks the rules after each step.
+//! A deterministic simulation (state store, cloud, workers, clients and a network that loses, delays and holds back
+//! messages) that runs the controllers' own code, injects seeded faults and checks the invariants after each step.
 
 use hazelsaddle::autoscaler::{CloudAnswer, CloudMachine, CloudRequest};
 use hazelsaddle::config::operators::Operators;
--- a/tests/world/rules.rs
+++ b/tests/world/rules.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl World {
+    /// Checks the invariants of the running tasks: no duplicates, quotas and placement constraints.
     pub(crate) fn check(&self) {
         let mut placements: BTreeMap<(&str, u32), &str> = BTreeMap::new();
         let mut used: BTreeMap<&str, i64> = BTreeMap::new();
@@ -52,6 +53,7 @@
         }
     }
 
+    /// The status and the machines of each running controller, as text.
     pub(crate) fn states(&mut self) -> Vec<String> {
         (0..3)
             .filter_map(|controller| {
--- a/tests/world/shape.rs
+++ b/tests/world/shape.rs
@@ -68,11 +68,12 @@
     write_rps: 15.0,
 };
 
+/// A team's CPU limit; 0 for none.
 pub(crate) fn limit(team: usize, shape: Shape) -> f64 {
     if shape.gpus > 0 {
         return if team % 2 == 1 { 0.0 } else { 96.0 };
     }
-    // Every other team has a limit.
+    // Teams with an even number have a limit.
     if team % 2 == 1 { 0.0 } else { 24.0 * (shape.machines / 4) as f64 / (shape.teams / 2) as f64 }
 }
 
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl World {
+    /// Injects a random fault for 3 to 35 s; isolation of a controller lasts up to three times as long.
     pub(crate) fn inject_random_fault(&mut self) {
         let now = self.now;
         let controller = self.rng.random_range(0..3usize);
@@ -210,6 +211,8 @@
     world.run(0, end);
 }
 
+/// Runs a simulated day: random faults until `faults_until`, random pauses of processes until `pauses_until`. Prints the
+/// log of the faults if an invariant or a check of the whole day fails.
 pub(crate) fn play(seed: u64, mut world: World, faults_until: u64, pauses_until: u64, end: u64) -> World {
     let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
         world.run(faults_until, pauses_until);
