--- a/tests/world/compound.rs
+++ b/tests/world/compound.rs
@@ -367,7 +367,7 @@
         all.sample(&mut self.rng, count).copied().collect()
     }
 
-    /// Injects a fault for a duration; `n` is the affected controller, if any.
+    /// Injects a fault for `duration`; `controller` is the affected one, if any.
     pub(crate) fn inject_fault(&mut self, fault: Fault, controller: usize, duration: u64) {
         let now = self.now;
         self.log.push(format!(
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -34,8 +34,8 @@
     invalid_next: u64,
     /// Jobs that must not be accepted, with their descriptions.
     pub(crate) invalid: BTreeMap<String, (SubmissionVariant, String)>,
-    /// Requests sent after a client learned of an acceptance and of an outcome; `during_request` counts those sent while a
-    /// submission or cancellation was in flight.
+    /// Requests sent after a client learned of an acceptance and of an outcome; `during_request` counts those sent
+    /// while a submission or cancellation was in flight.
     pub(crate) after: [usize; 2],
     pub(crate) during_request: usize,
     /// Requests sent: queries, repeats with the same body, with another valid body and with an invalid body,
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -211,8 +211,8 @@
     world.run(0, end);
 }
 
-/// Runs a simulated day: random faults until `faults_until`, random pauses of processes until `pauses_until`. Prints the
-/// log of the faults if an invariant or a check of the whole day fails.
+/// Runs a simulated day: random faults until `faults_until`, random pauses of processes until `pauses_until`. Prints
+/// the log of the faults if an invariant or a check of the whole day fails.
 pub(crate) fn play(seed: u64, mut world: World, faults_until: u64, pauses_until: u64, end: u64) -> World {
     let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
         world.run(faults_until, pauses_until);
--- a/tests/world/zones.rs
+++ b/tests/world/zones.rs
@@ -120,9 +120,9 @@
             || self.partition_between(Some(&worker.zone), None).is_some()
     }
 
-    /// The controller that receives a client's request sent to controller `node`. The load balancer opens no connections
-    /// to an unreachable controller; until it has noticed, they fail. `boot` is not 0 for a request addressed to a
-    /// particular controller.
+    /// The controller that receives a client's request sent to controller `node`. The load balancer opens no
+    /// connections to an unreachable controller; until it has noticed, they fail. `boot` is not 0 for a request
+    /// addressed to a particular controller.
     pub(crate) fn receiving_controller(&mut self, node: usize, boot: u64, event: &Event) -> Option<usize> {
         if !matches!(event, Event::User { .. } | Event::Ready(_) | Event::Operator { .. }) {
             return Some(node);
