--- a/tests/world/days/upgrade.rs
+++ b/tests/world/days/upgrade.rs
@@ -1,27 +1,27 @@
-//! Controllers of an older form among the others.
+//! Clusters in which controllers of an older version run beside newer ones.
 
 use crate::*;
 
-/// The upgrade: controllers limited to the first form are killed and replaced in each order, at times that
-/// overlap with crashes of their own; one that dies before its turn comes back old. Jobs that follow others
-/// are offered all the while, and taken only once all are new. Then the limits fall.
+/// A rolling upgrade: controllers limited to version 1 are killed and replaced in every order, while crashes overlap with it.
+/// One that crashes before its turn restarts with the old version. Jobs with dependencies are submitted all the time and
+/// accepted only once all controllers are new. Then the state store lowers its limits.
 #[test]
-fn the_rules_hold_while_old_controllers_are_replaced_by_new_ones() {
+fn invariants_hold_during_a_rolling_upgrade() {
     const ORDERS: [[usize; 3]; 6] = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
     for seed in 3000..3024u64 {
         let mut w = World::new(seed, Shape { jobs: 50, ..CHAINED });
         w.limited = [true; 3];
-        let r = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             w.run(0, 30 * S);
-            let every = w.rng.random_range(4..30u64) * S;
+            let interval = w.rng.random_range(4..30u64) * S;
             for n in ORDERS[seed as usize % 6] {
-                assert!(w.accepted_with_dependencies() == 0, "taken while an old controller is there");
+                assert!(w.accepted_with_dependencies() == 0, "accepted while an old controller runs");
                 if w.rng.random_bool(0.4) {
                     w.inject_random_fault();
                 }
                 w.limited[n] = false;
                 w.crash(n);
-                let until = w.now + every;
+                let until = w.now + interval;
                 w.run(0, until);
             }
             w.limits_fall = w.now + w.rng.random_range(0..40 * S);
@@ -29,9 +29,9 @@
             w.run(until, until);
             w.run(0, until + 320 * S);
         }));
-        if let Err(e) = r {
+        if let Err(panic) = result {
             eprintln!("seed {seed}, at {:.3} s: {:#?}", w.now as f64 / 1e6, w.log);
-            std::panic::resume_unwind(e);
+            std::panic::resume_unwind(panic);
         }
         assert!(w.accepted_with_dependencies() > 5, "seed {seed}");
         assert!(w.underserved().is_empty(), "seed {seed}: {:?}", w.underserved());
@@ -45,10 +45,10 @@
     }
 }
 
-/// An old controller turns up once more when jobs wait already: it starts none of them, denies none, and
-/// they go on once it has been replaced again.
+/// A controller of the old version joins again when jobs already wait for dependencies. It starts and rejects none of them,
+/// and they proceed once it has been replaced.
 #[test]
-fn an_old_controller_that_turns_up_later_starts_nothing_that_waits() {
+fn an_old_controller_that_joins_later_starts_no_waiting_job() {
     for seed in 3100..3115u64 {
         let mut w = World::new(seed, Shape { jobs: 50, ..CHAINED });
         w.checks_orphans = false;
