--- a/tests/world/days/compound.rs
+++ b/tests/world/days/compound.rs
@@ -1,17 +1,18 @@
-//! The meetings of two troubles that broke rules elsewhere, each brought about for certain, and the rules held to.
+//! Combinations of two faults that violated invariants in other tests. Each test here is certain to bring its combination about.
 
 use crate::*;
 
 pub(super) fn guarded(seed: u64, w: &mut World, day: impl FnOnce(&mut World)) {
-    let r = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| day(w)));
-    if let Err(e) = r {
+    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| day(w)));
+    if let Err(panic) = result {
         eprintln!("seed {seed}, at {:.3} s: {:#?}", w.now as f64 / 1e6, w.log);
-        std::panic::resume_unwind(e);
+        std::panic::resume_unwind(panic);
     }
 }
 
-/// The day is over, and whoever was not cancelled was served. After troubles of a minute leases begin anew and records are read
-/// again: the bound is longer than on other days, and far below the 75 s after which a job counts as forgotten.
+/// Checks at the end of a run that all jobs that were not cancelled are done, and that no user went unanswered for 30 s. After a
+/// fault of a minute leases are granted again and records are read again, so the bound is longer than in other runs. It is far
+/// below the 75 s after which a job counts as forgotten.
 pub(super) fn ended(w: &mut World, seed: u64) {
     let states = w.states();
     assert!(
@@ -23,7 +24,7 @@
     w.assert_answer_gaps_below(seed, 30.0);
 }
 
-/// Plays until all jobs have ended as they should, at most until then.
+/// Plays until all jobs have finished as expected, at most until `end`.
 pub(super) fn settle(w: &mut World, end: u64) {
     while w.now < end && !w.unfinished_jobs().is_empty() {
         let until = w.now + 5 * S;
@@ -31,7 +32,7 @@
     }
 }
 
-/// Jobs of a few tasks that run for long, gangs among them, their users already at it.
+/// Adds jobs and gangs of a few tasks that run for `run` microseconds. Their users submit them at once.
 pub(super) fn long_jobs(w: &mut World, count: u32, run: u64) -> Vec<String> {
     (0..count)
         .map(|i| {
@@ -54,21 +55,21 @@
     w
 }
 
-/// What a controller is to a job: its owner.
+/// The leader of a job, by the newest epoch that any controller has adopted.
 pub(super) fn owner(w: &World, id: &str) -> Option<usize> {
     let newest = w.nodes.iter().flatten().max_by_key(|x| x.membership.epoch)?;
     newest.membership.job_leader(id)
 }
 
-/// The home of a machine, by the newest epoch that anybody has taken up.
+/// The leader of a machine, by the newest epoch that any controller has adopted.
 pub(super) fn machine_leader(w: &World, machine: usize) -> Option<usize> {
     let newest = w.nodes.iter().flatten().max_by_key(|x| x.membership.epoch)?;
     newest.membership.machine_leader(&w.workers[machine].name)
 }
 
-/// Users ask any controller to cancel these until they are told that they are cancelled, or so long.
-pub(super) fn cancel_all(w: &mut World, ids: &[String], long: u64) {
-    let end = w.now + long;
+/// Users ask any controller to cancel these jobs until that is confirmed, for at most `duration`.
+pub(super) fn cancel_all(w: &mut World, ids: &[String], duration: u64) {
+    let end = w.now + duration;
     while w.now < end && ids.iter().any(|id| w.jobs[id].known == KnownState::Accepted) {
         for id in ids {
             if w.jobs[id].known == KnownState::Accepted {
@@ -81,9 +82,10 @@
     }
 }
 
-/// Also from an earlier session or attempt, over restarts of homes that remember nothing, cancellations and changes of home.
+/// The old report may come from an earlier session or attempt. Meanwhile machine leaders restart without their state or change,
+/// and jobs are cancelled.
 #[test]
-fn an_old_report_arrives_after_newer_ones() {
+fn a_stale_report_arrives_after_newer_ones() {
     let (mut copies, mut earlier) = ([0; 3], 0);
     for seed in seeds().take(6).map(|s| s + 21_000) {
         let mut w = world(seed, 30);
@@ -92,7 +94,7 @@
             w.run(0, 20 * S);
             w.delay_heartbeats(0.5, 130 * S);
             for i in 0..5 {
-                // A lease that runs out while a machine hangs begins a new session.
+                // A machine whose lease expires while it hangs begins a new session.
                 for m in w.some_machines() {
                     w.workers[m].unresponsive_until = w.now + (LEASE_S * 1e6) as u64 + 3 * S;
                 }
@@ -113,10 +115,11 @@
     assert!(copies[1] > 500 && copies[2] > 300 && earlier > 10, "{copies:?}, {earlier} of earlier sessions");
 }
 
-/// Machines with long tasks report and hear nothing, or can't be reached, while the home and the owner of these end and come
-/// back, and users cancel. Tasks on deaf machines live until the worker's own lease ends, which no report moves.
+/// Machines with long tasks report but receive no answers, or are unreachable, while their machine leader or job leader crashes
+/// and restarts and users cancel. Tasks on machines without answers live until the worker's lease expires, which no report
+/// extends.
 #[test]
-fn a_leader_ends_while_machines_are_deaf_or_out_of_reach() {
+fn a_leader_crashes_while_machines_get_no_answers_or_are_unreachable() {
     let (mut unheard, mut confirmed) = (0, 0);
     for seed in seeds().take(8).map(|s| s + 21_100) {
         let mut w = world(seed, 0);
@@ -125,11 +128,11 @@
             let ids = long_jobs(w, 12, 120 * S);
             w.run(0, 50 * S);
             let n = seed as usize % 3;
-            let of: Vec<usize> = (0..w.workers.len()).filter(|&i| machine_leader(w, i) == Some(n)).collect();
-            let long = w.rng.random_range(8 * S..60 * S);
-            w.lose_inbound_messages(&of[..of.len().div_ceil(2)], long);
-            for &i in &of[of.len().div_ceil(2)..] {
-                w.workers[i].unresponsive_until = w.now + w.rng.random_range(4 * S..long);
+            let machines: Vec<usize> = (0..w.workers.len()).filter(|&i| machine_leader(w, i) == Some(n)).collect();
+            let duration = w.rng.random_range(8 * S..60 * S);
+            w.lose_inbound_messages(&machines[..machines.len().div_ceil(2)], duration);
+            for &i in &machines[machines.len().div_ceil(2)..] {
+                w.workers[i].unresponsive_until = w.now + w.rng.random_range(4 * S..duration);
             }
             let until = w.now + w.rng.random_range(0..5 * S);
             w.run(0, until);
@@ -146,14 +149,14 @@
         unheard += w.compound.lost_to_workers;
         confirmed += w.compound.cancel_answers.values().filter(|t| t.tasks > 0).count();
     }
-    assert!(unheard > 50 && confirmed > 20, "{unheard} answers, {confirmed} cancellations with tasks alive");
+    assert!(unheard > 50 && confirmed > 20, "{unheard} lost answers, {confirmed} cancellations with live tasks");
 }
 
-/// The first task's end is known to a worker, a home, an owner or a record when the leader changes; the last one ends much
-/// later. Homes change with owners, and machines of tasks that have ended die.
+/// When the leader changes, the end of the first task is known to the worker, the machine leader, the job leader or the state
+/// store; the last task ends much later. Machine leaders change together with job leaders, and machines of ended tasks die.
 #[test]
-fn tasks_of_one_job_end_far_apart_over_a_change_of_leader() {
-    let mut split = 0;
+fn tasks_of_one_job_end_far_apart_across_a_change_of_leader() {
+    let mut partly_done = 0;
     for seed in seeds().take(8).map(|s| s + 21_200) {
         let mut w = world(seed, 0);
         guarded(seed, &mut w, |w| {
@@ -162,11 +165,11 @@
             ids.iter().for_each(|id| w.jobs.get_mut(id).expect("a job").extra_run_per_index = 22 * S);
             w.run(0, 30 * S);
             for i in 0..4 {
-                // One moves on just as tasks end, or before anybody has heard of it.
+                // The leader changes just as tasks end, or before any controller has got a report of that.
                 let until = w.now + w.rng.random_range(S..12 * S);
                 w.run(0, until);
-                let part = |j: &&UserJob| !j.done.is_empty() && j.done.len() < j.spec.task_count as usize;
-                split += w.jobs.values().filter(part).count();
+                let is_partly_done = |j: &&UserJob| !j.done.is_empty() && j.done.len() < j.spec.task_count as usize;
+                partly_done += w.jobs.values().filter(is_partly_done).count();
                 let n = (seed as usize + i) % 3;
                 match (seed + i as u64) % 4 {
                     0 => w.crash_for(n, S / 20..S / 10),
@@ -181,17 +184,17 @@
             settle(w, 520 * S);
         });
         ended(&mut w, seed);
-        let all = |j: &UserJob| j.known == KnownState::Done && j.done.len() == j.spec.task_count as usize;
-        assert!(w.jobs.values().all(all), "seed {seed}: nobody cancelled anything");
+        let is_done = |j: &UserJob| j.known == KnownState::Done && j.done.len() == j.spec.task_count as usize;
+        assert!(w.jobs.values().all(is_done), "seed {seed}: no job was cancelled");
     }
-    assert!(split > 40, "{split} jobs with some tasks done over a change");
+    assert!(partly_done > 40, "{partly_done} jobs with some tasks done at a change of leader");
 }
 
-/// One leaves and is back, the next leaves, all end, and one returns: all within a second, while what was handed over is lost,
-/// doubled and late.
+/// One controller is shut down and restarts, the next is shut down, all crash, and one restarts, all within a second, while
+/// hand-off batches are lost, duplicated and delayed.
 #[test]
-fn controllers_hand_over_and_back_all_end_and_one_returns_within_a_second() {
-    let mut parcels = 0;
+fn controllers_hand_off_twice_all_crash_and_one_restarts_within_a_second() {
+    let mut batches = 0;
     for seed in seeds().take(8).map(|s| s + 21_300) {
         let mut w = world(seed, 30);
         (w.handoff_fault_rate, w.shape.run) = (0.3, 40 * S);
@@ -215,15 +218,15 @@
             settle(w, 520 * S);
         });
         ended(&mut w, seed);
-        parcels += w.handoff_batches;
+        batches += w.handoff_batches;
     }
-    assert!(parcels > 20, "{parcels} parcels");
+    assert!(batches > 20, "{batches} hand-off batches");
 }
 
-/// Answers with commands, and direct commands, are seconds on their way, or the machine stands still with them; it then goes
-/// on, also after its home has changed and jobs were cancelled.
+/// Commands in answers and direct commands are delayed by seconds, or the machine hangs after it received them. It resumes,
+/// possibly after its machine leader has changed and jobs were cancelled.
 #[test]
-fn commands_and_answers_are_held_up_for_seconds_and_the_machine_goes_on() {
+fn commands_and_answers_are_delayed_for_seconds_and_the_machine_resumes() {
     let mut starts = 0;
     for seed in seeds().take(8).map(|s| s + 21_400) {
         let mut w = world(seed, 40);
@@ -231,8 +234,8 @@
             w.run(0, 15 * S);
             for i in 0..6 {
                 let n = (seed as usize + i) % 3;
-                let (by, long) = (w.rng.random_range(S..4 * S), w.rng.random_range(8 * S..20 * S));
-                let (from, until) = (Endpoint::Controller(n), w.now + long);
+                let (by, duration) = (w.rng.random_range(S..4 * S), w.rng.random_range(8 * S..20 * S));
+                let (from, until) = (Endpoint::Controller(n), w.now + duration);
                 w.compound.faulty_links.push(FaultyLink {
                     from,
                     to: Endpoint::Workers,
@@ -241,8 +244,8 @@
                 });
                 let until = w.now + w.rng.random_range(S..5 * S);
                 w.run(0, until);
-                let long = w.rng.random_range(3 * S..16 * S);
-                w.inject_fault(Fault::MachinesUnresponsive, n, long);
+                let duration = w.rng.random_range(3 * S..16 * S);
+                w.inject_fault(Fault::MachinesUnresponsive, n, duration);
                 if i % 2 == 0 {
                     let m = w.rng.random_range(0..3);
                     w.crash_for(m, S / 20..S / 10);
@@ -255,12 +258,13 @@
         });
         ended(&mut w, seed);
     }
-    assert!(starts > 400, "{starts} starts meanwhile");
+    assert!(starts > 400, "{starts} attempts meanwhile");
 }
 
-/// A leader keeps its workers and users, and is cut from all else. Its jobs are cancelled through whoever follows it.
+/// A leader is partitioned from the state store and its peers, but not from its workers and users. Its jobs are cancelled
+/// through its successor.
 #[test]
-fn a_leader_is_cut_from_store_and_peers_and_its_jobs_are_cancelled_through_the_new_one() {
+fn jobs_of_a_leader_partitioned_from_store_and_peers_are_cancelled_through_its_successor() {
     let mut confirmed = 0;
     for seed in seeds().take(10).map(|s| s + 21_500) {
         let mut w = world(seed, 0);
@@ -269,23 +273,23 @@
             let ids = long_jobs(w, 12, 130 * S);
             w.run(0, 45 * S);
             let n = seed as usize % 3;
-            let its: BTreeSet<String> = ids.iter().filter(|id| owner(w, id) == Some(n)).cloned().collect();
-            let (from, long) = (w.now, [10, 30, 70][seed as usize % 3] * S);
-            w.cut_from_store_and_peers(n, long, seed % 2 == 0);
-            cancel_all(w, &ids[..9], long + 20 * S);
-            let new = |(id, t): (&String, &CancelAnswer)| its.contains(id) && t.by != n && t.at < from + long;
-            confirmed += w.compound.cancel_answers.iter().filter(|(id, t)| new((id, t))).count();
+            let led_jobs: BTreeSet<String> = ids.iter().filter(|id| owner(w, id) == Some(n)).cloned().collect();
+            let (from, duration) = (w.now, [10, 30, 70][seed as usize % 3] * S);
+            w.cut_from_store_and_peers(n, duration, seed % 2 == 0);
+            cancel_all(w, &ids[..9], duration + 20 * S);
+            let is_by_successor = |(id, t): (&String, &CancelAnswer)| led_jobs.contains(id) && t.by != n && t.at < from + duration;
+            confirmed += w.compound.cancel_answers.iter().filter(|(id, t)| is_by_successor((id, t))).count();
             settle(w, 520 * S);
         });
         ended(&mut w, seed);
     }
-    assert!(confirmed > 5, "{confirmed} cancellations by the new leader during the cut");
+    assert!(confirmed > 5, "{confirmed} cancellations by the new leader during the partition");
 }
 
-/// Answers take 1 to 5 s, beside the client's limit of two: half of what is asked is carried out without an answer. Users
-/// cancel and ask meanwhile.
+/// Answers take 1 to 5 s, while the request timeout is two: half of the requests are executed without an answer. Users cancel
+/// and query jobs meanwhile.
 #[test]
-fn the_state_service_is_slow_while_users_cancel_and_ask() {
+fn the_state_store_is_slow_while_users_cancel_and_query() {
     let (mut unknown, mut confirmed) = (0, 0);
     for seed in seeds().take(8).map(|s| s + 21_600) {
         let mut w = world(seed, 0);
@@ -294,9 +298,9 @@
             let ids = long_jobs(w, 12, 100 * S);
             w.run(0, 40 * S);
             let from = w.now;
-            let long = [6, 15, 40][seed as usize % 3] * S;
-            w.slow_store(long);
-            cancel_all(w, &ids[..8], long);
+            let duration = [6, 15, 40][seed as usize % 3] * S;
+            w.slow_store(duration);
+            cancel_all(w, &ids[..8], duration);
             confirmed += w.compound.cancel_answers.values().filter(|t| t.at >= from && t.tasks > 0).count();
             if seed % 2 == 0 {
                 w.outage_until = w.now + 50 * S;
@@ -312,10 +316,10 @@
     assert!(unknown > 100 && confirmed > 10, "{unknown} without an answer, {confirmed} confirmed");
 }
 
-/// Transactions without an answer are carried out late, after newer ones of the same controller, and over its restarts,
-/// cancellations and ends.
+/// Transactions without an answer are executed late, after newer ones of the same controller and across its restarts, while
+/// jobs are cancelled and finish.
 #[test]
-fn transactions_without_an_answer_are_carried_out_after_newer_ones() {
+fn transactions_without_an_answer_are_executed_after_newer_ones() {
     let mut writes = [0; 3];
     for seed in seeds().take(10).map(|s| s + 21_700) {
         let mut w = world(seed, 40);
@@ -338,14 +342,15 @@
         ended(&mut w, seed);
         writes.iter_mut().zip(w.compound.writes).for_each(|(a, b)| *a += b);
     }
-    assert!(writes[1] > 200 && writes[2] > 20, "late, after newer ones, with effect: {writes:?}");
+    assert!(writes[1] > 200 && writes[2] > 20, "late, after newer ones, applied: {writes:?}");
 }
 
-/// The owner puts an end on record, has no answer, and is not told that it was carried out late; whoever can't reach the owner
-/// could read it there. It must not tell: the owner calls the job queued or running from memory. Found by the sweep of pairs.
+/// The job leader writes an outcome, gets no answer, and the write is executed late. Another controller that can't reach the
+/// leader could read the outcome there. It must not report it to users, because the leader still reports the job as queued or
+/// running from memory. The random pairs of faults (`pairs`) found this.
 #[test]
-fn an_end_that_is_carried_out_late_is_told_by_its_owner_alone() {
-    let (mut late, mut told) = (0, 0);
+fn an_outcome_that_is_stored_late_is_reported_by_its_leader_only() {
+    let (mut late, mut by_others) = (0, 0);
     for seed in 21_800..21_808u64 {
         let mut w = world(seed, 0);
         guarded(seed, &mut w, |w| {
@@ -353,19 +358,19 @@
             let ids = long_jobs(w, 9, 60 * S);
             w.run(0, 35 * S);
             let n = seed as usize % 3;
-            let its: Vec<String> = ids.into_iter().filter(|id| owner(w, id) == Some(n)).collect();
+            let led_jobs: Vec<String> = ids.into_iter().filter(|id| owner(w, id) == Some(n)).collect();
             w.delay_writes(1.0, 20 * S);
             for p in (0..3).filter(|&p| p != n) {
                 w.fail_one_way(n, p, 20 * S, LinkFault::Lost);
             }
-            its.iter().for_each(|id| w.cancel_job(n, id));
+            led_jobs.iter().for_each(|id| w.cancel_job(n, id));
             let until = w.now + 20 * S;
             w.run(0, until);
-            told += w.compound.cancel_answers.values().filter(|t| t.by != n && t.at < until).count();
+            by_others += w.compound.cancel_answers.values().filter(|t| t.by != n && t.at < until).count();
             settle(w, 420 * S);
         });
         ended(&mut w, seed);
         late += w.compound.writes[0];
     }
-    assert!(late > 20 && told == 0, "{late} late, {told} told by others");
+    assert!(late > 20 && by_others == 0, "{late} late, {by_others} reported by other controllers");
 }
--- a/tests/world/days/mod.rs
+++ b/tests/world/days/mod.rs
@@ -1,4 +1,4 @@
-//! The days that are played, by subject.
+//! The simulated runs, by subject.
 
 mod batches;
 mod cancels;
--- a/tests/world/days/takeovers.rs
+++ b/tests/world/days/takeovers.rs
@@ -66,7 +66,7 @@
         );
         batches += w.handoff_batches;
     }
-    assert!(batches > 500, "{batches} batches");
+    assert!(batches > 500, "{batches} hand-off batches");
 }
 
 /// A machine dies, a controller crashes, and half a lease later a second one does. The new leader of the first controller's
