--- a/tests/world/days/batches.rs
+++ b/tests/world/days/batches.rs
@@ -1,4 +1,4 @@
-//! Merges that start and write only on runs of their batch's version.
+//! Merges start and write only if the runs that they depend on have the current version of their batch.
 
 use crate::batches::FRESHNESS_CONFIG;
 use crate::*;
@@ -16,35 +16,35 @@
         "borrowed": false, "rideS": 5.0, "restS": 0.0, "unsaddleS": 0.0, "follows": follows})
 }
 
-fn of(name: &str, version: u64) -> Value {
+fn batch_version(name: &str, version: u64) -> Value {
     json!({"name": name, "version": version})
 }
 
-/// A run of a batch, with a new id.
-fn run(w: &mut World, class: &str, name: &str, version: Option<u64>, follows: &[&str]) -> String {
+/// Adds a run of a batch with a new job ID.
+fn add_run(w: &mut World, class: &str, name: &str, version: Option<u64>, follows: &[&str]) -> String {
     let id = format!("wk-7{:05}", w.jobs.len());
     let mut b = body(&id, class, "batch", 1, follows);
     if let Some(v) = version {
-        b["batch"] = of(name, v);
+        b["batch"] = batch_version(name, v);
     }
-    let long = w.rng.random_range(3 * S..9 * S);
-    w.add_described_job(&b, long);
+    let run_time = w.rng.random_range(3 * S..9 * S);
+    w.add_described_job(&b, run_time);
     id
 }
 
-/// Splitting, reading, a check that carries no batch, and the merge of all.
-pub(super) fn pipeline(w: &mut World, name: &str, version: u64) -> String {
+/// Adds split and read runs, a check that names no batch, and the merge that depends on them.
+pub(super) fn add_pipeline(w: &mut World, name: &str, version: u64) -> String {
     let splits = w.rng.random_range(1..3);
     let mut read = Vec::new();
     for _ in 0..splits {
-        // Some runs say an older version, or none.
-        let said = match w.rng.random_range(0..8) {
+        // Some runs name an older version, or none.
+        let run_version = match w.rng.random_range(0..8) {
             0 => None,
             1 => Some(version.saturating_sub(1)),
             _ => Some(version),
         };
-        let split = run(w, "split", name, said, &[]);
-        read.push(run(w, "read", name, Some(version), &[&split]));
+        let split = add_run(w, "split", name, run_version, &[]);
+        read.push(add_run(w, "read", name, Some(version), &[&split]));
     }
     let read: Vec<&str> = read.iter().map(String::as_str).collect();
     let check = format!("wk-7{:05}", w.jobs.len());
@@ -54,43 +54,43 @@
     let kind = ["batch", "group"][w.rng.random_range(0..2usize)];
     let tasks = w.rng.random_range(1..4);
     let mut b = body(&merge, "merge", kind, tasks, &[&check]);
-    b["merges"] = of(name, version);
-    let long = w.rng.random_range(8 * S..25 * S);
-    w.add_described_job(&b, long);
+    b["merges"] = batch_version(name, version);
+    let run_time = w.rng.random_range(8 * S..25 * S);
+    w.add_described_job(&b, run_time);
     merge
 }
 
-/// New runs of a version, as many as any merge has old ones.
-pub(super) fn runs_again(w: &mut World, name: &str, version: u64) {
+/// Adds new runs of a version, as many as a merge has at most.
+pub(super) fn add_new_runs(w: &mut World, name: &str, version: u64) {
     for _ in 0..2 {
-        let split = run(w, "split", name, Some(version), &[]);
-        run(w, "read", name, Some(version), &[&split]);
+        let split = add_run(w, "split", name, Some(version), &[]);
+        add_run(w, "read", name, Some(version), &[&split]);
     }
 }
 
-/// Batches are put and replaced at any moment, by operators and by runs, while merges wait, start, run and write, under all
-/// troubles; processes that end are back at once.
-fn replaced(seed: u64, quick: bool) -> World {
+/// Operators and runs set and raise batch versions at any moment while merges wait, start, run and write, under all kinds of
+/// faults. With `quick`, crashed controllers restart at once.
+fn play_replaced(seed: u64, quick: bool) -> World {
     let w = world(seed, REPLACED);
-    replaced_in(w, seed, quick)
+    play_replaced_in(w, seed, quick)
 }
 
 pub(super) const REPLACED: Shape = Shape { jobs: 12, machines: 6, zone_capacity: 8, ..SMALL };
 
-pub(super) fn replaced_in(mut w: World, seed: u64, quick: bool) -> World {
+pub(super) fn play_replaced_in(mut w: World, seed: u64, quick: bool) -> World {
     w.batches.writers = true;
-    let r = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
         w.run(200 * S, 15 * S);
         let names = ["b0", "b1", "b2"];
-        let mut again: Vec<(u64, &str, u64)> = Vec::new();
+        let mut due_runs: Vec<(u64, &str, u64)> = Vec::new();
         while w.now < 200 * S {
             let name = names[w.rng.random_range(0..3usize)];
             let version = w.version(name).max(1);
             match w.rng.random_range(0..5) {
                 0..2 => {
-                    pipeline(&mut w, name, version);
+                    add_pipeline(&mut w, name, version);
                     if w.rng.random_bool(0.3) {
-                        pipeline(&mut w, name, version);
+                        add_pipeline(&mut w, name, version);
                     }
                 }
                 2..4 => {
@@ -100,16 +100,16 @@
                         OperatorCommand::PutBatch { name: name.into(), version: version + up },
                     );
                     let at = w.now + w.rng.random_range(5 * S..40 * S);
-                    again.push((at, name, version + up));
+                    due_runs.push((at, name, version + up));
                 }
                 _ => {
                     let at = w.now + w.rng.random_range(0..20 * S);
-                    again.push((at, name, version + 1));
+                    due_runs.push((at, name, version + 1));
                 }
             }
             let now = w.now;
-            for (_, name, version) in again.extract_if(.., |a| a.0 <= now).collect::<Vec<_>>() {
-                runs_again(&mut w, name, version);
+            for (_, name, version) in due_runs.extract_if(.., |a| a.0 <= now).collect::<Vec<_>>() {
+                add_new_runs(&mut w, name, version);
             }
             let until = w.now + w.rng.random_range(2 * S..9 * S);
             w.run(200 * S, until);
@@ -120,26 +120,26 @@
             }
         }
         w.run(0, 300 * S);
-        // Whatever a merge rests on, there are new runs now.
+        // New runs of the current versions release every merge that is held.
         for name in names {
             let version = w.version(name).max(1);
-            runs_again(&mut w, name, version);
+            add_new_runs(&mut w, name, version);
         }
         w.run(0, 700 * S);
     }));
-    if let Err(e) = r {
+    if let Err(panic) = result {
         eprintln!("seed {seed}, at {:.3} s: {:#?}", w.now as f64 / 1e6, w.log);
-        std::panic::resume_unwind(e);
+        std::panic::resume_unwind(panic);
     }
     w
 }
 
 #[test]
-fn no_merge_starts_or_writes_on_old_runs_whatever_fails() {
+fn no_merge_starts_or_writes_on_stale_runs_under_all_faults() {
     let (mut starts, mut late, mut permits, mut refused) = (0, 0, 0, 0);
     for seed in seeds().map(|s| s + 9000).step_by(2) {
         let quick = seed % 4 == 0;
-        let mut w = replaced(seed, quick);
+        let mut w = play_replaced(seed, quick);
         let states = w.states();
         assert!(
             w.unfinished_jobs().is_empty(),
@@ -162,12 +162,13 @@
     }
     eprintln!("{starts} starts, {late} late, {permits} permits, {refused} refused");
     assert!(starts > 200 && permits > 150 && refused > 0, "{starts} {permits} {refused}");
-    assert!(late * 20 < starts, "{late} of {starts} starts on what had just become old");
+    assert!(late * 20 < starts, "{late} of {starts} attempts on runs that had just become stale");
 }
 
-/// A batch is put, put twice, put lower, shown; what is submitted is told why; a repeat with another version changes nothing.
+/// A batch is set, set again, set to a lower version, and shown. An invalid submission is rejected with its reason. A repeated
+/// submission with another version changes nothing.
 #[test]
-fn a_batch_is_put_and_shown_and_a_repeat_changes_nothing() {
+fn a_batch_is_set_and_shown_and_a_repeated_submission_changes_nothing() {
     let mut w = world(950, Shape { jobs: 0, ..SMALL });
     run_until(&mut w, 30 * S);
     let put = |w: &mut World, n: usize, name: &str, version: u64| {
@@ -182,7 +183,7 @@
     assert!(unknown.status == 404 && unknown.body.contains("the nearest is b"), "{}", unknown.body);
     let submit = |w: &mut World, n: usize, id: &str, class: &str, key: &str, version: u64| {
         let mut b = body(id, class, "batch", 1, &[]);
-        b[key] = of("b", version);
+        b[key] = batch_version("b", version);
         if !w.jobs.contains_key(id) {
             w.add_described_job(&b, 5 * S).next = NEVER;
         }
@@ -191,39 +192,39 @@
     let wrong = submit(&mut w, 0, "wk-800001", "check", "merges", 7);
     assert!(wrong.status == 422 && wrong.body.contains("merge"), "{}", wrong.body);
     assert_eq!(submit(&mut w, 0, "wk-800002", "split", "batch", 7).status, 201);
-    assert_eq!(submit(&mut w, 1, "wk-800003", "split", "batch", 3).status, 201, "it is simply old");
+    assert_eq!(submit(&mut w, 1, "wk-800003", "split", "batch", 3).status, 201, "an older version is accepted");
     for n in 0..3 {
         assert_eq!(submit(&mut w, n, "wk-800002", "split", "batch", 9).status, 200);
     }
     let done = w.now + 60 * S;
     run_until(&mut w, done);
-    // Nobody remembers it then: only its record tells that it was accepted.
+    // After the restart no controller has the job in memory: only its record shows that it was accepted.
     (0..3).for_each(|n| w.crash(n));
     let back = w.now + 45 * S;
     run_until(&mut w, back);
     for n in 0..3 {
-        assert_eq!(submit(&mut w, n, "wk-800002", "split", "batch", 9).status, 200, "after its end");
+        assert_eq!(submit(&mut w, n, "wk-800002", "split", "batch", 9).status, 200, "after the job is done");
     }
-    assert_eq!(w.version("b"), 7, "the first one stands");
+    assert_eq!(w.version("b"), 7, "the version of the first submission counts");
     assert_eq!(submit(&mut w, 2, "wk-800004", "read", "batch", 8).status, 201);
-    assert_eq!(w.version("b"), 8, "a run that names a newer one raises it");
+    assert_eq!(w.version("b"), 8, "a run that names a newer version raises it");
     let shown: Vec<String> =
         (0..3).map(|n| w.ask_operator(n, OperatorCommand::ShowBatch { name: "b".into() }).body).collect();
     assert!(shown[0].contains("wk-800003") && shown[0] == shown[1] && shown[1] == shown[2], "{shown:?}");
     w.outage_until = w.now + 20 * S;
-    assert_eq!(put(&mut w, 0, "b", 9).status, 503, "the state service is away");
+    assert_eq!(put(&mut w, 0, "b", 9).status, 503, "the state store is down");
 }
 
-/// A writer gets its permit; a newer version is recorded at once, marked as after its write, which goes on; the next merge
-/// is held, names the old run, and goes on by itself once a new run is on record.
+/// A writer gets its permit. A newer version is stored at once, with the fence of this write, and the write continues. The next
+/// merge is held, names the stale run as the cause, and starts by itself once a new run is stored.
 #[test]
-fn a_newer_version_waits_for_no_writer_and_the_next_merge_for_a_new_run() {
+fn a_newer_version_does_not_wait_for_the_writer_and_the_next_merge_waits_for_a_new_run() {
     let mut w = world(951, Shape { jobs: 0, ..SMALL });
     run_until(&mut w, 30 * S);
-    let split = run(&mut w, "split", "b", Some(7), &[]);
+    let split = add_run(&mut w, "split", "b", Some(7), &[]);
     let merge = |w: &mut World, id: &str| {
         let mut b = body(id, "merge", "batch", 1, &[&split]);
-        b["merges"] = of("b", 7);
+        b["merges"] = batch_version("b", 7);
         w.add_described_job(&b, 40 * S);
     };
     merge(&mut w, "wk-800001");
@@ -245,35 +246,35 @@
     assert!(first.status == 200 && first.body.contains("\"version\":7"), "{}", first.body);
     assert_eq!(ask(&mut w, 1, attempt + 1).status, 409, "no such attempt");
     assert_eq!(w.ask_operator(2, OperatorCommand::PutBatch { name: "b".into(), version: 8 }).status, 200);
-    assert_eq!(ask(&mut w, 1, attempt).body, first.body, "it writes on");
+    assert_eq!(ask(&mut w, 1, attempt).body, first.body, "the writer keeps its permit");
     let shown = w.ask_operator(0, OperatorCommand::ShowBatch { name: "b".into() });
     assert!(shown.body.contains("\"after_fence\":1"), "{}", shown.body);
     merge(&mut w, "wk-800002");
     let then = w.now + 15 * S;
     run_until(&mut w, then);
-    assert_eq!(running(&w, "wk-800001"), Some(attempt), "a write under way is not stopped");
+    assert_eq!(running(&w, "wk-800001"), Some(attempt), "a write in progress is not stopped");
     assert_eq!(running(&w, "wk-800002"), None);
     let why = w.ask(1, UserRequest::Why("wk-800002".into()));
     assert!(why.body.contains(&format!("{split} (split) read version 7 of b")), "{}", why.body);
-    run(&mut w, "split", "b", Some(8), &[]);
+    add_run(&mut w, "split", "b", Some(8), &[]);
     let then = w.now + 150 * S;
     run_until(&mut w, then);
     assert!(w.unfinished_jobs().is_empty(), "{:?}", w.unfinished_jobs());
-    assert_eq!(w.permits_held("b"), 0, "it ends with its attempt");
+    assert_eq!(w.permits_held("b"), 0, "the permit ends with its attempt");
 }
 
-/// A merge that runs when its batch is replaced is stopped, is pending, and is done after the new run.
+/// A merge that runs when its batch is replaced is stopped and pending, and finishes after the new run.
 #[test]
 fn a_running_merge_that_has_become_stale_is_stopped_and_held() {
     for (seed, kind) in [(952, "batch"), (953, "group")] {
         let mut w = world(seed, Shape { jobs: 0, ..SMALL });
         run_until(&mut w, 30 * S);
-        let split = run(&mut w, "split", "b", Some(7), &[]);
+        let split = add_run(&mut w, "split", "b", Some(7), &[]);
         let mut b = body("wk-800001", "merge", kind, 2, &[&split]);
-        b["merges"] = of("b", 7);
+        b["merges"] = batch_version("b", 7);
         w.add_described_job(&b, 60 * S);
-        let on = |w: &World| w.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.is_placed()).count();
-        while on(&w) < 2 {
+        let live_tasks = |w: &World| w.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.is_placed()).count();
+        while live_tasks(&w) < 2 {
             let next = w.now + S / 2;
             assert!(next < 120 * S, "it does not start");
             run_until(&mut w, next);
@@ -281,10 +282,10 @@
         assert_eq!(w.ask_operator(1, OperatorCommand::PutBatch { name: "b".into(), version: 8 }).status, 200);
         let then = w.now + 12 * S;
         run_until(&mut w, then);
-        assert_eq!(on(&w), 0, "{kind}: what is old runs on");
+        assert_eq!(live_tasks(&w), 0, "{kind}: the stale merge still runs");
         let asked = w.ask(0, UserRequest::Query("wk-800001".into()));
         assert!(asked.body.contains("pending"), "{}", asked.body);
-        run(&mut w, "split", "b", Some(8), &[]);
+        add_run(&mut w, "split", "b", Some(8), &[]);
         let then = w.now + 200 * S;
         run_until(&mut w, then);
         assert!(w.unfinished_jobs().is_empty(), "{kind}: {:?}", w.unfinished_jobs());
--- a/tests/world/days/loans.rs
+++ b/tests/world/days/loans.rs
@@ -1,31 +1,31 @@
-//! Days with GPUs: serving takes them from other teams' work and gives them back, whatever fails.
+//! Loans of GPUs: services claim GPUs from jobs of other teams and return them, under all kinds of faults.
 
 use crate::*;
 use hazelsaddle_gpu_lending::ledger::{Ledger, Loan, LoanState as LoanStanding};
 
-/// Two machines without GPUs and eight of four; each zone is full, so that nothing can be rented.
+/// Two machines without GPUs and eight with four each. Each zone is full, so that no machine can be rented.
 pub(super) const GPUS: Shape = Shape { machines: 2, gpus: 8, zone_capacity: 5, teams: 4, jobs: 0, ..SMALL };
 
-/// What a day has seen of loans.
+/// Loans that were observed in one run.
 #[derive(Default)]
-pub(super) struct Seen {
+pub(super) struct Observed {
     loans: BTreeMap<u64, Loan>,
     lenders: BTreeSet<String>,
-    most: u32,
+    max_replicas: u32,
     ended: usize,
-    story: Vec<String>,
-    /// Seconds from the end of serving until its machines were in use again.
-    back: Option<u64>,
+    history: Vec<String>,
+    /// Seconds from the end of the service until its machines were in use again.
+    reused_after_s: Option<u64>,
 }
 
-impl Seen {
-    /// Whether something was lent, and serving ran on it.
+impl Observed {
+    /// Whether GPUs were lent and replicas ran on them.
     pub(super) fn lent(&self) -> bool {
-        !self.lenders.is_empty() && self.most > 0
+        !self.lenders.is_empty() && self.max_replicas > 0
     }
 }
 
-pub(super) struct Ask<'a> {
+pub(super) struct GpuJob<'a> {
     pub(super) n: u32,
     pub(super) team: &'a str,
     pub(super) gait: &'a str,
@@ -35,7 +35,7 @@
     pub(super) run: u64,
 }
 
-pub(super) fn add(w: &mut World, a: &Ask) -> String {
+pub(super) fn add(w: &mut World, a: &GpuJob) -> String {
     let id = format!("wk-{:06}", a.n);
     let class = if a.gait == "service" { "serve" } else { "train" };
     let body = json!({"uid": id, "breed": class, "herd": a.team, "gait": a.gait, "rank": a.rank, "strides": a.tasks,
@@ -54,178 +54,179 @@
     w.store.keys.iter().filter_map(read).collect()
 }
 
-/// Lets time go on, a second at a time, and looks at the ledgers after each.
-fn look(w: &mut World, seen: &mut Seen, troubles: u64, end: u64) {
+/// Advances the time in steps of a second and checks the ledgers after each.
+fn run_and_check(w: &mut World, observed: &mut Observed, faults_until: u64, end: u64) {
     while w.now < end {
         let next = w.now + S;
-        w.run(troubles, next);
+        w.run(faults_until, next);
         for (team, ledger) in ledgers(w) {
             let mut now = BTreeSet::new();
             for l in &ledger.loans {
                 assert_ne!(l.lender, team, "a team doesn't lend to itself");
                 assert!(l.from != l.job && l.gpus > 0);
                 now.insert(l.id);
-                seen.lenders.insert(l.lender.clone());
-                let was = seen.loans.insert(l.id, l.clone());
-                if was.as_ref().is_none_or(|o| o.state != l.state) {
+                observed.lenders.insert(l.lender.clone());
+                let previous = observed.loans.insert(l.id, l.clone());
+                if previous.as_ref().is_none_or(|o| o.state != l.state) {
                     let (at, from) = (w.now / S, &l.from);
-                    seen.story.push(format!(
+                    observed.history.push(format!(
                         "{at}: {} {:?} {from} on {} for {}",
                         l.id, l.state, l.machine, l.replicas
                     ));
                 }
-                if let Some(was) = was {
-                    assert!(was.state <= l.state, "it went back: {was:?} {l:?}");
-                    assert_eq!((&was.machine, &was.from, &was.tasks), (&l.machine, &l.from, &l.tasks));
+                if let Some(previous) = previous {
+                    assert!(previous.state <= l.state, "the state went back: {previous:?} {l:?}");
+                    assert_eq!((&previous.machine, &previous.from, &previous.tasks), (&l.machine, &l.from, &l.tasks));
                 }
             }
             for job in ledger.loans.iter().map(|l| &l.job).collect::<BTreeSet<_>>() {
                 let live =
                     ledger.loans.iter().filter(|l| l.job == *job && l.state != LoanStanding::Returning);
                 let n: u32 = live.map(|l| l.replicas).sum();
-                seen.most = seen.most.max(n);
+                observed.max_replicas = observed.max_replicas.max(n);
                 let all = w.jobs[job].spec.task_count;
-                assert!(n <= all, "taken in vain: {n} replicas of {job} in {:#?}", ledger.loans);
+                assert!(n <= all, "claimed more than needed: {n} replicas of {job} in {:#?}", ledger.loans);
             }
-            // Numbers are used once in a ledger; here one team borrows.
-            let gone: Vec<u64> = seen.loans.keys().filter(|id| !now.contains(id)).copied().collect();
-            seen.ended += gone.len();
-            gone.iter().for_each(|id| drop(seen.loans.remove(id)));
+            // Loan IDs are unique within a ledger, and only one team borrows here.
+            let ended_loans: Vec<u64> = observed.loans.keys().filter(|id| !now.contains(id)).copied().collect();
+            observed.ended += ended_loans.len();
+            ended_loans.iter().for_each(|id| drop(observed.loans.remove(id)));
         }
     }
 }
 
-fn serving(w: &World, id: &str) -> usize {
+fn running_replicas(w: &World, id: &str) -> usize {
     let tasks = w.workers.iter().filter(|x| !x.gone && !x.dead).flat_map(|x| &x.tasks);
     tasks.filter(|t| t.job == id && t.state == "running").count()
 }
 
-/// t0 fills all GPUs, t2 runs within its guarantee, then t1 serves: eight GPUs within its guarantee.
-fn gpu_day(seed: u64, gang: bool, troubles: u64) -> (World, Seen, usize) {
-    gpu_day_in(World::new(seed, GPUS), seed, gang, troubles)
+/// t0 fills all GPUs, t2 runs within its guarantee, then t1 starts a service on eight GPUs within its guarantee.
+fn play_gpu_loans(seed: u64, gang: bool, faults_until: u64) -> (World, Observed, usize) {
+    play_gpu_loans_in(World::new(seed, GPUS), seed, gang, faults_until)
 }
 
-pub(super) fn gpu_day_in(mut w: World, seed: u64, gang: bool, troubles: u64) -> (World, Seen, usize) {
-    let mut seen = Seen::default();
-    add(&mut w, &Ask { n: 1, team: "t2", gait: "batch", rank: "normal", tasks: 2, gpus: 2, run: 400 * S });
-    look(&mut w, &mut seen, 0, 25 * S);
+pub(super) fn play_gpu_loans_in(mut w: World, seed: u64, gang: bool, faults_until: u64,) -> (World, Observed, usize) {
+    let mut observed = Observed::default();
+    add(&mut w, &GpuJob { n: 1, team: "t2", gait: "batch", rank: "normal", tasks: 2, gpus: 2, run: 400 * S });
+    run_and_check(&mut w, &mut observed, 0, 25 * S);
     let gait = if gang { "group" } else { "batch" };
     for n in 2..if gang { 16 } else { 32 } {
         let (tasks, gpus) = if gang { (2, 4) } else { (4, 1) };
         let run = if gang { 90 * S } else { 120 * S };
-        add(&mut w, &Ask { n, team: "t0", gait, rank: "normal", tasks, gpus, run });
+        add(&mut w, &GpuJob { n, team: "t0", gait, rank: "normal", tasks, gpus, run });
     }
-    look(&mut w, &mut seen, 0, 60 * S);
-    let ask = Ask { n: 50, team: "t1", gait: "service", rank: "normal", tasks: 2, gpus: 4, run: NEVER };
+    run_and_check(&mut w, &mut observed, 0, 60 * S);
+    let ask = GpuJob { n: 50, team: "t1", gait: "service", rank: "normal", tasks: 2, gpus: 4, run: NEVER };
     let service = add(&mut w, &ask);
-    look(&mut w, &mut seen, troubles, 100 * S);
-    let served = serving(&w, &service);
-    look(&mut w, &mut seen, troubles, 250 * S);
+    run_and_check(&mut w, &mut observed, faults_until, 100 * S);
+    let served = running_replicas(&w, &service);
+    run_and_check(&mut w, &mut observed, faults_until, 250 * S);
     w.jobs.get_mut(&service).expect("added").cancel_asked = true;
-    let on = |w: &World| w.workers.iter().flat_map(|x| &x.tasks).any(|t| t.job == service && t.is_placed());
-    let mut free = None;
+    let is_running = |w: &World| w.workers.iter().flat_map(|x| &x.tasks).any(|t| t.job == service && t.is_placed());
+    let mut stopped_at = None;
     while w.now < 300 * S {
         let next = w.now + S;
-        look(&mut w, &mut seen, troubles, next);
-        if !on(&w) {
-            let since = *free.get_or_insert(w.now);
-            // Every machine is in use again, by those that lent. A gang waits for more than one machine.
+        run_and_check(&mut w, &mut observed, faults_until, next);
+        if !is_running(&w) {
+            let since = *stopped_at.get_or_insert(w.now);
+            // Every machine is in use by the lenders again. A gang waits for more than one machine.
             let idle = w
                 .workers
                 .iter()
                 .filter(|x| x.kind == "gpu" && x.tasks.iter().all(|t| !t.is_placed()))
                 .count();
-            if troubles == 0 && !gang && idle > 0 {
-                assert!(w.now <= since + 30 * S, "seed {seed}: {idle} machines idle {:#?}", seen.story);
+            if faults_until == 0 && !gang && idle > 0 {
+                assert!(w.now <= since + 30 * S, "seed {seed}: {idle} machines idle {:#?}", observed.history);
             } else {
-                seen.back.get_or_insert((w.now - since) / S);
+                observed.reused_after_s.get_or_insert((w.now - since) / S);
             }
         }
     }
-    look(&mut w, &mut seen, 0, 900 * S);
-    (w, seen, served)
+    run_and_check(&mut w, &mut observed, 0, 900 * S);
+    (w, observed, served)
 }
 
-fn holds(seed: u64, w: &World, seen: &Seen) {
-    kept(seed, w, seen);
-    assert!(seen.lent(), "seed {seed}: nothing was taken {:#?}", w.log);
+fn check_lent(seed: u64, w: &World, observed: &Observed) {
+    check_loans(seed, w, observed);
+    assert!(observed.lent(), "seed {seed}: nothing was lent {:#?}", w.log);
 }
 
-/// What must be true whether or not anything was lent.
-pub(super) fn kept(seed: u64, w: &World, seen: &Seen) {
-    assert!(!seen.lenders.contains("t2"), "seed {seed}: what is within its guarantee was lent");
+/// Checks what must hold whether or not GPUs were lent.
+pub(super) fn check_loans(seed: u64, w: &World, observed: &Observed) {
+    assert!(!observed.lenders.contains("t2"), "seed {seed}: GPUs within the lender's guarantee were lent");
     for (team, l) in ledgers(w) {
-        assert!(l.loans.is_empty(), "seed {seed}: lent for ever by {team}: {:#?} {:#?}", l.loans, w.log);
+        assert!(l.loans.is_empty(), "seed {seed}: loans in the ledger of {team} never end: {:#?} {:#?}", l.loans, w.log);
     }
-    assert!(seen.ended > 0 || !seen.lent(), "seed {seed}: what was lent never ended");
+    assert!(observed.ended > 0 || !observed.lent(), "seed {seed}: no loan ended");
     assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?} {:#?}", w.unfinished_jobs(), w.log);
 }
 
-/// Without troubles replicas stand within 40 s, arrays give what is needed and no more, and all is given back.
+/// Without faults replicas run within 40 s, arrays lend as many GPUs as needed and no more, and all are returned.
 #[test]
-fn serving_takes_from_arrays_and_gives_back() {
+fn a_service_borrows_gpus_of_arrays_and_returns_them() {
     for seed in 0..4 {
-        let (w, seen, served) = gpu_day(seed, false, 0);
-        holds(seed, &w, &seen);
-        assert!(seen.back.is_some(), "seed {seed}");
-        assert_eq!(served, 2, "seed {seed}: {:#?}", seen.story);
+        let (w, observed, served) = play_gpu_loans(seed, false, 0);
+        check_lent(seed, &w, &observed);
+        assert!(observed.reused_after_s.is_some(), "seed {seed}");
+        assert_eq!(served, 2, "seed {seed}: {:#?}", observed.history);
     }
 }
 
-/// Gangs are stopped whole, by command: no task is left to find out that its gang is gone.
+/// Gangs are stopped as a whole by commands: no task ends because it lost its peers.
 #[test]
-fn serving_takes_whole_gangs() {
+fn a_service_claims_whole_gangs() {
     for seed in 10..14 {
-        let (w, seen, served) = gpu_day(seed, true, 0);
-        holds(seed, &w, &seen);
-        assert_eq!(served, 2, "seed {seed}: {:#?}", seen.story);
-        assert_eq!(w.peer_failures, 0, "seed {seed}: gang tasks that ended for want of their peers");
+        let (w, observed, served) = play_gpu_loans(seed, true, 0);
+        check_lent(seed, &w, &observed);
+        assert_eq!(served, 2, "seed {seed}: {:#?}", observed.history);
+        assert_eq!(w.peer_failures, 0, "seed {seed}: gang tasks that ended because they lost their peers");
     }
 }
 
-/// A lender whose work lies within its guarantee finds no room: serving beyond its own gives back what it needs.
+/// A lender has a job within its guarantee and no free GPUs: the service, which exceeds its own guarantee, returns as many as
+/// needed.
 #[test]
 fn a_lender_that_is_short_gets_its_gpus_back() {
     for seed in 40..44 {
         let mut w = World::new(seed, GPUS);
-        let mut seen = Seen::default();
+        let mut observed = Observed::default();
         let ask =
-            |n, team, tasks, gpus| Ask { n, team, gait: "batch", rank: "normal", tasks, gpus, run: 400 * S };
+            |n, team, tasks, gpus| GpuJob { n, team, gait: "batch", rank: "normal", tasks, gpus, run: 400 * S, };
         add(&mut w, &ask(1, "t2", 2, 2));
-        look(&mut w, &mut seen, 0, 25 * S);
+        run_and_check(&mut w, &mut observed, 0, 25 * S);
         let a = add(&mut w, &ask(2, "t0", 28, 1));
-        look(&mut w, &mut seen, 0, 60 * S);
-        let all = Ask { n: 3, team: "t1", gait: "service", rank: "high", tasks: 4, gpus: 4, run: NEVER };
+        run_and_check(&mut w, &mut observed, 0, 60 * S);
+        let all = GpuJob { n: 3, team: "t1", gait: "service", rank: "high", tasks: 4, gpus: 4, run: NEVER };
         let service = add(&mut w, &all);
-        look(&mut w, &mut seen, 0, 100 * S);
-        assert_eq!(serving(&w, &service), 4, "seed {seed}: {:#?}", seen.story);
+        run_and_check(&mut w, &mut observed, 0, 100 * S);
+        assert_eq!(running_replicas(&w, &service), 4, "seed {seed}: {:#?}", observed.history);
         add(&mut w, &ask(4, "t3", 8, 1));
         add(&mut w, &ask(5, "t2", 2, 2));
-        look(&mut w, &mut seen, 0, 150 * S);
+        run_and_check(&mut w, &mut observed, 0, 150 * S);
         w.jobs.get_mut(&a).expect("added").cancel_asked = true;
-        look(&mut w, &mut seen, 0, 190 * S);
+        run_and_check(&mut w, &mut observed, 0, 190 * S);
         let b = add(&mut w, &ask(6, "t0", 2, 4));
-        let (since, ended) = (w.now, seen.ended);
-        while serving(&w, &b) < 2 && w.now < since + 60 * S {
+        let (since, ended) = (w.now, observed.ended);
+        while running_replicas(&w, &b) < 2 && w.now < since + 60 * S {
             let next = w.now + S;
-            look(&mut w, &mut seen, 0, next);
+            run_and_check(&mut w, &mut observed, 0, next);
         }
-        let after = (w.now - since) / S;
-        assert!(after <= 30, "seed {seed}: after {after} s {:#?}", seen.story);
-        look(&mut w, &mut seen, 0, since + 60 * S);
-        assert!(seen.ended > ended, "seed {seed}: {:#?}", seen.story);
-        assert!(serving(&w, &service) > 0, "seed {seed}: {:#?}", seen.story);
+        let elapsed_s = (w.now - since) / S;
+        assert!(elapsed_s <= 30, "seed {seed}: after {elapsed_s} s {:#?}", observed.history);
+        run_and_check(&mut w, &mut observed, 0, since + 60 * S);
+        assert!(observed.ended > ended, "seed {seed}: {:#?}", observed.history);
+        assert!(running_replicas(&w, &service) > 0, "seed {seed}: {:#?}", observed.history);
     }
 }
 
 #[test]
-fn loans_hold_under_all_troubles() {
+fn invariants_of_loans_hold_under_all_faults() {
     let mut lent = 0;
     for seed in 20..36 {
-        let (w, seen, _) = gpu_day(seed, seed % 2 == 0, 300 * S);
-        kept(seed, &w, &seen);
-        lent += u32::from(seen.lent());
+        let (w, observed, _) = play_gpu_loans(seed, seed % 2 == 0, 300 * S);
+        check_loans(seed, &w, &observed);
+        lent += u32::from(observed.lent());
     }
-    // Where troubles have left the lender's gang without machines, there is nothing to take.
-    assert!(lent >= 14, "of 16 days something was lent on {lent}");
+    // If faults have left the lender's gang without machines, there is nothing to lend.
+    assert!(lent >= 14, "GPUs were lent in {lent} of 16 runs");
 }
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -197,7 +197,7 @@
 #[test]
 fn a_batch_is_raised_and_permits_are_granted_and_the_answers_are_lost() {
     let play = |seed, w| {
-        let mut w = batches::replaced_in(w, seed, seed % 2 == 0);
+        let mut w = batches::play_replaced_in(w, seed, seed % 2 == 0);
         assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?} {:#?}", w.unfinished_jobs(), w.log);
         assert!(["b0", "b1", "b2"].iter().all(|b| w.permits_held(b) == 0), "seed {seed}: {:#?}", w.states());
         w
@@ -209,8 +209,8 @@
 #[test]
 fn gpus_are_lent_and_returned_and_the_answers_are_lost() {
     let play = |seed, w| {
-        let (w, seen, _) = loans::gpu_day_in(w, seed, seed % 2 == 0, 200 * S);
-        loans::kept(seed, &w, &seen);
+        let (w, seen, _) = loans::play_gpu_loans_in(w, seed, seed % 2 == 0, 200 * S);
+        loans::check_loans(seed, &w, &seen);
         w
     };
     // A run has few writes of loans.
--- a/tests/world/days/releases.rs
+++ b/tests/world/days/releases.rs
@@ -97,7 +97,7 @@
 /// Two titles' night among all troubles: what must be true of it at its end, and how many were refused, done without, and over.
 pub(super) fn release_day(seed: u64, mut w: World) -> (World, [usize; 3]) {
     let (mut refused, mut waived, mut last) = (0, 0, 0);
-    let r = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
         plan(&mut w);
         rough(&mut w, 260 * S);
         w.run(0, 420 * S);
@@ -140,10 +140,10 @@
             last += usize::from(j.spec.release.is_some());
         }
     }));
-    if let Err(e) = r {
+    if let Err(panic) = result {
         let states = w.states();
         eprintln!("seed {seed}, at {:.3} s: {:#?} {states:#?}", w.now as f64 / 1e6, w.log);
-        std::panic::resume_unwind(e);
+        std::panic::resume_unwind(panic);
     }
     (w, [refused, waived, last])
 }
@@ -269,7 +269,7 @@
     for seed in 5200..5215u64 {
         let mut w = World::new(seed, Shape { jobs: 15, calendar: true, ..SMALL });
         w.limited = [true; 3];
-        let r = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             plan(&mut w);
             w.run(0, 20 * S);
             let named = |w: &World| {
@@ -298,10 +298,10 @@
                 assert!(over, "{id} is {:?}", j.known);
             }
         }));
-        if let Err(e) = r {
+        if let Err(panic) = result {
             let states = w.states();
             eprintln!("seed {seed}, at {:.3} s: {:#?} {states:#?}", w.now as f64 / 1e6, w.log);
-            std::panic::resume_unwind(e);
+            std::panic::resume_unwind(panic);
         }
     }
     assert!(taken > 100, "{taken} taken");
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -86,7 +86,7 @@
 fn lending(round: u64, w: &mut World) {
     let troubles = if round.is_multiple_of(2) { 0 } else { 110 * S };
     let add = |w: &mut World, n, team, gait, tasks, gpus, run| {
-        loans::add(w, &loans::Ask { n, team, gait, rank: "normal", tasks, gpus, run })
+        loans::add(w, &loans::GpuJob { n, team, gait, rank: "normal", tasks, gpus, run })
     };
     add(w, 1, "t2", "batch", 2, 2, 100 * S);
     w.run(0, 20 * S);
@@ -111,11 +111,11 @@
     for i in 0..5 {
         let name = ["b0", "b1"][w.rng.random_range(0..2usize)];
         let version = w.version(name).max(1);
-        batches::pipeline(w, name, version);
+        batches::add_pipeline(w, name, version);
         pass(w, S, 12 * S);
         let (n, up) = (w.rng.random_range(0..3usize), w.rng.random_range(0..3));
         w.send_operator_command(n, OperatorCommand::PutBatch { name: name.into(), version: version + up });
-        batches::runs_again(w, name, version + up);
+        batches::add_new_runs(w, name, version + up);
         if !round.is_multiple_of(3) && i % 2 == 1 {
             w.inject_random_fault();
         }
