--- a/tests/world/days/commands.rs
+++ b/tests/world/days/commands.rs
@@ -12,9 +12,9 @@
     for seed in rounds.map(|r| base + r) {
         let mut w = World::new(seed, Shape { machines: 12, zone_capacity: 10, jobs: 30, ..SMALL });
         (w.answer_gaps.pollers, w.shape.run) = (true, 40 * S);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
-            let ids = long_jobs(w, 12, 110 * S);
+            let ids = add_long_jobs(w, 12, 110 * S);
             w.run(0, 40 * S);
             w.delay_fencing_probes([0.5, 1.0][seed as usize % 2], 110 * S);
             for (i, cancelled) in ids[..8].chunks(2).enumerate() {
@@ -29,9 +29,9 @@
                 w.run(0, until);
             }
             confirmed += w.compound.cancel_answers.values().filter(|t| t.tasks > 0).count();
-            settle(w, 520 * S);
+            run_until_finished(w, 520 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         let commands = &w.commands;
         let counts = [commands.late_all, commands.ended, commands.after_newer, commands.by_token, commands.by_incarnation, commands.carried_out, commands.deposed,];
         totals.iter_mut().zip(counts).for_each(|(a, b)| *a += b);
--- a/tests/world/days/compound.rs
+++ b/tests/world/days/compound.rs
@@ -2,8 +2,8 @@
 
 use crate::*;
 
-pub(super) fn guarded(seed: u64, w: &mut World, day: impl FnOnce(&mut World)) {
-    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| day(w)));
+pub(super) fn print_log_on_panic(seed: u64, w: &mut World, play: impl FnOnce(&mut World)) {
+    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| play(w)));
     if let Err(panic) = result {
         eprintln!("seed {seed}, at {:.3} s: {:#?}", w.now as f64 / 1e6, w.log);
         std::panic::resume_unwind(panic);
@@ -13,7 +13,7 @@
 /// Checks at the end of a run that all jobs that were not cancelled are done, and that no user went unanswered for 30 s. After a
 /// fault of a minute leases are granted again and records are read again, so the bound is longer than in other runs. It is far
 /// below the 75 s after which a job counts as forgotten.
-pub(super) fn ended(w: &mut World, seed: u64) {
+pub(super) fn assert_all_finished(w: &mut World, seed: u64) {
     let states = w.states();
     assert!(
         w.unfinished_jobs().is_empty(),
@@ -25,7 +25,7 @@
 }
 
 /// Plays until all jobs have finished as expected, at most until `end`.
-pub(super) fn settle(w: &mut World, end: u64) {
+pub(super) fn run_until_finished(w: &mut World, end: u64) {
     while w.now < end && !w.unfinished_jobs().is_empty() {
         let until = w.now + 5 * S;
         w.run(0, until);
@@ -33,7 +33,7 @@
 }
 
 /// Adds jobs and gangs of a few tasks that run for `run` microseconds. Their users submit them at once.
-pub(super) fn long_jobs(w: &mut World, count: u32, run: u64) -> Vec<String> {
+pub(super) fn add_long_jobs(w: &mut World, count: u32, run: u64) -> Vec<String> {
     (0..count)
         .map(|i| {
             let (kind, tasks) = [("batch", 2), ("group", 3), ("batch", 4)][i as usize % 3];
@@ -56,7 +56,7 @@
 }
 
 /// The leader of a job, by the newest epoch that any controller has adopted.
-pub(super) fn owner(w: &World, id: &str) -> Option<usize> {
+pub(super) fn job_leader(w: &World, id: &str) -> Option<usize> {
     let newest = w.nodes.iter().flatten().max_by_key(|x| x.membership.epoch)?;
     newest.membership.job_leader(id)
 }
@@ -90,7 +90,7 @@
     for seed in seeds().take(6).map(|s| s + 21_000) {
         let mut w = world(seed, 30);
         w.shape.run = 40 * S;
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
             w.delay_heartbeats(0.5, 130 * S);
             for i in 0..5 {
@@ -106,9 +106,9 @@
                 let until = w.now + 25 * S;
                 w.run(0, until);
             }
-            settle(w, 520 * S);
+            run_until_finished(w, 520 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         copies.iter_mut().zip(w.compound.copies).for_each(|(a, b)| *a += b);
         earlier += w.compound.earlier;
     }
@@ -123,9 +123,9 @@
     let (mut unheard, mut confirmed) = (0, 0);
     for seed in seeds().take(8).map(|s| s + 21_100) {
         let mut w = world(seed, 0);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
-            let ids = long_jobs(w, 12, 120 * S);
+            let ids = add_long_jobs(w, 12, 120 * S);
             w.run(0, 50 * S);
             let n = seed as usize % 3;
             let machines: Vec<usize> = (0..w.workers.len()).filter(|&i| machine_leader(w, i) == Some(n)).collect();
@@ -143,9 +143,9 @@
             let until = w.now + w.rng.random_range(S / 10..4 * S);
             w.run(0, until);
             cancel_all(w, &ids[..8], 60 * S);
-            settle(w, 520 * S);
+            run_until_finished(w, 520 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         unheard += w.compound.lost_to_workers;
         confirmed += w.compound.cancel_answers.values().filter(|t| t.tasks > 0).count();
     }
@@ -159,9 +159,9 @@
     let mut partly_done = 0;
     for seed in seeds().take(8).map(|s| s + 21_200) {
         let mut w = world(seed, 0);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
-            let ids = long_jobs(w, 15, 14 * S);
+            let ids = add_long_jobs(w, 15, 14 * S);
             ids.iter().for_each(|id| w.jobs.get_mut(id).expect("a job").extra_run_per_index = 22 * S);
             w.run(0, 30 * S);
             for i in 0..4 {
@@ -181,9 +181,9 @@
                     w.inject_fault(Fault::MachinesFail, n, 0);
                 }
             }
-            settle(w, 520 * S);
+            run_until_finished(w, 520 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         let is_done = |j: &UserJob| j.known == KnownState::Done && j.done.len() == j.spec.task_count as usize;
         assert!(w.jobs.values().all(is_done), "seed {seed}: no job was cancelled");
     }
@@ -198,7 +198,7 @@
     for seed in seeds().take(8).map(|s| s + 21_300) {
         let mut w = world(seed, 30);
         (w.handoff_fault_rate, w.shape.run) = (0.3, 40 * S);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 40 * S);
             for i in 0..4 {
                 let n = (seed as usize + i) % 3;
@@ -215,9 +215,9 @@
                 let until = w.now + w.rng.random_range(S..25 * S);
                 w.run(0, until);
             }
-            settle(w, 520 * S);
+            run_until_finished(w, 520 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         batches += w.handoff_batches;
     }
     assert!(batches > 20, "{batches} hand-off batches");
@@ -230,17 +230,17 @@
     let mut starts = 0;
     for seed in seeds().take(8).map(|s| s + 21_400) {
         let mut w = world(seed, 40);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 15 * S);
             for i in 0..6 {
                 let n = (seed as usize + i) % 3;
-                let (by, duration) = (w.rng.random_range(S..4 * S), w.rng.random_range(8 * S..20 * S));
+                let (delay, duration) = (w.rng.random_range(S..4 * S), w.rng.random_range(8 * S..20 * S));
                 let (from, until) = (Endpoint::Controller(n), w.now + duration);
                 w.compound.faulty_links.push(FaultyLink {
                     from,
                     to: Endpoint::Workers,
                     until,
-                    fate: LinkFault::Late(by),
+                    fate: LinkFault::Late(delay),
                 });
                 let until = w.now + w.rng.random_range(S..5 * S);
                 w.run(0, until);
@@ -254,9 +254,9 @@
                 w.run(0, until);
             }
             starts += w.starts;
-            settle(w, 520 * S);
+            run_until_finished(w, 520 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
     }
     assert!(starts > 400, "{starts} attempts meanwhile");
 }
@@ -268,20 +268,20 @@
     let mut confirmed = 0;
     for seed in seeds().take(10).map(|s| s + 21_500) {
         let mut w = world(seed, 0);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
-            let ids = long_jobs(w, 12, 130 * S);
+            let ids = add_long_jobs(w, 12, 130 * S);
             w.run(0, 45 * S);
             let n = seed as usize % 3;
-            let led_jobs: BTreeSet<String> = ids.iter().filter(|id| owner(w, id) == Some(n)).cloned().collect();
+            let led_jobs: BTreeSet<String> = ids.iter().filter(|id| job_leader(w, id) == Some(n)).cloned().collect();
             let (from, duration) = (w.now, [10, 30, 70][seed as usize % 3] * S);
             w.cut_from_store_and_peers(n, duration, seed % 2 == 0);
             cancel_all(w, &ids[..9], duration + 20 * S);
             let is_by_successor = |(id, t): (&String, &CancelAnswer)| led_jobs.contains(id) && t.by != n && t.at < from + duration;
             confirmed += w.compound.cancel_answers.iter().filter(|(id, t)| is_by_successor((id, t))).count();
-            settle(w, 520 * S);
+            run_until_finished(w, 520 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
     }
     assert!(confirmed > 5, "{confirmed} cancellations by the new leader during the partition");
 }
@@ -293,9 +293,9 @@
     let (mut unknown, mut confirmed) = (0, 0);
     for seed in seeds().take(8).map(|s| s + 21_600) {
         let mut w = world(seed, 0);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
-            let ids = long_jobs(w, 12, 100 * S);
+            let ids = add_long_jobs(w, 12, 100 * S);
             w.run(0, 40 * S);
             let from = w.now;
             let duration = [6, 15, 40][seed as usize % 3] * S;
@@ -308,9 +308,9 @@
                 w.run(0, until);
             }
             cancel_all(w, &ids[..8], 60 * S);
-            settle(w, 520 * S);
+            run_until_finished(w, 520 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         unknown += w.compound.slow_unknown;
     }
     assert!(unknown > 100 && confirmed > 10, "{unknown} without an answer, {confirmed} confirmed");
@@ -323,7 +323,7 @@
     let mut writes = [0; 3];
     for seed in seeds().take(10).map(|s| s + 21_700) {
         let mut w = world(seed, 40);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 10 * S);
             let share = [0.1, 0.3, 0.6][seed as usize % 3];
             w.delay_writes(share, 110 * S);
@@ -337,9 +337,9 @@
                     _ => w.inject_fault(Fault::Leave, n, 0),
                 }
             }
-            settle(w, 520 * S);
+            run_until_finished(w, 520 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         writes.iter_mut().zip(w.compound.writes).for_each(|(a, b)| *a += b);
     }
     assert!(writes[1] > 200 && writes[2] > 20, "late, after newer ones, applied: {writes:?}");
@@ -353,12 +353,12 @@
     let (mut late, mut by_others) = (0, 0);
     for seed in 21_800..21_808u64 {
         let mut w = world(seed, 0);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
-            let ids = long_jobs(w, 9, 60 * S);
+            let ids = add_long_jobs(w, 9, 60 * S);
             w.run(0, 35 * S);
             let n = seed as usize % 3;
-            let led_jobs: Vec<String> = ids.into_iter().filter(|id| owner(w, id) == Some(n)).collect();
+            let led_jobs: Vec<String> = ids.into_iter().filter(|id| job_leader(w, id) == Some(n)).collect();
             w.delay_writes(1.0, 20 * S);
             for p in (0..3).filter(|&p| p != n) {
                 w.fail_one_way(n, p, 20 * S, LinkFault::Lost);
@@ -367,9 +367,9 @@
             let until = w.now + 20 * S;
             w.run(0, until);
             by_others += w.compound.cancel_answers.values().filter(|t| t.by != n && t.at < until).count();
-            settle(w, 420 * S);
+            run_until_finished(w, 420 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         late += w.compound.writes[0];
     }
     assert!(late > 20 && by_others == 0, "{late} late, {by_others} reported by other controllers");
--- a/tests/world/days/gap.rs
+++ b/tests/world/days/gap.rs
@@ -55,7 +55,7 @@
     let mut w = World::new(seed, Shape { machines: 12, jobs: 0, zone_capacity: 12, ..SMALL });
     w.answer_gaps.pollers = true;
     let mut out = Outcome { confirmed: [0; 3] };
-    guarded(seed, &mut w, |w| {
+    print_log_on_panic(seed, &mut w, |w| {
         w.log.push(format!("{role:?}, {peer_network:?}, outage after {gap} s"));
         w.run(0, 15 * S);
         let mut n = seed as usize % 3;
@@ -68,7 +68,7 @@
             _ => {}
         }
         w.run(0, 20 * S);
-        let ids = long_jobs(w, 14, 190 * S);
+        let ids = add_long_jobs(w, 14, 190 * S);
         w.run(0, 45 * S);
         let m = &w.nodes[n].as_ref().expect("it lives").membership;
         let led: BTreeSet<&String> = ids.iter().filter(|id| m.job_leader(id) == Some(n)).collect();
@@ -133,9 +133,9 @@
                 }
             }
         }
-        settle(w, outage_ends_at + 330 * S);
+        run_until_finished(w, outage_ends_at + 330 * S);
     });
-    ended(&mut w, seed);
+    assert_all_finished(&mut w, seed);
     out
 }
 
--- a/tests/world/days/loans.rs
+++ b/tests/world/days/loans.rs
@@ -28,8 +28,8 @@
 pub(super) struct GpuJob<'a> {
     pub(super) n: u32,
     pub(super) team: &'a str,
-    pub(super) gait: &'a str,
-    pub(super) rank: &'a str,
+    pub(super) kind: &'a str,
+    pub(super) priority: &'a str,
     pub(super) tasks: u32,
     pub(super) gpus: u32,
     pub(super) run: u64,
@@ -37,11 +37,11 @@
 
 pub(super) fn add(w: &mut World, a: &GpuJob) -> String {
     let id = format!("wk-{:06}", a.n);
-    let class = if a.gait == "service" { "serve" } else { "train" };
-    let body = json!({"uid": id, "breed": class, "herd": a.team, "gait": a.gait, "rank": a.rank, "strides": a.tasks,
+    let class = if a.kind == "service" { "serve" } else { "train" };
+    let body = json!({"uid": id, "breed": class, "herd": a.team, "gait": a.kind, "rank": a.priority, "strides": a.tasks,
         "vcpus": f64::from(a.gpus), "cards": f64::from(a.gpus), "ramGb": 1.0, "tack": "img", "imageGb": 1.0,
-        "together": false, "scatter": false, "borrowed": false, "rideS": if a.gait == "service" { 0.0 } else { 60.0 },
-        "restS": if a.gait == "group" { 10.0 } else { 0.0 }, "unsaddleS": 2.0, "dueS": null});
+        "together": false, "scatter": false, "borrowed": false, "rideS": if a.kind == "service" { 0.0 } else { 60.0 },
+        "restS": if a.kind == "group" { 10.0 } else { 0.0 }, "unsaddleS": 2.0, "dueS": null});
     w.add_described_job(&body, a.run);
     id
 }
@@ -107,16 +107,16 @@
 
 pub(super) fn play_gpu_loans_in(mut w: World, seed: u64, gang: bool, faults_until: u64,) -> (World, Observed, usize) {
     let mut observed = Observed::default();
-    add(&mut w, &GpuJob { n: 1, team: "t2", gait: "batch", rank: "normal", tasks: 2, gpus: 2, run: 400 * S });
+    add(&mut w, &GpuJob { n: 1, team: "t2", kind: "batch", priority: "normal", tasks: 2, gpus: 2, run: 400 * S },);
     run_and_check(&mut w, &mut observed, 0, 25 * S);
-    let gait = if gang { "group" } else { "batch" };
+    let kind = if gang { "group" } else { "batch" };
     for n in 2..if gang { 16 } else { 32 } {
         let (tasks, gpus) = if gang { (2, 4) } else { (4, 1) };
         let run = if gang { 90 * S } else { 120 * S };
-        add(&mut w, &GpuJob { n, team: "t0", gait, rank: "normal", tasks, gpus, run });
+        add(&mut w, &GpuJob { n, team: "t0", kind, priority: "normal", tasks, gpus, run });
     }
     run_and_check(&mut w, &mut observed, 0, 60 * S);
-    let ask = GpuJob { n: 50, team: "t1", gait: "service", rank: "normal", tasks: 2, gpus: 4, run: NEVER };
+    let ask = GpuJob { n: 50, team: "t1", kind: "service", priority: "normal", tasks: 2, gpus: 4, run: NEVER };
     let service = add(&mut w, &ask);
     run_and_check(&mut w, &mut observed, faults_until, 100 * S);
     let served = running_replicas(&w, &service);
@@ -191,12 +191,12 @@
         let mut w = World::new(seed, GPUS);
         let mut observed = Observed::default();
         let ask =
-            |n, team, tasks, gpus| GpuJob { n, team, gait: "batch", rank: "normal", tasks, gpus, run: 400 * S, };
+            |n, team, tasks, gpus| GpuJob { n, team, kind: "batch", priority: "normal", tasks, gpus, run: 400 * S, };
         add(&mut w, &ask(1, "t2", 2, 2));
         run_and_check(&mut w, &mut observed, 0, 25 * S);
         let a = add(&mut w, &ask(2, "t0", 28, 1));
         run_and_check(&mut w, &mut observed, 0, 60 * S);
-        let all = GpuJob { n: 3, team: "t1", gait: "service", rank: "high", tasks: 4, gpus: 4, run: NEVER };
+        let all = GpuJob { n: 3, team: "t1", kind: "service", priority: "high", tasks: 4, gpus: 4, run: NEVER };
         let service = add(&mut w, &all);
         run_and_check(&mut w, &mut observed, 0, 100 * S);
         assert_eq!(running_replicas(&w, &service), 4, "seed {seed}: {:#?}", observed.history);
--- a/tests/world/days/looks.rs
+++ b/tests/world/days/looks.rs
@@ -50,13 +50,13 @@
     let runs = range.clone().count();
     for seed in range.map(|s| s + base) {
         let mut w = world(seed);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 10 * S);
             w.enable_probe_bursts(130 * S);
             meanwhile(seed, w);
             run_until_all_finish(w);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         totals.add(&w);
     }
     let counts = [totals.after[0], totals.after[1], totals.around, totals.sent[0], totals.concurrent];
@@ -75,10 +75,10 @@
         let until = w.now + S;
         w.run(0, until);
     }
-    settle(w, 420 * S);
+    run_until_finished(w, 420 * S);
 }
 
-fn pass(w: &mut World, from: u64, to: u64) {
+fn run_for_random_time(w: &mut World, from: u64, to: u64) {
     let until = w.now + w.rng.random_range(from..to);
     w.run(0, until);
 }
@@ -93,9 +93,9 @@
 fn users_query_closely_while_the_state_store_is_slow() {
     let totals = play_queries(24_100, |_, w| {
         for _ in 0..2 {
-            pass(w, S, 10 * S);
+            run_for_random_time(w, S, 10 * S);
             w.slow_store(25 * S);
-            pass(w, 30 * S, 45 * S);
+            run_for_random_time(w, 30 * S, 45 * S);
         }
     });
     assert!(totals.unknown > 100, "{totals:?}");
@@ -122,7 +122,7 @@
 fn users_query_closely_while_controllers_restart() {
     let totals = play_queries(24_400, |seed, w| {
         for i in 0..6 {
-            pass(w, S, 18 * S);
+            run_for_random_time(w, S, 18 * S);
             let n = (seed as usize + i) % 3;
             match (seed as usize + i) % 4 {
                 0 => w.inject_fault(Fault::Leave, n, 0),
@@ -140,7 +140,7 @@
 fn users_query_closely_while_the_state_store_refuses_one_controller() {
     let totals = play_queries(24_500, |seed, w| {
         for i in 0..4 {
-            pass(w, S, 8 * S);
+            run_for_random_time(w, S, 8 * S);
             let duration = w.rng.random_range(2 * S..20 * S);
             w.refuse((seed as usize + i) % 3, duration);
             let until = w.now + duration;
@@ -155,7 +155,7 @@
 fn users_query_closely_while_other_controllers_act_for_job_leaders() {
     play_queries(24_600, |seed, w| {
         for i in 0..6 {
-            pass(w, S, 6 * S);
+            run_for_random_time(w, S, 6 * S);
             let n = (seed as usize + i) % 3;
             let duration = w.rng.random_range(S..12 * S);
             let faults = [
@@ -179,11 +179,11 @@
     let mut at_ends = [0; 3];
     for seed in seeds().take(8).map(|s| s + 24_700) {
         let mut w = world(seed);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.cancel_at_end(0.5, 160 * S);
             run_until_all_finish(w);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         at_ends.iter_mut().zip(w.client_probes.cancels_at_end).for_each(|(a, b)| *a += b);
     }
     assert!(at_ends[0] > 100 && at_ends[1] > 50 && at_ends[2] > 10, "sent, done, aborted: {at_ends:?}");
@@ -206,10 +206,10 @@
     let (mut rejected, mut cancels_after_end, mut repeats) = ([0; 3], 0, 0);
     for seed in seeds().take(8).map(|s| s + base) {
         let mut w = world(seed);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.enable_invalid_requests(130 * S);
             for i in 0..12 {
-                pass(w, S, 18 * S);
+                run_for_random_time(w, S, 18 * S);
                 match (restarts, (seed + i) % 3) {
                     (false, _) => {}
                     (true, 0) => w.crash_for(i as usize % 3, S / 20..S / 10),
@@ -218,7 +218,7 @@
             }
             run_until_all_finish(w);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         rejected.iter_mut().zip(w.client_probes.rejected).for_each(|(a, b)| *a += b);
         cancels_after_end += w.client_probes.cancels_after_end;
         repeats += w.client_probes.sent[1];
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -50,7 +50,7 @@
     for (round, (k, execution)) in rounds(2).flat_map(|r| EXECUTIONS.into_iter().enumerate().map(move |c| (r, c))) {
         let seed = base + 4 * round + k as u64;
         let mut w = world(seed, 40);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.log.push(format!("{kind:?}, {execution:?}"));
             w.run(0, 12 * S);
             w.lose_answers(Some(kind), 0.5, 100 * S, execution);
@@ -62,9 +62,9 @@
                 change_leader(w, seed / 4 + i, n);
             }
             let until = w.last_fault_end().max(w.now) + 380 * S;
-            settle(w, until);
+            run_until_finished(w, until);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         add_counts(&mut all, &w, kind, execution);
     }
     all
@@ -189,7 +189,7 @@
 #[test]
 fn a_release_is_closed_and_rotated_and_the_answers_are_lost() {
     let shape = Shape { jobs: 20, calendar: true, ..SMALL };
-    let play = |seed, w| releases::release_day(seed, w).0;
+    let play = |seed, w| releases::play_release(seed, w).0;
     let all = play_lost_answers_in(Write::Release, 30_220, 2, play, |seed| World::new(seed, shape));
     check_counts(Write::Release, &all, [4, 4, 2, 1, 1]);
 }
@@ -199,7 +199,7 @@
     let play = |seed, w| {
         let mut w = batches::play_replaced_in(w, seed, seed % 2 == 0);
         assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?} {:#?}", w.unfinished_jobs(), w.log);
-        assert!(["b0", "b1", "b2"].iter().all(|b| w.permits_held(b) == 0), "seed {seed}: {:#?}", w.states());
+        assert!(["b0", "b1", "b2"].iter().all(|batch| w.permits_held(batch) == 0), "seed {seed}: {:#?}", w.states());
         w
     };
     let all = play_lost_answers_in(Write::Batch, 30_240, 2, play, |seed| batches::world(seed, batches::REPLACED));
@@ -209,8 +209,8 @@
 #[test]
 fn gpus_are_lent_and_returned_and_the_answers_are_lost() {
     let play = |seed, w| {
-        let (w, seen, _) = loans::play_gpu_loans_in(w, seed, seed % 2 == 0, 200 * S);
-        loans::check_loans(seed, &w, &seen);
+        let (w, observed, _) = loans::play_gpu_loans_in(w, seed, seed % 2 == 0, 200 * S);
+        loans::check_loans(seed, &w, &observed);
         w
     };
     // A run has few writes of loans.
@@ -247,7 +247,7 @@
     w.answer_gaps.pollers = true;
     w.lost.boot_times = Some(1000..2 * S);
     let mut counts = NewMachines::default();
-    guarded(seed, &mut w, |w| {
+    print_log_on_panic(seed, &mut w, |w| {
         w.log.push(format!("{crashed:?}, {execution:?} {share}"));
         w.run(0, 20 * S);
         w.lose_answers(Some(Write::Page), share, 75 * S, execution);
@@ -255,7 +255,7 @@
         for round in 0..4 {
             let before = w.workers.len();
             let (lost, run) = (w.lost.lost_scale_outs, w.rng.random_range(15 * S..40 * S));
-            long_jobs(w, 8, run);
+            add_long_jobs(w, 8, run);
             let deadline = w.now + 15 * S;
             // Half of the crashes come as early as possible, the others once a task was started on the machine.
             let first = round % 2 == 1;
@@ -280,7 +280,7 @@
             } else {
                 counts.unrecorded += 1;
             }
-            let of_task = w.workers[i].tasks.first().and_then(|t| owner(w, &t.job));
+            let of_task = w.workers[i].tasks.first().and_then(|t| job_leader(w, &t.job));
             let n = match crashed {
                 Crashed::Autoscaler => { w.nodes.iter().flatten().next().and_then(|x| x.membership.autoscaler())}
                 Crashed::MachineShard => machine_leader(w, i),
@@ -297,9 +297,9 @@
         }
         counts.machines = w.workers.iter().skip(2).filter(|x| x.has_run_tasks).count();
         let until = w.last_fault_end().max(w.now) + 300 * S;
-        settle(w, until);
+        run_until_finished(w, until);
     });
-    ended(&mut w, seed);
+    assert_all_finished(&mut w, seed);
     (w, counts)
 }
 
@@ -308,17 +308,17 @@
 fn play_lagging_pages(crashed: Crashed, base: u64) {
     let (mut sum, mut pages) = (NewMachines::default(), [Count::default(); 2]);
     for round in rounds(6) {
-        let which = round as usize % 2;
-        let execution = [Execution::Late, Execution::AtOnce][which];
-        let (w, b) = play_new_machines(base + round, crashed, execution, 0.7);
-        sum.machines += b.machines;
-        sum.unrecorded += b.unrecorded;
-        sum.first += b.first;
-        sum.rented += b.rented;
+        let execution_index = round as usize % 2;
+        let execution = [Execution::Late, Execution::AtOnce][execution_index];
+        let (w, run_counts) = play_new_machines(base + round, crashed, execution, 0.7);
+        sum.machines += run_counts.machines;
+        sum.unrecorded += run_counts.unrecorded;
+        sum.first += run_counts.first;
+        sum.rented += run_counts.rented;
         let c = w.lost.count(Write::Page, execution);
-        pages[which].asked += c.asked;
-        pages[which].committed += c.committed;
-        pages[which].read += c.read;
+        pages[execution_index].asked += c.asked;
+        pages[execution_index].committed += c.committed;
+        pages[execution_index].read += c.read;
     }
     eprintln!("{crashed:?}: {sum:?}, pages late and at once: {pages:?}");
     assert!(sum.machines >= 12 && sum.unrecorded >= 4 && sum.first >= 3, "{crashed:?}: {sum:?}");
@@ -352,7 +352,7 @@
     let mut sum = Copies::default();
     for seed in rounds(8).map(|r| r + 30_400) {
         let mut w = world(seed, 40);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 15 * S);
             w.hold_back_heartbeats(0.7, 150 * S);
             for i in 0..6 {
@@ -371,9 +371,9 @@
                 }
             }
             let until = w.last_fault_end().max(w.now) + 350 * S;
-            settle(w, until);
+            run_until_finished(w, until);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         let c = w.lost.copies;
         sum.all += c.all;
         sum.first += c.first;
@@ -392,22 +392,22 @@
 /// meanwhile. Jobs are cancelled.
 fn play_mute_machines(seed: u64, duration: u64, crash_leader: bool) -> World {
     let mut w = world(seed, 0);
-    guarded(seed, &mut w, |w| {
+    print_log_on_panic(seed, &mut w, |w| {
         w.run(0, 15 * S);
-        let ids = long_jobs(w, 10, 100 * S);
+        let ids = add_long_jobs(w, 10, 100 * S);
         w.run(0, 45 * S);
-        let some: Vec<usize> = (0..w.workers.len())
+        let affected: Vec<usize> = (0..w.workers.len())
             .filter(|&i| w.workers[i].tasks.iter().any(Task::is_placed))
             .take(3)
             .collect();
-        let before: Vec<u64> = some.iter().map(|&i| w.workers[i].incarnation).collect();
-        w.lose_outbound_messages(&some, duration);
+        let before: Vec<u64> = affected.iter().map(|&i| w.workers[i].incarnation).collect();
+        w.lose_outbound_messages(&affected, duration);
         let until = w.now + w.rng.random_range(0..6 * S);
         w.run(0, until);
         if crash_leader {
             let n = match seed % 3 {
-                0 => machine_leader(w, some[0]),
-                1 => w.workers[some[0]].tasks.first().and_then(|t| owner(w, &t.job)),
+                0 => machine_leader(w, affected[0]),
+                1 => w.workers[affected[0]].tasks.first().and_then(|t| job_leader(w, &t.job)),
                 _ => None,
             };
             let pause = if seed.is_multiple_of(2) { S / 20..S / 10 } else { 8 * S..12 * S };
@@ -419,15 +419,15 @@
         cancel_all(w, &ids[..5], 40 * S);
         let until = w.last_fault_end().max(w.now);
         w.run(0, until);
-        for (&i, before) in some.iter().zip(before) {
+        for (&i, before) in affected.iter().zip(before) {
             let expired = w.workers[i].incarnation > before;
             let lease = (LEASE_S * 1e6) as u64;
             assert!(expired || duration <= lease + S, "direct messages have renewed the lease of machine {i}");
             assert!(!expired || crash_leader || duration * 2 > lease, "machine {i} lost its lease within {duration}");
         }
-        settle(w, 520 * S);
+        run_until_finished(w, 520 * S);
     });
-    ended(&mut w, seed);
+    assert_all_finished(&mut w, seed);
     w
 }
 
@@ -466,16 +466,16 @@
     for seed in rounds(6).map(|r| r + 30_460) {
         let mut w = world(seed, 30);
         w.shape.run = 20 * S;
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 15 * S);
             w.hold_back_heartbeats(1.0, 10 * S);
             w.run(0, 25 * S);
-            let some: Vec<usize> = (0..3).map(|k| (seed as usize + 2 * k) % 8).collect();
-            for &i in &some {
+            let affected: Vec<usize> = (0..3).map(|k| (seed as usize + 2 * k) % 8).collect();
+            for &i in &affected {
                 w.workers[i].gone = true;
                 w.workers[i].tasks.clear();
             }
-            let names: Vec<String> = some.iter().map(|&i| w.workers[i].name.clone()).collect();
+            let names: Vec<String> = affected.iter().map(|&i| w.workers[i].name.clone()).collect();
             // After two leases without a report the machine is scaled in; its page is written with the next change.
             while names.iter().any(|name| w.is_registered(name)) && w.now < 110 * S {
                 let until = w.now + S;
@@ -504,12 +504,12 @@
             for n in 0..3 {
                 let now = w.clock(n);
                 let status = w.nodes[n].as_mut().expect("it is back").status(now);
-                let unresolved_sets = &status["takeover"]["jobs_in_doubt"];
-                assert!(!is_unregistered || *unresolved_sets == 0, "seed {seed}, {n}: {status:#}");
+                let unresolved_jobs = &status["takeover"]["jobs_in_doubt"];
+                assert!(!is_unregistered || *unresolved_jobs == 0, "seed {seed}, {n}: {status:#}");
             }
-            settle(w, 420 * S);
+            run_until_finished(w, 420 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         gone += w.lost.copies.gone;
     }
     assert!(gone > 30 && runs >= 5, "{gone} copies from returned machines, in {runs} runs");
@@ -522,7 +522,7 @@
     let mut copies = 0;
     for seed in rounds(8).map(|r| r + 30_470) {
         let mut w = World::new(seed, Shape { machines: 24, zone_capacity: 16, ..SMALL });
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 50 * S);
             w.hold_back_heartbeats(1.0, 14 * S);
             w.run(0, 60 * S);
@@ -537,7 +537,7 @@
             copies += w.lost.copies.all - all;
             let has_removed = |w: &World| w.nodes[p].as_ref().is_some_and(|x| !x.membership.members.contains(&n));
             assert!(has_removed(w), "seed {seed}: {n} is still a member of the ring");
-            settle(w, 420 * S);
+            run_until_finished(w, 420 * S);
         });
     }
     assert!(copies > 200, "{copies} copies");
@@ -551,16 +551,16 @@
     let (mut met, mut lost) = (0, 0);
     for seed in rounds(8).map(|r| r + 30_480) {
         let mut w = world(seed, 0);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 15 * S);
-            let (q, n) = (seed as usize % 3, (seed as usize + 1) % 3);
+            let (new_leader, n) = (seed as usize % 3, (seed as usize + 1) % 3);
             let rejoin_at = w.now + 20 * S;
-            w.crash_for(q, 20 * S..20 * S + 1);
+            w.crash_for(new_leader, 20 * S..20 * S + 1);
             let until = rejoin_at - 10 * S;
             w.run(0, until);
             for _ in 0..50 {
                 let id = add_one_task_job(w, 60 * S);
-                let n = (0..3).filter(|&n| n != q).collect::<Vec<_>>()[w.rng.random_range(0..2)];
+                let n = (0..3).filter(|&n| n != new_leader).collect::<Vec<_>>()[w.rng.random_range(0..2)];
                 w.submit_to(n, &id);
             }
             // All tasks end at almost the same time, more than their job leader can store at once, and the next epoch begins.
@@ -571,12 +571,12 @@
                 t.until = now + u64::from(t.attempt as u32 % 10) * S / 20;
             }
             w.run(0, rejoin_at);
-            let by = w.rng.random_range(3 * S / 10..S);
-            w.slow_membership_lane(n, by, 8 * S);
+            let delay = w.rng.random_range(3 * S / 10..S);
+            w.slow_membership_lane(n, delay, 8 * S);
             for p in (0..3).filter(|&p| p != n) {
                 w.fail_one_way(p, n, 8 * S, LinkFault::Lost);
             }
-            w.lose_answers_of(q, Write::End, 1.0, 6 * S, Execution::AtOnce);
+            w.lose_answers_of(new_leader, Write::End, 1.0, 6 * S, Execution::AtOnce);
             while w.now < rejoin_at + 9 * S {
                 // Counts the moments at which two controllers act as leader of a job whose task has ended and whose user was
                 // not told.
@@ -588,9 +588,9 @@
                     (j.known == KnownState::Accepted && !j.done.is_empty()).then(|| id.clone())
                 };
                 let unreported: Vec<String> = w.jobs.iter().filter_map(has_unreported_end).collect();
-                met += unreported.iter().filter(|id| is_acting(n, id) && is_acting(q, id)).count();
+                met += unreported.iter().filter(|id| is_acting(n, id) && is_acting(new_leader, id)).count();
                 for id in unreported {
-                    let p = if w.rng.random_bool(0.5) { n } else { q };
+                    let p = if w.rng.random_bool(0.5) { n } else { new_leader };
                     if w.rng.random_bool(0.5) {
                         w.poll(p, &id);
                     }
@@ -598,9 +598,9 @@
                 let until = w.now + S / 10;
                 w.run(0, until);
             }
-            settle(w, 420 * S);
+            run_until_finished(w, 420 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         lost += w.lost.count(Write::End, Execution::Never).asked
             + w.lost.count(Write::End, Execution::AtOnce).committed;
     }
@@ -615,18 +615,18 @@
     let mut met = 0;
     for seed in rounds(8).map(|r| r + 30_500) {
         let mut w = world(seed, 0);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 15 * S);
-            let (q, n) = (seed as usize % 3, (seed as usize + 1) % 3);
+            let (new_leader, n) = (seed as usize % 3, (seed as usize + 1) % 3);
             let rejoin_at = w.now + 20 * S;
             // The controller pauses for longer than its lease and joins again.
-            w.paused_until[q] = rejoin_at;
+            w.paused_until[new_leader] = rejoin_at;
             w.run(0, rejoin_at);
             // The job's machine leader and witness are in the older epoch too.
-            for p in (0..3).filter(|&p| p != q) {
-                let by = w.rng.random_range(3 * S / 10..S);
-                w.slow_membership_lane(p, by, 8 * S);
-                w.fail_one_way(q, p, 8 * S, LinkFault::Lost);
+            for p in (0..3).filter(|&p| p != new_leader) {
+                let delay = w.rng.random_range(3 * S / 10..S);
+                w.slow_membership_lane(p, delay, 8 * S);
+                w.fail_one_way(new_leader, p, 8 * S, LinkFault::Lost);
             }
             let epoch = w.epoch();
             while w.epoch() == epoch {
@@ -636,14 +636,14 @@
             let ids: Vec<String> = (0..24).map(|_| add_one_task_job(w, 12 * S)).collect();
             let until = w.now + S / 5;
             w.run(0, until);
-            ids.iter().for_each(|id| w.submit_to(q, id));
+            ids.iter().for_each(|id| w.submit_to(new_leader, id));
             for _ in 0..12 {
                 let is_acting = |x: usize, id: &str| {
                     let node = w.nodes[x].as_ref().filter(|node| node.membership.is_leader(w.clock(x)));
                     node.is_some_and(|node| node.membership.job_leader(id) == Some(x))
                 };
                 let has_two_leaders =
-                    |id: &&String| { w.jobs[*id].known == KnownState::Accepted && is_acting(n, id) && is_acting(q, id)
+                    |id: &&String| { w.jobs[*id].known == KnownState::Accepted && is_acting(n, id) && is_acting(new_leader, id)
                 };
                 let ids: Vec<String> = ids.iter().filter(has_two_leaders).cloned().collect();
                 met += ids.len();
@@ -651,9 +651,9 @@
                 let until = w.now + S / 5;
                 w.run(0, until);
             }
-            settle(w, 420 * S);
+            run_until_finished(w, 420 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
     }
     assert!(met > 40, "{met} requests to the old leader while both act");
 }
@@ -665,7 +665,7 @@
     let mut took = 0;
     for seed in rounds(6).map(|r| r + 30_490) {
         let mut w = world(seed, 20);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
             let n = seed as usize % 3;
             let epoch = w.epoch();
@@ -678,9 +678,9 @@
             let until = w.now + 40 * S;
             w.run(0, until);
             assert!(is_acting(w) && w.epoch() <= epoch + 2, "seed {seed}: epochs {epoch} to {}", w.epoch());
-            settle(w, 420 * S);
+            run_until_finished(w, 420 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         took += w.lost.count(Write::Member, Execution::AtOnce).committed;
     }
     assert!(took >= 6, "{took} keys stored without an answer");
--- a/tests/world/days/pairs.rs
+++ b/tests/world/days/pairs.rs
@@ -11,15 +11,15 @@
         let seed = base + 100 * round + k as u64;
         let mut w = World::new(seed, Shape { machines: 10, zone_capacity: 10, jobs: 0, ..SMALL });
         w.answer_gaps.pollers = true;
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 15 * S);
-            let ids = long_jobs(w, 9, 45 * S);
+            let ids = add_long_jobs(w, 9, 45 * S);
             w.run(0, 35 * S);
             let n = w.rng.random_range(0..3);
             moment(w, &ids, fault, n);
-            settle(w, 420 * S);
+            run_until_finished(w, 420 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
     }
 }
 
@@ -27,7 +27,7 @@
     w.rng.random_range(4 * S..60 * S)
 }
 
-fn pass(w: &mut World, from: u64, to: u64) {
+fn run_for_random_time(w: &mut World, from: u64, to: u64) {
     let until = w.now + w.rng.random_range(from..to);
     w.run(0, until);
 }
@@ -38,11 +38,11 @@
     play_each_fault(22_000, |w, ids, fault, n| {
         let duration = random_duration(w);
         w.inject_fault(fault, n, duration);
-        pass(w, 0, 8 * S);
+        run_for_random_time(w, 0, 8 * S);
         for _ in 0..3 {
             let p = w.rng.random_range(0..3);
             w.crash_for(p, S / 20..S / 10);
-            pass(w, S / 10, 3 * S);
+            run_for_random_time(w, S / 10, 3 * S);
         }
         w.cancel_job(n, &ids[0]);
     });
@@ -59,7 +59,7 @@
             let until = w.now + S / 10;
             w.run(0, until);
         }
-        pass(w, 0, 3 * S / 2);
+        run_for_random_time(w, 0, 3 * S / 2);
         w.inject_fault(fault, n, duration);
         w.cancel_job(n, &ids[0]);
     });
@@ -73,7 +73,7 @@
         // A gang may be between two attempts and have no live task.
         let id = ids.iter().max_by_key(|id| w.machines_with_live_tasks(id).count()).expect("jobs");
         let n = match w.rng.random_range(0..3) {
-            0 => owner(w, id).unwrap_or(n),
+            0 => job_leader(w, id).unwrap_or(n),
             1 => w.machines_with_live_tasks(id).next().and_then(|m| machine_leader(w, m)).unwrap_or(n),
             _ => n,
         };
@@ -105,12 +105,12 @@
         let id = ids.iter().find(|id| has_all_tasks_done(w, id)).expect("one has ended");
         assert_eq!(w.jobs[id].known, KnownState::Accepted, "no user has been told");
         let n = match w.rng.random_range(0..2) {
-            0 => owner(w, id).unwrap_or(n),
+            0 => job_leader(w, id).unwrap_or(n),
             _ => n,
         };
         let duration = random_duration(w);
         w.inject_fault(fault, n, duration);
-        pass(w, S, 6 * S);
+        run_for_random_time(w, S, 6 * S);
         // The user who asks to cancel the job is told its outcome.
         w.cancel_job(n, id);
     });
@@ -125,7 +125,7 @@
         let mut w = World::new(seed, Shape { machines: 8, run: 45 * S, ..SMALL });
         w.answer_gaps.pollers = true;
         w.handoff_fault_rate = 0.1;
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
             while w.now < 220 * S {
                 let (a, b) = (w.rng.random_range(0..FAULTS.len()), w.rng.random_range(0..FAULTS.len()));
@@ -135,9 +135,9 @@
                 w.run(0, until);
             }
             let until = w.last_fault_end().max(w.now) + 320 * S;
-            settle(w, until);
+            run_until_finished(w, until);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         assert!(w.underserved().is_empty(), "seed {seed}: {:?}", w.underserved());
     }
     assert!(std::env::var("WORLD_SEEDS").is_ok() || pairs_met.len() > 40, "{} kinds of pairs", pairs_met.len());
--- a/tests/world/days/releases.rs
+++ b/tests/world/days/releases.rs
@@ -1,4 +1,4 @@
-//! Releases: rotations wait for all that was accepted before the close, whatever fails.
+//! Releases: a rotation waits for all members that were accepted before the close, under all kinds of faults.
 
 use crate::*;
 use hazelsaddle::controller::{OperatorCommand, ReleaseSelector};
@@ -16,7 +16,7 @@
 }
 
 impl World {
-    /// An operator asks a controller, until it answers otherwise than with "later".
+    /// An operator sends a request to a controller and retries until the answer is not 503.
     fn operate(&mut self, n: usize, request: &OperatorCommand) -> Reply {
         for _ in 0..20 {
             self.serial += 1;
@@ -46,8 +46,9 @@
     }
 }
 
-/// Two titles on one night: rebuilds, renders of which some come too late and some are cancelled, and a rotation each.
-pub(super) fn plan(w: &mut World) {
+/// Adds the jobs of two titles for one night: for each a rebuild, a rotation, and renders, of which some are submitted too late
+/// and some are cancelled.
+pub(super) fn add_release_jobs(w: &mut World) {
     for (t, title) in TITLES.iter().enumerate() {
         let count = w.rng.random_range(6..14);
         for n in 0..count {
@@ -60,11 +61,11 @@
             if w.rng.random_bool(0.5) {
                 release["night"] = "1970-01-01".into();
             }
-            let mut b = body(&format!("wk-7{t}{n:04}"), class, tasks, release);
+            let mut job_body = body(&format!("wk-7{t}{n:04}"), class, tasks, release);
             if stage == "rotation" && w.rng.random_bool(0.5) {
-                b["follows"] = json!([format!("wk-7{t}0000")]);
+                job_body["follows"] = json!([format!("wk-7{t}0000")]);
             }
-            // Renders crowd around the close, which comes after three minutes.
+            // Many renders are submitted just before or after the close, which is at three minutes.
             let at = match n {
                 0 | 1 => w.rng.random_range(15..60),
                 _ if w.rng.random_bool(0.4) => w.rng.random_range(170..190),
@@ -72,14 +73,14 @@
             };
             let run = w.rng.random_range(3 * S..40 * S);
             let cancel = stage == "render" && w.rng.random_bool(0.1);
-            let job = w.add_described_job(&b, run);
+            let job = w.add_described_job(&job_body, run);
             (job.next, job.cancel_asked) = (at * S, cancel);
         }
     }
 }
 
-/// Crashes with restarts within a tenth to half a second, among all other troubles.
-pub(super) fn rough(w: &mut World, until: u64) {
+/// Plays crashes with restarts after a tenth to half a second, and all other kinds of faults, until `until`.
+pub(super) fn play_faults(w: &mut World, until: u64) {
     while w.now < until {
         let next = w.now + w.rng.random_range(2 * S..12 * S);
         w.run(0, next);
@@ -94,14 +95,15 @@
     }
 }
 
-/// Two titles' night among all troubles: what must be true of it at its end, and how many were refused, done without, and over.
-pub(super) fn release_day(seed: u64, mut w: World) -> (World, [usize; 3]) {
-    let (mut refused, mut waived, mut last) = (0, 0, 0);
+/// Plays the night of two titles under all kinds of faults and checks it at the end. Returns the number of rejected jobs, of
+/// waived members and of finished members.
+pub(super) fn play_release(seed: u64, mut w: World) -> (World, [usize; 3]) {
+    let (mut refused, mut waived, mut finished) = (0, 0, 0);
     let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-        plan(&mut w);
-        rough(&mut w, 260 * S);
+        add_release_jobs(&mut w);
+        play_faults(&mut w, 260 * S);
         w.run(0, 420 * S);
-        // What was cancelled holds its rotation until an operator does without it.
+        // A cancelled member holds its rotation until an operator waives it.
         for (t, title) in TITLES.iter().enumerate() {
             let show = OperatorCommand::ShowRelease(selector(title, Some("1970-01-01".into())));
             let shown = w.operate(t, &show);
@@ -112,7 +114,7 @@
                 let job = cause["job"].as_str().unwrap_or("missing").to_owned();
                 if cause["cause"] != "live" {
                     let night = Some("1970-01-01".to_owned());
-                    let r = w.operate(
+                    let reply = w.operate(
                         2,
                         &OperatorCommand::Waive {
                             release: selector(title, night),
@@ -120,7 +122,7 @@
                             reason: "known".into(),
                         },
                     );
-                    assert_eq!(r.status, 200, "{}", r.body);
+                    assert_eq!(reply.status, 200, "{}", reply.body);
                     waived += 1;
                 }
             }
@@ -130,14 +132,14 @@
         for (id, j) in &w.jobs {
             let live = w.record(&format!("job/{id}"));
             if j.refused {
-                let there = live.or(w.record(&format!("done/{id}")));
-                assert!(there.is_none(), "{id} was refused and is there: {there:?}");
+                let stored = live.or(w.record(&format!("done/{id}")));
+                assert!(stored.is_none(), "{id} was rejected and is stored: {stored:?}");
                 refused += 1;
                 continue;
             }
-            let over = j.known == KnownState::Done || (j.known == KnownState::Cancelled && j.cancel_asked);
-            assert!(over, "{id} is {:?}: {live:?}", j.known);
-            last += usize::from(j.spec.release.is_some());
+            let has_ended = j.known == KnownState::Done || (j.known == KnownState::Cancelled && j.cancel_asked);
+            assert!(has_ended, "{id} is {:?}: {live:?}", j.known);
+            finished += usize::from(j.spec.release.is_some());
         }
     }));
     if let Err(panic) = result {
@@ -145,138 +147,139 @@
         eprintln!("seed {seed}, at {:.3} s: {:#?} {states:#?}", w.now as f64 / 1e6, w.log);
         std::panic::resume_unwind(panic);
     }
-    (w, [refused, waived, last])
+    (w, [refused, waived, finished])
 }
 
-/// No rotation task before its set is closed, all its members are done on record, and that is on record; nobody who was
-/// accepted is left out; whoever was refused is not there; nothing is held for ever. The rules are looked at after each step.
+/// No rotation task starts before its release is closed, all its members are stored as done, and the start of the rotation is
+/// stored. No accepted member is left out, no rejected job is stored, and nothing is held for ever. The invariants are checked
+/// after each step.
 #[test]
-fn rotations_wait_for_all_that_was_accepted_whatever_fails() {
-    let (mut refused, mut waived, mut last) = (0, 0, 0);
+fn rotations_wait_for_all_accepted_members_under_all_faults() {
+    let (mut refused, mut waived, mut finished) = (0, 0, 0);
     for seed in seeds().map(|s| s + 5000) {
         let w = World::new(seed, Shape { jobs: 20, calendar: true, ..SMALL });
-        let (_, [r, n, l]) = release_day(seed, w);
-        (refused, waived, last) = (refused + r, waived + n, last + l);
+        let (_, [run_refused, run_waived, run_finished]) = play_release(seed, w);
+        (refused, waived, finished) = (refused + run_refused, waived + run_waived, finished + run_finished);
     }
-    assert!(refused > 30 && waived > 10 && last > 500, "{refused} refused, {waived} waived, {last} over");
+    assert!(refused > 30 && waived > 10 && finished > 500, "{refused} rejected, {waived} waived, {finished} finished");
 }
 
-/// A quiet night with an operator: each answer by its reason, the same on every controller; the rotation goes within
-/// five seconds of the last render's record.
+/// A night without faults and with an operator. Every controller gives the same answer with its reason, and the rotation starts
+/// within five seconds after the last render is stored as done.
 #[test]
-fn a_release_is_closed_shown_and_rotated_on_a_quiet_night() {
+fn a_release_is_closed_shown_and_rotated_without_faults() {
     let mut w = World::new(910, Shape { jobs: 0, calendar: true, ..SMALL });
     run_until(&mut w, 30 * S);
     let release = |stage: &str| json!({"title": "shop-a", "stage": stage});
-    let submit = |w: &mut World, n: usize, b: &Value| {
-        let id = b["uid"].as_str().expect("an id").to_owned();
-        w.ask(n, UserRequest::Submit(id, b.to_string()))
+    let submit = |w: &mut World, n: usize, job_body: &Value| {
+        let id = job_body["uid"].as_str().expect("an id").to_owned();
+        w.ask(n, UserRequest::Submit(id, job_body.to_string()))
     };
-    let known = |w: &mut World, n: usize, b: &Value| {
-        w.add_described_job(b, 40 * S).next = NEVER;
-        let r = submit(w, n, b);
-        assert_eq!(r.status, 201, "{}", r.body);
+    let add_accepted = |w: &mut World, n: usize, job_body: &Value| {
+        w.add_described_job(job_body, 40 * S).next = NEVER;
+        let reply = submit(w, n, job_body);
+        assert_eq!(reply.status, 201, "{}", reply.body);
     };
     for n in 0..3 {
-        known(&mut w, n, &body(&format!("wk-00000{n}"), "render", 1, release("render")));
+        add_accepted(&mut w, n, &body(&format!("wk-00000{n}"), "render", 1, release("render")));
     }
-    known(&mut w, 0, &body("wk-000003", "rotate", 1, release("rotation")));
-    for (class, release, named) in [
+    add_accepted(&mut w, 0, &body("wk-000003", "rotate", 1, release("rotation")));
+    for (class, release, expected_text) in [
         ("render", json!({"title": "shap-a", "stage": "render"}), "shop-*"),
         ("render", json!({"title": "shop-a", "stage": "render", "night": "1970-01-05"}), "begins at"),
         ("render", release("rotation"), "rotate"),
     ] {
-        let r = submit(&mut w, 1, &body("wk-000004", class, 1, release));
-        assert!(r.status == 422 && r.body.contains(named), "{}", r.body);
+        let reply = submit(&mut w, 1, &body("wk-000004", class, 1, release));
+        assert!(reply.status == 422 && reply.body.contains(expected_text), "{}", reply.body);
     }
     let night = Some("1970-01-01".to_owned());
     let title = "shop-a";
     let close = OperatorCommand::CloseRelease(selector(title, None));
     assert_eq!(w.operate(1, &close).status, 200);
     assert_eq!(w.operate(2, &close).status, 409, "closed already");
-    let late = submit(&mut w, 0, &body("wk-000005", "render", 1, release("render")));
-    assert!(late.status == 422 && late.body.contains("closed by an operator"), "{}", late.body);
-    let again = submit(&mut w, 0, &body("wk-000002", "render", 1, release("render")));
-    assert_eq!(again.status, 200, "a repeat gets the state as it is: {}", again.body);
+    let late_reply = submit(&mut w, 0, &body("wk-000005", "render", 1, release("render")));
+    assert!(late_reply.status == 422 && late_reply.body.contains("closed by an operator"), "{}", late_reply.body);
+    let repeated_reply = submit(&mut w, 0, &body("wk-000002", "render", 1, release("render")));
+    assert_eq!(repeated_reply.status, 200, "a repeated submission gets the current state: {}", repeated_reply.body);
     let next = w.now + 10 * S;
     run_until(&mut w, next);
     let mut shown = BTreeSet::new();
     for n in 0..3 {
-        let r = w.operate(n, &OperatorCommand::ShowRelease(selector(title, night.clone())));
-        let v: Value = serde_json::from_str(&r.body).expect("JSON");
-        assert_eq!((r.status, &v["state"], &v["renders"]), (200, &json!("held"), &json!(3)), "{v}");
+        let reply = w.operate(n, &OperatorCommand::ShowRelease(selector(title, night.clone())));
+        let v: Value = serde_json::from_str(&reply.body).expect("JSON");
+        assert_eq!((reply.status, &v["state"], &v["renders"]), (200, &json!("held"), &json!(3)), "{v}");
         assert!(v["text"].as_str().is_some_and(|t| t.contains("wk-000001 is not finished")), "{v}");
-        shown.insert(r.body);
+        shown.insert(reply.body);
     }
     assert_eq!(shown.len(), 1, "{shown:?}");
     let why = w.ask(1, UserRequest::Why("wk-000003".into()));
     assert!(why.body.contains("is not finished"), "{}", why.body);
-    // Opened again by one controller, it takes renders through all of them at once: a refusal must not rest on what
-    // one of them read before.
+    // A release that one controller reopens accepts renders through all controllers at once: a rejection must not be
+    // based on a stale read.
     assert_eq!(w.operate(0, &OperatorCommand::ReopenRelease(selector(title, None))).status, 200);
-    let owner = |w: &World, id: &str| w.nodes[0].as_ref().and_then(|n| n.membership.job_leader(id));
-    let of = |w: &World, n: usize| {
-        (10..).map(|i| format!("wk-{i:06}")).filter(|id| owner(w, id) == Some(n)).take(3).collect::<Vec<_>>()
+    let job_leader = |w: &World, id: &str| w.nodes[0].as_ref().and_then(|n| n.membership.job_leader(id));
+    let ids_led_by = |w: &World, n: usize| {
+        (10..).map(|i| format!("wk-{i:06}")).filter(|id| job_leader(w, id) == Some(n)).take(3).collect::<Vec<_>>()
     };
-    let more: Vec<String> = of(&w, 1).into_iter().chain(of(&w, 2)).collect();
-    for id in &more {
-        let n = owner(&w, id).expect("an owner");
-        known(&mut w, n, &body(id, "render", 1, release("render")));
+    let reopened_renders: Vec<String> = ids_led_by(&w, 1).into_iter().chain(ids_led_by(&w, 2)).collect();
+    for id in &reopened_renders {
+        let n = job_leader(&w, id).expect("a job leader");
+        add_accepted(&mut w, n, &body(id, "render", 1, release("render")));
     }
     assert_eq!(w.operate(1, &close).status, 200);
-    let unknown = w.operate(0, &OperatorCommand::ShowRelease(selector("shop-b", None)));
-    assert!(unknown.status == 404 && unknown.body.contains("nearest is shop-a"), "{}", unknown.body);
+    let unknown_reply = w.operate(0, &OperatorCommand::ShowRelease(selector("shop-b", None)));
+    assert!(unknown_reply.status == 404 && unknown_reply.body.contains("nearest is shop-a"), "{}", unknown_reply.body);
     let first = (0..3).map(|n| format!("wk-{n:06}"));
-    let renders: Vec<String> = first.chain(more).map(|id| format!("done/{id}")).collect();
-    let done = |w: &World| renders.iter().all(|key| w.record(key).is_some());
-    while !done(&w) {
+    let renders: Vec<String> = first.chain(reopened_renders).map(|id| format!("done/{id}")).collect();
+    let are_renders_stored = |w: &World| renders.iter().all(|key| w.record(key).is_some());
+    while !are_renders_stored(&w) {
         let next = w.now + S / 10;
         run_until(&mut w, next);
         assert!(w.now < 200 * S, "renders take too long: {:#?}", w.states());
     }
-    let last = w.now;
-    let runs = |w: &World| w.workers.iter().any(|k| k.tasks.iter().any(|t| t.job == "wk-000003"));
-    while !runs(&w) {
+    let last_stored_at = w.now;
+    let is_rotation_started = |w: &World| w.workers.iter().any(|k| k.tasks.iter().any(|t| t.job == "wk-000003"));
+    while !is_rotation_started(&w) {
         let next = w.now + S / 10;
         run_until(&mut w, next);
-        assert!(w.now <= last + 5 * S, "the rotation is late");
+        assert!(w.now <= last_stored_at + 5 * S, "the rotation is late");
     }
-    let reopen = w.operate(0, &OperatorCommand::ReopenRelease(selector(title, night)));
-    assert!(reopen.status == 409 && reopen.body.contains("has started"), "{}", reopen.body);
+    let reopen_reply = w.operate(0, &OperatorCommand::ReopenRelease(selector(title, night)));
+    assert!(reopen_reply.status == 409 && reopen_reply.body.contains("has started"), "{}", reopen_reply.body);
     run_until(&mut w, 200 * S);
     let end = w.ask(2, UserRequest::Query("wk-000003".into()));
     assert!(end.body.contains("done"), "{}", end.body);
 }
 
-/// Without a calendar nothing is switched on: what names a release is refused with the reason.
+/// Without a calendar releases are disabled: a submission that names a release is rejected with the reason.
 #[test]
-fn a_release_is_refused_where_no_calendar_is_set() {
+fn a_release_is_rejected_where_no_calendar_is_set() {
     let mut w = World::new(911, Shape { jobs: 0, ..SMALL });
     run_until(&mut w, 30 * S);
-    let b = body("wk-000001", "render", 1, json!({"title": "shop-a", "stage": "render"}));
+    let job_body = body("wk-000001", "render", 1, json!({"title": "shop-a", "stage": "render"}));
     for n in 0..3 {
-        let r = w.ask(n, UserRequest::Submit("wk-000001".into(), b.to_string()));
-        assert!(r.status == 422 && r.body.contains("no calendar"), "{}", r.body);
+        let reply = w.ask(n, UserRequest::Submit("wk-000001".into(), job_body.to_string()));
+        assert!(reply.status == 422 && reply.body.contains("no calendar"), "{}", reply.body);
         assert_eq!(w.operate(n, &OperatorCommand::ListReleases).status, 404);
     }
 }
 
-/// Releases are offered while old controllers are replaced one after the other, and once more while an old one turns up
-/// later: they are taken only while all know of them, and an old one starts nothing that is held.
+/// Jobs of releases are submitted while old controllers are replaced one after the other, and again while an old one joins
+/// later. They are accepted only while all controllers support releases, and an old controller starts no held job.
 #[test]
-fn releases_are_taken_once_no_old_controller_is_there() {
-    let mut taken = 0;
+fn releases_are_accepted_once_no_old_controller_runs() {
+    let mut accepted = 0;
     for seed in 5200..5215u64 {
         let mut w = World::new(seed, Shape { jobs: 15, calendar: true, ..SMALL });
         w.limited = [true; 3];
         let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            plan(&mut w);
+            add_release_jobs(&mut w);
             w.run(0, 20 * S);
-            let named = |w: &World| {
+            let accepted_members = |w: &World| {
                 w.jobs.values().filter(|j| j.spec.release.is_some() && j.known != KnownState::Unknown).count()
             };
             for i in 0..3 {
-                assert_eq!(named(&w), 0, "taken while an old controller is there");
+                assert_eq!(accepted_members(&w), 0, "accepted while an old controller runs");
                 let n = (seed as usize + i) % 3;
                 w.limited[n] = false;
                 w.crash(n);
@@ -284,7 +287,7 @@
                 w.run(0, next);
             }
             w.run(0, 120 * S);
-            taken += named(&w);
+            accepted += accepted_members(&w);
             let n = seed as usize % 3;
             w.limited[n] = true;
             w.crash(n);
@@ -293,9 +296,9 @@
             w.crash(n);
             w.run(0, 560 * S);
             for (id, j) in w.jobs.iter().filter(|(_, j)| !j.spec.is_rotation() && !j.refused) {
-                let over =
+                let has_ended =
                     j.known == KnownState::Done || (j.known == KnownState::Cancelled && j.cancel_asked);
-                assert!(over, "{id} is {:?}", j.known);
+                assert!(has_ended, "{id} is {:?}", j.known);
             }
         }));
         if let Err(panic) = result {
@@ -304,5 +307,5 @@
             std::panic::resume_unwind(panic);
         }
     }
-    assert!(taken > 100, "{taken} taken");
+    assert!(accepted > 100, "{accepted} accepted");
 }
--- a/tests/world/days/restarts.rs
+++ b/tests/world/days/restarts.rs
@@ -2,7 +2,7 @@
 
 use crate::*;
 
-fn ended(w: &mut World, seed: u64) {
+fn assert_all_finished(w: &mut World, seed: u64) {
     assert!(w.underserved().is_empty(), "seed {seed}: {:?}", w.underserved());
     let states = w.states();
     assert!(
@@ -14,8 +14,8 @@
     w.assert_no_answer_gap(seed);
 }
 
-fn guarded(seed: u64, w: &mut World, day: impl FnOnce(&mut World)) {
-    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| day(w)));
+fn print_log_on_panic(seed: u64, w: &mut World, play: impl FnOnce(&mut World)) {
+    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| play(w)));
     if let Err(panic) = result {
         eprintln!("seed {seed}, at {:.3} s: {:#?}", w.now as f64 / 1e6, w.log);
         std::panic::resume_unwind(panic);
@@ -30,12 +30,12 @@
     for seed in seeds().map(|s| s + 4000) {
         let mut w = World::new(seed, SMALL);
         (w.quick_restarts, w.crash_rate, w.answer_gaps.pollers) = (true, 0.03, true);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(200 * S, 240 * S);
             w.crash_rate = 0.0;
             w.run(0, 460 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         crashes += w.log.iter().filter(|l| l.ends_with("ends")).count();
     }
     assert!(crashes > 200, "{crashes}");
@@ -52,7 +52,7 @@
             World::new(seed, Shape { machines: 12, zone_capacity: 10, jobs: 120, pause: 2 * S, ..SMALL });
         (w.quick_restarts, w.answer_gaps.pollers) = (true, true);
         let n = seed as usize % 3;
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 40 * S);
             let (epoch, mut starts) = (w.epoch(), w.starts);
             let mut idle = 0;
@@ -92,7 +92,7 @@
             assert!(w.nodes[n].as_ref().is_some_and(|x| x.membership.is_leader(at)), "never admitted again");
             w.run(0, 420 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
     }
     // These arrived in the last second before the check. A bound of two per run would be twice the actual number.
     assert!(not_accepted <= runs * 6 / 5, "{not_accepted} submissions not accepted in {runs} runs");
@@ -105,7 +105,7 @@
     for seed in 4600..4620 {
         let mut w = World::new(seed, SMALL);
         (w.quick_restarts, w.answer_gaps.pollers) = (true, true);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 40 * S);
             for i in 0..2 {
                 let n = seed as usize % 3;
@@ -129,7 +129,7 @@
     for seed in seeds().map(|s| s + 4400).step_by(3) {
         let mut w = World::new(seed, SMALL);
         (w.quick_restarts, w.answer_gaps.pollers) = (true, true);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 40 * S);
             while w.now < 110 * S {
                 (0..3).for_each(|n| w.crash(n));
@@ -138,7 +138,7 @@
             }
             w.run(0, 400 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
     }
 }
 
@@ -149,7 +149,7 @@
     let request_ids = [11, 12].map(|boot| {
         let mut node = Controller::new(settings(0, SMALL, false), boot);
         let (now, mut out) = (Micros(3600 * S), Vec::new());
-        let f = hazelsaddle::peer::Frame {
+        let keep_alive = hazelsaddle::peer::Frame {
             from: 1,
             epoch: 5,
             members: vec![1, 2],
@@ -160,7 +160,7 @@
             sequence_seen: 0,
             body: Message::KeepAlive,
         };
-        node.step(now, now, Event::Frame(Box::new(f)), &mut out);
+        node.step(now, now, Event::Frame(Box::new(keep_alive)), &mut out);
         node.step(
             now,
             now,
@@ -168,7 +168,7 @@
             &mut out,
         );
         let request_id = |e: &Effect| match e {
-            Effect::Send { frame: f, .. } => match &f.body {
+            Effect::Send { frame, .. } => match &frame.body {
                 Message::ForwardRequest { id, .. } => Some(*id),
                 _ => None,
             },
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -1,7 +1,7 @@
-//! Short days of every kind, whose effects are recorded: played twice they are the same, and `scripts/compare-traces` holds
-//! those of one commit against those of another.
+//! Short runs of every kind whose effects are recorded. Two plays of a run give the same trace, and `scripts/compare-traces`
+//! compares the traces of one commit with those of another.
 
-use super::compound::{cancel_all, guarded, long_jobs};
+use super::compound::{add_long_jobs, cancel_all, print_log_on_panic};
 use super::{batches, loans, releases, zones};
 use crate::*;
 use hazelsaddle::controller::OperatorCommand;
@@ -9,37 +9,38 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// One kind of short day.
-struct Kind {
-    /// As it stands in the first line of a file.
+/// One kind of short run.
+struct RunKind {
+    /// The name in the first line of a trace file.
     name: &'static str,
-    /// The world before its first moment.
+    /// Creates the initial world.
     world: fn(u64) -> World,
-    /// What happens in it. The number counts the days of this kind, so that variants take turns.
-    day: fn(u64, &mut World),
+    /// Plays the run. The number counts the runs of this kind, so that their variants alternate.
+    play: fn(u64, &mut World),
 }
 
-/// All kinds. A seed plays the one at its remainder; new ones go to the end, or seeds change their kind.
-const ALL: [Kind; 19] = [
-    Kind { name: "plain", world: small, day: |_, w| w.run(110 * S, 130 * S) },
-    Kind { name: "stalls", world: small, day: stalls },
-    Kind { name: "grown", world: |seed| World::new(seed, LARGE), day: |_, w| w.run(30 * S, 40 * S) },
-    Kind { name: "chained", world: |seed| World::new(seed, CHAINED), day: |_, w| w.run(100 * S, 130 * S) },
-    Kind { name: "releases", world: with_calendar, day: rotations },
-    Kind { name: "loans", world: |seed| World::new(seed, loans::GPUS), day: lending },
-    Kind { name: "batches", world: |seed| batches::world(seed, batches::REPLACED), day: merges },
-    Kind { name: "upgrade", world: |seed| World::new(seed, CHAINED), day: upgrade },
-    Kind { name: "takeovers", world: medium, day: takeovers },
-    Kind { name: "leaving", world: medium, day: leaving },
-    Kind { name: "restarts", world: small, day: restarts },
-    Kind { name: "pairs", world: medium, day: pairs },
-    Kind { name: "trouble", world: medium, day: each_trouble },
-    Kind { name: "looks", world: medium, day: looks },
-    Kind { name: "lost", world: medium, day: lost },
-    Kind { name: "zones", world: medium, day: cut_zones },
-    Kind { name: "cancels", world: medium, day: cancels },
-    Kind { name: "commands", world: medium, day: late_commands },
-    Kind { name: "gap", world: medium, day: gap },
+/// All kinds of runs. A seed plays the kind at its remainder. New kinds are appended, because any other order would change the
+/// kind of existing seeds.
+const RUN_KINDS: [RunKind; 19] = [
+    RunKind { name: "plain", world: small, play: |_, w| w.run(110 * S, 130 * S) },
+    RunKind { name: "stalls", world: small, play: stalls },
+    RunKind { name: "grown", world: |seed| World::new(seed, LARGE), play: |_, w| w.run(30 * S, 40 * S) },
+    RunKind { name: "chained", world: |seed| World::new(seed, CHAINED), play: |_, w| w.run(100 * S, 130 * S), },
+    RunKind { name: "releases", world: with_calendar, play: rotations },
+    RunKind { name: "loans", world: |seed| World::new(seed, loans::GPUS), play: lending },
+    RunKind { name: "batches", world: |seed| batches::world(seed, batches::REPLACED), play: merges },
+    RunKind { name: "upgrade", world: |seed| World::new(seed, CHAINED), play: upgrade },
+    RunKind { name: "takeovers", world: medium, play: takeovers },
+    RunKind { name: "leaving", world: medium, play: leaving },
+    RunKind { name: "restarts", world: small, play: restarts },
+    RunKind { name: "pairs", world: medium, play: pairs },
+    RunKind { name: "trouble", world: medium, play: each_fault },
+    RunKind { name: "looks", world: medium, play: looks },
+    RunKind { name: "lost", world: medium, play: lost },
+    RunKind { name: "zones", world: medium, play: cut_zones },
+    RunKind { name: "cancels", world: medium, play: cancels },
+    RunKind { name: "commands", world: medium, play: late_commands },
+    RunKind { name: "gap", world: medium, play: gap },
 ];
 
 fn small(seed: u64) -> World {
@@ -58,13 +59,13 @@
     World::new(seed, Shape { jobs: 8, calendar: true, ..SMALL })
 }
 
-/// Time goes on, for so long at least and less than that at most.
-fn pass(w: &mut World, from: u64, to: u64) {
+/// Plays for a random time from `from` to less than `to`.
+fn run_for_random_time(w: &mut World, from: u64, to: u64) {
     let until = w.now + w.rng.random_range(from..to);
     w.run(0, until);
 }
 
-/// Controllers stand still between deciding and doing, among all troubles.
+/// Controllers pause between a decision and its execution, under all kinds of faults.
 fn stalls(_: u64, w: &mut World) {
     w.pause_rate = 0.001;
     w.run(90 * S, 100 * S);
@@ -72,21 +73,21 @@
     w.run(0, 120 * S);
 }
 
-/// Two titles' night over the close and the rotation, with restarts and all troubles on every other day.
+/// The night of two titles with close and rotation, and in every other run with restarts and all kinds of faults.
 fn rotations(round: u64, w: &mut World) {
-    releases::plan(w);
+    releases::add_release_jobs(w);
     match round % 2 {
         0 => w.run(0, 180 * S),
-        _ => releases::rough(w, 200 * S),
+        _ => releases::play_faults(w, 200 * S),
     }
     w.run(0, 225 * S);
 }
 
-/// Serving takes GPUs from arrays or gangs and gives them back.
+/// A service borrows GPUs from arrays or gangs and returns them.
 fn lending(round: u64, w: &mut World) {
-    let troubles = if round.is_multiple_of(2) { 0 } else { 110 * S };
-    let add = |w: &mut World, n, team, gait, tasks, gpus, run| {
-        loans::add(w, &loans::GpuJob { n, team, gait, rank: "normal", tasks, gpus, run })
+    let faults_until = if round.is_multiple_of(2) { 0 } else { 110 * S };
+    let add = |w: &mut World, n, team, kind, tasks, gpus, run| {
+        loans::add(w, &loans::GpuJob { n, team, kind, priority: "normal", tasks, gpus, run })
     };
     add(w, 1, "t2", "batch", 2, 2, 100 * S);
     w.run(0, 20 * S);
@@ -98,12 +99,12 @@
     }
     w.run(0, 45 * S);
     let service = add(w, 50, "t1", "service", 2, 4, NEVER);
-    w.run(troubles, 90 * S);
+    w.run(faults_until, 90 * S);
     w.jobs.get_mut(&service).expect("added").cancel_asked = true;
-    w.run(troubles, 125 * S);
+    w.run(faults_until, 125 * S);
 }
 
-/// Batches are put and replaced while their merges wait, start, run and ask whether they may write.
+/// Batch versions are set and raised while merges wait, start, run and request write permits.
 fn merges(round: u64, w: &mut World) {
     w.batches.writers = true;
     w.quick_restarts = !round.is_multiple_of(2);
@@ -112,22 +113,23 @@
         let name = ["b0", "b1"][w.rng.random_range(0..2usize)];
         let version = w.version(name).max(1);
         batches::add_pipeline(w, name, version);
-        pass(w, S, 12 * S);
+        run_for_random_time(w, S, 12 * S);
         let (n, up) = (w.rng.random_range(0..3usize), w.rng.random_range(0..3));
         w.send_operator_command(n, OperatorCommand::PutBatch { name: name.into(), version: version + up });
         batches::add_new_runs(w, name, version + up);
         if !round.is_multiple_of(3) && i % 2 == 1 {
             w.inject_random_fault();
         }
-        pass(w, S, 12 * S);
+        run_for_random_time(w, S, 12 * S);
     }
     w.run(0, 120 * S);
 }
 
-/// Controllers limited to the first form are replaced one after the other, one turns up once more, and limits fall.
+/// Controllers limited to version 1 are replaced one after the other, one of them joins again, and the state store lowers its
+/// limits.
 fn upgrade(round: u64, w: &mut World) {
     w.limited = [true; 3];
-    // An old one that turns up later tells nobody what became of a job's forerunners.
+    // A controller of the old version that joins later reports no outcomes of a job's dependencies.
     w.checks_orphans = false;
     w.run(0, 20 * S);
     for i in 0..3 {
@@ -137,49 +139,49 @@
         }
         w.limited[n] = false;
         w.crash(n);
-        pass(w, 4 * S, 18 * S);
+        run_for_random_time(w, 4 * S, 18 * S);
     }
     w.limits_fall = w.now + w.rng.random_range(0..20 * S);
-    pass(w, 15 * S, 30 * S);
+    run_for_random_time(w, 15 * S, 30 * S);
     if round % 2 == 1 {
         let n = round as usize % 3;
         w.limited[n] = true;
         w.crash(n);
-        pass(w, 10 * S, 15 * S);
+        run_for_random_time(w, 10 * S, 15 * S);
         w.limited[n] = false;
         w.crash(n);
     }
     w.run(0, 130 * S);
 }
 
-/// Epochs a few seconds apart, and what is handed over is lost, doubled and late.
+/// Epochs are a few seconds apart, and hand-off batches are lost, duplicated and delayed.
 fn takeovers(round: u64, w: &mut World) {
     w.handoff_fault_rate = 0.3;
     w.run(0, 20 * S);
     while w.now < 90 * S {
         let n = w.rng.random_range(0..3usize);
-        let long = w.rng.random_range(S..25 * S);
+        let duration = w.rng.random_range(S..25 * S);
         let hold = round.is_multiple_of(2);
         match w.rng.random_range(0..8) {
             0..4 => w.crash(n),
-            4 => w.paused_until[n] = w.now + long,
-            5 => w.partitions.push((Endpoint::Controller(n), Endpoint::Store, w.now + long, hold)),
-            6 => w.partitions.push((Endpoint::Controller(n), Endpoint::Workers, w.now + long, hold)),
+            4 => w.paused_until[n] = w.now + duration,
+            5 => w.partitions.push((Endpoint::Controller(n), Endpoint::Store, w.now + duration, hold)),
+            6 => w.partitions.push((Endpoint::Controller(n), Endpoint::Workers, w.now + duration, hold)),
             _ => w.partitions.push((
                 Endpoint::Controller(n),
                 Endpoint::Controller((n + 1) % 3),
-                w.now + long,
+                w.now + duration,
                 hold,
             )),
         }
         let i = w.rng.random_range(0..w.workers.len());
-        w.workers[i].unresponsive_until = w.now + long;
-        pass(w, 2 * S, 12 * S);
+        w.workers[i].unresponsive_until = w.now + duration;
+        run_for_random_time(w, 2 * S, 12 * S);
     }
     w.run(0, 120 * S);
 }
 
-/// One controller after the other is told to end, hands on what it knows and is back.
+/// Controllers are shut down one after the other, hand off their state and restart.
 fn leaving(round: u64, w: &mut World) {
     w.handoff_fault_rate = if round % 2 == 1 { 0.3 } else { 0.0 };
     w.run(0, 30 * S);
@@ -192,12 +194,12 @@
             w.run(0, until);
         }
         w.crash_for(n, 2 * S..8 * S);
-        pass(w, 12 * S, 20 * S);
+        run_for_random_time(w, 12 * S, 20 * S);
     }
     w.run(0, 110 * S);
 }
 
-/// Processes end at any moment, also in the middle of a hand-over or a record, and are back at once.
+/// Controllers crash at any moment, also during a hand-off or a write, and restart at once.
 fn restarts(_: u64, w: &mut World) {
     (w.quick_restarts, w.crash_rate) = (true, 0.03);
     w.run(90 * S, 100 * S);
@@ -205,22 +207,22 @@
     w.run(0, 120 * S);
 }
 
-/// Pairs of all troubles that overlap.
+/// Overlapping pairs of all kinds of faults.
 fn pairs(_: u64, w: &mut World) {
     w.handoff_fault_rate = 0.1;
     w.run(0, 20 * S);
     while w.now < 100 * S {
         let (a, b) = (w.rng.random_range(0..FAULTS.len()), w.rng.random_range(0..FAULTS.len()));
         w.pair(FAULTS[a], FAULTS[b]);
-        pass(w, S, 25 * S);
+        run_for_random_time(w, S, 25 * S);
     }
     w.run(0, 120 * S);
 }
 
-/// Three troubles a day, each in its turn, beside a restart or a takeover.
-fn each_trouble(round: u64, w: &mut World) {
+/// Three kinds of faults in each run, one after the other, each together with a restart or a takeover.
+fn each_fault(round: u64, w: &mut World) {
     w.run(0, 15 * S);
-    let ids = long_jobs(w, 6, 45 * S);
+    let ids = add_long_jobs(w, 6, 45 * S);
     w.run(0, 25 * S);
     for i in 0..3 {
         let n = w.rng.random_range(0..3);
@@ -228,16 +230,17 @@
             0 => w.crash_for((n + 1) % 3, S / 20..S / 10),
             _ => w.crash_for((n + 1) % 3, 9 * S..12 * S),
         }
-        pass(w, S, 10 * S);
-        let long = w.rng.random_range(4 * S..25 * S);
-        w.inject_fault(FAULTS[(3 * round as usize + i) % FAULTS.len()], n, long);
+        run_for_random_time(w, S, 10 * S);
+        let duration = w.rng.random_range(4 * S..25 * S);
+        w.inject_fault(FAULTS[(3 * round as usize + i) % FAULTS.len()], n, duration);
         w.cancel_job(n, &ids[i]);
-        pass(w, 10 * S, 25 * S);
+        run_for_random_time(w, 10 * S, 25 * S);
     }
     w.run(0, 125 * S);
 }
 
-/// Users look closely, cancel at the end of a job's last task and send what can't run, while records are slow or late.
+/// Users query closely, cancel as the last task of a job ends, and submit jobs that can't run, while the state store is slow or
+/// executes transactions late.
 fn looks(round: u64, w: &mut World) {
     w.run(0, 10 * S);
     w.enable_probe_bursts(80 * S);
@@ -248,12 +251,13 @@
         1 => w.slow_store_by(60 * S, S / 20..9 * S / 10),
         _ => w.delay_writes(0.3, 60 * S),
     }
-    pass(w, 10 * S, 30 * S);
+    run_for_random_time(w, 10 * S, 30 * S);
     w.refuse(round as usize % 3, 8 * S);
     w.run(0, 115 * S);
 }
 
-/// Answers of the state service and of rentals are lost, reports are kept for the next leader, machines are mute.
+/// Answers of the state store and to scale-outs are lost, reports are delayed until the next leader has started, and messages of
+/// machines are lost.
 fn lost(round: u64, w: &mut World) {
     const WAYS: [Execution; 4] =
         [Execution::Never, Execution::AtOnce, Execution::Late, Execution::AfterSuccessor];
@@ -263,7 +267,7 @@
     w.lose_scale_out_answers(0.5, 60 * S);
     w.delay_heartbeats(0.3, 70 * S);
     for i in 0..3 {
-        pass(w, 8 * S, 16 * S);
+        run_for_random_time(w, 8 * S, 16 * S);
         let machines = w.some_machines();
         w.lose_outbound_messages(&machines, 20 * S);
         let n = (round + i) as usize % 3;
@@ -277,29 +281,29 @@
     w.run(0, 120 * S);
 }
 
-/// A zone with its workers and its controller is cut off, the cloud is away, and jobs are bound to zones.
+/// A zone with its workers and its controller is partitioned, the cloud is down, and jobs have zone constraints.
 fn cut_zones(round: u64, w: &mut World) {
     w.zones.cloud_outage_until = w.rng.random_range(5 * S..30 * S);
     w.run(0, 20 * S);
     let mut ids = zones::add_constrained_jobs(w, 8, 40 * S);
-    ids.extend(long_jobs(w, 3, 60 * S));
+    ids.extend(add_long_jobs(w, 3, 60 * S));
     w.run(0, 45 * S);
     w.partition_zone(
         ZONES[round as usize % 2],
         [12, 30][round as usize / 2 % 2] * S,
         round.is_multiple_of(3),
     );
-    pass(w, 2 * S, 9 * S);
+    run_for_random_time(w, 2 * S, 9 * S);
     cancel_all(w, &ids[..5], 20 * S);
     w.run(0, 120 * S);
 }
 
-/// Running jobs are called off at once, some of whose machines hang or hear nobody, while the leader changes.
+/// Running jobs are cancelled while some of their machines hang or receive no answers and the leader changes.
 fn cancels(round: u64, w: &mut World) {
     w.run(0, 20 * S);
-    long_jobs(w, 9, 60 * S);
+    add_long_jobs(w, 9, 60 * S);
     for i in 0..3 {
-        pass(w, 10 * S, 16 * S);
+        run_for_random_time(w, 10 * S, 16 * S);
         let hang = if i == 1 { 20 * S } else { 0 };
         w.mass_cancel(3, hang);
         let machines = w.some_machines();
@@ -313,31 +317,31 @@
     w.run(0, 110 * S);
 }
 
-/// Direct commands come late, after those of the next leader, while users cancel.
+/// Direct commands arrive late, after those of the next leader, while users cancel jobs.
 fn late_commands(round: u64, w: &mut World) {
     w.run(0, 20 * S);
-    let ids = long_jobs(w, 9, 60 * S);
+    let ids = add_long_jobs(w, 9, 60 * S);
     w.run(0, 30 * S);
     w.delay_fencing_probes([0.5, 1.0][round as usize % 2], 70 * S);
-    for (i, some) in ids[..6].chunks(2).enumerate() {
+    for (i, cancelled) in ids[..6].chunks(2).enumerate() {
         let n = (round as usize + i) % 3;
         w.crash_for((n + 1) % 3, S / 20..S / 10);
-        pass(w, S / 2, 4 * S);
+        run_for_random_time(w, S / 2, 4 * S);
         match round % 3 {
             0 => w.crash_for(n, 8 * S..14 * S),
             1 => w.paused_until[n] = w.now + 12 * S,
             _ => w.cut_from_store_and_peers(n, 12 * S, i % 2 == 0),
         }
-        cancel_all(w, some, 8 * S);
-        pass(w, 4 * S, 12 * S);
+        cancel_all(w, cancelled, 8 * S);
+        run_for_random_time(w, 4 * S, 12 * S);
     }
     w.run(0, 115 * S);
 }
 
-/// The state service refuses one controller, others confirm cancellations, and then it is down for everybody.
+/// The state store refuses one controller, others confirm cancellations, and then it is down for all controllers.
 fn gap(round: u64, w: &mut World) {
     w.run(0, 15 * S);
-    let ids = long_jobs(w, 8, 80 * S);
+    let ids = add_long_jobs(w, 8, 80 * S);
     w.run(0, 35 * S);
     let n = round as usize % 3;
     w.refuse(n, 9 * S);
@@ -354,26 +358,26 @@
     w.run(0, 125 * S);
 }
 
-/// What was recorded on the day of a seed, and whether the day went to its end.
-fn recorded(seed: u64) -> (Trace, std::thread::Result<()>) {
-    let kinds = ALL.len() as u64;
-    let kind = &ALL[(seed % kinds) as usize];
+/// Plays the run of a seed. Returns its trace, and the panic if an invariant was violated.
+fn record_trace(seed: u64) -> (Trace, std::thread::Result<()>) {
+    let kinds = RUN_KINDS.len() as u64;
+    let kind = &RUN_KINDS[(seed % kinds) as usize];
     let mut w = (kind.world)(seed);
     w.trace = Some(Trace::default());
-    let day = |w: &mut World| (kind.day)(seed / kinds, w);
-    let end = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| guarded(seed, &mut w, day)));
+    let play = |w: &mut World| (kind.play)(seed / kinds, w);
+    let end = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| print_log_on_panic(seed, &mut w, play)));
     (w.trace.take().expect("it was switched on"), end)
 }
 
-/// The seeds to play: `TRACE_SEEDS=from..to`, or two.
+/// The seeds to play: those of `TRACE_SEEDS=from..to`, or two by default.
 fn trace_seeds() -> std::ops::Range<u64> {
-    let Ok(given) = std::env::var("TRACE_SEEDS") else { return 10..12 };
-    let range = given.split_once("..").and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
+    let Ok(seed_range) = std::env::var("TRACE_SEEDS") else { return 10..12 };
+    let range = seed_range.split_once("..").and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
     range.filter(|r: &std::ops::Range<u64>| !r.is_empty()).expect("TRACE_SEEDS has the form 0..200")
 }
 
-/// With `TRACE_DIR`, writes what the controllers ask for on the day of each seed to a file there. Without, plays each day
-/// twice: whatever is not the same makes a comparison of two versions of the sources worthless.
+/// With `TRACE_DIR`, writes the effects of the controllers in the run of each seed to a file there. Without, plays each run twice
+/// and compares the traces: if these differed, a comparison of two versions of the sources would mean nothing.
 #[test]
 fn traces_are_written_for_each_seed() {
     let dir = std::env::var_os("TRACE_DIR").map(PathBuf::from);
@@ -387,26 +391,26 @@
             if seed >= seeds.end {
                 return;
             }
-            let (trace, end) = recorded(seed);
+            let (trace, end) = record_trace(seed);
             if end.is_err() {
-                faults.lock().expect("no thread fails with it").insert((seed, "a rule broke"));
+                faults.lock().expect("no thread fails with it").insert((seed, "an invariant was violated"));
             }
             for kind in ["reply", "frame", "store"] {
                 if trace.count(kind) < 100 {
                     faults
                         .lock()
                         .expect("no thread fails with it")
-                        .insert((seed, "hardly anything was recorded"));
+                        .insert((seed, "too few effects were recorded"));
                 }
             }
             match &dir {
                 Some(dir) => {
-                    let text = format!("# {}\n{}", ALL[seed as usize % ALL.len()].name, trace.text());
+                    let text = format!("# {}\n{}", RUN_KINDS[seed as usize % RUN_KINDS.len()].name, trace.text());
                     std::fs::write(dir.join(format!("{seed}.trace")), text)
                         .expect("TRACE_DIR can be written to");
                 }
-                None if recorded(seed).0.digest() != trace.digest() => {
-                    faults.lock().expect("no thread fails with it").insert((seed, "two plays differ"));
+                None if record_trace(seed).0.digest() != trace.digest() => {
+                    faults.lock().expect("no thread fails with it").insert((seed, "the traces of two plays differ"));
                 }
                 None => {}
             }
@@ -420,22 +424,22 @@
     let faults = faults.into_inner().expect("no thread has failed");
     assert!(faults.is_empty(), "{faults:?}");
     let count = digests.into_inner().expect("no thread has failed").len() as u64;
-    assert_eq!(count, seeds.end - seeds.start, "the days of two seeds have the same trace");
+    assert_eq!(count, seeds.end - seeds.start, "the runs of two seeds have the same trace");
 }
 
-/// Whatever of an effect goes over the wire changes its line.
+/// Every part of an effect that is sent changes its trace line.
 #[test]
-fn lines_tell_effects_apart() {
+fn different_effects_have_different_trace_lines() {
     let store = |r: StoreRequest| Effect::Store { id: 1, request: r, lane: StoreLane::Records };
     let commit = |c: Transaction| store(StoreRequest::Transaction(c));
     let put = |v: Value, lease| {
         commit(Transaction { puts: vec![("a".into(), v, lease)], ..Transaction::default() })
     };
-    let greet = |token, addr: &str, incarnation| Effect::FencingProbe {
+    let fencing_probe = |token, addr: &str, incarnation| Effect::FencingProbe {
         epoch: token,
         probes: vec![FencingProbe { machine: "i-1".into(), addr: addr.into(), incarnation }],
     };
-    let rent = |count, spot| {
+    let scale_out = |count, spot| {
         let (name, kind, zone) = ("r".into(), "large".into(), "a".into());
         Effect::Cloud(CloudRequest::ScaleOut(hazelsaddle::autoscaler::ScaleOut {
             name,
@@ -471,17 +475,17 @@
         Effect::Cloud(CloudRequest::MachineTypes),
         Effect::Cloud(CloudRequest::List(String::new())),
         Effect::Cloud(CloudRequest::List("a".into())),
-        rent(1, false),
-        rent(1, true),
-        rent(2, false),
+        scale_out(1, false),
+        scale_out(1, true),
+        scale_out(2, false),
         Effect::Cloud(CloudRequest::ScaleIn(vec!["a".into()])),
         Effect::Cloud(CloudRequest::ScaleIn(vec!["a".into(), "b".into()])),
         Effect::Probe(vec!["ab".into()]),
         Effect::Probe(vec!["a".into(), "b".into()]),
-        greet(1, "a", 1),
-        greet(2, "a", 1),
-        greet(1, "b", 1),
-        greet(1, "a", 2),
+        fencing_probe(1, "a", 1),
+        fencing_probe(2, "a", 1),
+        fencing_probe(1, "b", 1),
+        fencing_probe(1, "a", 2),
     ];
     let line = |effect: &Effect| {
         let mut trace = Trace::default();
@@ -490,5 +494,5 @@
     };
     let lines: BTreeSet<String> = all.iter().map(line).collect();
     assert_eq!(lines.len(), all.len(), "{lines:#?}");
-    assert!(all.iter().map(line).all(|l| lines.contains(&l)), "the same again");
+    assert!(all.iter().map(line).all(|l| lines.contains(&l)), "equal effects have equal lines");
 }
--- a/tests/world/days/zones.rs
+++ b/tests/world/days/zones.rs
@@ -13,17 +13,17 @@
 
 /// One kind of job and its placement constraints.
 struct JobKind {
-    gait: &'static str,
+    kind: &'static str,
     tasks: u32,
     zone: Option<&'static str>,
     together: bool,
     scatter: bool,
-    kinds: Option<&'static str>,
+    machine_type: Option<&'static str>,
     spot: bool,
 }
 
-const fn job_kind(gait: &'static str, tasks: u32) -> JobKind {
-    JobKind { gait, tasks, zone: None, together: false, scatter: false, kinds: None, spot: false }
+const fn job_kind(kind: &'static str, tasks: u32) -> JobKind {
+    JobKind { kind, tasks, zone: None, together: false, scatter: false, machine_type: None, spot: false }
 }
 
 const JOB_KINDS: [JobKind; 10] = [
@@ -33,7 +33,7 @@
     JobKind { zone: Some("b"), ..job_kind("group", 4) },
     JobKind { scatter: true, ..job_kind("batch", 7) },
     JobKind { scatter: true, ..job_kind("group", 5) },
-    JobKind { kinds: Some("large"), spot: true, ..job_kind("batch", 4) },
+    JobKind { machine_type: Some("large"), spot: true, ..job_kind("batch", 4) },
     JobKind { zone: Some("b"), together: true, ..job_kind("group", 2) },
     JobKind { zone: Some("b"), spot: true, ..job_kind("batch", 3) },
     JobKind { together: true, scatter: true, ..job_kind("batch", 4) },
@@ -45,9 +45,9 @@
         .map(|i| {
             let b = &JOB_KINDS[(w.jobs.len() + i) % JOB_KINDS.len()];
             let id = format!("wk-{:06}", (w.jobs.len() as u64 + 1) * 7919 % 1_000_000);
-            let body = json!({"uid": id, "breed": format!("{}-bound", b.gait), "herd": "t1", "gait": b.gait,
+            let body = json!({"uid": id, "breed": format!("{}-bound", b.kind), "herd": "t1", "gait": b.kind,
                 "rank": "normal", "strides": b.tasks, "vcpus": 2.0, "cards": 0, "ramGb": 1.0, "tack": "img",
-                "imageGb": 1.0, "breedsOfStall": b.kinds.map(|k| vec![k]), "paddock": b.zone,
+                "imageGb": 1.0, "breedsOfStall": b.machine_type.map(|k| vec![k]), "paddock": b.zone,
                 "together": b.together, "scatter": b.scatter, "borrowed": b.spot, "rideS": run as f64 / 1e6,
                 "restS": 0.0, "unsaddleS": 0.0, "dueS": null});
             w.add_described_job(&body, run);
@@ -62,7 +62,7 @@
     (0..w.workers.len()).filter(|&i| is_running(&w.workers[i])).collect()
 }
 
-fn pass(w: &mut World, from: u64, to: u64) {
+fn run_for_random_time(w: &mut World, from: u64, to: u64) {
     let until = w.now + w.rng.random_range(from..to);
     w.run(0, until);
 }
@@ -74,9 +74,9 @@
     let (mut inside, mut confirmed, mut left, mut stopped) = (0, 0, 0, [0; 3]);
     for seed in seeds().take(8).map(|s| s + 25_000) {
         let mut w = world(seed, 24);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
-            let mut ids = long_jobs(w, 9, 120 * S);
+            let mut ids = add_long_jobs(w, 9, 120 * S);
             ids.extend(add_constrained_jobs(w, 5, 100 * S));
             w.run(0, 45 * S);
             let zone = ZONES[seed as usize % 2];
@@ -93,9 +93,9 @@
             cancel_all(w, &jobs_inside[..jobs_inside.len() * 2 / 3], duration + 10 * S);
             let is_during_partition = |t: &&CancelAnswer| t.at > from + S && t.at < from + duration && t.tasks > 0;
             confirmed += w.compound.cancel_answers.values().filter(is_during_partition).count();
-            settle(w, 560 * S);
+            run_until_finished(w, 560 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         inside += w.zones.inside;
         stopped.iter_mut().zip(w.zones.stopped).for_each(|(a, b)| *a += b);
     }
@@ -115,9 +115,9 @@
     for seed in seeds().take(8).map(|s| s + 25_100) {
         let mut w = world(seed, 30);
         w.handoff_fault_rate = 0.2;
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
-            let ids = long_jobs(w, 10, 110 * S);
+            let ids = add_long_jobs(w, 10, 110 * S);
             w.run(0, 40 * S);
             let epoch = w.epoch();
             for (i, id) in ids.iter().enumerate() {
@@ -137,7 +137,7 @@
                         i % 2 == 0,
                     )),
                 }
-                pass(w, 0, 2 * S);
+                run_for_random_time(w, 0, 2 * S);
                 let p = w.rng.random_range(0..3);
                 w.cancel_job(p, id);
                 let until = 40 * S + (i as u64 + 1) * 12 * S;
@@ -147,9 +147,9 @@
                 calm.push(w.epoch() - epoch);
             }
             confirmed += w.compound.cancel_answers.values().filter(|t| t.tasks > 0).count();
-            settle(w, 560 * S);
+            run_until_finished(w, 560 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
     }
     assert!(calm.iter().all(|n| *n >= 10), "epochs raised in two minutes: {calm:?}");
     assert!(within >= 12 && confirmed > 30, "{within} changes inside an outage, {confirmed} cancellations");
@@ -163,7 +163,7 @@
     let (mut bound, mut moved, mut both) = ([0; 2], 0, 0);
     for seed in seeds().take(8).map(|s| s + 25_200) {
         let mut w = world(seed, 0);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
             add_constrained_jobs(w, 12, 25 * S);
             w.run(0, 30 * S);
@@ -186,13 +186,13 @@
                     let n = w.rng.random_range(0..3);
                     w.crash_for(n, S / 20..S / 10);
                 }
-                pass(w, S, 6 * S);
+                run_for_random_time(w, S, 6 * S);
                 add_constrained_jobs(w, 5, 25 * S);
-                pass(w, 5 * S, 14 * S);
+                run_for_random_time(w, 5 * S, 14 * S);
             }
-            settle(w, 560 * S);
+            run_until_finished(w, 560 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
         bound.iter_mut().zip(w.zones.constrained_starts).for_each(|(a, b)| *a += b);
         let is_single_zone = |id: &&String| w.jobs[*id].spec.one_zone && w.jobs[*id].spec.zone.is_none();
         moved += w.zones.places.iter().filter(|(id, z)| is_single_zone(id) && z.len() > 1).count();
@@ -210,13 +210,13 @@
     let (mut expired, mut alive, mut confirmed) = (0, 0, 0);
     for seed in seeds().take(8).map(|s| s + 25_300) {
         let mut w = world(seed, 24);
-        guarded(seed, &mut w, |w| {
+        print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 20 * S);
-            let ids = long_jobs(w, 12, 60 * S);
+            let ids = add_long_jobs(w, 12, 60 * S);
             add_constrained_jobs(w, 5, 40 * S);
             w.run(0, 45 * S);
             ids[..5].iter().for_each(|id| w.cancel_job(seed as usize % 3, id));
-            pass(w, 0, 2 * S);
+            run_for_random_time(w, 0, 2 * S);
             confirmed += w.compound.cancel_answers.len();
             alive += w.workers.iter().flat_map(|x| &x.tasks).filter(|t| t.is_placed()).count();
             let sessions = |w: &World| w.workers.iter().map(|x| x.incarnation - 1).sum::<u64>();
@@ -237,12 +237,12 @@
             expired += sessions(w) - before;
             if seed % 4 == 3 {
                 // The controller that restarted first crashes again just as the next one starts.
-                pass(w, S / 10, S);
+                run_for_random_time(w, S / 10, S);
                 w.crash_for(seed as usize % 3, S / 20..S / 10);
             }
-            settle(w, 560 * S);
+            run_until_finished(w, 560 * S);
         });
-        ended(&mut w, seed);
+        assert_all_finished(&mut w, seed);
     }
     assert!(
         expired > 80 && alive > 150 && confirmed > 10,
