--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -1,6 +1,6 @@
-//! This version beside the one in production: frames and stored values that its build wrote
-//! (`fixtures/README.md`) are read, and what is written for it is what it would have written. A change of
-//! layout fails here.
+//! Compatibility with the version in production: the frames and stored values that its build wrote
+//! (`fixtures/README.md`) are read, and this version writes the same bytes for it. A change of layout fails
+//! here.
 
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::{JobOutcome, JobShard, RecordWrite};
@@ -53,7 +53,7 @@
     }
 }
 
-/// The values that the fixtures were made of.
+/// The values that the fixtures contain.
 fn frames() -> Vec<(&'static str, Frame)> {
     let key = |index| TaskKey { job: "wk-000412".into(), index, attempt: (7 << 24) + 2 };
     let want = |i, action| DesiredTask {
@@ -282,8 +282,8 @@
     assert_eq!(hazelsaddle::controller::read_final_record(&end), Some((JobOutcome::Cancelled, 0)));
 }
 
-/// What the first version makes of a waiting job's record: a job that no machine suits. It hands the
-/// description on as it is, so nothing that this version needs is lost when it rewrites the record.
+/// Rewrites a waiting job's record as version 1 does, which sees a job that no machine type suits. Version 1 passes
+/// the job description on unchanged, so its rewrite loses nothing that this version needs.
 #[test]
 fn a_waiting_record_is_kept_and_not_started_by_the_first_version() {
     let mut with = body();
@@ -291,7 +291,7 @@
     for types in [json!(["g8", "g9"]), Value::Null] {
         with["breedsOfStall"] = types.clone();
         let record = JobShard::build_waiting_record(&with, Micros(5));
-        // The fields that it reads, by its own checks, which know nothing of `follows`.
+        // The fields that version 1 reads, with its own checks, which ignore `follows`.
         let mut plain = record["spec"].clone();
         let map: &mut Map<String, Value> = plain.as_object_mut().expect("an object");
         assert!(map.remove("follows").is_some());
@@ -299,7 +299,7 @@
         assert_eq!(seen.machine_types.len(), 1);
         assert!(seen.machine_types[0].contains(' '), "and no machine is of a type of this name");
         assert_eq!((seen.id.as_str(), seen.task_count, seen.team.as_str()), ("wk-000412", 16, "vision"));
-        // It rewrites the rest, and this version has the user's words again.
+        // Version 1 rewrites the rest, and this version restores the submitted values.
         let rewritten = json!({"spec": record["spec"], "accepted_us": record["accepted_us"], "done": "0-3"});
         let (raw, spec, accepted, done) = JobShard::read_record(&rewritten).expect("readable");
         assert_eq!((accepted, done.len()), (Micros(5), 4));
@@ -313,8 +313,8 @@
     );
 }
 
-/// A job that is held for a pact suits no machine of any older version, not even when all that it follows is done;
-/// what they hand on is whole, and its end says what others have to know.
+/// A held job suits no machine type of any older version, not even when all its dependencies are done. Hand-off
+/// between older versions keeps its record complete, and its final record contains its declarations.
 #[test]
 fn a_held_record_is_kept_and_not_started_by_older_versions() {
     let mut with = body();
@@ -355,7 +355,7 @@
     }
 }
 
-/// Values from before the limits fell are longer than what may be written now.
+/// Values stored before the size limits were lowered are longer than what may be written now.
 #[test]
 fn long_values_from_before_are_read_and_never_written_at_that_length() {
     let all = fixtures();
@@ -404,7 +404,7 @@
     assert_eq!(registry.names().len(), rows.len());
     let new = MachineRecord { kind: "k".into(), zone: "z".into(), spot: false, addr: "10.0.0.1:1".into() };
     registry.register("i-900000", &new);
-    // One of the long page must be written anew: it goes on another page, and stays on the long one.
+    // A changed machine of the overlong page is written to another page, and its old entry stays on the overlong one.
     registry.register(&rows[0].0, &rows[0].1);
     let w = registry.next_write(true).expect("a page");
     assert!(w.key != key && w.names.len() == 2 && w.base_version == 0);
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -1,5 +1,6 @@
-//! Jobs of two or three tasks that end far apart while their owners change: one task's end is known to its machine alone,
-//! or to a home, or to a record that was cut short or whose write had no answer.
+//! Jobs of two or three tasks whose outcomes are far apart in time, while their leaders change. The outcome of one
+//! task is known only to its machine, to a machine leader, or from a record whose write was truncated or had no
+//! response.
 
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::{JobOutcome, JobShard, RecordWrite};
@@ -15,7 +16,7 @@
 const MACHINES: usize = 3;
 const JOB: &str = "wk-1";
 
-/// With `small`, a job's description fills its record, and none of its progress fits.
+/// With `small`, the job description fills its record, so that no progress fits into it.
 fn settings(small: bool) -> Settings {
     let kb = if small { 0.28 } else { 4.0 };
     let text = format!(
@@ -27,7 +28,7 @@
     Settings::parse("test", &text).expect("valid")
 }
 
-/// What the state service has of the job.
+/// The job's state in the state store.
 #[derive(Clone, Default)]
 struct Stored {
     done: TaskIndexSet,
@@ -42,11 +43,11 @@
     tasks: u32,
     kind: &'static str,
     store: Stored,
-    /// What is truly on each machine.
+    /// The tasks that each machine really has.
     on: Vec<BTreeMap<TaskKey, TaskPhase>>,
-    /// Starts that were decided on in this epoch.
+    /// Attempts that were started in this epoch.
     decided: BTreeSet<TaskKey>,
-    /// Tasks that have completed: run again they end at once.
+    /// Completed tasks. Another attempt of one of them ends at once.
     completed: Vec<bool>,
     ran_again: u32,
     cut: u32,
@@ -92,7 +93,7 @@
         o.insert_job(raw, spec, Micros(1), self.store.done.clone(), self.store.store_version, false);
     }
 
-    /// A home's word: the machines that it has heard, and what it has on record of the others.
+    /// Sends a machine leader's status message: the machines that have reported, and the stored state of the others.
     fn tell(&self, o: &mut JobShard, m: &Membership, now: Micros, seq: u64, rev_seen: u64, known: &[bool]) {
         let room = Resources { cpus: 2000, gpus: 0, memory: 9000 };
         let digest = |i: usize| {
@@ -134,7 +135,7 @@
         );
     }
 
-    /// The machines do what was wished; those that aren't known get nothing.
+    /// Applies the desired state to the machines. Machines without a confirmed task list get no commands.
     fn obey(&mut self, wishes: &DesiredState, known: &[bool]) {
         for on in &mut self.on {
             let listed = |k: &TaskKey| wishes.tasks.iter().any(|w| w.key == *k);
@@ -172,7 +173,7 @@
                     self.on[i].insert(w.key.clone(), TaskPhase::Exited(TaskExit::Stopped(false)));
                 }
                 (DesiredAction::Forget, Some(TaskPhase::Exited(e))) if known[i] => {
-                    // What only this machine knows must not be forgotten.
+                    // The machine must keep an outcome that is stored nowhere else.
                     assert!(
                         e != TaskExit::Done || durable,
                         "seed {}: {:?} is not on record",
@@ -186,7 +187,7 @@
         }
     }
 
-    /// One write that is due: carried out and told, carried out without an answer, or lost.
+    /// Handles one pending write: executed and acknowledged, executed without a response, or lost.
     fn write(&mut self, o: &mut JobShard, now: Micros) {
         let ends = self.rng.random_bool(0.5);
         let Some((id, write, store_version)) = o.next_write(now, ends) else { return };
@@ -259,7 +260,7 @@
             for k in &mut known {
                 *k |= calm || self.rng.random_bool(0.03);
             }
-            // Tasks end long after one another; a machine is lost now and then, with all that it knows.
+            // Tasks end far apart in time. Now and then a machine is lost with the outcomes that only it holds.
             if self.rng.random_bool(0.01) {
                 let i = self.rng.random_range(0..MACHINES);
                 let gang = self.kind == "group";
--- a/tests/follow.rs
+++ b/tests/follow.rs
@@ -1,5 +1,5 @@
-//! Who waits for whom, apart from the rest: ends that come in any order, twice or not at all at first,
-//! urgency that passes on, and the work that one end costs.
+//! Job dependencies in isolation: outcomes that arrive in any order, repeatedly or late, inherited priority, and the
+//! cost of processing one outcome.
 
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::{JobOutcome, JobShard};
@@ -36,8 +36,8 @@
     format!("wk-{n:06}")
 }
 
-/// Ends are told late, again and in any order, read or watched: a job is released when all that it needs is
-/// done and not before, and ends when one of them was cancelled, whatever the order.
+/// Outcomes arrive late, repeatedly and in any order, by a read or by a watch. A job is released once all its
+/// dependencies are done and not before, and is cancelled when one of them was cancelled, whatever the order.
 #[test]
 fn jobs_are_released_by_the_last_end_in_whatever_order_ends_are_told() {
     for seed in 0..60 {
@@ -56,7 +56,7 @@
                     let job = id(1000 + needs.len());
                     add(&mut owner, &job, "idle", &on.iter().map(|&p| id(p)).collect::<Vec<_>>());
                     needs.insert(job, on);
-                    // What ended before is not known here until it is read.
+                    // Outcomes from before are unknown until they are read.
                 }
                 1 => {
                     let p = rng.random_range(0..30);
@@ -64,7 +64,7 @@
                     told.insert(p);
                 }
                 2 => {
-                    // A read: of what has ended before, or has not yet.
+                    // A read, which finds an outcome or finds that there is none yet.
                     if let Some(p) = owner.next_unread_dependency() {
                         let n: usize = p[3..].parse().expect("a number");
                         if told.contains(&n) {
@@ -83,7 +83,7 @@
                 assert!(j.pending_outcome.is_none() || gone, "seed {seed}: {job} ends for nothing");
             }
         }
-        // All has ended, and all that is not known is read.
+        // All dependencies have ended, and all unknown outcomes are read.
         owner.reread_dependencies();
         while let Some(p) = owner.next_unread_dependency() {
             owner.apply_dependency_outcome(&p, ends[p[3..].parse::<usize>().expect("a number")]);
@@ -98,8 +98,8 @@
     }
 }
 
-/// One end touches those that wait for it and nobody else, however many wait for others, and each
-/// prerequisite is read once, however many wait for it.
+/// An outcome touches only the jobs that wait for it, however many wait for others, and each dependency is
+/// read once, however many jobs wait for it.
 #[test]
 fn an_end_costs_its_followers_only() {
     let (_, mut owner) = parts();
@@ -118,7 +118,8 @@
     assert!(owner.replan && !owner.is_awaited(&id(7)) && owner.is_awaited(&id(8)));
 }
 
-/// What is due first for its release goes first, before its equals, and never before what is more urgent.
+/// Among jobs of equal priority, the dependencies of the earliest due release go first; they never pass a higher
+/// priority.
 #[test]
 fn what_a_release_needs_first_goes_first() {
     let (m, mut owner) = parts();
@@ -136,8 +137,8 @@
     assert_eq!(owner.inherited_priorities_for(0, &m), [(id(1), 2)]);
 }
 
-/// Urgency passes from the last job of a pipeline to its first, and goes with the job that lent it. Lists may
-/// be lost or repeated: the next one says the same.
+/// Priority is inherited from the last job of a pipeline to its first, and is dropped with the job that it came from.
+/// Lists may be lost or repeated, since each list is complete.
 #[test]
 fn prerequisites_are_as_urgent_as_what_needs_them() {
     let (m, mut owner) = parts();
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Today's stored and sent forms, to the byte: what the code writes for fixed values is what
-//! `fixtures/current-form.json` holds (`fixtures/README.md`), and what is read from there is written again alike. A
-//! renaming or a refactoring must leave all of it as it is.
+//! Stored records and messages, byte for byte: what the code writes for fixed values equals
+//! `fixtures/current-form.json` (`fixtures/README.md`), and what is read from there is written again unchanged. A
+//! renaming or a refactoring must not change any of it.
 //!
-//! The fixtures are never written by this test. `GOLDEN_WRITE=1 cargo test --test golden -- --nocapture` prints what the
-//! code writes now to standard output, one line for each form, and changes nothing else.
+//! This test never writes the fixtures. `GOLDEN_WRITE=1 cargo test --test golden -- --nocapture` prints what the
+//! code writes now to standard output, one line for each value, and changes no file.
 
 use hazelsaddle::autoscaler::{CloudAnswer, CloudRequest};
 use hazelsaddle::config::operators::Operators;
@@ -35,7 +35,7 @@
     all[section].as_object().cloned().unwrap_or_default()
 }
 
-/// Compares what the code writes with sections of the fixtures, byte by byte.
+/// Compares what the code writes with sections of the fixtures, byte for byte.
 fn same(sections: &[(&str, Forms)]) {
     if std::env::var_os("GOLDEN_WRITE").is_some_and(|v| v == "1") {
         for (section, forms) in sections {
@@ -185,7 +185,7 @@
     LendingReport { jobs: vec![job], shortfalls: vec![("chat".into(), room(4), Micros(21_000_000))] }
 }
 
-/// One of each kind of message that `first-form.json` doesn't hold.
+/// One frame of each kind of message that `first-form.json` doesn't contain.
 fn frames() -> Vec<(&'static str, Frame)> {
     let id = || "wk-000412".to_owned();
     let ask = |request| Message::ForwardRequest { id: 9, request };
@@ -231,7 +231,7 @@
 
 // Stored records.
 
-/// Descriptions of jobs, by what they have beside the plain fields.
+/// Job descriptions, by the optional fields that they contain.
 fn descriptions() -> [(&'static str, Value); 5] {
     let release = json!({"title": "t", "night": "2026-12-01", "stage": "rotation"});
     let mut both = body_with("release", release.clone());
@@ -339,7 +339,7 @@
     }
 }
 
-/// What an owner of only these jobs makes of a team's record.
+/// The team's record that a job leader with only these jobs writes.
 fn team_after(record: &Value, needs: &[QuotaNeed]) -> Value {
     let s = settings();
     let mut teams = QuotaLedger::new(&s.teams);
@@ -357,7 +357,7 @@
     write.expect("a change").value
 }
 
-/// Claims of two and three parts, and one of six: what waits for room.
+/// Claims of two and three parts, and one of six parts that waits for free resources.
 fn team() -> Value {
     let before = json!({"wk-000001": [9000, 0], "wk-000002": [9000, 2, 1_789_999_999]});
     team_after(&before, &[need("wk-000003", 5000, ACCEPTED), need("wk-000004", 15_000, ACCEPTED)])
@@ -478,7 +478,7 @@
     assert_eq!(rows, machines().map(|(n, r)| (n.to_owned(), r)));
     again("machines", page_of(&rows));
 
-    // Another owner's claim comes beside what is there.
+    // The claim of another job leader is added to the existing ones.
     let mut beside = team_after(&golden["team"], &[need("wk-000005", 100, ACCEPTED)]);
     assert!(beside.as_object_mut().expect("claims").remove("wk-000005").is_some());
     again("team", beside);
@@ -521,20 +521,20 @@
     }
 }
 
-// What users, workers and operators get.
+// Responses to users, workers and operators.
 
 fn told(r: &Reply) -> Value {
     json!([r.status, r.body, r.retry_after])
 }
 
-/// A state service that carries out everything at once.
+/// A state store that executes every transaction at once.
 #[derive(Default)]
 struct Service {
     rows: BTreeMap<String, (Value, u64)>,
     revision: u64,
     /// The first value that was written under each key.
     first: BTreeMap<String, Value>,
-    /// The latest, also of keys that have been deleted.
+    /// The latest value of each key, including keys that have been deleted.
     last: BTreeMap<String, Value>,
 }
 
@@ -579,7 +579,7 @@
     }
 }
 
-/// One controller with its state service, in rounds of a tenth of a second.
+/// One controller with its state store, in steps of a tenth of a second.
 struct Play {
     node: Controller,
     service: Service,
@@ -666,7 +666,7 @@
         answer.expect("an answer within ten seconds")
     }
 
-    /// The answer to a user as it goes out: status, body, and when to come back.
+    /// The HTTP response to a user: status, body and retry delay.
     fn user(&mut self, request: UserRequest) -> Value {
         let r = self.ask(|ticket| Event::User { ticket, request });
         told(&r)
@@ -686,13 +686,13 @@
     }
 }
 
-/// A worker that does what it is told, and says when its tasks are done.
+/// A worker that executes its commands and reports when its tasks are done.
 #[derive(Default)]
 struct Worker {
     token: u64,
     seq: u64,
     tasks: Vec<HeartbeatTask>,
-    /// The first body with each set of commands.
+    /// The first response body with each set of commands.
     told: Forms,
 }
 
@@ -734,7 +734,7 @@
         }
     }
 
-    /// Reports until it is told something, or for so many times.
+    /// Sends heartbeats until a response contains commands, or at most the given number of times.
     fn heartbeats(&mut self, play: &mut Play, most: usize) {
         for _ in 0..most {
             let report = self.report();
@@ -762,7 +762,7 @@
         "restS":2.5,"unsaddleS":1})
 }
 
-/// A job that ends, one that follows it and is withdrawn while it runs, and what everybody is told meanwhile.
+/// Runs a job to its end, and a dependent job that is cancelled while it runs, and records all responses meanwhile.
 fn story() -> (Play, Worker, Forms) {
     let mut play = Play::start(settings(), Service::default());
     let mut worker = Worker::default();
@@ -811,7 +811,7 @@
     ]);
 }
 
-/// A controller that begins with what the fixtures say was stored knows it all, and writes it again alike.
+/// A controller that starts from the stored values of the fixtures loads all of them and writes them again unchanged.
 #[test]
 fn a_controller_that_starts_from_the_stored_values_knows_them() {
     let mut service = Service { revision: 1, ..Service::default() };
@@ -873,7 +873,7 @@
     gang_peer_s = 6.0\ncancel_s = 43.0\n[settings.state]\nrps = 100.0\nwrite_rps = 50.0\nvalue_kb = 4.0\n\
     txn_ops = 8\n[settings.state.next]\nvalue_kb = 2.0\n[settings.cloud]\nrps = 5.0\nlist_lag_s = 8.0\n";
 
-/// Changes of the platform's file, each of which makes it wrong.
+/// Changes of the platform's file, each of which makes it invalid.
 const WRONG: [(&str, &str, &str); 12] = [
     ("no TOML", "member = \"c0\"", "member ="),
     ("a key is missing", "lease_s = 18.0\n", ""),
@@ -889,7 +889,7 @@
     ("a name twice", "member = \"c1\"", "member = \"c0\""),
 ];
 
-/// Operators' files that are wrong.
+/// Invalid operators' files.
 const REFUSED: [(&str, &str); 13] = [
     ("an unknown section", "[log]\nstores = 10.0.0.1:1\n"),
     ("an unknown key", "[logs]\nstore = 10.0.0.1:1\n"),
@@ -906,7 +906,7 @@
     ("source and merge", "[freshness]\nsources = a\nmerges = a\n"),
 ];
 
-/// What the command says of these files: exit code and message. A file without a text is missing.
+/// Exit code and message of the command for these files. A file without a text is missing.
 fn checked(folder: &Path, config: Option<&str>, operators: Option<&str>) -> Value {
     for (name, text) in [("c.toml", config), ("o.ini", operators)] {
         let file = folder.join(name);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,5 @@
-//! What a home and an owner hand to the next: taken for complete where it is, never for more, and without harm when it
-//! comes late or twice.
+//! Hand-off between machine leaders and between job leaders: the receiver treats complete state as complete, never
+//! assumes more than was handed off, and tolerates late or repeated batches.
 
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::JobShard;
@@ -33,7 +33,7 @@
     EpochRecord { epoch, members: members.iter().map(|m| (format!("c{m}"), 1)).collect() }
 }
 
-/// c0 alone in epoch 7, and c1 beside it from epoch 8 on; and names that move to c1 then.
+/// c0 alone in epoch 7, then c0 and c1 from epoch 8 on, and names whose leader changes to c1 at that time.
 struct Two {
     before: Membership,
     next: Membership,
@@ -95,7 +95,7 @@
     DesiredState { revision: rev, base_revision: 0, tasks: list, removed: Vec::new() }
 }
 
-/// The old home, which has just sent out a start, and the new one.
+/// The old machine leader, which has just sent out a start command, and the new one.
 fn homes(t: &Two) -> (MachineShard, MachineShard) {
     let mut old = MachineShard::new(&settings(0));
     old.adopt_epoch(at(10.0), &t.before, false, |_| None);
@@ -131,7 +131,7 @@
         (InventoryState::Known, 1000, TaskPhase::InDoubt)
     );
     assert!(!new.apply_handoff(at(1005.1), &t.new, machine.clone()), "twice changes nothing");
-    // No room beside the start in doubt, no second start of its task.
+    // The unconfirmed attempt keeps its resources, and its task is not started again.
     new.apply_desired_state(
         at(1005.2),
         1,
@@ -140,10 +140,10 @@
         |_| Some(ROOM),
     );
     assert!(new.issue_commands(&t.new, &t.machine, |_| true).expect("known").commands.is_empty());
-    // The start never arrived: the next report says so.
+    // The start command never arrived, as the next heartbeat shows.
     assert_eq!(new.apply_heartbeat(at(1006.0), &t.new, &report(&t, 2, 7, &[])), HeartbeatOutcome::Accepted);
     assert_eq!(digest(&new, at(1006.0), &t).free.cpus, 4000);
-    // The parcel once more, late: nothing comes back.
+    // A late copy of the hand-off batch restores nothing.
     new.apply_handoff(at(1007.0), &t.new, machine);
     assert!(digest(&new, at(1007.0), &t).tasks.is_empty());
 }
@@ -153,7 +153,7 @@
     for (seq, cpus) in [(2, 4000), (1, 1000)] {
         let t = two();
         let (old, mut new) = homes(&t);
-        // It shows the old token: alone it proves nothing.
+        // This heartbeat has the old fencing token, so that it is no evidence by itself.
         new.apply_heartbeat(at(1004.0), &t.new, &report(&t, seq, 7, &[]));
         assert_eq!(digest(&new, at(1004.0), &t).inventory_state, InventoryState::Unconfirmed);
         let machine = old.pack_handoff(at(100.0), &t.next).remove(&1).expect("it moves").remove(0);
@@ -176,8 +176,8 @@
     assert_eq!(told.iter().map(|c| c.verb()).collect::<Vec<_>>(), ["kill"]);
 }
 
-/// The end of a machine that was silent before the epoch is counted from then, and one whose end is not certain yet is
-/// not vouched for.
+/// The loss of a machine that was unreachable before the epoch is counted from then. A machine whose loss is not yet
+/// certain is not reported as lost.
 #[test]
 fn the_clock_of_a_machine_that_nobody_knows_goes_on() {
     let t = two();
@@ -202,8 +202,9 @@
             assert!(!machine.inventory_known);
             new.apply_handoff(at(1001.5), &t.new, machine);
         }
-        // A worker's lease and its margin after 16 s, when the last right of the epoch before ended: by the old home's
-        // clock at 35, so 5 s after packing; by the new one's own a member lease, a worker lease and the margin after 1 s.
+        // The last right of the epoch before ends at 16 s; a worker's lease and its margin follow. On the old machine
+        // leader's clock that is at 35 s, so 5 s after packing. On the new leader's own clock it is a member lease, a
+        // worker lease and the margin after 1 s.
         let mut over = 1002.0;
         while digest(&new, at(over), &t).inventory_state == InventoryState::Unconfirmed {
             over += 0.25;
@@ -215,7 +216,7 @@
     }
 }
 
-/// The same for one that stays: its lease does not begin anew with the epoch.
+/// The same for a machine whose leader stays: its lease does not begin anew with the epoch.
 #[test]
 fn the_clock_of_a_machine_that_stays_goes_on() {
     let t = two();
@@ -232,7 +233,8 @@
     let mut home = MachineShard::new(&settings(0));
     home.adopt_epoch(at(10.0), &t.before, false, |_| None);
     home.load_record(at(10.0), &stays, r);
-    // A member lease after 10 s nobody else could answer it any more: with a worker lease and its margin that is 35 s.
+    // A member lease after 10 s no other controller can answer the machine; with a worker lease and its margin that
+    // is 35 s.
     home.adopt_epoch(at(30.0), &t.next, true, |_| None);
     let known = |home: &mut MachineShard, s: f64| {
         home.expire_leases(at(s), &t.next);
@@ -265,7 +267,7 @@
     })
 }
 
-/// The new owner of a job, with a machine that has not been heard and one that has room.
+/// The new leader of a job, with a machine that has not reported and one with free resources.
 fn owner(t: &Two, kind: &str, tasks: u32) -> (JobShard, QuotaLedger, MachineStatus) {
     let s = settings(1);
     let mut o = JobShard::new(&s);
@@ -302,10 +304,10 @@
     (o, QuotaLedger::new(&s.teams), d)
 }
 
-/// Digests of both homes; machines named beside the free one are known to have no room.
+/// Status messages of both machine leaders. Machines named beside the free one are known to have no free resources.
 fn hear(o: &mut JobShard, t: &Two, seq: u64, free: &MachineStatus, others: &[(&str, InventoryState)]) {
     for from in 0..2 {
-        // The home has seen what it was last told, if it was told anything.
+        // The machine leader has seen the latest desired state, if one was sent.
         let rev_seen = if seq == 1 { 0 } else { o.next_desired_state(from, &t.new).revision };
         let none = Resources::default();
         let other = |&(name, standing): &(&str, InventoryState)| MachineStatus {
@@ -370,7 +372,7 @@
     assert_eq!(o.accept_handoff(at(5.1), vec![job(None)], &[]), 1);
     assert_eq!(placed(&mut o, &t, &teams, 6.0), [0], "one is there, one being stopped, one completed");
     assert_eq!(o.accept_handoff(at(6.1), vec![job(None)], &[]), 0, "twice changes nothing");
-    // Their machine speaks and has neither.
+    // Their machine reports and has neither.
     let known = [(t.machine.as_str(), InventoryState::Known), ("i-dark", InventoryState::Unconfirmed)];
     hear(&mut o, &t, 2, &free, &known);
     hear(&mut o, &t, 3, &free, &known);
@@ -385,7 +387,8 @@
     hear(&mut o, &t, 1, &free, &dark);
     let job =
         JobHandoff { id: t.job.clone(), done: String::new(), starts: Vec::new(), unresolved_set: Some(0) };
-    // One that the old owner waited for was never on record, or is gone: it is not waited for.
+    // An attempt that the old job leader waited for was never stored, or is gone, so the new one does not wait for
+    // it.
     o.accept_handoff(at(5.1), vec![job], &[vec![t.machine.clone(), "i-gone".into()]]);
     assert!(placed(&mut o, &t, &teams, 6.0).is_empty());
     let known = [(t.machine.as_str(), InventoryState::Known), ("i-dark", InventoryState::Unconfirmed)];
@@ -394,7 +397,7 @@
     assert_eq!(o.unconfirmed_machine_count(), 1, "the other machine is as dark as it was");
 }
 
-/// What a machine has shown since the job became ours stays true in the epochs that follow.
+/// What a machine has reported since this controller leads the job stays valid in the following epochs.
 #[test]
 fn a_machine_that_has_spoken_is_not_waited_for_again_in_the_next_epoch() {
     let t = two();
@@ -411,13 +414,13 @@
     assert!(after.new.adopt_epoch(at(1100.0), &record(9, &[0, 1]), 3));
     o.adopt_epoch(&after.new, true);
     o.finish_loading([t.machine.clone(), "i-dark".to_owned()].into_iter());
-    // Now the other one does, and the first one's new home has yet to hear it.
+    // Now the other machine reports, and the first one has yet to report to its new leader.
     let known = [(t.machine.as_str(), InventoryState::Unconfirmed), ("i-dark", InventoryState::Known)];
     hear(&mut o, &after, 1, &free, &known);
     assert_eq!(placed(&mut o, &after, &teams, 7.0), [0, 1]);
 }
 
-/// A gang is one attempt: what is left of it is stopped, and the next waits until that is gone.
+/// A gang is one attempt: its remaining tasks are stopped, and the next attempt waits until they are gone.
 #[test]
 fn a_handed_gang_that_is_not_whole_is_ended_before_it_is_tried_again() {
     let t = two();
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,4 +1,4 @@
-//! The command line on logs, against log stores over loopback.
+//! The command line for logs, against log stores over loopback.
 
 use hazelsaddle_logs::chunk::Kind;
 use hazelsaddle_logs::client::Client;
@@ -49,8 +49,8 @@
     (String::from_utf8(stdout).expect("text"), status.code())
 }
 
-/// A task is drained and goes on elsewhere as another attempt, and the store that is followed dies in between: each line
-/// is shown once, and following ends when the task is done.
+/// A task is drained and continues elsewhere as another attempt, and the store that is followed fails in between.
+/// Each line is shown once, and following ends when the task is done.
 #[test]
 fn following_goes_over_a_new_attempt_and_a_store_that_dies() {
     let folder = std::env::temp_dir().join(format!("hazelsaddle-logs-{}", std::process::id()));
@@ -79,7 +79,7 @@
         ["a0\na1\na2\n".to_owned()].into_iter().chain((0..50).map(|n| format!("b{n}\n"))).collect();
     assert_eq!((String::from_utf8(seen.stdout).expect("text"), seen.status.code()), (expected, Some(0)));
 
-    // The rest of what can be asked, of the two stores that are left.
+    // The remaining queries, to the two stores that are left.
     let logs = |args: &[&str]| out(&doors, &[&["logs"], args].concat());
     assert_eq!(logs(&["wk-000007/0", "--attempt", "1"]), ("a0\na1\na2\n".into(), Some(0)));
     assert_eq!(logs(&["wk-000007", "--tail", "1"]), ("wk-000007/0/2 | b49\n".into(), Some(0)));
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! The edges over real sockets on loopback, against stand-ins for the outside systems.
+//! Network clients over real sockets on loopback, against fake servers for the external systems.
 
 use hazelsaddle::autoscaler::{CloudAnswer, CloudClient, CloudRequest, ScaleOut};
 use hazelsaddle::peer::{self, Frame, Message};
@@ -8,11 +8,11 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-/// What a stand-in was asked: method, path and body.
+/// A request that a fake server received: method, path and body.
 type Asked = Vec<(String, String, Value)>;
 
-/// A stand-in that answers each request in turn with a status and a body, and hands back what it
-/// was asked.
+/// Starts a fake server that answers each request in turn with a status and a body, and returns the requests that it
+/// received.
 fn stand_in(answers: Vec<(u16, Value)>) -> (SocketAddrV4, std::thread::JoinHandle<Asked>) {
     let server = tiny_http::Server::http("127.0.0.1:0").expect("a port is free");
     let Some(SocketAddr::V4(addr)) = server.server_addr().to_ip() else { panic!("an IPv4 address") };
@@ -75,7 +75,7 @@
     assert_eq!(asked[3], ("POST".into(), "/commit".into(), expected));
     assert_eq!(asked[7].2, json!({"lifeMs": 5000}));
     assert_eq!(asked[8].1, "/grants/9/renew");
-    // Nobody is there any more: it can't be known whether a request was carried out.
+    // The server is gone: it is unknown whether the request was executed.
     assert_eq!(c.call(&commit), StoreAnswer::Unknown);
 }
 
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -1,5 +1,5 @@
-//! What must not count: messages that build on something their receiver does not hold, and decisions
-//! that rest on a right which has run out.
+//! Messages and decisions that must be ignored: messages that build on a state which their receiver does not hold,
+//! and decisions under a lease that has expired.
 
 use hazelsaddle::autoscaler::CloudRequest;
 use hazelsaddle::config::settings::Settings;
@@ -45,7 +45,7 @@
     (m, home)
 }
 
-/// What lies between would be taken for "not wanted" or "not there".
+/// A receiver without the state in between would read the gap as "not wanted" or "not there".
 #[test]
 fn a_message_that_builds_on_a_state_not_held_is_dropped() {
     let (m, mut home) = machine_leader();
@@ -90,8 +90,8 @@
     assert_eq!(view.sequence(EPOCH), digest.sequence, "the sender goes on building on what is held");
 }
 
-/// A process may stand still between a decision and its effect while its lease runs out. Found missing
-/// when on-call met controllers that froze for seconds.
+/// A process may be suspended between a decision and its effect while its lease expires. Production controllers have
+/// frozen for seconds, which showed that this check was missing.
 #[test]
 fn what_rests_on_a_right_that_has_run_out_is_taken_back() {
     let at = |s: u64| Micros(s * 1_000_000);
@@ -110,14 +110,14 @@
     let give_back = || Effect::Cloud(CloudRequest::ScaleIn(vec!["i-1".into()]));
     assert_eq!(status(node.revalidate_effect(at(2), answer(200))), Some((200, None)));
     assert!(node.revalidate_effect(at(2), give_back()).is_some());
-    // A lease of six seconds has run out; nothing has happened in between.
+    // The lease of six seconds has expired, and nothing has happened in between.
     assert_eq!(status(node.revalidate_effect(at(30), answer(200))), Some((503, Some(1))));
     assert_eq!(status(node.revalidate_effect(at(30), answer(201))), Some((503, Some(1))));
     assert_eq!(status(node.revalidate_effect(at(30), answer(421))), Some((421, None)), "this needs no right");
     assert!(node.revalidate_effect(at(30), give_back()).is_none());
 }
 
-/// What is no list of job ids is refused by the field's name; absent, null and empty mean none.
+/// A value that is no list of job ids is refused with the field's name; absent, null and empty mean no dependencies.
 #[test]
 fn prerequisites_that_are_no_list_of_job_ids_are_malformed() {
     let parse = |follows: serde_json::Value| {
@@ -142,7 +142,8 @@
             "follows": follows,
         })
         .to_string();
-        // It names a job, so its record is looked for before it is turned down, by this status and these words.
+        // The request names a job, so its record is looked up before the request is refused, with this status and
+        // this text.
         assert!(matches!(
             http_api::dispatch(1, "POST", "/v1/jobs", |_| Ok(body.clone())),
             Dispatch::Event(_)
--- a/tests/old_reports.rs
+++ b/tests/old_reports.rs
@@ -1,5 +1,6 @@
-//! One worker and the homes that follow one another, with copies of old reports, answers that are lost while the reports
-//! arrive, direct messages held up, and homes that begin knowing nothing: what a home says is not on the machine is not.
+//! One worker and a succession of machine leaders, with copies of old heartbeats, lost responses to heartbeats that
+//! arrived, delayed direct messages, and leaders that start without state. A task that a machine leader reports as
+//! absent from the machine is absent.
 
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::machine_shard::{
@@ -27,7 +28,7 @@
     Micros::from_millis(ms)
 }
 
-/// A worker by the protocol. Times are milliseconds.
+/// A worker that follows the protocol. Times are in milliseconds.
 struct Worker {
     machine: String,
     session: u64,
@@ -35,7 +36,7 @@
     token: u64,
     /// Tasks by attempt, and whether each has ended.
     tasks: BTreeMap<u64, bool>,
-    /// When the last answered report was sent, or the session began.
+    /// The time at which the last answered heartbeat was sent, or at which the incarnation began.
     renewed: u64,
     in_flight: Option<(u64, u64)>,
     next: u64,
@@ -114,7 +115,7 @@
     Greeted(Heartbeat),
 }
 
-/// The home of an epoch, with what its owner wants.
+/// The machine leader of one epoch, with the attempts that the job leader wants.
 struct Reign {
     m: Membership,
     home: MachineShard,
@@ -123,7 +124,8 @@
     starts: u64,
 }
 
-/// The worker is deaf for so long, in milliseconds of `0..until`; the state of things after each step goes to `look`.
+/// Runs until `until`. The worker receives nothing during the spans in `deaf`, in milliseconds. `look` is called with
+/// the state after each step.
 fn play(
     seed: u64,
     deaf: &[(u64, u64)],
@@ -169,7 +171,7 @@
         Reign { m, home, began: now, rev: epoch << 32, starts: 0 }
     };
     let mut reign = begin(1, 7, &m, false);
-    // The home of the epoch before goes on for a while: its process is another one.
+    // The machine leader of the previous epoch goes on for a while, in another process.
     let mut last: Option<(Reign, u64)> = None;
     let mut next_epoch = rng.random_range(20_000..60_000);
     let mut now = 1;
@@ -180,7 +182,7 @@
             next_epoch = now + rng.random_range(2_000..90_000);
             let epoch = reign.m.epoch + 1;
             if rng.random_bool(0.3) {
-                // The same home goes on in an epoch that follows directly.
+                // The same machine leader goes on in the epoch that follows directly.
                 reign.m.adopt_epoch(at(now), &record(epoch), epoch);
                 reign.home.adopt_epoch(at(now), &reign.m, true, |_| Some(0));
                 (reign.began, reign.rev, reign.starts) = (now, epoch << 32, 0);
@@ -188,7 +190,7 @@
                 continue;
             }
             let new = begin(now, epoch, &m, true);
-            // Its right ends a store lease after it is out at the latest, whatever it still decides.
+            // Its lease expires at most a store lease after it was replaced, whatever it still decides.
             last = Some((std::mem::replace(&mut reign, new), now + rng.random_range(0..5_900)));
         }
         last = last.filter(|(_, ends)| now < *ends);
@@ -221,7 +223,7 @@
                         HeartbeatOutcome::Accepted => to.home.issue_commands(&to.m, &machine, |_| true),
                         _ => None,
                     };
-                    // Who sent a copy awaits no answer.
+                    // The sender of a copy awaits no response.
                     if let Some(sent) = sent {
                         let a = Answer { session: r.incarnation, seq: r.sequence, sent, orders };
                         post(delay, Mail::Answer(a), &mut mail);
@@ -250,7 +252,7 @@
         reign.home.expire_leases(at(now), &reign.m);
         let digest = |r: &Reign| r.home.status_delta(at(now), &r.m, 0, 0, |_| Some(ROOM)).machines.pop();
         let Some(d) = digest(&reign) else { continue };
-        // Its owner: one start at a time, what it does not know is kept, what ended may go.
+        // The job leader: one attempt at a time, unknown attempts are kept, ended ones may be forgotten.
         let wish = |attempt, want| DesiredTask {
             key: TaskKey { job: job.clone(), index: 0, attempt },
             machine: machine.clone(),
@@ -294,7 +296,7 @@
     w
 }
 
-/// Copies, held reports, deaf spells and new homes at random.
+/// Copies, delayed heartbeats, spans without responses and new machine leaders at random times.
 #[test]
 fn what_a_home_says_is_not_on_a_machine_is_not() {
     let (mut started, mut sessions) = (0, 0);
@@ -314,22 +316,23 @@
     assert!(started > 600 && sessions > 300, "{started} starts, {sessions} sessions: nothing was tried");
 }
 
-/// A machine that reports and hears nobody is not waited for as long as it reports, and gets nothing to do.
+/// A machine that reports but receives nothing blocks its tasks only for a bounded time, and gets no new commands.
 #[test]
 fn a_deaf_machine_is_waited_for_only_until_what_others_began_is_over() {
     let mut late = 0;
     for seed in 0..40 {
         let mut since = None;
         play(seed, &[(15_000, 400_000)], 400_000, |now, reign, d| {
-            // A store lease, until others are silent; the worker's lease; its patience with an answer, and two reports.
+            // A store lease, until the other leaders have stopped; the worker's lease; its request timeout, and two
+            // heartbeats.
             let bound = 6_000 + LEASE + 4_000 + 2 * 5_000 + 1_500;
-            // A report that came just before that may have been answered: its lease, once.
+            // A heartbeat that arrived just before that may have been answered, which adds one lease.
             let worst = bound + LEASE;
             if reign.m.epoch > 7 && now > reign.began + worst {
                 assert_eq!(d.inventory_state, InventoryState::Known, "seed {seed}, {now} ms");
                 late += 1;
             }
-            // Three reports without the token tell.
+            // Three heartbeats without the fencing token show that the worker receives nothing.
             if reign.m.epoch > 7 && now > *since.get_or_insert(now) + 20_000 {
                 assert!(
                     !d.is_schedulable,
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -1,5 +1,5 @@
-//! Whole stretches of placing on three owners: GPUs are in use while work waits, the largest jobs begin, borrowed room
-//! is given back, and few starts are refused.
+//! Long runs of placement with three job leaders: GPUs are in use while work waits, the largest jobs start, borrowed
+//! resources are returned, and few starts are refused.
 
 mod town;
 
@@ -43,9 +43,9 @@
         "borrowed": gait == "batch", "rideS": 40.0, "restS": saves, "unsaddleS": saves / 5.0, "dueS": null})
 }
 
-/// Seen on a day with GPUs: they stood idle while fine-tuning gangs and arrays waited. A gang that nobody had asked
-/// for (the many tasks of one sort on the GPUs of another) had all GPU machines kept for it, arrays that might not use
-/// them held their team's whole limit, and gangs could claim nothing any more.
+/// Guards against idle GPUs while fine-tuning gangs and arrays wait. This happened when a gang that was never
+/// submitted (the many tasks of one class on the GPUs of another) had all GPU machines reserved for it, arrays that
+/// may not use them held their team's whole limit, and gangs could claim nothing any more.
 #[test]
 fn gpus_are_in_use_while_work_waits_for_them() {
     let teams = "[[settings.teams]]\nname = \"serve\"\ncpus = 200.0\ncpus_max = 800.0\ngpus = 32.0\ngpus_max = 64.0\n\
@@ -75,7 +75,7 @@
             }
             t.step();
             assert_eq!(t.over_limit(), None, "seed {seed} at step {step}");
-            // Arrays wait throughout; what they may not use of the team's limit counts as used.
+            // Arrays wait throughout; the part of the team's limit that they may not use counts as used.
             let arrays = t.waiting().any(|(id, w)| w > secs(10.0) && t.jobs[id].spec.class == "array");
             if step > 600 && arrays {
                 let used = t.in_use().0.gpus.max(0);
@@ -92,8 +92,8 @@
     }
 }
 
-/// A gang of most machines of a zone, while small gangs and arrays flow, machines die, controllers come and go and a
-/// zone loses half of its machines.
+/// A gang of most machines of a zone starts while small gangs and arrays flow, machines fail, controllers join and
+/// leave and a zone loses half of its machines.
 #[test]
 fn the_largest_begin_whatever_flows_past_them() {
     let teams = "[[settings.teams]]\nname = \"shop\"\ncpus = 300.0\ncpus_max = 1000.0\n\
@@ -105,7 +105,7 @@
         let mut ids = Ids(seed * 1000 + 500);
         for step in 0..4200u64 {
             let team = ["shop", "mill"][t.rng.random_range(0..2usize)];
-            // More than there is room for, all the time.
+            // More than there are resources for, all the time.
             if step % 8 == 0 && step < 3600 {
                 let (n, run) = (t.rng.random_range(5..60), t.rng.random_range(15.0..70.0));
                 t.submit(job(&ids.next(), "small", team, "batch", "idle", n, 1.0, 0.0), secs(run));
@@ -148,8 +148,8 @@
     }
 }
 
-/// One team has borrowed what another is guaranteed; that one comes back and gets it, and what lies within a
-/// guarantee is left alone.
+/// One team has borrowed another's guarantee. The other team submits work again and gets its guarantee back, and
+/// tasks within a guarantee are left alone.
 #[test]
 fn a_team_gets_its_guarantee_back_from_one_that_has_borrowed() {
     let teams = "[[settings.teams]]\nname = \"lent\"\ncpus = 320.0\ncpus_max = 640.0\n\
@@ -186,8 +186,8 @@
     }
 }
 
-/// Seen on days of crashes: owners that all took the fullest machine had half of their starts refused when much was
-/// placed. Here the queues of all three are never empty, the worst case.
+/// Guards against job leaders that all choose the fullest machine: on days of crashes half of their starts were
+/// refused while much was placed. Here the queues of all three are never empty, the worst case.
 #[test]
 fn owners_that_place_at_the_same_time_seldom_collide() {
     let teams = "[[settings.teams]]\nname = \"t\"\n";
--- a/tests/spec.rs
+++ b/tests/spec.rs
@@ -1,4 +1,4 @@
-//! What a submission must say, and which jobs can never run: by PROTOCOL, "POST /v1/jobs".
+//! Validation of submissions, and jobs that can never run: by PROTOCOL, "POST /v1/jobs".
 
 use hazelsaddle::config::settings::Settings;
 use hazelsaddle::job_shard::JobShard;
@@ -24,8 +24,8 @@
     b
 }
 
-/// The status that a submission is turned down with, if it is: by the edge, or, where it names a job, which may have been
-/// accepted with another body, by the job's owner once there is no record of it.
+/// The status with which a submission is refused, if it is: by the API edge, or, where it names a job that may have
+/// been accepted with another body, by the job's leader once the state store has no record of it.
 fn post(text: &str) -> Option<u16> {
     let read = |limit| http_api::read_body(&mut text.as_bytes(), limit);
     match http_api::dispatch(1, "POST", "/v1/jobs", read) {
@@ -34,7 +34,7 @@
     }
 }
 
-/// The field table: only what may be null may be omitted, and either says the same.
+/// The field table: only fields that may be null may be omitted, and both mean the same.
 #[test]
 fn what_may_be_null_may_be_omitted_and_nothing_else() {
     let nullable = ["breedsOfStall", "paddock", "dueS"];
@@ -81,7 +81,7 @@
             "{key}: {v}"
         );
     }
-    // Neither is JSON: the amounts of the wire are finite.
+    // Neither is JSON: numbers in requests are finite.
     for text in ["NaN", "Infinity", "1e999"] {
         let text = body().to_string().replace("\"vcpus\":8.0", &format!("\"vcpus\":{text}"));
         assert_eq!(post(&text), Some(400), "{text}");
@@ -129,12 +129,12 @@
     for changes in [
         &[("herd", json!("nobody"))][..],
         &[("paddock", json!("c"))],
-        // The type is there, and not in this zone.
+        // The type exists, but not in this zone.
         &[("paddock", json!("b"))],
         &[("breedsOfStall", json!(["g9"]))],
-        // It is listed, and offered nowhere.
+        // The type is listed, but offered in no zone.
         &[("breedsOfStall", json!(["old"])), ("paddock", Value::Null)],
-        // The zone has types that are large enough, but not one that is allowed.
+        // The zone has types that are large enough, but none that is allowed.
         &[("breedsOfStall", json!(["c4"])), ("paddock", json!("b")), ("cards", json!(0))],
         &[("vcpus", json!(96.1))],
         // No type has both.
@@ -153,7 +153,7 @@
     assert!(!impossible(&[("breedsOfStall", json!(["g9", "g8"]))]), "one of those allowed is enough");
 }
 
-/// At most half of the tasks, rounded up, in one zone, and all of a gang at the same time.
+/// At most half of the tasks, rounded up, run in one zone, and all of a gang at the same time.
 #[test]
 fn a_gang_that_can_only_be_in_one_zone_and_must_not_is_impossible() {
     let scattered = |more: &[(&str, Value)]| {
@@ -174,7 +174,7 @@
     }
 }
 
-/// What a user may well say without meaning it: tasks that take nothing, estimates of centuries.
+/// Valid but unusual submissions: tasks that need no resources, estimates of centuries.
 #[test]
 fn odd_amounts_overflow_nothing() {
     let room = Resources { cpus: i64::MAX / 4, gpus: i64::MAX / 4, memory: i64::MAX / 4 };
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -1,6 +1,6 @@
-//! Three owners, their teams' record and a fleet of machines, in steps of 0.1 s: what placing alone decides. Homes,
-//! workers, the cloud and the state service are stand-ins that never fail; a digest or a wish of another controller
-//! takes a step or two. Seeds alone decide what is asked.
+//! Three job leaders, their teams' record and a fleet of machines, in steps of 0.1 s, to test placement alone.
+//! Machine leaders, workers, the cloud and the state store are fakes that never fail; a status message or a desired
+//! state of another controller takes one or two steps. Only the seed decides which jobs are submitted.
 
 #![allow(unreachable_pub, reason = "shared by test programs that each use a part")]
 
@@ -20,7 +20,7 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Length of a step.
+/// Duration of a step.
 pub const STEP: Micros = Micros::from_millis(100);
 
 struct Entry {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// A new epoch with these members; what was told before is lost, and jobs go to their new owners.
+    /// Begins a new epoch with these members. Earlier messages are lost, and jobs move to their new leaders.
     pub fn new_epoch(&mut self, members: &[usize]) {
         self.epoch += 1;
         let list = members.iter().map(|i| (format!("c{i}"), 1)).collect();
@@ -198,7 +198,7 @@
         self.raws.insert(id, raw);
     }
 
-    /// What of all machines' room is in use, and all there is.
+    /// Resources in use on all machines, and their capacity.
     pub fn in_use(&self) -> (Resources, Resources) {
         let alive = || self.machines.iter().filter(|m| m.alive);
         let all = alive().fold(Resources::default(), |a, m| a + m.total);
@@ -253,7 +253,7 @@
         self.owners[i].preempt_tasks(self.now, &self.members[i]);
     }
 
-    /// Reservations, demands, and the decider's word.
+    /// Reservations, demands, and the messages of the scaling leader.
     fn talk(&mut self) {
         let now = self.now;
         for i in 0..3 {
@@ -455,25 +455,25 @@
         }
     }
 
-    /// A machine dies.
+    /// Removes a failed machine.
     pub fn kill(&mut self, i: usize) {
         self.machines[i].alive = false;
         self.machines[i].entries.clear();
     }
 
-    /// Jobs that have not begun, and for how long.
+    /// Jobs that have not started, and how long they have waited.
     pub fn waiting(&self) -> impl Iterator<Item = (&str, Micros)> {
         let waits = self.jobs.iter().filter(|(_, a)| a.begun.is_none() && a.done.is_none());
         waits.map(|(id, a)| (id.as_str(), self.now.since(a.at)))
     }
 
-    /// How long until each job began, the longest wait of those that have not begun included.
+    /// The wait of each job until its start, or until now if it has not started.
     pub fn waits(&self, of: impl Fn(&Asked) -> bool) -> Vec<Micros> {
         let of_these = self.jobs.values().filter(|a| of(a));
         of_these.map(|a| a.begun.unwrap_or(self.now).since(a.at)).collect()
     }
 
-    /// What the record says a team has claimed, and its limit.
+    /// Returns a team whose resources in use exceed its limit.
     pub fn over_limit(&self) -> Option<String> {
         for t in &self.settings[0].teams {
             let used = self.team_in_use(&t.name);
