--- a/tests/world/days/batches.rs
+++ b/tests/world/days/batches.rs
@@ -192,7 +192,11 @@
     let wrong = submit(&mut w, 0, "wk-800001", "check", "merges", 7);
     assert!(wrong.status == 422 && wrong.body.contains("merge"), "{}", wrong.body);
     assert_eq!(submit(&mut w, 0, "wk-800002", "split", "batch", 7).status, 201);
-    assert_eq!(submit(&mut w, 1, "wk-800003", "split", "batch", 3).status, 201, "an older version is accepted");
+    assert_eq!(
+        submit(&mut w, 1, "wk-800003", "split", "batch", 3).status,
+        201,
+        "an older version is accepted"
+    );
     for n in 0..3 {
         assert_eq!(submit(&mut w, n, "wk-800002", "split", "batch", 9).status, 200);
     }
@@ -273,7 +277,8 @@
         let mut b = body("wk-800001", "merge", kind, 2, &[&split]);
         b["merges"] = batch_version("b", 7);
         w.add_described_job(&b, 60 * S);
-        let live_tasks = |w: &World| w.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.is_placed()).count();
+        let live_tasks =
+            |w: &World| w.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.is_placed()).count();
         while live_tasks(&w) < 2 {
             let next = w.now + S / 2;
             assert!(next < 120 * S, "it does not start");
--- a/tests/world/days/cancels.rs
+++ b/tests/world/days/cancels.rs
@@ -55,7 +55,9 @@
         let now = w.now;
         w.log.push(format!("{:.1}: {self:?}, {at:?}", now as f64 / 1e6));
         match self {
-            MachineFault::Hang(duration) => at.iter().for_each(|&i| w.workers[i].unresponsive_until = now + duration),
+            MachineFault::Hang(duration) => {
+                at.iter().for_each(|&i| w.workers[i].unresponsive_until = now + duration)
+            }
             MachineFault::ReceiveNothing(duration) => w.lose_inbound_messages(at, duration),
             MachineFault::Partitioned(duration) => {
                 (0..3).for_each(|n| {
@@ -141,7 +143,8 @@
                     w.run(0, until);
                 }
                 let cancelled = w.mass_cancel(6, 0);
-                let at: BTreeSet<usize> = cancelled.iter().flat_map(|id| w.machines_with_live_tasks(id)).collect();
+                let at: BTreeSet<usize> =
+                    cancelled.iter().flat_map(|id| w.machines_with_live_tasks(id)).collect();
                 let at: Vec<usize> = at.into_iter().take(8).collect();
                 machines[seed as usize % machines.len()].inject(w, &at);
                 if !changes_first {
@@ -161,7 +164,8 @@
 /// may live.
 #[test]
 fn jobs_of_teams_at_their_quota_are_cancelled_on_hung_machines_while_the_leader_changes() {
-    let faults = [12 * S, (LEASE_S * 1e6) as u64 + 6 * S, (CANCEL_S * 1e6) as u64 + 8 * S].map(MachineFault::Hang);
+    let faults =
+        [12 * S, (LEASE_S * 1e6) as u64 + 6 * S, (CANCEL_S * 1e6) as u64 + 8 * S].map(MachineFault::Hang);
     for (base, changes_first) in [(24_000, true), (24_100, false)] {
         let sum = play_at_quota(base, faults, changes_first);
         assert!(sum.answered >= 60 && sum.concurrent[1] > 15, "{sum:?}");
@@ -173,7 +177,11 @@
 /// The machines of the cancelled jobs receive nothing or are partitioned.
 #[test]
 fn jobs_of_teams_at_their_quota_are_cancelled_on_partitioned_machines_while_the_leader_changes() {
-    let faults = [MachineFault::ReceiveNothing(30 * S), MachineFault::Partitioned(25 * S), MachineFault::CutFromLeader(16 * S),];
+    let faults = [
+        MachineFault::ReceiveNothing(30 * S),
+        MachineFault::Partitioned(25 * S),
+        MachineFault::CutFromLeader(16 * S),
+    ];
     for (base, changes_first) in [(24_200, true), (24_300, false)] {
         let sum = play_at_quota(base, faults, changes_first);
         assert!(sum.answered >= 60 && sum.concurrent[0] > 25, "{sum:?}");
@@ -383,7 +391,8 @@
         // Every controller reports the outcome to users who ask later.
         let cancelled: Vec<String> = w.jobs.keys().step_by(17).cloned().collect();
         for id in cancelled {
-            let expected_stance = if w.jobs[&id].known == KnownState::Done { "\"done\"" } else { "\"aborted\"" };
+            let expected_stance =
+                if w.jobs[&id].known == KnownState::Done { "\"done\"" } else { "\"aborted\"" };
             for n in 0..3 {
                 let reply = w.ask(n, UserRequest::Query(id.clone()));
                 assert!(reply.status == 200 && reply.body.contains(expected_stance), "{id}: {reply:?}");
--- a/tests/world/days/chains.rs
+++ b/tests/world/days/chains.rs
@@ -90,7 +90,8 @@
         "vcpus": 1.0, "cards": 0, "ramGb": 1.0, "tack": "img", "imageGb": 1.0, "together": false, "scatter": false,
         "borrowed": false, "rideS": 10.0, "restS": 0.0, "unsaddleS": 0.0, "follows": ids})
     .to_string();
-    let leader = w.nodes[0].as_ref().and_then(|n| n.membership.job_leader("wk-000001")).expect("a job leader");
+    let leader =
+        w.nodes[0].as_ref().and_then(|n| n.membership.job_leader("wk-000001")).expect("a job leader");
     let mut refused = 0;
     loop {
         let reply = w.ask(leader, UserRequest::Submit("wk-000001".into(), body.clone()));
--- a/tests/world/days/commands.rs
+++ b/tests/world/days/commands.rs
@@ -33,7 +33,15 @@
         });
         assert_all_finished(&mut w, seed);
         let commands = &w.commands;
-        let counts = [commands.late_all, commands.ended, commands.after_newer, commands.by_token, commands.by_incarnation, commands.carried_out, commands.deposed,];
+        let counts = [
+            commands.late_all,
+            commands.ended,
+            commands.after_newer,
+            commands.by_token,
+            commands.by_incarnation,
+            commands.carried_out,
+            commands.deposed,
+        ];
         totals.iter_mut().zip(counts).for_each(|(a, b)| *a += b);
     }
     let [all, ended, newer, by_token, by_incarnation, carried, deposed] = totals;
--- a/tests/world/days/compound.rs
+++ b/tests/world/days/compound.rs
@@ -128,7 +128,8 @@
             let ids = add_long_jobs(w, 12, 120 * S);
             w.run(0, 50 * S);
             let n = seed as usize % 3;
-            let machines: Vec<usize> = (0..w.workers.len()).filter(|&i| machine_leader(w, i) == Some(n)).collect();
+            let machines: Vec<usize> =
+                (0..w.workers.len()).filter(|&i| machine_leader(w, i) == Some(n)).collect();
             let duration = w.rng.random_range(8 * S..60 * S);
             w.lose_inbound_messages(&machines[..machines.len().div_ceil(2)], duration);
             for &i in &machines[machines.len().div_ceil(2)..] {
@@ -149,7 +150,10 @@
         unheard += w.compound.lost_to_workers;
         confirmed += w.compound.cancel_answers.values().filter(|t| t.tasks > 0).count();
     }
-    assert!(unheard > 50 && confirmed > 20, "{unheard} lost answers, {confirmed} cancellations with live tasks");
+    assert!(
+        unheard > 50 && confirmed > 20,
+        "{unheard} lost answers, {confirmed} cancellations with live tasks"
+    );
 }
 
 /// When the leader changes, the end of the first task is known to the worker, the machine leader, the job leader or the state
@@ -168,7 +172,8 @@
                 // The leader changes just as tasks end, or before any controller has got a report of that.
                 let until = w.now + w.rng.random_range(S..12 * S);
                 w.run(0, until);
-                let is_partly_done = |j: &&UserJob| !j.done.is_empty() && j.done.len() < j.spec.task_count as usize;
+                let is_partly_done =
+                    |j: &&UserJob| !j.done.is_empty() && j.done.len() < j.spec.task_count as usize;
                 partly_done += w.jobs.values().filter(is_partly_done).count();
                 let n = (seed as usize + i) % 3;
                 match (seed + i as u64) % 4 {
@@ -273,11 +278,14 @@
             let ids = add_long_jobs(w, 12, 130 * S);
             w.run(0, 45 * S);
             let n = seed as usize % 3;
-            let led_jobs: BTreeSet<String> = ids.iter().filter(|id| job_leader(w, id) == Some(n)).cloned().collect();
+            let led_jobs: BTreeSet<String> =
+                ids.iter().filter(|id| job_leader(w, id) == Some(n)).cloned().collect();
             let (from, duration) = (w.now, [10, 30, 70][seed as usize % 3] * S);
             w.cut_from_store_and_peers(n, duration, seed % 2 == 0);
             cancel_all(w, &ids[..9], duration + 20 * S);
-            let is_by_successor = |(id, t): (&String, &CancelAnswer)| led_jobs.contains(id) && t.by != n && t.at < from + duration;
+            let is_by_successor = |(id, t): (&String, &CancelAnswer)| {
+                led_jobs.contains(id) && t.by != n && t.at < from + duration
+            };
             confirmed += w.compound.cancel_answers.iter().filter(|(id, t)| is_by_successor((id, t))).count();
             run_until_finished(w, 520 * S);
         });
--- a/tests/world/days/gap.rs
+++ b/tests/world/days/gap.rs
@@ -93,9 +93,12 @@
                 PeerNetwork::Connected => {}
                 PeerNetwork::OutboundLost => w.fail_one_way(n, p, fault_duration, LinkFault::Lost),
                 PeerNetwork::InboundLost => w.fail_one_way(p, n, fault_duration, LinkFault::Lost),
-                PeerNetwork::Partitioned => {
-                    w.partitions.push((Endpoint::Controller(n), Endpoint::Controller(p), w.now + fault_duration, false))
-                }
+                PeerNetwork::Partitioned => w.partitions.push((
+                    Endpoint::Controller(n),
+                    Endpoint::Controller(p),
+                    w.now + fault_duration,
+                    false,
+                )),
                 PeerNetwork::Delayed(by) => {
                     w.fail_one_way(n, p, fault_duration, LinkFault::Late(by));
                     w.fail_one_way(p, n, fault_duration, LinkFault::Late(by));
@@ -127,7 +130,11 @@
                     Role::MachineShard => on_led_machines.contains(id) && !led.contains(id),
                     Role::EpochRaiser | Role::Autoscaler => true,
                 };
-                let counts = [true, confirmation.tasks > 0, confirmation.tasks > 0 && is_in_role && confirmation.by != n,];
+                let counts = [
+                    true,
+                    confirmation.tasks > 0,
+                    confirmation.tasks > 0 && is_in_role && confirmation.by != n,
+                ];
                 for (count, counted) in out.confirmed.iter_mut().zip(counts) {
                     *count += usize::from(counted);
                 }
@@ -185,7 +192,9 @@
     let mut confirmed = [0; 3];
     for (k, role) in ROLES.into_iter().enumerate() {
         for (h, peer_network) in
-            [PeerNetwork::Connected, PeerNetwork::Partitioned, PeerNetwork::Delayed(2 * S)].into_iter().enumerate()
+            [PeerNetwork::Connected, PeerNetwork::Partitioned, PeerNetwork::Delayed(2 * S)]
+                .into_iter()
+                .enumerate()
         {
             let outcome = play_gap(121_900 + (3 * k + h) as u64, role, peer_network, 1);
             confirmed.iter_mut().zip(outcome.confirmed).for_each(|(all, n)| *all += n);
--- a/tests/world/days/loans.rs
+++ b/tests/world/days/loans.rs
@@ -76,7 +76,10 @@
                 }
                 if let Some(previous) = previous {
                     assert!(previous.state <= l.state, "the state went back: {previous:?} {l:?}");
-                    assert_eq!((&previous.machine, &previous.from, &previous.tasks), (&l.machine, &l.from, &l.tasks));
+                    assert_eq!(
+                        (&previous.machine, &previous.from, &previous.tasks),
+                        (&l.machine, &l.from, &l.tasks)
+                    );
                 }
             }
             for job in ledger.loans.iter().map(|l| &l.job).collect::<BTreeSet<_>>() {
@@ -88,7 +91,8 @@
                 assert!(n <= all, "claimed more than needed: {n} replicas of {job} in {:#?}", ledger.loans);
             }
             // Loan IDs are unique within a ledger, and only one team borrows here.
-            let ended_loans: Vec<u64> = observed.loans.keys().filter(|id| !now.contains(id)).copied().collect();
+            let ended_loans: Vec<u64> =
+                observed.loans.keys().filter(|id| !now.contains(id)).copied().collect();
             observed.ended += ended_loans.len();
             ended_loans.iter().for_each(|id| drop(observed.loans.remove(id)));
         }
@@ -105,9 +109,17 @@
     play_gpu_loans_in(World::new(seed, GPUS), seed, gang, faults_until)
 }
 
-pub(super) fn play_gpu_loans_in(mut w: World, seed: u64, gang: bool, faults_until: u64,) -> (World, Observed, usize) {
+pub(super) fn play_gpu_loans_in(
+    mut w: World,
+    seed: u64,
+    gang: bool,
+    faults_until: u64,
+) -> (World, Observed, usize) {
     let mut observed = Observed::default();
-    add(&mut w, &GpuJob { n: 1, team: "t2", kind: "batch", priority: "normal", tasks: 2, gpus: 2, run: 400 * S },);
+    add(
+        &mut w,
+        &GpuJob { n: 1, team: "t2", kind: "batch", priority: "normal", tasks: 2, gpus: 2, run: 400 * S },
+    );
     run_and_check(&mut w, &mut observed, 0, 25 * S);
     let kind = if gang { "group" } else { "batch" };
     for n in 2..if gang { 16 } else { 32 } {
@@ -116,13 +128,15 @@
         add(&mut w, &GpuJob { n, team: "t0", kind, priority: "normal", tasks, gpus, run });
     }
     run_and_check(&mut w, &mut observed, 0, 60 * S);
-    let ask = GpuJob { n: 50, team: "t1", kind: "service", priority: "normal", tasks: 2, gpus: 4, run: NEVER };
+    let ask =
+        GpuJob { n: 50, team: "t1", kind: "service", priority: "normal", tasks: 2, gpus: 4, run: NEVER };
     let service = add(&mut w, &ask);
     run_and_check(&mut w, &mut observed, faults_until, 100 * S);
     let served = running_replicas(&w, &service);
     run_and_check(&mut w, &mut observed, faults_until, 250 * S);
     w.jobs.get_mut(&service).expect("added").cancel_asked = true;
-    let is_running = |w: &World| w.workers.iter().flat_map(|x| &x.tasks).any(|t| t.job == service && t.is_placed());
+    let is_running =
+        |w: &World| w.workers.iter().flat_map(|x| &x.tasks).any(|t| t.job == service && t.is_placed());
     let mut stopped_at = None;
     while w.now < 300 * S {
         let next = w.now + S;
@@ -155,7 +169,12 @@
 pub(super) fn check_loans(seed: u64, w: &World, observed: &Observed) {
     assert!(!observed.lenders.contains("t2"), "seed {seed}: GPUs within the lender's guarantee were lent");
     for (team, l) in ledgers(w) {
-        assert!(l.loans.is_empty(), "seed {seed}: loans in the ledger of {team} never end: {:#?} {:#?}", l.loans, w.log);
+        assert!(
+            l.loans.is_empty(),
+            "seed {seed}: loans in the ledger of {team} never end: {:#?} {:#?}",
+            l.loans,
+            w.log
+        );
     }
     assert!(observed.ended > 0 || !observed.lent(), "seed {seed}: no loan ended");
     assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?} {:#?}", w.unfinished_jobs(), w.log);
@@ -190,13 +209,21 @@
     for seed in 40..44 {
         let mut w = World::new(seed, GPUS);
         let mut observed = Observed::default();
-        let ask =
-            |n, team, tasks, gpus| GpuJob { n, team, kind: "batch", priority: "normal", tasks, gpus, run: 400 * S, };
+        let ask = |n, team, tasks, gpus| GpuJob {
+            n,
+            team,
+            kind: "batch",
+            priority: "normal",
+            tasks,
+            gpus,
+            run: 400 * S,
+        };
         add(&mut w, &ask(1, "t2", 2, 2));
         run_and_check(&mut w, &mut observed, 0, 25 * S);
         let a = add(&mut w, &ask(2, "t0", 28, 1));
         run_and_check(&mut w, &mut observed, 0, 60 * S);
-        let all = GpuJob { n: 3, team: "t1", kind: "service", priority: "high", tasks: 4, gpus: 4, run: NEVER };
+        let all =
+            GpuJob { n: 3, team: "t1", kind: "service", priority: "high", tasks: 4, gpus: 4, run: NEVER };
         let service = add(&mut w, &all);
         run_and_check(&mut w, &mut observed, 0, 100 * S);
         assert_eq!(running_replicas(&w, &service), 4, "seed {seed}: {:#?}", observed.history);
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -5,7 +5,8 @@
 use super::{batches, loans, releases};
 use crate::*;
 
-const EXECUTIONS: [Execution; 4] = [Execution::Never, Execution::AtOnce, Execution::Late, Execution::AfterSuccessor];
+const EXECUTIONS: [Execution; 4] =
+    [Execution::Never, Execution::AtOnce, Execution::Late, Execution::AfterSuccessor];
 
 /// The first `n` rounds, or the seeds of `WORLD_SEEDS`.
 fn rounds(n: u64) -> std::ops::Range<u64> {
@@ -47,7 +48,9 @@
     mut play: impl FnMut(u64, &mut World),
 ) -> BTreeMap<Execution, Count> {
     let mut all = BTreeMap::new();
-    for (round, (k, execution)) in rounds(2).flat_map(|r| EXECUTIONS.into_iter().enumerate().map(move |c| (r, c))) {
+    for (round, (k, execution)) in
+        rounds(2).flat_map(|r| EXECUTIONS.into_iter().enumerate().map(move |c| (r, c)))
+    {
         let seed = base + 4 * round + k as u64;
         let mut w = world(seed, 40);
         print_log_on_panic(seed, &mut w, |w| {
@@ -80,7 +83,11 @@
 
 /// Checks the least number of writes that were sent in each way, that took effect at once, that were executed late and after a
 /// write of the successor, and that other controllers read before the sender had read them back.
-fn check_counts(kind: Write, all: &BTreeMap<Execution, Count>, [asked, at_once, late, after, read]: [usize; 5],) {
+fn check_counts(
+    kind: Write,
+    all: &BTreeMap<Execution, Count>,
+    [asked, at_once, late, after, read]: [usize; 5],
+) {
     eprintln!("{kind:?}: {all:?}");
     for execution in EXECUTIONS {
         assert!(all[&execution].asked >= asked, "{kind:?}, {execution:?}: {all:?}");
@@ -175,7 +182,9 @@
     world: impl Fn(u64) -> World,
 ) -> BTreeMap<Execution, Count> {
     let mut all = BTreeMap::new();
-    for (round, (k, execution)) in rounds(rounds_per_execution).flat_map(|r| EXECUTIONS.into_iter().enumerate().map(move |c| (r, c))) {
+    for (round, (k, execution)) in
+        rounds(rounds_per_execution).flat_map(|r| EXECUTIONS.into_iter().enumerate().map(move |c| (r, c)))
+    {
         let seed = base + 4 * round + k as u64;
         let mut w = world(seed);
         w.log.push(format!("{kind:?}, {execution:?}"));
@@ -199,10 +208,15 @@
     let play = |seed, w| {
         let mut w = batches::play_replaced_in(w, seed, seed % 2 == 0);
         assert!(w.unfinished_jobs().is_empty(), "seed {seed}: {:?} {:#?}", w.unfinished_jobs(), w.log);
-        assert!(["b0", "b1", "b2"].iter().all(|batch| w.permits_held(batch) == 0), "seed {seed}: {:#?}", w.states());
+        assert!(
+            ["b0", "b1", "b2"].iter().all(|batch| w.permits_held(batch) == 0),
+            "seed {seed}: {:#?}",
+            w.states()
+        );
         w
     };
-    let all = play_lost_answers_in(Write::Batch, 30_240, 2, play, |seed| batches::world(seed, batches::REPLACED));
+    let all =
+        play_lost_answers_in(Write::Batch, 30_240, 2, play, |seed| batches::world(seed, batches::REPLACED));
     check_counts(Write::Batch, &all, [10, 10, 4, 1, 4]);
 }
 
@@ -282,7 +296,9 @@
             }
             let of_task = w.workers[i].tasks.first().and_then(|t| job_leader(w, &t.job));
             let n = match crashed {
-                Crashed::Autoscaler => { w.nodes.iter().flatten().next().and_then(|x| x.membership.autoscaler())}
+                Crashed::Autoscaler => {
+                    w.nodes.iter().flatten().next().and_then(|x| x.membership.autoscaler())
+                }
                 Crashed::MachineShard => machine_leader(w, i),
                 Crashed::JobShard => of_task.or(machine_leader(w, i)),
                 Crashed::All => None,
@@ -422,8 +438,14 @@
         for (&i, before) in affected.iter().zip(before) {
             let expired = w.workers[i].incarnation > before;
             let lease = (LEASE_S * 1e6) as u64;
-            assert!(expired || duration <= lease + S, "direct messages have renewed the lease of machine {i}");
-            assert!(!expired || crash_leader || duration * 2 > lease, "machine {i} lost its lease within {duration}");
+            assert!(
+                expired || duration <= lease + S,
+                "direct messages have renewed the lease of machine {i}"
+            );
+            assert!(
+                !expired || crash_leader || duration * 2 > lease,
+                "machine {i} lost its lease within {duration}"
+            );
         }
         run_until_finished(w, 520 * S);
     });
@@ -535,7 +557,8 @@
             let all = w.lost.copies.all;
             w.run(0, 78 * S);
             copies += w.lost.copies.all - all;
-            let has_removed = |w: &World| w.nodes[p].as_ref().is_some_and(|x| !x.membership.members.contains(&n));
+            let has_removed =
+                |w: &World| w.nodes[p].as_ref().is_some_and(|x| !x.membership.members.contains(&n));
             assert!(has_removed(w), "seed {seed}: {n} is still a member of the ring");
             run_until_finished(w, 420 * S);
         });
@@ -642,8 +665,8 @@
                     let node = w.nodes[x].as_ref().filter(|node| node.membership.is_leader(w.clock(x)));
                     node.is_some_and(|node| node.membership.job_leader(id) == Some(x))
                 };
-                let has_two_leaders =
-                    |id: &&String| { w.jobs[*id].known == KnownState::Accepted && is_acting(n, id) && is_acting(new_leader, id)
+                let has_two_leaders = |id: &&String| {
+                    w.jobs[*id].known == KnownState::Accepted && is_acting(n, id) && is_acting(new_leader, id)
                 };
                 let ids: Vec<String> = ids.iter().filter(has_two_leaders).cloned().collect();
                 met += ids.len();
@@ -673,7 +696,8 @@
             w.crash_for(n, S / 20..S / 10);
             let until = w.now + 8 * S;
             w.run(0, until);
-            let is_acting = |w: &World| w.nodes[n].as_ref().is_some_and(|x| x.membership.is_leader(w.clock(n)));
+            let is_acting =
+                |w: &World| w.nodes[n].as_ref().is_some_and(|x| x.membership.is_leader(w.clock(n)));
             assert!(is_acting(w), "seed {seed}: {n} has not joined");
             let until = w.now + 40 * S;
             w.run(0, until);
--- a/tests/world/days/pairs.rs
+++ b/tests/world/days/pairs.rs
@@ -85,7 +85,10 @@
             w.run(0, until);
         }
         let confirmation = w.compound.cancel_answers[id];
-        assert!(confirmation.tasks > 0 && w.now <= confirmation.at + S / 5, "its tasks are alive: {confirmation:?}");
+        assert!(
+            confirmation.tasks > 0 && w.now <= confirmation.at + S / 5,
+            "its tasks are alive: {confirmation:?}"
+        );
         let duration = random_duration(w).max(50 * S);
         w.inject_fault(fault, n, duration);
         let until = w.now + 50 * S;
@@ -97,7 +100,8 @@
 #[test]
 fn each_fault_just_after_a_job_has_finished() {
     play_each_fault(22_600, |w, ids, fault, n| {
-        let has_all_tasks_done = |w: &World, id: &String| w.jobs[id].done.len() == w.jobs[id].spec.task_count as usize;
+        let has_all_tasks_done =
+            |w: &World, id: &String| w.jobs[id].done.len() == w.jobs[id].spec.task_count as usize;
         while !ids.iter().any(|id| has_all_tasks_done(w, id)) {
             let until = w.now + S / 10;
             w.run(0, until);
@@ -140,5 +144,9 @@
         assert_all_finished(&mut w, seed);
         assert!(w.underserved().is_empty(), "seed {seed}: {:?}", w.underserved());
     }
-    assert!(std::env::var("WORLD_SEEDS").is_ok() || pairs_met.len() > 40, "{} kinds of pairs", pairs_met.len());
+    assert!(
+        std::env::var("WORLD_SEEDS").is_ok() || pairs_met.len() > 40,
+        "{} kinds of pairs",
+        pairs_met.len()
+    );
 }
--- a/tests/world/days/plain.rs
+++ b/tests/world/days/plain.rs
@@ -126,8 +126,10 @@
     // Most of the class's largest jobs have at least 9 tasks, and less than half of all its jobs do.
     let has_large_jobs = |w: &World| {
         let is_counted = |j: &&UserJob| j.spec.class == CLASS && !j.cancel_asked && !j.always_fails;
-        let (all, large) =
-            (w.jobs.values().filter(is_counted), w.jobs.values().filter(is_counted).filter(|j| j.spec.task_count >= 9),);
+        let (all, large) = (
+            w.jobs.values().filter(is_counted),
+            w.jobs.values().filter(is_counted).filter(|j| j.spec.task_count >= 9),
+        );
         let (all, large) = (all.count(), large.count());
         2 * large > all.div_ceil(5) && 2 * large < all
     };
--- a/tests/world/days/refused.rs
+++ b/tests/world/days/refused.rs
@@ -89,7 +89,10 @@
         // Another controller rejects them on behalf of an unresponsive leader, and accepts what can run.
         let mut rejected_by_proxy = 0;
         for n in 0..3 {
-            let ids = invalid_submissions(2000).into_iter().enumerate().filter(|(_, (id, ..))| job_leader(&w, id) == Some(n));
+            let ids = invalid_submissions(2000)
+                .into_iter()
+                .enumerate()
+                .filter(|(_, (id, ..))| job_leader(&w, id) == Some(n));
             for (_, (id, body, status)) in ids.collect::<Vec<_>>() {
                 w.paused_until[n] = w.now + 3 * S;
                 let reply = w.ask((n + 1) % 3, UserRequest::Submit(id.clone(), body));
@@ -99,7 +102,8 @@
                 let until = w.now + 4 * S;
                 w.run(0, until);
             }
-            let (id, body) = (3000..).map(|i| job(i, &[])).find(|j| job_leader(&w, &j.0) == Some(n)).expect("one");
+            let (id, body) =
+                (3000..).map(|i| job(i, &[])).find(|j| job_leader(&w, &j.0) == Some(n)).expect("one");
             w.add_described_job(&body, 5 * S).next = NEVER;
             w.paused_until[n] = w.now + 4 * S;
             w.submit_to((n + 1) % 3, &id);
--- a/tests/world/days/releases.rs
+++ b/tests/world/days/releases.rs
@@ -137,7 +137,8 @@
                 refused += 1;
                 continue;
             }
-            let has_ended = j.known == KnownState::Done || (j.known == KnownState::Cancelled && j.cancel_asked);
+            let has_ended =
+                j.known == KnownState::Done || (j.known == KnownState::Cancelled && j.cancel_asked);
             assert!(has_ended, "{id} is {:?}: {live:?}", j.known);
             finished += usize::from(j.spec.release.is_some());
         }
@@ -161,7 +162,10 @@
         let (_, [run_refused, run_waived, run_finished]) = play_release(seed, w);
         (refused, waived, finished) = (refused + run_refused, waived + run_waived, finished + run_finished);
     }
-    assert!(refused > 30 && waived > 10 && finished > 500, "{refused} rejected, {waived} waived, {finished} finished");
+    assert!(
+        refused > 30 && waived > 10 && finished > 500,
+        "{refused} rejected, {waived} waived, {finished} finished"
+    );
 }
 
 /// A night without faults and with an operator. Every controller gives the same answer with its reason, and the rotation starts
@@ -198,9 +202,17 @@
     assert_eq!(w.operate(1, &close).status, 200);
     assert_eq!(w.operate(2, &close).status, 409, "closed already");
     let late_reply = submit(&mut w, 0, &body("wk-000005", "render", 1, release("render")));
-    assert!(late_reply.status == 422 && late_reply.body.contains("closed by an operator"), "{}", late_reply.body);
+    assert!(
+        late_reply.status == 422 && late_reply.body.contains("closed by an operator"),
+        "{}",
+        late_reply.body
+    );
     let repeated_reply = submit(&mut w, 0, &body("wk-000002", "render", 1, release("render")));
-    assert_eq!(repeated_reply.status, 200, "a repeated submission gets the current state: {}", repeated_reply.body);
+    assert_eq!(
+        repeated_reply.status, 200,
+        "a repeated submission gets the current state: {}",
+        repeated_reply.body
+    );
     let next = w.now + 10 * S;
     run_until(&mut w, next);
     let mut shown = BTreeSet::new();
@@ -219,7 +231,11 @@
     assert_eq!(w.operate(0, &OperatorCommand::ReopenRelease(selector(title, None))).status, 200);
     let job_leader = |w: &World, id: &str| w.nodes[0].as_ref().and_then(|n| n.membership.job_leader(id));
     let ids_led_by = |w: &World, n: usize| {
-        (10..).map(|i| format!("wk-{i:06}")).filter(|id| job_leader(w, id) == Some(n)).take(3).collect::<Vec<_>>()
+        (10..)
+            .map(|i| format!("wk-{i:06}"))
+            .filter(|id| job_leader(w, id) == Some(n))
+            .take(3)
+            .collect::<Vec<_>>()
     };
     let reopened_renders: Vec<String> = ids_led_by(&w, 1).into_iter().chain(ids_led_by(&w, 2)).collect();
     for id in &reopened_renders {
@@ -228,7 +244,11 @@
     }
     assert_eq!(w.operate(1, &close).status, 200);
     let unknown_reply = w.operate(0, &OperatorCommand::ShowRelease(selector("shop-b", None)));
-    assert!(unknown_reply.status == 404 && unknown_reply.body.contains("nearest is shop-a"), "{}", unknown_reply.body);
+    assert!(
+        unknown_reply.status == 404 && unknown_reply.body.contains("nearest is shop-a"),
+        "{}",
+        unknown_reply.body
+    );
     let first = (0..3).map(|n| format!("wk-{n:06}"));
     let renders: Vec<String> = first.chain(reopened_renders).map(|id| format!("done/{id}")).collect();
     let are_renders_stored = |w: &World| renders.iter().all(|key| w.record(key).is_some());
@@ -238,7 +258,8 @@
         assert!(w.now < 200 * S, "renders take too long: {:#?}", w.states());
     }
     let last_stored_at = w.now;
-    let is_rotation_started = |w: &World| w.workers.iter().any(|k| k.tasks.iter().any(|t| t.job == "wk-000003"));
+    let is_rotation_started =
+        |w: &World| w.workers.iter().any(|k| k.tasks.iter().any(|t| t.job == "wk-000003"));
     while !is_rotation_started(&w) {
         let next = w.now + S / 10;
         run_until(&mut w, next);
--- a/tests/world/days/restarts.rs
+++ b/tests/world/days/restarts.rs
@@ -73,7 +73,11 @@
             not_accepted += waiting;
             runs += 1;
             for p in (0..3).filter(|p| *p != n) {
-                assert!(w.balancer.removed[p].is_empty(), "{p} removed from the balancer: {:?}", w.balancer.removed);
+                assert!(
+                    w.balancer.removed[p].is_empty(),
+                    "{p} removed from the balancer: {:?}",
+                    w.balancer.removed
+                );
             }
             w.run(0, 103 * S);
             assert!(w.balancer.is_ready(n), "it forwards requests and reports that it is ready");
--- a/tests/world/days/rough.rs
+++ b/tests/world/days/rough.rs
@@ -100,8 +100,15 @@
                 let (n, duration) = (w.rng.random_range(0..3usize), w.rng.random_range(S..25 * S));
                 match w.rng.random_range(0..5) {
                     0 => w.outage_until = w.now + duration,
-                    1 => w.partitions.push((Endpoint::Controller(n), Endpoint::Store, w.now + duration, true)),
-                    2 => w.partitions.push((Endpoint::Controller(n), Endpoint::Workers, w.now + duration, true)),
+                    1 => {
+                        w.partitions.push((Endpoint::Controller(n), Endpoint::Store, w.now + duration, true))
+                    }
+                    2 => w.partitions.push((
+                        Endpoint::Controller(n),
+                        Endpoint::Workers,
+                        w.now + duration,
+                        true,
+                    )),
                     3 => w.paused_until[n] = w.now + duration,
                     _ => {}
                 }
--- a/tests/world/days/takeovers.rs
+++ b/tests/world/days/takeovers.rs
@@ -83,7 +83,10 @@
         w.workers[0].unresponsive_until = NEVER;
         let died_at = w.now;
         // The machine leader's knowledge of the machine is lost when it crashes; a crash of any other controller must not affect it.
-        let machine_leader = w.nodes[0].as_ref().and_then(|n| n.membership.machine_leader("i-000000")).expect("a machine leader");
+        let machine_leader = w.nodes[0]
+            .as_ref()
+            .and_then(|n| n.membership.machine_leader("i-000000"))
+            .expect("a machine leader");
         for _ in 0..2 {
             w.crash((machine_leader + 1 + seed as usize % 2) % 3);
             let until = w.now + 16 * S;
@@ -125,7 +128,11 @@
                     "seed {seed}: {n} does not exit"
                 );
             }
-            assert!(w.now < shutdown_at + 2 * S, "seed {seed}: {n} took {} s", (w.now - shutdown_at) as f64 / 1e6);
+            assert!(
+                w.now < shutdown_at + 2 * S,
+                "seed {seed}: {n} took {} s",
+                (w.now - shutdown_at) as f64 / 1e6
+            );
             w.crash(n);
             w.restart_at[n] = w.now + 8 * S;
             // A machine that has just booted reports twice before its task list counts as complete.
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -25,7 +25,11 @@
     RunKind { name: "plain", world: small, play: |_, w| w.run(110 * S, 130 * S) },
     RunKind { name: "stalls", world: small, play: stalls },
     RunKind { name: "grown", world: |seed| World::new(seed, LARGE), play: |_, w| w.run(30 * S, 40 * S) },
-    RunKind { name: "chained", world: |seed| World::new(seed, CHAINED), play: |_, w| w.run(100 * S, 130 * S), },
+    RunKind {
+        name: "chained",
+        world: |seed| World::new(seed, CHAINED),
+        play: |_, w| w.run(100 * S, 130 * S),
+    },
     RunKind { name: "releases", world: with_calendar, play: rotations },
     RunKind { name: "loans", world: |seed| World::new(seed, loans::GPUS), play: lending },
     RunKind { name: "batches", world: |seed| batches::world(seed, batches::REPLACED), play: merges },
@@ -365,7 +369,8 @@
     let mut w = (kind.world)(seed);
     w.trace = Some(Trace::default());
     let play = |w: &mut World| (kind.play)(seed / kinds, w);
-    let end = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| print_log_on_panic(seed, &mut w, play)));
+    let end =
+        std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| print_log_on_panic(seed, &mut w, play)));
     (w.trace.take().expect("it was switched on"), end)
 }
 
@@ -405,12 +410,16 @@
             }
             match &dir {
                 Some(dir) => {
-                    let text = format!("# {}\n{}", RUN_KINDS[seed as usize % RUN_KINDS.len()].name, trace.text());
+                    let text =
+                        format!("# {}\n{}", RUN_KINDS[seed as usize % RUN_KINDS.len()].name, trace.text());
                     std::fs::write(dir.join(format!("{seed}.trace")), text)
                         .expect("TRACE_DIR can be written to");
                 }
                 None if record_trace(seed).0.digest() != trace.digest() => {
-                    faults.lock().expect("no thread fails with it").insert((seed, "the traces of two plays differ"));
+                    faults
+                        .lock()
+                        .expect("no thread fails with it")
+                        .insert((seed, "the traces of two plays differ"));
                 }
                 None => {}
             }
--- a/tests/world/days/zones.rs
+++ b/tests/world/days/zones.rs
@@ -91,7 +91,8 @@
             let jobs_inside: Vec<String> = ids.iter().filter(|id| has_task_inside(w, id)).cloned().collect();
             left += jobs_inside.len();
             cancel_all(w, &jobs_inside[..jobs_inside.len() * 2 / 3], duration + 10 * S);
-            let is_during_partition = |t: &&CancelAnswer| t.at > from + S && t.at < from + duration && t.tasks > 0;
+            let is_during_partition =
+                |t: &&CancelAnswer| t.at > from + S && t.at < from + duration && t.tasks > 0;
             confirmed += w.compound.cancel_answers.values().filter(is_during_partition).count();
             run_until_finished(w, 560 * S);
         });
@@ -177,8 +178,9 @@
                         w.workers[m].dead = true;
                         w.workers[m].tasks.clear();
                     }),
-                    1 => {
-                        machines[..affected].iter().for_each(|&m| w.workers[m].unresponsive_until = w.now + duration)}
+                    1 => machines[..affected]
+                        .iter()
+                        .for_each(|&m| w.workers[m].unresponsive_until = w.now + duration),
                     2 => w.lose_inbound_messages(&machines[..affected], duration),
                     _ => w.partition_zone(zone, duration, i % 2 == 0),
                 }
@@ -199,7 +201,10 @@
         let is_scattered = |id: &&String| w.jobs[*id].spec.spread && !w.jobs[*id].spec.one_zone;
         both += w.zones.places.iter().filter(|(id, z)| is_scattered(id) && z.len() > 1).count();
     }
-    assert!(bound[0] > 800 && bound[1] > 8, "starts, and starts beside tasks that no controller sees: {bound:?}");
+    assert!(
+        bound[0] > 800 && bound[1] > 8,
+        "starts, and starts beside tasks that no controller sees: {bound:?}"
+    );
     assert!(moved > 5 && both > 20, "{moved} jobs moved to the other zone, {both} were in both");
 }
 
