--- a/tests/world/days/batches.rs
+++ b/tests/world/days/batches.rs
@@ -23,12 +23,12 @@
 /// Adds a run of a batch with a new job ID.
 fn add_run(w: &mut World, class: &str, name: &str, version: Option<u64>, follows: &[&str]) -> String {
     let id = format!("wk-7{:05}", w.jobs.len());
-    let mut b = body(&id, class, "batch", 1, follows);
+    let mut job_body = body(&id, class, "batch", 1, follows);
     if let Some(v) = version {
-        b["batch"] = batch_version(name, v);
+        job_body["batch"] = batch_version(name, v);
     }
     let run_time = w.rng.random_range(3 * S..9 * S);
-    w.add_described_job(&b, run_time);
+    w.add_described_job(&job_body, run_time);
     id
 }
 
@@ -48,15 +48,15 @@
     }
     let read: Vec<&str> = read.iter().map(String::as_str).collect();
     let check = format!("wk-7{:05}", w.jobs.len());
-    let b = body(&check, "check", "batch", 2, &read);
-    w.add_described_job(&b, 4 * S);
+    let job_body = body(&check, "check", "batch", 2, &read);
+    w.add_described_job(&job_body, 4 * S);
     let merge = format!("wk-7{:05}", w.jobs.len());
     let kind = ["batch", "group"][w.rng.random_range(0..2usize)];
     let tasks = w.rng.random_range(1..4);
-    let mut b = body(&merge, "merge", kind, tasks, &[&check]);
-    b["merges"] = batch_version(name, version);
+    let mut job_body = body(&merge, "merge", kind, tasks, &[&check]);
+    job_body["merges"] = batch_version(name, version);
     let run_time = w.rng.random_range(8 * S..25 * S);
-    w.add_described_job(&b, run_time);
+    w.add_described_job(&job_body, run_time);
     merge
 }
 
@@ -108,7 +108,7 @@
                 }
             }
             let now = w.now;
-            for (_, name, version) in due_runs.extract_if(.., |a| a.0 <= now).collect::<Vec<_>>() {
+            for (_, name, version) in due_runs.extract_if(.., |run| run.0 <= now).collect::<Vec<_>>() {
                 add_new_runs(&mut w, name, version);
             }
             let until = w.now + w.rng.random_range(2 * S..9 * S);
@@ -150,15 +150,15 @@
         for name in ["b0", "b1", "b2"] {
             assert_eq!(w.permits_held(name), 0, "seed {seed}: {name} {states:#?}");
         }
-        let b = &w.batches;
+        let counts = &w.batches;
         eprintln!(
             "seed {seed}: {} starts, {} late, {} permits, {} refused",
-            b.starts, b.late, b.permits, b.refused
+            counts.starts, counts.late, counts.permits, counts.refused
         );
-        starts += b.starts;
-        late += b.late;
-        permits += b.permits;
-        refused += b.refused;
+        starts += counts.starts;
+        late += counts.late;
+        permits += counts.permits;
+        refused += counts.refused;
     }
     eprintln!("{starts} starts, {late} late, {permits} permits, {refused} refused");
     assert!(starts > 200 && permits > 150 && refused > 0, "{starts} {permits} {refused}");
@@ -182,12 +182,12 @@
     let unknown = w.ask_operator(1, OperatorCommand::ShowBatch { name: "bb".into() });
     assert!(unknown.status == 404 && unknown.body.contains("the nearest is b"), "{}", unknown.body);
     let submit = |w: &mut World, n: usize, id: &str, class: &str, key: &str, version: u64| {
-        let mut b = body(id, class, "batch", 1, &[]);
-        b[key] = batch_version("b", version);
+        let mut job_body = body(id, class, "batch", 1, &[]);
+        job_body[key] = batch_version("b", version);
         if !w.jobs.contains_key(id) {
-            w.add_described_job(&b, 5 * S).next = NEVER;
+            w.add_described_job(&job_body, 5 * S).next = NEVER;
         }
-        w.ask(n, UserRequest::Submit(id.into(), b.to_string()))
+        w.ask(n, UserRequest::Submit(id.into(), job_body.to_string()))
     };
     let wrong = submit(&mut w, 0, "wk-800001", "check", "merges", 7);
     assert!(wrong.status == 422 && wrong.body.contains("merge"), "{}", wrong.body);
@@ -200,12 +200,12 @@
     for n in 0..3 {
         assert_eq!(submit(&mut w, n, "wk-800002", "split", "batch", 9).status, 200);
     }
-    let done = w.now + 60 * S;
-    run_until(&mut w, done);
+    let until = w.now + 60 * S;
+    run_until(&mut w, until);
     // After the restart no controller has the job in memory: only its record shows that it was accepted.
     (0..3).for_each(|n| w.crash(n));
-    let back = w.now + 45 * S;
-    run_until(&mut w, back);
+    let until = w.now + 45 * S;
+    run_until(&mut w, until);
     for n in 0..3 {
         assert_eq!(submit(&mut w, n, "wk-800002", "split", "batch", 9).status, 200, "after the job is done");
     }
@@ -227,9 +227,9 @@
     run_until(&mut w, 30 * S);
     let split = add_run(&mut w, "split", "b", Some(7), &[]);
     let merge = |w: &mut World, id: &str| {
-        let mut b = body(id, "merge", "batch", 1, &[&split]);
-        b["merges"] = batch_version("b", 7);
-        w.add_described_job(&b, 40 * S);
+        let mut job_body = body(id, "merge", "batch", 1, &[&split]);
+        job_body["merges"] = batch_version("b", 7);
+        w.add_described_job(&job_body, 40 * S);
     };
     merge(&mut w, "wk-800001");
     let running = |w: &World, id: &str| {
@@ -237,9 +237,9 @@
         tasks.filter(|t| t.job == id && t.state == "running").map(|t| t.attempt).next()
     };
     let attempt = loop {
-        let next = w.now + S / 2;
-        assert!(next < 120 * S, "it does not start");
-        run_until(&mut w, next);
+        let until = w.now + S / 2;
+        assert!(until < 120 * S, "it does not start");
+        run_until(&mut w, until);
         if let Some(a) = running(&w, "wk-800001") {
             break a;
         }
@@ -254,15 +254,15 @@
     let shown = w.ask_operator(0, OperatorCommand::ShowBatch { name: "b".into() });
     assert!(shown.body.contains("\"after_fence\":1"), "{}", shown.body);
     merge(&mut w, "wk-800002");
-    let then = w.now + 15 * S;
-    run_until(&mut w, then);
+    let until = w.now + 15 * S;
+    run_until(&mut w, until);
     assert_eq!(running(&w, "wk-800001"), Some(attempt), "a write in progress is not stopped");
     assert_eq!(running(&w, "wk-800002"), None);
     let why = w.ask(1, UserRequest::Why("wk-800002".into()));
     assert!(why.body.contains(&format!("{split} (split) read version 7 of b")), "{}", why.body);
     add_run(&mut w, "split", "b", Some(8), &[]);
-    let then = w.now + 150 * S;
-    run_until(&mut w, then);
+    let until = w.now + 150 * S;
+    run_until(&mut w, until);
     assert!(w.unfinished_jobs().is_empty(), "{:?}", w.unfinished_jobs());
     assert_eq!(w.permits_held("b"), 0, "the permit ends with its attempt");
 }
@@ -274,25 +274,25 @@
         let mut w = world(seed, Shape { jobs: 0, ..SMALL });
         run_until(&mut w, 30 * S);
         let split = add_run(&mut w, "split", "b", Some(7), &[]);
-        let mut b = body("wk-800001", "merge", kind, 2, &[&split]);
-        b["merges"] = batch_version("b", 7);
-        w.add_described_job(&b, 60 * S);
+        let mut job_body = body("wk-800001", "merge", kind, 2, &[&split]);
+        job_body["merges"] = batch_version("b", 7);
+        w.add_described_job(&job_body, 60 * S);
         let live_tasks =
             |w: &World| w.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.is_placed()).count();
         while live_tasks(&w) < 2 {
-            let next = w.now + S / 2;
-            assert!(next < 120 * S, "it does not start");
-            run_until(&mut w, next);
+            let until = w.now + S / 2;
+            assert!(until < 120 * S, "it does not start");
+            run_until(&mut w, until);
         }
         assert_eq!(w.ask_operator(1, OperatorCommand::PutBatch { name: "b".into(), version: 8 }).status, 200);
-        let then = w.now + 12 * S;
-        run_until(&mut w, then);
+        let until = w.now + 12 * S;
+        run_until(&mut w, until);
         assert_eq!(live_tasks(&w), 0, "{kind}: the stale merge still runs");
-        let asked = w.ask(0, UserRequest::Query("wk-800001".into()));
-        assert!(asked.body.contains("pending"), "{}", asked.body);
+        let reply = w.ask(0, UserRequest::Query("wk-800001".into()));
+        assert!(reply.body.contains("pending"), "{}", reply.body);
         add_run(&mut w, "split", "b", Some(8), &[]);
-        let then = w.now + 200 * S;
-        run_until(&mut w, then);
+        let until = w.now + 200 * S;
+        run_until(&mut w, until);
         assert!(w.unfinished_jobs().is_empty(), "{kind}: {:?}", w.unfinished_jobs());
     }
 }
--- a/tests/world/days/cancels.rs
+++ b/tests/world/days/cancels.rs
@@ -51,21 +51,21 @@
 }
 
 impl MachineFault {
-    fn inject(self, w: &mut World, at: &[usize]) {
+    fn inject(self, w: &mut World, machines: &[usize]) {
         let now = w.now;
-        w.log.push(format!("{:.1}: {self:?}, {at:?}", now as f64 / 1e6));
+        w.log.push(format!("{:.1}: {self:?}, {machines:?}", now as f64 / 1e6));
         match self {
             MachineFault::Hang(duration) => {
-                at.iter().for_each(|&i| w.workers[i].unresponsive_until = now + duration)
+                machines.iter().for_each(|&i| w.workers[i].unresponsive_until = now + duration)
             }
-            MachineFault::ReceiveNothing(duration) => w.lose_inbound_messages(at, duration),
+            MachineFault::ReceiveNothing(duration) => w.lose_inbound_messages(machines, duration),
             MachineFault::Partitioned(duration) => {
                 (0..3).for_each(|n| {
                     w.partitions.push((Endpoint::Controller(n), Endpoint::Workers, now + duration, n == 0))
                 });
             }
             MachineFault::CutFromLeader(duration) => {
-                let n = at.first().and_then(|&i| machine_leader(w, i)).unwrap_or(0);
+                let n = machines.first().and_then(|&i| machine_leader(w, i)).unwrap_or(0);
                 let hold = w.rng.random_bool(0.5);
                 w.partitions.push((Endpoint::Controller(n), Endpoint::Workers, now + duration, hold));
             }
@@ -110,7 +110,7 @@
 /// Every team with a quota has reached it and has more jobs waiting. Some of its running jobs are cancelled while their machines
 /// are unreachable and the leader changes, before or after. Quota may be reused only once it is certainly free: the world also
 /// counts tasks on machines that hang or are unreachable until their leases expire.
-fn play_at_quota(base: u64, machines: [MachineFault; 3], changes_first: bool) -> Cancels {
+fn play_at_quota(base: u64, machine_faults: [MachineFault; 3], changes_first: bool) -> Cancels {
     let mut sum = Cancels::default();
     for seed in first_seeds(8, base) {
         play_cancellations(seed, 12, &mut sum, |w| {
@@ -136,21 +136,21 @@
             }
             for round in 0..2 {
                 let n = w.rng.random_range(0..3);
-                let leader = LEADER_FAULTS[(seed as usize + 3 * round) % LEADER_FAULTS.len()];
+                let leader_fault = LEADER_FAULTS[(seed as usize + 3 * round) % LEADER_FAULTS.len()];
                 if changes_first {
-                    leader.inject(w, n);
+                    leader_fault.inject(w, n);
                     let until = w.now + w.rng.random_range(0..3 * S);
                     w.run(0, until);
                 }
                 let cancelled = w.mass_cancel(6, 0);
-                let at: BTreeSet<usize> =
+                let affected: BTreeSet<usize> =
                     cancelled.iter().flat_map(|id| w.machines_with_live_tasks(id)).collect();
-                let at: Vec<usize> = at.into_iter().take(8).collect();
-                machines[seed as usize % machines.len()].inject(w, &at);
+                let affected: Vec<usize> = affected.into_iter().take(8).collect();
+                machine_faults[seed as usize % machine_faults.len()].inject(w, &affected);
                 if !changes_first {
                     let until = w.now + w.rng.random_range(0..3 * S);
                     w.run(0, until);
-                    leader.inject(w, n);
+                    leader_fault.inject(w, n);
                 }
                 let until = w.now + 55 * S;
                 w.run(0, until);
@@ -332,9 +332,9 @@
             }
         }
         if w.now >= from + (end - from) / 2
-            && let Some(f) = inject_fault.take()
+            && let Some(inject_fault) = inject_fault.take()
         {
-            f(w);
+            inject_fault(w);
         }
         let due = |w: &World, (id, at_once): &(String, bool)| {
             let j = &w.jobs[id];
@@ -366,8 +366,8 @@
 
 /// The sustained rate of one-task jobs per second that the state store's limits allow: one write for the acceptance and two for
 /// the outcome, besides the writes of the teams' quota records.
-fn sustained_rate(w: &World, s: &Stream) -> f64 {
-    let per_job = w.cancels.changes.values().sum::<usize>() as f64 / s.jobs as f64;
+fn sustained_rate(w: &World, stream: &Stream) -> f64 {
+    let per_job = w.cancels.changes.values().sum::<usize>() as f64 / stream.jobs as f64;
     assert!((3.0..4.0).contains(&per_job), "{per_job:.2} writes per job");
     3.0 * settings(0, w.shape, false).store_write_rps / per_job
 }
@@ -389,8 +389,8 @@
             assert_eq!((n.job_shard.task_counts().0, tasks), (0, 0), "live jobs and tasks");
         }
         // Every controller reports the outcome to users who ask later.
-        let cancelled: Vec<String> = w.jobs.keys().step_by(17).cloned().collect();
-        for id in cancelled {
+        let sampled: Vec<String> = w.jobs.keys().step_by(17).cloned().collect();
+        for id in sampled {
             let expected_stance =
                 if w.jobs[&id].known == KnownState::Done { "\"done\"" } else { "\"aborted\"" };
             for n in 0..3 {
@@ -433,7 +433,7 @@
     const MAX_KEPT: usize = 2000;
     let mut w = World::new(25_000, Shape { jobs: 0, ..SMALL });
     run_until(&mut w, 20 * S);
-    let membership = w.nodes[0].as_ref().expect("it lives").membership.clone();
+    let membership = w.nodes[0].as_ref().expect("the controller runs").membership.clone();
     let ids: Vec<String> = (0..)
         .map(|i| format!("wk-{i:06}"))
         .filter(|id| membership.job_leader(id) == Some(0))
@@ -450,8 +450,8 @@
         assert!(reply.status == 200 && reply.body.contains(expected_stance), "{}: {reply:?}", ids[i]);
     };
     let kept_outcomes = |w: &World| -> Vec<usize> {
-        let owner = &w.nodes[0].as_ref().expect("it lives").job_shard;
-        (0..ids.len()).filter(|&i| owner.outcome_of(&ids[i]).is_some()).collect()
+        let job_shard = &w.nodes[0].as_ref().expect("the controller runs").job_shard;
+        (0..ids.len()).filter(|&i| job_shard.outcome_of(&ids[i]).is_some()).collect()
     };
     (0..ids.len()).for_each(|i| check_query(&mut w, i));
     assert_eq!(kept_outcomes(&w), (60..MAX_KEPT + 60).collect::<Vec<_>>(), "the latest outcomes are kept");
--- a/tests/world/days/gap.rs
+++ b/tests/world/days/gap.rs
@@ -70,11 +70,11 @@
         w.run(0, 20 * S);
         let ids = add_long_jobs(w, 14, 190 * S);
         w.run(0, 45 * S);
-        let m = &w.nodes[n].as_ref().expect("it lives").membership;
-        let led: BTreeSet<&String> = ids.iter().filter(|id| m.job_leader(id) == Some(n)).collect();
+        let membership = &w.nodes[n].as_ref().expect("the controller runs").membership;
+        let led: BTreeSet<&String> = ids.iter().filter(|id| membership.job_leader(id) == Some(n)).collect();
         let leads_machine_of = |w: &World, id: &str| {
-            let m = &w.nodes[n].as_ref().expect("it lives").membership;
-            w.machines_with_live_tasks(id).any(|i| m.machine_leader(&w.workers[i].name) == Some(n))
+            let membership = &w.nodes[n].as_ref().expect("the controller runs").membership;
+            w.machines_with_live_tasks(id).any(|i| membership.machine_leader(&w.workers[i].name) == Some(n))
         };
         let on_led_machines: BTreeSet<&String> = ids.iter().filter(|id| leads_machine_of(w, id)).collect();
         let cancelled: Vec<String> = ids
--- a/tests/world/days/loans.rs
+++ b/tests/world/days/loans.rs
@@ -35,14 +35,14 @@
     pub(super) run: u64,
 }
 
-pub(super) fn add(w: &mut World, a: &GpuJob) -> String {
-    let id = format!("wk-{:06}", a.n);
-    let class = if a.kind == "service" { "serve" } else { "train" };
-    let body = json!({"uid": id, "breed": class, "herd": a.team, "gait": a.kind, "rank": a.priority, "strides": a.tasks,
-        "vcpus": f64::from(a.gpus), "cards": f64::from(a.gpus), "ramGb": 1.0, "tack": "img", "imageGb": 1.0,
-        "together": false, "scatter": false, "borrowed": false, "rideS": if a.kind == "service" { 0.0 } else { 60.0 },
-        "restS": if a.kind == "group" { 10.0 } else { 0.0 }, "unsaddleS": 2.0, "dueS": null});
-    w.add_described_job(&body, a.run);
+pub(super) fn add_job(w: &mut World, job: &GpuJob) -> String {
+    let id = format!("wk-{:06}", job.n);
+    let class = if job.kind == "service" { "serve" } else { "train" };
+    let body = json!({"uid": id, "breed": class, "herd": job.team, "gait": job.kind, "rank": job.priority, "strides": job.tasks,
+        "vcpus": f64::from(job.gpus), "cards": f64::from(job.gpus), "ramGb": 1.0, "tack": "img", "imageGb": 1.0,
+        "together": false, "scatter": false, "borrowed": false, "rideS": if job.kind == "service" { 0.0 } else { 60.0 },
+        "restS": if job.kind == "group" { 10.0 } else { 0.0 }, "unsaddleS": 2.0, "dueS": null});
+    w.add_described_job(&body, job.run);
     id
 }
 
@@ -61,24 +61,24 @@
         w.run(faults_until, next);
         for (team, ledger) in ledgers(w) {
             let mut now = BTreeSet::new();
-            for l in &ledger.loans {
-                assert_ne!(l.lender, team, "a team doesn't lend to itself");
-                assert!(l.from != l.job && l.gpus > 0);
-                now.insert(l.id);
-                observed.lenders.insert(l.lender.clone());
-                let previous = observed.loans.insert(l.id, l.clone());
-                if previous.as_ref().is_none_or(|o| o.state != l.state) {
-                    let (at, from) = (w.now / S, &l.from);
+            for loan in &ledger.loans {
+                assert_ne!(loan.lender, team, "a team doesn't lend to itself");
+                assert!(loan.from != loan.job && loan.gpus > 0);
+                now.insert(loan.id);
+                observed.lenders.insert(loan.lender.clone());
+                let previous = observed.loans.insert(loan.id, loan.clone());
+                if previous.as_ref().is_none_or(|o| o.state != loan.state) {
+                    let (at, from) = (w.now / S, &loan.from);
                     observed.history.push(format!(
                         "{at}: {} {:?} {from} on {} for {}",
-                        l.id, l.state, l.machine, l.replicas
+                        loan.id, loan.state, loan.machine, loan.replicas
                     ));
                 }
                 if let Some(previous) = previous {
-                    assert!(previous.state <= l.state, "the state went back: {previous:?} {l:?}");
+                    assert!(previous.state <= loan.state, "the state went back: {previous:?} {loan:?}");
                     assert_eq!(
                         (&previous.machine, &previous.from, &previous.tasks),
-                        (&l.machine, &l.from, &l.tasks)
+                        (&loan.machine, &loan.from, &loan.tasks)
                     );
                 }
             }
@@ -87,8 +87,8 @@
                     ledger.loans.iter().filter(|l| l.job == *job && l.state != LoanStanding::Returning);
                 let n: u32 = live.map(|l| l.replicas).sum();
                 observed.max_replicas = observed.max_replicas.max(n);
-                let all = w.jobs[job].spec.task_count;
-                assert!(n <= all, "claimed more than needed: {n} replicas of {job} in {:#?}", ledger.loans);
+                let task_count = w.jobs[job].spec.task_count;
+                assert!(n <= task_count, "claimed more than needed: {n} replicas of {job} in {:#?}", ledger.loans);
             }
             // Loan IDs are unique within a ledger, and only one team borrows here.
             let ended_loans: Vec<u64> =
@@ -116,7 +116,7 @@
     faults_until: u64,
 ) -> (World, Observed, usize) {
     let mut observed = Observed::default();
-    add(
+    add_job(
         &mut w,
         &GpuJob { n: 1, team: "t2", kind: "batch", priority: "normal", tasks: 2, gpus: 2, run: 400 * S },
     );
@@ -125,12 +125,12 @@
     for n in 2..if gang { 16 } else { 32 } {
         let (tasks, gpus) = if gang { (2, 4) } else { (4, 1) };
         let run = if gang { 90 * S } else { 120 * S };
-        add(&mut w, &GpuJob { n, team: "t0", kind, priority: "normal", tasks, gpus, run });
+        add_job(&mut w, &GpuJob { n, team: "t0", kind, priority: "normal", tasks, gpus, run });
     }
     run_and_check(&mut w, &mut observed, 0, 60 * S);
-    let ask =
+    let job =
         GpuJob { n: 50, team: "t1", kind: "service", priority: "normal", tasks: 2, gpus: 4, run: NEVER };
-    let service = add(&mut w, &ask);
+    let service = add_job(&mut w, &job);
     run_and_check(&mut w, &mut observed, faults_until, 100 * S);
     let served = running_replicas(&w, &service);
     run_and_check(&mut w, &mut observed, faults_until, 250 * S);
@@ -209,7 +209,7 @@
     for seed in 40..44 {
         let mut w = World::new(seed, GPUS);
         let mut observed = Observed::default();
-        let ask = |n, team, tasks, gpus| GpuJob {
+        let job = |n, team, tasks, gpus| GpuJob {
             n,
             team,
             kind: "batch",
@@ -218,23 +218,23 @@
             gpus,
             run: 400 * S,
         };
-        add(&mut w, &ask(1, "t2", 2, 2));
+        add_job(&mut w, &job(1, "t2", 2, 2));
         run_and_check(&mut w, &mut observed, 0, 25 * S);
-        let a = add(&mut w, &ask(2, "t0", 28, 1));
+        let batch_job = add_job(&mut w, &job(2, "t0", 28, 1));
         run_and_check(&mut w, &mut observed, 0, 60 * S);
-        let all =
+        let service_job =
             GpuJob { n: 3, team: "t1", kind: "service", priority: "high", tasks: 4, gpus: 4, run: NEVER };
-        let service = add(&mut w, &all);
+        let service = add_job(&mut w, &service_job);
         run_and_check(&mut w, &mut observed, 0, 100 * S);
         assert_eq!(running_replicas(&w, &service), 4, "seed {seed}: {:#?}", observed.history);
-        add(&mut w, &ask(4, "t3", 8, 1));
-        add(&mut w, &ask(5, "t2", 2, 2));
+        add_job(&mut w, &job(4, "t3", 8, 1));
+        add_job(&mut w, &job(5, "t2", 2, 2));
         run_and_check(&mut w, &mut observed, 0, 150 * S);
-        w.jobs.get_mut(&a).expect("added").cancel_asked = true;
+        w.jobs.get_mut(&batch_job).expect("added").cancel_asked = true;
         run_and_check(&mut w, &mut observed, 0, 190 * S);
-        let b = add(&mut w, &ask(6, "t0", 2, 4));
+        let lender_job = add_job(&mut w, &job(6, "t0", 2, 4));
         let (since, ended) = (w.now, observed.ended);
-        while running_replicas(&w, &b) < 2 && w.now < since + 60 * S {
+        while running_replicas(&w, &lender_job) < 2 && w.now < since + 60 * S {
             let next = w.now + S;
             run_and_check(&mut w, &mut observed, 0, next);
         }
--- a/tests/world/days/looks.rs
+++ b/tests/world/days/looks.rs
@@ -15,15 +15,21 @@
 /// Counts of requests and faults over some runs.
 #[derive(Debug, Default)]
 struct Totals {
+    /// Queries just after a user got the confirmation of an acceptance, and of an outcome.
     after: [usize; 2],
+    /// Queries while a submission or cancellation was in progress.
     around: usize,
+    /// Requests sent: queries, submissions repeated with the same body, with another one, or malformed, and cancellations.
     sent: [usize; 5],
+    /// Answers to requests that were sent when a user knew that the job was accepted, or knew its outcome.
     bound: [usize; 2],
+    /// Requests sent while the same controller had another one about the same job.
     concurrent: usize,
-    /// Requests that a slow state store executed without an answer. `late` counts delayed transactions, `refusals` the requests
-    /// that the state store refused from one controller only.
+    /// Requests that a slow state store executed without an answer.
     unknown: usize,
+    /// Transactions that the state store executed late.
     late: usize,
+    /// Requests that the state store refused from one controller only.
     refusals: usize,
     epochs: u64,
 }
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -74,11 +74,11 @@
 }
 
 fn add_counts(all: &mut BTreeMap<Execution, Count>, w: &World, kind: Write, execution: Execution) {
-    let (c, sum) = (w.lost.count(kind, execution), all.entry(execution).or_default());
-    sum.asked += c.asked;
-    sum.applied += c.applied;
-    sum.committed += c.committed;
-    sum.read += c.read;
+    let (count, sum) = (w.lost.count(kind, execution), all.entry(execution).or_default());
+    sum.asked += count.asked;
+    sum.applied += count.applied;
+    sum.committed += count.committed;
+    sum.read += count.read;
 }
 
 /// Checks the least number of writes that were sent in each way, that took effect at once, that were executed late and after a
@@ -331,10 +331,10 @@
         sum.unrecorded += run_counts.unrecorded;
         sum.first += run_counts.first;
         sum.rented += run_counts.rented;
-        let c = w.lost.count(Write::Page, execution);
-        pages[execution_index].asked += c.asked;
-        pages[execution_index].committed += c.committed;
-        pages[execution_index].read += c.read;
+        let count = w.lost.count(Write::Page, execution);
+        pages[execution_index].asked += count.asked;
+        pages[execution_index].committed += count.committed;
+        pages[execution_index].read += count.read;
     }
     eprintln!("{crashed:?}: {sum:?}, pages late and at once: {pages:?}");
     assert!(sum.machines >= 12 && sum.unrecorded >= 4 && sum.first >= 3, "{crashed:?}: {sum:?}");
@@ -390,13 +390,13 @@
             run_until_finished(w, until);
         });
         assert_all_finished(&mut w, seed);
-        let c = w.lost.copies;
-        sum.all += c.all;
-        sum.first += c.first;
-        sum.acted += c.acted;
-        sum.earlier += c.earlier;
-        sum.gone += c.gone;
-        sum.forgotten += c.forgotten;
+        let copies = w.lost.copies;
+        sum.all += copies.all;
+        sum.first += copies.first;
+        sum.acted += copies.acted;
+        sum.earlier += copies.earlier;
+        sum.gone += copies.gone;
+        sum.forgotten += copies.forgotten;
     }
     eprintln!("{sum:?}");
     let forgotten = sum.forgotten > 40;
@@ -513,19 +513,19 @@
                 w.run(0, next);
                 for n in 0..3 {
                     let Some(node) = &w.nodes[n] else { continue };
-                    let d = node.machine_shard.status_delta(w.clock(n), &node.membership, n, 0, |_| None);
-                    for d in d.machines.iter().filter(|d| names.contains(&d.name)) {
+                    let delta = node.machine_shard.status_delta(w.clock(n), &node.membership, n, 0, |_| None);
+                    for machine in delta.machines.iter().filter(|m| names.contains(&m.name)) {
                         assert!(
-                            !d.is_schedulable
-                                && d.tasks.iter().all(|t| t.key.attempt >> 24 < node.membership.epoch),
-                            "{d:?}"
+                            !machine.is_schedulable
+                                && machine.tasks.iter().all(|t| t.key.attempt >> 24 < node.membership.epoch),
+                            "{machine:?}"
                         );
                     }
                 }
             }
             for n in 0..3 {
                 let now = w.clock(n);
-                let status = w.nodes[n].as_mut().expect("it is back").status(now);
+                let status = w.nodes[n].as_mut().expect("the controller has restarted").status(now);
                 let unresolved_jobs = &status["takeover"]["jobs_in_doubt"];
                 assert!(!is_unregistered || *unresolved_jobs == 0, "seed {seed}, {n}: {status:#}");
             }
@@ -576,7 +576,7 @@
         let mut w = world(seed, 0);
         print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 15 * S);
-            let (new_leader, n) = (seed as usize % 3, (seed as usize + 1) % 3);
+            let (new_leader, old_leader) = (seed as usize % 3, (seed as usize + 1) % 3);
             let rejoin_at = w.now + 20 * S;
             w.crash_for(new_leader, 20 * S..20 * S + 1);
             let until = rejoin_at - 10 * S;
@@ -588,16 +588,16 @@
             }
             // All tasks end at almost the same time, more than their job leader can store at once, and the next epoch begins.
             w.run(0, rejoin_at - 5 * S / 2);
-            w.lose_answers_of(n, Write::End, 1.0, 3 * S, Execution::Never);
+            w.lose_answers_of(old_leader, Write::End, 1.0, 3 * S, Execution::Never);
             let now = w.now;
             for t in w.workers.iter_mut().flat_map(|x| &mut x.tasks).filter(|t| t.state == "running") {
                 t.until = now + u64::from(t.attempt as u32 % 10) * S / 20;
             }
             w.run(0, rejoin_at);
             let delay = w.rng.random_range(3 * S / 10..S);
-            w.slow_membership_lane(n, delay, 8 * S);
-            for p in (0..3).filter(|&p| p != n) {
-                w.fail_one_way(p, n, 8 * S, LinkFault::Lost);
+            w.slow_membership_lane(old_leader, delay, 8 * S);
+            for p in (0..3).filter(|&p| p != old_leader) {
+                w.fail_one_way(p, old_leader, 8 * S, LinkFault::Lost);
             }
             w.lose_answers_of(new_leader, Write::End, 1.0, 6 * S, Execution::AtOnce);
             while w.now < rejoin_at + 9 * S {
@@ -611,9 +611,9 @@
                     (j.known == KnownState::Accepted && !j.done.is_empty()).then(|| id.clone())
                 };
                 let unreported: Vec<String> = w.jobs.iter().filter_map(has_unreported_end).collect();
-                met += unreported.iter().filter(|id| is_acting(n, id) && is_acting(new_leader, id)).count();
+                met += unreported.iter().filter(|id| is_acting(old_leader, id) && is_acting(new_leader, id)).count();
                 for id in unreported {
-                    let p = if w.rng.random_bool(0.5) { n } else { new_leader };
+                    let p = if w.rng.random_bool(0.5) { old_leader } else { new_leader };
                     if w.rng.random_bool(0.5) {
                         w.poll(p, &id);
                     }
@@ -640,7 +640,7 @@
         let mut w = world(seed, 0);
         print_log_on_panic(seed, &mut w, |w| {
             w.run(0, 15 * S);
-            let (new_leader, n) = (seed as usize % 3, (seed as usize + 1) % 3);
+            let (new_leader, old_leader) = (seed as usize % 3, (seed as usize + 1) % 3);
             let rejoin_at = w.now + 20 * S;
             // The controller pauses for longer than its lease and joins again.
             w.paused_until[new_leader] = rejoin_at;
@@ -666,11 +666,11 @@
                     node.is_some_and(|node| node.membership.job_leader(id) == Some(x))
                 };
                 let has_two_leaders = |id: &&String| {
-                    w.jobs[*id].known == KnownState::Accepted && is_acting(n, id) && is_acting(new_leader, id)
+                    w.jobs[*id].known == KnownState::Accepted && is_acting(old_leader, id) && is_acting(new_leader, id)
                 };
                 let ids: Vec<String> = ids.iter().filter(has_two_leaders).cloned().collect();
                 met += ids.len();
-                ids.iter().for_each(|id| w.poll(n, id));
+                ids.iter().for_each(|id| w.poll(old_leader, id));
                 let until = w.now + S / 5;
                 w.run(0, until);
             }
--- a/tests/world/days/takeovers.rs
+++ b/tests/world/days/takeovers.rs
@@ -140,7 +140,7 @@
             w.run(0, until);
             for p in (0..3).filter(|&p| p != n) {
                 let now = w.clock(p);
-                let status = w.nodes[p].as_mut().expect("it lives").status(now);
+                let status = w.nodes[p].as_mut().expect("the controller runs").status(now);
                 let takeover = &status["takeover"];
                 assert_eq!(takeover["jobs_in_doubt"], 0, "seed {seed}, {n} left, {p}: {status:#}");
             }
@@ -167,8 +167,8 @@
         w.run(0, 40 * S);
         let n = seed as usize % 3;
         let machine_leaders: Vec<Option<usize>> = {
-            let m = &w.nodes[0].as_ref().expect("it lives").membership;
-            w.workers.iter().map(|x| m.machine_leader(&x.name)).collect()
+            let membership = &w.nodes[0].as_ref().expect("the controller runs").membership;
+            w.workers.iter().map(|x| membership.machine_leader(&x.name)).collect()
         };
         for (i, machine_leader) in machine_leaders.into_iter().enumerate() {
             if machine_leader == Some(n) && i % 3 == 0 {
@@ -180,7 +180,7 @@
         let until = w.now + 7 * S;
         w.run(0, until);
         let now = w.clock(n);
-        let node = w.nodes[n].as_mut().expect("it is back");
+        let node = w.nodes[n].as_mut().expect("the controller has restarted");
         let status = node.status(now);
         let takeover = &status["takeover"];
         let waits = takeover["waits_for_machines"].as_array().expect("names").len();
--- a/tests/world/days/traces.rs
+++ b/tests/world/days/traces.rs
@@ -90,19 +90,19 @@
 /// A service borrows GPUs from arrays or gangs and returns them.
 fn lending(round: u64, w: &mut World) {
     let faults_until = if round.is_multiple_of(2) { 0 } else { 110 * S };
-    let add = |w: &mut World, n, team, kind, tasks, gpus, run| {
-        loans::add(w, &loans::GpuJob { n, team, kind, priority: "normal", tasks, gpus, run })
+    let add_job = |w: &mut World, n, team, kind, tasks, gpus, run| {
+        loans::add_job(w, &loans::GpuJob { n, team, kind, priority: "normal", tasks, gpus, run })
     };
-    add(w, 1, "t2", "batch", 2, 2, 100 * S);
+    add_job(w, 1, "t2", "batch", 2, 2, 100 * S);
     w.run(0, 20 * S);
     for n in 2..16 {
         match round / 2 % 2 {
-            0 => add(w, n, "t0", "batch", 4, 1, 90 * S),
-            _ => add(w, n, "t0", "group", 2, 4, 60 * S),
+            0 => add_job(w, n, "t0", "batch", 4, 1, 90 * S),
+            _ => add_job(w, n, "t0", "group", 2, 4, 60 * S),
         };
     }
     w.run(0, 45 * S);
-    let service = add(w, 50, "t1", "service", 2, 4, NEVER);
+    let service = add_job(w, 50, "t1", "service", 2, 4, NEVER);
     w.run(faults_until, 90 * S);
     w.jobs.get_mut(&service).expect("added").cancel_asked = true;
     w.run(faults_until, 125 * S);
--- a/tests/world/days/zones.rs
+++ b/tests/world/days/zones.rs
@@ -43,12 +43,12 @@
 pub(super) fn add_constrained_jobs(w: &mut World, count: usize, run: u64) -> Vec<String> {
     (0..count)
         .map(|i| {
-            let b = &JOB_KINDS[(w.jobs.len() + i) % JOB_KINDS.len()];
+            let job = &JOB_KINDS[(w.jobs.len() + i) % JOB_KINDS.len()];
             let id = format!("wk-{:06}", (w.jobs.len() as u64 + 1) * 7919 % 1_000_000);
-            let body = json!({"uid": id, "breed": format!("{}-bound", b.kind), "herd": "t1", "gait": b.kind,
-                "rank": "normal", "strides": b.tasks, "vcpus": 2.0, "cards": 0, "ramGb": 1.0, "tack": "img",
-                "imageGb": 1.0, "breedsOfStall": b.machine_type.map(|k| vec![k]), "paddock": b.zone,
-                "together": b.together, "scatter": b.scatter, "borrowed": b.spot, "rideS": run as f64 / 1e6,
+            let body = json!({"uid": id, "breed": format!("{}-bound", job.kind), "herd": "t1", "gait": job.kind,
+                "rank": "normal", "strides": job.tasks, "vcpus": 2.0, "cards": 0, "ramGb": 1.0, "tack": "img",
+                "imageGb": 1.0, "breedsOfStall": job.machine_type.map(|k| vec![k]), "paddock": job.zone,
+                "together": job.together, "scatter": job.scatter, "borrowed": job.spot, "rideS": run as f64 / 1e6,
                 "restS": 0.0, "unsaddleS": 0.0, "dueS": null});
             w.add_described_job(&body, run);
             id
