--- a/tests/world/days/cancels.rs
+++ b/tests/world/days/cancels.rs
@@ -76,33 +76,33 @@
 /// Fault of a controller.
 #[derive(Clone, Copy, Debug)]
 enum LeaderFault {
-    BackAtOnce,
-    Lost,
-    Leaves,
+    RestartAtOnce,
+    Crash,
+    Shutdown,
     CutFromStoreAndPeers,
     Refused,
-    AllBackAtOnce,
+    RestartAll,
 }
 
 const LEADER_FAULTS: [LeaderFault; 6] = [
-    LeaderFault::BackAtOnce,
-    LeaderFault::Lost,
-    LeaderFault::Leaves,
+    LeaderFault::RestartAtOnce,
+    LeaderFault::Crash,
+    LeaderFault::Shutdown,
     LeaderFault::CutFromStoreAndPeers,
     LeaderFault::Refused,
-    LeaderFault::AllBackAtOnce,
+    LeaderFault::RestartAll,
 ];
 
 impl LeaderFault {
     fn inject(self, w: &mut World, n: usize) {
         w.log.push(format!("{:.1}: {self:?}, {n}", w.now as f64 / 1e6));
         match self {
-            LeaderFault::BackAtOnce => w.crash_for(n, S / 20..S / 10),
-            LeaderFault::Lost => w.crash_for(n, 8 * S..14 * S),
-            LeaderFault::Leaves => w.inject_fault(Fault::Leave, n, 0),
+            LeaderFault::RestartAtOnce => w.crash_for(n, S / 20..S / 10),
+            LeaderFault::Crash => w.crash_for(n, 8 * S..14 * S),
+            LeaderFault::Shutdown => w.inject_fault(Fault::Leave, n, 0),
             LeaderFault::CutFromStoreAndPeers => w.inject_fault(Fault::PartitionFromStoreAndPeers, n, 20 * S),
             LeaderFault::Refused => w.inject_fault(Fault::StoreRefuses, n, 15 * S),
-            LeaderFault::AllBackAtOnce => w.inject_fault(Fault::RestartAll, n, 0),
+            LeaderFault::RestartAll => w.inject_fault(Fault::RestartAll, n, 0),
         }
     }
 }
@@ -191,9 +191,9 @@
 /// How the jobs of one controller get another leader.
 #[derive(Clone, Copy, Debug)]
 enum HandOff {
-    Leaves,
-    Lost,
-    BackAtOnce,
+    Shutdown,
+    Crash,
+    RestartAtOnce,
     /// All controllers are shut down one after the other, as in a rolling restart.
     RollingRestart,
     CutFromStoreAndPeers,
@@ -243,9 +243,9 @@
                 let before: Vec<(String, Option<usize>)> =
                     ids.iter().map(|id| (id.clone(), job_leader(w, id))).collect();
                 match hand_off {
-                    HandOff::Leaves | HandOff::RollingRestart => w.inject_fault(Fault::Leave, n, 0),
-                    HandOff::Lost => w.crash_for(n, 8 * S..14 * S),
-                    HandOff::BackAtOnce => w.crash_for(n, S / 20..S / 10),
+                    HandOff::Shutdown | HandOff::RollingRestart => w.inject_fault(Fault::Leave, n, 0),
+                    HandOff::Crash => w.crash_for(n, 8 * S..14 * S),
+                    HandOff::RestartAtOnce => w.crash_for(n, S / 20..S / 10),
                     HandOff::CutFromStoreAndPeers => {
                         w.inject_fault(Fault::PartitionFromStoreAndPeers, n, 12 * S)
                     }
@@ -277,16 +277,16 @@
 
 #[test]
 fn jobs_are_cancelled_while_one_or_all_controllers_are_shut_down() {
-    let (with_new_leader, _) = play_hand_offs(24_400, HandOff::Leaves);
+    let (with_new_leader, _) = play_hand_offs(24_400, HandOff::Shutdown);
     assert!(with_new_leader > 40, "{with_new_leader} jobs got another leader");
     play_hand_offs(24_410, HandOff::RollingRestart);
 }
 
 #[test]
 fn jobs_are_cancelled_while_a_controller_crashes_or_restarts_at_once() {
-    let (with_new_leader, _) = play_hand_offs(24_420, HandOff::Lost);
+    let (with_new_leader, _) = play_hand_offs(24_420, HandOff::Crash);
     assert!(with_new_leader > 40, "{with_new_leader} jobs got another leader");
-    play_hand_offs(24_430, HandOff::BackAtOnce);
+    play_hand_offs(24_430, HandOff::RestartAtOnce);
 }
 
 #[test]
--- a/tests/world/days/gap.rs
+++ b/tests/world/days/gap.rs
@@ -8,15 +8,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     /// Leader of the cancelled jobs.
-    JobShard,
+    JobLeader,
     /// Leader of machines that run the cancelled jobs, and leader of none of these jobs.
-    MachineShard,
+    MachineLeader,
     /// The controller that raised the epoch.
     EpochRaiser,
     /// The controller that rents machines.
     Autoscaler,
 }
-const ROLES: [Role; 4] = [Role::JobShard, Role::MachineShard, Role::EpochRaiser, Role::Autoscaler];
+const ROLES: [Role; 4] = [Role::JobLeader, Role::MachineLeader, Role::EpochRaiser, Role::Autoscaler];
 
 /// State of the network between the refused controller and the others meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,8 +80,8 @@
         let cancelled: Vec<String> = ids
             .iter()
             .filter(|id| match role {
-                Role::JobShard => led.contains(id),
-                Role::MachineShard => on_led_machines.contains(id) && !led.contains(id),
+                Role::JobLeader => led.contains(id),
+                Role::MachineLeader => on_led_machines.contains(id) && !led.contains(id),
                 Role::EpochRaiser | Role::Autoscaler => true,
             })
             .cloned()
@@ -126,8 +126,8 @@
             let Some(confirmation) = w.compound.cancel_answers.get(id) else { continue };
             if confirmation.refused[n] && !confirmation.outage {
                 let is_in_role = match role {
-                    Role::JobShard => led.contains(id),
-                    Role::MachineShard => on_led_machines.contains(id) && !led.contains(id),
+                    Role::JobLeader => led.contains(id),
+                    Role::MachineLeader => on_led_machines.contains(id) && !led.contains(id),
                     Role::EpochRaiser | Role::Autoscaler => true,
                 };
                 let counts = [
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -237,9 +237,9 @@
 enum Crashed {
     Autoscaler,
     /// The leader of a machine that has reported and is not registered yet.
-    MachineShard,
+    MachineLeader,
     /// The leader of a job with a task on a new machine.
-    JobShard,
+    JobLeader,
     All,
 }
 
@@ -299,8 +299,8 @@
                 Crashed::Autoscaler => {
                     w.nodes.iter().flatten().next().and_then(|x| x.membership.autoscaler())
                 }
-                Crashed::MachineShard => machine_leader(w, i),
-                Crashed::JobShard => of_task.or(machine_leader(w, i)),
+                Crashed::MachineLeader => machine_leader(w, i),
+                Crashed::JobLeader => of_task.or(machine_leader(w, i)),
                 Crashed::All => None,
             };
             let pause = if seed.is_multiple_of(2) { S / 20..S / 10 } else { 8 * S..12 * S };
@@ -348,12 +348,12 @@
 
 #[test]
 fn new_machines_get_tasks_while_their_pages_lag_and_their_leader_crashes() {
-    play_lagging_pages(Crashed::MachineShard, 30_320);
+    play_lagging_pages(Crashed::MachineLeader, 30_320);
 }
 
 #[test]
 fn new_machines_get_tasks_while_their_pages_lag_and_the_job_leader_crashes() {
-    play_lagging_pages(Crashed::JobShard, 30_340);
+    play_lagging_pages(Crashed::JobLeader, 30_340);
 }
 
 #[test]
--- a/tests/world/days/pairs.rs
+++ b/tests/world/days/pairs.rs
@@ -48,7 +48,7 @@
     });
 }
 
-/// The epoch without a crashed controller is being raised, adopted, loaded or handed over.
+/// The epoch without a crashed controller is being raised, adopted, loaded or handed off.
 #[test]
 fn each_fault_while_a_takeover_is_in_progress() {
     play_each_fault(22_200, |w, ids, fault, n| {
--- a/tests/world/days/restarts.rs
+++ b/tests/world/days/restarts.rs
@@ -84,7 +84,8 @@
             let is_accepted = |j: &&UserJob| j.known != KnownState::Unknown;
             let accepted: Vec<String> =
                 w.jobs.values().filter(is_accepted).map(|j| j.spec.id.clone()).take(9).collect();
-            // A request times out after 0.6 s. If the network delays request and answer by 0.3 s each, this is no fault of a controller.
+            // A request times out after 0.6 s. If the network delays request and answer by 0.3 s each, this is no fault of a
+            // controller.
             w.no_slow_messages = true;
             for id in accepted {
                 let reply = w.ask(n, UserRequest::Query(id));
--- a/tests/world/days/takeovers.rs
+++ b/tests/world/days/takeovers.rs
@@ -82,7 +82,8 @@
         // The cloud's list still has this machine as running.
         w.workers[0].unresponsive_until = NEVER;
         let died_at = w.now;
-        // The machine leader's knowledge of the machine is lost when it crashes; a crash of any other controller must not affect it.
+        // The machine leader loses what it has in memory when it crashes, so another controller crashes here: that must not
+        // affect the machine.
         let machine_leader = w.nodes[0]
             .as_ref()
             .and_then(|n| n.membership.machine_leader("i-000000"))
@@ -185,7 +186,8 @@
         let takeover = &status["takeover"];
         let waits = takeover["waits_for_machines"].as_array().expect("names").len();
         assert!(waits > 0, "seed {seed}: the hung machines are not known to be dead yet");
-        // A job that another controller has accepted since is resolved after the next read of the epoch, which happens every second.
+        // A job that another controller has accepted since then is resolved after the next read of the epoch, which happens
+        // every second.
         let recent = w.jobs.values().filter(|j| j.accepted_at.is_some_and(|t| t + 3 * S / 2 > w.now)).count();
         let unresolved_jobs = takeover["jobs_in_doubt"].as_u64().expect("a number");
         assert!(unresolved_jobs <= recent as u64, "seed {seed}: {status:#}");
