--- a/tests/world/days/loans.rs
+++ b/tests/world/days/loans.rs
@@ -88,7 +88,11 @@
                 let n: u32 = live.map(|l| l.replicas).sum();
                 observed.max_replicas = observed.max_replicas.max(n);
                 let task_count = w.jobs[job].spec.task_count;
-                assert!(n <= task_count, "claimed more than needed: {n} replicas of {job} in {:#?}", ledger.loans);
+                assert!(
+                    n <= task_count,
+                    "claimed more than needed: {n} replicas of {job} in {:#?}",
+                    ledger.loans
+                );
             }
             // Loan IDs are unique within a ledger, and only one team borrows here.
             let ended_loans: Vec<u64> =
--- a/tests/world/days/lost.rs
+++ b/tests/world/days/lost.rs
@@ -611,7 +611,10 @@
                     (j.known == KnownState::Accepted && !j.done.is_empty()).then(|| id.clone())
                 };
                 let unreported: Vec<String> = w.jobs.iter().filter_map(has_unreported_end).collect();
-                met += unreported.iter().filter(|id| is_acting(old_leader, id) && is_acting(new_leader, id)).count();
+                met += unreported
+                    .iter()
+                    .filter(|id| is_acting(old_leader, id) && is_acting(new_leader, id))
+                    .count();
                 for id in unreported {
                     let p = if w.rng.random_bool(0.5) { old_leader } else { new_leader };
                     if w.rng.random_bool(0.5) {
@@ -666,7 +669,9 @@
                     node.is_some_and(|node| node.membership.job_leader(id) == Some(x))
                 };
                 let has_two_leaders = |id: &&String| {
-                    w.jobs[*id].known == KnownState::Accepted && is_acting(old_leader, id) && is_acting(new_leader, id)
+                    w.jobs[*id].known == KnownState::Accepted
+                        && is_acting(old_leader, id)
+                        && is_acting(new_leader, id)
                 };
                 let ids: Vec<String> = ids.iter().filter(has_two_leaders).cloned().collect();
                 met += ids.len();
