--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -36,7 +36,7 @@
     store_version: u64,
 }
 
-struct Play {
+struct Scenario {
     rng: StdRng,
     small: bool,
     seed: u64,
@@ -44,21 +44,21 @@
     kind: &'static str,
     store: Stored,
     /// The tasks that each machine really has.
-    on: Vec<BTreeMap<TaskKey, TaskPhase>>,
+    machine_tasks: Vec<BTreeMap<TaskKey, TaskPhase>>,
     /// Attempts that were started in this epoch.
-    decided: BTreeSet<TaskKey>,
+    started: BTreeSet<TaskKey>,
     /// Completed tasks. Another attempt of one of them ends at once.
     completed: Vec<bool>,
-    ran_again: u32,
-    cut: u32,
+    repeated_run_count: u32,
+    truncated_record_count: u32,
 }
 
-impl Play {
-    fn alive(&self, index: u32) -> usize {
-        let here = |(k, p): &(&TaskKey, &TaskPhase)| {
+impl Scenario {
+    fn live_task_count(&self, index: u32) -> usize {
+        let is_live = |(k, p): &(&TaskKey, &TaskPhase)| {
             k.index == index && !matches!(p, TaskPhase::Exited(_) | TaskPhase::Held)
         };
-        self.on.iter().flatten().filter(here).count()
+        self.machine_tasks.iter().flatten().filter(is_live).count()
     }
 
     fn spec(&self) -> (serde_json::Value, JobSpec) {
@@ -85,19 +85,27 @@
         (raw, spec)
     }
 
-    fn load(&self, o: &mut JobShard) {
+    fn load_job(&self, leader: &mut JobShard) {
         if self.store.end {
-            return o.end_job(JOB, JobOutcome::Done);
+            return leader.end_job(JOB, JobOutcome::Done);
         }
         let (raw, spec) = self.spec();
-        o.insert_job(raw, spec, Micros(1), self.store.done.clone(), self.store.store_version, false);
+        leader.insert_job(raw, spec, Micros(1), self.store.done.clone(), self.store.store_version, false);
     }
 
     /// Sends a machine leader's status message: the machines that have reported, and the stored state of the others.
-    fn tell(&self, o: &mut JobShard, m: &Membership, now: Micros, seq: u64, rev_seen: u64, known: &[bool]) {
-        let room = Resources { cpus: 2000, gpus: 0, memory: 9000 };
-        let digest = |i: usize| {
-            let busy = self.on[i].values().any(|p| !matches!(p, TaskPhase::Exited(_)));
+    fn send_status(
+        &self,
+        leader: &mut JobShard,
+        membership: &Membership,
+        now: Micros,
+        seq: u64,
+        last_revision: u64,
+        known: &[bool],
+    ) {
+        let capacity = Resources { cpus: 2000, gpus: 0, memory: 9000 };
+        let build_status = |i: usize| {
+            let has_live_tasks = self.machine_tasks[i].values().any(|p| !matches!(p, TaskPhase::Exited(_)));
             MachineStatus {
                 name: format!("i-{i}"),
                 machine_type: "k".into(),
@@ -106,81 +114,87 @@
                 inventory_state: if known[i] { InventoryState::Known } else { InventoryState::Unconfirmed },
                 is_schedulable: known[i],
                 time_to_termination: None,
-                free: if busy { Resources::default() } else { room },
-                total: room,
+                free: if has_live_tasks { Resources::default() } else { capacity },
+                total: capacity,
                 used_by_priority: Vec::new(),
                 images: Vec::new(),
-                task_count: u32::from(busy),
+                task_count: u32::from(has_live_tasks),
                 idle_time: None,
                 silent_time: None,
                 tasks: match known[i] {
-                    true => {
-                        self.on[i].iter().map(|(k, p)| ObservedTask { key: k.clone(), phase: *p }).collect()
-                    }
+                    true => self.machine_tasks[i]
+                        .iter()
+                        .map(|(k, p)| ObservedTask { key: k.clone(), phase: *p })
+                        .collect(),
                     false => Vec::new(),
                 },
             }
         };
-        let machines = (0..MACHINES).map(digest).collect();
-        o.apply_machine_status(
+        let machines = (0..MACHINES).map(build_status).collect();
+        leader.apply_machine_status(
             now,
-            m,
+            membership,
             0,
             MachineStatusDelta {
-                sequence: (m.epoch << 32) + seq,
+                sequence: (membership.epoch << 32) + seq,
                 base_sequence: 0,
-                revision_seen: rev_seen,
+                revision_seen: last_revision,
                 machines,
             },
         );
     }
 
     /// Applies the desired state to the machines. Machines without a confirmed task list get no commands.
-    fn obey(&mut self, wishes: &DesiredState, known: &[bool]) {
-        for on in &mut self.on {
-            let listed = |k: &TaskKey| wishes.tasks.iter().any(|w| w.key == *k);
-            let dropped = |k: &TaskKey| wishes.removed.iter().any(|(_, d)| d == k);
-            on.retain(|k, p| {
-                *p != TaskPhase::Held || !(dropped(k) || (wishes.base_revision == 0 && !listed(k)))
+    fn apply_desired_state(&mut self, desired_state: &DesiredState, known: &[bool]) {
+        for tasks in &mut self.machine_tasks {
+            let is_listed = |k: &TaskKey| desired_state.tasks.iter().any(|task| task.key == *k);
+            let is_removed = |k: &TaskKey| desired_state.removed.iter().any(|(_, d)| d == k);
+            tasks.retain(|k, p| {
+                *p != TaskPhase::Held
+                    || !(is_removed(k) || (desired_state.base_revision == 0 && !is_listed(k)))
             });
         }
-        for w in &wishes.tasks {
-            let i: usize = w.machine[2..].parse().expect("a number");
-            let durable = self.store.end || self.store.done.contains(w.key.index);
-            let phase = self.on[i].get(&w.key).copied();
-            match (w.action, phase) {
-                (DesiredAction::Hold, None) if known[i] && self.decided.insert(w.key.clone()) => {
-                    self.on[i].insert(w.key.clone(), TaskPhase::Held);
+        for task in &desired_state.tasks {
+            let i: usize = task.machine[2..].parse().expect("a number");
+            let is_stored = self.store.end || self.store.done.contains(task.key.index);
+            let phase = self.machine_tasks[i].get(&task.key).copied();
+            match (task.action, phase) {
+                (DesiredAction::Hold, None) if known[i] && self.started.insert(task.key.clone()) => {
+                    self.machine_tasks[i].insert(task.key.clone(), TaskPhase::Held);
+                }
+                (DesiredAction::Stop(_), Some(TaskPhase::Held)) => {
+                    _ = self.machine_tasks[i].remove(&task.key)
                 }
-                (DesiredAction::Stop(_), Some(TaskPhase::Held)) => _ = self.on[i].remove(&w.key),
                 (DesiredAction::Run, None | Some(TaskPhase::Held))
-                    if known[i] && (phase.is_some() || self.decided.insert(w.key.clone())) =>
+                    if known[i] && (phase.is_some() || self.started.insert(task.key.clone())) =>
                 {
                     assert_eq!(
-                        self.alive(w.key.index),
+                        self.live_task_count(task.key.index),
                         0,
                         "seed {}: {:?} is alive elsewhere",
                         self.seed,
-                        w.key
+                        task.key
                     );
-                    assert!(!self.store.end, "seed {}: {:?} after the end", self.seed, w.key);
-                    let again = self.completed[w.key.index as usize];
-                    self.ran_again += u32::from(again);
-                    let phase = if again { TaskPhase::Exited(TaskExit::Done) } else { TaskPhase::Running };
-                    self.on[i].insert(w.key.clone(), phase);
+                    assert!(!self.store.end, "seed {}: {:?} runs after the job ended", self.seed, task.key);
+                    let was_completed = self.completed[task.key.index as usize];
+                    self.repeated_run_count += u32::from(was_completed);
+                    let phase =
+                        if was_completed { TaskPhase::Exited(TaskExit::Done) } else { TaskPhase::Running };
+                    self.machine_tasks[i].insert(task.key.clone(), phase);
                 }
                 (DesiredAction::Stop(_), Some(TaskPhase::Running)) if known[i] => {
-                    self.on[i].insert(w.key.clone(), TaskPhase::Exited(TaskExit::Stopped(false)));
+                    self.machine_tasks[i]
+                        .insert(task.key.clone(), TaskPhase::Exited(TaskExit::Stopped(false)));
                 }
-                (DesiredAction::Forget, Some(TaskPhase::Exited(e))) if known[i] => {
+                (DesiredAction::Forget, Some(TaskPhase::Exited(exit))) if known[i] => {
                     // The machine must keep an outcome that is stored nowhere else.
                     assert!(
-                        e != TaskExit::Done || durable,
-                        "seed {}: {:?} is not on record",
+                        exit != TaskExit::Done || is_stored,
+                        "seed {}: {:?} is not stored",
                         self.seed,
-                        w.key
+                        task.key
                     );
-                    self.on[i].remove(&w.key);
+                    self.machine_tasks[i].remove(&task.key);
                 }
                 _ => {}
             }
@@ -188,150 +202,164 @@
     }
 
     /// Handles one pending write: executed and acknowledged, executed without a response, or lost.
-    fn write(&mut self, o: &mut JobShard, now: Micros) {
-        let ends = self.rng.random_bool(0.5);
-        let Some((id, write, store_version)) = o.next_write(now, ends) else { return };
+    fn handle_write(&mut self, leader: &mut JobShard, now: Micros) {
+        let is_final = self.rng.random_bool(0.5);
+        let Some((id, record_write, store_version)) = leader.next_write(now, is_final) else { return };
         assert!(store_version <= self.store.store_version);
         let fate = self.rng.random_range(0..4);
         if fate == 3 {
-            return o.fail_write(now, &id, false);
+            return leader.fail_write(now, &id, false);
         }
         self.store.store_version += 1;
-        match write {
-            RecordWrite::Progress(_, kept) => {
-                let truly = (0..self.tasks).all(|i| !kept.contains(i) || self.completed[i as usize]);
-                assert!(truly, "seed {}: on record and not done", self.seed);
-                self.store.done = kept.clone();
+        match record_write {
+            RecordWrite::Progress(_, progress) => {
+                let are_all_completed =
+                    (0..self.tasks).all(|i| !progress.contains(i) || self.completed[i as usize]);
+                assert!(are_all_completed, "seed {}: stored and not done", self.seed);
+                self.store.done = progress.clone();
                 match fate {
-                    0 | 1 => o.confirm_progress(now, &id, kept, self.store.store_version),
-                    _ => o.fail_write(now, &id, false),
+                    0 | 1 => leader.confirm_progress(now, &id, progress, self.store.store_version),
+                    _ => leader.fail_write(now, &id, false),
                 }
             }
-            RecordWrite::End(f, _) => {
+            RecordWrite::End(outcome, _) => {
                 assert!(
-                    f == JobOutcome::Done && self.completed.iter().all(|c| *c),
-                    "seed {}: done too early",
+                    outcome == JobOutcome::Done && self.completed.iter().all(|c| *c),
+                    "seed {}: the job ended too early",
                     self.seed
                 );
-                self.cut += u32::from((0..self.tasks).any(|i| !self.store.done.contains(i)));
+                self.truncated_record_count +=
+                    u32::from((0..self.tasks).any(|i| !self.store.done.contains(i)));
                 self.store.end = true;
                 match fate {
-                    0 | 1 => o.end_job(&id, f),
-                    _ => o.fail_write(now, &id, false),
+                    0 | 1 => leader.end_job(&id, outcome),
+                    _ => leader.fail_write(now, &id, false),
                 }
             }
         }
     }
 
     fn run(&mut self) {
-        let s = settings(self.small);
-        let teams = QuotaLedger::new(&s.teams);
-        let mut m = Membership::new(&s, 1);
-        let mut owner = JobShard::new(&s);
-        let (mut epoch, mut seq, mut seen) = (0u64, 0, 0);
+        let settings = settings(self.small);
+        let quota = QuotaLedger::new(&settings.teams);
+        let mut membership = Membership::new(&settings, 1);
+        let mut leader = JobShard::new(&settings);
+        let (mut epoch, mut seq, mut last_revision) = (0u64, 0, 0);
         let mut known = [false; MACHINES];
-        let mut due = 0;
+        let mut next_epoch_step = 0;
         for step in 0..3000u64 {
             let now = Micros::from_millis(1000 + step * 200);
-            let calm = step > 2600;
-            if step == due {
-                due = step + self.rng.random_range(3..400);
-                if calm {
-                    due = u64::MAX;
+            let is_final_phase = step > 2600;
+            if step == next_epoch_step {
+                next_epoch_step = step + self.rng.random_range(3..400);
+                if is_final_phase {
+                    next_epoch_step = u64::MAX;
                 }
                 epoch += 1;
-                m.adopt_epoch(now, &EpochRecord { epoch, members: vec![("c0".into(), epoch)] }, epoch);
-                let follows = epoch > 1 && self.rng.random_bool(0.3);
-                if !follows {
-                    owner = JobShard::new(&s);
+                membership.adopt_epoch(
+                    now,
+                    &EpochRecord { epoch, members: vec![("c0".into(), epoch)] },
+                    epoch,
+                );
+                let is_consecutive = epoch > 1 && self.rng.random_bool(0.3);
+                if !is_consecutive {
+                    leader = JobShard::new(&settings);
                 }
-                owner.adopt_epoch(&m, follows);
-                self.load(&mut owner);
-                owner.finish_loading((0..MACHINES).map(|i| format!("i-{i}")));
-                owner.apply_autoscaler_reservations(Vec::new(), Vec::new());
-                (seq, seen) = (0, 0);
+                leader.adopt_epoch(&membership, is_consecutive);
+                self.load_job(&mut leader);
+                leader.finish_loading((0..MACHINES).map(|i| format!("i-{i}")));
+                leader.apply_autoscaler_reservations(Vec::new(), Vec::new());
+                (seq, last_revision) = (0, 0);
                 known = [false; MACHINES];
-                self.decided.clear();
-                self.on.iter_mut().for_each(|on| on.retain(|_, p| *p != TaskPhase::Held));
+                self.started.clear();
+                self.machine_tasks.iter_mut().for_each(|tasks| tasks.retain(|_, p| *p != TaskPhase::Held));
                 if epoch == 1 {
                     known = [true; MACHINES];
                 }
             }
-            for k in &mut known {
-                *k |= calm || self.rng.random_bool(0.03);
+            for is_known in &mut known {
+                *is_known |= is_final_phase || self.rng.random_bool(0.03);
             }
             // Tasks end far apart in time. Now and then a machine is lost with the outcomes that only it holds.
             if self.rng.random_bool(0.01) {
                 let i = self.rng.random_range(0..MACHINES);
-                let gang = self.kind == "group";
-                let all = self.on.iter().flatten().filter(|(_, p)| **p == TaskPhase::Running).count();
-                if !gang || all == self.tasks as usize {
-                    for (_, on) in self.on.iter_mut().enumerate().filter(|(j, _)| gang || *j == i) {
-                        for (k, p) in on.iter_mut().filter(|(_, p)| **p == TaskPhase::Running) {
+                let is_gang = self.kind == "group";
+                let running_count =
+                    self.machine_tasks.iter().flatten().filter(|(_, p)| **p == TaskPhase::Running).count();
+                if !is_gang || running_count == self.tasks as usize {
+                    for (_, tasks) in
+                        self.machine_tasks.iter_mut().enumerate().filter(|(j, _)| is_gang || *j == i)
+                    {
+                        for (key, p) in tasks.iter_mut().filter(|(_, p)| **p == TaskPhase::Running) {
                             *p = TaskPhase::Exited(TaskExit::Done);
-                            self.completed[k.index as usize] = true;
+                            self.completed[key.index as usize] = true;
                         }
                     }
                 }
             }
-            if !calm && self.rng.random_bool(0.002) {
+            if !is_final_phase && self.rng.random_bool(0.002) {
                 let i = self.rng.random_range(0..MACHINES);
-                self.on[i].clear();
+                self.machine_tasks[i].clear();
             }
             if self.rng.random_bool(0.5) {
                 seq += 1;
-                self.tell(&mut owner, &m, now, seq, seen, &known);
+                self.send_status(&mut leader, &membership, now, seq, last_revision, &known);
             }
-            owner.run_scheduling_pass(now, now, &m, &teams);
-            owner.preempt_tasks(now, &m);
-            let w = owner.next_desired_state(0, &m);
+            leader.run_scheduling_pass(now, now, &membership, &quota);
+            leader.preempt_tasks(now, &membership);
+            let desired_state = leader.next_desired_state(0, &membership);
             if self.rng.random_bool(0.7) {
-                seen = w.revision;
-                self.obey(&w, &known);
+                last_revision = desired_state.revision;
+                self.apply_desired_state(&desired_state, &known);
             }
-            if let Some(id) = owner.next_reread()
+            if let Some(id) = leader.next_reread()
                 && self.rng.random_bool(0.3)
             {
                 assert_eq!(id, JOB);
-                self.load(&mut owner);
+                self.load_job(&mut leader);
             }
             if self.rng.random_bool(0.2) {
-                self.write(&mut owner, now);
+                self.handle_write(&mut leader, now);
             }
         }
         assert!(
             self.store.end,
             "seed {}: {:?} {:?} {:?}",
-            self.seed, self.completed, self.on, self.store.done
+            self.seed, self.completed, self.machine_tasks, self.store.done
+        );
+        assert!(
+            self.machine_tasks.iter().all(BTreeMap::is_empty),
+            "seed {}: {:?} still has tasks",
+            self.seed,
+            self.machine_tasks
         );
-        assert!(self.on.iter().all(BTreeMap::is_empty), "seed {}: {:?} is left behind", self.seed, self.on);
     }
 }
 
 #[test]
 fn a_task_that_ended_long_before_the_others_is_neither_lost_nor_run_beside_itself() {
-    let (mut again, mut cut) = (0, 0);
+    let (mut repeated_run_count, mut truncated_record_count) = (0, 0);
     for seed in 0..60u64 {
         let tasks = 2 + (seed % 2) as u32;
-        let mut p = Play {
+        let mut scenario = Scenario {
             rng: StdRng::seed_from_u64(seed),
             small: seed % 3 == 0,
             seed,
             tasks,
             kind: if seed % 4 == 3 { "group" } else { "batch" },
             store: Stored { store_version: 1, ..Stored::default() },
-            on: vec![BTreeMap::new(); MACHINES],
-            decided: BTreeSet::new(),
+            machine_tasks: vec![BTreeMap::new(); MACHINES],
+            started: BTreeSet::new(),
             completed: vec![false; tasks as usize],
-            ran_again: 0,
-            cut: 0,
+            repeated_run_count: 0,
+            truncated_record_count: 0,
         };
-        p.run();
-        again += p.ran_again;
-        cut += p.cut;
+        scenario.run();
+        repeated_run_count += scenario.repeated_run_count;
+        truncated_record_count += scenario.truncated_record_count;
     }
     assert!(
-        again > 0 && cut > 5,
-        "{again} again, {cut} ended with progress not on record: nothing was tried"
+        repeated_run_count > 0 && truncated_record_count > 5,
+        "{repeated_run_count} run again, {truncated_record_count} ended with progress not stored: the scenario was not covered"
     );
 }
--- a/tests/old_reports.rs
+++ b/tests/old_reports.rs
@@ -31,20 +31,20 @@
 /// A worker that follows the protocol. Times are in milliseconds.
 struct Worker {
     machine: String,
-    session: u64,
+    incarnation: u64,
     seq: u64,
     token: u64,
     /// Tasks by attempt, and whether each has ended.
     tasks: BTreeMap<u64, bool>,
     /// The time at which the last answered heartbeat was sent, or at which the incarnation began.
-    renewed: u64,
+    lease_renewed_at: u64,
     in_flight: Option<(u64, u64)>,
-    next: u64,
-    ever: BTreeSet<u64>,
+    next_heartbeat_at: u64,
+    started_attempts: BTreeSet<u64>,
 }
 
 impl Worker {
-    fn report(&mut self, job: &str) -> Heartbeat {
+    fn next_heartbeat(&mut self, job: &str) -> Heartbeat {
         self.seq += 1;
         let task = |(attempt, ended): (&u64, &bool)| HeartbeatTask {
             task: format!("{job}/0"),
@@ -59,37 +59,37 @@
             machine_type: "k".into(),
             zone: "z".into(),
             spot: false,
-            incarnation: self.session,
+            incarnation: self.incarnation,
             sequence: self.seq,
             token: self.token,
             time_to_termination_s: None,
             tasks: self.tasks.iter().map(task).collect(),
         }
     }
-    fn tick(&mut self, now: u64) {
-        if now >= self.renewed + LEASE {
+    fn advance(&mut self, now: u64) {
+        if now >= self.lease_renewed_at + LEASE {
             self.tasks.clear();
-            (self.session, self.renewed) = (self.session + 1, now);
+            (self.incarnation, self.lease_renewed_at) = (self.incarnation + 1, now);
         }
         if self.in_flight.is_some_and(|(_, sent)| now >= sent + 4000) {
-            (self.in_flight, self.next) = (None, now + 1000);
+            (self.in_flight, self.next_heartbeat_at) = (None, now + 1000);
         }
     }
-    fn answered(&mut self, now: u64, a: &Answer) {
-        if self.in_flight != Some((a.seq, a.sent)) {
+    fn handle_response(&mut self, now: u64, response: &Response) {
+        if self.in_flight != Some((response.seq, response.sent)) {
             return;
         }
-        (self.in_flight, self.next) = (None, now + 2500);
-        let Some(o) = &a.orders else { return };
-        if o.token < self.token || a.session != self.session {
+        (self.in_flight, self.next_heartbeat_at) = (None, now + 2500);
+        let Some(body) = &response.body else { return };
+        if body.token < self.token || response.incarnation != self.incarnation {
             return;
         }
-        (self.token, self.renewed) = (o.token, a.sent);
-        for c in &o.commands {
-            let attempt = c.task().attempt;
-            match c.verb() {
+        (self.token, self.lease_renewed_at) = (body.token, response.sent);
+        for command in &body.commands {
+            let attempt = command.task().attempt;
+            match command.verb() {
                 "run" if !self.tasks.contains_key(&attempt) => {
-                    assert!(self.ever.insert(attempt), "attempt {attempt} is started once more");
+                    assert!(self.started_attempts.insert(attempt), "attempt {attempt} is started twice");
                     self.tasks.insert(attempt, false);
                 }
                 "kill" => _ = self.tasks.insert(attempt, true),
@@ -101,245 +101,285 @@
 }
 
 #[derive(Clone)]
-struct Answer {
-    session: u64,
+struct Response {
+    incarnation: u64,
     seq: u64,
     sent: u64,
-    orders: Option<HeartbeatResponse>,
+    body: Option<HeartbeatResponse>,
 }
 
-enum Mail {
+enum Delivery {
     Heartbeat(Heartbeat, Option<u64>),
-    Answer(Answer),
+    Response(Response),
     FencingProbe(u64, u64),
-    Greeted(Heartbeat),
+    ProbeAnswer(Heartbeat),
 }
 
 /// The machine leader of one epoch, with the attempts that the job leader wants.
-struct Reign {
-    m: Membership,
-    home: MachineShard,
-    began: u64,
-    rev: u64,
-    starts: u64,
+struct LeaderTerm {
+    membership: Membership,
+    machine_shard: MachineShard,
+    began_at_ms: u64,
+    revision: u64,
+    start_count: u64,
 }
 
 /// Runs until `until`. The worker receives nothing during the spans in `deaf`, in milliseconds. `look` is called with
 /// the state after each step.
-fn play(
+fn simulate(
     seed: u64,
-    deaf: &[(u64, u64)],
+    deaf_spans: &[(u64, u64)],
     until: u64,
-    mut look: impl FnMut(u64, &Reign, &MachineStatus),
+    mut inspect: impl FnMut(u64, &LeaderTerm, &MachineStatus),
 ) -> Worker {
     let mut rng = StdRng::seed_from_u64(seed);
-    let s = settings();
-    let mut m = Membership::new(&s, 1);
+    let config = settings();
+    let mut membership = Membership::new(&config, 1);
     let record = |epoch| EpochRecord { epoch, members: vec![("c0".into(), epoch), ("c1".into(), 1)] };
-    m.adopt_epoch(at(1), &record(7), 7);
-    let own = |p: &str, of: &dyn Fn(&str) -> Option<usize>| {
+    membership.adopt_epoch(at(1), &record(7), 7);
+    let find_led_name = |p: &str, of: &dyn Fn(&str) -> Option<usize>| {
         (0..).map(|i| format!("{p}-{i:06}")).find(|n| of(n) == Some(0)).expect("one of many")
     };
-    let (machine, job) = (own("i", &|n| m.machine_leader(n)), own("wk", &|n| m.job_leader(n)));
-    let mut w = Worker {
+    let (machine, job) = (
+        find_led_name("i", &|n| membership.machine_leader(n)),
+        find_led_name("wk", &|n| membership.job_leader(n)),
+    );
+    let mut worker = Worker {
         machine: machine.clone(),
-        session: 1,
+        incarnation: 1,
         seq: 0,
         token: 0,
         tasks: BTreeMap::new(),
-        renewed: 0,
+        lease_renewed_at: 0,
         in_flight: None,
-        next: 0,
-        ever: BTreeSet::new(),
+        next_heartbeat_at: 0,
+        started_attempts: BTreeSet::new(),
     };
-    let mut mail: BTreeMap<(u64, u64), Mail> = BTreeMap::new();
+    let mut deliveries: BTreeMap<(u64, u64), Delivery> = BTreeMap::new();
     let mut n = 0;
-    let mut post = |when: u64, what: Mail, mail: &mut BTreeMap<(u64, u64), Mail>| {
+    let mut schedule = |when: u64, what: Delivery, deliveries: &mut BTreeMap<(u64, u64), Delivery>| {
         n += 1;
-        mail.insert((when, n), what);
+        deliveries.insert((when, n), what);
     };
-    let begin = |now: u64, epoch: u64, m: &Membership, known: bool| {
-        let mut m = m.clone();
-        m.adopt_epoch(at(now), &record(epoch), epoch);
-        let mut home = MachineShard::new(&settings());
-        home.adopt_epoch(at(now), &m, false, |_| None);
+    let begin_term = |now: u64, epoch: u64, membership: &Membership, known: bool| {
+        let mut membership = membership.clone();
+        membership.adopt_epoch(at(now), &record(epoch), epoch);
+        let mut machine_shard = MachineShard::new(&settings());
+        machine_shard.adopt_epoch(at(now), &membership, false, |_| None);
         if known {
-            let r =
+            let record =
                 MachineRecord { kind: "k".into(), zone: "z".into(), spot: false, addr: "10.0.0.5:1".into() };
-            home.load_record(at(now), &machine, r);
+            machine_shard.load_record(at(now), &machine, record);
         }
-        Reign { m, home, began: now, rev: epoch << 32, starts: 0 }
+        LeaderTerm { membership, machine_shard, began_at_ms: now, revision: epoch << 32, start_count: 0 }
     };
-    let mut reign = begin(1, 7, &m, false);
+    let mut term = begin_term(1, 7, &membership, false);
     // The machine leader of the previous epoch goes on for a while, in another process.
-    let mut last: Option<(Reign, u64)> = None;
+    let mut previous_term: Option<(LeaderTerm, u64)> = None;
     let mut next_epoch = rng.random_range(20_000..60_000);
     let mut now = 1;
     while now < until {
         now += STEP;
-        w.tick(now);
+        worker.advance(now);
         if now >= next_epoch {
             next_epoch = now + rng.random_range(2_000..90_000);
-            let epoch = reign.m.epoch + 1;
+            let epoch = term.membership.epoch + 1;
             if rng.random_bool(0.3) {
                 // The same machine leader goes on in the epoch that follows directly.
-                reign.m.adopt_epoch(at(now), &record(epoch), epoch);
-                reign.home.adopt_epoch(at(now), &reign.m, true, |_| Some(0));
-                (reign.began, reign.rev, reign.starts) = (now, epoch << 32, 0);
-                last = None;
+                term.membership.adopt_epoch(at(now), &record(epoch), epoch);
+                term.machine_shard.adopt_epoch(at(now), &term.membership, true, |_| Some(0));
+                (term.began_at_ms, term.revision, term.start_count) = (now, epoch << 32, 0);
+                previous_term = None;
                 continue;
             }
-            let new = begin(now, epoch, &m, true);
+            let new = begin_term(now, epoch, &membership, true);
             // Its lease expires at most a store lease after it was replaced, whatever it still decides.
-            last = Some((std::mem::replace(&mut reign, new), now + rng.random_range(0..5_900)));
+            previous_term = Some((std::mem::replace(&mut term, new), now + rng.random_range(0..5_900)));
         }
-        last = last.filter(|(_, ends)| now < *ends);
-        if w.in_flight.is_none() && now >= w.next {
-            let r = w.report(&job);
-            w.in_flight = Some((r.sequence, now));
-            let late =
+        previous_term = previous_term.filter(|(_, ends)| now < *ends);
+        if worker.in_flight.is_none() && now >= worker.next_heartbeat_at {
+            let heartbeat = worker.next_heartbeat(&job);
+            worker.in_flight = Some((heartbeat.sequence, now));
+            let transit_time =
                 if rng.random_bool(0.05) { rng.random_range(300..60_000) } else { rng.random_range(1..300) };
-            post(now + late, Mail::Heartbeat(r.clone(), Some(now)), &mut mail);
+            schedule(now + transit_time, Delivery::Heartbeat(heartbeat.clone(), Some(now)), &mut deliveries);
             if rng.random_bool(0.3) {
-                post(now + rng.random_range(2_000..50_000), Mail::Heartbeat(r, None), &mut mail);
+                schedule(
+                    now + rng.random_range(2_000..50_000),
+                    Delivery::Heartbeat(heartbeat, None),
+                    &mut deliveries,
+                );
             }
         }
         if rng.random_bool(0.005)
-            && let Some(ended) = w.tasks.values_mut().next()
+            && let Some(ended) = worker.tasks.values_mut().next()
         {
             *ended = true;
         }
-        let hears = !deaf.iter().any(|(from, to)| (*from..*to).contains(&now));
-        while let Some(e) = mail.first_entry()
-            && e.key().0 <= now
+        let can_receive = !deaf_spans.iter().any(|(start, end)| (*start..*end).contains(&now));
+        while let Some(entry) = deliveries.first_entry()
+            && entry.key().0 <= now
         {
             let delay = now + rng.random_range(1..300);
-            match e.remove() {
-                Mail::Heartbeat(r, sent) => {
+            match entry.remove() {
+                Delivery::Heartbeat(heartbeat, sent) => {
                     // An old process still has the worker's connection.
-                    let old = last.as_mut().filter(|_| rng.random_bool(0.5)).map(|(old, _)| old);
-                    let to = old.unwrap_or(&mut reign);
-                    let orders = match to.home.apply_heartbeat(at(now), &to.m, &r) {
-                        HeartbeatOutcome::Accepted => to.home.issue_commands(&to.m, &machine, |_| true),
+                    let old_term =
+                        previous_term.as_mut().filter(|_| rng.random_bool(0.5)).map(|(old_term, _)| old_term);
+                    let receiver = old_term.unwrap_or(&mut term);
+                    let body = match receiver.machine_shard.apply_heartbeat(
+                        at(now),
+                        &receiver.membership,
+                        &heartbeat,
+                    ) {
+                        HeartbeatOutcome::Accepted => {
+                            receiver.machine_shard.issue_commands(&receiver.membership, &machine, |_| true)
+                        }
                         _ => None,
                     };
                     // The sender of a copy awaits no response.
                     if let Some(sent) = sent {
-                        let a = Answer { session: r.incarnation, seq: r.sequence, sent, orders };
-                        post(delay, Mail::Answer(a), &mut mail);
+                        let response = Response {
+                            incarnation: heartbeat.incarnation,
+                            seq: heartbeat.sequence,
+                            sent,
+                            body,
+                        };
+                        schedule(delay, Delivery::Response(response), &mut deliveries);
                     }
                 }
-                Mail::Answer(a) if hears => w.answered(now, &a),
-                Mail::FencingProbe(token, session) if hears => {
-                    if token >= w.token && session == w.session {
-                        w.token = token;
+                Delivery::Response(response) if can_receive => worker.handle_response(now, &response),
+                Delivery::FencingProbe(token, incarnation) if can_receive => {
+                    if token >= worker.token && incarnation == worker.incarnation {
+                        worker.token = token;
                     }
-                    let r = w.report(&job);
-                    post(delay + if rng.random_bool(0.2) { 9_000 } else { 0 }, Mail::Greeted(r), &mut mail);
+                    let heartbeat = worker.next_heartbeat(&job);
+                    schedule(
+                        delay + if rng.random_bool(0.2) { 9_000 } else { 0 },
+                        Delivery::ProbeAnswer(heartbeat),
+                        &mut deliveries,
+                    );
+                }
+                Delivery::ProbeAnswer(heartbeat) => {
+                    _ = term.machine_shard.apply_probe_answer(at(now), &term.membership, &heartbeat)
                 }
-                Mail::Greeted(r) => _ = reign.home.apply_probe_answer(at(now), &reign.m, &r),
-                Mail::Answer(_) | Mail::FencingProbe(..) => {}
+                Delivery::Response(_) | Delivery::FencingProbe(..) => {}
             }
         }
-        for g in reign.home.take_due_probes(at(now), 9) {
-            let held = if rng.random_bool(0.3) { rng.random_range(1_000..20_000) } else { 1 };
-            post(now + held, Mail::FencingProbe(reign.m.epoch, g.incarnation), &mut mail);
+        for probe in term.machine_shard.take_due_probes(at(now), 9) {
+            let probe_delay = if rng.random_bool(0.3) { rng.random_range(1_000..20_000) } else { 1 };
+            schedule(
+                now + probe_delay,
+                Delivery::FencingProbe(term.membership.epoch, probe.incarnation),
+                &mut deliveries,
+            );
         }
-        for _ in 0..reign.home.take_unregistered().len() {
-            reign.home.confirm_registered(&machine);
+        for _ in 0..term.machine_shard.take_unregistered().len() {
+            term.machine_shard.confirm_registered(&machine);
         }
-        reign.m.note_older_leaders_stopped(at(now));
-        reign.home.expire_leases(at(now), &reign.m);
-        let digest = |r: &Reign| r.home.status_delta(at(now), &r.m, 0, 0, |_| Some(ROOM)).machines.pop();
-        let Some(d) = digest(&reign) else { continue };
+        term.membership.note_older_leaders_stopped(at(now));
+        term.machine_shard.expire_leases(at(now), &term.membership);
+        let read_status = |term: &LeaderTerm| {
+            term.machine_shard.status_delta(at(now), &term.membership, 0, 0, |_| Some(ROOM)).machines.pop()
+        };
+        let Some(status) = read_status(&term) else { continue };
         // The job leader: one attempt at a time, unknown attempts are kept, ended ones may be forgotten.
-        let wish = |attempt, want| DesiredTask {
+        let desired_task = |attempt, action| DesiredTask {
             key: TaskKey { job: job.clone(), index: 0, attempt },
             machine: machine.clone(),
             resources: Resources { cpus: 1000, gpus: 0, memory: 1000 },
-            action: want,
+            action,
             priority: 0,
             image: 0,
         };
-        let mut list: Vec<DesiredTask> = Vec::new();
-        for t in &d.tasks {
-            let want = match t.phase {
+        let mut desired_tasks: Vec<DesiredTask> = Vec::new();
+        for task in &status.tasks {
+            let action = match task.phase {
                 TaskPhase::Exited(_) => DesiredAction::Forget,
                 TaskPhase::Held | TaskPhase::Queued | TaskPhase::InDoubt => DesiredAction::Run,
                 _ => DesiredAction::Keep,
             };
-            list.push(wish(t.key.attempt, want));
+            desired_tasks.push(desired_task(task.key.attempt, action));
         }
-        if d.inventory_state == InventoryState::Known
-            && !d.tasks.iter().any(|t| !matches!(t.phase, TaskPhase::Exited(_)))
+        if status.inventory_state == InventoryState::Known
+            && !status.tasks.iter().any(|task| !matches!(task.phase, TaskPhase::Exited(_)))
         {
-            reign.starts += 1;
-            list.push(wish((reign.m.epoch << 24) + reign.starts, DesiredAction::Run));
+            term.start_count += 1;
+            desired_tasks
+                .push(desired_task((term.membership.epoch << 24) + term.start_count, DesiredAction::Run));
         }
-        reign.rev += 1;
-        let wishes = DesiredState { revision: reign.rev, base_revision: 0, tasks: list, removed: Vec::new() };
-        let m = reign.m.clone();
-        reign.home.apply_desired_state(at(now), 0, &wishes, &m, |_| Some(ROOM));
-        let Some(d) = digest(&reign) else { continue };
-        if d.inventory_state == InventoryState::Known {
-            for (attempt, _) in w.tasks.iter().filter(|(_, ended)| !**ended) {
-                let listed = d.tasks.iter().any(|t| t.key.attempt == *attempt);
+        term.revision += 1;
+        let desired_state = DesiredState {
+            revision: term.revision,
+            base_revision: 0,
+            tasks: desired_tasks,
+            removed: Vec::new(),
+        };
+        let membership = term.membership.clone();
+        term.machine_shard.apply_desired_state(at(now), 0, &desired_state, &membership, |_| Some(ROOM));
+        let Some(status) = read_status(&term) else { continue };
+        if status.inventory_state == InventoryState::Known {
+            for (attempt, _) in worker.tasks.iter().filter(|(_, ended)| !**ended) {
+                let is_listed = status.tasks.iter().any(|task| task.key.attempt == *attempt);
                 assert!(
-                    listed,
-                    "seed {seed}, {now} ms, epoch {}: attempt {attempt} runs and is not listed",
-                    m.epoch
+                    is_listed,
+                    "seed {seed}, {now} ms, epoch {}: attempt {attempt} runs and is not reported",
+                    membership.epoch
                 );
             }
         }
-        look(now, &reign, &d);
+        inspect(now, &term, &status);
     }
-    w
+    worker
 }
 
 /// Copies, delayed heartbeats, spans without responses and new machine leaders at random times.
 #[test]
 fn what_a_home_says_is_not_on_a_machine_is_not() {
-    let (mut started, mut sessions) = (0, 0);
+    let (mut started, mut incarnations) = (0, 0);
     for seed in 0..60 {
         let mut rng = StdRng::seed_from_u64(1000 + seed);
-        let mut deaf = Vec::new();
-        let mut t = 0;
-        while t < 600_000 {
-            let from = t + rng.random_range(5_000..90_000);
-            t = from + rng.random_range(2_000..120_000);
-            deaf.push((from, t));
+        let mut deaf_spans = Vec::new();
+        let mut time_ms = 0;
+        while time_ms < 600_000 {
+            let from = time_ms + rng.random_range(5_000..90_000);
+            time_ms = from + rng.random_range(2_000..120_000);
+            deaf_spans.push((from, time_ms));
         }
-        let w = play(seed, &deaf, 600_000, |_, _, _| {});
-        started += w.ever.len();
-        sessions += w.session;
+        let worker = simulate(seed, &deaf_spans, 600_000, |_, _, _| {});
+        started += worker.started_attempts.len();
+        incarnations += worker.incarnation;
     }
-    assert!(started > 600 && sessions > 300, "{started} starts, {sessions} sessions: nothing was tried");
+    assert!(
+        started > 600 && incarnations > 300,
+        "{started} starts, {incarnations} incarnations: the scenario was not covered"
+    );
 }
 
 /// A machine that reports but receives nothing blocks its tasks only for a bounded time, and gets no new commands.
 #[test]
 fn a_deaf_machine_is_waited_for_only_until_what_others_began_is_over() {
-    let mut late = 0;
+    let mut late_check_count = 0;
     for seed in 0..40 {
-        let mut since = None;
-        play(seed, &[(15_000, 400_000)], 400_000, |now, reign, d| {
+        let mut first_checked_at = None;
+        simulate(seed, &[(15_000, 400_000)], 400_000, |now, term, status| {
             // A store lease, until the other leaders have stopped; the worker's lease; its request timeout, and two
             // heartbeats.
-            let bound = 6_000 + LEASE + 4_000 + 2 * 5_000 + 1_500;
+            let bound_ms = 6_000 + LEASE + 4_000 + 2 * 5_000 + 1_500;
             // A heartbeat that arrived just before that may have been answered, which adds one lease.
-            let worst = bound + LEASE;
-            if reign.m.epoch > 7 && now > reign.began + worst {
-                assert_eq!(d.inventory_state, InventoryState::Known, "seed {seed}, {now} ms");
-                late += 1;
+            let worst_bound_ms = bound_ms + LEASE;
+            if term.membership.epoch > 7 && now > term.began_at_ms + worst_bound_ms {
+                assert_eq!(status.inventory_state, InventoryState::Known, "seed {seed}, {now} ms");
+                late_check_count += 1;
             }
             // Three heartbeats without the fencing token show that the worker receives nothing.
-            if reign.m.epoch > 7 && now > *since.get_or_insert(now) + 20_000 {
+            if term.membership.epoch > 7 && now > *first_checked_at.get_or_insert(now) + 20_000 {
                 assert!(
-                    !d.is_schedulable,
-                    "seed {seed}, {now} ms: it would get tasks that it never hears of"
+                    !status.is_schedulable,
+                    "seed {seed}, {now} ms: it would get tasks whose commands it never receives"
                 );
             }
         });
     }
-    assert!(late > 1000, "{late}");
+    assert!(late_check_count > 1000, "{late_check_count}");
 }
--- a/tests/town/mod.rs
+++ b/tests/town/mod.rs
@@ -24,16 +24,16 @@
 pub const STEP: Micros = Micros::from_millis(100);
 
 struct Entry {
-    room: Resources,
+    resources: Resources,
     priority: u8,
     phase: TaskPhase,
-    want: DesiredAction,
+    action: DesiredAction,
     since: Micros,
 }
 
 pub struct Machine {
     name: String,
-    kind: String,
+    machine_type: String,
     zone: String,
     spot: bool,
     total: Resources,
@@ -43,20 +43,22 @@
 
 impl Machine {
     fn free(&self) -> Resources {
-        let alive = self.entries.values().filter(|e| !matches!(e.phase, TaskPhase::Exited(_)));
-        alive.fold(self.total, |a, e| a - e.room)
+        let unfinished = self.entries.values().filter(|e| !matches!(e.phase, TaskPhase::Exited(_)));
+        unfinished.fold(self.total, |a, e| a - e.resources)
     }
-    fn digest(&self, m: &Membership, to: usize) -> MachineStatus {
-        let alive = || self.entries.values().filter(|e| !matches!(e.phase, TaskPhase::Exited(_)));
+    fn status(&self, membership: &Membership, receiver: usize) -> MachineStatus {
+        let unfinished =
+            || self.entries.values().filter(|entry| !matches!(entry.phase, TaskPhase::Exited(_)));
         let mut sums: BTreeMap<u8, Resources> = BTreeMap::new();
-        for e in alive().filter(|e| !matches!(e.want, DesiredAction::Stop(_))) {
-            let sum = sums.entry(e.priority).or_default();
-            *sum = *sum + e.room;
+        for entry in unfinished().filter(|entry| !matches!(entry.action, DesiredAction::Stop(_))) {
+            let sum = sums.entry(entry.priority).or_default();
+            *sum = *sum + entry.resources;
         }
-        let mine = self.entries.iter().filter(|(k, _)| m.job_leader(&k.job) == Some(to));
+        let receiver_entries =
+            self.entries.iter().filter(|(k, _)| membership.job_leader(&k.job) == Some(receiver));
         MachineStatus {
             name: self.name.clone(),
-            machine_type: self.kind.clone(),
+            machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
             inventory_state: if self.alive { InventoryState::Known } else { InventoryState::Gone },
@@ -66,54 +68,56 @@
             total: self.total,
             used_by_priority: sums.into_iter().collect(),
             images: Vec::new(),
-            task_count: alive().count() as u32,
+            task_count: unfinished().count() as u32,
             idle_time: self.entries.is_empty().then_some(Micros(0)),
             silent_time: None,
-            tasks: mine.map(|(k, e)| ObservedTask { key: k.clone(), phase: e.phase }).collect(),
+            tasks: receiver_entries
+                .map(|(k, entry)| ObservedTask { key: k.clone(), phase: entry.phase })
+                .collect(),
         }
     }
 }
 
-pub struct Asked {
+pub struct SubmittedJob {
     pub spec: JobSpec,
-    run: Micros,
-    pub at: Micros,
-    pub begun: Option<Micros>,
-    pub done: Option<Micros>,
+    run_time: Micros,
+    pub submitted_at: Micros,
+    pub started_at: Option<Micros>,
+    pub ended_at: Option<Micros>,
     pub stopped: u32,
     running: BTreeSet<u32>,
 }
 
-pub struct Town {
+pub struct Simulation {
     pub now: Micros,
     pub rng: StdRng,
     settings: Vec<Settings>,
     members: Vec<Membership>,
-    owners: Vec<JobShard>,
+    job_leaders: Vec<JobShard>,
     quota: Vec<QuotaLedger>,
     record: BTreeMap<String, (Value, u64)>,
     store_version: u64,
     autoscaler: Autoscaler,
     pub types: Vec<MachineType>,
     pub machines: Vec<Machine>,
-    wishes: Vec<(Micros, usize, usize, DesiredState)>,
-    digests: Vec<(Micros, usize, usize, MachineStatusDelta)>,
-    seen: Vec<[u64; 3]>,
+    desired_states: Vec<(Micros, usize, usize, DesiredState)>,
+    status_messages: Vec<(Micros, usize, usize, MachineStatusDelta)>,
+    revisions_seen: Vec<[u64; 3]>,
     seq: u64,
     epoch: u64,
     loaded_at: Vec<Micros>,
-    pub jobs: BTreeMap<String, Asked>,
-    raws: BTreeMap<String, Value>,
+    pub jobs: BTreeMap<String, SubmittedJob>,
+    submissions: BTreeMap<String, Value>,
     pub placed: u64,
     pub refused: u64,
 }
 
-fn settings(me: usize, teams: &str) -> Settings {
+fn settings(index: usize, teams: &str) -> Settings {
     let seed =
         |i: usize| format!("[[seeds]]\nmember = \"c{i}\"\nlocation = \"a\"\naddr = \"10.0.0.{i}:1\"\n");
-    let seeds: String = (0..3).filter(|&i| i != me).map(seed).collect();
+    let seeds: String = (0..3).filter(|&i| i != index).map(seed).collect();
     let text = format!(
-        "member = \"c{me}\"\nlocation = \"a\"\napi_addr = \"10.0.0.{me}:2\"\nback = \"10.0.0.{me}:1\"\n{seeds}[outside]\n\
+        "member = \"c{index}\"\nlocation = \"a\"\napi_addr = \"10.0.0.{index}:2\"\nback = \"10.0.0.{index}:1\"\n{seeds}[outside]\n\
         cloud = \"10.2.0.2:1\"\nstate = \"10.2.0.1:1\"\n[settings]\n{teams}[settings.workers]\nreport_s = 5.0\n\
         lease_s = 26.5\ngang_wait_s = 40.0\ngang_peer_s = 8.0\ncancel_s = 56.5\n[settings.state]\nrps = 400.0\n\
         write_rps = 35.0\nvalue_kb = 4.0\ntxn_ops = 12\n[settings.cloud]\nrps = 4.0\nlist_lag_s = 8.0\n"
@@ -121,14 +125,14 @@
     Settings::parse("town", &text).expect("valid settings")
 }
 
-impl Town {
-    pub fn new(seed: u64, teams: &str, types: Vec<MachineType>) -> Town {
+impl Simulation {
+    pub fn new(seed: u64, teams: &str, types: Vec<MachineType>) -> Simulation {
         let settings: Vec<Settings> = (0..3).map(|i| settings(i, teams)).collect();
-        let mut t = Town {
+        let mut simulation = Simulation {
             now: Micros(100_000_000),
             rng: StdRng::seed_from_u64(seed),
             members: settings.iter().map(|s| Membership::new(s, 1)).collect(),
-            owners: settings.iter().map(JobShard::new).collect(),
+            job_leaders: settings.iter().map(JobShard::new).collect(),
             quota: settings.iter().map(|s| QuotaLedger::new(&s.teams)).collect(),
             record: BTreeMap::new(),
             store_version: 1,
@@ -136,80 +140,102 @@
             settings,
             types,
             machines: Vec::new(),
-            wishes: Vec::new(),
-            digests: Vec::new(),
-            seen: vec![[0; 3]; 3],
+            desired_states: Vec::new(),
+            status_messages: Vec::new(),
+            revisions_seen: vec![[0; 3]; 3],
             seq: 0,
             epoch: 0,
             loaded_at: vec![Micros(0); 3],
             jobs: BTreeMap::new(),
-            raws: BTreeMap::new(),
+            submissions: BTreeMap::new(),
             placed: 0,
             refused: 0,
         };
-        t.new_epoch(&[0, 1, 2]);
-        t
+        simulation.new_epoch(&[0, 1, 2]);
+        simulation
     }
 
-    pub fn add_machines(&mut self, kind: &str, zone: &str, spot: bool, n: usize) {
-        let total = self.types.iter().find(|t| t.name == kind).expect("a known type").capacity();
-        for _ in 0..n {
+    pub fn add_machines(&mut self, machine_type: &str, zone: &str, spot: bool, count: usize) {
+        let total = self.types.iter().find(|t| t.name == machine_type).expect("a known type").capacity();
+        for _ in 0..count {
             let name = format!("i-{:06}", self.machines.len());
-            let (kind, zone) = (kind.to_owned(), zone.to_owned());
-            let m = Machine { name, kind, zone, spot, total, alive: true, entries: BTreeMap::new() };
-            self.machines.push(m);
+            let (machine_type, zone) = (machine_type.to_owned(), zone.to_owned());
+            let machine =
+                Machine { name, machine_type, zone, spot, total, alive: true, entries: BTreeMap::new() };
+            self.machines.push(machine);
         }
     }
 
     /// Begins a new epoch with these members. Earlier messages are lost, and jobs move to their new leaders.
     pub fn new_epoch(&mut self, members: &[usize]) {
         self.epoch += 1;
-        let list = members.iter().map(|i| (format!("c{i}"), 1)).collect();
-        let record = EpochRecord { epoch: self.epoch, members: list };
-        self.wishes.clear();
-        self.digests.clear();
+        let member_list = members.iter().map(|i| (format!("c{i}"), 1)).collect();
+        let record = EpochRecord { epoch: self.epoch, members: member_list };
+        self.desired_states.clear();
+        self.status_messages.clear();
         for i in 0..3 {
-            let follows = self.members[i].adopt_epoch(self.now, &record, self.store_version);
-            self.owners[i].adopt_epoch(&self.members[i], follows);
+            let is_consecutive = self.members[i].adopt_epoch(self.now, &record, self.store_version);
+            self.job_leaders[i].adopt_epoch(&self.members[i], is_consecutive);
             self.quota[i].begin_epoch();
-            self.seen[i] = [0; 3];
-            for (id, raw) in &self.raws {
-                let a = &self.jobs[id];
-                if self.members[i].job_leader(id) == Some(i) && a.done.is_none() {
-                    let spec = a.spec.clone();
-                    self.owners[i].insert_job(raw.clone(), spec, a.at, TaskIndexSet::default(), 1, false);
+            self.revisions_seen[i] = [0; 3];
+            for (id, raw) in &self.submissions {
+                let job = &self.jobs[id];
+                if self.members[i].job_leader(id) == Some(i) && job.ended_at.is_none() {
+                    let spec = job.spec.clone();
+                    self.job_leaders[i].insert_job(
+                        raw.clone(),
+                        spec,
+                        job.submitted_at,
+                        TaskIndexSet::default(),
+                        1,
+                        false,
+                    );
                 }
             }
-            let names: Vec<String> =
+            let machine_names: Vec<String> =
                 self.machines.iter().filter(|x| x.alive).map(|x| x.name.clone()).collect();
-            self.owners[i].finish_loading(names.into_iter());
+            self.job_leaders[i].finish_loading(machine_names.into_iter());
             self.loaded_at[i] = self.now;
         }
     }
 
-    pub fn submit(&mut self, raw: Value, run: Micros) {
+    pub fn submit(&mut self, raw: Value, run_time: Micros) {
         let spec = JobSpec::from_value(&raw).expect("a valid description");
         let id = spec.id.clone();
-        let owner = self.members[0].job_leader(&id).expect("owned");
-        self.owners[owner].insert_job(raw.clone(), spec.clone(), self.now, TaskIndexSet::default(), 1, true);
-        let asked =
-            Asked { spec, run, at: self.now, begun: None, done: None, stopped: 0, running: BTreeSet::new() };
-        self.jobs.insert(id.clone(), asked);
-        self.raws.insert(id, raw);
+        let leader = self.members[0].job_leader(&id).expect("a job leader");
+        self.job_leaders[leader].insert_job(
+            raw.clone(),
+            spec.clone(),
+            self.now,
+            TaskIndexSet::default(),
+            1,
+            true,
+        );
+        let submitted_job = SubmittedJob {
+            spec,
+            run_time,
+            submitted_at: self.now,
+            started_at: None,
+            ended_at: None,
+            stopped: 0,
+            running: BTreeSet::new(),
+        };
+        self.jobs.insert(id.clone(), submitted_job);
+        self.submissions.insert(id, raw);
     }
 
     /// Resources in use on all machines, and their capacity.
-    pub fn in_use(&self) -> (Resources, Resources) {
-        let alive = || self.machines.iter().filter(|m| m.alive);
-        let all = alive().fold(Resources::default(), |a, m| a + m.total);
-        (alive().fold(all, |a, m| a - m.free()), all)
+    pub fn resources_in_use(&self) -> (Resources, Resources) {
+        let live_machines = || self.machines.iter().filter(|m| m.alive);
+        let capacity = live_machines().fold(Resources::default(), |a, m| a + m.total);
+        (live_machines().fold(capacity, |a, m| a - m.free()), capacity)
     }
 
-    pub fn team_in_use(&self, team: &str) -> Resources {
-        let of = |k: &TaskKey| self.jobs[&k.job].spec.team == team;
+    pub fn team_resources_in_use(&self, team: &str) -> Resources {
+        let is_of_team = |k: &TaskKey| self.jobs[&k.job].spec.team == team;
         let entries = self.machines.iter().flat_map(|m| &m.entries);
-        let on = entries.filter(|(k, e)| of(k) && !matches!(e.phase, TaskPhase::Exited(_)));
-        on.fold(Resources::default(), |a, (_, e)| a + e.room)
+        let unfinished = entries.filter(|(k, e)| is_of_team(k) && !matches!(e.phase, TaskPhase::Exited(_)));
+        unfinished.fold(Resources::default(), |a, (_, e)| a + e.resources)
     }
 
     pub fn step(&mut self) {
@@ -218,191 +244,226 @@
         self.deliver();
         let now = self.now;
         for i in 0..3 {
-            self.claims(i);
-            let m = &self.members[i];
-            self.owners[i].run_scheduling_pass(now, now, m, &self.quota[i]);
-            self.make_room(i);
-            while let Some((id, w, _)) = self.owners[i].next_write(now, true) {
-                if let RecordWrite::End(f, _) = w {
-                    self.owners[i].end_job(&id, f);
-                    let a = self.jobs.get_mut(&id).expect("asked");
-                    a.done = Some(now);
+            self.update_quota(i);
+            let membership = &self.members[i];
+            self.job_leaders[i].run_scheduling_pass(now, now, membership, &self.quota[i]);
+            self.preempt(i);
+            while let Some((id, write, _)) = self.job_leaders[i].next_write(now, true) {
+                if let RecordWrite::End(outcome, _) = write {
+                    self.job_leaders[i].end_job(&id, outcome);
+                    let job = self.jobs.get_mut(&id).expect("a submitted job");
+                    job.ended_at = Some(now);
                 }
             }
-            while let Some((id, w, store_version)) = self.owners[i].next_write(now, false) {
-                if let RecordWrite::Progress(_, kept) = w {
-                    self.owners[i].confirm_progress(now, &id, kept, store_version);
+            while let Some((id, write, store_version)) = self.job_leaders[i].next_write(now, false) {
+                if let RecordWrite::Progress(_, completed) = write {
+                    self.job_leaders[i].confirm_progress(now, &id, completed, store_version);
                 }
             }
         }
         for i in 0..3 {
-            for home in 0..3 {
-                if self.owners[i].has_changes_for(home, &self.members[i]) {
-                    let w = self.owners[i].next_desired_state(home, &self.members[i]);
-                    let lag = if home == i { 0 } else { 50_000 + self.rng.random_range(0..100_000) };
-                    self.wishes.push((now + Micros(lag), i, home, w));
+            for machine_leader in 0..3 {
+                if self.job_leaders[i].has_changes_for(machine_leader, &self.members[i]) {
+                    let desired_state =
+                        self.job_leaders[i].next_desired_state(machine_leader, &self.members[i]);
+                    let delay_us =
+                        if machine_leader == i { 0 } else { 50_000 + self.rng.random_range(0..100_000) };
+                    self.desired_states.push((now + Micros(delay_us), i, machine_leader, desired_state));
                 }
             }
         }
         if (now.0 / STEP.0).is_multiple_of(8) {
-            self.talk();
+            self.exchange_messages();
         }
     }
 
-    fn make_room(&mut self, i: usize) {
-        self.owners[i].preempt_tasks(self.now, &self.members[i]);
+    fn preempt(&mut self, i: usize) {
+        self.job_leaders[i].preempt_tasks(self.now, &self.members[i]);
     }
 
     /// Reservations, demands, and the messages of the scaling leader.
-    fn talk(&mut self) {
+    fn exchange_messages(&mut self) {
         let now = self.now;
         for i in 0..3 {
-            let list = self.owners[i].reservations().to_vec();
+            let reservations = self.job_leaders[i].reservations().to_vec();
             for j in (0..3).filter(|&j| j != i) {
-                self.owners[j].apply_peer_reservations(now, i, list.clone());
+                self.job_leaders[j].apply_peer_reservations(now, i, reservations.clone());
             }
-            let d = self.owners[i].demands();
-            self.autoscaler.record_demand(now, i, d);
+            let demands = self.job_leaders[i].demands();
+            self.autoscaler.record_demand(now, i, demands);
         }
-        let digests = self
+        let live_snapshots = self
             .machines
             .iter()
             .filter(|m| m.alive)
-            .map(|x| MachineSnapshot::new(now, x.digest(&self.members[0], 3)));
-        let seen: Vec<MachineSnapshot> = digests.collect();
-        let all: Vec<&MachineSnapshot> = seen.iter().collect();
+            .map(|x| MachineSnapshot::new(now, x.status(&self.members[0], 3)));
+        let snapshots: Vec<MachineSnapshot> = live_snapshots.collect();
+        let fleet_machines: Vec<&MachineSnapshot> = snapshots.iter().collect();
         for _ in 0..4 {
             let fleet = FleetView {
-                machines: &all,
+                machines: &fleet_machines,
                 all_reported: true,
                 failover_complete: true,
                 members: &[0, 1, 2],
             };
-            let Some(r) = self.autoscaler.next_request(now, Some(fleet)) else { break };
-            let answer = match &r {
+            let Some(request) = self.autoscaler.next_request(now, Some(fleet)) else { break };
+            let answer = match &request {
                 CloudRequest::MachineTypes => CloudAnswer::MachineTypes(self.types.clone()),
                 CloudRequest::List(_) => CloudAnswer::Page(Vec::<CloudMachine>::new(), false),
                 CloudRequest::ScaleOut(_) => CloudAnswer::NoCapacity,
                 CloudRequest::ScaleIn(_) => CloudAnswer::Failed,
             };
-            self.autoscaler.apply_answer(now, &r, answer);
+            self.autoscaler.apply_answer(now, &request, answer);
         }
-        for o in &mut self.owners {
-            o.apply_autoscaler_reservations(
+        for leader in &mut self.job_leaders {
+            leader.apply_autoscaler_reservations(
                 self.autoscaler.reserved_classes(),
                 self.autoscaler.reserved_machines(),
             );
         }
     }
 
-    fn claims(&mut self, i: usize) {
+    fn update_quota(&mut self, i: usize) {
         let now = self.now;
-        let needs = self.owners[i].quota_needs(&self.quota[i]);
+        let needs = self.job_leaders[i].quota_needs(&self.quota[i]);
         for team in self.quota[i].next_reads(now, &needs) {
             let row = self.record.get(&team);
-            self.quota[i].apply_record(&team, row.map(|(v, m)| (v, *m)));
+            self.quota[i].apply_record(&team, row.map(|(value, version)| (value, *version)));
         }
         for team in self.quota[i].team_names() {
-            let list = needs.get(&team).cloned().unwrap_or_default();
-            let m = &self.members[i];
-            let owner = &self.owners[i];
-            let mine = |j: &str| m.job_leader(j) == Some(i);
+            let team_needs = needs.get(&team).cloned().unwrap_or_default();
+            let membership = &self.members[i];
+            let leader = &self.job_leaders[i];
+            let is_led_locally = |j: &str| membership.job_leader(j) == Some(i);
             let input = AllocationInput {
                 team: &team,
-                needs: &list,
-                is_led_locally: &mine,
-                can_release: &|j| owner.has_released_resources(j),
+                needs: &team_needs,
+                is_led_locally: &is_led_locally,
+                can_release: &|j| leader.has_released_resources(j),
                 value_bytes: 4096,
             };
-            let w = self.quota[i].next_write(now, &input);
-            let Some(w) = w else { continue };
-            self.quota[i].begin_write(now, &w);
-            if self.record.get(&team).map_or(0, |r| r.1) != w.base_version {
-                self.quota[i].fail_write(&w, true);
+            let write = self.quota[i].next_write(now, &input);
+            let Some(write) = write else { continue };
+            self.quota[i].begin_write(now, &write);
+            if self.record.get(&team).map_or(0, |r| r.1) != write.base_version {
+                self.quota[i].fail_write(&write, true);
                 continue;
             }
             self.store_version += 1;
-            self.record.insert(team.clone(), (w.value.clone(), self.store_version));
-            self.quota[i].commit_write(w, self.store_version);
+            self.record.insert(team.clone(), (write.value.clone(), self.store_version));
+            self.quota[i].commit_write(write, self.store_version);
         }
     }
 
     fn deliver(&mut self) {
-        let (now, mut later) = (self.now, Vec::new());
-        for (at, from, home, w) in std::mem::take(&mut self.wishes) {
-            if at > now {
-                later.push((at, from, home, w));
+        let (now, mut pending) = (self.now, Vec::new());
+        for (due_at, sender, machine_leader, desired_state) in std::mem::take(&mut self.desired_states) {
+            if due_at > now {
+                pending.push((due_at, sender, machine_leader, desired_state));
                 continue;
             }
-            self.seen[home][from] = self.seen[home][from].max(w.revision);
-            for x in w.tasks {
-                let m = self.machines.iter_mut().find(|m| m.name == x.machine).expect("a machine");
-                let shown = x.priority;
-                if let Some(e) = m.entries.get_mut(&x.key) {
-                    e.priority = shown;
-                    match (x.action, e.phase) {
+            self.revisions_seen[machine_leader][sender] =
+                self.revisions_seen[machine_leader][sender].max(desired_state.revision);
+            for task in desired_state.tasks {
+                let machine =
+                    self.machines.iter_mut().find(|machine| machine.name == task.machine).expect("a machine");
+                let task_priority = task.priority;
+                if let Some(entry) = machine.entries.get_mut(&task.key) {
+                    entry.priority = task_priority;
+                    match (task.action, entry.phase) {
                         (DesiredAction::Forget, _) => {
-                            m.entries.remove(&x.key);
+                            machine.entries.remove(&task.key);
                             continue;
                         }
                         (DesiredAction::Run, TaskPhase::Held) => {
-                            (e.phase, e.since) = (TaskPhase::Queued, now)
+                            (entry.phase, entry.since) = (TaskPhase::Queued, now)
                         }
                         (DesiredAction::Stop(_), TaskPhase::Held | TaskPhase::Queued) => {
-                            m.entries.remove(&x.key);
+                            machine.entries.remove(&task.key);
                             continue;
                         }
                         _ => {}
                     }
-                    e.want = x.action;
-                } else if matches!(x.action, DesiredAction::Run | DesiredAction::Hold) {
+                    entry.action = task.action;
+                } else if matches!(task.action, DesiredAction::Run | DesiredAction::Hold) {
                     self.placed += 1;
-                    if m.alive && m.free().can_hold(x.resources) {
-                        let phase =
-                            if x.action == DesiredAction::Run { TaskPhase::Queued } else { TaskPhase::Held };
-                        m.entries.insert(
-                            x.key,
-                            Entry { room: x.resources, priority: shown, phase, want: x.action, since: now },
+                    if machine.alive && machine.free().can_hold(task.resources) {
+                        let phase = if task.action == DesiredAction::Run {
+                            TaskPhase::Queued
+                        } else {
+                            TaskPhase::Held
+                        };
+                        machine.entries.insert(
+                            task.key,
+                            Entry {
+                                resources: task.resources,
+                                priority: task_priority,
+                                phase,
+                                action: task.action,
+                                since: now,
+                            },
                         );
                     } else {
                         self.refused += 1;
                     }
                 }
             }
-            for (machine, key) in w.removed {
-                let m = self.machines.iter_mut().find(|m| m.name == machine).expect("a machine");
-                if m.entries.get(&key).is_some_and(|e| matches!(e.phase, TaskPhase::Held | TaskPhase::Queued))
+            for (machine_name, key) in desired_state.removed {
+                let machine =
+                    self.machines.iter_mut().find(|machine| machine.name == machine_name).expect("a machine");
+                if machine
+                    .entries
+                    .get(&key)
+                    .is_some_and(|entry| matches!(entry.phase, TaskPhase::Held | TaskPhase::Queued))
                 {
-                    m.entries.remove(&key);
+                    machine.entries.remove(&key);
                 }
             }
         }
-        self.wishes.append(&mut later);
-        for (at, home, to, d) in std::mem::take(&mut self.digests) {
-            if at > now {
-                self.digests.push((at, home, to, d));
+        self.desired_states.append(&mut pending);
+        for (due_at, machine_leader, receiver, status_delta) in std::mem::take(&mut self.status_messages) {
+            if due_at > now {
+                self.status_messages.push((due_at, machine_leader, receiver, status_delta));
             } else {
-                self.owners[to].apply_machine_status(now, &self.members[to], home, d);
+                self.job_leaders[receiver].apply_machine_status(
+                    now,
+                    &self.members[receiver],
+                    machine_leader,
+                    status_delta,
+                );
             }
         }
         self.seq += 1;
-        for home in 0..3 {
-            for to in 0..3 {
-                let m = &self.members[to];
-                let here = self.machines.iter().filter(|x| m.machine_leader(&x.name) == Some(home));
-                let machines = here.map(|x| x.digest(m, to)).collect();
-                let rev_seen = self.seen[home][to];
-                let d = MachineStatusDelta {
+        for machine_leader in 0..3 {
+            for receiver in 0..3 {
+                let membership = &self.members[receiver];
+                let led_machines = self
+                    .machines
+                    .iter()
+                    .filter(|machine| membership.machine_leader(&machine.name) == Some(machine_leader));
+                let machines = led_machines.map(|machine| machine.status(membership, receiver)).collect();
+                let revision_seen = self.revisions_seen[machine_leader][receiver];
+                let status_delta = MachineStatusDelta {
                     sequence: (self.epoch << 32) + self.seq,
                     base_sequence: 0,
-                    revision_seen: rev_seen,
+                    revision_seen,
                     machines,
                 };
-                if home == to {
-                    self.owners[to].apply_machine_status(now, &self.members[to], home, d);
+                if machine_leader == receiver {
+                    self.job_leaders[receiver].apply_machine_status(
+                        now,
+                        &self.members[receiver],
+                        machine_leader,
+                        status_delta,
+                    );
                 } else {
-                    let lag = 50_000 + self.rng.random_range(0..100_000);
-                    self.digests.push((now + Micros(lag), home, to, d));
+                    let delay_us = 50_000 + self.rng.random_range(0..100_000);
+                    self.status_messages.push((
+                        now + Micros(delay_us),
+                        machine_leader,
+                        receiver,
+                        status_delta,
+                    ));
                 }
             }
         }
@@ -410,76 +471,78 @@
 
     fn run_tasks(&mut self) {
         let now = self.now;
-        let mut going: BTreeMap<(String, u64), u32> = BTreeMap::new();
-        for (k, e) in self.machines.iter().flat_map(|m| &m.entries) {
-            if matches!(e.phase, TaskPhase::Waiting | TaskPhase::Running) {
-                *going.entry((k.job.clone(), k.attempt)).or_default() += 1;
+        let mut live_task_counts: BTreeMap<(String, u64), u32> = BTreeMap::new();
+        for (key, entry) in self.machines.iter().flat_map(|machine| &machine.entries) {
+            if matches!(entry.phase, TaskPhase::Waiting | TaskPhase::Running) {
+                *live_task_counts.entry((key.job.clone(), key.attempt)).or_default() += 1;
             }
         }
-        for m in self.machines.iter_mut().filter(|m| m.alive) {
-            for (k, e) in &mut m.entries {
-                let a = self.jobs.get_mut(&k.job).expect("asked");
-                let all = going.get(&(k.job.clone(), k.attempt)).copied() == Some(a.spec.task_count);
-                let ready = a.spec.kind != JobKind::Gang || all;
-                let next = match (e.phase, e.want) {
+        for machine in self.machines.iter_mut().filter(|machine| machine.alive) {
+            for (key, entry) in &mut machine.entries {
+                let job = self.jobs.get_mut(&key.job).expect("a submitted job");
+                let is_whole_gang_live = live_task_counts.get(&(key.job.clone(), key.attempt)).copied()
+                    == Some(job.spec.task_count);
+                let can_run = job.spec.kind != JobKind::Gang || is_whole_gang_live;
+                let next_phase = match (entry.phase, entry.action) {
                     (TaskPhase::Exited(_) | TaskPhase::Held, _) => continue,
-                    (TaskPhase::Saving, _) if now.since(e.since) >= a.spec.checkpoint_duration => {
+                    (TaskPhase::Saving, _) if now.since(entry.since) >= job.spec.checkpoint_duration => {
                         TaskPhase::Exited(TaskExit::Stopped(true))
                     }
                     (TaskPhase::Saving, _) => continue,
                     (TaskPhase::Running, DesiredAction::Stop(grace)) if grace.0 > 0 => TaskPhase::Saving,
                     (_, DesiredAction::Stop(_)) => TaskPhase::Exited(TaskExit::Stopped(false)),
-                    (TaskPhase::Queued, _) if now.since(e.since) > Micros::from_millis(400) => {
+                    (TaskPhase::Queued, _) if now.since(entry.since) > Micros::from_millis(400) => {
                         TaskPhase::Waiting
                     }
-                    (TaskPhase::Waiting, _) if ready => {
-                        a.running.insert(k.index);
-                        if a.spec.kind != JobKind::Gang || a.running.len() == a.spec.task_count as usize {
-                            a.begun.get_or_insert(now);
+                    (TaskPhase::Waiting, _) if can_run => {
+                        job.running.insert(key.index);
+                        if job.spec.kind != JobKind::Gang || job.running.len() == job.spec.task_count as usize
+                        {
+                            job.started_at.get_or_insert(now);
                         }
                         TaskPhase::Running
                     }
                     (TaskPhase::Running, _)
-                        if a.spec.kind != JobKind::Service && now.since(e.since) >= a.run =>
+                        if job.spec.kind != JobKind::Service && now.since(entry.since) >= job.run_time =>
                     {
                         TaskPhase::Exited(TaskExit::Done)
                     }
                     _ => continue,
                 };
-                if matches!(next, TaskPhase::Exited(TaskExit::Stopped(_))) {
-                    a.stopped += 1;
-                    a.running.remove(&k.index);
+                if matches!(next_phase, TaskPhase::Exited(TaskExit::Stopped(_))) {
+                    job.stopped += 1;
+                    job.running.remove(&key.index);
                 }
-                (e.phase, e.since) = (next, now);
+                (entry.phase, entry.since) = (next_phase, now);
             }
         }
     }
 
     /// Removes a failed machine.
-    pub fn kill(&mut self, i: usize) {
+    pub fn remove_machine(&mut self, i: usize) {
         self.machines[i].alive = false;
         self.machines[i].entries.clear();
     }
 
     /// Jobs that have not started, and how long they have waited.
     pub fn waiting(&self) -> impl Iterator<Item = (&str, Micros)> {
-        let waits = self.jobs.iter().filter(|(_, a)| a.begun.is_none() && a.done.is_none());
-        waits.map(|(id, a)| (id.as_str(), self.now.since(a.at)))
+        let waiting_jobs = self.jobs.iter().filter(|(_, a)| a.started_at.is_none() && a.ended_at.is_none());
+        waiting_jobs.map(|(id, a)| (id.as_str(), self.now.since(a.submitted_at)))
     }
 
     /// The wait of each job until its start, or until now if it has not started.
-    pub fn waits(&self, of: impl Fn(&Asked) -> bool) -> Vec<Micros> {
-        let of_these = self.jobs.values().filter(|a| of(a));
-        of_these.map(|a| a.begun.unwrap_or(self.now).since(a.at)).collect()
+    pub fn wait_times(&self, is_selected: impl Fn(&SubmittedJob) -> bool) -> Vec<Micros> {
+        let selected = self.jobs.values().filter(|a| is_selected(a));
+        selected.map(|a| a.started_at.unwrap_or(self.now).since(a.submitted_at)).collect()
     }
 
     /// Returns a team whose resources in use exceed its limit.
-    pub fn over_limit(&self) -> Option<String> {
-        for t in &self.settings[0].teams {
-            let used = self.team_in_use(&t.name);
-            let over = |have: i64, most: f64| most > 0.0 && have > (most * 1000.0) as i64;
-            if over(used.cpus, t.cpus_max) || over(used.gpus, t.gpus_max) {
-                return Some(t.name.clone());
+    pub fn team_over_limit(&self) -> Option<String> {
+        for team in &self.settings[0].teams {
+            let used = self.team_resources_in_use(&team.name);
+            let is_over = |amount: i64, limit: f64| limit > 0.0 && amount > (limit * 1000.0) as i64;
+            if is_over(used.cpus, team.cpus_max) || is_over(used.gpus, team.gpus_max) {
+                return Some(team.name.clone());
             }
         }
         None
