--- a/crates/gpu_lending/src/ledger.rs
+++ b/crates/gpu_lending/src/ledger.rs
@@ -133,7 +133,7 @@
     /// All loans, oldest first.
     pub loans: Vec<Loan>,
     /// The body's other fields, of no concern to loans; written back unchanged.
-    pub rest: Map<String, Value>,
+    pub other_fields: Map<String, Value>,
 }
 
 impl Ledger {
@@ -143,17 +143,18 @@
     /// If it is malformed.
     pub fn read(body: &Value) -> Result<Ledger, UnreadableLedger> {
         let error = |reason: &str| UnreadableLedger(reason.to_owned());
-        let mut rest = body.as_object().cloned().ok_or_else(|| error("it is no object"))?;
-        let fence = rest.remove("fence").and_then(|fence| fence.as_u64()).ok_or_else(|| error("fence"))?;
-        let loans = rest.remove("loans").ok_or_else(|| error("loans"))?;
+        let mut other_fields = body.as_object().cloned().ok_or_else(|| error("it is no object"))?;
+        let fence =
+            other_fields.remove("fence").and_then(|fence| fence.as_u64()).ok_or_else(|| error("fence"))?;
+        let loans = other_fields.remove("loans").ok_or_else(|| error("loans"))?;
         let loans = serde_json::from_value(loans).map_err(|e| UnreadableLedger(e.to_string()))?;
-        Ok(Ledger { fence, loans, rest })
+        Ok(Ledger { fence, loans, other_fields })
     }
 
     /// Encodes the record's body.
     #[must_use]
     pub fn body(&self) -> Value {
-        let mut body = self.rest.clone();
+        let mut body = self.other_fields.clone();
         body.insert("fence".into(), json!(self.fence));
         body.insert("loans".into(), json!(self.loans));
         Value::Object(body)
--- a/crates/release/src/readiness.rs
+++ b/crates/release/src/readiness.rs
@@ -110,7 +110,7 @@
     /// It may not start yet.
     Held {
         /// What it waits for; never empty.
-        why: Vec<Cause>,
+        causes: Vec<Cause>,
     },
 }
 
@@ -122,7 +122,7 @@
     members: Option<&[Member]>,
     state: impl Fn(&str) -> MemberState,
 ) -> Readiness {
-    let held_by = |cause| Readiness::Held { why: vec![cause] };
+    let held_by = |cause| Readiness::Held { causes: vec![cause] };
     let record = match cached_record {
         CachedRecord::NotRead => return held_by(Cause::Unread),
         CachedRecord::Absent => return held_by(Cause::NotOpened),
@@ -172,7 +172,7 @@
         }
     }
     if !causes.is_empty() {
-        return Readiness::Held { why: causes };
+        return Readiness::Held { causes };
     }
     match mark_rotated(record) {
         Ok(next) => Readiness::Ready(next),
--- a/crates/release/src/release_record.rs
+++ b/crates/release/src/release_record.rs
@@ -77,7 +77,7 @@
     pub by_hand: bool,
     /// Fields that this version of the code does not know; written back unchanged.
     #[serde(flatten)]
-    pub rest: Map<String, Value>,
+    pub unknown_fields: Map<String, Value>,
 }
 
 /// A member of a release: a rebuild or render that the rotation waits for.
@@ -142,7 +142,7 @@
             waived: BTreeMap::new(),
             rotated: false,
             by_hand: false,
-            rest: Map::new(),
+            unknown_fields: Map::new(),
         }
     }
 
--- a/crates/release/src/status.rs
+++ b/crates/release/src/status.rs
@@ -114,7 +114,7 @@
         match assess(cached_record, members, state) {
             Readiness::MayStart => {}
             Readiness::Ready(_) => status.state = "ready",
-            Readiness::Held { why: causes } => {
+            Readiness::Held { causes } => {
                 status.waits_for =
                     causes.into_iter().map(|cause| WaitCause { text: cause.to_string(), cause }).collect();
             }
--- a/crates/release/src/tests.rs
+++ b/crates/release/src/tests.rs
@@ -63,7 +63,7 @@
     state: impl Fn(&str) -> MemberState,
 ) -> Vec<String> {
     match assess(&CachedRecord::Present(record.clone()), Some(members), state) {
-        Readiness::Held { why } => why.iter().map(ToString::to_string).collect(),
+        Readiness::Held { causes } => causes.iter().map(ToString::to_string).collect(),
         other => panic!("{other:?}"),
     }
 }
@@ -209,14 +209,14 @@
     ] {
         assert_eq!(
             assess(&record, Some(&[]), all_in(MemberState::Done)),
-            Readiness::Held { why: vec![cause] }
+            Readiness::Held { causes: vec![cause] }
         );
     }
     let (head, members) = closed_release(&["b", "c"]);
     assert_eq!(members.len(), 3, "a rotation is not a member");
     assert_eq!(
         assess(&CachedRecord::Present(head.clone()), None, all_in(MemberState::Done)),
-        Readiness::Held { why: vec![Cause::Pages] }
+        Readiness::Held { causes: vec![Cause::Pages] }
     );
     let states = |id: &str| match id {
         "a" => MemberState::Done,
--- a/crates/release/tests/races.rs
+++ b/crates/release/tests/races.rs
@@ -297,7 +297,7 @@
                     Readiness::Ready(next) => {
                         self.write_head(controller, &next, delivery);
                     }
-                    Readiness::Held { why } => assert!(!why.is_empty()),
+                    Readiness::Held { causes } => assert!(!causes.is_empty()),
                 }
             }
         }
@@ -449,12 +449,12 @@
                 self.run(&Op::Close(0), Delivery::Answered);
             }
             let this = &self.controllers[0];
-            if let (Some(members), Readiness::Held { why }) = (
+            if let (Some(members), Readiness::Held { causes }) = (
                 &this.members,
                 assess(&this.record, this.members.as_deref(), |id| self.store.member_state(id)),
             ) {
                 let known = members.clone();
-                let job = why.iter().find_map(|cause| cause.job()).unwrap_or(MISSING).to_owned();
+                let job = causes.iter().find_map(|cause| cause.job()).unwrap_or(MISSING).to_owned();
                 self.apply_operator_change(
                     0,
                     |record, _| release_record::waive(record, &known, &job, "not needed"),
--- a/src/controller/release.rs
+++ b/src/controller/release.rs
@@ -315,7 +315,7 @@
                     tracing::info!(job = id, record = %key.head_key(), "release complete");
                 }
             }
-            Readiness::Held { why: causes } => {
+            Readiness::Held { causes } => {
                 let mut text: Vec<String> =
                     causes.iter().take(MAX_LISTED_CAUSES).map(ToString::to_string).collect();
                 if causes.len() > MAX_LISTED_CAUSES {
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -385,7 +385,11 @@
     let states = [LoanState::Taking, LoanState::Held, LoanState::Returning];
     let mut rest = Map::new();
     rest.insert("drains".into(), json!({"i-000009": 2}));
-    Ledger { fence: 9, loans: states.into_iter().zip(6..).map(|(s, id)| loan(id, s)).collect(), rest }
+    Ledger {
+        fence: 9,
+        loans: states.into_iter().zip(6..).map(|(s, id)| loan(id, s)).collect(),
+        other_fields: rest,
+    }
 }
 
 fn release() -> Release {
@@ -404,7 +408,7 @@
         waived: BTreeMap::new(),
         rotated: false,
         by_hand: true,
-        rest,
+        unknown_fields: rest,
     }
 }
 
