--- a/src/job_shard/demand.rs
+++ b/src/job_shard/demand.rs
@@ -23,7 +23,7 @@
     /// How long a job's tasks may queue before a machine is rented for them. It is zero where a guarantee or
     /// a waiting-time objective applies, and otherwise a part of the time in which the job is expected to
     /// complete.
-    pub(super) fn horizon(&self, job: &Job, guaranteed: bool, age: Micros) -> Micros {
+    pub(super) fn max_queue_time(&self, job: &Job, guaranteed: bool, age: Micros) -> Micros {
         let spec = &job.spec;
         if guaranteed || spec.kind == JobKind::Service || self.tightest_objective("wait", spec).is_some() {
             return Micros(0);
@@ -38,8 +38,8 @@
         Micros(self.tightest_objective("wait", spec).unwrap_or(DEFAULT_WAITING_TIME).0 / 40)
     }
 
-    /// The demand for `count` tasks of a job that may queue for `horizon`.
-    pub(super) fn demand_of(&self, spec: &JobSpec, count: u32, horizon: Micros) -> Demand {
+    /// The demand for `count` tasks of a job that may queue for `max_queue_time`.
+    pub(super) fn demand_of(&self, spec: &JobSpec, count: u32, max_queue_time: Micros) -> Demand {
         Demand {
             resources_per_task: spec.resources_per_task,
             machine_types: spec.machine_types.clone(),
@@ -49,15 +49,15 @@
             count,
             estimated_run_time: self.run_times.likely(spec),
             priority: spec.priority,
-            max_queue_time: horizon,
+            max_queue_time,
             gang_size: if spec.kind == JobKind::Gang { spec.task_count } else { 1 },
         }
     }
 
     /// Remembers a job's resource request, likely run time and queueing horizon. An autoscaler that has just
     /// taken over needs them even though nothing waits.
-    pub(super) fn remember_shape(&mut self, now: Micros, spec: &JobSpec, horizon: Micros) {
-        let shape = self.demand_of(spec, 0, horizon);
+    pub(super) fn remember_shape(&mut self, now: Micros, spec: &JobSpec, max_queue_time: Micros) {
+        let shape = self.demand_of(spec, 0, max_queue_time);
         if let Some((known, seen_at)) =
             self.recent_shapes.iter_mut().find(|(known, _)| can_merge_shapes(known, &shape))
         {
--- a/src/job_shard/dependencies.rs
+++ b/src/job_shard/dependencies.rs
@@ -34,13 +34,13 @@
 
 impl Hold {
     /// The initial hold of a job.
-    pub(super) fn of(spec: &JobSpec, raw: &Value) -> Option<Hold> {
+    pub(super) fn of(spec: &JobSpec, raw_spec: &Value) -> Option<Hold> {
         if spec.merges.is_some() {
             // Each new leader must verify again that the inputs are fresh: a newer version may have arrived.
             return Some(Hold::Batch("its inputs have not been looked at yet".into()));
         }
         // The release of a rotation is stored permanently, so a released rotation is not checked again.
-        (spec.is_rotation() && released_at(raw).is_none())
+        (spec.is_rotation() && released_at(raw_spec).is_none())
             .then(|| Hold::Release("its release has not been looked at yet".into()))
     }
     /// The reason as text.
@@ -108,12 +108,12 @@
     pub fn declared_dependencies(&self) -> Vec<String> {
         match self.spec.dependencies.is_empty() {
             false => self.spec.dependencies.clone(),
-            true => stored_form::released_dependencies(&self.raw),
+            true => stored_form::released_dependencies(&self.raw_spec),
         }
     }
     /// The stored job description, including the coordination records it refers to.
     pub fn raw_spec(&self) -> &Value {
-        &self.raw
+        &self.raw_spec
     }
     /// The dependencies that are not known to be done.
     pub fn unfinished_dependencies(&self) -> impl Iterator<Item = &str> {
@@ -250,11 +250,13 @@
         {
             needed.insert(dependency.clone(), jobs.iter().filter_map(base_priority_of).max().unwrap_or(0));
         }
-        for (id, rank) in self.dependents.needed_by_releases.iter().filter(|(id, _)| is_led_by_peer(id)) {
+        for (id, base_priority) in
+            self.dependents.needed_by_releases.iter().filter(|(id, _)| is_led_by_peer(id))
+        {
             let needed = needed.entry(id.clone()).or_default();
-            *needed = (*needed).max(*rank);
+            *needed = (*needed).max(*base_priority);
         }
-        needed.into_iter().filter(|(_, rank)| *rank > 0).collect()
+        needed.into_iter().filter(|(_, base_priority)| *base_priority > 0).collect()
     }
 
     /// Sets the wall-clock time at which a job's release needs it.
--- a/src/job_shard/dependencies/stored_form.rs
+++ b/src/job_shard/dependencies/stored_form.rs
@@ -38,16 +38,16 @@
 
 /// The declarations in a job's final record: what other jobs may need to look up about it later. None for a
 /// job that names no coordination record and had no dependencies.
-pub(in crate::job_shard) fn declarations(raw: &Value) -> Option<Value> {
+pub(in crate::job_shard) fn declarations(raw_spec: &Value) -> Option<Value> {
     let mut declarations = Map::new();
     for key in ["release", "batch", "merges"] {
-        if let Some(v) = raw.get(key) {
+        if let Some(v) = raw_spec.get(key) {
             declarations.insert(key.into(), v.clone());
         }
     }
-    let followed = match raw.get(KEY_FOLLOWS) {
+    let followed = match raw_spec.get(KEY_FOLLOWS) {
         Some(ids) => pack_job_ids(ids),
-        None => raw.get(KEY_FOLLOWED).and_then(Value::as_str).map(str::to_owned),
+        None => raw_spec.get(KEY_FOLLOWED).and_then(Value::as_str).map(str::to_owned),
     };
     if let Some(text) = followed {
         declarations.insert(KEY_FOLLOWS.into(), text.into());
@@ -55,7 +55,7 @@
     if declarations.is_empty() {
         return None;
     }
-    declarations.insert(users::CLASS.into(), raw.get(users::CLASS).cloned().unwrap_or_default());
+    declarations.insert(users::CLASS.into(), raw_spec.get(users::CLASS).cloned().unwrap_or_default());
     Some(Value::Object(declarations))
 }
 
@@ -76,8 +76,8 @@
 }
 
 /// The stored description of a waiting job.
-pub(in crate::job_shard) fn encode_waiting(raw: &Value, by_hold: bool) -> Value {
-    let Some(map) = raw.as_object() else { return raw.clone() };
+pub(in crate::job_shard) fn encode_waiting(raw_spec: &Value, by_hold: bool) -> Value {
+    let Some(map) = raw_spec.as_object() else { return raw_spec.clone() };
     let mut map = map.clone();
     if let Some(types) =
         map.insert(KEY_TYPES.into(), json!([if by_hold { PLACEHOLDER_HELD } else { PLACEHOLDER_WAITING }]))
@@ -95,8 +95,8 @@
 }
 
 /// The stored description of a released job: an ordinary one, which every version runs.
-pub(in crate::job_shard) fn encode_released(raw: &Value, at: Micros) -> Value {
-    let Some(map) = raw.as_object() else { return raw.clone() };
+pub(in crate::job_shard) fn encode_released(raw_spec: &Value, at: Micros) -> Value {
+    let Some(map) = raw_spec.as_object() else { return raw_spec.clone() };
     let mut map = map.clone();
     if let Some(text) = map.remove(KEY_FOLLOWS).as_ref().and_then(pack_job_ids) {
         map.insert(KEY_FOLLOWED.into(), text.into());
@@ -129,11 +129,11 @@
 }
 
 /// When a stored job was released; None if it never waited.
-pub(in crate::job_shard) fn released_at(raw: &Value) -> Option<Micros> {
-    raw.get(KEY_RELEASED)?.as_u64().map(Micros)
+pub(in crate::job_shard) fn released_at(raw_spec: &Value) -> Option<Micros> {
+    raw_spec.get(KEY_RELEASED)?.as_u64().map(Micros)
 }
 
 /// The dependencies of a released job.
-pub(super) fn released_dependencies(raw: &Value) -> Vec<String> {
-    raw.get(KEY_FOLLOWED).and_then(Value::as_str).map(unpack_job_ids).unwrap_or_default()
+pub(super) fn released_dependencies(raw_spec: &Value) -> Vec<String> {
+    raw_spec.get(KEY_FOLLOWED).and_then(Value::as_str).map(unpack_job_ids).unwrap_or_default()
 }
--- a/src/job_shard/epoch_adoption.rs
+++ b/src/job_shard/epoch_adoption.rs
@@ -17,7 +17,7 @@
 impl Job {
     /// Creates a job from its record.
     fn from_record(
-        raw: Value,
+        raw_spec: Value,
         spec: JobSpec,
         accepted_wall: Micros,
         done: TaskIndexSet,
@@ -40,14 +40,14 @@
             next_progress: Micros(0),
             cancellation: Cancellation::default(),
             unfinished_dependencies: spec.dependencies.iter().cloned().collect(),
-            hold: Hold::of(&spec, &raw),
+            hold: Hold::of(&spec, &raw_spec),
             release_due: None,
-            released_wall: dependencies::released_at(&raw),
+            released_wall: dependencies::released_at(&raw_spec),
             own_priority: spec.priority,
             reserved_machines: Vec::new(),
             quota_tier: QuotaTier::NoGuarantee,
             spec,
-            raw,
+            raw_spec,
         }
     }
 
@@ -67,13 +67,13 @@
 }
 
 impl JobShard {
-    /// Adopts a new epoch. Jobs are kept only if `follows` is true, i.e. the epoch directly succeeds the
+    /// Adopts a new epoch. Jobs are kept only if `is_next_epoch` is true, i.e. the epoch directly succeeds the
     /// previous one; otherwise another controller may have led them in between. Nothing is placed before
     /// `finish_loading`.
-    pub fn adopt_epoch(&mut self, membership: &Membership, follows: bool) {
+    pub fn adopt_epoch(&mut self, membership: &Membership, is_next_epoch: bool) {
         self.loaded = false;
         self.older_epochs_stopped_at = membership.older_leaders_stopped_at();
-        let is_kept = |id: &str| follows && membership.job_leader(id) == Some(membership.me);
+        let is_kept = |id: &str| is_next_epoch && membership.job_leader(id) == Some(membership.me);
         let failures = &mut self.failures;
         self.jobs.retain(|id, _| {
             if !is_kept(id) {
@@ -147,7 +147,7 @@
     /// For a job that is already known only the version of the record is updated.
     pub fn insert_job(
         &mut self,
-        raw: Value,
+        raw_spec: Value,
         mut spec: JobSpec,
         accepted_wall: Micros,
         done: TaskIndexSet,
@@ -169,7 +169,7 @@
             job.needs_reread = false;
             return;
         }
-        let mut job = Job::from_record(raw, spec, accepted_wall, done, store_version);
+        let mut job = Job::from_record(raw_spec, spec, accepted_wall, done, store_version);
         job.start_knowledge = self.initial_start_knowledge(fresh);
         if has_guarantee {
             job.quota_tier = QuotaTier::Unknown;
--- a/src/job_shard/gpu_lending.rs
+++ b/src/job_shard/gpu_lending.rs
@@ -45,7 +45,7 @@
     /// By peer, its latest lending message.
     peers: BTreeMap<usize, PeerLending>,
     /// Services that lack replicas, and since when.
-    lacking: BTreeMap<String, Micros>,
+    services_lacking_replicas: BTreeMap<String, Micros>,
     /// Teams whose work within its guarantee lacks GPUs, counting the jobs of this shard.
     short: BTreeMap<String, TeamShortfall>,
 }
@@ -60,14 +60,14 @@
 /// What a team lacks within its guarantee.
 #[derive(Clone, Copy, Debug)]
 struct TeamShortfall {
-    room: Resources,
+    resources: Resources,
     since: Micros,
 }
 
 /// Resources on a placement target that are reserved for a job, made available to it while it is placed.
 pub(super) struct GrantedResources {
     pub(super) target: usize,
-    room: Resources,
+    resources: Resources,
 }
 
 /// A loan that a service of this shard should claim.
@@ -83,8 +83,8 @@
     pub claims: Vec<Claim>,
 }
 
-fn to_amount(room: Resources) -> ResourceVector {
-    ResourceVector { gpus: room.gpus, cpus: room.cpus, memory: room.memory }
+fn to_amount(resources: Resources) -> ResourceVector {
+    ResourceVector { gpus: resources.gpus, cpus: resources.cpus, memory: resources.memory }
 }
 
 /// Whether resources reserved by a loan are for this job. Resources being returned are for the lender's
@@ -135,9 +135,9 @@
     /// By machine, the resources reserved by the loans that `is_wanted` selects.
     fn reserved_by_machine(&self, is_wanted: impl Fn(&Loan) -> bool) -> BTreeMap<&str, Resources> {
         let mut by_machine: BTreeMap<&str, Resources> = BTreeMap::new();
-        for (loan, room) in self.reserved_resources().filter(|(loan, _)| is_wanted(loan)) {
+        for (loan, resources) in self.reserved_resources().filter(|(loan, _)| is_wanted(loan)) {
             let sum = by_machine.entry(&loan.machine).or_default();
-            *sum = *sum + room;
+            *sum = *sum + resources;
         }
         by_machine
     }
@@ -149,8 +149,8 @@
             return;
         }
         for target in targets {
-            if let Some(room) = reserved_resources.get(target.machine.name.as_str()) {
-                target.free = target.free - *room;
+            if let Some(resources) = reserved_resources.get(target.machine.name.as_str()) {
+                target.free = target.free - *resources;
                 // Guards against waiting gangs: they would reserve the machine too, and neither would get it.
                 target.reserved_for = Some(LOAN_RESERVED_PRIORITY);
             }
@@ -170,10 +170,10 @@
             return granted;
         }
         for (i, target) in targets.iter_mut().enumerate() {
-            if let Some(&room) = reserved_resources.get(target.machine.name.as_str()) {
-                target.free = target.free + room;
+            if let Some(&resources) = reserved_resources.get(target.machine.name.as_str()) {
+                target.free = target.free + resources;
                 target.reserved_for = None;
-                granted.push(GrantedResources { target: i, room });
+                granted.push(GrantedResources { target: i, resources });
             }
         }
         granted
@@ -186,9 +186,9 @@
         one: Resources,
         used: &[usize],
     ) {
-        for GrantedResources { target, room } in granted {
+        for GrantedResources { target, resources } in granted {
             let tasks = used.iter().filter(|i| *i == target).count() as i64;
-            targets[*target].free = targets[*target].free - (*room - one.times(tasks).min(*room));
+            targets[*target].free = targets[*target].free - (*resources - one.times(tasks).min(*resources));
             targets[*target].reserved_for = Some(LOAN_RESERVED_PRIORITY);
         }
     }
@@ -203,7 +203,11 @@
     /// How many unplaced replicas are covered by claims; all of them while a loan is still being sought. No
     /// machine is rented for these.
     pub(super) fn replicas_covered_by_loans(&self, now: Micros, id: &str) -> u32 {
-        if self.lacking.get(id).is_some_and(|since| now.since(*since) < Micros(CLAIM_DELAY.0 * 2)) {
+        if self
+            .services_lacking_replicas
+            .get(id)
+            .is_some_and(|since| now.since(*since) < Micros(CLAIM_DELAY.0 * 2))
+        {
             return u32::MAX;
         }
         self.claimed_replicas(id)
@@ -247,7 +251,7 @@
 
     /// Updates which services lack replicas, and which teams lack GPUs within their guarantees.
     pub fn note_gpu_shortfalls(&mut self, now: Micros) {
-        let mut lacking: BTreeMap<String, Micros> = BTreeMap::new();
+        let mut services_lacking_replicas: BTreeMap<String, Micros> = BTreeMap::new();
         let mut short: BTreeMap<String, TeamShortfall> = BTreeMap::new();
         for (id, job) in &self.jobs {
             let spec = &job.spec;
@@ -262,26 +266,26 @@
                 continue;
             }
             if self.can_borrow(spec) {
-                lacking.insert(id.clone(), self.loans.lacking.get(id).copied().unwrap_or(now));
+                services_lacking_replicas
+                    .insert(id.clone(), self.loans.services_lacking_replicas.get(id).copied().unwrap_or(now));
             }
             if job.quota_tier == QuotaTier::Within && !self.failures.is_job_quarantined(id) {
                 let since = self.loans.short.get(&spec.team).map_or(now, |short| short.since);
-                let none = TeamShortfall { room: Resources::default(), since };
+                let none = TeamShortfall { resources: Resources::default(), since };
                 let team = short.entry(spec.team.clone()).or_insert(none);
-                team.room = team.room + spec.resources_per_task.times(lacks as i64);
+                team.resources = team.resources + spec.resources_per_task.times(lacks as i64);
             }
         }
-        (self.loans.lacking, self.loans.short) = (lacking, short);
+        (self.loans.services_lacking_replicas, self.loans.short) = (services_lacking_replicas, short);
     }
 
     /// The message to peers: tasks of this shard on GPUs beyond their teams' guarantees, and shortfalls
     /// within guarantees.
     pub fn lending_offer(&self, now: Micros, wall: Micros) -> LendingReport {
         let short = self.loans.short.iter();
-        let lacks = short.map(|(team, short)| (team.clone(), short.room, now.since(short.since))).collect();
-        let Some(terms) = &self.loans.terms else {
-            return LendingReport { jobs: Vec::new(), shortfalls: lacks };
-        };
+        let shortfalls =
+            short.map(|(team, short)| (team.clone(), short.resources, now.since(short.since))).collect();
+        let Some(terms) = &self.loans.terms else { return LendingReport { jobs: Vec::new(), shortfalls } };
         let is_offered = |job: &Job| {
             is_lendable(job)
                 && job.spec.resources_per_task.gpus > 0
@@ -302,7 +306,7 @@
         };
         LendingReport {
             jobs: self.jobs.iter().filter(|(_, job)| is_offered(job)).map(lendable).collect(),
-            shortfalls: lacks,
+            shortfalls,
         }
     }
 
@@ -343,7 +347,7 @@
 
     /// Run time that is lost if a task is stopped, in milliseconds.
     fn lost_by_stopping_ms(&self, now: Micros, job: &Job, assignment: &Assignment) -> u64 {
-        if job.can_save() {
+        if job.has_checkpoints() {
             return job.spec.checkpoint_duration.0 / 1000;
         }
         let ran = match assignment.phase {
@@ -365,7 +369,7 @@
         quota: &QuotaLedger,
     ) -> Option<LoanProposal> {
         // Guards against claims on tasks that others have claimed meanwhile.
-        if !self.loans.is_ledger_valid(now) || self.loans.lacking.is_empty() {
+        if !self.loans.is_ledger_valid(now) || self.loans.services_lacking_replicas.is_empty() {
             return None;
         }
         let tasks = self.preemptible_tasks_for_loans(now, wall, membership);
@@ -374,8 +378,9 @@
         }
         let mut targets = self.placement_targets(now, membership, &self.views);
         self.loans.withhold_reserved(&mut targets);
-        let has_waited =
-            |id: &String| self.loans.lacking.get(id).is_some_and(|since| now.since(*since) >= CLAIM_DELAY);
+        let has_waited = |id: &String| {
+            self.loans.services_lacking_replicas.get(id).is_some_and(|since| now.since(*since) >= CLAIM_DELAY)
+        };
         for id in self.queue_order().iter().filter(|id| has_waited(id)) {
             let Some(job) = self.jobs.get(id) else { continue };
             let is_paused = self.failures.awaits_probe(now, id) || now < job.not_before;
@@ -589,13 +594,13 @@
         }
         if membership.job_leader(&loan.from) == Some(self.me) {
             facts.is_preemption_refused = self.jobs.get(&loan.from).is_some_and(|job| is_refused(job, loan));
-            facts.is_lender_short = self.lender_lacks(loan);
+            facts.is_lender_short = self.is_lender_short(loan);
         }
         facts
     }
 
     /// Whether the lender's job or team lacks resources; None if not all attempts of the job are known.
-    fn lender_lacks(&self, loan: &Loan) -> Option<bool> {
+    fn is_lender_short(&self, loan: &Loan) -> Option<bool> {
         let Some(job) = self.jobs.get(&loan.from) else { return Some(false) };
         if !job.has_known_starts() {
             return None;
@@ -617,15 +622,15 @@
         quota: &QuotaLedger,
     ) -> Vec<u64> {
         let Some(terms) = &self.loans.terms else { return Vec::new() };
-        let lacks = self.combined_shortfalls(now, wall);
-        if lacks.is_empty() {
+        let shortfalls = self.combined_shortfalls(now, wall);
+        if shortfalls.is_empty() {
             return Vec::new();
         }
         let guarantee = self.guarantees.get(team).map_or(0, |guarantee| guarantee.gpus);
         let borrower =
             Borrower { used_milligpus: quota.allocated(team).gpus, guaranteed_milligpus: guarantee };
         let is_led_here = |id: &str| membership.job_leader(id) == Some(self.me);
-        let standing = |id: &str, machine: &str| match self.jobs.get(id).filter(|_| is_led_here(id)) {
+        let replicas_on_loan = |id: &str, machine: &str| match self.jobs.get(id).filter(|_| is_led_here(id)) {
             Some(job) => ReplicasOnLoan {
                 replicas: replicas_on(job, machine),
                 milligpus_per_replica: job.spec.resources_per_task.gpus,
@@ -635,7 +640,7 @@
             None => ReplicasOnLoan { within_guarantee: true, ..ReplicasOnLoan::default() },
         };
         let terms = ReclaimTerms { min_stay_us: terms.stay.0, min_shortfall_us: terms.burst.0 };
-        loans_to_reclaim(wall.0, terms, ledger, borrower, &lacks, standing)
+        loans_to_reclaim(wall.0, terms, ledger, borrower, &shortfalls, replicas_on_loan)
     }
 
     /// By team, the shortfall of work within its guarantee, over the jobs of this shard and of peers.
@@ -644,16 +649,17 @@
             self.loans.peers.values().filter(|report| now.since(report.received_at) < PEER_REPORT_VALIDITY);
         let peers = valid.flat_map(|report| report.lending.shortfalls.iter().cloned());
         let local = self.loans.short.iter();
-        let local = local.map(|(team, short)| (team.clone(), short.room, now.since(short.since)));
-        let mut lacks: BTreeMap<String, Shortfall> = BTreeMap::new();
-        for (team, room, age) in local.chain(peers) {
+        let local = local.map(|(team, short)| (team.clone(), short.resources, now.since(short.since)));
+        let mut shortfalls: BTreeMap<String, Shortfall> = BTreeMap::new();
+        for (team, resources, age) in local.chain(peers) {
             let since_us = wall.0.saturating_sub(age.0);
-            let sum =
-                lacks.entry(team).or_insert(Shortfall { resources: ResourceVector::default(), since_us });
-            sum.resources = sum.resources + to_amount(room);
+            let sum = shortfalls
+                .entry(team)
+                .or_insert(Shortfall { resources: ResourceVector::default(), since_us });
+            sum.resources = sum.resources + to_amount(resources);
             sum.since_us = sum.since_us.min(since_us);
         }
-        lacks
+        shortfalls
     }
 }
 
--- a/src/job_shard/handoff.rs
+++ b/src/job_shard/handoff.rs
@@ -151,7 +151,7 @@
             && is_compatible_with_gang_attempt(job, attempt)
             && !job.done.contains(index)
             && !job.assignments.contains_key(&index);
-        let room = job.spec.resources_per_task;
+        let resources = job.spec.resources_per_task;
         let start = Assignment {
             machine,
             zone,
@@ -165,7 +165,7 @@
         if keep {
             self.adopt_attempt(id, index, start);
         } else {
-            self.retire_attempt(id, index, &start, Retirement::stopped(room));
+            self.retire_attempt(id, index, &start, Retirement::stopped(resources));
         }
     }
 }
--- a/src/job_shard/job.rs
+++ b/src/job_shard/job.rs
@@ -31,7 +31,7 @@
     /// The specification that the user submitted.
     pub spec: JobSpec,
     /// The job's description as JSON, restored from its record.
-    pub(super) raw: Value,
+    pub(super) raw_spec: Value,
     /// When it was accepted, by the wall clock.
     pub accepted_wall: Micros,
     /// Store version of its record.
@@ -88,11 +88,11 @@
 
     /// How long its tasks may take for a checkpoint when they are stopped; zero if they have none.
     pub(super) fn stop_grace(&self) -> Micros {
-        if self.can_save() { self.spec.checkpoint_duration } else { Micros(0) }
+        if self.has_checkpoints() { self.spec.checkpoint_duration } else { Micros(0) }
     }
 
     /// Whether its tasks write checkpoints.
-    pub(super) fn can_save(&self) -> bool {
+    pub(super) fn has_checkpoints(&self) -> bool {
         self.spec.checkpoint_interval.0 > 0
     }
 }
--- a/src/job_shard/peer_reservations.rs
+++ b/src/job_shard/peer_reservations.rs
@@ -34,7 +34,7 @@
 pub(super) struct InheritedReservation {
     pub(super) priority: u8,
     /// Resources of one task of the work that it was reserved for.
-    pub(super) room: Resources,
+    pub(super) resources: Resources,
 }
 
 impl PeerReservations {
@@ -63,7 +63,7 @@
         for reservation in announced.values().flat_map(|announced| &announced.list).chain(local) {
             // The first reservation of a machine carries the gang's own priority.
             let inherited =
-                InheritedReservation { priority: reservation.priority, room: reservation.resources };
+                InheritedReservation { priority: reservation.priority, resources: reservation.resources };
             self.inherited.entry(reservation.machine.clone()).or_insert(inherited);
         }
     }
@@ -82,8 +82,8 @@
     }
 
     /// Machines that were reserved in the previous epoch for tasks that need these resources.
-    pub(super) fn inherited_for(&self, now: Micros, room: Resources) -> Vec<String> {
-        let matching = self.inherited(now).filter(|(_, inherited)| inherited.room == room);
+    pub(super) fn inherited_for(&self, now: Micros, resources: Resources) -> Vec<String> {
+        let matching = self.inherited(now).filter(|(_, inherited)| inherited.resources == resources);
         matching.map(|(machine, _)| machine.clone()).collect()
     }
 }
--- a/src/job_shard/preemption.rs
+++ b/src/job_shard/preemption.rs
@@ -182,7 +182,13 @@
             // losing the work of tasks without checkpoints. Of a team with a guarantee, only borrowing work
             // is therefore preempted, and not at once.
             if !assignment.is_stopping()
-                && tier::may_preempt(job.spec.priority, job.quota_tier, job.can_save(), request.priority, age)
+                && tier::may_preempt(
+                    job.spec.priority,
+                    job.quota_tier,
+                    job.has_checkpoints(),
+                    request.priority,
+                    age,
+                )
             {
                 tasks.push((assignment.phase_since, id.clone(), *index));
             }
@@ -206,9 +212,9 @@
         // machines.
         let has_machines_without_gpus = targets.iter().any(|target| !has_gpus(target));
         let dimensions: [(Dimension, bool); 2] =
-            [(|room| room.cpus, !has_machines_without_gpus), (|room| room.gpus, true)];
+            [(|resources| resources.cpus, !has_machines_without_gpus), (|resources| resources.gpus, true)];
         for (dimension, gpus) in dimensions {
-            let guaranteed: i64 = self.guarantees.values().map(|room| dimension(*room)).sum();
+            let guaranteed: i64 = self.guarantees.values().map(|resources| dimension(*resources)).sum();
             reserve_headroom(targets, dimension, gpus, guaranteed);
         }
     }
@@ -260,8 +266,9 @@
         used: &BTreeSet<usize>,
         spec: &JobSpec,
     ) -> Vec<usize> {
-        let dimension =
-            |room: Resources| if spec.resources_per_task.gpus > 0 { room.gpus } else { room.cpus };
+        let dimension = |resources: Resources| {
+            if spec.resources_per_task.gpus > 0 { resources.gpus } else { resources.cpus }
+        };
         let mut usable: Vec<(bool, i64, usize)> = targets
             .iter()
             .enumerate()
@@ -300,7 +307,7 @@
     fn checkpoint_and_stop_task(&mut self, machine: &str, id: &str, index: u32, left: Micros) {
         let Some(job) = self.jobs.get(id) else { return };
         let save = job.spec.checkpoint_duration;
-        if !job.can_save() || left < save {
+        if !job.has_checkpoints() || left < save {
             return;
         }
         if job.spec.kind == JobKind::Gang {
--- a/src/job_shard/reconciliation.rs
+++ b/src/job_shard/reconciliation.rs
@@ -132,7 +132,7 @@
             }
             let MachineStart { machine, task: key } = start;
             let retired = RetiredStartKey::new(&key.job, key.index, machine, key.attempt);
-            let (room, action, priority, image) = if let Some(job) = self.jobs.get_mut(&key.job)
+            let (resources, action, priority, image) = if let Some(job) = self.jobs.get_mut(&key.job)
                 && let Some(assignment) = job.assignments.get_mut(&key.index)
                 && assignment.is_attempt(machine, key.attempt)
             {
@@ -141,7 +141,7 @@
                 (job.spec.resources_per_task, assignment.action, priority, job.spec.image_hash)
             } else if let Some(retired) = self.retired_starts.get_mut(&retired) {
                 retired.first_revision = retired.first_revision.min(rev);
-                (retired.room, retired.action, retired.priority, 0)
+                (retired.resources, retired.action, retired.priority, 0)
             } else {
                 state.removed.push((machine.clone(), key.clone()));
                 continue;
@@ -149,7 +149,7 @@
             state.tasks.push(DesiredTask {
                 key: key.clone(),
                 machine: machine.clone(),
-                resources: room,
+                resources,
                 action,
                 priority,
                 image,
@@ -354,7 +354,7 @@
 
     /// Stops an attempt that is not adopted, or lets its worker forget it.
     fn retire_unknown_attempt(&mut self, key: &TaskKey, start: &Assignment, phase: TaskPhase) {
-        let room = self.jobs.get(&key.job).map(|job| job.spec.resources_per_task).unwrap_or_default();
+        let resources = self.jobs.get(&key.job).map(|job| job.spec.resources_per_task).unwrap_or_default();
         let exited = matches!(phase, TaskPhase::Exited(_));
         let done = phase == TaskPhase::Exited(TaskExit::Done);
         let action = match (exited, done && !self.is_recorded(&key.job, key.index)) {
@@ -362,7 +362,12 @@
             (true, true) => DesiredAction::Keep,
             (true, false) => DesiredAction::Forget,
         };
-        self.retire_attempt(&key.job, key.index, start, Retirement { room, action, alive: !exited, done });
+        self.retire_attempt(
+            &key.job,
+            key.index,
+            start,
+            Retirement { resources, action, alive: !exited, done },
+        );
         if done {
             self.complete_task(&key.job, key.index);
         }
@@ -400,7 +405,7 @@
     fn end_task(&mut self, now: Micros, id: &str, index: u32, exit: TaskExit) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(assignment) = job.assignments.remove(&index) else { return };
-        let (room, gang) = (job.spec.resources_per_task, job.spec.kind == JobKind::Gang);
+        let (resources, gang) = (job.spec.resources_per_task, job.spec.kind == JobKind::Gang);
         let machine = assignment.machine.as_str();
         let done = exit == TaskExit::Done;
         match exit {
@@ -418,7 +423,7 @@
         }
         self.unindex_assignment(machine, id, index);
         let action = if done { DesiredAction::Keep } else { DesiredAction::Forget };
-        self.retire_attempt(id, index, &assignment, Retirement { room, action, alive: false, done });
+        self.retire_attempt(id, index, &assignment, Retirement { resources, action, alive: false, done });
         if done {
             self.complete_task(id, index);
         } else if gang {
--- a/src/job_shard/records.rs
+++ b/src/job_shard/records.rs
@@ -35,65 +35,65 @@
     /// Decodes a job's record into its description, its specification, its acceptance time and its completed
     /// tasks. None if the format is unknown.
     pub fn read_record(record: &Value) -> Option<(Value, JobSpec, Micros, TaskIndexSet)> {
-        let raw = dependencies::decode_description(record.get("spec")?)?;
-        let spec = JobSpec::from_value(&raw).ok()?;
+        let raw_spec = dependencies::decode_description(record.get("spec")?)?;
+        let spec = JobSpec::from_value(&raw_spec).ok()?;
         let accepted = Micros(record.get("accepted_us")?.as_u64()?);
         let done = TaskIndexSet::decode(record.get("done")?.as_str()?, spec.task_count)?;
-        Some((raw, spec, accepted, done))
+        Some((raw_spec, spec, accepted, done))
     }
 
     /// Builds the record of a live job.
-    pub fn build_record(raw: &Value, accepted: Micros, done: &str) -> Value {
-        json!({"spec": raw, "accepted_us": accepted.0, "done": done})
+    pub fn build_record(raw_spec: &Value, accepted: Micros, done: &str) -> Value {
+        json!({"spec": raw_spec, "accepted_us": accepted.0, "done": done})
     }
 
     /// Builds the record of a job that waits for its dependencies.
-    pub fn build_waiting_record(raw: &Value, accepted: Micros) -> Value {
-        JobShard::build_record(&dependencies::encode_waiting(raw, false), accepted, "")
+    pub fn build_waiting_record(raw_spec: &Value, accepted: Micros) -> Value {
+        JobShard::build_record(&dependencies::encode_waiting(raw_spec, false), accepted, "")
     }
 
     /// Builds the record of a new job.
-    pub fn build_new_record(raw: &Value, spec: &JobSpec, accepted: Micros) -> Value {
-        match (Hold::of(spec, raw).is_some(), spec.dependencies.is_empty()) {
-            (true, _) => JobShard::build_record(&dependencies::encode_waiting(raw, true), accepted, ""),
-            (_, false) => JobShard::build_waiting_record(raw, accepted),
-            _ => JobShard::build_record(raw, accepted, ""),
+    pub fn build_new_record(raw_spec: &Value, spec: &JobSpec, accepted: Micros) -> Value {
+        match (Hold::of(spec, raw_spec).is_some(), spec.dependencies.is_empty()) {
+            (true, _) => JobShard::build_record(&dependencies::encode_waiting(raw_spec, true), accepted, ""),
+            (_, false) => JobShard::build_waiting_record(raw_spec, accepted),
+            _ => JobShard::build_record(raw_spec, accepted, ""),
         }
     }
 
     /// The maximum size in bytes that a job's records, including the final one, may have without its
     /// progress. It is checked before the job is accepted, since the declarations of the final record cannot
     /// be left out later.
-    pub fn max_record_bytes(raw: &Value, spec: &JobSpec, accepted: Micros) -> usize {
+    pub fn max_record_bytes(raw_spec: &Value, spec: &JobSpec, accepted: Micros) -> usize {
         let bytes = |record: Value| record.to_string().len();
-        let first = bytes(JobShard::build_new_record(raw, spec, accepted));
+        let first = bytes(JobShard::build_new_record(raw_spec, spec, accepted));
         if !spec.has_coordination_record() {
             return first;
         }
-        let later = JobShard::build_record(&dependencies::encode_released(raw, accepted), accepted, "");
-        let end = JobShard::end_record(raw, JobOutcome::Cancelled, spec.task_count);
+        let later = JobShard::build_record(&dependencies::encode_released(raw_spec, accepted), accepted, "");
+        let end = JobShard::end_record(raw_spec, JobOutcome::Cancelled, spec.task_count);
         first.max(bytes(later)).max(bytes(end))
     }
 
     /// Builds the final record of a job.
-    fn end_record(raw: &Value, outcome: JobOutcome, done: u32) -> Value {
+    fn end_record(raw_spec: &Value, outcome: JobOutcome, done: u32) -> Value {
         let end = match outcome {
             JobOutcome::Done => "done",
             JobOutcome::Cancelled => "cancelled",
         };
         let mut record = json!({"end": end, "done": done});
-        if let Some(declarations) = dependencies::declarations(raw) {
+        if let Some(declarations) = dependencies::declarations(raw_spec) {
             record["says"] = declarations;
         }
         record
     }
 
     /// The description of a live job in its stored format.
-    fn stored_raw(job: &Job) -> Value {
+    fn stored_spec(job: &Job) -> Value {
         match (job.is_waiting(), job.released_wall) {
-            (true, _) => dependencies::encode_waiting(&job.raw, job.hold.is_some()),
-            (false, Some(at)) => dependencies::encode_released(&job.raw, at),
-            (false, None) => job.raw.clone(),
+            (true, _) => dependencies::encode_waiting(&job.raw_spec, job.hold.is_some()),
+            (false, Some(at)) => dependencies::encode_released(&job.raw_spec, at),
+            (false, None) => job.raw_spec.clone(),
         }
     }
 
@@ -119,7 +119,7 @@
         let job = self.jobs.get_mut(&id)?;
         let outcome = job.pending_outcome?;
         job.write_in_flight = true;
-        let mut record = JobShard::end_record(&job.raw, outcome, job.done.len());
+        let mut record = JobShard::end_record(&job.raw_spec, outcome, job.done.len());
         if self.class_in_end_records && record.get("says").is_none() {
             record["says"] = json!({users::CLASS: job.spec.class});
         }
@@ -161,18 +161,18 @@
             if !due || job.pending_outcome.is_some() || job.done.len() <= job.recorded.len() {
                 continue;
             }
-            let raw = JobShard::stored_raw(job);
-            let raw_bytes = raw.to_string().len();
-            let text = job.done.encode(self.value_bytes.saturating_sub(raw_bytes + RECORD_OVERHEAD));
+            let raw_spec = JobShard::stored_spec(job);
+            let spec_bytes = raw_spec.to_string().len();
+            let text = job.done.encode(self.value_bytes.saturating_sub(spec_bytes + RECORD_OVERHEAD));
             let recorded = TaskIndexSet::decode(&text, job.spec.task_count).unwrap_or_default();
             // A description accepted before the limits were lowered may fill a value by itself. Its progress
             // stays with the workers until the final record, which is short, is stored.
-            if recorded == job.recorded || raw_bytes + MIN_RECORD_OVERHEAD > self.value_bytes {
+            if recorded == job.recorded || spec_bytes + MIN_RECORD_OVERHEAD > self.value_bytes {
                 job.next_progress = now + NO_FIT_PAUSE;
                 continue;
             }
             job.write_in_flight = true;
-            let record = JobShard::build_record(&raw, job.accepted_wall, &text);
+            let record = JobShard::build_record(&raw_spec, job.accepted_wall, &text);
             return Some((id.clone(), RecordWrite::Progress(record, recorded), job.store_version));
         }
         None
--- a/src/job_shard/retired_starts.rs
+++ b/src/job_shard/retired_starts.rs
@@ -44,7 +44,7 @@
 /// An old attempt that is stopping or waits to be forgotten.
 #[derive(Clone, Debug)]
 pub(super) struct RetiredStart {
-    pub(super) room: Resources,
+    pub(super) resources: Resources,
     pub(super) priority: u8,
     pub(super) action: DesiredAction,
     /// Whether it may still be running.
@@ -60,7 +60,7 @@
 /// How an attempt retires.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Retirement {
-    pub(super) room: Resources,
+    pub(super) resources: Resources,
     pub(super) action: DesiredAction,
     /// Whether it may still be running.
     pub(super) alive: bool,
@@ -70,8 +70,8 @@
 
 impl Retirement {
     /// The attempt is stopped without a grace period.
-    pub(super) fn stopped(room: Resources) -> Retirement {
-        Retirement { room, action: DesiredAction::Stop(Micros(0)), alive: true, done: false }
+    pub(super) fn stopped(resources: Resources) -> Retirement {
+        Retirement { resources, action: DesiredAction::Stop(Micros(0)), alive: true, done: false }
     }
 }
 
@@ -247,7 +247,7 @@
     ) {
         let key = RetiredStartKey::new(id, index, &assignment.machine, assignment.attempt);
         let start = RetiredStart {
-            room: retirement.room,
+            resources: retirement.resources,
             priority: self.jobs.get(id).map_or(0, |job| job.spec.priority),
             action: retirement.action,
             alive: retirement.alive,
--- a/src/job_shard/scheduling_pass.rs
+++ b/src/job_shard/scheduling_pass.rs
@@ -208,8 +208,9 @@
         let uncovered = plan.unplaced.saturating_sub(self.loans.replicas_covered_by_loans(pass.now, id));
         if uncovered > 0 {
             let spec = &candidate.job.spec;
-            let horizon = self.horizon(candidate.job, pass.quota.has_guarantee(&spec.team), candidate.age);
-            let demand = self.demand_of(spec, uncovered, horizon);
+            let max_queue_time =
+                self.max_queue_time(candidate.job, pass.quota.has_guarantee(&spec.team), candidate.age);
+            let demand = self.demand_of(spec, uncovered, max_queue_time);
             self.demands.push(demand);
         }
         self.reservations.extend(plan.reservations);
@@ -236,8 +237,8 @@
     fn remember_shape_of(&mut self, pass: &SchedulingPass, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
-        let horizon = self.horizon(job, pass.quota.has_guarantee(&spec.team), Micros(0));
-        self.remember_shape(pass.now, &spec, horizon);
+        let max_queue_time = self.max_queue_time(job, pass.quota.has_guarantee(&spec.team), Micros(0));
+        self.remember_shape(pass.now, &spec, max_queue_time);
     }
 
     /// Collects what determines where a job's tasks may be placed.
--- a/src/job_shard/tests.rs
+++ b/src/job_shard/tests.rs
@@ -48,7 +48,7 @@
     shard.apply_autoscaler_reservations(Vec::new(), Vec::new());
     let spec = JobSpec::from_value(&raw).expect("valid");
     shard.insert_job(raw, spec, Micros(1), TaskIndexSet::default(), 1, true);
-    let room = Resources { cpus: 8000, gpus: 0, memory: 9000 };
+    let resources = Resources { cpus: 8000, gpus: 0, memory: 9000 };
     let machine = MachineStatus {
         name: "i-1".into(),
         machine_type: "k".into(),
@@ -57,8 +57,8 @@
         inventory_state: InventoryState::Known,
         is_schedulable: true,
         time_to_termination: None,
-        free: room,
-        total: room,
+        free: resources,
+        total: resources,
         used_by_priority: Vec::new(),
         images: Vec::new(),
         task_count: 0,
--- a/src/job_shard/unresolved_starts.rs
+++ b/src/job_shard/unresolved_starts.rs
@@ -47,13 +47,13 @@
             }
             let spec = job.spec.clone();
             let guaranteed = pass.quota.has_guarantee(&spec.team);
-            let horizon = self.horizon(job, guaranteed, pass.wall.since(job.ready_wall()));
-            let full_horizon = self.horizon(job, guaranteed, Micros(0));
+            let max_queue_time = self.max_queue_time(job, guaranteed, pass.wall.since(job.ready_wall()));
+            let full_horizon = self.max_queue_time(job, guaranteed, Micros(0));
             let unplaced = allocate_if_possible(pass, &mut unplaceable, &spec, missing);
             self.remember_shape(pass.now, &spec, full_horizon);
             if unplaced > 0 {
                 let count = if spec.kind == JobKind::Gang { spec.task_count } else { unplaced as u32 };
-                let demand = self.demand_of(&spec, count, horizon);
+                let demand = self.demand_of(&spec, count, max_queue_time);
                 self.unresolved_demand.demands.push(demand);
             }
         }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -37,9 +37,9 @@
     }
 
     /// Allocates resources for an attempt.
-    pub fn take(&mut self, room: Resources) {
-        self.free = self.free - room;
-        self.unacknowledged = self.unacknowledged + room;
+    pub fn take(&mut self, resources: Resources) {
+        self.free = self.free - resources;
+        self.unacknowledged = self.unacknowledged + resources;
     }
 
     /// Resources that are free once all tasks of lower priority, and those that are already being stopped,
@@ -50,16 +50,16 @@
 
     /// Resources that are free once all tasks of at most this base priority have ended by themselves, whether
     /// guaranteed or not.
-    pub fn free_after_completion(&self, rank: u8) -> Resources {
-        self.free_after_ending_others(|running| running % GUARANTEED_PRIORITY_BONUS > rank)
+    pub fn free_after_completion(&self, base_priority: u8) -> Resources {
+        self.free_after_ending_others(|running| running % GUARANTEED_PRIORITY_BONUS > base_priority)
     }
 
     /// Resources that borrowing work can get at once: it may not preempt other borrowing work of its own base
     /// priority or above.
     pub fn free_after_preemption_by_borrower(&self, priority: u8) -> Resources {
-        let rank = priority % GUARANTEED_PRIORITY_BONUS;
+        let base_priority = priority % GUARANTEED_PRIORITY_BONUS;
         self.free_after_ending_others(|running| {
-            running >= priority || (rank..GUARANTEED_PRIORITY_BONUS).contains(&running)
+            running >= priority || (base_priority..GUARANTEED_PRIORITY_BONUS).contains(&running)
         })
     }
 }
