--- a/tests/compat.rs
+++ b/tests/compat.rs
@@ -35,7 +35,7 @@
         "unsaddleS":4.0,"dueS":900.0})
 }
 
-fn room(n: i64) -> Resources {
+fn resources(n: i64) -> Resources {
     Resources { cpus: 1000 * n, gpus: n, memory: 2500 * n }
 }
 
@@ -56,23 +56,23 @@
 /// The values that the fixtures contain.
 fn frames() -> Vec<(&'static str, Frame)> {
     let key = |index| TaskKey { job: "wk-000412".into(), index, attempt: (7 << 24) + 2 };
-    let want = |i, action| DesiredTask {
+    let desired_task = |i, action| DesiredTask {
         key: key(i),
         machine: "i-000231".into(),
-        resources: room(2),
+        resources: resources(2),
         action,
         priority: 12,
         image: 99,
     };
-    let wishes = DesiredState {
+    let desired_state = DesiredState {
         revision: (7 << 32) + 4,
         base_revision: (7 << 32) + 1,
         tasks: vec![
-            want(0, DesiredAction::Hold),
-            want(1, DesiredAction::Run),
-            want(2, DesiredAction::Keep),
-            want(3, DesiredAction::Stop(Micros(4_000_000))),
-            want(4, DesiredAction::Forget),
+            desired_task(0, DesiredAction::Hold),
+            desired_task(1, DesiredAction::Run),
+            desired_task(2, DesiredAction::Keep),
+            desired_task(3, DesiredAction::Stop(Micros(4_000_000))),
+            desired_task(4, DesiredAction::Forget),
         ],
         removed: vec![("i-000007".into(), key(5))],
     };
@@ -93,24 +93,24 @@
         TaskPhase::Exited(TaskExit::AttemptConflict),
         TaskPhase::Exited(TaskExit::UnknownTask),
     ];
-    let machine = |name: &str, standing| MachineStatus {
+    let machine = |name: &str, inventory_state| MachineStatus {
         name: name.into(),
         machine_type: "tolgy16".into(),
         zone: "buda-a".into(),
         spot: false,
-        inventory_state: standing,
+        inventory_state,
         is_schedulable: true,
         time_to_termination: Some(Micros(9_000_000)),
-        free: room(3),
-        total: room(16),
-        used_by_priority: vec![(1, room(2)), (12, room(4))],
+        free: resources(3),
+        total: resources(16),
+        used_by_priority: vec![(1, resources(2)), (12, resources(4))],
         images: vec![7, 8],
         task_count: 15,
         idle_time: None,
         silent_time: Some(Micros(3_500_000)),
         tasks: phases.iter().zip(0..).map(|(p, i)| ObservedTask { key: key(i), phase: *p }).collect(),
     };
-    let digest = MachineStatusDelta {
+    let status_delta = MachineStatusDelta {
         sequence: (7 << 32) + 9,
         base_sequence: 0,
         revision_seen: (7 << 32) + 4,
@@ -121,7 +121,7 @@
         ],
     };
     let demand = Demand {
-        resources_per_task: room(1),
+        resources_per_task: resources(1),
         machine_types: vec!["tolgy16".into()],
         zone: Some("pest-c".into()),
         one_zone: true,
@@ -132,24 +132,24 @@
         max_queue_time: Micros(80_000_000),
         gang_size: 12,
     };
-    let reserve =
-        Reservation { machine: "i-000231".into(), priority: 2, resources: room(15), must_preempt: true };
-    let fleet = Message::ScalingPlan {
+    let reservation =
+        Reservation { machine: "i-000231".into(), priority: 2, resources: resources(15), must_preempt: true };
+    let scaling_plan = Message::ScalingPlan {
         draining: vec!["i-000009".into()],
         removed: vec!["i-000010".into(), "i-000011".into()],
         reserved_classes: vec![("ulken32".into(), false, 2)],
         reserved_machines: vec![("i-000231".into(), 2)],
     };
-    let ask = |id, request| frame(Message::ForwardRequest { id, request });
+    let forward_request = |id, request| frame(Message::ForwardRequest { id, request });
     let job = || "wk-000412".to_owned();
     vec![
-        ("state", frame(Message::State(wishes, digest))),
+        ("state", frame(Message::State(desired_state, status_delta))),
         ("demands", frame(Message::Demands(vec![demand]))),
-        ("reserve", frame(Message::Reserve(vec![reserve]))),
-        ("fleet", frame(fleet)),
-        ("submit", ask(5, UserRequest::Submit(job(), body().to_string()))),
-        ("query", ask(6, UserRequest::Query(job()))),
-        ("withdraw", ask(7, UserRequest::Cancel(job()))),
+        ("reserve", frame(Message::Reserve(vec![reservation]))),
+        ("fleet", frame(scaling_plan)),
+        ("submit", forward_request(5, UserRequest::Submit(job(), body().to_string()))),
+        ("query", forward_request(6, UserRequest::Query(job()))),
+        ("withdraw", forward_request(7, UserRequest::Cancel(job()))),
         ("answer", frame(Message::ForwardResponse { id: 8, reply: Reply::retry_later("not now") })),
         ("strays", frame(Message::MisroutedHeartbeats(vec!["i-000231".into()]))),
         ("beat", frame(Message::KeepAlive)),
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn frames_are_those_of_the_version_in_production() {
+fn frames_match_the_version_in_production() {
     let all = fixtures();
     let all = all["frames"].as_object().expect("frames");
     let frames = frames();
@@ -172,13 +172,13 @@
 }
 
 #[test]
-fn the_message_of_the_second_form_survives_the_trip() {
+fn message_of_format_2_round_trips() {
     let f = frame(Message::InheritedPriorities(vec![("wk-000412".into(), 2), ("wk-1".into(), 1)]));
     assert_eq!(Frame::decode(&f.encode().expect("encoded")[4..]), Some(f));
 }
 
 #[test]
-fn the_messages_of_the_third_form_survive_the_trip() {
+fn messages_of_format_3_round_trip() {
     let key = TaskKey { job: "wk-000412".into(), index: 3, attempt: (7 << 24) + 2 };
     let start = StartHandoff {
         index: 3,
@@ -190,7 +190,7 @@
     };
     let task = TaskHandoff {
         key,
-        resources: Some(room(2)),
+        resources: Some(resources(2)),
         priority: 12,
         image: 99,
         phase: TaskPhase::Running,
@@ -217,7 +217,7 @@
         ReplicatedItem::Job("wk-000412".into()),
         ReplicatedItem::Start { key, machine: "i-000231".into(), zone: "buda-a".into() },
     ];
-    let testimony = ReplicatedStarts {
+    let replicated_starts = ReplicatedStarts {
         former_member: 2,
         last_epoch: 6,
         members: vec![0, 1, 2],
@@ -237,15 +237,15 @@
         jobs: vec![job],
         unresolved_sets: vec![vec!["i-000007".into()]],
         machines: vec![machine],
-        replicated_starts: vec![testimony],
+        replicated_starts: vec![replicated_starts],
         removed_machines: vec!["i-000005".into()],
     };
-    let vouch =
+    let replicate_starts =
         Message::ReplicateStarts { revision: 5, base_revision: 4, added: items.clone(), removed: items };
     for body in [
         Message::Handoff { number: 4, batch },
         Message::HandoffAck(vec![4, 5]),
-        vouch,
+        replicate_starts,
         Message::ReplicationAck(5),
     ] {
         let f = frame(body);
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn requests_of_the_fourth_form_survive_the_trip() {
+fn requests_of_format_4_round_trip() {
     let id = || "wk-000412".to_owned();
     for request in [UserRequest::Why(id()), UserRequest::Permit(id(), "117440514/3".into())] {
         let f = frame(Message::ForwardRequest { id: 9, request });
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn values_that_production_stored_are_read_and_written_alike() {
+fn values_stored_by_production_round_trip() {
     let all = fixtures();
     let stored = &all["stored"];
     let epoch: EpochRecord = serde_json::from_value(stored["ring/epoch"].clone()).expect("an epoch");
@@ -274,10 +274,10 @@
     assert_eq!((raw.clone(), done.len(), spec.dependencies.len()), (body(), 7, 0));
     assert_eq!(JobShard::build_record(&raw, accepted, &done.encode(1000)), stored["job/wk-000412"]);
 
-    let mut owner = JobShard::new(&settings(4.0));
-    owner.insert_job(raw, spec, accepted, TaskIndexSet::default(), 1, true);
-    owner.jobs.get_mut("wk-000412").expect("live").pending_outcome = Some(JobOutcome::Cancelled);
-    let Some((_, RecordWrite::End(_, end), _)) = owner.next_write(Micros(1), true) else { panic!("no end") };
+    let mut leader = JobShard::new(&settings(4.0));
+    leader.insert_job(raw, spec, accepted, TaskIndexSet::default(), 1, true);
+    leader.jobs.get_mut("wk-000412").expect("live").pending_outcome = Some(JobOutcome::Cancelled);
+    let Some((_, RecordWrite::End(_, end), _)) = leader.next_write(Micros(1), true) else { panic!("no end") };
     assert_eq!(end, stored["done/wk-000413"]);
     assert_eq!(hazelsaddle::controller::read_final_record(&end), Some((JobOutcome::Cancelled, 0)));
 }
@@ -285,17 +285,17 @@
 /// Rewrites a waiting job's record as version 1 does, which sees a job that no machine type suits. Version 1 passes
 /// the job description on unchanged, so its rewrite loses nothing that this version needs.
 #[test]
-fn a_waiting_record_is_kept_and_not_started_by_the_first_version() {
-    let mut with = body();
-    with["follows"] = json!(["wk-000398", "wk-405"]);
+fn version_1_keeps_a_waiting_record_and_does_not_start_the_job() {
+    let mut submission = body();
+    submission["follows"] = json!(["wk-000398", "wk-405"]);
     for types in [json!(["g8", "g9"]), Value::Null] {
-        with["breedsOfStall"] = types.clone();
-        let record = JobShard::build_waiting_record(&with, Micros(5));
+        submission["breedsOfStall"] = types.clone();
+        let record = JobShard::build_waiting_record(&submission, Micros(5));
         // The fields that version 1 reads, with its own checks, which ignore `follows`.
         let mut plain = record["spec"].clone();
         let map: &mut Map<String, Value> = plain.as_object_mut().expect("an object");
         assert!(map.remove("follows").is_some());
-        let seen = JobSpec::from_value(&plain).expect("the first version takes it for a job");
+        let seen = JobSpec::from_value(&plain).expect("version 1 accepts it as a job");
         assert_eq!(seen.machine_types.len(), 1);
         assert!(seen.machine_types[0].contains(' '), "and no machine is of a type of this name");
         assert_eq!((seen.id.as_str(), seen.task_count, seen.team.as_str()), ("wk-000412", 16, "vision"));
@@ -304,7 +304,7 @@
         let (raw, spec, accepted, done) = JobShard::read_record(&rewritten).expect("readable");
         assert_eq!((accepted, done.len()), (Micros(5), 4));
         assert_eq!(spec.dependencies, ["wk-000398", "wk-405"]);
-        assert_eq!(raw["follows"], with["follows"]);
+        assert_eq!(raw["follows"], submission["follows"]);
         assert_eq!(raw.get("breedsOfStall").cloned().unwrap_or_default(), types);
     }
     assert_eq!(
@@ -316,13 +316,13 @@
 /// A held job suits no machine type of any older version, not even when all its dependencies are done. Hand-off
 /// between older versions keeps its record complete, and its final record contains its declarations.
 #[test]
-fn a_held_record_is_kept_and_not_started_by_older_versions() {
-    let mut with = body();
-    with["release"] = json!({"title": "t", "night": "2026-12-01", "stage": "rotation"});
+fn older_versions_keep_a_held_record_and_do_not_start_the_job() {
+    let mut submission = body();
+    submission["release"] = json!({"title": "t", "night": "2026-12-01", "stage": "rotation"});
     for follows in [Value::Null, json!(["wk-000398", "wk-405"])] {
-        with["follows"] = follows.clone();
-        let spec = JobSpec::from_value(&with).expect("valid");
-        let record = JobShard::build_new_record(&with, &spec, Micros(5));
+        submission["follows"] = follows.clone();
+        let spec = JobSpec::from_value(&submission).expect("valid");
+        let record = JobShard::build_new_record(&submission, &spec, Micros(5));
         let types = &record["spec"]["breedsOfStall"];
         assert!(types.as_array().is_some_and(|t| t.len() == 1) && types[0] != "(waits for other jobs)");
         assert!(
@@ -332,22 +332,22 @@
         let (raw, spec, ..) = JobShard::read_record(&record).expect("readable");
         assert_eq!(
             (raw["breedsOfStall"].clone(), spec.dependencies.len()),
-            (with["breedsOfStall"].clone(), follows.as_array().map_or(0, Vec::len))
+            (submission["breedsOfStall"].clone(), follows.as_array().map_or(0, Vec::len))
         );
-        let mut owner = JobShard::new(&settings(4.0));
-        owner.insert_job(raw, spec, Micros(5), TaskIndexSet::default(), 1, true);
+        let mut leader = JobShard::new(&settings(4.0));
+        leader.insert_job(raw, spec, Micros(5), TaskIndexSet::default(), 1, true);
         for p in ["wk-000398", "wk-405"] {
-            owner.apply_dependency_outcome(p, JobOutcome::Done);
+            leader.apply_dependency_outcome(p, JobOutcome::Done);
         }
-        assert!(owner.jobs["wk-000412"].is_waiting(), "the release holds it still");
-        owner.lift_hold("wk-000412");
-        assert!(!owner.jobs["wk-000412"].is_waiting());
-        owner.jobs.get_mut("wk-000412").expect("live").pending_outcome = Some(JobOutcome::Done);
-        let Some((_, RecordWrite::End(_, end), _)) = owner.next_write(Micros(1), true) else {
+        assert!(leader.jobs["wk-000412"].is_waiting(), "the release still holds it");
+        leader.lift_hold("wk-000412");
+        assert!(!leader.jobs["wk-000412"].is_waiting());
+        leader.jobs.get_mut("wk-000412").expect("live").pending_outcome = Some(JobOutcome::Done);
+        let Some((_, RecordWrite::End(_, end), _)) = leader.next_write(Micros(1), true) else {
             panic!("no end")
         };
-        assert_eq!(end["says"]["release"], with["release"]);
-        assert_eq!(end["says"]["breed"], with["breed"]);
+        assert_eq!(end["says"]["release"], submission["release"]);
+        assert_eq!(end["says"]["breed"], submission["breed"]);
         let packed = if follows.is_null() { Value::Null } else { "000398,405".into() };
         assert_eq!(end["says"]["follows"], packed);
         assert_eq!(hazelsaddle::job_shard::declarations_in_record(&record), Some(end["says"].clone()));
@@ -357,16 +357,16 @@
 
 /// Values stored before the size limits were lowered are longer than what may be written now.
 #[test]
-fn long_values_from_before_are_read_and_never_written_at_that_length() {
+fn overlong_stored_values_are_read_and_never_written_at_that_length() {
     let all = fixtures();
     let s = settings(2.0);
     assert_eq!(s.value_bytes, 2048);
     let claims = &all["stored"]["team/t"];
     assert!(claims.to_string().len() > 2048);
-    let mut teams = QuotaLedger::new(&s.teams);
-    teams.apply_record("t", Some((claims, 5)));
-    let held = claims.as_object().expect("claims").len();
-    assert_eq!(teams.allocated("t").cpus, 15_000 * held as i64, "every claim counts");
+    let mut quota = QuotaLedger::new(&s.teams);
+    quota.apply_record("t", Some((claims, 5)));
+    let allocation_count = claims.as_object().expect("claims").len();
+    assert_eq!(quota.allocated("t").cpus, 15_000 * allocation_count as i64, "every claim counts");
     let one = Resources { cpus: 15_000, gpus: 0, memory: 0 };
     let need = |i: usize| QuotaNeed {
         job: format!("wk-9{i:05}"),
@@ -380,7 +380,7 @@
     };
     let needs: Vec<QuotaNeed> = (0..200).map(need).collect();
     let ended = |left: usize| move |job: &str| job[3..].parse::<usize>().expect("a number") >= left * 7;
-    let plan = |left: usize| {
+    let plan_write = |left: usize| {
         let (needs, value_bytes) = (&needs[..], s.value_bytes);
         let input = AllocationInput {
             team: "t",
@@ -389,10 +389,13 @@
             can_release: &ended(left),
             value_bytes,
         };
-        teams.next_write(Micros(60_000_000), &input)
+        quota.next_write(Micros(60_000_000), &input)
     };
-    assert!(plan(held - 3).is_none(), "too long still: it waits until more jobs have ended");
-    let w = plan(10).expect("most have ended");
+    assert!(
+        plan_write(allocation_count - 3).is_none(),
+        "too long still: it waits until more jobs have ended"
+    );
+    let w = plan_write(10).expect("most have ended");
     let jobs = w.allocations.len();
     assert!(w.value.to_string().len() <= 2048 && jobs > 20, "as many as a value holds: {jobs}");
 
--- a/tests/far_apart.rs
+++ b/tests/far_apart.rs
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_task_that_ended_long_before_the_others_is_neither_lost_nor_run_beside_itself() {
+fn early_task_outcomes_are_not_lost_and_no_task_runs_twice_at_a_time() {
     let (mut repeated_run_count, mut truncated_record_count) = (0, 0);
     for seed in 0..60u64 {
         let tasks = 2 + (seed % 2) as u32;
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -28,7 +28,7 @@
 use std::path::Path;
 use std::process::Command;
 
-type Forms = Vec<(String, Value)>;
+type NamedValues = Vec<(String, Value)>;
 
 fn fixtures(section: &str) -> Map<String, Value> {
     let all: Value = serde_json::from_str(include_str!("fixtures/current-form.json")).expect("JSON");
@@ -36,16 +36,16 @@
 }
 
 /// Compares what the code writes with sections of the fixtures, byte for byte.
-fn same(sections: &[(&str, Forms)]) {
+fn assert_unchanged(sections: &[(&str, NamedValues)]) {
     if std::env::var_os("GOLDEN_WRITE").is_some_and(|v| v == "1") {
-        for (section, forms) in sections {
-            forms.iter().for_each(|(name, value)| println!("\ngolden\t{section}\t{name}\t{value}"));
+        for (section, values) in sections {
+            values.iter().for_each(|(name, value)| println!("\ngolden\t{section}\t{name}\t{value}"));
         }
     }
-    sections.iter().for_each(|(section, forms)| same_section(section, forms));
+    sections.iter().for_each(|(section, values)| assert_section_unchanged(section, values));
 }
 
-fn same_section(section: &str, now: &Forms) {
+fn assert_section_unchanged(section: &str, now: &NamedValues) {
     let golden = fixtures(section);
     for (name, value) in now {
         let stored = golden.get(name).unwrap_or_else(|| panic!("{section}: {name} is not in the fixtures"));
@@ -92,7 +92,7 @@
     }
 }
 
-fn room(n: i64) -> Resources {
+fn resources(n: i64) -> Resources {
     Resources { cpus: 1000 * n, gpus: n, memory: 2500 * n }
 }
 
@@ -100,10 +100,10 @@
     TaskKey { job: "wk-000412".into(), index, attempt: (7 << 24) + 2 }
 }
 
-fn handed_machine() -> MachineHandoff {
+fn machine_handoff() -> MachineHandoff {
     let task = TaskHandoff {
         key: key(3),
-        resources: Some(room(2)),
+        resources: Some(resources(2)),
         priority: 12,
         image: 99,
         phase: TaskPhase::Exited(TaskExit::Stopped(true)),
@@ -127,12 +127,12 @@
     }
 }
 
-fn vouched() -> Vec<ReplicatedItem> {
+fn replicated_items() -> Vec<ReplicatedItem> {
     let start = ReplicatedItem::Start { key: key(4), machine: "i-000231".into(), zone: "buda-a".into() };
     vec![ReplicatedItem::Job("wk-000412".into()), start]
 }
 
-fn batch() -> HandoffBatch {
+fn handoff_batch() -> HandoffBatch {
     let start = StartHandoff {
         index: 3,
         attempt: (7 << 24) + 2,
@@ -141,14 +141,14 @@
         stopping: true,
         phase: Some(TaskPhase::InDoubt),
     };
-    let testimony = ReplicatedStarts {
+    let replicated_starts = ReplicatedStarts {
         former_member: 2,
         last_epoch: 6,
         members: vec![0, 1, 2],
         last_contact_epoch: 5,
         last_contact_members: vec![1, 2],
         adopted_since: 4,
-        items: vouched(),
+        items: replicated_items(),
         accepted_jobs: vec!["wk-000413".into()],
     };
     let job = JobHandoff {
@@ -160,8 +160,8 @@
     HandoffBatch {
         jobs: vec![job],
         unresolved_sets: vec![vec!["i-000007".into()]],
-        machines: vec![handed_machine()],
-        replicated_starts: vec![testimony],
+        machines: vec![machine_handoff()],
+        replicated_starts: vec![replicated_starts],
         removed_machines: vec!["i-000005".into()],
     }
 }
@@ -179,27 +179,27 @@
         team: "vision".into(),
         priority: 3,
         is_gang: true,
-        resources_per_task: room(2),
+        resources_per_task: resources(2),
         tasks: vec![task],
     };
-    LendingReport { jobs: vec![job], shortfalls: vec![("chat".into(), room(4), Micros(21_000_000))] }
+    LendingReport { jobs: vec![job], shortfalls: vec![("chat".into(), resources(4), Micros(21_000_000))] }
 }
 
 /// One frame of each kind of message that `first-form.json` doesn't contain.
 fn frames() -> Vec<(&'static str, Frame)> {
     let id = || "wk-000412".to_owned();
-    let ask = |request| Message::ForwardRequest { id: 9, request };
-    let vouch =
-        Message::ReplicateStarts { revision: 5, base_revision: 4, added: vouched(), removed: vouched() };
+    let forward_request = |request| Message::ForwardRequest { id: 9, request };
+    let replicate_starts =
+        Message::ReplicateStarts { revision: 5, base_revision: 4, added: replicated_items(), removed: replicated_items(), };
     [
         ("needed", Message::InheritedPriorities(vec![(id(), 2), ("wk-1".into(), 1)])),
-        ("hand_over", Message::Handoff { number: 4, batch: batch() }),
+        ("hand_over", Message::Handoff { number: 4, batch: handoff_batch() }),
         ("taken", Message::HandoffAck(vec![4, 5])),
-        ("vouch", vouch),
+        ("vouch", replicate_starts),
         ("noted", Message::ReplicationAck(5)),
         ("lending", Message::Lending(lending())),
-        ("why", ask(UserRequest::Why(id()))),
-        ("permit", ask(UserRequest::Permit(id(), "117440514/3".into()))),
+        ("why", forward_request(UserRequest::Why(id()))),
+        ("permit", forward_request(UserRequest::Permit(id(), "117440514/3".into()))),
         ("answer_without_time", Message::ForwardResponse { id: 8, reply: Reply::error(404, "no such job") }),
     ]
     .map(|(name, body)| (name, frame(body)))
@@ -216,10 +216,10 @@
 }
 
 #[test]
-fn frames_are_written_and_read_to_the_byte() {
+fn frames_round_trip_byte_for_byte() {
     let written = |f: &Frame| Value::from(hex(&f.encode().expect("encoded")));
-    let forms = frames().iter().map(|(name, f)| ((*name).to_owned(), written(f))).collect();
-    same(&[("frames", forms)]);
+    let values = frames().iter().map(|(name, f)| ((*name).to_owned(), written(f))).collect();
+    assert_unchanged(&[("frames", values)]);
     let golden = fixtures("frames");
     for (name, f) in frames() {
         let bytes = bytes_of(golden[name].as_str().expect("text"));
@@ -247,38 +247,38 @@
 
 const ACCEPTED: Micros = Micros(1_790_000_000_000_000);
 
-fn end_of(record: &Value, f: JobOutcome) -> Value {
+fn final_record(record: &Value, outcome: JobOutcome) -> Value {
     let (raw, spec, accepted, done) = JobShard::read_record(record).expect("a record");
     let id = spec.id.clone();
     let mut owner = JobShard::new(&settings());
     owner.insert_job(raw, spec, accepted, done, 1, true);
-    owner.jobs.get_mut(&id).expect("live").pending_outcome = Some(f);
+    owner.jobs.get_mut(&id).expect("live").pending_outcome = Some(outcome);
     match owner.next_write(Micros(1), true) {
         Some((_, RecordWrite::End(_, end), _)) => end,
         _ => panic!("no end"),
     }
 }
 
-fn job_forms() -> Forms {
-    let mut out = Forms::new();
+fn job_values() -> NamedValues {
+    let mut out = NamedValues::new();
     for (name, raw) in descriptions() {
         let spec = JobSpec::from_value(&raw).expect("valid");
         let record = JobShard::build_new_record(&raw, &spec, ACCEPTED);
         for (end, f) in [("done", JobOutcome::Done), ("cancelled", JobOutcome::Cancelled)] {
-            out.push((format!("job/{name}/{end}"), end_of(&record, f)));
+            out.push((format!("job/{name}/{end}"), final_record(&record, f)));
         }
         out.push((format!("job/{name}"), record));
     }
     let done = TaskIndexSet::decode("0-3,7", 16).expect("ranges");
     let progress = JobShard::build_record(&body("wk-000412"), ACCEPTED, &done.encode(1000));
-    out.push(("job/progress/cancelled".into(), end_of(&progress, JobOutcome::Cancelled)));
+    out.push(("job/progress/cancelled".into(), final_record(&progress, JobOutcome::Cancelled)));
     out.push(("job/progress".into(), progress));
     out
 }
 
 #[test]
-fn records_of_jobs_are_written_and_read_to_the_byte() {
-    same(&[("jobs", job_forms())]);
+fn job_records_round_trip_byte_for_byte() {
+    assert_unchanged(&[("jobs", job_values())]);
     let golden = fixtures("jobs");
     for (name, raw) in descriptions() {
         let stored = &golden[&format!("job/{name}")];
@@ -293,7 +293,7 @@
         for (end, f) in [("done", JobOutcome::Done), ("cancelled", JobOutcome::Cancelled)] {
             let ended = &golden[&format!("job/{name}/{end}")];
             assert_eq!(read_final_record(ended), Some((f, 0)), "{name} {end} is read");
-            assert_eq!(end_of(stored, f).to_string(), ended.to_string(), "{name} {end}");
+            assert_eq!(final_record(stored, f).to_string(), ended.to_string(), "{name} {end}");
         }
     }
     let stored = &golden["job/progress"];
@@ -340,27 +340,27 @@
 }
 
 /// The team's record that a job leader with only these jobs writes.
-fn team_after(record: &Value, needs: &[QuotaNeed]) -> Value {
-    let s = settings();
-    let mut teams = QuotaLedger::new(&s.teams);
-    teams.apply_record("vision", Some((record, 5)));
-    let mine = |job: &str| needs.iter().any(|n| n.job == job);
-    let value_bytes = s.value_bytes;
+fn updated_team_record(record: &Value, needs: &[QuotaNeed]) -> Value {
+    let settings_c0 = settings();
+    let mut quota = QuotaLedger::new(&settings_c0.teams);
+    quota.apply_record("vision", Some((record, 5)));
+    let is_led_locally = |job: &str| needs.iter().any(|n| n.job == job);
+    let value_bytes = settings_c0.value_bytes;
     let input = AllocationInput {
         team: "vision",
         needs,
-        is_led_locally: &mine,
+        is_led_locally: &is_led_locally,
         can_release: &|_| false,
         value_bytes,
     };
-    let write = teams.next_write(Micros(60_000_000), &input);
+    let write = quota.next_write(Micros(60_000_000), &input);
     write.expect("a change").value
 }
 
 /// Claims of two and three parts, and one of six parts that waits for free resources.
 fn team() -> Value {
     let before = json!({"wk-000001": [9000, 0], "wk-000002": [9000, 2, 1_789_999_999]});
-    team_after(&before, &[need("wk-000003", 5000, ACCEPTED), need("wk-000004", 15_000, ACCEPTED)])
+    updated_team_record(&before, &[need("wk-000003", 5000, ACCEPTED), need("wk-000004", 15_000, ACCEPTED)])
 }
 
 fn loan(id: u64, state: LoanState) -> Loan {
@@ -413,7 +413,7 @@
 }
 
 /// A release in each phase: open, closing, and closed with its page.
-fn release_forms() -> Forms {
+fn release_values() -> NamedValues {
     let key = Key::new(Kind::Release, "t@2026-12-01").expect("a name");
     let member = |says: Value| Member { state: CensusJobState::Live, declaration: says };
     let says = |stage: &str| json!({"title": "t", "night": "2026-12-01", "stage": stage});
@@ -432,7 +432,7 @@
     heads.chain(written.into_iter().map(|(k, v)| (format!("release/page/{k}"), v))).collect()
 }
 
-fn batch_forms() -> Forms {
+fn batch_values() -> NamedValues {
     let writer = |attempt, task| Writer { job: "wk-000412".into(), attempt, task };
     let granted = |b: &Batch, w: &Writer| match b.grant_permit(w, 2048) {
         PermitGrant::New(next, _) => next,
@@ -445,11 +445,11 @@
     all.into_iter().map(|(name, b)| (format!("batch/{name}"), b.to_record().to_value())).collect()
 }
 
-fn record_forms() -> Forms {
+fn record_values() -> NamedValues {
     let rows: Vec<_> = machines().into_iter().map(|(n, r)| (n.to_owned(), r)).collect();
     let (pages, lost) = split_into_pages([json!(["a", 1]), json!(["b"])], 50);
     assert_eq!(lost, 0);
-    let mut out: Forms = vec![
+    let mut out: NamedValues = vec![
         ("epoch".into(), serde_json::to_value(epoch()).expect("plain")),
         ("machines".into(), page_of(&rows)),
         ("team".into(), team()),
@@ -460,18 +460,18 @@
         let key = Key::new(kind, "n").expect("a name");
         out.push((format!("pact/keys/{name}"), json!([kind.prefix(), key.head_key(), key.page_key(3, 12)])));
     }
-    out.extend(release_forms());
-    out.extend(batch_forms());
+    out.extend(release_values());
+    out.extend(batch_values());
     out
 }
 
 #[test]
-fn other_records_are_written_to_the_byte() {
-    same(&[("records", record_forms())]);
+fn other_records_are_written_byte_for_byte() {
+    assert_unchanged(&[("records", record_values())]);
 }
 
 #[test]
-fn other_records_are_read_and_written_again_alike() {
+fn other_records_round_trip() {
     let golden = fixtures("records");
     let again = |name: &str, value: Value| assert_eq!(value.to_string(), golden[name].to_string(), "{name}");
     let read: EpochRecord = serde_json::from_value(golden["epoch"].clone()).expect("an epoch");
@@ -483,9 +483,9 @@
     again("machines", page_of(&rows));
 
     // The claim of another job leader is added to the existing ones.
-    let mut beside = team_after(&golden["team"], &[need("wk-000005", 100, ACCEPTED)]);
-    assert!(beside.as_object_mut().expect("claims").remove("wk-000005").is_some());
-    again("team", beside);
+    let mut updated = updated_team_record(&golden["team"], &[need("wk-000005", 100, ACCEPTED)]);
+    assert!(updated.as_object_mut().expect("claims").remove("wk-000005").is_some());
+    again("team", updated);
 
     let record = CoordinationRecord::read(&golden["ledger"]).expect("a record");
     let read = Ledger::read(&record.body).expect("a ledger");
@@ -503,7 +503,7 @@
 }
 
 #[test]
-fn releases_and_batches_are_read_and_written_again_alike() {
+fn releases_and_batches_round_trip() {
     for (name, stored) in fixtures("records") {
         if name.starts_with("release/page/") {
             let (again, _) =
@@ -527,13 +527,13 @@
 
 // Responses to users, workers and operators.
 
-fn told(r: &Reply) -> Value {
+fn reply_values(r: &Reply) -> Value {
     json!([r.status, r.body, r.retry_after])
 }
 
 /// A state store that executes every transaction at once.
 #[derive(Default)]
-struct Service {
+struct FakeStateStore {
     rows: BTreeMap<String, (Value, u64)>,
     revision: u64,
     /// The first value that was written under each key.
@@ -542,7 +542,7 @@
     last: BTreeMap<String, Value>,
 }
 
-impl Service {
+impl FakeStateStore {
     fn row(&self, key: &str) -> Option<KeyValue> {
         let (value, store_version) = self.rows.get(key)?;
         Some(KeyValue { key: key.into(), value: value.clone(), store_version: *store_version })
@@ -584,23 +584,23 @@
 }
 
 /// One controller with its state store, in steps of a tenth of a second.
-struct Play {
-    node: Controller,
-    service: Service,
+struct Harness {
+    controller: Controller,
+    store: FakeStateStore,
     now: Micros,
     out: Vec<Effect>,
     answers: Vec<(u64, Reply)>,
     ticket: u64,
 }
 
-impl Play {
-    fn start(settings: Settings, service: Service) -> Play {
-        let node = Controller::new(settings, 11);
+impl Harness {
+    fn start(settings: Settings, store: FakeStateStore) -> Harness {
+        let controller = Controller::new(settings, 11);
         let now = Micros(1_000_000);
-        let mut play = Play { node, service, now, out: Vec::new(), answers: Vec::new(), ticket: 0 };
-        play.rounds(200);
-        assert!(play.node.membership.is_leader(play.now), "it acts");
-        play
+        let mut harness = Harness { controller, store, now, out: Vec::new(), answers: Vec::new(), ticket: 0 };
+        harness.run_steps(200);
+        assert!(harness.controller.membership.is_leader(harness.now), "it is the leader");
+        harness
     }
 
     fn wall(&self) -> Micros {
@@ -620,7 +620,7 @@
         }
     }
 
-    fn round(&mut self) {
+    fn step_controller(&mut self) {
         let wall = self.wall();
         for effect in std::mem::take(&mut self.out) {
             let event = match effect {
@@ -628,65 +628,65 @@
                     self.answers.push((ticket, reply));
                     continue;
                 }
-                Effect::Store { id, request, .. } => {
-                    Event::Store { id, answer: self.service.answer(request) }
-                }
+                Effect::Store { id, request, .. } =>
+                    Event::Store { id, answer: self.store.answer(request) }
+                ,
                 Effect::Cloud(request) => {
-                    let answer = Play::cloud(&request);
+                    let answer = Harness::cloud(&request);
                     Event::Cloud { request, answer }
                 }
                 _ => continue,
             };
-            self.node.step(self.now, wall, event, &mut self.out);
+            self.controller.step(self.now, wall, event, &mut self.out);
         }
         self.now = self.now + Micros(100_000);
-        self.node.reconcile(self.now, self.wall(), &mut self.out);
+        self.controller.reconcile(self.now, self.wall(), &mut self.out);
     }
 
-    fn rounds(&mut self, count: usize) {
+    fn run_steps(&mut self, count: usize) {
         for _ in 0..count {
-            self.round();
+            self.step_controller();
         }
     }
 
-    fn begin(&mut self, event: impl FnOnce(u64) -> Event) -> u64 {
+    fn submit_event(&mut self, event: impl FnOnce(u64) -> Event) -> u64 {
         self.ticket += 1;
         let wall = self.wall();
-        self.node.step(self.now, wall, event(self.ticket), &mut self.out);
+        self.controller.step(self.now, wall, event(self.ticket), &mut self.out);
         self.ticket
     }
 
-    fn answered(&mut self, ticket: u64) -> Option<Reply> {
+    fn take_reply(&mut self, ticket: u64) -> Option<Reply> {
         let at = self.answers.iter().position(|(t, _)| *t == ticket)?;
         Some(self.answers.remove(at).1)
     }
 
-    fn ask(&mut self, event: impl FnOnce(u64) -> Event) -> Reply {
-        let ticket = self.begin(event);
+    fn wait_for_reply(&mut self, event: impl FnOnce(u64) -> Event) -> Reply {
+        let ticket = self.submit_event(event);
         let answer = (0..100).find_map(|_| {
-            self.round();
-            self.answered(ticket)
+            self.step_controller();
+            self.take_reply(ticket)
         });
         answer.expect("an answer within ten seconds")
     }
 
     /// The HTTP response to a user: status, body and retry delay.
-    fn user(&mut self, request: UserRequest) -> Value {
-        let r = self.ask(|ticket| Event::User { ticket, request });
-        told(&r)
+    fn send_user_request(&mut self, request: UserRequest) -> Value {
+        let r = self.wait_for_reply(|ticket| Event::User { ticket, request });
+        reply_values(&r)
     }
 
     fn submit(&mut self, raw: &Value) -> Value {
         let id = raw["uid"].as_str().expect("an id").to_owned();
-        self.user(UserRequest::Submit(id, raw.to_string()))
+        self.send_user_request(UserRequest::Submit(id, raw.to_string()))
     }
 
     fn query(&mut self, id: &str) -> Value {
-        self.user(UserRequest::Query(id.into()))
+        self.send_user_request(UserRequest::Query(id.into()))
     }
 
-    fn withdraw(&mut self, id: &str) -> Value {
-        self.user(UserRequest::Cancel(id.into()))
+    fn cancel(&mut self, id: &str) -> Value {
+        self.send_user_request(UserRequest::Cancel(id.into()))
     }
 }
 
@@ -697,7 +697,7 @@
     seq: u64,
     tasks: Vec<HeartbeatTask>,
     /// The first response body with each set of commands.
-    told: Forms,
+    reply_values: NamedValues,
 }
 
 impl Worker {
@@ -717,13 +717,13 @@
         }
     }
 
-    fn end(&mut self, why: &str) {
+    fn end_tasks(&mut self, why: &str) {
         for t in &mut self.tasks {
             (t.state, t.cause, t.saved) = ("ended".into(), Some(why.into()), Some(why == "stopped"));
         }
     }
 
-    fn obey(&mut self, command: &Value) {
+    fn execute(&mut self, command: &Value) {
         let task = command["stride"].as_str().expect("a task").to_owned();
         match command["call"].as_str().expect("a command") {
             "run" => self.tasks.push(HeartbeatTask {
@@ -733,17 +733,17 @@
                 cause: None,
                 saved: None,
             }),
-            "kill" => self.end("stopped"),
+            "kill" => self.end_tasks("stopped"),
             _ => self.tasks.retain(|t| t.task != task),
         }
     }
 
     /// Sends heartbeats until a response contains commands, or at most the given number of times.
-    fn heartbeats(&mut self, play: &mut Play, most: usize) {
-        for _ in 0..most {
+    fn heartbeats(&mut self, harness: &mut Harness, max_count: usize) {
+        for _ in 0..max_count {
             let report = self.report();
-            let reply = play.ask(|ticket| Event::Heartbeat { ticket, heartbeat: report });
-            play.rounds(10);
+            let reply = harness.wait_for_reply(|ticket| Event::Heartbeat { ticket, heartbeat: report });
+            harness.run_steps(10);
             if reply.status != 200 {
                 continue;
             }
@@ -752,10 +752,10 @@
             let calls = body["calls"].as_array().expect("commands").clone();
             let names: Vec<&str> = calls.iter().filter_map(|c| c["call"].as_str()).collect();
             let name = if names.is_empty() { "nothing".to_owned() } else { names.join("+") };
-            if !self.told.iter().any(|(n, _)| *n == name) {
-                self.told.push((name, reply.body.clone().into()));
+            if !self.reply_values.iter().any(|(n, _)| *n == name) {
+                self.reply_values.push((name, reply.body.clone().into()));
             }
-            calls.iter().for_each(|c| self.obey(c));
+            calls.iter().for_each(|c| self.execute(c));
         }
     }
 }
@@ -767,49 +767,49 @@
 }
 
 /// Runs a job to its end, and a dependent job that is cancelled while it runs, and records all responses meanwhile.
-fn story() -> (Play, Worker, Forms) {
-    let mut play = Play::start(settings(), Service::default());
+fn run_scenario() -> (Harness, Worker, NamedValues) {
+    let mut harness = Harness::start(settings(), FakeStateStore::default());
     let mut worker = Worker::default();
-    worker.heartbeats(&mut play, 4);
-    let mut told_all = Forms::new();
-    let mut note = |name: &str, reply: Value| told_all.push((name.to_owned(), reply));
-    note("query of no job", play.query("wk-000009"));
-    note("withdraw of no job", play.withdraw("wk-000009"));
-    note("submit", play.submit(&small("wk-000001")));
-    note("submit again", play.submit(&small("wk-000001")));
+    worker.heartbeats(&mut harness, 4);
+    let mut replies = NamedValues::new();
+    let mut record_reply = |name: &str, reply: Value| replies.push((name.to_owned(), reply));
+    record_reply("query of no job", harness.query("wk-000009"));
+    record_reply("withdraw of no job", harness.cancel("wk-000009"));
+    record_reply("submit", harness.submit(&small("wk-000001")));
+    record_reply("submit again", harness.submit(&small("wk-000001")));
     let mut wrong = small("wk-000003");
     wrong["strides"] = json!(0);
-    note("submit of a wrong field", play.submit(&wrong));
+    record_reply("submit of a wrong field", harness.submit(&wrong));
     let mut never = small("wk-000003");
     never["vcpus"] = json!(9.0);
-    note("submit of what fits nowhere", play.submit(&never));
+    record_reply("submit of what fits nowhere", harness.submit(&never));
     let mut after = small("wk-000002");
     after["follows"] = json!(["wk-000001"]);
-    note("submit of one that follows", play.submit(&after));
-    worker.heartbeats(&mut play, 4);
-    note("query while it runs", play.query("wk-000001"));
-    note("query while it waits", play.query("wk-000002"));
-    worker.end("done");
-    worker.heartbeats(&mut play, 8);
-    note("query when done", play.query("wk-000001"));
-    note("withdraw when done", play.withdraw("wk-000001"));
-    note("submit when done", play.submit(&small("wk-000001")));
-    let withdrawn =
-        play.begin(|ticket| Event::User { ticket, request: UserRequest::Cancel("wk-000002".into()) });
-    worker.heartbeats(&mut play, 8);
-    let reply = play.answered(withdrawn).expect("an answer");
-    note("withdraw while it runs", told(&reply));
-    note("query when withdrawn", play.query("wk-000002"));
-    (play, worker, told_all)
+    record_reply("submit of one that follows", harness.submit(&after));
+    worker.heartbeats(&mut harness, 4);
+    record_reply("query while it runs", harness.query("wk-000001"));
+    record_reply("query while it waits", harness.query("wk-000002"));
+    worker.end_tasks("done");
+    worker.heartbeats(&mut harness, 8);
+    record_reply("query when done", harness.query("wk-000001"));
+    record_reply("withdraw when done", harness.cancel("wk-000001"));
+    record_reply("submit when done", harness.submit(&small("wk-000001")));
+    let cancel_ticket =
+        harness.submit_event(|ticket| Event::User { ticket, request: UserRequest::Cancel("wk-000002".into()) });
+    worker.heartbeats(&mut harness, 8);
+    let reply = harness.take_reply(cancel_ticket).expect("an answer");
+    record_reply("withdraw while it runs", reply_values(&reply));
+    record_reply("query when withdrawn", harness.query("wk-000002"));
+    (harness, worker, replies)
 }
 
 #[test]
-fn users_and_workers_are_told_the_same_to_the_byte() {
-    let (play, worker, told) = story();
-    let (first, last) = (play.service.first, play.service.last);
-    same(&[
-        ("answers", told),
-        ("heartbeats", worker.told),
+fn responses_to_users_and_workers_are_unchanged_byte_for_byte() {
+    let (harness, worker, replies) = run_scenario();
+    let (first, last) = (harness.store.first, harness.store.last);
+    assert_unchanged(&[
+        ("answers", replies),
+        ("heartbeats", worker.reply_values),
         ("stored first", first.into_iter().collect()),
         ("stored last", last.into_iter().collect()),
     ]);
@@ -817,34 +817,34 @@
 
 /// A controller that starts from the stored values of the fixtures loads all of them and writes them again unchanged.
 #[test]
-fn a_controller_that_starts_from_the_stored_values_knows_them() {
-    let mut service = Service { revision: 1, ..Service::default() };
+fn a_controller_loads_the_stored_values_at_its_start() {
+    let mut store = FakeStateStore { revision: 1, ..FakeStateStore::default() };
     let ended = |key: &str| key == "job/wk-000001" || key == "job/wk-000002";
     for (key, value) in fixtures("stored last").into_iter().filter(|(k, _)| !ended(k)) {
-        service.rows.insert(key, (value, 1));
+        store.rows.insert(key, (value, 1));
     }
-    let mut play = Play::start(settings(), service);
+    let mut harness = Harness::start(settings(), store);
     let golden = fixtures("answers");
-    assert_eq!(play.query("wk-000001"), golden["query when done"]);
-    assert_eq!(play.query("wk-000002"), golden["query when withdrawn"]);
+    assert_eq!(harness.query("wk-000001"), golden["query when done"]);
+    assert_eq!(harness.query("wk-000002"), golden["query when withdrawn"]);
     let stored = fixtures("stored last");
     for key in ["ring/m/c0", "ring/m/*", "mach/c0/0"] {
-        assert_eq!(play.service.rows[key].0.to_string(), stored[key].to_string(), "{key}");
+        assert_eq!(harness.store.rows[key].0.to_string(), stored[key].to_string(), "{key}");
     }
 }
 
 #[test]
-fn refusals_of_reports_are_the_same_to_the_byte() {
-    let mut play = Play::start(settings(), Service::default());
+fn refusals_of_heartbeats_are_unchanged_byte_for_byte() {
+    let mut harness = Harness::start(settings(), FakeStateStore::default());
     let mut worker = Worker::default();
-    worker.heartbeats(&mut play, 2);
+    worker.heartbeats(&mut harness, 2);
     worker.seq -= 1;
     let (late, mut newer) = (worker.report(), worker.report());
     newer.token += 1;
-    let late = play.ask(|ticket| Event::Heartbeat { ticket, heartbeat: late });
-    let newer = play.ask(|ticket| Event::Heartbeat { ticket, heartbeat: newer });
-    let forms = vec![("late".into(), told(&late)), ("newer epoch".into(), told(&newer))];
-    same(&[("refusals", forms)]);
+    let late = harness.wait_for_reply(|ticket| Event::Heartbeat { ticket, heartbeat: late });
+    let newer = harness.wait_for_reply(|ticket| Event::Heartbeat { ticket, heartbeat: newer });
+    let values = vec![("late".into(), reply_values(&late)), ("newer epoch".into(), reply_values(&newer))];
+    assert_unchanged(&[("refusals", values)]);
 }
 
 fn keys(v: &Value) -> Value {
@@ -853,32 +853,32 @@
 
 #[test]
 fn the_status_has_the_same_keys() {
-    let mut on = settings();
+    let mut extended = settings();
     let text = "[logs]\nstores = 10.3.0.1:7103\n[loans]\nborrowers = chat\n";
-    on.operators = Operators::parse("f.ini", text).expect("valid");
-    let mut out = Forms::new();
-    for (name, settings) in [("plain", settings()), ("loans and logs", on)] {
-        let mut play = Play::start(settings, Service::default());
-        let body = play.ask(Event::Status).body;
+    extended.operators = Operators::parse("f.ini", text).expect("valid");
+    let mut out = NamedValues::new();
+    for (name, settings) in [("plain", settings()), ("loans and logs", extended)] {
+        let mut harness = Harness::start(settings, FakeStateStore::default());
+        let body = harness.wait_for_reply(Event::Status).body;
         let status: Value = serde_json::from_str(&body).expect("JSON");
         out.push((name.into(), keys(&status)));
         for (key, part) in status.as_object().expect("an object").iter().filter(|(_, v)| v.is_object()) {
             out.push((format!("{name}/{key}"), keys(part)));
         }
     }
-    same(&[("status", out)]);
+    assert_unchanged(&[("status", out)]);
 }
 
 // Settings.
 
-const PLAIN: &str = "member = \"c0\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n[[seeds]]\nmember = \"c1\"\n\
+const VALID_PLATFORM: &str = "member = \"c0\"\napi_addr = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n[[seeds]]\nmember = \"c1\"\n\
     addr = \"10.0.0.2:2\"\n[outside]\ncloud = \"10.0.0.9:1\"\nstate = \"10.0.0.9:2\"\n[[settings.teams]]\n\
     name = \"t\"\ncpus = 1.0\n[settings.workers]\nreport_s = 3.0\nlease_s = 18.0\ngang_wait_s = 30.0\n\
     gang_peer_s = 6.0\ncancel_s = 43.0\n[settings.state]\nrps = 100.0\nwrite_rps = 50.0\nvalue_kb = 4.0\n\
     txn_ops = 8\n[settings.state.next]\nvalue_kb = 2.0\n[settings.cloud]\nrps = 5.0\nlist_lag_s = 8.0\n";
 
 /// Changes of the platform's file, each of which makes it invalid.
-const WRONG: [(&str, &str, &str); 12] = [
+const INVALID_PLATFORM: [(&str, &str, &str); 12] = [
     ("no TOML", "member = \"c0\"", "member ="),
     ("a key is missing", "lease_s = 18.0\n", ""),
     ("a key of another type", "lease_s = 18.0", "lease_s = \"long\""),
@@ -894,7 +894,7 @@
 ];
 
 /// Invalid operators' files.
-const REFUSED: [(&str, &str); 13] = [
+const INVALID_OPERATORS: [(&str, &str); 13] = [
     ("an unknown section", "[log]\nstores = 10.0.0.1:1\n"),
     ("an unknown key", "[logs]\nstore = 10.0.0.1:1\n"),
     ("no address", "[logs]\nstores = here:1\n"),
@@ -911,7 +911,7 @@
 ];
 
 /// Exit code and message of the command for these files. A file without a text is missing.
-fn checked(folder: &Path, config: Option<&str>, operators: Option<&str>) -> Value {
+fn run_check(folder: &Path, config: Option<&str>, operators: Option<&str>) -> Value {
     for (name, text) in [("c.toml", config), ("o.ini", operators)] {
         let file = folder.join(name);
         let _ = std::fs::remove_file(&file);
@@ -924,22 +924,22 @@
 }
 
 #[test]
-fn settings_that_are_wrong_are_refused_in_the_same_words() {
+fn invalid_settings_are_refused_with_unchanged_messages() {
     let folder = std::env::temp_dir().join(format!("hazelsaddle-golden-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let mut out: Forms = vec![
-        ("valid".into(), checked(&folder, Some(PLAIN), Some(""))),
-        ("platform: no file".into(), checked(&folder, None, Some(""))),
-        ("operators: no file".into(), checked(&folder, Some(PLAIN), None)),
+    let mut out: NamedValues = vec![
+        ("valid".into(), run_check(&folder, Some(VALID_PLATFORM), Some(""))),
+        ("platform: no file".into(), run_check(&folder, None, Some(""))),
+        ("operators: no file".into(), run_check(&folder, Some(VALID_PLATFORM), None)),
     ];
-    for (name, from, to) in WRONG {
-        assert!(PLAIN.contains(from), "{name}");
-        let text = PLAIN.replacen(from, to, 1);
-        out.push((format!("platform: {name}"), checked(&folder, Some(&text), Some(""))));
+    for (name, from, to) in INVALID_PLATFORM {
+        assert!(VALID_PLATFORM.contains(from), "{name}");
+        let text = VALID_PLATFORM.replacen(from, to, 1);
+        out.push((format!("platform: {name}"), run_check(&folder, Some(&text), Some(""))));
     }
-    for (name, text) in REFUSED {
-        out.push((format!("operators: {name}"), checked(&folder, Some(PLAIN), Some(text))));
+    for (name, text) in INVALID_OPERATORS {
+        out.push((format!("operators: {name}"), run_check(&folder, Some(VALID_PLATFORM), Some(text))));
     }
     std::fs::remove_dir_all(&folder).expect("removed");
-    same(&[("settings", out)]);
+    assert_unchanged(&[("settings", out)]);
 }
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -11,7 +11,7 @@
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
 
-fn stores(folder: &std::path::Path) -> Vec<Running> {
+fn start_stores(folder: &std::path::Path) -> Vec<Running> {
     let start = |i: usize| {
         let mut text = sample()
             .replace("store-0\n", &format!("s{i}\n"))
@@ -38,24 +38,24 @@
     all
 }
 
-fn command(doors: &str, args: &[&str]) -> Command {
+fn command(addresses: &str, args: &[&str]) -> Command {
     let mut c = Command::new(env!("CARGO_BIN_EXE_hazelsaddle"));
-    c.args(args).env("HAZELSADDLE_STORES", doors).stdin(Stdio::null());
+    c.args(args).env("HAZELSADDLE_STORES", addresses).stdin(Stdio::null());
     c
 }
 
-fn out(doors: &str, args: &[&str]) -> (String, Option<i32>) {
-    let Output { stdout, status, .. } = command(doors, args).output().expect("it runs");
+fn run_command(addresses: &str, args: &[&str]) -> (String, Option<i32>) {
+    let Output { stdout, status, .. } = command(addresses, args).output().expect("it runs");
     (String::from_utf8(stdout).expect("text"), status.code())
 }
 
 /// A task is drained and continues elsewhere as another attempt, and the store that is followed fails in between.
 /// Each line is shown once, and following ends when the task is done.
 #[test]
-fn following_goes_over_a_new_attempt_and_a_store_that_dies() {
+fn following_continues_over_a_new_attempt_and_a_store_failure() {
     let folder = std::env::temp_dir().join(format!("hazelsaddle-logs-{}", std::process::id()));
-    let mut all = stores(&folder);
-    let doors = all.iter().map(|s| s.http.to_string()).collect::<Vec<_>>().join(",");
+    let mut all = start_stores(&folder);
+    let addresses = all.iter().map(|s| s.http.to_string()).collect::<Vec<_>>().join(",");
     let client = Client::new(all.iter().map(|s| s.link).collect());
     let attempt = |n| {
         let of = AttemptKey::new("wk-000007", 0, n).expect("valid");
@@ -63,7 +63,7 @@
     };
     let first = attempt(1);
     first.write(Kind::Out, b"a0\na1\n");
-    let follow = command(&doors, &["logs", "wk-000007/0", "--follow"]).stdout(Stdio::piped()).spawn();
+    let follow = command(&addresses, &["logs", "wk-000007/0", "--follow"]).stdout(Stdio::piped()).spawn();
     let follow = follow.expect("it runs");
     std::thread::sleep(Duration::from_millis(500));
     all.remove(0).stop();
@@ -80,14 +80,14 @@
     assert_eq!((String::from_utf8(seen.stdout).expect("text"), seen.status.code()), (expected, Some(0)));
 
     // The remaining queries, to the two stores that are left.
-    let logs = |args: &[&str]| out(&doors, &[&["logs"], args].concat());
-    assert_eq!(logs(&["wk-000007/0", "--attempt", "1"]), ("a0\na1\na2\n".into(), Some(0)));
-    assert_eq!(logs(&["wk-000007", "--tail", "1"]), ("wk-000007/0/2 | b49\n".into(), Some(0)));
-    assert_eq!(logs(&["wk-000007/0", "--grep", "^b1$"]), ("b1\n".into(), Some(0)));
-    assert_eq!(logs(&["wk-000007/0", "--since", "1h", "--grep", "b7"]), ("b7\n".into(), Some(0)));
-    assert_eq!(logs(&["wk-000007/0", "--since", "2999-01-01T00:00:00Z"]), (String::new(), Some(0)));
+    let run_logs = |args: &[&str]| run_command(&addresses, &[&["logs"], args].concat());
+    assert_eq!(run_logs(&["wk-000007/0", "--attempt", "1"]), ("a0\na1\na2\n".into(), Some(0)));
+    assert_eq!(run_logs(&["wk-000007", "--tail", "1"]), ("wk-000007/0/2 | b49\n".into(), Some(0)));
+    assert_eq!(run_logs(&["wk-000007/0", "--grep", "^b1$"]), ("b1\n".into(), Some(0)));
+    assert_eq!(run_logs(&["wk-000007/0", "--since", "1h", "--grep", "b7"]), ("b7\n".into(), Some(0)));
+    assert_eq!(run_logs(&["wk-000007/0", "--since", "2999-01-01T00:00:00Z"]), (String::new(), Some(0)));
     let json: serde_json::Value =
-        serde_json::from_str(&logs(&["wk-000007/0", "--tail", "1", "--json"]).0).expect("JSON");
+        serde_json::from_str(&run_logs(&["wk-000007/0", "--tail", "1", "--json"]).0).expect("JSON");
     assert_eq!(
         (&json["attempt"], &json["text"], &json["stream"]),
         (&2.into(), &"b49".into(), &"stdout".into())
@@ -100,9 +100,9 @@
         (&["../x"], 2),
         (&["--search", "absentword"], 3),
     ] {
-        assert_eq!(logs(args).1, Some(code), "{args:?}");
+        assert_eq!(run_logs(args).1, Some(code), "{args:?}");
     }
-    assert_eq!(out("127.0.0.1:1", &["logs", "wk-000007"]).1, Some(1), "nobody answers");
+    assert_eq!(run_command("127.0.0.1:1", &["logs", "wk-000007"]).1, Some(1), "no store answers");
     all.into_iter().for_each(Running::stop);
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -25,11 +25,11 @@
 
 fn machine_leader() -> (Membership, MachineShard) {
     let s = settings();
-    let mut m = Membership::new(&s, 1);
-    m.adopt_epoch(Micros(1), &EpochRecord { epoch: EPOCH, members: vec![("c0".into(), 1)] }, 1);
-    let mut home = MachineShard::new(&s);
-    home.adopt_epoch(Micros(1), &m, false, |_| None);
-    let report = Heartbeat {
+    let mut membership = Membership::new(&s, 1);
+    membership.adopt_epoch(Micros(1), &EpochRecord { epoch: EPOCH, members: vec![("c0".into(), 1)] }, 1);
+    let mut leader = MachineShard::new(&s);
+    leader.adopt_epoch(Micros(1), &membership, false, |_| None);
+    let heartbeat = Heartbeat {
         machine: "i-1".into(),
         addr: String::new(),
         machine_type: "k".into(),
@@ -41,17 +41,17 @@
         time_to_termination_s: None,
         tasks: Vec::new(),
     };
-    home.apply_heartbeat(Micros(2), &m, &report);
-    (m, home)
+    leader.apply_heartbeat(Micros(2), &membership, &heartbeat);
+    (membership, leader)
 }
 
 /// A receiver without the state in between would read the gap as "not wanted" or "not there".
 #[test]
-fn a_message_that_builds_on_a_state_not_held_is_dropped() {
-    let (m, mut home) = machine_leader();
-    let room = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
+fn a_delta_on_a_state_not_held_is_dropped() {
+    let (membership, mut leader) = machine_leader();
+    let capacity = |_: &str| Some(Resources { cpus: 4000, gpus: 0, memory: 8000 });
     let first = EPOCH << 32;
-    let wish = DesiredTask {
+    let desired_task = DesiredTask {
         key: TaskKey { job: "wk-1".into(), index: 0, attempt: 1 },
         machine: "i-1".into(),
         resources: Resources { cpus: 1000, gpus: 0, memory: 1000 },
@@ -62,43 +62,60 @@
     let ahead = DesiredState {
         revision: first + 5,
         base_revision: first + 4,
-        tasks: vec![wish.clone()],
+        tasks: vec![desired_task.clone()],
         removed: Vec::new(),
     };
-    assert!(!home.apply_desired_state(Micros(3), 0, &ahead, &m, room));
-    let digest = home.status_delta(Micros(4), &m, 0, 0, room);
-    assert!(digest.machines[0].tasks.is_empty());
-    assert!(digest.revision_seen < first, "what was dropped must not count as seen");
-    assert!(home.apply_desired_state(Micros(5), 0, &DesiredState { base_revision: 0, ..ahead }, &m, room));
-    assert_eq!(home.status_delta(Micros(6), &m, 0, 0, room).machines[0].tasks[0].key, wish.key);
+    assert!(!leader.apply_desired_state(Micros(3), 0, &ahead, &membership, capacity));
+    let status_delta = leader.status_delta(Micros(4), &membership, 0, 0, capacity);
+    assert!(status_delta.machines[0].tasks.is_empty());
+    assert!(status_delta.revision_seen < first, "what was dropped must not count as seen");
+    assert!(leader.apply_desired_state(
+        Micros(5),
+        0,
+        &DesiredState { base_revision: 0, ..ahead },
+        &membership,
+        capacity
+    ));
+    assert_eq!(
+        leader.status_delta(Micros(6), &membership, 0, 0, capacity).machines[0].tasks[0].key,
+        desired_task.key
+    );
 
     let mut view = MachineView::default();
     let later = MachineStatusDelta {
-        base_sequence: digest.sequence,
-        sequence: digest.sequence + 2,
-        ..digest.clone()
+        base_sequence: status_delta.sequence,
+        sequence: status_delta.sequence + 2,
+        ..status_delta.clone()
     };
     assert_eq!(view.apply_delta(Micros(7), EPOCH, later), None, "nothing of this epoch is held yet");
-    assert!(view.apply_delta(Micros(8), EPOCH, digest.clone()).is_some());
+    assert!(view.apply_delta(Micros(8), EPOCH, status_delta.clone()).is_some());
     let gap = MachineStatusDelta {
-        base_sequence: digest.sequence + 1,
-        sequence: digest.sequence + 2,
+        base_sequence: status_delta.sequence + 1,
+        sequence: status_delta.sequence + 2,
         machines: Vec::new(),
-        ..digest.clone()
+        ..status_delta.clone()
     };
     assert_eq!(view.apply_delta(Micros(9), EPOCH, gap), None);
-    assert_eq!(view.sequence(EPOCH), digest.sequence, "the sender goes on building on what is held");
+    assert_eq!(
+        view.sequence(EPOCH),
+        status_delta.sequence,
+        "the sender continues from the state that is held"
+    );
 }
 
 /// A process may be suspended between a decision and its effect while its lease expires. Production controllers have
 /// frozen for seconds, which showed that this check was missing.
 #[test]
-fn what_rests_on_a_right_that_has_run_out_is_taken_back() {
+fn effects_under_an_expired_lease_are_withdrawn() {
     let at = |s: u64| Micros(s * 1_000_000);
-    let mut node = Controller::new(settings(), 1);
-    node.membership.adopt_epoch(at(1), &EpochRecord { epoch: EPOCH, members: vec![("c0".into(), 1)] }, 1);
-    node.membership.renew_store_lease(at(1));
-    node.reconcile(at(2), at(2), &mut Vec::new());
+    let mut controller = Controller::new(settings(), 1);
+    controller.membership.adopt_epoch(
+        at(1),
+        &EpochRecord { epoch: EPOCH, members: vec![("c0".into(), 1)] },
+        1,
+    );
+    controller.membership.renew_store_lease(at(1));
+    controller.reconcile(at(2), at(2), &mut Vec::new());
     let status = |e: Option<Effect>| match e {
         Some(Effect::Reply { ticket: 7, reply: r }) => Some((r.status, r.retry_after)),
         other => panic!("{other:?}"),
@@ -107,19 +124,23 @@
         ticket: 7,
         reply: Reply::json(code, &serde_json::json!({"rein": EPOCH, "calls": []})),
     };
-    let give_back = || Effect::Cloud(CloudRequest::ScaleIn(vec!["i-1".into()]));
-    assert_eq!(status(node.revalidate_effect(at(2), answer(200))), Some((200, None)));
-    assert!(node.revalidate_effect(at(2), give_back()).is_some());
+    let scale_in = || Effect::Cloud(CloudRequest::ScaleIn(vec!["i-1".into()]));
+    assert_eq!(status(controller.revalidate_effect(at(2), answer(200))), Some((200, None)));
+    assert!(controller.revalidate_effect(at(2), scale_in()).is_some());
     // The lease of six seconds has expired, and nothing has happened in between.
-    assert_eq!(status(node.revalidate_effect(at(30), answer(200))), Some((503, Some(1))));
-    assert_eq!(status(node.revalidate_effect(at(30), answer(201))), Some((503, Some(1))));
-    assert_eq!(status(node.revalidate_effect(at(30), answer(421))), Some((421, None)), "this needs no right");
-    assert!(node.revalidate_effect(at(30), give_back()).is_none());
+    assert_eq!(status(controller.revalidate_effect(at(30), answer(200))), Some((503, Some(1))));
+    assert_eq!(status(controller.revalidate_effect(at(30), answer(201))), Some((503, Some(1))));
+    assert_eq!(
+        status(controller.revalidate_effect(at(30), answer(421))),
+        Some((421, None)),
+        "this needs no lease"
+    );
+    assert!(controller.revalidate_effect(at(30), scale_in()).is_none());
 }
 
 /// A value that is no list of job ids is refused with the field's name; absent, null and empty mean no dependencies.
 #[test]
-fn prerequisites_that_are_no_list_of_job_ids_are_malformed() {
+fn dependencies_that_are_no_list_of_job_ids_are_malformed() {
     let parse = |follows: serde_json::Value| {
         let body = json!({
             "uid": "wk-1",
--- a/tests/old_reports.rs
+++ b/tests/old_reports.rs
@@ -335,7 +335,7 @@
 
 /// Copies, delayed heartbeats, spans without responses and new machine leaders at random times.
 #[test]
-fn what_a_home_says_is_not_on_a_machine_is_not() {
+fn a_task_reported_as_absent_from_a_machine_is_absent() {
     let (mut started, mut incarnations) = (0, 0);
     for seed in 0..60 {
         let mut rng = StdRng::seed_from_u64(1000 + seed);
@@ -358,7 +358,7 @@
 
 /// A machine that reports but receives nothing blocks its tasks only for a bounded time, and gets no new commands.
 #[test]
-fn a_deaf_machine_is_waited_for_only_until_what_others_began_is_over() {
+fn a_machine_that_receives_nothing_is_waited_for_only_for_a_bounded_time() {
     let mut late_check_count = 0;
     for seed in 0..40 {
         let mut first_checked_at = None;
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -56,7 +56,7 @@
 /// submitted (the many tasks of one class on the GPUs of another) had all GPU machines reserved for it, arrays that
 /// may not use them held their team's whole limit, and gangs could claim nothing any more.
 #[test]
-fn gpus_are_in_use_while_work_waits_for_them() {
+fn gpus_are_in_use_while_work_waits() {
     let teams = "[[settings.teams]]\nname = \"serve\"\ncpus = 200.0\ncpus_max = 800.0\ngpus = 32.0\ngpus_max = 64.0\n\
         [[settings.teams]]\nname = \"train\"\ncpus = 200.0\ncpus_max = 1200.0\ngpus = 32.0\ngpus_max = 80.0\n\
         [[settings.teams]]\nname = \"shop\"\ncpus = 400.0\ncpus_max = 900.0\n";
@@ -121,7 +121,7 @@
 /// A gang of most machines of a zone starts while small gangs and arrays flow, machines fail, controllers join and
 /// leave and a zone loses half of its machines.
 #[test]
-fn the_largest_begin_whatever_flows_past_them() {
+fn the_largest_jobs_start_under_a_stream_of_small_ones() {
     let teams = "[[settings.teams]]\nname = \"shop\"\ncpus = 300.0\ncpus_max = 1000.0\n\
         [[settings.teams]]\nname = \"mill\"\ncpus = 300.0\ncpus_max = 1000.0\n";
     for seed in 0..3 {
@@ -186,7 +186,7 @@
 /// One team has borrowed another's guarantee. The other team submits work again and gets its guarantee back, and
 /// tasks within a guarantee are left alone.
 #[test]
-fn a_team_gets_its_guarantee_back_from_one_that_has_borrowed() {
+fn a_team_gets_its_guarantee_back_from_a_borrowing_team() {
     let teams = "[[settings.teams]]\nname = \"lent\"\ncpus = 320.0\ncpus_max = 640.0\n\
         [[settings.teams]]\nname = \"took\"\ncpus = 320.0\ncpus_max = 640.0\n";
     for seed in 0..4 {
@@ -227,7 +227,7 @@
 /// Guards against job leaders that all choose the fullest machine: on days of crashes half of their starts were
 /// refused while much was placed. Here the queues of all three are never empty, the worst case.
 #[test]
-fn owners_that_place_at_the_same_time_seldom_collide() {
+fn job_leaders_that_place_at_the_same_time_seldom_collide() {
     let teams = "[[settings.teams]]\nname = \"t\"\n";
     let (mut placed, mut refused) = (0, 0);
     for seed in 0..4 {
--- a/tests/spec.rs
+++ b/tests/spec.rs
@@ -16,7 +16,7 @@
         "unsaddleS":4.0,"dueS":900.0})
 }
 
-fn with(changes: &[(&str, Value)]) -> Value {
+fn body_with(changes: &[(&str, Value)]) -> Value {
     let mut b = body();
     for (key, v) in changes {
         b[*key] = v.clone();
@@ -26,7 +26,7 @@
 
 /// The status with which a submission is refused, if it is: by the API edge, or, where it names a job that may have
 /// been accepted with another body, by the job's leader once the state store has no record of it.
-fn post(text: &str) -> Option<u16> {
+fn submit_status(text: &str) -> Option<u16> {
     let read = |limit| http_api::read_body(&mut text.as_bytes(), limit);
     match http_api::dispatch(1, "POST", "/v1/jobs", read) {
         Dispatch::Reply(Reply { status, .. }) => Some(status),
@@ -36,21 +36,21 @@
 
 /// The field table: only fields that may be null may be omitted, and both mean the same.
 #[test]
-fn what_may_be_null_may_be_omitted_and_nothing_else() {
+fn only_nullable_fields_may_be_omitted() {
     let nullable = ["breedsOfStall", "paddock", "dueS"];
     for key in body().as_object().expect("an object").keys() {
         let mut without = body();
         without.as_object_mut().expect("an object").remove(key);
-        let null = with(&[(key, Value::Null)]);
-        let may = nullable.contains(&key.as_str());
+        let null = body_with(&[(key, Value::Null)]);
+        let is_nullable = nullable.contains(&key.as_str());
         for b in [&without, &null] {
-            assert_eq!(post(&b.to_string()), (!may).then_some(400), "{key}");
+            assert_eq!(submit_status(&b.to_string()), (!is_nullable).then_some(400), "{key}");
         }
-        if may {
+        if is_nullable {
             assert_eq!(JobSpec::from_value(&without), JobSpec::from_value(&null), "{key}");
         }
     }
-    assert_eq!(post(&with(&[("unheardOf", json!({"of": [1]}))]).to_string()), None, "ignored");
+    assert_eq!(submit_status(&body_with(&[("unheardOf", json!({"of": [1]}))]).to_string()), None, "ignored");
 }
 
 #[test]
@@ -74,8 +74,8 @@
     wrong.extend([json!("wk-"), json!("wk-x"), json!("vk-000412"), json!("wk-000412 ")].map(|v| ("uid", v)));
     wrong.extend([("rank", json!("urgent")), ("rank", json!("High")), ("gait", json!("gang"))]);
     for (key, v) in wrong {
-        let text = with(&[(key, v.clone())]).to_string();
-        assert_eq!(post(&text), Some(400), "{key}: {v}");
+        let text = body_with(&[(key, v.clone())]).to_string();
+        assert_eq!(submit_status(&text), Some(400), "{key}: {v}");
         assert!(
             matches!(JobSpec::parse(&text), Err(SubmissionError::Field { field, .. }) if field == key),
             "{key}: {v}"
@@ -84,9 +84,9 @@
     // Neither is JSON: numbers in requests are finite.
     for text in ["NaN", "Infinity", "1e999"] {
         let text = body().to_string().replace("\"vcpus\":8.0", &format!("\"vcpus\":{text}"));
-        assert_eq!(post(&text), Some(400), "{text}");
+        assert_eq!(submit_status(&text), Some(400), "{text}");
     }
-    assert_eq!(post(&with(&[("strides", json!(100_000))]).to_string()), None);
+    assert_eq!(submit_status(&body_with(&[("strides", json!(100_000))]).to_string()), None);
 }
 
 fn types() -> MachineTypes {
@@ -118,14 +118,14 @@
     Settings::parse("test", text).expect("valid")
 }
 
-fn impossible(changes: &[(&str, Value)]) -> bool {
-    let spec = JobSpec::from_value(&with(changes)).expect("well-formed");
+fn is_impossible(changes: &[(&str, Value)]) -> bool {
+    let spec = JobSpec::from_value(&body_with(changes)).expect("well-formed");
     spec.check(&types(), &settings().teams).is_err()
 }
 
 #[test]
-fn what_fits_no_type_kind_zone_or_limit_is_impossible() {
-    assert!(!impossible(&[]));
+fn a_job_that_fits_no_machine_type_zone_or_limit_is_impossible() {
+    assert!(!is_impossible(&[]));
     for changes in [
         &[("herd", json!("nobody"))][..],
         &[("paddock", json!("c"))],
@@ -146,43 +146,50 @@
         &[("gait", json!("batch")), ("cards", json!(6))],
         &[("strides", json!(1)), ("vcpus", json!(60.5))],
     ] {
-        assert!(impossible(changes), "{changes:?}");
+        assert!(is_impossible(changes), "{changes:?}");
     }
-    assert!(!impossible(&[("strides", json!(5))]), "just the limit");
-    assert!(!impossible(&[("gait", json!("batch")), ("strides", json!(100_000))]));
-    assert!(!impossible(&[("breedsOfStall", json!(["g9", "g8"]))]), "one of those allowed is enough");
+    assert!(!is_impossible(&[("strides", json!(5))]), "just the limit");
+    assert!(!is_impossible(&[("gait", json!("batch")), ("strides", json!(100_000))]));
+    assert!(!is_impossible(&[("breedsOfStall", json!(["g9", "g8"]))]), "one of those allowed is enough");
 }
 
 /// At most half of the tasks, rounded up, run in one zone, and all of a gang at the same time.
 #[test]
-fn a_gang_that_can_only_be_in_one_zone_and_must_not_is_impossible() {
-    let scattered = |more: &[(&str, Value)]| {
+fn a_scattered_gang_with_only_one_zone_is_impossible() {
+    let is_impossible_scattered = |more: &[(&str, Value)]| {
         let base = [("scatter", json!(true)), ("together", json!(false)), ("paddock", Value::Null)];
         let base = base.into_iter().chain([("breedsOfStall", json!(["c16"])), ("cards", json!(0))]);
         let all: Vec<(&str, Value)> = base.chain(more.iter().cloned()).collect();
-        impossible(&all)
+        is_impossible(&all)
     };
-    assert!(!scattered(&[]), "two zones have the type");
-    assert!(scattered(&[("together", json!(true))]));
-    assert!(scattered(&[("paddock", json!("a"))]));
-    assert!(scattered(&[("breedsOfStall", json!(["g8"]))]), "one zone has the type");
-    assert!(scattered(&[("vcpus", json!(15)), ("cards", json!(1)), ("breedsOfStall", Value::Null)]));
-    assert!(!scattered(&[("strides", json!(1)), ("paddock", json!("a"))]), "one of one may be there");
+    assert!(!is_impossible_scattered(&[]), "two zones have the type");
+    assert!(is_impossible_scattered(&[("together", json!(true))]));
+    assert!(is_impossible_scattered(&[("paddock", json!("a"))]));
+    assert!(is_impossible_scattered(&[("breedsOfStall", json!(["g8"]))]), "one zone has the type");
+    assert!(is_impossible_scattered(&[
+        ("vcpus", json!(15)),
+        ("cards", json!(1)),
+        ("breedsOfStall", Value::Null)
+    ]));
+    assert!(
+        !is_impossible_scattered(&[("strides", json!(1)), ("paddock", json!("a"))]),
+        "one of one may be there"
+    );
     // Tasks of an array need not run at the same time, and replicas can run in part.
     for gait in ["batch", "service"] {
-        assert!(!scattered(&[("gait", json!(gait)), ("paddock", json!("a"))]), "{gait}");
+        assert!(!is_impossible_scattered(&[("gait", json!(gait)), ("paddock", json!("a"))]), "{gait}");
     }
 }
 
 /// Valid but unusual submissions: tasks that need no resources, estimates of centuries.
 #[test]
-fn odd_amounts_overflow_nothing() {
-    let room = Resources { cpus: i64::MAX / 4, gpus: i64::MAX / 4, memory: i64::MAX / 4 };
-    let fits = room.max_count_of(Resources::default());
+fn unusual_amounts_cause_no_overflow() {
+    let resources = Resources { cpus: i64::MAX / 4, gpus: i64::MAX / 4, memory: i64::MAX / 4 };
+    let fits = resources.max_count_of(Resources::default());
     assert!(fits >= 100_000 && fits.checked_mul(100_000).is_some(), "{fits}");
-    let mut owner = JobShard::new(&settings());
+    let mut leader = JobShard::new(&settings());
     for (n, tasks) in [(1, 100_000), (2, 100_000), (3, 7)] {
-        let raw = with(&[
+        let raw = body_with(&[
             ("uid", json!(format!("wk-{n}"))),
             ("gait", json!("batch")),
             ("strides", json!(tasks)),
@@ -193,7 +200,7 @@
             ("ramGb", json!(0)),
         ]);
         let spec = JobSpec::from_value(&raw).expect("well-formed");
-        owner.insert_job(raw, spec, Micros(n), TaskIndexSet::default(), 1, true);
+        leader.insert_job(raw, spec, Micros(n), TaskIndexSet::default(), 1, true);
     }
-    assert_eq!(owner.queue_order().len(), 3);
+    assert_eq!(leader.queue_order().len(), 3);
 }
