--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -189,8 +189,12 @@
 fn frames() -> Vec<(&'static str, Frame)> {
     let id = || "wk-000412".to_owned();
     let forward_request = |request| Message::ForwardRequest { id: 9, request };
-    let replicate_starts =
-        Message::ReplicateStarts { revision: 5, base_revision: 4, added: replicated_items(), removed: replicated_items(), };
+    let replicate_starts = Message::ReplicateStarts {
+        revision: 5,
+        base_revision: 4,
+        added: replicated_items(),
+        removed: replicated_items(),
+    };
     [
         ("needed", Message::InheritedPriorities(vec![(id(), 2), ("wk-1".into(), 1)])),
         ("hand_over", Message::Handoff { number: 4, batch: handoff_batch() }),
@@ -628,9 +632,7 @@
                     self.answers.push((ticket, reply));
                     continue;
                 }
-                Effect::Store { id, request, .. } =>
-                    Event::Store { id, answer: self.store.answer(request) }
-                ,
+                Effect::Store { id, request, .. } => Event::Store { id, answer: self.store.answer(request) },
                 Effect::Cloud(request) => {
                     let answer = Harness::cloud(&request);
                     Event::Cloud { request, answer }
@@ -794,8 +796,8 @@
     record_reply("query when done", harness.query("wk-000001"));
     record_reply("withdraw when done", harness.cancel("wk-000001"));
     record_reply("submit when done", harness.submit(&small("wk-000001")));
-    let cancel_ticket =
-        harness.submit_event(|ticket| Event::User { ticket, request: UserRequest::Cancel("wk-000002".into()) });
+    let cancel_ticket = harness
+        .submit_event(|ticket| Event::User { ticket, request: UserRequest::Cancel("wk-000002".into()) });
     worker.heartbeats(&mut harness, 8);
     let reply = harness.take_reply(cancel_ticket).expect("an answer");
     record_reply("withdraw while it runs", reply_values(&reply));
