--- a/tests/world/days/takeovers.rs
+++ b/tests/world/days/takeovers.rs
@@ -69,8 +69,8 @@
     assert!(batches > 500, "{batches} hand-off batches");
 }
 
-/// A machine dies, a controller crashes, and half a lease later a second one does. The new leader of the first controller's
-/// jobs must not start the wait for that machine again, and jobs that one live leader hands to the next wait for nothing.
+/// A machine dies, and a controller that does not lead it crashes twice, 16 s apart, so several epochs follow. The new leaders of
+/// its jobs must not start the wait for that machine again, and jobs that one live leader hands to the next wait for nothing.
 #[test]
 fn a_dead_machine_is_waited_for_once_across_several_epochs() {
     for seed in 7300..7306 {
